--- a/src/main/java/fawndock/drill/CounterCrash.java
+++ b/src/main/java/fawndock/drill/CounterCrash.java
@@ -16,145 +16,157 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The counter service under load from several connections, killed outright at random moments and started again: every
- * recovered total is held against what the sockets acknowledged.
+ * The counter service under load from several connections, killed outright at random moments and
+ * started again: every recovered total is held against what the sockets acknowledged.
  */
 public final class CounterCrash {
-    private static final int CONNECTIONS = 6;
-    private static final int NAMES = 60;
-    private static final int MOST_OUT = 200;
-    private static final String HOUR = "3600000";
-    private static final String SETTINGS = "snapshot after 512KiB\nlog text level info\n";
-    private final int kills;
-    private final SplittableRandom random;
-    private final PrintStream out;
-    private final Totals totals = new Totals();
+  private static final int CONNECTIONS = 6;
+  private static final int NAMES = 60;
+  private static final int MOST_OUT = 200;
+  private static final String HOUR = "3600000";
+  private static final String SETTINGS = "snapshot after 512KiB\nlog text level info\n";
+  private final int kills;
+  private final SplittableRandom random;
+  private final PrintStream out;
+  private final Totals totals = new Totals();
 
-    /** @param kills from 1 */
-    public CounterCrash(int kills, long seed, PrintStream out) {
-        this.kills = kills;
-        this.random = new SplittableRandom(seed);
-        this.out = out;
-    }
+  /**
+   * @param kills from 1
+   */
+  public CounterCrash(int kills, long seed, PrintStream out) {
+    this.kills = kills;
+    this.random = new SplittableRandom(seed);
+    this.out = out;
+  }
 
-    private record Sent(String name, BigDecimal amount) {
-    }
+  private record Sent(String name, BigDecimal amount) {}
 
-    /** Plays it, prints the verdict last; returns whether nothing was lost. */
-    public boolean run() throws Exception {
-        Path folder = Files.createTempDirectory("fawndock-counter");
-        List<String> wrong = new ArrayList<>();
-        long worst = 0;
-        try (CounterProcess counter = new CounterProcess(folder, SETTINGS, "-Xmx128m", "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1")) {
-            start(counter);
-            for (int kill = 1; kill <= kills; kill++) {
-                long before = totals.adds();
-                List<Thread> callers = load(counter.port());
-                Thread.sleep(300 + random.nextInt(900));
-                counter.kill();
-                for (Thread each : callers) {
-                    each.join(TimeUnit.SECONDS.toMillis(Child.START_SECONDS));
-                }
-                long took = start(counter);
-                worst = Math.max(worst, took);
-                List<String> found = totals.judge(recovered(counter.port()));
-                wrong.addAll(found);
-                found.forEach(w -> out.println("  " + w));
-                out.printf("kill %d: %d adds acknowledged, answers again after %d ms, %d names wrong%n", kill,
-                        totals.adds() - before, took, found.size());
-            }
-        }
-        long lost = wrong.stream().filter(w -> w.startsWith("lost")).count();
-        if (wrong.isEmpty()) {
-            Folders.remove(folder);
-        } else {
-            out.println("settings, log and snapshots of the counter: " + folder);
+  /** Plays it, prints the verdict last; returns whether nothing was lost. */
+  public boolean run() throws Exception {
+    Path folder = Files.createTempDirectory("fawndock-counter");
+    List<String> wrong = new ArrayList<>();
+    long worst = 0;
+    try (CounterProcess counter =
+        new CounterProcess(
+            folder, SETTINGS, "-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1")) {
+      start(counter);
+      for (int kill = 1; kill <= kills; kill++) {
+        long before = totals.adds();
+        List<Thread> callers = load(counter.port());
+        Thread.sleep(300 + random.nextInt(900));
+        counter.kill();
+        for (Thread each : callers) {
+          each.join(TimeUnit.SECONDS.toMillis(Child.START_SECONDS));
         }
-        boolean kept = wrong.isEmpty() && totals.adds() > 0;
-        out.println((kept ? "totals kept: " : "totals broken: ") + kills + " kills, " + totals.adds()
-                + " acknowledged adds, " + lost + " lost, worst recovery " + worst + " ms");
-        return kept;
+        long took = start(counter);
+        worst = Math.max(worst, took);
+        List<String> found = totals.judge(recovered(counter.port()));
+        wrong.addAll(found);
+        found.forEach(w -> out.println("  " + w));
+        out.printf(
+            "kill %d: %d adds acknowledged, answers again after %d ms, %d names wrong%n",
+            kill, totals.adds() - before, took, found.size());
+      }
     }
+    long lost = wrong.stream().filter(w -> w.startsWith("lost")).count();
+    if (wrong.isEmpty()) {
+      Folders.remove(folder);
+    } else {
+      out.println("settings, log and snapshots of the counter: " + folder);
+    }
+    boolean kept = wrong.isEmpty() && totals.adds() > 0;
+    out.println(
+        (kept ? "totals kept: " : "totals broken: ")
+            + kills
+            + " kills, "
+            + totals.adds()
+            + " acknowledged adds, "
+            + lost
+            + " lost, worst recovery "
+            + worst
+            + " ms");
+    return kept;
+  }
 
-    /** Starts the counter; returns the milliseconds until it answers. */
-    private static long start(CounterProcess counter) throws Exception {
-        long begun = System.nanoTime();
-        try {
-            counter.start().get(Child.START_SECONDS, TimeUnit.SECONDS);
-        } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("the counter did not start: " + e.getCause(), e);
-        }
-        try (CounterCaller caller = new CounterCaller(counter.port())) {
-            if (!"PONG".equals(caller.call("PING"))) {
-                throw new IOException("the counter does not answer");
-            }
-        }
-        return (System.nanoTime() - begun) / 1_000_000;
+  /** Starts the counter; returns the milliseconds until it answers. */
+  private static long start(CounterProcess counter) throws Exception {
+    long begun = System.nanoTime();
+    try {
+      counter.start().get(Child.START_SECONDS, TimeUnit.SECONDS);
+    } catch (ExecutionException | TimeoutException e) {
+      throw new IOException("the counter did not start: " + e.getCause(), e);
+    }
+    try (CounterCaller caller = new CounterCaller(counter.port())) {
+      if (!"PONG".equals(caller.call("PING"))) {
+        throw new IOException("the counter does not answer");
+      }
     }
+    return (System.nanoTime() - begun) / 1_000_000;
+  }
 
-    private List<Thread> load(int port) {
-        List<Thread> callers = new ArrayList<>();
-        for (int i = 0; i < CONNECTIONS; i++) {
-            SplittableRandom own = random.split();
-            Thread caller = new Thread(() -> call(port, own), "caller " + i);
-            caller.setDaemon(true);
-            caller.start();
-            callers.add(caller);
-        }
-        return callers;
+  private List<Thread> load(int port) {
+    List<Thread> callers = new ArrayList<>();
+    for (int i = 0; i < CONNECTIONS; i++) {
+      SplittableRandom own = random.split();
+      Thread caller = new Thread(() -> call(port, own), "caller " + i);
+      caller.setDaemon(true);
+      caller.start();
+      callers.add(caller);
     }
+    return callers;
+  }
 
-    /** Adds until the connection breaks, with a random number of calls out at once. */
-    private void call(int port, SplittableRandom own) {
-        ArrayDeque<Sent> sent = new ArrayDeque<>();
-        try (CounterCaller caller = new CounterCaller(port)) {
-            while (true) {
-                int many = 1 + own.nextInt(MOST_OUT);
-                for (int i = 0; i < many; i++) {
-                    send(caller, own, sent);
-                }
-                caller.flush();
-                while (!sent.isEmpty()) {
-                    Object answer = caller.answer();
-                    Sent add = sent.poll();
-                    if (!(answer instanceof CounterCaller.Refused)) {
-                        totals.acknowledged(add.name(), add.amount());
-                    }
-                }
-            }
-        } catch (IOException e) {
-            // Killed; what has no answer may or may not count.
+  /** Adds until the connection breaks, with a random number of calls out at once. */
+  private void call(int port, SplittableRandom own) {
+    ArrayDeque<Sent> sent = new ArrayDeque<>();
+    try (CounterCaller caller = new CounterCaller(port)) {
+      while (true) {
+        int many = 1 + own.nextInt(MOST_OUT);
+        for (int i = 0; i < many; i++) {
+          send(caller, own, sent);
         }
-        sent.forEach(s -> totals.unanswered(s.name(), s.amount()));
+        caller.flush();
+        while (!sent.isEmpty()) {
+          Object answer = caller.answer();
+          Sent add = sent.poll();
+          if (!(answer instanceof CounterCaller.Refused)) {
+            totals.acknowledged(add.name(), add.amount());
+          }
+        }
+      }
+    } catch (IOException e) {
+      // Killed; what has no answer may or may not count.
     }
+    sent.forEach(s -> totals.unanswered(s.name(), s.amount()));
+  }
 
-    private static void send(CounterCaller caller, SplittableRandom own, ArrayDeque<Sent> sent) throws IOException {
-        String name = "quota-" + own.nextInt(NAMES);
-        BigDecimal amount = BigDecimal.valueOf(1 + own.nextInt(1_000), own.nextInt(4) * 3);
-        sent.add(new Sent(name, amount)); // Before it is sent: a write that fails may have gone out.
-        if (amount.scale() == 0 && own.nextInt(3) == 0) {
-            caller.send("INCRBYFLOAT", name, amount.toPlainString());
-        } else {
-            caller.send("FD.ADD", name, amount.toPlainString(), HOUR);
-        }
+  private static void send(CounterCaller caller, SplittableRandom own, ArrayDeque<Sent> sent)
+      throws IOException {
+    String name = "quota-" + own.nextInt(NAMES);
+    BigDecimal amount = BigDecimal.valueOf(1 + own.nextInt(1_000), own.nextInt(4) * 3);
+    sent.add(new Sent(name, amount)); // Before it is sent: a write that fails may have gone out.
+    if (amount.scale() == 0 && own.nextInt(3) == 0) {
+      caller.send("INCRBYFLOAT", name, amount.toPlainString());
+    } else {
+      caller.send("FD.ADD", name, amount.toPlainString(), HOUR);
     }
+  }
 
-    private Map<String, BigDecimal> recovered(int port) throws IOException {
-        Map<String, BigDecimal> found = new HashMap<>();
-        try (CounterCaller caller = new CounterCaller(port)) {
-            String cursor = "0";
-            do {
-                List<?> page = (List<?>) caller.call("SCAN", cursor);
-                cursor = (String) page.get(0);
-                for (Object name : (List<?>) page.get(1)) {
-                    Object total = caller.call("GET", (String) name);
-                    if (total != null) {
-                        found.put((String) name, new BigDecimal((String) total));
-                    }
-                }
-            } while (!cursor.equals("0"));
+  private Map<String, BigDecimal> recovered(int port) throws IOException {
+    Map<String, BigDecimal> found = new HashMap<>();
+    try (CounterCaller caller = new CounterCaller(port)) {
+      String cursor = "0";
+      do {
+        List<?> page = (List<?>) caller.call("SCAN", cursor);
+        cursor = (String) page.get(0);
+        for (Object name : (List<?>) page.get(1)) {
+          Object total = caller.call("GET", (String) name);
+          if (total != null) {
+            found.put((String) name, new BigDecimal((String) total));
+          }
         }
-        return found;
+      } while (!cursor.equals("0"));
     }
+    return found;
+  }
 }
--- a/src/main/java/fawndock/drill/CounterProcess.java
+++ b/src/main/java/fawndock/drill/CounterProcess.java
@@ -8,88 +8,109 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 
-/** The project's own counter service in a process of its own, killed and started again on the same directory. */
+/**
+ * The project's own counter service in a process of its own, killed and started again on the same
+ * directory.
+ */
 public final class CounterProcess implements AutoCloseable {
-    private final Path folder;
-    private final int port;
-    private final List<String> jvmOptions;
-    private final Thread hook = new Thread(this::end, "end counter");
-    private Child child;
+  private final Path folder;
+  private final int port;
+  private final List<String> jvmOptions;
+  private final Thread hook = new Thread(this::end, "end counter");
+  private Child child;
 
-    /** @param more settings lines besides where it listens and keeps its log */
-    public CounterProcess(Path folder, String more, String... jvmOptions) throws IOException {
-        this(folder, Gatekeepers.freePort(), more, jvmOptions);
-    }
+  /**
+   * @param more settings lines besides where it listens and keeps its log
+   */
+  public CounterProcess(Path folder, String more, String... jvmOptions) throws IOException {
+    this(folder, Gatekeepers.freePort(), more, jvmOptions);
+  }
 
-    /** @param port where it listens */
-    public CounterProcess(Path folder, int port, String more, String... jvmOptions) throws IOException {
-        this.folder = folder;
-        this.jvmOptions = new ArrayList<>(List.of(jvmOptions));
-        this.port = port;
-        Files.writeString(folder.resolve("counter.conf"), "listen 127.0.0.1:" + port + "\ndirectory counter\n" + more);
-        Runtime.getRuntime().addShutdownHook(hook);
-    }
+  /**
+   * @param port where it listens
+   */
+  public CounterProcess(Path folder, int port, String more, String... jvmOptions)
+      throws IOException {
+    this.folder = folder;
+    this.jvmOptions = new ArrayList<>(List.of(jvmOptions));
+    this.port = port;
+    Files.writeString(
+        folder.resolve("counter.conf"),
+        "listen 127.0.0.1:" + port + "\ndirectory counter\n" + more);
+    Runtime.getRuntime().addShutdownHook(hook);
+  }
 
-    /** Gives the next start one more option of the virtual machine. */
-    void option(String option) {
-        jvmOptions.add(option);
-    }
+  /** Gives the next start one more option of the virtual machine. */
+  void option(String option) {
+    jvmOptions.add(option);
+  }
 
-    public int port() {
-        return port;
-    }
+  public int port() {
+    return port;
+  }
 
-    /** Starts it; completes when it listens. */
-    public synchronized CompletableFuture<Void> start() throws IOException {
-        child = Child.start(jvmOptions, folder.resolve("counter.log"), "counter", "-c",
-                folder.resolve("counter.conf").toString());
-        return child.listening();
-    }
+  /** Starts it; completes when it listens. */
+  public synchronized CompletableFuture<Void> start() throws IOException {
+    child =
+        Child.start(
+            jvmOptions,
+            folder.resolve("counter.log"),
+            "counter",
+            "-c",
+            folder.resolve("counter.conf").toString());
+    return child.listening();
+  }
 
-    /** Kills it outright (SIGKILL) and waits until it is gone. */
-    public synchronized void kill() throws InterruptedException {
-        if (child != null) {
-            child.kill();
-        }
+  /** Kills it outright (SIGKILL) and waits until it is gone. */
+  public synchronized void kill() throws InterruptedException {
+    if (child != null) {
+      child.kill();
     }
+  }
 
-    /** Asks it to end (SIGTERM) and waits until it has. */
-    public synchronized void stop() throws InterruptedException {
-        child.process().destroy();
-        child.process().waitFor(Child.START_SECONDS, java.util.concurrent.TimeUnit.SECONDS);
-    }
+  /** Asks it to end (SIGTERM) and waits until it has. */
+  public synchronized void stop() throws InterruptedException {
+    child.process().destroy();
+    child.process().waitFor(Child.START_SECONDS, java.util.concurrent.TimeUnit.SECONDS);
+  }
 
-    /** Processor seconds that it has used. */
-    public synchronized double cpuSeconds() {
-        return child.process().toHandle().info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(Double.NaN);
-    }
+  /** Processor seconds that it has used. */
+  public synchronized double cpuSeconds() {
+    return child
+        .process()
+        .toHandle()
+        .info()
+        .totalCpuDuration()
+        .map(d -> d.toNanos() / 1e9)
+        .orElse(Double.NaN);
+  }
 
-    /** Removes log and snapshots of a counter that is not running. */
-    public void empty() throws IOException {
-        try (Stream<Path> files = Files.list(folder.resolve("counter"))) {
-            for (Path each : files.toList()) {
-                Files.delete(each);
-            }
-        }
+  /** Removes log and snapshots of a counter that is not running. */
+  public void empty() throws IOException {
+    try (Stream<Path> files = Files.list(folder.resolve("counter"))) {
+      for (Path each : files.toList()) {
+        Files.delete(each);
+      }
     }
+  }
 
-    private synchronized void end() {
-        if (child != null) {
-            child.process().destroyForcibly();
-        }
+  private synchronized void end() {
+    if (child != null) {
+      child.process().destroyForcibly();
     }
+  }
 
-    @Override
-    public void close() {
-        try {
-            kill(); // Waits: it must not write into a folder that is being removed.
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        try {
-            Runtime.getRuntime().removeShutdownHook(hook);
-        } catch (IllegalStateException e) {
-            // Ending already.
-        }
+  @Override
+  public void close() {
+    try {
+      kill(); // Waits: it must not write into a folder that is being removed.
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    try {
+      Runtime.getRuntime().removeShutdownHook(hook);
+    } catch (IllegalStateException e) {
+      // Ending already.
     }
+  }
 }
--- a/src/main/java/fawndock/drill/Demo.java
+++ b/src/main/java/fawndock/drill/Demo.java
@@ -8,9 +8,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One gatekeeper, a counter, a roster and eight workers, with customers under, at and over their plans. */
+/**
+ * One gatekeeper, a counter, a roster and eight workers, with customers under, at and over their
+ * plans.
+ */
 public final class Demo {
-    private static final String COMMON = """
+  private static final String COMMON =
+      """
             class lookup aim 500ms deadline 2s repeat idempotent
             route GET /tours lookup
             plan basic rate 20 store 40 pays 0.5
@@ -20,52 +24,71 @@
             key demo-hotel customer hotel plan gold
             log text level info
             """;
-    private static final Map<String, Integer> RATES = new TreeMap<>(Map.of("small-agency", 20, "greedy-agency", 20,
-            "hotel", 100));
+  private static final Map<String, Integer> RATES =
+      new TreeMap<>(Map.of("small-agency", 20, "greedy-agency", 20, "hotel", 100));
 
-    private final PrintStream out;
+  private final PrintStream out;
 
-    public Demo(PrintStream out) {
-        this.out = out;
-    }
+  public Demo(PrintStream out) {
+    this.out = out;
+  }
 
-    /** Runs for so long; returns whether anything was served and every rule kept. */
-    public boolean run(int seconds) throws Exception {
-        try (Scene scene = new Scene(BadDay.WORKERS, BadDay.BUILD, 1)) {
-            scene.gatekeepers(1, COMMON);
-            scene.gatekeepers.startAll();
-            List<Traffic.Customer> customers = List.of(new Traffic.Customer("small-agency", "demo-small", 10),
-                    new Traffic.Customer("greedy-agency", "demo-greedy", 80),
-                    new Traffic.Customer("hotel", "demo-hotel", 70));
-            Traffic traffic = new Traffic(scene.vertx, new RawClient(scene.vertx, scene.recorder),
-                    List.of(new Traffic.Kind("lookup", "GET", "/tours/today", Repeat.IDEMPOTENT, 1_500_000, 1)),
-                    customers, 1, scene.gatekeepers::port, 1);
-            out.println("gatekeeper on 127.0.0.1:" + scene.gatekeepers.port(0) + ", 8 workers, a counter, a roster; try:");
-            out.println("  curl -i -H 'x-api-key: demo-small' http://127.0.0.1:" + scene.gatekeepers.port(0) + "/tours/x");
-            out.println("each second: served / refused for each customer, who may send on so many a second in the long run");
-            traffic.start();
-            Map<String, long[]> before = new TreeMap<>();
-            for (int second = 1; second <= seconds; second++) {
-                Thread.sleep(1_000);
-                StringBuilder line = new StringBuilder(String.format("%4d s", second));
-                RATES.forEach((customer, rate) -> {
-                    long[] now = {traffic.ended(customer, 200), traffic.ended(customer, 429)};
-                    long[] was = before.getOrDefault(customer, new long[2]);
-                    line.append(String.format("   %s (%d/s) %3d / %3d", customer, rate, now[0] - was[0],
-                            now[1] - was[1]));
-                    before.put(customer, now);
-                });
-                out.println(line);
-                if (second == Math.max(2, seconds / 2)) {
-                    out.println("       (worker-0 dies, worker-1 is 10 times slower)");
-                    scene.workers.get(0).die();
-                    scene.workers.get(1).change(f -> f.slow = 10);
-                }
-            }
-            traffic.stop();
-            BadDay.awaitEnds(traffic);
-            return scene.conclude(RuleChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out)
-                    && traffic.ended(200) > 0;
+  /** Runs for so long; returns whether anything was served and every rule kept. */
+  public boolean run(int seconds) throws Exception {
+    try (Scene scene = new Scene(BadDay.WORKERS, BadDay.BUILD, 1)) {
+      scene.gatekeepers(1, COMMON);
+      scene.gatekeepers.startAll();
+      List<Traffic.Customer> customers =
+          List.of(
+              new Traffic.Customer("small-agency", "demo-small", 10),
+              new Traffic.Customer("greedy-agency", "demo-greedy", 80),
+              new Traffic.Customer("hotel", "demo-hotel", 70));
+      Traffic traffic =
+          new Traffic(
+              scene.vertx,
+              new RawClient(scene.vertx, scene.recorder),
+              List.of(
+                  new Traffic.Kind(
+                      "lookup", "GET", "/tours/today", Repeat.IDEMPOTENT, 1_500_000, 1)),
+              customers,
+              1,
+              scene.gatekeepers::port,
+              1);
+      out.println(
+          "gatekeeper on 127.0.0.1:"
+              + scene.gatekeepers.port(0)
+              + ", 8 workers, a counter, a roster; try:");
+      out.println(
+          "  curl -i -H 'x-api-key: demo-small' http://127.0.0.1:"
+              + scene.gatekeepers.port(0)
+              + "/tours/x");
+      out.println(
+          "each second: served / refused for each customer, who may send on so many a second in the long run");
+      traffic.start();
+      Map<String, long[]> before = new TreeMap<>();
+      for (int second = 1; second <= seconds; second++) {
+        Thread.sleep(1_000);
+        StringBuilder line = new StringBuilder(String.format("%4d s", second));
+        RATES.forEach(
+            (customer, rate) -> {
+              long[] now = {traffic.ended(customer, 200), traffic.ended(customer, 429)};
+              long[] was = before.getOrDefault(customer, new long[2]);
+              line.append(
+                  String.format(
+                      "   %s (%d/s) %3d / %3d", customer, rate, now[0] - was[0], now[1] - was[1]));
+              before.put(customer, now);
+            });
+        out.println(line);
+        if (second == Math.max(2, seconds / 2)) {
+          out.println("       (worker-0 dies, worker-1 is 10 times slower)");
+          scene.workers.get(0).die();
+          scene.workers.get(1).change(f -> f.slow = 10);
         }
+      }
+      traffic.stop();
+      BadDay.awaitEnds(traffic);
+      return scene.conclude(RuleChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out)
+          && traffic.ended(200) > 0;
     }
+  }
 }
--- a/src/main/java/fawndock/drill/Folders.java
+++ b/src/main/java/fawndock/drill/Folders.java
@@ -9,17 +9,16 @@
 
 /** Folders that a tool makes for itself. */
 public final class Folders {
-    private Folders() {
-    }
+  private Folders() {}
 
-    /** Removes a folder and all that is in it. */
-    public static void remove(Path folder) throws IOException {
-        List<Path> deepestFirst;
-        try (Stream<Path> files = Files.walk(folder)) {
-            deepestFirst = files.sorted(Comparator.reverseOrder()).toList();
-        }
-        for (Path each : deepestFirst) {
-            Files.deleteIfExists(each);
-        }
+  /** Removes a folder and all that is in it. */
+  public static void remove(Path folder) throws IOException {
+    List<Path> deepestFirst;
+    try (Stream<Path> files = Files.walk(folder)) {
+      deepestFirst = files.sorted(Comparator.reverseOrder()).toList();
+    }
+    for (Path each : deepestFirst) {
+      Files.deleteIfExists(each);
     }
+  }
 }
--- a/src/main/java/fawndock/drill/Gatekeepers.java
+++ b/src/main/java/fawndock/drill/Gatekeepers.java
@@ -18,119 +18,133 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Gatekeepers in processes of their own, each with a settings file in one folder. Ends its own processes only. */
+/**
+ * Gatekeepers in processes of their own, each with a settings file in one folder. Ends its own
+ * processes only.
+ */
 public final class Gatekeepers implements AutoCloseable {
-    private static final int MOST_PORTS = 1_000;
-    private final Path folder;
-    private final Recorder recorder;
-    private final List<String> jvmOptions;
-    private final Map<Integer, Process> processes = new TreeMap<>();
-    private final Map<Integer, Integer> ports = new TreeMap<>();
-    private final Thread hook = new Thread(this::end, "end gatekeepers");
+  private static final int MOST_PORTS = 1_000;
+  private final Path folder;
+  private final Recorder recorder;
+  private final List<String> jvmOptions;
+  private final Map<Integer, Process> processes = new TreeMap<>();
+  private final Map<Integer, Integer> ports = new TreeMap<>();
+  private final Thread hook = new Thread(this::end, "end gatekeepers");
 
-    /**
-     * No gatekeepers yet.
-     *
-     * @param jvmOptions of each process
-     */
-    public Gatekeepers(Path folder, Recorder recorder, String... jvmOptions) {
-        this.folder = folder;
-        this.recorder = recorder;
-        this.jvmOptions = List.of(jvmOptions);
-        Runtime.getRuntime().addShutdownHook(hook);
-    }
+  /**
+   * No gatekeepers yet.
+   *
+   * @param jvmOptions of each process
+   */
+  public Gatekeepers(Path folder, Recorder recorder, String... jvmOptions) {
+    this.folder = folder;
+    this.recorder = recorder;
+    this.jvmOptions = List.of(jvmOptions);
+    Runtime.getRuntime().addShutdownHook(hook);
+  }
 
-    /**
-     * A loopback port that is free now, from below the range that systems take for outgoing connections: one from
-     * that range was seen taken by a client's connection before its gatekeeper came to listen.
-     */
-    public static int freePort() throws IOException {
-        for (int i = 0; i < MOST_PORTS; i++) {
-            int port = 15_000 + ThreadLocalRandom.current().nextInt(16_000);
-            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return socket.getLocalPort();
-            } catch (BindException e) {
-                // Taken: another.
-            }
-        }
-        throw new IOException("no free port found in " + MOST_PORTS + " tries");
+  /**
+   * A loopback port that is free now, from below the range that systems take for outgoing
+   * connections: one from that range was seen taken by a client's connection before its gatekeeper
+   * came to listen.
+   */
+  public static int freePort() throws IOException {
+    for (int i = 0; i < MOST_PORTS; i++) {
+      int port = 15_000 + ThreadLocalRandom.current().nextInt(16_000);
+      try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+        return socket.getLocalPort();
+      } catch (BindException e) {
+        // Taken: another.
+      }
     }
+    throw new IOException("no free port found in " + MOST_PORTS + " tries");
+  }
 
-    /** Keeps the settings of a gatekeeper and the port on which they say that it listens. */
-    public void settings(int number, int port, String text) throws IOException {
-        ports.put(number, port);
-        Files.writeString(folder.resolve("gatekeeper-" + number + ".conf"), text);
-    }
+  /** Keeps the settings of a gatekeeper and the port on which they say that it listens. */
+  public void settings(int number, int port, String text) throws IOException {
+    ports.put(number, port);
+    Files.writeString(folder.resolve("gatekeeper-" + number + ".conf"), text);
+  }
 
-    public int port(int number) {
-        return ports.get(number);
-    }
+  public int port(int number) {
+    return ports.get(number);
+  }
 
-    public List<Integer> numbers() {
-        return new ArrayList<>(ports.keySet());
-    }
+  public List<Integer> numbers() {
+    return new ArrayList<>(ports.keySet());
+  }
 
-    /** Starts one; completes when it says that it listens. */
-    public CompletableFuture<Void> start(int number) throws IOException {
-        Child child = Child.start(jvmOptions, folder.resolve("gatekeeper-" + number + ".log"), "run", "-c",
-                folder.resolve("gatekeeper-" + number + ".conf").toString());
-        synchronized (processes) {
-            processes.put(number, child.process());
-        }
-        return child.listening();
+  /** Starts one; completes when it says that it listens. */
+  public CompletableFuture<Void> start(int number) throws IOException {
+    Child child =
+        Child.start(
+            jvmOptions,
+            folder.resolve("gatekeeper-" + number + ".log"),
+            "run",
+            "-c",
+            folder.resolve("gatekeeper-" + number + ".conf").toString());
+    synchronized (processes) {
+      processes.put(number, child.process());
     }
+    return child.listening();
+  }
 
-    /** Starts all that have settings and waits for them. */
-    public void startAll() throws IOException {
-        List<CompletableFuture<Void>> starting = new ArrayList<>();
-        for (int number : numbers()) {
-            starting.add(start(number));
-        }
-        try {
-            CompletableFuture.allOf(starting.toArray(CompletableFuture[]::new)).get(Child.START_SECONDS, TimeUnit.SECONDS);
-        } catch (ExecutionException | TimeoutException e) {
-            throw new IOException(e.getCause() == null ? "gatekeepers did not start" : e.getCause().getMessage(), e);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
-        }
+  /** Starts all that have settings and waits for them. */
+  public void startAll() throws IOException {
+    List<CompletableFuture<Void>> starting = new ArrayList<>();
+    for (int number : numbers()) {
+      starting.add(start(number));
+    }
+    try {
+      CompletableFuture.allOf(starting.toArray(CompletableFuture[]::new))
+          .get(Child.START_SECONDS, TimeUnit.SECONDS);
+    } catch (ExecutionException | TimeoutException e) {
+      throw new IOException(
+          e.getCause() == null ? "gatekeepers did not start" : e.getCause().getMessage(), e);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IOException("interrupted", e);
     }
+  }
 
-    /** Kills one outright (SIGKILL). */
-    public void kill(int number) {
-        synchronized (processes) {
-            Process process = processes.remove(number);
-            if (process != null) {
-                recorder.add(new Seen.Killed(Recorder.now(), number));
-                process.destroyForcibly();
-            }
-        }
+  /** Kills one outright (SIGKILL). */
+  public void kill(int number) {
+    synchronized (processes) {
+      Process process = processes.remove(number);
+      if (process != null) {
+        recorder.add(new Seen.Killed(Recorder.now(), number));
+        process.destroyForcibly();
+      }
     }
+  }
 
-    /** Asks one to end (SIGTERM); returns its exit code, or -1 when it took longer than so many seconds. */
-    public int terminate(int number, int seconds) throws InterruptedException {
-        Process process;
-        synchronized (processes) {
-            process = processes.remove(number);
-        }
-        process.destroy();
-        return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
+  /**
+   * Asks one to end (SIGTERM); returns its exit code, or -1 when it took longer than so many
+   * seconds.
+   */
+  public int terminate(int number, int seconds) throws InterruptedException {
+    Process process;
+    synchronized (processes) {
+      process = processes.remove(number);
     }
+    process.destroy();
+    return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
+  }
 
-    private void end() {
-        synchronized (processes) {
-            processes.values().forEach(Process::destroyForcibly);
-            processes.clear();
-        }
+  private void end() {
+    synchronized (processes) {
+      processes.values().forEach(Process::destroyForcibly);
+      processes.clear();
     }
+  }
 
-    @Override
-    public void close() {
-        end();
-        try {
-            Runtime.getRuntime().removeShutdownHook(hook);
-        } catch (IllegalStateException e) {
-            // Ending already.
-        }
+  @Override
+  public void close() {
+    end();
+    try {
+      Runtime.getRuntime().removeShutdownHook(hook);
+    } catch (IllegalStateException e) {
+      // Ending already.
     }
+  }
 }
--- a/src/main/java/fawndock/drill/PlatformDrill.java
+++ b/src/main/java/fawndock/drill/PlatformDrill.java
@@ -10,73 +10,87 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One gatekeeper of the platform's way in among stand-ins in one process: requests of every class, refusals, bad input,
- * a new configuration, a stop. Prints what became of them. The build has the classes that it loads archived, so it goes
- * through all that a day does.
+ * One gatekeeper of the platform's way in among stand-ins in one process: requests of every class,
+ * refusals, bad input, a new configuration, a stop. Prints what became of them. The build has the
+ * classes that it loads archived, so it goes through all that a day does.
  */
 public final class PlatformDrill {
-    private static final int CONNECTIONS = 4;
-    private final int requests;
-    private final PrintStream out;
+  private static final int CONNECTIONS = 4;
+  private final int requests;
+  private final PrintStream out;
 
-    /** A drill of so many requests. */
-    public PlatformDrill(int requests, PrintStream out) {
-        this.requests = requests;
-        this.out = out;
-    }
+  /** A drill of so many requests. */
+  public PlatformDrill(int requests, PrintStream out) {
+    this.requests = requests;
+    this.out = out;
+  }
 
-    /** Plays it; whether each request was answered as it should be. */
-    public boolean run() throws IOException, InterruptedException {
-        try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter());
-                RespServer otherCounter = new RespServer(RespServer.counter())) {
-            PlatformDaemon daemon = new PlatformDaemon(world.variables());
-            int[] code = {-1};
-            Thread running = new Thread(() -> {
+  /** Plays it; whether each request was answered as it should be. */
+  public boolean run() throws IOException, InterruptedException {
+    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter());
+        RespServer otherCounter = new RespServer(RespServer.counter())) {
+      PlatformDaemon daemon = new PlatformDaemon(world.variables());
+      int[] code = {-1};
+      Thread running =
+          new Thread(
+              () -> {
                 try {
-                    code[0] = daemon.run(Logic::new);
+                  code[0] = daemon.run(Logic::new);
                 } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
+                  Thread.currentThread().interrupt();
                 }
-            }, "platform");
-            running.start();
-            if (!daemon.awaitReady(20, TimeUnit.SECONDS)) {
-                out.println("not ready within 20 s");
-                return false;
-            }
-            boolean well = requests(world, otherCounter, daemon);
-            daemon.stop();
-            running.join(20_000);
-            out.println("exit code after the stop: " + code[0]);
-            return well && code[0] == 0;
-        }
+              },
+              "platform");
+      running.start();
+      if (!daemon.awaitReady(20, TimeUnit.SECONDS)) {
+        out.println("not ready within 20 s");
+        return false;
+      }
+      boolean well = requests(world, otherCounter, daemon);
+      daemon.stop();
+      running.join(20_000);
+      out.println("exit code after the stop: " + code[0]);
+      return well && code[0] == 0;
     }
+  }
 
-    private boolean requests(PlatformWorld world, RespServer otherCounter, PlatformDaemon daemon) throws IOException {
-        RespClient[] clients = new RespClient[CONNECTIONS];
-        for (int i = 0; i < CONNECTIONS; i++) {
-            clients[i] = new RespClient(world.port());
-        }
-        String[] types = {"look", "note", "pay"};
-        int served = 0;
-        int refused = 0;
-        for (int i = 0; i < requests; i++) {
-            if (i == requests / 2) {
-                world.configure(world.catalog.port(), otherCounter.port());
-                daemon.reload();
-            }
-            boolean small = i % 10 == 9; // Customers of the small plan ask more than it holds.
-            String[] words = PlatformWorld.request(types[i % 3], small ? "small" : "large", small ? 1 : 100 + i % 50, 1_000 + i, "");
-            String answer = clients[i % CONNECTIONS].ask(words);
-            served += answer != null && answer.equals("value of " + words[2]) ? 1 : 0;
-            refused += answer != null && answer.startsWith("-BUSY ") && small ? 1 : 0;
-        }
-        String unfit = clients[0].ask("Q.ASK", "x", "y", "z");
-        String noise = clients[1].send("noise without end").answer();
-        for (RespClient client : clients) {
-            client.close();
-        }
-        out.println(requests + " requests: " + served + " served, " + refused + " refused beyond their plan; bad input: "
-                + unfit + " / " + noise);
-        return served + refused == requests && refused > 0 && unfit != null && unfit.startsWith("-ERR");
+  private boolean requests(PlatformWorld world, RespServer otherCounter, PlatformDaemon daemon)
+      throws IOException {
+    RespClient[] clients = new RespClient[CONNECTIONS];
+    for (int i = 0; i < CONNECTIONS; i++) {
+      clients[i] = new RespClient(world.port());
+    }
+    String[] types = {"look", "note", "pay"};
+    int served = 0;
+    int refused = 0;
+    for (int i = 0; i < requests; i++) {
+      if (i == requests / 2) {
+        world.configure(world.catalog.port(), otherCounter.port());
+        daemon.reload();
+      }
+      boolean small = i % 10 == 9; // Customers of the small plan ask more than it holds.
+      String[] words =
+          PlatformWorld.request(
+              types[i % 3], small ? "small" : "large", small ? 1 : 100 + i % 50, 1_000 + i, "");
+      String answer = clients[i % CONNECTIONS].ask(words);
+      served += answer != null && answer.equals("value of " + words[2]) ? 1 : 0;
+      refused += answer != null && answer.startsWith("-BUSY ") && small ? 1 : 0;
+    }
+    String unfit = clients[0].ask("Q.ASK", "x", "y", "z");
+    String noise = clients[1].send("noise without end").answer();
+    for (RespClient client : clients) {
+      client.close();
     }
+    out.println(
+        requests
+            + " requests: "
+            + served
+            + " served, "
+            + refused
+            + " refused beyond their plan; bad input: "
+            + unfit
+            + " / "
+            + noise);
+    return served + refused == requests && refused > 0 && unfit != null && unfit.startsWith("-ERR");
+  }
 }
--- a/src/main/java/fawndock/drill/Script.java
+++ b/src/main/java/fawndock/drill/Script.java
@@ -7,40 +7,39 @@
 
 /** Troubles by the second, played in order on the calling thread. */
 public final class Script {
-    /** Something that a script does. */
-    @FunctionalInterface
-    public interface Happening {
-        /** Does it, at once. */
-        void happen() throws Exception;
-    }
+  /** Something that a script does. */
+  @FunctionalInterface
+  public interface Happening {
+    /** Does it, at once. */
+    void happen() throws Exception;
+  }
 
-    private record Step(double second, String what, Happening how) {
-    }
+  private record Step(double second, String what, Happening how) {}
 
-    private final List<Step> steps = new ArrayList<>();
+  private final List<Step> steps = new ArrayList<>();
 
-    /** Adds something that happens at a second of the script; it must not take long. */
-    public Script at(double second, String what, Happening how) {
-        steps.add(new Step(second, what, how));
-        return this;
-    }
+  /** Adds something that happens at a second of the script; it must not take long. */
+  public Script at(double second, String what, Happening how) {
+    steps.add(new Step(second, what, how));
+    return this;
+  }
 
-    /** Plays all steps, and returns at the second given. */
-    public void play(double until, PrintStream out) throws Exception {
-        long start = System.nanoTime();
-        steps.sort(Comparator.comparingDouble(Step::second));
-        for (Step step : steps) {
-            waitUntil(start, step.second);
-            out.printf("%5.1f s  %s%n", step.second, step.what);
-            step.how.happen();
-        }
-        waitUntil(start, until);
+  /** Plays all steps, and returns at the second given. */
+  public void play(double until, PrintStream out) throws Exception {
+    long start = System.nanoTime();
+    steps.sort(Comparator.comparingDouble(Step::second));
+    for (Step step : steps) {
+      waitUntil(start, step.second);
+      out.printf("%5.1f s  %s%n", step.second, step.what);
+      step.how.happen();
     }
+    waitUntil(start, until);
+  }
 
-    private static void waitUntil(long start, double second) throws InterruptedException {
-        long nanos = start + (long) (second * 1e9) - System.nanoTime();
-        if (nanos > 0) {
-            Thread.sleep(nanos / 1_000_000, (int) (nanos % 1_000_000));
-        }
+  private static void waitUntil(long start, double second) throws InterruptedException {
+    long nanos = start + (long) (second * 1e9) - System.nanoTime();
+    if (nanos > 0) {
+      Thread.sleep(nanos / 1_000_000, (int) (nanos % 1_000_000));
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/AnswerLog.java
+++ b/src/main/java/fawndock/gateway/AnswerLog.java
@@ -9,43 +9,60 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One line for each final answer, under the logger {@code fawndock.answers}; docs/operations.md lists its fields. */
+/**
+ * One line for each final answer, under the logger {@code fawndock.answers}; docs/operations.md
+ * lists its fields.
+ */
 final class AnswerLog implements Answers {
-    private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
-    private final int gatekeeper;
-    private final boolean on;
+  private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
+  private final int gatekeeper;
+  private final boolean on;
 
-    AnswerLog(int gatekeeper, boolean on) {
-        this.gatekeeper = gatekeeper;
-        this.on = on;
-    }
+  AnswerLog(int gatekeeper, boolean on) {
+    this.gatekeeper = gatekeeper;
+    this.on = on;
+  }
 
-    @Override
-    public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
-        if (on && LOG.isInfoEnabled()) {
-            Asked a = request.exchange.asked();
-            LOG.info("{} {} {} {} {} {} {} {} {} {} {} {}", kv("request", request.id), kv("label", a.label()),
-                    kv("gatekeeper", gatekeeper), kv("class", a.type().name()), kv("plan", a.plan()),
-                    kv("customer", a.customer()), kv("attempts", request.attempts.size()), kv("verdict", verdict.name().toLowerCase(Locale.ROOT)),
-                    kv("reason", reason), kv("status", status(request, verdict)), kv("took_us", now - a.arrivedAt()),
-                    kv("left_us", a.giveUpAt() - now));
-        }
+  @Override
+  public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
+    if (on && LOG.isInfoEnabled()) {
+      Asked a = request.exchange.asked();
+      LOG.info(
+          "{} {} {} {} {} {} {} {} {} {} {} {}",
+          kv("request", request.id),
+          kv("label", a.label()),
+          kv("gatekeeper", gatekeeper),
+          kv("class", a.type().name()),
+          kv("plan", a.plan()),
+          kv("customer", a.customer()),
+          kv("attempts", request.attempts.size()),
+          kv("verdict", verdict.name().toLowerCase(Locale.ROOT)),
+          kv("reason", reason),
+          kv("status", status(request, verdict)),
+          kv("took_us", now - a.arrivedAt()),
+          kv("left_us", a.giveUpAt() - now));
     }
+  }
 
-    private static int status(OpenRequest request, Verdict verdict) {
-        return switch (verdict) {
-            case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
-            case REFUSED -> 429;
-            case FAILED -> request.streamed() ? 0 : request.answered() ? 502 : 504;
-            case GONE -> 0;
-        };
-    }
+  private static int status(OpenRequest request, Verdict verdict) {
+    return switch (verdict) {
+      case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
+      case REFUSED -> 429;
+      case FAILED -> request.streamed() ? 0 : request.answered() ? 502 : 504;
+      case GONE -> 0;
+    };
+  }
 
-    /** A request that was answered without asking the gatekeeper. */
-    void turnedAway(String label, int status, String reason) {
-        if (on && LOG.isInfoEnabled()) {
-            LOG.info("{} {} {} {} {}", kv("label", label), kv("gatekeeper", gatekeeper),
-                    kv("verdict", "turned away"), kv("reason", reason), kv("status", status));
-        }
+  /** A request that was answered without asking the gatekeeper. */
+  void turnedAway(String label, int status, String reason) {
+    if (on && LOG.isInfoEnabled()) {
+      LOG.info(
+          "{} {} {} {} {}",
+          kv("label", label),
+          kv("gatekeeper", gatekeeper),
+          kv("verdict", "turned away"),
+          kv("reason", reason),
+          kv("status", status));
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/CounterLink.java
+++ b/src/main/java/fawndock/gateway/CounterLink.java
@@ -18,42 +18,50 @@
 import java.util.function.Consumer;
 
 /**
- * The counter service in parts. A name's part is XXH3 of the name, then jump consistent hashing (Lamping and Veach,
- * 2014), both from hash4j: every gatekeeper with the same list of parts picks the same one. Or several nodes that stand
- * in for each other.
+ * The counter service in parts. A name's part is XXH3 of the name, then jump consistent hashing
+ * (Lamping and Veach, 2014), both from hash4j: every gatekeeper with the same list of parts picks
+ * the same one. Or several nodes that stand in for each other.
  */
 final class CounterLink {
-    private static final Hasher64 HASH = Hashing.xxh3_64();
-    private static final ConsistentBucketHasher BUCKETS =
-            ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1());
-    private final List<CounterPart> parts = new ArrayList<>();
-    private final CounterNodes nodes;
+  private static final Hasher64 HASH = Hashing.xxh3_64();
+  private static final ConsistentBucketHasher BUCKETS =
+      ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1());
+  private final List<CounterPart> parts = new ArrayList<>();
+  private final CounterNodes nodes;
 
-    CounterLink(Vertx vertx, Context context, CounterParts settings, MicroClock clock, Alarms alarms,
-                Consumer<Counted> told) {
-        nodes = !settings.nodes().isEmpty() ? new CounterNodes(vertx, context, settings, clock, alarms, told) : null;
-        for (Address address : settings.parts()) {
-            parts.add(new CounterPart(vertx, context, address, settings, clock, alarms, told));
-        }
+  CounterLink(
+      Vertx vertx,
+      Context context,
+      CounterParts settings,
+      MicroClock clock,
+      Alarms alarms,
+      Consumer<Counted> told) {
+    nodes =
+        !settings.nodes().isEmpty()
+            ? new CounterNodes(vertx, context, settings, clock, alarms, told)
+            : null;
+    for (Address address : settings.parts()) {
+      parts.add(new CounterPart(vertx, context, address, settings, clock, alarms, told));
     }
+  }
 
-    void count(Count count) {
-        if (nodes != null) {
-            nodes.count(count);
-            return;
-        }
-        parts.get(part(count.name(), parts.size())).count(count);
+  void count(Count count) {
+    if (nodes != null) {
+      nodes.count(count);
+      return;
     }
+    parts.get(part(count.name(), parts.size())).count(count);
+  }
 
-    /** Which of so many parts has a name; on one thread at a time for all links of a process. */
-    static synchronized int part(String name, int parts) {
-        return parts == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(name), parts);
-    }
+  /** Which of so many parts has a name; on one thread at a time for all links of a process. */
+  static synchronized int part(String name, int parts) {
+    return parts == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(name), parts);
+  }
 
-    void close() {
-        parts.forEach(CounterPart::close);
-        if (nodes != null) {
-            nodes.close();
-        }
+  void close() {
+    parts.forEach(CounterPart::close);
+    if (nodes != null) {
+      nodes.close();
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/Daemon.java
+++ b/src/main/java/fawndock/gateway/Daemon.java
@@ -16,64 +16,76 @@
 
 /** The gatekeepers of one process, started and stopped together. */
 public final class Daemon {
-    private final DaemonSettings settings;
-    private final Function<Gatekeeper.Settings, Gatekeeper> maker;
-    private final Vertx vertx;
-    private final List<GatekeeperNode> nodes = new ArrayList<>();
-    private final AtomicInteger connections = new AtomicInteger();
-    private Future<Void> stopped;
+  private final DaemonSettings settings;
+  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final Vertx vertx;
+  private final List<GatekeeperNode> nodes = new ArrayList<>();
+  private final AtomicInteger connections = new AtomicInteger();
+  private Future<Void> stopped;
 
-    /** A daemon whose requests {@link Logic} decides. */
-    public Daemon(DaemonSettings settings) {
-        this(settings, Logic::new);
-    }
+  /** A daemon whose requests {@link Logic} decides. */
+  public Daemon(DaemonSettings settings) {
+    this(settings, Logic::new);
+  }
 
-    Daemon(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
-        this.settings = settings;
-        this.maker = maker;
-        this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(settings.instances()
-                + (settings.rateLimit().listen() == null ? 0 : 1)));
-    }
+  Daemon(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
+    this.settings = settings;
+    this.maker = maker;
+    this.vertx =
+        Vertx.vertx(
+            new VertxOptions()
+                .setEventLoopPoolSize(
+                    settings.instances() + (settings.rateLimit().listen() == null ? 0 : 1)));
+  }
 
-    /**
-     * Starts all gatekeepers; completes with the port on which clients are heard, or fails when one could not
-     * listen. On any thread.
-     */
-    public synchronized Future<Integer> start() {
-        Future<Integer> started = Future.succeededFuture(settings.listen().port());
-        for (int i = 0; i < settings.instances(); i++) {
-            int me = settings.first() + i;
-            started = started.compose(port -> {
+  /**
+   * Starts all gatekeepers; completes with the port on which clients are heard, or fails when one
+   * could not listen. On any thread.
+   */
+  public synchronized Future<Integer> start() {
+    Future<Integer> started = Future.succeededFuture(settings.listen().port());
+    for (int i = 0; i < settings.instances(); i++) {
+      int me = settings.first() + i;
+      started =
+          started.compose(
+              port -> {
                 GatekeeperNode node = new GatekeeperNode(settings, me, port, connections, maker);
                 nodes.add(node);
                 return vertx.deployVerticle(node, new DeploymentOptions()).map(id -> node.port());
-            });
-        }
-        return started;
+              });
     }
+    return started;
+  }
 
-    /** Starts something beside the gatekeepers, on an event loop of its own; it ends with them. */
-    public Future<String> beside(VerticleBase other) {
-        return vertx.deployVerticle(other, new DeploymentOptions());
-    }
+  /** Starts something beside the gatekeepers, on an event loop of its own; it ends with them. */
+  public Future<String> beside(VerticleBase other) {
+    return vertx.deployVerticle(other, new DeploymentOptions());
+  }
 
-    /** Answers what is open, then closes everything. Takes at most the stop time of the settings and 5 s. */
-    public synchronized Future<Void> stop() {
-        if (stopped == null) {
-            stopped = Future.join(nodes.stream().map(GatekeeperNode::drain).toList()).transform(all -> vertx.close());
-        }
-        return stopped;
+  /**
+   * Answers what is open, then closes everything. Takes at most the stop time of the settings and 5
+   * s.
+   */
+  public synchronized Future<Void> stop() {
+    if (stopped == null) {
+      stopped =
+          Future.join(nodes.stream().map(GatekeeperNode::drain).toList())
+              .transform(all -> vertx.close());
     }
+    return stopped;
+  }
 
-    /** Stops and waits for it; not to be called on an event loop. */
-    public void stopAndWait() {
-        try {
-            stop().toCompletionStage().toCompletableFuture()
-                    .get(settings.http().stopMicros() / 1_000 + 5_000, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            vertx.close();
-        }
+  /** Stops and waits for it; not to be called on an event loop. */
+  public void stopAndWait() {
+    try {
+      stop()
+          .toCompletionStage()
+          .toCompletableFuture()
+          .get(settings.http().stopMicros() / 1_000 + 5_000, TimeUnit.MILLISECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
+      vertx.close();
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/Ends.java
+++ b/src/main/java/fawndock/gateway/Ends.java
@@ -4,32 +4,35 @@
 import io.vertx.core.http.StreamResetException;
 
 /**
- * How the end of an exchange with a worker is told to the gatekeeper. Only what RFC 9113 proves unprocessed is told
- * as unrun: a stream refused with REFUSED_STREAM (8.7), and one above the last of a GOAWAY (6.8). The table in
- * docs/design/gateway.md has a test for each line.
+ * How the end of an exchange with a worker is told to the gatekeeper. Only what RFC 9113 proves
+ * unprocessed is told as unrun: a stream refused with REFUSED_STREAM (8.7), and one above the last
+ * of a GOAWAY (6.8). The table in docs/design/gateway.md has a test for each line.
  */
 final class Ends {
-    static final long REFUSED_STREAM = 7;
-    static final long CANCEL = 8;
+  static final long REFUSED_STREAM = 7;
+  static final long CANCEL = 8;
 
-    private Ends() {
-    }
+  private Ends() {}
 
-    /**
-     * The end of a stream that broke.
-     *
-     * @param streamId 0 or less when none was opened
-     * @param lastStreamId the last stream that the connection's GOAWAY says may be processed; MAX_VALUE without one
-     */
-    static Result broken(Throwable cause, int streamId, int lastStreamId) {
-        if (cause instanceof StreamResetException reset) {
-            return reset.getCode() == REFUSED_STREAM ? Result.SHED : Result.RESET;
-        }
-        return streamId > lastStreamId ? Result.SHED : Result.RESET;
+  /**
+   * The end of a stream that broke.
+   *
+   * @param streamId 0 or less when none was opened
+   * @param lastStreamId the last stream that the connection's GOAWAY says may be processed;
+   *     MAX_VALUE without one
+   */
+  static Result broken(Throwable cause, int streamId, int lastStreamId) {
+    if (cause instanceof StreamResetException reset) {
+      return reset.getCode() == REFUSED_STREAM ? Result.SHED : Result.RESET;
     }
+    return streamId > lastStreamId ? Result.SHED : Result.RESET;
+  }
 
-    /** The end of an answer with this status: what a worker answered itself is served, unless it is an error. */
-    static Result answered(int status) {
-        return status >= 500 ? Result.ERROR : Result.OK;
-    }
+  /**
+   * The end of an answer with this status: what a worker answered itself is served, unless it is an
+   * error.
+   */
+  static Result answered(int status) {
+    return status >= 500 ? Result.ERROR : Result.OK;
+  }
 }
--- a/src/main/java/fawndock/gateway/Headers.java
+++ b/src/main/java/fawndock/gateway/Headers.java
@@ -9,42 +9,55 @@
 
 /** Which header fields pass the gateway: all but those of one connection (RFC 9110, 7.6.1). */
 final class Headers {
-    private static final Set<String> OF_ONE_CONNECTION = Set.of("connection", "keep-alive", "proxy-connection",
-            "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
-            "http2-settings", "host", "expect");
+  private static final Set<String> OF_ONE_CONNECTION =
+      Set.of(
+          "connection",
+          "keep-alive",
+          "proxy-connection",
+          "proxy-authenticate",
+          "proxy-authorization",
+          "te",
+          "trailer",
+          "transfer-encoding",
+          "upgrade",
+          "http2-settings",
+          "host",
+          "expect");
 
-    private Headers() {
-    }
+  private Headers() {}
 
-    /**
-     * A copy without the fields of one connection, those that {@code Connection} names, and some others.
-     *
-     * @param without in lower case
-     */
-    static MultiMap forwarded(MultiMap headers, Set<String> without) {
-        MultiMap forwarded = HttpHeaders.headers();
-        copy(headers, forwarded, without);
-        return forwarded;
-    }
+  /**
+   * A copy without the fields of one connection, those that {@code Connection} names, and some
+   * others.
+   *
+   * @param without in lower case
+   */
+  static MultiMap forwarded(MultiMap headers, Set<String> without) {
+    MultiMap forwarded = HttpHeaders.headers();
+    copy(headers, forwarded, without);
+    return forwarded;
+  }
 
-    /** Adds the same fields to others. */
-    static void copy(MultiMap headers, MultiMap to, Set<String> without) {
-        Set<String> named = Set.of();
-        for (String value : headers.getAll("connection")) {
-            for (String each : value.split(",")) {
-                String name = each.trim().toLowerCase(Locale.ROOT);
-                if (!OF_ONE_CONNECTION.contains(name) && !name.equals("close")) {
-                    named = named.isEmpty() ? new HashSet<>() : named;
-                    named.add(name);
-                }
-            }
-        }
-        for (Map.Entry<String, String> field : headers) {
-            String name = field.getKey().toLowerCase(Locale.ROOT);
-            if (name.charAt(0) != ':' && !OF_ONE_CONNECTION.contains(name) && !without.contains(name)
-                    && !named.contains(name)) {
-                to.add(name, field.getValue());
-            }
+  /** Adds the same fields to others. */
+  static void copy(MultiMap headers, MultiMap to, Set<String> without) {
+    Set<String> named = Set.of();
+    for (String value : headers.getAll("connection")) {
+      for (String each : value.split(",")) {
+        String name = each.trim().toLowerCase(Locale.ROOT);
+        if (!OF_ONE_CONNECTION.contains(name) && !name.equals("close")) {
+          named = named.isEmpty() ? new HashSet<>() : named;
+          named.add(name);
         }
+      }
+    }
+    for (Map.Entry<String, String> field : headers) {
+      String name = field.getKey().toLowerCase(Locale.ROOT);
+      if (name.charAt(0) != ':'
+          && !OF_ONE_CONNECTION.contains(name)
+          && !without.contains(name)
+          && !named.contains(name)) {
+        to.add(name, field.getValue());
+      }
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/HttpExchange.java
+++ b/src/main/java/fawndock/gateway/HttpExchange.java
@@ -13,98 +13,111 @@
 
 /** A client's HTTP request. */
 final class HttpExchange implements Exchange {
-    private final HttpServerRequest request;
-    private final Asked asked;
-    private final HttpAsked sent;
-    private int status;
-    private final Plan plan;
+  private final HttpServerRequest request;
+  private final Asked asked;
+  private final HttpAsked sent;
+  private int status;
+  private final Plan plan;
 
-    HttpExchange(HttpServerRequest request, Asked asked, HttpAsked sent, Plan plan) {
-        this.request = request;
-        this.asked = asked;
-        this.sent = sent;
-        this.plan = plan;
-    }
+  HttpExchange(HttpServerRequest request, Asked asked, HttpAsked sent, Plan plan) {
+    this.request = request;
+    this.asked = asked;
+    this.sent = sent;
+    this.plan = plan;
+  }
 
-    @Override
-    public Asked asked() {
-        return asked;
-    }
+  @Override
+  public Asked asked() {
+    return asked;
+  }
 
-    /** What goes on to a worker. */
-    HttpAsked sent() {
-        return sent;
-    }
+  /** What goes on to a worker. */
+  HttpAsked sent() {
+    return sent;
+  }
 
-    /** The status of the whole answer that it got, or 0. */
-    int status() {
-        return status;
-    }
+  /** The status of the whole answer that it got, or 0. */
+  int status() {
+    return status;
+  }
 
-    /** A worker's whole answer will be served with this status. */
-    void serving(int status) {
-        this.status = status;
-    }
+  /** A worker's whole answer will be served with this status. */
+  void serving(int status) {
+    this.status = status;
+  }
 
-    /** A worker's whole answer, with all of its header fields. */
-    void serve(int status, MultiMap headers, Buffer body) {
-        HttpServerResponse response = request.response();
-        if (response.closed()) {
-            return;
-        }
-        response.setStatusCode(status);
-        Headers.copy(headers, response.headers(), Set.of());
-        if (request.method() == HttpMethod.HEAD || status == 204 || status == 304) {
-            response.end();
-        } else {
-            response.putHeader("content-length", Integer.toString(body.length()));
-            response.end(body);
-        }
+  /** A worker's whole answer, with all of its header fields. */
+  void serve(int status, MultiMap headers, Buffer body) {
+    HttpServerResponse response = request.response();
+    if (response.closed()) {
+      return;
     }
-
-    /**
-     * Begins a streamed answer, with what came of it so far; the rest is piped at the client's pace.
-     *
-     * @param ended told once: null when all of it was passed on, else what broke on either side
-     */
-    void stream(HttpClientResponse answer, Buffer soFar, Consumer<Throwable> ended) {
-        HttpServerResponse response = request.response();
-        response.setStatusCode(answer.statusCode());
-        Headers.copy(answer.headers(), response.headers(), Set.of());
-        response.setChunked(!response.headers().contains("content-length"));
-        if (soFar.length() > 0) {
-            response.write(soFar);
-        }
-        answer.pipe().endOnFailure(false).to(response).onComplete(done -> ended.accept(done.cause()));
+    response.setStatusCode(status);
+    Headers.copy(headers, response.headers(), Set.of());
+    if (request.method() == HttpMethod.HEAD || status == 204 || status == 304) {
+      response.end();
+    } else {
+      response.putHeader("content-length", Integer.toString(body.length()));
+      response.end(body);
     }
+  }
 
-    /** 429 with {@code Retry-After} and the fields of draft-ietf-httpapi-ratelimit-headers-10. */
-    @Override
-    public void refuse(long retryAfterMicros) {
-        long seconds = Math.max(1, (retryAfterMicros + 999_999) / 1_000_000);
-        HttpServerResponse response = request.response();
-        response.putHeader("retry-after", Long.toString(seconds));
-        if (plan != null && plan.rate() > 0) {
-            String name = '"' + plan.name().replaceAll("[^ !#-\\[\\]-~]", "") + '"';
-            response.putHeader("ratelimit-policy", name + ";q=" + (long) Math.floor(plan.storeSize()) + ";w="
-                    + Math.max(1, (long) Math.ceil(plan.storeSize() / plan.rate())));
-            response.putHeader("ratelimit", name + ";r=0;t=" + seconds);
-        }
-        new Problem(429, "refused", "Refused", "Turned away; trying again after " + seconds
-                + " s is harmless.").answer(request);
+  /**
+   * Begins a streamed answer, with what came of it so far; the rest is piped at the client's pace.
+   *
+   * @param ended told once: null when all of it was passed on, else what broke on either side
+   */
+  void stream(HttpClientResponse answer, Buffer soFar, Consumer<Throwable> ended) {
+    HttpServerResponse response = request.response();
+    response.setStatusCode(answer.statusCode());
+    Headers.copy(answer.headers(), response.headers(), Set.of());
+    response.setChunked(!response.headers().contains("content-length"));
+    if (soFar.length() > 0) {
+      response.write(soFar);
     }
+    answer.pipe().endOnFailure(false).to(response).onComplete(done -> ended.accept(done.cause()));
+  }
 
-    @Override
-    public void fail(boolean answered, String reason) {
-        int status = answered ? 502 : 504;
-        new Problem(status, "failed", status == 504 ? "No answer in time" : "No usable answer",
-                "The request may have had its effect: " + reason + ".").answer(request);
+  /** 429 with {@code Retry-After} and the fields of draft-ietf-httpapi-ratelimit-headers-10. */
+  @Override
+  public void refuse(long retryAfterMicros) {
+    long seconds = Math.max(1, (retryAfterMicros + 999_999) / 1_000_000);
+    HttpServerResponse response = request.response();
+    response.putHeader("retry-after", Long.toString(seconds));
+    if (plan != null && plan.rate() > 0) {
+      String name = '"' + plan.name().replaceAll("[^ !#-\\[\\]-~]", "") + '"';
+      response.putHeader(
+          "ratelimit-policy",
+          name
+              + ";q="
+              + (long) Math.floor(plan.storeSize())
+              + ";w="
+              + Math.max(1, (long) Math.ceil(plan.storeSize() / plan.rate())));
+      response.putHeader("ratelimit", name + ";r=0;t=" + seconds);
     }
+    new Problem(
+            429,
+            "refused",
+            "Refused",
+            "Turned away; trying again after " + seconds + " s is harmless.")
+        .answer(request);
+  }
+
+  @Override
+  public void fail(boolean answered, String reason) {
+    int status = answered ? 502 : 504;
+    new Problem(
+            status,
+            "failed",
+            status == 504 ? "No answer in time" : "No usable answer",
+            "The request may have had its effect: " + reason + ".")
+        .answer(request);
+  }
 
-    @Override
-    public void abort() {
-        if (!request.response().ended()) {
-            request.response().reset(2);
-        }
+  @Override
+  public void abort() {
+    if (!request.response().ended()) {
+      request.response().reset(2);
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/LoadReport.java
+++ b/src/main/java/fawndock/gateway/LoadReport.java
@@ -9,107 +9,111 @@
 import java.util.Map;
 
 /**
- * Reads a load report in the {@code endpoint-load-metrics} answer header (Open Request Cost Aggregation, as gRFC A51
- * and Envoy's ORCA have it): {@code TEXT cpu_utilization=0.3,rps_fractional=90,named_metrics.queue=4} or
- * {@code JSON {"cpu_utilization":0.3,"named_metrics":{"queue":4}}}. What is not known or not a finite number is
+ * Reads a load report in the {@code endpoint-load-metrics} answer header (Open Request Cost
+ * Aggregation, as gRFC A51 and Envoy's ORCA have it): {@code TEXT
+ * cpu_utilization=0.3,rps_fractional=90,named_metrics.queue=4} or {@code JSON
+ * {"cpu_utilization":0.3,"named_metrics":{"queue":4}}}. What is not known or not a finite number is
  * skipped; a report that cannot be read is none.
  */
 final class LoadReport {
-    static final String HEADER = "endpoint-load-metrics";
-    private static final int LONGEST = 4096;
-    private static final int MOST = 64;
-    private static final JsonFactory JSON = new JsonFactory();
-    private static final Map<String, String> NAMES = Map.of(
-            "cpu_utilization", "utilization",
-            "application_utilization", "utilization",
-            "rps_fractional", "throughput",
-            "eps", "errors",
-            "named_metrics.queue", "queue",
-            "named_metrics.in_flight", "inFlight",
-            "named_metrics.recent_ms", "recentMillis");
-    private static final String COST = "request_cost.units";
+  static final String HEADER = "endpoint-load-metrics";
+  private static final int LONGEST = 4096;
+  private static final int MOST = 64;
+  private static final JsonFactory JSON = new JsonFactory();
+  private static final Map<String, String> NAMES =
+      Map.of(
+          "cpu_utilization", "utilization",
+          "application_utilization", "utilization",
+          "rps_fractional", "throughput",
+          "eps", "errors",
+          "named_metrics.queue", "queue",
+          "named_metrics.in_flight", "inFlight",
+          "named_metrics.recent_ms", "recentMillis");
+  private static final String COST = "request_cost.units";
 
-    /** What the gatekeeper is told, and the true units of this request when the worker says them, else 0. */
-    record Report(Map<String, Double> load, double units) {
-    }
+  /**
+   * What the gatekeeper is told, and the true units of this request when the worker says them, else
+   * 0.
+   */
+  record Report(Map<String, Double> load, double units) {}
 
-    static final Report NONE = new Report(Map.of(), 0);
+  static final Report NONE = new Report(Map.of(), 0);
 
-    private LoadReport() {
-    }
+  private LoadReport() {}
 
-    static Report parse(String header) {
-        if (header == null || header.length() > LONGEST) {
-            return NONE;
-        }
-        String text = header.trim();
-        Map<String, Double> raw = new HashMap<>();
-        String form = text.length() < 5 ? "" : text.substring(0, 5).toUpperCase(Locale.ROOT);
-        if (form.equals("TEXT ")) {
-            pairs(text.substring(5), raw);
-        } else if (form.equals("JSON ")) {
-            if (!json(text.substring(5), raw)) {
-                return NONE;
-            }
-        } else {
-            return NONE;
-        }
-        Map<String, Double> load = new HashMap<>();
-        raw.forEach((name, value) -> {
-            if (NAMES.containsKey(name) && value >= 0) {
-                load.put(NAMES.get(name), value);
-            }
-        });
-        return new Report(load, Math.max(0, raw.getOrDefault(COST, 0.0)));
+  static Report parse(String header) {
+    if (header == null || header.length() > LONGEST) {
+      return NONE;
     }
+    String text = header.trim();
+    Map<String, Double> raw = new HashMap<>();
+    String form = text.length() < 5 ? "" : text.substring(0, 5).toUpperCase(Locale.ROOT);
+    if (form.equals("TEXT ")) {
+      pairs(text.substring(5), raw);
+    } else if (form.equals("JSON ")) {
+      if (!json(text.substring(5), raw)) {
+        return NONE;
+      }
+    } else {
+      return NONE;
+    }
+    Map<String, Double> load = new HashMap<>();
+    raw.forEach(
+        (name, value) -> {
+          if (NAMES.containsKey(name) && value >= 0) {
+            load.put(NAMES.get(name), value);
+          }
+        });
+    return new Report(load, Math.max(0, raw.getOrDefault(COST, 0.0)));
+  }
 
-    private static void pairs(String text, Map<String, Double> raw) {
-        for (String pair : text.split(",", MOST)) {
-            int sign = pair.indexOf('=') >= 0 ? pair.indexOf('=') : pair.indexOf(':');
-            if (sign > 0) {
-                put(pair.substring(0, sign).trim(), pair.substring(sign + 1).trim(), raw);
-            }
-        }
+  private static void pairs(String text, Map<String, Double> raw) {
+    for (String pair : text.split(",", MOST)) {
+      int sign = pair.indexOf('=') >= 0 ? pair.indexOf('=') : pair.indexOf(':');
+      if (sign > 0) {
+        put(pair.substring(0, sign).trim(), pair.substring(sign + 1).trim(), raw);
+      }
     }
+  }
 
-    private static void put(String name, String number, Map<String, Double> raw) {
-        try {
-            double value = Double.parseDouble(number);
-            if (Double.isFinite(value) && raw.size() < MOST) {
-                raw.put(name, value);
-            }
-        } catch (NumberFormatException e) {
-            // Skipped, as stated above.
-        }
+  private static void put(String name, String number, Map<String, Double> raw) {
+    try {
+      double value = Double.parseDouble(number);
+      if (Double.isFinite(value) && raw.size() < MOST) {
+        raw.put(name, value);
+      }
+    } catch (NumberFormatException e) {
+      // Skipped, as stated above.
     }
+  }
 
-    private static boolean json(String text, Map<String, Double> raw) {
-        try (JsonParser parser = JSON.createParser(text)) {
-            if (parser.nextToken() != JsonToken.START_OBJECT) {
-                return false;
-            }
-            String outer = "";
-            int depth = 1;
-            while (depth > 0) {
-                JsonToken token = parser.nextToken();
-                if (token == null) {
-                    return false;
-                }
-                if (token == JsonToken.START_OBJECT) {
-                    depth++;
-                    outer = depth == 2 ? parser.currentName() + "." : outer;
-                } else if (token == JsonToken.END_OBJECT) {
-                    depth--;
-                    outer = depth == 1 ? "" : outer;
-                } else if (token == JsonToken.START_ARRAY) {
-                    parser.skipChildren();
-                } else if (token.isNumeric() && depth <= 2) {
-                    put(outer + parser.currentName(), parser.getText(), raw);
-                }
-            }
-            return true;
-        } catch (IOException e) {
-            return false;
+  private static boolean json(String text, Map<String, Double> raw) {
+    try (JsonParser parser = JSON.createParser(text)) {
+      if (parser.nextToken() != JsonToken.START_OBJECT) {
+        return false;
+      }
+      String outer = "";
+      int depth = 1;
+      while (depth > 0) {
+        JsonToken token = parser.nextToken();
+        if (token == null) {
+          return false;
+        }
+        if (token == JsonToken.START_OBJECT) {
+          depth++;
+          outer = depth == 2 ? parser.currentName() + "." : outer;
+        } else if (token == JsonToken.END_OBJECT) {
+          depth--;
+          outer = depth == 1 ? "" : outer;
+        } else if (token == JsonToken.START_ARRAY) {
+          parser.skipChildren();
+        } else if (token.isNumeric() && depth <= 2) {
+          put(outer + parser.currentName(), parser.getText(), raw);
         }
+      }
+      return true;
+    } catch (IOException e) {
+      return false;
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/PeerLink.java
+++ b/src/main/java/fawndock/gateway/PeerLink.java
@@ -16,73 +16,81 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages among gatekeepers: a UDP datagram {@code fd1 TO FROM TEXT} of at most 256 bytes in all. Nothing is sent
- * again; what is too long to send, comes from elsewhere, is for somebody else or comes too fast is dropped.
+ * Messages among gatekeepers: a UDP datagram {@code fd1 TO FROM TEXT} of at most 256 bytes in all.
+ * Nothing is sent again; what is too long to send, comes from elsewhere, is for somebody else or
+ * comes too fast is dropped.
  */
 final class PeerLink {
-    static final int LARGEST = 256;
-    private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
-    private final Peers peers;
-    private final int me;
-    private final MicroClock clock;
-    private final Consumer<Message> told;
-    private final DatagramSocket socket;
-    private double intake;
-    private long intakeAt;
-    private boolean listening;
+  static final int LARGEST = 256;
+  private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
+  private final Peers peers;
+  private final int me;
+  private final MicroClock clock;
+  private final Consumer<Message> told;
+  private final DatagramSocket socket;
+  private double intake;
+  private long intakeAt;
+  private boolean listening;
 
-    PeerLink(Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<Message> told) {
-        this.peers = peers;
-        this.me = me;
-        this.clock = clock;
-        this.told = told;
-        this.intake = peers.intake();
-        this.socket = vertx.createDatagramSocket();
-    }
+  PeerLink(Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<Message> told) {
+    this.peers = peers;
+    this.me = me;
+    this.clock = clock;
+    this.told = told;
+    this.intake = peers.intake();
+    this.socket = vertx.createDatagramSocket();
+  }
 
-    /** Listens; completes with the port. */
-    Future<Integer> start() {
-        return socket.listen(peers.listen().port(), peers.listen().host()).map(bound -> {
-            listening = true;
-            socket.handler(packet -> receive(packet.data()));
-            socket.exceptionHandler(e -> LOG.warn("peer datagram: {}", e.getMessage()));
-            return bound.localAddress().port();
-        });
-    }
+  /** Listens; completes with the port. */
+  Future<Integer> start() {
+    return socket
+        .listen(peers.listen().port(), peers.listen().host())
+        .map(
+            bound -> {
+              listening = true;
+              socket.handler(packet -> receive(packet.data()));
+              socket.exceptionHandler(e -> LOG.warn("peer datagram: {}", e.getMessage()));
+              return bound.localAddress().port();
+            });
+  }
 
-    void tell(Tell tell) {
-        for (Map.Entry<Integer, Address> peer : peers.others().entrySet()) {
-            if (peer.getKey() == me || tell.to() >= 0 && tell.to() != peer.getKey()) {
-                continue;
-            }
-            Buffer datagram = encode(peer.getKey(), me, tell.text());
-            if (datagram.length() <= LARGEST && listening) {
-                socket.send(datagram, peer.getValue().port(), peer.getValue().host());
-            } else {
-                LOG.debug("a message of {} bytes was not sent", datagram.length());
-            }
-        }
+  void tell(Tell tell) {
+    for (Map.Entry<Integer, Address> peer : peers.others().entrySet()) {
+      if (peer.getKey() == me || tell.to() >= 0 && tell.to() != peer.getKey()) {
+        continue;
+      }
+      Buffer datagram = encode(peer.getKey(), me, tell.text());
+      if (datagram.length() <= LARGEST && listening) {
+        socket.send(datagram, peer.getValue().port(), peer.getValue().host());
+      } else {
+        LOG.debug("a message of {} bytes was not sent", datagram.length());
+      }
     }
+  }
 
-    static Buffer encode(int to, int from, String text) {
-        return Buffer.buffer("fd1 " + to + " " + from + " " + text, StandardCharsets.UTF_8.name());
-    }
+  static Buffer encode(int to, int from, String text) {
+    return Buffer.buffer("fd1 " + to + " " + from + " " + text, StandardCharsets.UTF_8.name());
+  }
 
-    private void receive(Buffer data) {
-        long now = clock.now();
-        intake = Math.min(peers.intake(), intake + (now - intakeAt) / 1e6 * peers.intake());
-        intakeAt = now;
-        String[] words = data.length() > LARGEST ? new String[0] : data.toString().split(" ", 4);
-        boolean ours = words.length == 4 && words[0].equals("fd1") && words[1].equals(Integer.toString(me))
-                && words[2].matches("[0-9]{1,4}") && peers.others().containsKey(Integer.parseInt(words[2]));
-        if (ours && intake >= 1) {
-            intake--;
-            told.accept(new Message(Integer.parseInt(words[2]), words[3]));
-        }
+  private void receive(Buffer data) {
+    long now = clock.now();
+    intake = Math.min(peers.intake(), intake + (now - intakeAt) / 1e6 * peers.intake());
+    intakeAt = now;
+    String[] words = data.length() > LARGEST ? new String[0] : data.toString().split(" ", 4);
+    boolean ours =
+        words.length == 4
+            && words[0].equals("fd1")
+            && words[1].equals(Integer.toString(me))
+            && words[2].matches("[0-9]{1,4}")
+            && peers.others().containsKey(Integer.parseInt(words[2]));
+    if (ours && intake >= 1) {
+      intake--;
+      told.accept(new Message(Integer.parseInt(words[2]), words[3]));
     }
+  }
 
-    void close() {
-        listening = false;
-        socket.close();
-    }
+  void close() {
+    listening = false;
+    socket.close();
+  }
 }
--- a/src/main/java/fawndock/gateway/Problem.java
+++ b/src/main/java/fawndock/gateway/Problem.java
@@ -13,15 +13,21 @@
  * @param detail what it is this time
  */
 record Problem(int status, String type, String title, String detail) {
-    void answer(HttpServerRequest request) {
-        HttpServerResponse response = request.response();
-        if (response.ended() || response.closed()) {
-            return;
-        }
-        response.setStatusCode(status)
-                .putHeader("content-type", "application/problem+json")
-                .putHeader("cache-control", "no-store")
-                .end(new JsonObject().put("type", "urn:fawndock:problem:" + type).put("title", title)
-                        .put("status", status).put("detail", detail).toBuffer());
+  void answer(HttpServerRequest request) {
+    HttpServerResponse response = request.response();
+    if (response.ended() || response.closed()) {
+      return;
     }
+    response
+        .setStatusCode(status)
+        .putHeader("content-type", "application/problem+json")
+        .putHeader("cache-control", "no-store")
+        .end(
+            new JsonObject()
+                .put("type", "urn:fawndock:problem:" + type)
+                .put("title", title)
+                .put("status", status)
+                .put("detail", detail)
+                .toBuffer());
+  }
 }
--- a/src/main/java/fawndock/gateway/RosterLine.java
+++ b/src/main/java/fawndock/gateway/RosterLine.java
@@ -15,72 +15,89 @@
 import java.util.TreeSet;
 
 /**
- * One line of the roster's stream, such as {@code {"list":"changes","servers":[{"id":"w1","host":"127.0.0.1",
- * "port":7001,"zone":"here","cell":0,"state":"running","weight":1,"started_us":0}]}}. A server named twice counts as
- * the one that is nearer to its end: nothing may go to one that was told to drain.
+ * One line of the roster's stream, such as {@code
+ * {"list":"changes","servers":[{"id":"w1","host":"127.0.0.1",
+ * "port":7001,"zone":"here","cell":0,"state":"running","weight":1,"started_us":0}]}}. A server
+ * named twice counts as the one that is nearer to its end: nothing may go to one that was told to
+ * drain.
  */
-record RosterLine(Listing listing, List<Server> servers, Map<String, Address> addresses, Set<String> twice) {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST = 100_000;
+record RosterLine(
+    Listing listing, List<Server> servers, Map<String, Address> addresses, Set<String> twice) {
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final int MOST = 100_000;
 
-    /** @throws IllegalArgumentException saying what is wrong with the line */
-    static RosterLine parse(String text) {
-        JsonNode line;
-        try {
-            line = JSON.readTree(text);
-        } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage());
-        }
-        Listing listing = switch (line.path("list").asText()) {
-            case "complete" -> Listing.COMPLETE;
-            case "changes" -> Listing.CHANGES;
-            default -> throw new IllegalArgumentException("list is '" + line.path("list").asText()
-                    + "', not complete or changes");
+  /**
+   * @throws IllegalArgumentException saying what is wrong with the line
+   */
+  static RosterLine parse(String text) {
+    JsonNode line;
+    try {
+      line = JSON.readTree(text);
+    } catch (JsonProcessingException e) {
+      throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage());
+    }
+    Listing listing =
+        switch (line.path("list").asText()) {
+          case "complete" -> Listing.COMPLETE;
+          case "changes" -> Listing.CHANGES;
+          default ->
+              throw new IllegalArgumentException(
+                  "list is '" + line.path("list").asText() + "', not complete or changes");
         };
-        JsonNode entries = line.path("servers");
-        if (!entries.isArray() || entries.size() > MOST) {
-            throw new IllegalArgumentException("servers is not a list of at most " + MOST);
-        }
-        Map<String, Server> servers = new LinkedHashMap<>();
-        Map<String, Address> addresses = new LinkedHashMap<>();
-        Set<String> twice = new TreeSet<>();
-        for (JsonNode entry : entries) {
-            Server server = server(entry);
-            Server before = servers.get(server.id());
-            if (before != null) {
-                twice.add(server.id());
-            }
-            if (before == null || server.availability().compareTo(before.availability()) >= 0) {
-                servers.put(server.id(), server);
-                addresses.put(server.id(), address(entry));
-            }
-        }
-        return new RosterLine(listing, List.copyOf(servers.values()), addresses, twice);
+    JsonNode entries = line.path("servers");
+    if (!entries.isArray() || entries.size() > MOST) {
+      throw new IllegalArgumentException("servers is not a list of at most " + MOST);
+    }
+    Map<String, Server> servers = new LinkedHashMap<>();
+    Map<String, Address> addresses = new LinkedHashMap<>();
+    Set<String> twice = new TreeSet<>();
+    for (JsonNode entry : entries) {
+      Server server = server(entry);
+      Server before = servers.get(server.id());
+      if (before != null) {
+        twice.add(server.id());
+      }
+      if (before == null || server.availability().compareTo(before.availability()) >= 0) {
+        servers.put(server.id(), server);
+        addresses.put(server.id(), address(entry));
+      }
     }
+    return new RosterLine(listing, List.copyOf(servers.values()), addresses, twice);
+  }
 
-    private static Server server(JsonNode entry) {
-        String id = entry.path("id").asText();
-        if (id.isEmpty() || id.length() > 256) {
-            throw new IllegalArgumentException("a server without an id");
-        }
-        Availability state;
-        try {
-            state = Availability.valueOf(entry.path("state").asText().toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("state of " + id + " is '" + entry.path("state").asText()
-                    + "', not running, stopping or deleted");
-        }
-        double weight = entry.path("weight").asDouble(1);
-        return new Server(id, entry.path("zone").asText(), entry.path("cell").asInt(), state,
-                weight > 0 && weight < 1e9 ? weight : 1, entry.path("started_us").asLong());
+  private static Server server(JsonNode entry) {
+    String id = entry.path("id").asText();
+    if (id.isEmpty() || id.length() > 256) {
+      throw new IllegalArgumentException("a server without an id");
+    }
+    Availability state;
+    try {
+      state = Availability.valueOf(entry.path("state").asText().toUpperCase(Locale.ROOT));
+    } catch (IllegalArgumentException e) {
+      throw new IllegalArgumentException(
+          "state of "
+              + id
+              + " is '"
+              + entry.path("state").asText()
+              + "', not running, stopping or deleted");
     }
+    double weight = entry.path("weight").asDouble(1);
+    return new Server(
+        id,
+        entry.path("zone").asText(),
+        entry.path("cell").asInt(),
+        state,
+        weight > 0 && weight < 1e9 ? weight : 1,
+        entry.path("started_us").asLong());
+  }
 
-    private static Address address(JsonNode entry) {
-        String host = entry.path("host").asText();
-        int port = entry.path("port").asInt();
-        if (host.isEmpty() || port < 1 || port > 65_535) {
-            throw new IllegalArgumentException("server " + entry.path("id").asText() + " has no host and port");
-        }
-        return new Address(host, port);
+  private static Address address(JsonNode entry) {
+    String host = entry.path("host").asText();
+    int port = entry.path("port").asInt();
+    if (host.isEmpty() || port < 1 || port > 65_535) {
+      throw new IllegalArgumentException(
+          "server " + entry.path("id").asText() + " has no host and port");
     }
+    return new Address(host, port);
+  }
 }
--- a/src/main/java/fawndock/gateway/WorkerAttempt.java
+++ b/src/main/java/fawndock/gateway/WorkerAttempt.java
@@ -11,167 +11,190 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.RequestOptions;
 
-/** One attempt at a worker over HTTP: from the pool's connection to the end of the answer. One context. */
+/**
+ * One attempt at a worker over HTTP: from the pool's connection to the end of the answer. One
+ * context.
+ */
 final class WorkerAttempt extends OpenAttempt {
-    /** How far an attempt has come. */
-    private enum Stage { CONNECTING, SENT, STREAMING, ENDED }
-
-    /** What attempts need of their gateway. */
-    interface Ways {
-        /** Where and how to send to a server, or null when nobody has told its address. */
-        RequestOptions target(String server);
-
-        WorkerPools workers();
-
-        /** Bytes of an answer that are kept before it is streamed. */
-        int answerLimit();
+  /** How far an attempt has come. */
+  private enum Stage {
+    CONNECTING,
+    SENT,
+    STREAMING,
+    ENDED
+  }
+
+  /** What attempts need of their gateway. */
+  interface Ways {
+    /** Where and how to send to a server, or null when nobody has told its address. */
+    RequestOptions target(String server);
+
+    WorkerPools workers();
+
+    /** Bytes of an answer that are kept before it is streamed. */
+    int answerLimit();
+  }
+
+  private final Ways ways;
+  private final HttpExchange exchange;
+  private Stage stage = Stage.CONNECTING;
+  private HttpClientRequest request;
+  private LoadReport.Report report = LoadReport.NONE;
+  private Buffer body = Buffer.buffer();
+
+  WorkerAttempt(GatekeeperHost host, OpenRequest open, int number, String server, Ways ways) {
+    super(host, open, number, server);
+    this.ways = ways;
+    this.exchange = (HttpExchange) open.exchange;
+  }
+
+  @Override
+  protected void begin(long abandonAt) {
+    RequestOptions target = ways.target(server);
+    if (target == null) {
+      finish(Result.UNUSED);
+      return;
     }
-
-    private final Ways ways;
-    private final HttpExchange exchange;
-    private Stage stage = Stage.CONNECTING;
-    private HttpClientRequest request;
-    private LoadReport.Report report = LoadReport.NONE;
-    private Buffer body = Buffer.buffer();
-
-    WorkerAttempt(GatekeeperHost host, OpenRequest open, int number, String server, Ways ways) {
-        super(host, open, number, server);
-        this.ways = ways;
-        this.exchange = (HttpExchange) open.exchange;
+    HttpAsked asked = exchange.sent();
+    // The first attempt takes the fields as they are; another may be on its way with them.
+    MultiMap headers =
+        number == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
+    headers.set(
+        "x-envoy-expected-rq-timeout-ms",
+        Long.toString(Math.max(1, (abandonAt - host.clock().now()) / 1_000)));
+    if (!headers.contains("x-request-id")) {
+      headers.set("x-request-id", Long.toString(open.id));
     }
-
-    @Override
-    protected void begin(long abandonAt) {
-        RequestOptions target = ways.target(server);
-        if (target == null) {
-            finish(Result.UNUSED);
-            return;
-        }
-        HttpAsked asked = exchange.sent();
-        // The first attempt takes the fields as they are; another may be on its way with them.
-        MultiMap headers = number == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
-        headers.set("x-envoy-expected-rq-timeout-ms", Long.toString(Math.max(1, (abandonAt - host.clock().now()) / 1_000)));
-        if (!headers.contains("x-request-id")) {
-            headers.set("x-request-id", Long.toString(open.id));
-        }
-        headers.set("x-envoy-attempt-count", Integer.toString(number + 1));
-        target.setMethod(asked.method()).setURI(asked.uri()).setHeaders(headers);
-        ways.workers().request(target).onComplete(connected -> {
-            if (stage == Stage.ENDED) {
+    headers.set("x-envoy-attempt-count", Integer.toString(number + 1));
+    target.setMethod(asked.method()).setURI(asked.uri()).setHeaders(headers);
+    ways.workers()
+        .request(target)
+        .onComplete(
+            connected -> {
+              if (stage == Stage.ENDED) {
                 if (connected.succeeded()) {
-                    connected.result().reset(Ends.CANCEL);
+                  connected.result().reset(Ends.CANCEL);
                 }
-            } else if (connected.failed()) {
+              } else if (connected.failed()) {
                 finish(Result.CONNECT_FAILED);
-            } else {
+              } else {
                 send(connected.result());
-            }
-        });
-    }
-
-    private void send(HttpClientRequest connected) {
-        request = connected;
-        stage = Stage.SENT;
-        request.exceptionHandler(this::broken);
-        Buffer sent = exchange.sent().body();
-        (sent.length() == 0 ? request.send() : request.send(sent)).onComplete(answer -> {
-            if (answer.failed()) {
+              }
+            });
+  }
+
+  private void send(HttpClientRequest connected) {
+    request = connected;
+    stage = Stage.SENT;
+    request.exceptionHandler(this::broken);
+    Buffer sent = exchange.sent().body();
+    (sent.length() == 0 ? request.send() : request.send(sent))
+        .onComplete(
+            answer -> {
+              if (answer.failed()) {
                 broken(answer.cause());
-            } else {
+              } else {
                 head(answer.result());
-            }
-        });
-    }
-
-    private void head(HttpClientResponse answer) {
-        if (stage != Stage.SENT) {
-            return;
-        }
-        report = LoadReport.parse(answer.getHeader(LoadReport.HEADER));
-        answer.exceptionHandler(this::broken);
-        if (Ends.answered(answer.statusCode()) != Result.OK) {
-            finish(Ends.answered(answer.statusCode()));
-            answer.resume();
-        } else if (!open.open()) {
-            answer.endHandler(done -> finish(Result.OK));
-        } else if (exchange.asked().type().streamed()) {
-            stream(answer);
-        } else {
-            answer.handler(part -> {
-                body.appendBuffer(part);
-                if (stage == Stage.SENT && body.length() > ways.answerLimit()) {
-                    stream(answer);
-                }
-            });
-            answer.endHandler(done -> {
-                if (stage == Stage.SENT) {
-                    exchange.serving(answer.statusCode());
-                    host.deliver(open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
-                    finish(Result.OK);
-                }
+              }
             });
-        }
-    }
+  }
 
-    /** From here on the answer is the client's: neither time-out nor cancel ends it. */
-    private void stream(HttpClientResponse answer) {
-        if (!open.open()) {
-            answer.handler(null);
-            answer.endHandler(done -> finish(Result.OK));
-            return;
-        }
-        stage = Stage.STREAMING;
-        keep();
-        host.begin(open, this);
-        Buffer soFar = body;
-        body = Buffer.buffer();
-        exchange.stream(answer, soFar, broken -> {
-            if (stage == Stage.STREAMING) {
-                host.streamed(open, this, broken == null);
-                finish(broken == null ? Result.OK : Result.RESET);
+  private void head(HttpClientResponse answer) {
+    if (stage != Stage.SENT) {
+      return;
+    }
+    report = LoadReport.parse(answer.getHeader(LoadReport.HEADER));
+    answer.exceptionHandler(this::broken);
+    if (Ends.answered(answer.statusCode()) != Result.OK) {
+      finish(Ends.answered(answer.statusCode()));
+      answer.resume();
+    } else if (!open.open()) {
+      answer.endHandler(done -> finish(Result.OK));
+    } else if (exchange.asked().type().streamed()) {
+      stream(answer);
+    } else {
+      answer.handler(
+          part -> {
+            body.appendBuffer(part);
+            if (stage == Stage.SENT && body.length() > ways.answerLimit()) {
+              stream(answer);
             }
-        });
+          });
+      answer.endHandler(
+          done -> {
+            if (stage == Stage.SENT) {
+              exchange.serving(answer.statusCode());
+              host.deliver(
+                  open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
+              finish(Result.OK);
+            }
+          });
     }
-
-    private void broken(Throwable cause) {
-        if (stage == Stage.SENT) {
-            finish(Ends.broken(cause, request.streamId(), ways.workers().lastStream(request.connection())));
-        }
+  }
+
+  /** From here on the answer is the client's: neither time-out nor cancel ends it. */
+  private void stream(HttpClientResponse answer) {
+    if (!open.open()) {
+      answer.handler(null);
+      answer.endHandler(done -> finish(Result.OK));
+      return;
     }
+    stage = Stage.STREAMING;
+    keep();
+    host.begin(open, this);
+    Buffer soFar = body;
+    body = Buffer.buffer();
+    exchange.stream(
+        answer,
+        soFar,
+        broken -> {
+          if (stage == Stage.STREAMING) {
+            host.streamed(open, this, broken == null);
+            finish(broken == null ? Result.OK : Result.RESET);
+          }
+        });
+  }
 
-    @Override
-    protected void abandoned() {
-        if (stage == Stage.CONNECTING) {
-            finish(Result.CONNECT_FAILED);
-        } else if (stage == Stage.SENT) {
-            finish(Result.TIMEOUT);
-            request.reset(Ends.CANCEL);
-        }
+  private void broken(Throwable cause) {
+    if (stage == Stage.SENT) {
+      finish(
+          Ends.broken(cause, request.streamId(), ways.workers().lastStream(request.connection())));
     }
-
-    @Override
-    public void cancel() {
-        if (stage == Stage.CONNECTING) {
-            finish(Result.UNUSED);
-        } else if (stage == Stage.SENT) {
-            finish(Result.CANCELLED);
-            request.reset(Ends.CANCEL);
-        }
+  }
+
+  @Override
+  protected void abandoned() {
+    if (stage == Stage.CONNECTING) {
+      finish(Result.CONNECT_FAILED);
+    } else if (stage == Stage.SENT) {
+      finish(Result.TIMEOUT);
+      request.reset(Ends.CANCEL);
+    }
+  }
+
+  @Override
+  public void cancel() {
+    if (stage == Stage.CONNECTING) {
+      finish(Result.UNUSED);
+    } else if (stage == Stage.SENT) {
+      finish(Result.CANCELLED);
+      request.reset(Ends.CANCEL);
     }
+  }
 
-    @Override
-    public void leave() {
-        if (stage == Stage.STREAMING) {
-            finish(Result.CANCELLED);
-            request.reset(Ends.CANCEL);
-        }
+  @Override
+  public void leave() {
+    if (stage == Stage.STREAMING) {
+      finish(Result.CANCELLED);
+      request.reset(Ends.CANCEL);
     }
+  }
 
-    private void finish(Result how) {
-        if (stage != Stage.ENDED) {
-            stage = Stage.ENDED;
-            body = null;
-            end(how, report.load(), report.units());
-        }
+  private void finish(Result how) {
+    if (stage != Stage.ENDED) {
+      stage = Stage.ENDED;
+      body = null;
+      end(how, report.load(), report.units());
     }
+  }
 }
--- a/src/main/java/fawndock/gateway/WorkerPools.java
+++ b/src/main/java/fawndock/gateway/WorkerPools.java
@@ -15,42 +15,53 @@
 import java.util.Map;
 
 /**
- * Connections to the workers: HTTP/2 without TLS, a pool for each worker, streams shared among requests. Remembers
- * the last stream that a connection's GOAWAY says may be processed, since that alone proves which attempts never ran.
+ * Connections to the workers: HTTP/2 without TLS, a pool for each worker, streams shared among
+ * requests. Remembers the last stream that a connection's GOAWAY says may be processed, since that
+ * alone proves which attempts never ran.
  */
 final class WorkerPools {
-    private final HttpClient http;
-    private final Map<HttpConnection, Integer> goneAway = new IdentityHashMap<>();
+  private final HttpClient http;
+  private final Map<HttpConnection, Integer> goneAway = new IdentityHashMap<>();
 
-    WorkerPools(Vertx vertx, DaemonSettings settings) {
-        Context context = vertx.getOrCreateContext();
-        http = vertx.httpClientBuilder()
-                .with(new HttpClientOptions()
-                        .setProtocolVersion(HttpVersion.HTTP_2)
-                        .setHttp2ClearTextUpgrade(false)
-                        .setHttp2MultiplexingLimit(settings.http().streamsPerConnection())
-                        .setTcpNoDelay(true)
-                        .setConnectTimeout((int) Math.max(1, settings.http().connectMicros() / 1_000)))
-                .with(new PoolOptions().setHttp2MaxSize(settings.http().connectionsPerServer())
-                        .setMaxWaitQueueSize(settings.limits().maxOpen()))
-                .withConnectHandler(connection -> {
-                    connection.goAwayHandler(goAway -> goneAway.put(connection, goAway.getLastStreamId()));
-                    // Its streams are told of the end before, or in the same turn.
-                    connection.closeHandler(closed -> context.runOnContext(v -> goneAway.remove(connection)));
+  WorkerPools(Vertx vertx, DaemonSettings settings) {
+    Context context = vertx.getOrCreateContext();
+    http =
+        vertx
+            .httpClientBuilder()
+            .with(
+                new HttpClientOptions()
+                    .setProtocolVersion(HttpVersion.HTTP_2)
+                    .setHttp2ClearTextUpgrade(false)
+                    .setHttp2MultiplexingLimit(settings.http().streamsPerConnection())
+                    .setTcpNoDelay(true)
+                    .setConnectTimeout((int) Math.max(1, settings.http().connectMicros() / 1_000)))
+            .with(
+                new PoolOptions()
+                    .setHttp2MaxSize(settings.http().connectionsPerServer())
+                    .setMaxWaitQueueSize(settings.limits().maxOpen()))
+            .withConnectHandler(
+                connection -> {
+                  connection.goAwayHandler(
+                      goAway -> goneAway.put(connection, goAway.getLastStreamId()));
+                  // Its streams are told of the end before, or in the same turn.
+                  connection.closeHandler(
+                      closed -> context.runOnContext(v -> goneAway.remove(connection)));
                 })
-                .build();
-    }
+            .build();
+  }
 
-    Future<HttpClientRequest> request(RequestOptions options) {
-        return http.request(options);
-    }
+  Future<HttpClientRequest> request(RequestOptions options) {
+    return http.request(options);
+  }
 
-    /** The last stream of a connection that may be processed: all of them while it has not gone away. */
-    int lastStream(HttpConnection connection) {
-        return goneAway.getOrDefault(connection, Integer.MAX_VALUE);
-    }
+  /**
+   * The last stream of a connection that may be processed: all of them while it has not gone away.
+   */
+  int lastStream(HttpConnection connection) {
+    return goneAway.getOrDefault(connection, Integer.MAX_VALUE);
+  }
 
-    Future<Void> close() {
-        return http.close();
-    }
+  Future<Void> close() {
+    return http.close();
+  }
 }
--- a/src/main/java/fawndock/host/Alarms.java
+++ b/src/main/java/fawndock/host/Alarms.java
@@ -3,146 +3,152 @@
 import io.vertx.core.Vertx;
 
 /**
- * The timers of one context: a hashed timing wheel (Varghese and Lauck, 1987) of one slot a millisecond, and one
- * timer of Vert.x for the next slot in use. Setting and cancelling cost the same however many are pending. Guards
- * against the several timers that each request leaves until its deadline, hundreds of thousands at full load, in a
- * queue whose cost grows with their number. Bounded by the requests taken on within the longest deadline.
+ * The timers of one context: a hashed timing wheel (Varghese and Lauck, 1987) of one slot a
+ * millisecond, and one timer of Vert.x for the next slot in use. Setting and cancelling cost the
+ * same however many are pending. Guards against the several timers that each request leaves until
+ * its deadline, hundreds of thousands at full load, in a queue whose cost grows with their number.
+ * Bounded by the requests taken on within the longest deadline.
  */
 public final class Alarms {
-    private static final int SLOTS = 4_096;
+  private static final int SLOTS = 4_096;
 
-    /** One alarm; it rings once, unless cancelled before. */
-    public static final class Alarm {
-        private final long tick;
-        private Runnable what;
-        private Alarm next;
+  /** One alarm; it rings once, unless cancelled before. */
+  public static final class Alarm {
+    private final long tick;
+    private Runnable what;
+    private Alarm next;
 
-        private Alarm(long tick, Runnable what) {
-            this.tick = tick;
-            this.what = what;
-        }
+    private Alarm(long tick, Runnable what) {
+      this.tick = tick;
+      this.what = what;
     }
+  }
 
-    private final Vertx vertx;
-    private final long begin = System.nanoTime();
-    private final Alarm[] heads = new Alarm[SLOTS];
-    private final Alarm[] tails = new Alarm[SLOTS];
-    /** All ticks up to this one have rung. */
-    private long rung;
-    private int pending;
-    private long timer = -1;
-    private long armedFor;
-    private boolean ringing;
-
-    /** Alarms of the context that this is made on. */
-    public Alarms(Vertx vertx) {
-        this.vertx = vertx;
-    }
+  private final Vertx vertx;
+  private final long begin = System.nanoTime();
+  private final Alarm[] heads = new Alarm[SLOTS];
+  private final Alarm[] tails = new Alarm[SLOTS];
 
-    /** Runs something after at least so many microseconds, on the context that asks; those of one tick in order. */
-    public Alarm after(long micros, Runnable what) {
-        long due = (System.nanoTime() - begin + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
-        Alarm alarm = new Alarm(Math.max(due, rung + 1), what);
-        append(alarm);
-        pending++;
-        if (!ringing && (timer < 0 || alarm.tick < armedFor)) {
-            arm(alarm.tick);
-        }
-        return alarm;
-    }
+  /** All ticks up to this one have rung. */
+  private long rung;
 
-    /** An alarm that is cancelled takes its place until its time, but holds nothing else. */
-    public void cancel(Alarm alarm) {
-        if (alarm != null && alarm.what != null) {
-            alarm.what = null;
-            pending--;
-        }
+  private int pending;
+  private long timer = -1;
+  private long armedFor;
+  private boolean ringing;
+
+  /** Alarms of the context that this is made on. */
+  public Alarms(Vertx vertx) {
+    this.vertx = vertx;
+  }
+
+  /**
+   * Runs something after at least so many microseconds, on the context that asks; those of one tick
+   * in order.
+   */
+  public Alarm after(long micros, Runnable what) {
+    long due = (System.nanoTime() - begin + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
+    Alarm alarm = new Alarm(Math.max(due, rung + 1), what);
+    append(alarm);
+    pending++;
+    if (!ringing && (timer < 0 || alarm.tick < armedFor)) {
+      arm(alarm.tick);
     }
+    return alarm;
+  }
 
-    /** Alarms that have neither rung nor been cancelled. */
-    public int pending() {
-        return pending;
+  /** An alarm that is cancelled takes its place until its time, but holds nothing else. */
+  public void cancel(Alarm alarm) {
+    if (alarm != null && alarm.what != null) {
+      alarm.what = null;
+      pending--;
     }
+  }
 
-    /** Forgets all of them. */
-    public void close() {
-        java.util.Arrays.fill(heads, null);
-        java.util.Arrays.fill(tails, null);
-        pending = 0;
-        if (timer >= 0) {
-            vertx.cancelTimer(timer);
-            timer = -1;
-        }
+  /** Alarms that have neither rung nor been cancelled. */
+  public int pending() {
+    return pending;
+  }
+
+  /** Forgets all of them. */
+  public void close() {
+    java.util.Arrays.fill(heads, null);
+    java.util.Arrays.fill(tails, null);
+    pending = 0;
+    if (timer >= 0) {
+      vertx.cancelTimer(timer);
+      timer = -1;
     }
+  }
 
-    private void append(Alarm alarm) {
-        int slot = (int) (alarm.tick % SLOTS);
-        if (heads[slot] == null) {
-            heads[slot] = alarm;
-        } else {
-            tails[slot].next = alarm;
-        }
-        tails[slot] = alarm;
+  private void append(Alarm alarm) {
+    int slot = (int) (alarm.tick % SLOTS);
+    if (heads[slot] == null) {
+      heads[slot] = alarm;
+    } else {
+      tails[slot].next = alarm;
     }
+    tails[slot] = alarm;
+  }
 
-    private void arm(long tick) {
-        if (timer >= 0) {
-            vertx.cancelTimer(timer);
-        }
-        armedFor = tick;
-        long nanos = tick * 1_000_000 - (System.nanoTime() - begin);
-        timer = vertx.setTimer(Math.max(1, (nanos + 999_999) / 1_000_000), id -> ring());
+  private void arm(long tick) {
+    if (timer >= 0) {
+      vertx.cancelTimer(timer);
     }
+    armedFor = tick;
+    long nanos = tick * 1_000_000 - (System.nanoTime() - begin);
+    timer = vertx.setTimer(Math.max(1, (nanos + 999_999) / 1_000_000), id -> ring());
+  }
 
-    private void ring() {
-        timer = -1;
-        ringing = true;
-        try {
-            // No more than one round: a loop that was held for longer looks at each slot once.
-            long now = (System.nanoTime() - begin) / 1_000_000;
-            long from = rung + 1;
-            rung = now;
-            for (long tick = from; tick <= now && tick < from + SLOTS; tick++) {
-                ring((int) (tick % SLOTS), now);
-            }
-        } finally {
-            ringing = false;
-            if (pending > 0) {
-                long tick = rung + 1;
-                while (!live((int) (tick % SLOTS)) && tick < rung + SLOTS) {
-                    tick++;
-                }
-                arm(tick);
-            }
+  private void ring() {
+    timer = -1;
+    ringing = true;
+    try {
+      // No more than one round: a loop that was held for longer looks at each slot once.
+      long now = (System.nanoTime() - begin) / 1_000_000;
+      long from = rung + 1;
+      rung = now;
+      for (long tick = from; tick <= now && tick < from + SLOTS; tick++) {
+        ring((int) (tick % SLOTS), now);
+      }
+    } finally {
+      ringing = false;
+      if (pending > 0) {
+        long tick = rung + 1;
+        while (!live((int) (tick % SLOTS)) && tick < rung + SLOTS) {
+          tick++;
         }
+        arm(tick);
+      }
     }
+  }
 
-    /** Whether a slot holds an alarm that is to ring; drops those cancelled that stand before it. */
-    private boolean live(int slot) {
-        while (heads[slot] != null && heads[slot].what == null) {
-            heads[slot] = heads[slot].next;
-        }
-        return heads[slot] != null;
+  /** Whether a slot holds an alarm that is to ring; drops those cancelled that stand before it. */
+  private boolean live(int slot) {
+    while (heads[slot] != null && heads[slot].what == null) {
+      heads[slot] = heads[slot].next;
     }
+    return heads[slot] != null;
+  }
 
-    private void ring(int slot, long now) {
-        Alarm alarm = heads[slot];
-        heads[slot] = null;
-        tails[slot] = null;
-        while (alarm != null) {
-            Alarm next = alarm.next;
-            alarm.next = null;
-            if (alarm.what == null) {
-                // Cancelled.
-            } else if (alarm.tick > now) {
-                append(alarm); // Of a later round.
-            } else {
-                Runnable what = alarm.what;
-                alarm.what = null;
-                pending--;
-                what.run();
-            }
-            alarm = next;
-        }
+  private void ring(int slot, long now) {
+    Alarm alarm = heads[slot];
+    heads[slot] = null;
+    tails[slot] = null;
+    while (alarm != null) {
+      Alarm next = alarm.next;
+      alarm.next = null;
+      if (alarm.what == null) {
+        // Cancelled.
+      } else if (alarm.tick > now) {
+        append(alarm); // Of a later round.
+      } else {
+        Runnable what = alarm.what;
+        alarm.what = null;
+        pending--;
+        what.run();
+      }
+      alarm = next;
     }
+  }
 }
--- a/src/main/java/fawndock/host/InOrder.java
+++ b/src/main/java/fawndock/host/InOrder.java
@@ -7,61 +7,67 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Tells the ends of counter calls, each once, those of a name in the order in which its calls were made. */
+/**
+ * Tells the ends of counter calls, each once, those of a name in the order in which its calls were
+ * made.
+ */
 public final class InOrder {
-    /** A call of a name that has its place among the others. */
-    public static class Place {
-        private final String name;
-        private final long startedAt;
-        private Counted end;
+  /** A call of a name that has its place among the others. */
+  public static class Place {
+    private final String name;
+    private final long startedAt;
+    private Counted end;
 
-        /** A call of this name, made at this time in microseconds. */
-        public Place(String name, long startedAt) {
-            this.name = name;
-            this.startedAt = startedAt;
-        }
+    /** A call of this name, made at this time in microseconds. */
+    public Place(String name, long startedAt) {
+      this.name = name;
+      this.startedAt = startedAt;
+    }
 
-        /** How long it has been out. */
-        public long tookMicros(long now) {
-            return now - startedAt;
-        }
+    /** How long it has been out. */
+    public long tookMicros(long now) {
+      return now - startedAt;
+    }
 
-        public boolean ended() {
-            return end != null;
-        }
+    public boolean ended() {
+      return end != null;
     }
+  }
 
-    private final Map<String, ArrayDeque<Place>> lines = new HashMap<>();
-    private final Consumer<Counted> told;
-    private boolean closed;
+  private final Map<String, ArrayDeque<Place>> lines = new HashMap<>();
+  private final Consumer<Counted> told;
+  private boolean closed;
 
-    /** Ends are told to the consumer given. */
-    public InOrder(Consumer<Counted> told) {
-        this.told = told;
-    }
+  /** Ends are told to the consumer given. */
+  public InOrder(Consumer<Counted> told) {
+    this.told = told;
+  }
 
-    /** A call is made. */
-    public void begin(Place place) {
-        lines.computeIfAbsent(place.name, name -> new ArrayDeque<>(2)).add(place);
-    }
+  /** A call is made. */
+  public void begin(Place place) {
+    lines.computeIfAbsent(place.name, name -> new ArrayDeque<>(2)).add(place);
+  }
 
-    /** A call that ends before an older one of its name, such as one that was never sent, waits for it. */
-    public void end(Place place, Result result, double total, long now) {
-        place.end = new Counted(place.name, result, total, place.tookMicros(now));
-        ArrayDeque<Place> line = lines.get(place.name);
-        while (line != null && !line.isEmpty() && line.peek().ended()) {
-            Counted next = line.poll().end;
-            if (line.isEmpty()) {
-                lines.remove(place.name);
-            }
-            if (!closed) {
-                told.accept(next);
-            }
-        }
+  /**
+   * A call that ends before an older one of its name, such as one that was never sent, waits for
+   * it.
+   */
+  public void end(Place place, Result result, double total, long now) {
+    place.end = new Counted(place.name, result, total, place.tookMicros(now));
+    ArrayDeque<Place> line = lines.get(place.name);
+    while (line != null && !line.isEmpty() && line.peek().ended()) {
+      Counted next = line.poll().end;
+      if (line.isEmpty()) {
+        lines.remove(place.name);
+      }
+      if (!closed) {
+        told.accept(next);
+      }
     }
+  }
 
-    /** Nobody is told any more. */
-    public void close() {
-        closed = true;
-    }
+  /** Nobody is told any more. */
+  public void close() {
+    closed = true;
+  }
 }
--- a/src/main/java/fawndock/host/MicroClock.java
+++ b/src/main/java/fawndock/host/MicroClock.java
@@ -5,44 +5,44 @@
 import java.util.function.LongSupplier;
 
 /**
- * The shared wall clock in microseconds, guarded so that it never runs backwards. When the wall clock is set back,
- * this one goes on at half the speed of the monotonic clock until the wall clock has caught up: times stay in
- * order and waits still end. One thread at a time.
+ * The shared wall clock in microseconds, guarded so that it never runs backwards. When the wall
+ * clock is set back, this one goes on at half the speed of the monotonic clock until the wall clock
+ * has caught up: times stay in order and waits still end. One thread at a time.
  */
 public final class MicroClock {
-    private final LongSupplier wallMicros;
-    private final LongSupplier nanos;
-    private long last = Long.MIN_VALUE;
-    private long lastNanos;
+  private final LongSupplier wallMicros;
+  private final LongSupplier nanos;
+  private long last = Long.MIN_VALUE;
+  private long lastNanos;
 
-    /** The system's clocks. */
-    public MicroClock() {
-        this(MicroClock::systemMicros, System::nanoTime);
-    }
+  /** The system's clocks. */
+  public MicroClock() {
+    this(MicroClock::systemMicros, System::nanoTime);
+  }
 
-    public MicroClock(LongSupplier wallMicros, LongSupplier nanos) {
-        this.wallMicros = wallMicros;
-        this.nanos = nanos;
-    }
+  public MicroClock(LongSupplier wallMicros, LongSupplier nanos) {
+    this.wallMicros = wallMicros;
+    this.nanos = nanos;
+  }
 
-    /** Microseconds since 1970, never less than what was told before. */
-    public long now() {
-        long wall = wallMicros.getAsLong();
-        long mono = nanos.getAsLong();
-        if (wall >= last) {
-            last = wall;
-            lastNanos = mono;
-        } else {
-            long slewed = Math.max(0, (mono - lastNanos) / 2_000);
-            last += slewed;
-            lastNanos += slewed * 2_000;
-        }
-        return last;
+  /** Microseconds since 1970, never less than what was told before. */
+  public long now() {
+    long wall = wallMicros.getAsLong();
+    long mono = nanos.getAsLong();
+    if (wall >= last) {
+      last = wall;
+      lastNanos = mono;
+    } else {
+      long slewed = Math.max(0, (mono - lastNanos) / 2_000);
+      last += slewed;
+      lastNanos += slewed * 2_000;
     }
+    return last;
+  }
 
-    /** The system's wall clock in microseconds since 1970, unguarded. */
-    public static long systemMicros() {
-        Instant now = Clock.systemUTC().instant();
-        return now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
-    }
+  /** The system's wall clock in microseconds since 1970, unguarded. */
+  public static long systemMicros() {
+    Instant now = Clock.systemUTC().instant();
+    return now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
+  }
 }
--- a/src/main/java/fawndock/host/OpenAttempt.java
+++ b/src/main/java/fawndock/host/OpenAttempt.java
@@ -4,74 +4,81 @@
 import java.util.Map;
 
 /**
- * One attempt of a request at a server, whatever protocol it goes by. It ends exactly once, by the first of what
- * happens to it, and tells its host the end; what comes later is dropped. One context.
+ * One attempt of a request at a server, whatever protocol it goes by. It ends exactly once, by the
+ * first of what happens to it, and tells its host the end; what comes later is dropped. One
+ * context.
  */
 public abstract class OpenAttempt {
-    protected final GatekeeperHost host;
-    protected final OpenRequest open;
-    /** Its number among the request's attempts, from 0. */
-    public final int number;
-    /** The server's id, as discovery has it. */
-    public final String server;
-    private final long startedAt;
-    private Alarms.Alarm abandon;
-    private Result result;
+  protected final GatekeeperHost host;
+  protected final OpenRequest open;
 
-    protected OpenAttempt(GatekeeperHost host, OpenRequest open, int number, String server) {
-        this.host = host;
-        this.open = open;
-        this.number = number;
-        this.server = server;
-        this.startedAt = host.clock().now();
-    }
+  /** Its number among the request's attempts, from 0. */
+  public final int number;
 
-    /** Starts it; it is abandoned at the time given unless it has ended or {@link #keep} was called before. */
-    final void start(long abandonAtMicros) {
-        abandon = host.alarms().after(abandonAtMicros - startedAt, this::abandoned);
-        begin(abandonAtMicros);
-    }
+  /** The server's id, as discovery has it. */
+  public final String server;
 
-    /** Connects and sends. An attempt that cannot be sent ends as {@link Result#UNUSED}. */
-    protected abstract void begin(long abandonAtMicros);
+  private final long startedAt;
+  private Alarms.Alarm abandon;
+  private Result result;
 
-    /** The time to wait for it is up: it is to end. */
-    protected abstract void abandoned();
+  protected OpenAttempt(GatekeeperHost host, OpenRequest open, int number, String server) {
+    this.host = host;
+    this.open = open;
+    this.number = number;
+    this.server = server;
+    this.startedAt = host.clock().now();
+  }
 
-    /** The gatekeeper calls it off: it is to end, unless its answer belongs to the client by now. */
-    public abstract void cancel();
+  /**
+   * Starts it; it is abandoned at the time given unless it has ended or {@link #keep} was called
+   * before.
+   */
+  final void start(long abandonAtMicros) {
+    abandon = host.alarms().after(abandonAtMicros - startedAt, this::abandoned);
+    begin(abandonAtMicros);
+  }
 
-    /** The client has left; a streamed answer is to end. */
-    public void leave() {
-        // Nothing is streamed unless a protocol says so.
-    }
+  /** Connects and sends. An attempt that cannot be sent ends as {@link Result#UNUSED}. */
+  protected abstract void begin(long abandonAtMicros);
 
-    /** The answer belongs to the client from now on: the time to wait for it no longer counts. */
-    protected final void keep() {
-        host.alarms().cancel(abandon);
-    }
+  /** The time to wait for it is up: it is to end. */
+  protected abstract void abandoned();
 
-    /** How it ended, or null while it is out. */
-    public final Result result() {
-        return result;
-    }
+  /** The gatekeeper calls it off: it is to end, unless its answer belongs to the client by now. */
+  public abstract void cancel();
 
-    protected final void end(Result how) {
-        end(how, Map.of(), 0);
-    }
+  /** The client has left; a streamed answer is to end. */
+  public void leave() {
+    // Nothing is streamed unless a protocol says so.
+  }
+
+  /** The answer belongs to the client from now on: the time to wait for it no longer counts. */
+  protected final void keep() {
+    host.alarms().cancel(abandon);
+  }
+
+  /** How it ended, or null while it is out. */
+  public final Result result() {
+    return result;
+  }
+
+  protected final void end(Result how) {
+    end(how, Map.of(), 0);
+  }
 
-    /**
-     * Ends it; called again, does nothing.
-     *
-     * @param load the server's load report, by the names of {@link fawndock.Gatekeeper.Outcome}
-     * @param units the true units of the request where the server told them, else 0
-     */
-    protected final void end(Result how, Map<String, Double> load, double units) {
-        if (result != null) {
-            return;
-        }
-        result = how;
-        host.alarms().cancel(abandon);
-        host.ended(open, this, host.clock().now() - startedAt, load, units);
+  /**
+   * Ends it; called again, does nothing.
+   *
+   * @param load the server's load report, by the names of {@link fawndock.Gatekeeper.Outcome}
+   * @param units the true units of the request where the server told them, else 0
+   */
+  protected final void end(Result how, Map<String, Double> load, double units) {
+    if (result != null) {
+      return;
     }
+    result = how;
+    host.alarms().cancel(abandon);
+    host.ended(open, this, host.clock().now() - startedAt, load, units);
+  }
 }
--- a/src/main/java/fawndock/judge/Figures.java
+++ b/src/main/java/fawndock/judge/Figures.java
@@ -11,7 +11,8 @@
  * @param classes the request classes by name
  * @param rules the figures of the rules
  * @param plans each customer's plan, for its ceiling
- * @param slackMicros allowed on top of each time limit, for the way between a socket and the record of it
+ * @param slackMicros allowed on top of each time limit, for the way between a socket and the record
+ *     of it
  */
-public record Figures(Map<String, RequestClass> classes, Rules rules, Map<String, Plan> plans, long slackMicros) {
-}
+public record Figures(
+    Map<String, RequestClass> classes, Rules rules, Map<String, Plan> plans, long slackMicros) {}
--- a/src/main/java/fawndock/judge/Worth.java
+++ b/src/main/java/fawndock/judge/Worth.java
@@ -12,50 +12,54 @@
 import java.util.Set;
 
 /**
- * How much worth was answered within its aim, as a share of the worth asked inside the quotas. Each customer's store
- * is replayed over its operations as one gateway that saw all first tries would have it; a later try's answer counts
- * for its operation, from the first try's time.
+ * How much worth was answered within its aim, as a share of the worth asked inside the quotas. Each
+ * customer's store is replayed over its operations as one gateway that saw all first tries would
+ * have it; a later try's answer counts for its operation, from the first try's time.
  */
 public final class Worth {
-    private Worth() {
-    }
+  private Worth() {}
 
-    /** Of a trace, from 0 to 1; 0 when nothing was asked inside the quotas. */
-    public static double judge(List<Seen> trace, Figures figures) {
-        Map<String, Long> answered = new HashMap<>();
-        for (Seen seen : trace) {
-            if (seen instanceof Answered a && a.status() == 200) {
-                answered.merge(RuleChecker.operation(a.request()), a.at(), Math::min);
-            }
-        }
-        Map<String, double[]> stores = new HashMap<>();
-        Set<String> taken = new HashSet<>();
-        double offered = 0;
-        double served = 0;
-        List<Asked> all = trace.stream().filter(Asked.class::isInstance).map(Asked.class::cast)
-                .sorted(Comparator.comparingLong(Asked::at)).toList();
-        for (Asked a : all) {
-            String operation = RuleChecker.operation(a.request());
-            Plan plan = figures.plans().get(a.customer());
-            RequestClass type = figures.classes().get(a.type());
-            if (plan == null || type == null || !taken.add(operation)) {
-                continue;
-            }
-            double worth = type.worth() * plan.pays() * a.units();
-            boolean inside = plan.rate() <= 0;
-            if (!inside) {
-                double[] store = stores.computeIfAbsent(a.customer(), c -> new double[] {plan.storeSize(), a.at()});
-                store[0] = Math.min(plan.storeSize(), store[0] + (a.at() - store[1]) / 1e6 * plan.rate());
-                store[1] = a.at();
-                inside = store[0] >= a.units();
-                store[0] -= inside ? a.units() : 0;
-            }
-            if (inside) {
-                offered += worth;
-                Long at = answered.get(operation);
-                served += at != null && at <= a.at() + type.aimMicros() ? worth : 0;
-            }
-        }
-        return offered == 0 ? 0 : served / offered;
+  /** Of a trace, from 0 to 1; 0 when nothing was asked inside the quotas. */
+  public static double judge(List<Seen> trace, Figures figures) {
+    Map<String, Long> answered = new HashMap<>();
+    for (Seen seen : trace) {
+      if (seen instanceof Answered a && a.status() == 200) {
+        answered.merge(RuleChecker.operation(a.request()), a.at(), Math::min);
+      }
+    }
+    Map<String, double[]> stores = new HashMap<>();
+    Set<String> taken = new HashSet<>();
+    double offered = 0;
+    double served = 0;
+    List<Asked> all =
+        trace.stream()
+            .filter(Asked.class::isInstance)
+            .map(Asked.class::cast)
+            .sorted(Comparator.comparingLong(Asked::at))
+            .toList();
+    for (Asked a : all) {
+      String operation = RuleChecker.operation(a.request());
+      Plan plan = figures.plans().get(a.customer());
+      RequestClass type = figures.classes().get(a.type());
+      if (plan == null || type == null || !taken.add(operation)) {
+        continue;
+      }
+      double worth = type.worth() * plan.pays() * a.units();
+      boolean inside = plan.rate() <= 0;
+      if (!inside) {
+        double[] store =
+            stores.computeIfAbsent(a.customer(), c -> new double[] {plan.storeSize(), a.at()});
+        store[0] = Math.min(plan.storeSize(), store[0] + (a.at() - store[1]) / 1e6 * plan.rate());
+        store[1] = a.at();
+        inside = store[0] >= a.units();
+        store[0] -= inside ? a.units() : 0;
+      }
+      if (inside) {
+        offered += worth;
+        Long at = answered.get(operation);
+        served += at != null && at <= a.at() + type.aimMicros() ? worth : 0;
+      }
     }
+    return offered == 0 ? 0 : served / offered;
+  }
 }
--- a/src/main/java/fawndock/lab/BareProxy.java
+++ b/src/main/java/fawndock/lab/BareProxy.java
@@ -14,33 +14,58 @@
 
 /** A reverse proxy on one event loop that decides nothing: the measure for what deciding costs. */
 public final class BareProxy {
-    private final HttpClient workers;
-    private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    private final int workerPort;
+  private final HttpClient workers;
+  private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final int workerPort;
 
-    public BareProxy(int workerPort) {
-        this.workerPort = workerPort;
-        this.workers = vertx.createHttpClient(new HttpClientOptions().setProtocolVersion(HttpVersion.HTTP_2)
-                .setHttp2ClearTextUpgrade(false).setTcpNoDelay(true), new PoolOptions().setHttp2MaxSize(2));
-    }
+  public BareProxy(int workerPort) {
+    this.workerPort = workerPort;
+    this.workers =
+        vertx.createHttpClient(
+            new HttpClientOptions()
+                .setProtocolVersion(HttpVersion.HTTP_2)
+                .setHttp2ClearTextUpgrade(false)
+                .setTcpNoDelay(true),
+            new PoolOptions().setHttp2MaxSize(2));
+  }
 
-    /** Listens; completes with the port. */
-    public Future<Integer> start() {
-        return vertx.createHttpServer(new HttpServerOptions().setTcpNoDelay(true)).requestHandler(this::pass)
-                .listen(0, "127.0.0.1").map(s -> s.actualPort());
-    }
+  /** Listens; completes with the port. */
+  public Future<Integer> start() {
+    return vertx
+        .createHttpServer(new HttpServerOptions().setTcpNoDelay(true))
+        .requestHandler(this::pass)
+        .listen(0, "127.0.0.1")
+        .map(s -> s.actualPort());
+  }
 
-    private void pass(HttpServerRequest request) {
-        MultiMap headers = MultiMap.caseInsensitiveMultiMap().addAll(request.headers());
-        headers.remove("host").remove("connection");
-        request.body().compose(body -> workers.request(new RequestOptions().setMethod(request.method())
-                .setHost("127.0.0.1").setPort(workerPort).setURI(request.uri()).setHeaders(headers))
-                .compose(out -> out.send(body)))
-                .compose(answer -> answer.body().onSuccess(body -> {
-                    request.response().setStatusCode(answer.statusCode());
-                    answer.headers().forEach((name, value) -> request.response().putHeader(name, value));
-                    request.response().end(body);
-                }))
-                .onFailure(e -> request.response().setStatusCode(502).end());
-    }
+  private void pass(HttpServerRequest request) {
+    MultiMap headers = MultiMap.caseInsensitiveMultiMap().addAll(request.headers());
+    headers.remove("host").remove("connection");
+    request
+        .body()
+        .compose(
+            body ->
+                workers
+                    .request(
+                        new RequestOptions()
+                            .setMethod(request.method())
+                            .setHost("127.0.0.1")
+                            .setPort(workerPort)
+                            .setURI(request.uri())
+                            .setHeaders(headers))
+                    .compose(out -> out.send(body)))
+        .compose(
+            answer ->
+                answer
+                    .body()
+                    .onSuccess(
+                        body -> {
+                          request.response().setStatusCode(answer.statusCode());
+                          answer
+                              .headers()
+                              .forEach((name, value) -> request.response().putHeader(name, value));
+                          request.response().end(body);
+                        }))
+        .onFailure(e -> request.response().setStatusCode(502).end());
+  }
 }
--- a/src/main/java/fawndock/lab/CounterLoad.java
+++ b/src/main/java/fawndock/lab/CounterLoad.java
@@ -15,238 +15,262 @@
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
 
-/** Adds to a counter over several connections, in a closed loop for the most it takes, or open at a rate. */
+/**
+ * Adds to a counter over several connections, in a closed loop for the most it takes, or open at a
+ * rate.
+ */
 final class CounterLoad {
-    /** What came of a run. */
-    record Run(long acknowledged, long refused, double seconds, Histogram micros) {
-        double perSecond() {
-            return acknowledged / seconds;
-        }
+  /** What came of a run. */
+  record Run(long acknowledged, long refused, double seconds, Histogram micros) {
+    double perSecond() {
+      return acknowledged / seconds;
     }
+  }
 
-    private static final int LIMIT_MILLIS = 20_000;
-    private final int port;
-    private final int connections;
-    private final int names;
+  private static final int LIMIT_MILLIS = 20_000;
+  private final int port;
+  private final int connections;
+  private final int names;
 
-    CounterLoad(int port, int connections, int names) {
-        this.port = port;
-        this.connections = connections;
-        this.names = names;
-    }
+  CounterLoad(int port, int connections, int names) {
+    this.port = port;
+    this.connections = connections;
+    this.names = names;
+  }
 
-    /** Many calls out on each connection at any time, for so long. */
-    Run most(int outstanding, double seconds, long seed) throws Exception {
-        AtomicLong acknowledged = new AtomicLong();
-        AtomicLong refused = new AtomicLong();
-        long begun = System.nanoTime();
-        long end = begun + (long) (seconds * 1e9);
-        all(i -> {
-            SplittableRandom random = new SplittableRandom(seed + i);
-            try (Line line = new Line(port)) {
-                byte[][] batches = new byte[16][];
-                for (int b = 0; b < batches.length; b++) {
-                    batches[b] = batch(random, outstanding / 2);
-                }
-                line.socket.getOutputStream().write(batches[0]);
-                for (int b = 1; System.nanoTime() < end; b++) {
-                    line.socket.getOutputStream().write(batches[b % batches.length]);
-                    take(line, outstanding / 2, acknowledged, refused);
-                }
-                take(line, outstanding / 2, acknowledged, refused);
+  /** Many calls out on each connection at any time, for so long. */
+  Run most(int outstanding, double seconds, long seed) throws Exception {
+    AtomicLong acknowledged = new AtomicLong();
+    AtomicLong refused = new AtomicLong();
+    long begun = System.nanoTime();
+    long end = begun + (long) (seconds * 1e9);
+    all(
+        i -> {
+          SplittableRandom random = new SplittableRandom(seed + i);
+          try (Line line = new Line(port)) {
+            byte[][] batches = new byte[16][];
+            for (int b = 0; b < batches.length; b++) {
+              batches[b] = batch(random, outstanding / 2);
+            }
+            line.socket.getOutputStream().write(batches[0]);
+            for (int b = 1; System.nanoTime() < end; b++) {
+              line.socket.getOutputStream().write(batches[b % batches.length]);
+              take(line, outstanding / 2, acknowledged, refused);
             }
+            take(line, outstanding / 2, acknowledged, refused);
+          }
         });
-        return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
-    }
+    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+  }
 
-    private static void take(Line line, int many, AtomicLong acknowledged, AtomicLong refused) throws IOException {
-        int good = 0;
-        for (int i = 0; i < many; i++) {
-            good += line.answer() ? 1 : 0;
-        }
-        acknowledged.addAndGet(good);
-        refused.addAndGet(many - good);
+  private static void take(Line line, int many, AtomicLong acknowledged, AtomicLong refused)
+      throws IOException {
+    int good = 0;
+    for (int i = 0; i < many; i++) {
+      good += line.answer() ? 1 : 0;
     }
+    acknowledged.addAndGet(good);
+    refused.addAndGet(many - good);
+  }
 
-    private byte[] batch(SplittableRandom random, int many) {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < many; i++) {
-            text.append(add("quota-" + random.nextInt(names)));
-        }
-        return text.toString().getBytes(StandardCharsets.US_ASCII);
+  private byte[] batch(SplittableRandom random, int many) {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < many; i++) {
+      text.append(add("quota-" + random.nextInt(names)));
     }
+    return text.toString().getBytes(StandardCharsets.US_ASCII);
+  }
 
-    static String add(String name) {
-        return "*4\r\n$6\r\nFD.ADD\r\n$" + name.length() + "\r\n" + name + "\r\n$1\r\n1\r\n$7\r\n3600000\r\n";
-    }
+  static String add(String name) {
+    return "*4\r\n$6\r\nFD.ADD\r\n$"
+        + name.length()
+        + "\r\n"
+        + name
+        + "\r\n$1\r\n1\r\n$7\r\n3600000\r\n";
+  }
 
-    /** As {@link #most}, with the growing sums of a gatekeeper on each connection. */
-    Run sums(int outstanding, double seconds, long seed) throws Exception {
-        AtomicLong acknowledged = new AtomicLong();
-        AtomicLong refused = new AtomicLong();
-        long begun = System.nanoTime();
-        long end = begun + (long) (seconds * 1e9);
-        all(i -> {
-            SplittableRandom random = new SplittableRandom(seed + i);
-            long grown = 0;
-            try (Line line = new Line(port)) {
-                while (System.nanoTime() < end) {
-                    StringBuilder text = new StringBuilder();
-                    for (int n = 0; n < outstanding; n++) {
-                        text.append(sum("quota-" + random.nextInt(names), seed * 1_000 + i, ++grown));
-                    }
-                    line.socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.US_ASCII));
-                    take(line, outstanding, acknowledged, refused);
-                }
+  /** As {@link #most}, with the growing sums of a gatekeeper on each connection. */
+  Run sums(int outstanding, double seconds, long seed) throws Exception {
+    AtomicLong acknowledged = new AtomicLong();
+    AtomicLong refused = new AtomicLong();
+    long begun = System.nanoTime();
+    long end = begun + (long) (seconds * 1e9);
+    all(
+        i -> {
+          SplittableRandom random = new SplittableRandom(seed + i);
+          long grown = 0;
+          try (Line line = new Line(port)) {
+            while (System.nanoTime() < end) {
+              StringBuilder text = new StringBuilder();
+              for (int n = 0; n < outstanding; n++) {
+                text.append(sum("quota-" + random.nextInt(names), seed * 1_000 + i, ++grown));
+              }
+              line.socket
+                  .getOutputStream()
+                  .write(text.toString().getBytes(StandardCharsets.US_ASCII));
+              take(line, outstanding, acknowledged, refused);
             }
+          }
         });
-        return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
-    }
+    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+  }
 
-    static String sum(String name, long origin, long plus) {
-        StringBuilder text = new StringBuilder("*6\r\n");
-        for (String word : new String[] {"FD.SUM", name, Long.toString(origin), Long.toString(plus), "0", "3600000"}) {
-            text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
-        }
-        return text.toString();
+  static String sum(String name, long origin, long plus) {
+    StringBuilder text = new StringBuilder("*6\r\n");
+    for (String word :
+        new String[] {"FD.SUM", name, Long.toString(origin), Long.toString(plus), "0", "3600000"}) {
+      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
     }
+    return text.toString();
+  }
 
-    /** One call at a time, evenly spread at a rate over the connections, whether answers come or not. */
-    Run atRate(double perSecond, double seconds, long seed) throws Exception {
-        Histogram micros = new Histogram(60_000_000L, 3);
-        AtomicLong acknowledged = new AtomicLong();
-        AtomicLong refused = new AtomicLong();
-        long begun = System.nanoTime();
-        all(i -> {
-            SplittableRandom random = new SplittableRandom(seed + i);
-            ArrayBlockingQueue<Long> due = new ArrayBlockingQueue<>(1 << 16);
-            try (Line line = new Line(port)) {
-                Thread reader = new Thread(() -> {
-                    try {
+  /**
+   * One call at a time, evenly spread at a rate over the connections, whether answers come or not.
+   */
+  Run atRate(double perSecond, double seconds, long seed) throws Exception {
+    Histogram micros = new Histogram(60_000_000L, 3);
+    AtomicLong acknowledged = new AtomicLong();
+    AtomicLong refused = new AtomicLong();
+    long begun = System.nanoTime();
+    all(
+        i -> {
+          SplittableRandom random = new SplittableRandom(seed + i);
+          ArrayBlockingQueue<Long> due = new ArrayBlockingQueue<>(1 << 16);
+          try (Line line = new Line(port)) {
+            Thread reader =
+                new Thread(
+                    () -> {
+                      try {
                         for (long at = due.take(); at >= 0; at = due.take()) {
-                            boolean good = line.answer();
-                            long took = (System.nanoTime() - at) / 1_000;
-                            (good ? acknowledged : refused).incrementAndGet();
-                            synchronized (micros) {
-                                micros.recordValue(Math.min(took, micros.getHighestTrackableValue()));
-                            }
+                          boolean good = line.answer();
+                          long took = (System.nanoTime() - at) / 1_000;
+                          (good ? acknowledged : refused).incrementAndGet();
+                          synchronized (micros) {
+                            micros.recordValue(Math.min(took, micros.getHighestTrackableValue()));
+                          }
                         }
-                    } catch (IOException | InterruptedException e) {
+                      } catch (IOException | InterruptedException e) {
                         due.clear();
-                    }
-                });
-                reader.start();
-                double gap = 1e9 * connections / perSecond;
-                long all = (long) (seconds * 1e9 / gap);
-                for (long n = 0; n < all; n++) {
-                    long at = begun + (long) ((n + (double) i / connections) * gap);
-                    while (System.nanoTime() < at) {
-                        LockSupport.parkNanos(Math.max(1, at - System.nanoTime()));
-                    }
-                    due.put(at);
-                    line.socket.getOutputStream().write(add("quota-" + random.nextInt(names))
-                            .getBytes(StandardCharsets.US_ASCII));
-                }
-                due.put(-1L);
-                reader.join(LIMIT_MILLIS);
+                      }
+                    });
+            reader.start();
+            double gap = 1e9 * connections / perSecond;
+            long all = (long) (seconds * 1e9 / gap);
+            for (long n = 0; n < all; n++) {
+              long at = begun + (long) ((n + (double) i / connections) * gap);
+              while (System.nanoTime() < at) {
+                LockSupport.parkNanos(Math.max(1, at - System.nanoTime()));
+              }
+              due.put(at);
+              line.socket
+                  .getOutputStream()
+                  .write(add("quota-" + random.nextInt(names)).getBytes(StandardCharsets.US_ASCII));
             }
+            due.put(-1L);
+            reader.join(LIMIT_MILLIS);
+          }
         });
-        return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, micros);
-    }
+    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, micros);
+  }
 
-    /** Adds once to each of so many names. */
-    long fill(long many, String prefix, boolean sums) throws Exception {
-        AtomicLong acknowledged = new AtomicLong();
-        int batch = 500;
-        all(i -> {
-            try (Line line = new Line(port)) {
-                for (long at = (long) i * batch; at < many; at += (long) connections * batch) {
-                    StringBuilder text = new StringBuilder();
-                    long to = Math.min(many, at + batch);
-                    for (long n = at; n < to; n++) {
-                        text.append(sums ? sum(prefix + n, 1, 1) : add(prefix + n));
-                    }
-                    line.socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.US_ASCII));
-                    for (long n = at; n < to; n++) {
-                        acknowledged.addAndGet(line.answer() ? 1 : 0);
-                    }
-                }
+  /** Adds once to each of so many names. */
+  long fill(long many, String prefix, boolean sums) throws Exception {
+    AtomicLong acknowledged = new AtomicLong();
+    int batch = 500;
+    all(
+        i -> {
+          try (Line line = new Line(port)) {
+            for (long at = (long) i * batch; at < many; at += (long) connections * batch) {
+              StringBuilder text = new StringBuilder();
+              long to = Math.min(many, at + batch);
+              for (long n = at; n < to; n++) {
+                text.append(sums ? sum(prefix + n, 1, 1) : add(prefix + n));
+              }
+              line.socket
+                  .getOutputStream()
+                  .write(text.toString().getBytes(StandardCharsets.US_ASCII));
+              for (long n = at; n < to; n++) {
+                acknowledged.addAndGet(line.answer() ? 1 : 0);
+              }
             }
+          }
         });
-        return acknowledged.get();
-    }
+    return acknowledged.get();
+  }
 
-    private interface Work {
-        void on(int connection) throws Exception;
-    }
+  private interface Work {
+    void on(int connection) throws Exception;
+  }
 
-    private void all(Work work) throws Exception {
-        List<Thread> threads = new ArrayList<>();
-        Exception[] failure = new Exception[1];
-        for (int i = 0; i < connections; i++) {
-            int connection = i;
-            Thread thread = new Thread(() -> {
+  private void all(Work work) throws Exception {
+    List<Thread> threads = new ArrayList<>();
+    Exception[] failure = new Exception[1];
+    for (int i = 0; i < connections; i++) {
+      int connection = i;
+      Thread thread =
+          new Thread(
+              () -> {
                 try {
-                    work.on(connection);
+                  work.on(connection);
                 } catch (Exception e) {
-                    failure[0] = e;
+                  failure[0] = e;
                 }
-            });
-            thread.start();
-            threads.add(thread);
-        }
-        for (Thread each : threads) {
-            each.join();
-        }
-        if (failure[0] != null) {
-            throw failure[0];
-        }
+              });
+      thread.start();
+      threads.add(thread);
+    }
+    for (Thread each : threads) {
+      each.join();
     }
+    if (failure[0] != null) {
+      throw failure[0];
+    }
+  }
 
-    /** One connection, read with no more work than telling answers apart. */
-    private static final class Line implements AutoCloseable {
-        final Socket socket = new Socket();
-        private final InputStream in;
-        private final byte[] bytes = new byte[1 << 16];
-        private int at;
-        private int to;
-
-        Line(int port) throws IOException {
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(LIMIT_MILLIS);
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LIMIT_MILLIS);
-            in = socket.getInputStream();
-        }
+  /** One connection, read with no more work than telling answers apart. */
+  private static final class Line implements AutoCloseable {
+    final Socket socket = new Socket();
+    private final InputStream in;
+    private final byte[] bytes = new byte[1 << 16];
+    private int at;
+    private int to;
 
-        /** Takes one answer; whether it is a total. */
-        boolean answer() throws IOException {
-            int type = next();
-            while (next() != '\n') {
-                // To the end of the line.
-            }
-            if (type == '$') {
-                while (next() != '\n') {
-                    // The total.
-                }
-            }
-            return type != '-';
-        }
+    Line(int port) throws IOException {
+      socket.setTcpNoDelay(true);
+      socket.setSoTimeout(LIMIT_MILLIS);
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LIMIT_MILLIS);
+      in = socket.getInputStream();
+    }
 
-        private int next() throws IOException {
-            if (at == to) {
-                to = in.read(bytes);
-                at = 0;
-                if (to < 0) {
-                    to = 0;
-                    throw new EOFException("the counter closed the connection");
-                }
-            }
-            return bytes[at++];
+    /** Takes one answer; whether it is a total. */
+    boolean answer() throws IOException {
+      int type = next();
+      while (next() != '\n') {
+        // To the end of the line.
+      }
+      if (type == '$') {
+        while (next() != '\n') {
+          // The total.
         }
+      }
+      return type != '-';
+    }
 
-        @Override
-        public void close() throws IOException {
-            socket.close();
+    private int next() throws IOException {
+      if (at == to) {
+        to = in.read(bytes);
+        at = 0;
+        if (to < 0) {
+          to = 0;
+          throw new EOFException("the counter closed the connection");
         }
+      }
+      return bytes[at++];
+    }
+
+    @Override
+    public void close() throws IOException {
+      socket.close();
     }
+  }
 }
--- a/src/main/java/fawndock/lab/OpenLoop.java
+++ b/src/main/java/fawndock/lab/OpenLoop.java
@@ -11,100 +11,113 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests at times drawn ahead, whether or not earlier ones were answered, and takes each latency from the
- * intended time. At most so many are out; what is due beyond that waits, and its wait counts. A flood asks for more
- * than can pass, to see how much does.
+ * Sends requests at times drawn ahead, whether or not earlier ones were answered, and takes each
+ * latency from the intended time. At most so many are out; what is due beyond that waits, and its
+ * wait counts. A flood asks for more than can pass, to see how much does.
  */
 final class OpenLoop {
-    /** What one run showed; latencies in microseconds from the intended start, of served requests. */
-    record Run(Histogram latency, long served, long others, double seconds) {
-        double perSecond() {
-            return served / seconds;
-        }
+  /** What one run showed; latencies in microseconds from the intended start, of served requests. */
+  record Run(Histogram latency, long served, long others, double seconds) {
+    double perSecond() {
+      return served / seconds;
     }
+  }
 
-    private static final long LONGEST_MICROS = 60_000_000;
-    private final Vertx vertx;
-    private final HttpClient client;
-    private final RequestOptions target;
-    private final int most;
-    private final boolean flood;
-    private final Histogram latency = new Histogram(LONGEST_MICROS, 3);
-    private final CountDownLatch done = new CountDownLatch(1);
-    private SplittableRandom random;
-    private double rate;
-    private long begin;
-    private long end;
-    private double dueNanos;
-    private int out;
-    private long served;
-    private long others;
-    private long lastAt;
+  private static final long LONGEST_MICROS = 60_000_000;
+  private final Vertx vertx;
+  private final HttpClient client;
+  private final RequestOptions target;
+  private final int most;
+  private final boolean flood;
+  private final Histogram latency = new Histogram(LONGEST_MICROS, 3);
+  private final CountDownLatch done = new CountDownLatch(1);
+  private SplittableRandom random;
+  private double rate;
+  private long begin;
+  private long end;
+  private double dueNanos;
+  private int out;
+  private long served;
+  private long others;
+  private long lastAt;
 
-    OpenLoop(Vertx vertx, int port, int connections, int most, boolean flood) {
-        this.vertx = vertx;
-        this.most = most;
-        this.flood = flood;
-        this.client = vertx.createHttpClient(new HttpClientOptions().setTcpNoDelay(true),
-                new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(-1));
-        this.target = new RequestOptions().setHost("127.0.0.1").setPort(port).setURI("/work")
-                .putHeader("x-api-key", "key");
-    }
+  OpenLoop(Vertx vertx, int port, int connections, int most, boolean flood) {
+    this.vertx = vertx;
+    this.most = most;
+    this.flood = flood;
+    this.client =
+        vertx.createHttpClient(
+            new HttpClientOptions().setTcpNoDelay(true),
+            new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(-1));
+    this.target =
+        new RequestOptions()
+            .setHost("127.0.0.1")
+            .setPort(port)
+            .setURI("/work")
+            .putHeader("x-api-key", "key");
+  }
 
-    /** Runs for so long at a rate a second; blocks the caller, which must not be an event loop. */
-    Run run(double perSecond, double seconds, long seed) throws InterruptedException {
-        vertx.runOnContext(v -> {
-            random = new SplittableRandom(seed);
-            rate = perSecond;
-            begin = System.nanoTime();
-            end = begin + (long) (seconds * 1e9);
-            dueNanos = begin;
-            tick();
+  /** Runs for so long at a rate a second; blocks the caller, which must not be an event loop. */
+  Run run(double perSecond, double seconds, long seed) throws InterruptedException {
+    vertx.runOnContext(
+        v -> {
+          random = new SplittableRandom(seed);
+          rate = perSecond;
+          begin = System.nanoTime();
+          end = begin + (long) (seconds * 1e9);
+          dueNanos = begin;
+          tick();
         });
-        if (!done.await((long) seconds + 90, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("requests were never answered");
-        }
-        client.close();
-        return new Run(latency, served, others, (lastAt - begin) / 1e9);
+    if (!done.await((long) seconds + 90, TimeUnit.SECONDS)) {
+      throw new IllegalStateException("requests were never answered");
     }
+    client.close();
+    return new Run(latency, served, others, (lastAt - begin) / 1e9);
+  }
 
-    private void tick() {
-        long now = System.nanoTime();
-        while (due(now)) {
-            send((long) dueNanos);
-            dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
-        }
-        if (now < end) {
-            vertx.setTimer(1, id -> tick());
-        } else if (out == 0) {
-            done.countDown();
-        } else {
-            vertx.setTimer(5, id -> tick());
-        }
+  private void tick() {
+    long now = System.nanoTime();
+    while (due(now)) {
+      send((long) dueNanos);
+      dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
     }
-
-    /** In a flood, what was due and not yet sent at the end is dropped: only what passes is of interest. */
-    private boolean due(long now) {
-        return dueNanos <= now && dueNanos < end && out < most && !(flood && now >= end);
+    if (now < end) {
+      vertx.setTimer(1, id -> tick());
+    } else if (out == 0) {
+      done.countDown();
+    } else {
+      vertx.setTimer(5, id -> tick());
     }
+  }
 
-    private void send(long intended) {
-        out++;
-        client.request(target).compose(request -> request.send())
-                .compose(answer -> answer.body().map(body -> answer.statusCode()))
-                .onComplete(status -> {
-                    out--;
-                    lastAt = System.nanoTime();
-                    if (status.succeeded() && status.result() == 200) {
-                        served++;
-                        latency.recordValue(Math.min(LONGEST_MICROS, (lastAt - intended) / 1_000));
-                    } else {
-                        others++;
-                    }
-                    if (due(lastAt)) {
-                        send((long) dueNanos);
-                        dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
-                    }
-                });
-    }
+  /**
+   * In a flood, what was due and not yet sent at the end is dropped: only what passes is of
+   * interest.
+   */
+  private boolean due(long now) {
+    return dueNanos <= now && dueNanos < end && out < most && !(flood && now >= end);
+  }
+
+  private void send(long intended) {
+    out++;
+    client
+        .request(target)
+        .compose(request -> request.send())
+        .compose(answer -> answer.body().map(body -> answer.statusCode()))
+        .onComplete(
+            status -> {
+              out--;
+              lastAt = System.nanoTime();
+              if (status.succeeded() && status.result() == 200) {
+                served++;
+                latency.recordValue(Math.min(LONGEST_MICROS, (lastAt - intended) / 1_000));
+              } else {
+                others++;
+              }
+              if (due(lastAt)) {
+                send((long) dueNanos);
+                dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
+              }
+            });
+  }
 }
--- a/src/main/java/fawndock/lab/calibrate/Beside.java
+++ b/src/main/java/fawndock/lab/calibrate/Beside.java
@@ -6,34 +6,38 @@
 
 /** Two measurements of the same thing, side by side. */
 public final class Beside {
-    /** From here on a difference wants a reason. */
-    public static final double MUCH = 0.1;
-    private static final double FLOOR = 0.02;
+  /** From here on a difference wants a reason. */
+  public static final double MUCH = 0.1;
 
-    /**
-     * A figure of both.
-     *
-     * @param differs by which share of the larger one they differ; 0 when both are too small to matter
-     */
-    public record Row(String figure, double emulated, double real, double differs) {
-        public boolean much() {
-            return differs > MUCH;
-        }
-    }
+  private static final double FLOOR = 0.02;
 
-    private Beside() {
+  /**
+   * A figure of both.
+   *
+   * @param differs by which share of the larger one they differ; 0 when both are too small to
+   *     matter
+   */
+  public record Row(String figure, double emulated, double real, double differs) {
+    public boolean much() {
+      return differs > MUCH;
     }
+  }
+
+  private Beside() {}
 
-    /** Rows of the figures that both have, in the order of the first. */
-    public static List<Row> rows(Map<String, Double> emulated, Map<String, Double> real) {
-        List<Row> rows = new ArrayList<>();
-        emulated.forEach((figure, value) -> {
-            Double other = real.get(figure);
-            if (other != null) {
-                double larger = Math.max(Math.abs(value), Math.abs(other));
-                rows.add(new Row(figure, value, other, larger < FLOOR ? 0 : Math.abs(value - other) / larger));
-            }
+  /** Rows of the figures that both have, in the order of the first. */
+  public static List<Row> rows(Map<String, Double> emulated, Map<String, Double> real) {
+    List<Row> rows = new ArrayList<>();
+    emulated.forEach(
+        (figure, value) -> {
+          Double other = real.get(figure);
+          if (other != null) {
+            double larger = Math.max(Math.abs(value), Math.abs(other));
+            rows.add(
+                new Row(
+                    figure, value, other, larger < FLOOR ? 0 : Math.abs(value - other) / larger));
+          }
         });
-        return rows;
-    }
+    return rows;
+  }
 }
--- a/src/main/java/fawndock/lab/emu/DeploymentFile.java
+++ b/src/main/java/fawndock/lab/emu/DeploymentFile.java
@@ -22,234 +22,357 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Reads a deployment to be emulated, with its troubles; what each keyword means is in docs/operations/emulate.md. */
+/**
+ * Reads a deployment to be emulated, with its troubles; what each keyword means is in
+ * docs/operations/emulate.md.
+ */
 public final class DeploymentFile extends KeywordFile {
-    /**
-     * What was read.
-     *
-     * @param troubles put into a run before it begins, in the order of the file
-     * @param marks when which trouble was
-     * @param settings all lines as they were taken, variables put in
-     */
-    public record Read(Deployment deployment, List<Consumer<Emulation>> troubles, List<Mark> marks, String settings) {
-        /** The run that the file describes, ready to begin. */
-        public Emulation emulation(Function<Settings, Gatekeeper> maker) {
-            Emulation made = new Emulation(deployment, maker);
-            troubles.forEach(trouble -> trouble.accept(made));
-            return made;
-        }
-
-        /** The same with another seed. */
-        public Read seed(long seed) {
-            Deployment d = deployment;
-            return new Read(new Deployment(d.gatekeepers(), d.workers(), d.zones(), d.build(), d.thrash(), d.network(),
-                    d.counter(), d.rosterMicros(), d.classes(), d.plans(), d.limits(), d.rules(), d.demands(), d.seconds(),
-                    seed), troubles, marks, settings);
-        }
+  /**
+   * What was read.
+   *
+   * @param troubles put into a run before it begins, in the order of the file
+   * @param marks when which trouble was
+   * @param settings all lines as they were taken, variables put in
+   */
+  public record Read(
+      Deployment deployment,
+      List<Consumer<Emulation>> troubles,
+      List<Mark> marks,
+      String settings) {
+    /** The run that the file describes, ready to begin. */
+    public Emulation emulation(Function<Settings, Gatekeeper> maker) {
+      Emulation made = new Emulation(deployment, maker);
+      troubles.forEach(trouble -> trouble.accept(made));
+      return made;
     }
 
-    /** A trouble of a kind, from a second to another; on so many workers from one on, of such a size where its kind has one. */
-    public record Mark(String kind, double from, double until, int worker, int count, double times, double share) {
+    /** The same with another seed. */
+    public Read seed(long seed) {
+      Deployment d = deployment;
+      return new Read(
+          new Deployment(
+              d.gatekeepers(),
+              d.workers(),
+              d.zones(),
+              d.build(),
+              d.thrash(),
+              d.network(),
+              d.counter(),
+              d.rosterMicros(),
+              d.classes(),
+              d.plans(),
+              d.limits(),
+              d.rules(),
+              d.demands(),
+              d.seconds(),
+              seed),
+          troubles,
+          marks,
+          settings);
     }
+  }
 
-    private static final long SECOND = 1_000_000;
-    private static final long HOUR = 3_600 * SECOND;
-    private final Map<String, RequestClass> classes = new LinkedHashMap<>();
-    private final Map<String, Plan> plans = new LinkedHashMap<>();
-    private final List<Deployment.Demand> demands = new ArrayList<>();
-    private final List<Consumer<Emulation>> troubles = new ArrayList<>();
-    private final List<Mark> marks = new ArrayList<>();
-    private final StringBuilder taken = new StringBuilder();
-    private final Map<String, String> given;
-    private final Map<String, String> variables = new LinkedHashMap<>();
-    private int gatekeepers = 4;
-    private int workers = 8;
-    private int zones = 1;
-    private Build build = new Build(4, 20_000, 200, 0.2, 10 * SECOND, 2, 2 * SECOND);
-    private double thrash;
-    private Deployment.Network network = new Deployment.Network(200, 100, 0);
-    private Deployment.Counter counter = new Deployment.Counter(20_000, 50_000, 1, 0, 0);
-    private long roster = 1_000_000;
-    private Limits limits = new Limits(3, 10_000, 30 * SECOND, false, true, false, true, true);
-    private Rules rules = new Rules(10_000, 2 * SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND);
-    private double seconds = 60;
-    private long seed = 1;
+  /**
+   * A trouble of a kind, from a second to another; on so many workers from one on, of such a size
+   * where its kind has one.
+   */
+  public record Mark(
+      String kind, double from, double until, int worker, int count, double times, double share) {}
 
-    private DeploymentFile(Map<String, String> given) {
-        super(Set.of("class", "plan", "demand", "trouble", "let"));
-        this.given = given;
-        keywords.put("let", this::let);
-        keywords.put("gatekeepers", line -> gatekeepers = whole(line, 1, 10_000));
-        keywords.put("workers", this::workers);
-        keywords.put("network", line -> {
-            Args a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
-            network = new Deployment.Network(a.time("way", 1, SECOND, 200), a.time("more", 0, SECOND, 100),
-                    a.number("loss", 0, 1, 0));
-            a.finish();
+  private static final long SECOND = 1_000_000;
+  private static final long HOUR = 3_600 * SECOND;
+  private final Map<String, RequestClass> classes = new LinkedHashMap<>();
+  private final Map<String, Plan> plans = new LinkedHashMap<>();
+  private final List<Deployment.Demand> demands = new ArrayList<>();
+  private final List<Consumer<Emulation>> troubles = new ArrayList<>();
+  private final List<Mark> marks = new ArrayList<>();
+  private final StringBuilder taken = new StringBuilder();
+  private final Map<String, String> given;
+  private final Map<String, String> variables = new LinkedHashMap<>();
+  private int gatekeepers = 4;
+  private int workers = 8;
+  private int zones = 1;
+  private Build build = new Build(4, 20_000, 200, 0.2, 10 * SECOND, 2, 2 * SECOND);
+  private double thrash;
+  private Deployment.Network network = new Deployment.Network(200, 100, 0);
+  private Deployment.Counter counter = new Deployment.Counter(20_000, 50_000, 1, 0, 0);
+  private long roster = 1_000_000;
+  private Limits limits = new Limits(3, 10_000, 30 * SECOND, false, true, false, true, true);
+  private Rules rules = new Rules(10_000, 2 * SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND);
+  private double seconds = 60;
+  private long seed = 1;
+
+  private DeploymentFile(Map<String, String> given) {
+    super(Set.of("class", "plan", "demand", "trouble", "let"));
+    this.given = given;
+    keywords.put("let", this::let);
+    keywords.put("gatekeepers", line -> gatekeepers = whole(line, 1, 10_000));
+    keywords.put("workers", this::workers);
+    keywords.put(
+        "network",
+        line -> {
+          Args a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+          network =
+              new Deployment.Network(
+                  a.time("way", 1, SECOND, 200),
+                  a.time("more", 0, SECOND, 100),
+                  a.number("loss", 0, 1, 0));
+          a.finish();
         });
-        keywords.put("counter", line -> {
-            Args a = args(line, 0, "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
-            counter = new Deployment.Counter(a.number("rate", 1, 1e9, 20_000), a.time("wait", 1_000, 10 * SECOND, 50_000),
-                    a.whole("parts", 1, 1_000, 1), a.number("turns-away", 0, 1, 0), a.time("queue", 0, SECOND, 0));
-            a.finish();
+    keywords.put(
+        "counter",
+        line -> {
+          Args a =
+              args(
+                  line,
+                  0,
+                  "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
+          counter =
+              new Deployment.Counter(
+                  a.number("rate", 1, 1e9, 20_000),
+                  a.time("wait", 1_000, 10 * SECOND, 50_000),
+                  a.whole("parts", 1, 1_000, 1),
+                  a.number("turns-away", 0, 1, 0),
+                  a.time("queue", 0, SECOND, 0));
+          a.finish();
         });
-        keywords.put("roster", line -> roster = time(line, HOUR));
-        keywords.put("for", line -> seconds = time(line, 24 * HOUR) / (double) SECOND);
-        keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
-        keywords.put("class", line -> {
-            Args a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
-            RequestClass c = Entries.requestClass(a);
-            if (classes.putIfAbsent(c.name(), c) != null) {
-                a.wrong("class " + c.name() + " is given twice", "each class once");
-            }
-            a.finish();
+    keywords.put("roster", line -> roster = time(line, HOUR));
+    keywords.put("for", line -> seconds = time(line, 24 * HOUR) / (double) SECOND);
+    keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
+    keywords.put(
+        "class",
+        line -> {
+          Args a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+          RequestClass c = Entries.requestClass(a);
+          if (classes.putIfAbsent(c.name(), c) != null) {
+            a.wrong("class " + c.name() + " is given twice", "each class once");
+          }
+          a.finish();
         });
-        keywords.put("plan", line -> {
-            Args a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
-            Plan p = Entries.plan(a);
-            if (plans.putIfAbsent(p.name(), p) != null) {
-                a.wrong("plan " + p.name() + " is given twice", "each plan once");
-            }
-            a.finish();
+    keywords.put(
+        "plan",
+        line -> {
+          Args a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+          Plan p = Entries.plan(a);
+          if (plans.putIfAbsent(p.name(), p) != null) {
+            a.wrong("plan " + p.name() + " is given twice", "each plan once");
+          }
+          a.finish();
         });
-        keywords.put("limits", line -> {
-            Args a = args(line, 0, "limits [ARGUMENT VALUE ...]");
-            limits = Entries.limits(a);
-            a.finish();
+    keywords.put(
+        "limits",
+        line -> {
+          Args a = args(line, 0, "limits [ARGUMENT VALUE ...]");
+          limits = Entries.limits(a);
+          a.finish();
         });
-        keywords.put("rules", line -> {
-            Args a = args(line, 0, "rules [ARGUMENT VALUE ...]");
-            rules = Entries.rules(a);
-            a.finish();
+    keywords.put(
+        "rules",
+        line -> {
+          Args a = args(line, 0, "rules [ARGUMENT VALUE ...]");
+          rules = Entries.rules(a);
+          a.finish();
         });
-        keywords.put("demand", this::demand);
-        keywords.put("trouble", this::trouble);
-    }
+    keywords.put("demand", this::demand);
+    keywords.put("trouble", this::trouble);
+  }
 
-    private long time(Line line, long most) {
-        Args a = args(line, 1, line.keyword() + " TIME");
-        long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND);
-        a.finish();
-        return time;
-    }
+  private long time(Line line, long most) {
+    Args a = args(line, 1, line.keyword() + " TIME");
+    long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND);
+    a.finish();
+    return time;
+  }
 
-    private void workers(Line line) {
-        Args a = args(line, 1, "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
+  private void workers(Line line) {
+    Args a =
+        args(
+            line,
+            1,
+            "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-        workers = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
-        build = new Build(a.whole("cores", 1, 1_000, 4), a.time("work", 1, HOUR, 20_000), a.whole("queue", 1, 1_000_000, 200),
-                a.number("cold-share", 0.01, 1, 0.2), a.time("cold-time", 0, HOUR, 10 * SECOND),
-                a.number("fall-multiple", 1, 1_000, 2), a.time("fall-time", 1_000, HOUR, 2 * SECOND));
-        thrash = a.number("thrash", 0, 10, 0);
-        zones = a.whole("zones", 1, 1_000, 1);
-        a.finish();
-    }
+    workers = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
+    build =
+        new Build(
+            a.whole("cores", 1, 1_000, 4),
+            a.time("work", 1, HOUR, 20_000),
+            a.whole("queue", 1, 1_000_000, 200),
+            a.number("cold-share", 0.01, 1, 0.2),
+            a.time("cold-time", 0, HOUR, 10 * SECOND),
+            a.number("fall-multiple", 1, 1_000, 2),
+            a.time("fall-time", 1_000, HOUR, 2 * SECOND));
+    thrash = a.number("thrash", 0, 10, 0);
+    zones = a.whole("zones", 1, 1_000, 1);
+    a.finish();
+  }
 
-    private void demand(Line line) {
-        Args a = args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
-        String type = a.word("class", "");
-        String plan = a.word("plan", "");
-        double rate = a.number("rate", 0.001, 1_000_000, 0);
-        if (a.good() && rate == 0) {
-            a.wrong("demand " + a.place(0) + " has no rate", "rate NUMBER");
-        }
-        double each = a.number("each", 0.001, 1_000_000, 0);
-        int customers = a.whole("customers", 1, 1_000_000, 1);
-        if (each > 0) {
-            customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / each)));
-            rate = customers * each;
-        }
-        demands.add(new Deployment.Demand(a.place(0), type, plan, customers,
-                a.number("skew", 0, 10, 0), a.whole("spread", 1, 10_000, 10_000), rate, Words.shape(a),
-                a.time("remaining", 1_000, HOUR, 2 * SECOND), Words.manners(a)));
-        a.finish();
-        check(a, () -> classes.containsKey(type), "there is no class '" + type + "'", "the name of a class line");
-        check(a, () -> plans.containsKey(plan), "there is no plan '" + plan + "'", "the name of a plan line");
+  private void demand(Line line) {
+    Args a = args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
+    String type = a.word("class", "");
+    String plan = a.word("plan", "");
+    double rate = a.number("rate", 0.001, 1_000_000, 0);
+    if (a.good() && rate == 0) {
+      a.wrong("demand " + a.place(0) + " has no rate", "rate NUMBER");
     }
+    double each = a.number("each", 0.001, 1_000_000, 0);
+    int customers = a.whole("customers", 1, 1_000_000, 1);
+    if (each > 0) {
+      customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / each)));
+      rate = customers * each;
+    }
+    demands.add(
+        new Deployment.Demand(
+            a.place(0),
+            type,
+            plan,
+            customers,
+            a.number("skew", 0, 10, 0),
+            a.whole("spread", 1, 10_000, 10_000),
+            rate,
+            Words.shape(a),
+            a.time("remaining", 1_000, HOUR, 2 * SECOND),
+            Words.manners(a)));
+    a.finish();
+    check(
+        a,
+        () -> classes.containsKey(type),
+        "there is no class '" + type + "'",
+        "the name of a class line");
+    check(
+        a,
+        () -> plans.containsKey(plan),
+        "there is no plan '" + plan + "'",
+        "the name of a plan line");
+  }
 
-    /** What stands in the place of {@code $NAME} in later lines, unless whoever reads the file gives another. */
-    private void let(Line line) {
-        Args a = args(line, 2, "let NAME VALUE");
-        if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
-            a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
-        }
-        variables.put(a.place(0), given.getOrDefault(a.place(0), a.place(1)));
-        a.finish();
+  /**
+   * What stands in the place of {@code $NAME} in later lines, unless whoever reads the file gives
+   * another.
+   */
+  private void let(Line line) {
+    Args a = args(line, 2, "let NAME VALUE");
+    if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
+      a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
     }
+    variables.put(a.place(0), given.getOrDefault(a.place(0), a.place(1)));
+    a.finish();
+  }
 
-    @Override
-    protected Line prepared(Line line) {
-        List<String> words = line.words();
-        if (line.keyword().equals("when")) {
-            String name = words.size() > 3 ? words.get(1) : "";
-            if (!variables.containsKey(name)) {
-                wrong(line, words.size() > 3 ? "there is no variable '" + name + "'" : "when has " + (words.size() - 1)
-                        + " arguments", "when NAME VALUE|VALUE LINE, after let NAME VALUE");
-                return null;
-            }
-            if (!List.of(words.get(2).split("\\|")).contains(variables.get(name))) {
-                return null;
-            }
-            words = words.subList(3, words.size());
-        }
-        List<String> put = new ArrayList<>();
-        for (String word : words) {
-            if (word.startsWith("$")) {
-                if (!variables.containsKey(word.substring(1))) {
-                    wrong(line, "there is no variable '" + word + "'", "let " + word.substring(1) + " VALUE before it");
-                    return null;
-                }
-                put.add(variables.get(word.substring(1)));
-            } else {
-                put.add(word);
-            }
-        }
-        if (!put.get(0).equals("let")) {
-            taken.append(String.join(" ", put)).append('\n');
+  @Override
+  protected Line prepared(Line line) {
+    List<String> words = line.words();
+    if (line.keyword().equals("when")) {
+      String name = words.size() > 3 ? words.get(1) : "";
+      if (!variables.containsKey(name)) {
+        wrong(
+            line,
+            words.size() > 3
+                ? "there is no variable '" + name + "'"
+                : "when has " + (words.size() - 1) + " arguments",
+            "when NAME VALUE|VALUE LINE, after let NAME VALUE");
+        return null;
+      }
+      if (!List.of(words.get(2).split("\\|")).contains(variables.get(name))) {
+        return null;
+      }
+      words = words.subList(3, words.size());
+    }
+    List<String> put = new ArrayList<>();
+    for (String word : words) {
+      if (word.startsWith("$")) {
+        if (!variables.containsKey(word.substring(1))) {
+          wrong(
+              line,
+              "there is no variable '" + word + "'",
+              "let " + word.substring(1) + " VALUE before it");
+          return null;
         }
-        return new Line(line.file(), line.number(), put);
+        put.add(variables.get(word.substring(1)));
+      } else {
+        put.add(word);
+      }
     }
-
-    private void trouble(Line line) {
-        Args a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
-        TroubleLine read = TroubleLine.read(a);
-        int last = read.mark().worker() + read.mark().count() - 1;
-        check(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
-        check(a, () -> read.gatekeepers() <= gatekeepers, "there are not " + read.gatekeepers() + " gatekeepers",
-                "at most " + gatekeepers);
-        check(a, () -> read.part() < counter.parts(), "the counter has no part " + read.part(), "a number below "
-                + counter.parts());
-        check(a, () -> read.zone() < zones, "there is no zone " + read.zone(), "a number below " + zones);
-        check(a, () -> read.demand().isEmpty() || demands.stream().anyMatch(d -> d.name().equals(read.demand())),
-                "there is no demand '" + read.demand() + "'", "the name of a demand line");
-        troubles.add(read.made());
-        marks.add(read.mark());
-        a.finish();
+    if (!put.get(0).equals("let")) {
+      taken.append(String.join(" ", put)).append('\n');
     }
+    return new Line(line.file(), line.number(), put);
+  }
 
-    /**
-     * Reads a deployment file and all that it includes.
-     *
-     * @throws SettingsException with every mistake when there is any
-     */
-    public static Read read(Path file) throws SettingsException {
-        return read(file, Map.of());
-    }
+  private void trouble(Line line) {
+    Args a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
+    TroubleLine read = TroubleLine.read(a);
+    int last = read.mark().worker() + read.mark().count() - 1;
+    check(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
+    check(
+        a,
+        () -> read.gatekeepers() <= gatekeepers,
+        "there are not " + read.gatekeepers() + " gatekeepers",
+        "at most " + gatekeepers);
+    check(
+        a,
+        () -> read.part() < counter.parts(),
+        "the counter has no part " + read.part(),
+        "a number below " + counter.parts());
+    check(
+        a, () -> read.zone() < zones, "there is no zone " + read.zone(), "a number below " + zones);
+    check(
+        a,
+        () ->
+            read.demand().isEmpty()
+                || demands.stream().anyMatch(d -> d.name().equals(read.demand())),
+        "there is no demand '" + read.demand() + "'",
+        "the name of a demand line");
+    troubles.add(read.made());
+    marks.add(read.mark());
+    a.finish();
+  }
 
-    /**
-     * The same with other values of its variables.
-     *
-     * @param given by name; each must have a {@code let} line
-     */
-    public static Read read(Path file, Map<String, String> given) throws SettingsException {
-        DeploymentFile f = new DeploymentFile(given);
-        f.lines(file);
-        given.keySet().forEach(name -> f.missing(!f.variables.containsKey(name), "no variable '" + name + "'",
-                "let " + name + " VALUE"));
-        f.missing(f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
-        f.finish();
-        return new Read(new Deployment(f.gatekeepers, f.workers, f.zones, f.build, f.thrash, f.network, f.counter, f.roster,
-                List.copyOf(f.classes.values()), List.copyOf(f.plans.values()), f.limits, f.rules, List.copyOf(f.demands),
-                f.seconds, f.seed), List.copyOf(f.troubles), List.copyOf(f.marks), f.taken.toString());
-    }
+  /**
+   * Reads a deployment file and all that it includes.
+   *
+   * @throws SettingsException with every mistake when there is any
+   */
+  public static Read read(Path file) throws SettingsException {
+    return read(file, Map.of());
+  }
+
+  /**
+   * The same with other values of its variables.
+   *
+   * @param given by name; each must have a {@code let} line
+   */
+  public static Read read(Path file, Map<String, String> given) throws SettingsException {
+    DeploymentFile f = new DeploymentFile(given);
+    f.lines(file);
+    given
+        .keySet()
+        .forEach(
+            name ->
+                f.missing(
+                    !f.variables.containsKey(name),
+                    "no variable '" + name + "'",
+                    "let " + name + " VALUE"));
+    f.missing(f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
+    f.finish();
+    return new Read(
+        new Deployment(
+            f.gatekeepers,
+            f.workers,
+            f.zones,
+            f.build,
+            f.thrash,
+            f.network,
+            f.counter,
+            f.roster,
+            List.copyOf(f.classes.values()),
+            List.copyOf(f.plans.values()),
+            f.limits,
+            f.rules,
+            List.copyOf(f.demands),
+            f.seconds,
+            f.seed),
+        List.copyOf(f.troubles),
+        List.copyOf(f.marks),
+        f.taken.toString());
+  }
 }
--- a/src/main/java/fawndock/lab/experiment/Build.java
+++ b/src/main/java/fawndock/lab/experiment/Build.java
@@ -14,63 +14,83 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Tells builds apart: results of other decisions, or of another model, are not taken for those of this one. */
+/**
+ * Tells builds apart: results of other decisions, or of another model, are not taken for those of
+ * this one.
+ */
 public final class Build {
-    private static final int SHOWN = 16;
-    /** What a simulated run depends on. */
-    private static final List<String> PARTS = List.of("fawndock/Logic", "fawndock/Gatekeeper", "fawndock/lab/emu/",
-            "fawndock/lab/load/", "fawndock/lab/measure/", "fawndock/judge/", "fawndock/counter/core/");
+  private static final int SHOWN = 16;
 
-    private Build() {
-    }
+  /** What a simulated run depends on. */
+  private static final List<String> PARTS =
+      List.of(
+          "fawndock/Logic",
+          "fawndock/Gatekeeper",
+          "fawndock/lab/emu/",
+          "fawndock/lab/load/",
+          "fawndock/lab/measure/",
+          "fawndock/judge/",
+          "fawndock/counter/core/");
+
+  private Build() {}
 
-    /** A short hash of some texts. */
-    public static String hash(String... texts) {
-        MessageDigest digest = digest();
-        for (String text : texts) {
-            digest.update(text.getBytes(StandardCharsets.UTF_8));
-            digest.update((byte) 0);
-        }
-        return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+  /** A short hash of some texts. */
+  public static String hash(String... texts) {
+    MessageDigest digest = digest();
+    for (String text : texts) {
+      digest.update(text.getBytes(StandardCharsets.UTF_8));
+      digest.update((byte) 0);
     }
+    return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+  }
 
-    private static MessageDigest digest() {
-        try {
-            return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
+  private static MessageDigest digest() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    /** Of the classes that this program runs with. */
-    public static String running() throws IOException {
-        try {
-            Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            if (Files.isDirectory(from)) {
-                return of(from);
-            }
-            try (FileSystem jar = FileSystems.newFileSystem(from)) {
-                return of(jar.getPath("/"));
-            }
-        } catch (URISyntaxException e) {
-            throw new IOException(e);
-        }
+  /** Of the classes that this program runs with. */
+  public static String running() throws IOException {
+    try {
+      Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      if (Files.isDirectory(from)) {
+        return of(from);
+      }
+      try (FileSystem jar = FileSystems.newFileSystem(from)) {
+        return of(jar.getPath("/"));
+      }
+    } catch (URISyntaxException e) {
+      throw new IOException(e);
     }
+  }
 
-    private static String of(Path root) throws IOException {
-        MessageDigest digest = digest();
-        List<Path> classes;
-        try (Stream<Path> all = Files.walk(root.resolve("fawndock"))) {
-            classes = all.filter(p -> PARTS.stream().anyMatch(part -> root.relativize(p).toString().replace('\\', '/')
-                    .startsWith(part)) && p.toString().endsWith(".class")).sorted((a, b) -> a.toString().compareTo(b.toString()))
-                    .toList();
-        }
-        for (Path each : classes) {
-            digest.update(root.relativize(each).toString().getBytes(StandardCharsets.UTF_8));
-            try (InputStream in = Files.newInputStream(each)) {
-                digest.update(in.readAllBytes());
-            }
-        }
-        return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+  private static String of(Path root) throws IOException {
+    MessageDigest digest = digest();
+    List<Path> classes;
+    try (Stream<Path> all = Files.walk(root.resolve("fawndock"))) {
+      classes =
+          all.filter(
+                  p ->
+                      PARTS.stream()
+                              .anyMatch(
+                                  part ->
+                                      root.relativize(p)
+                                          .toString()
+                                          .replace('\\', '/')
+                                          .startsWith(part))
+                          && p.toString().endsWith(".class"))
+              .sorted((a, b) -> a.toString().compareTo(b.toString()))
+              .toList();
+    }
+    for (Path each : classes) {
+      digest.update(root.relativize(each).toString().getBytes(StandardCharsets.UTF_8));
+      try (InputStream in = Files.newInputStream(each)) {
+        digest.update(in.readAllBytes());
+      }
     }
+    return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+  }
 }
--- a/src/main/java/fawndock/lab/experiment/Outcome.java
+++ b/src/main/java/fawndock/lab/experiment/Outcome.java
@@ -15,6 +15,13 @@
  * @param marks when which trouble was
  * @param verdict on the five rules
  */
-public record Outcome(String key, Map<String, String> values, long seed, String settings, String build,
-                      Map<String, Double> figures, Map<String, double[]> series, List<Mark> marks, String verdict) {
-}
+public record Outcome(
+    String key,
+    Map<String, String> values,
+    long seed,
+    String settings,
+    String build,
+    Map<String, Double> figures,
+    Map<String, double[]> series,
+    List<Mark> marks,
+    String verdict) {}
