--- a/src/main/java/fawndock/lab/experiment/Runner.java
+++ b/src/main/java/fawndock/lab/experiment/Runner.java
@@ -18,85 +18,122 @@
 import java.util.function.Function;
 import java.util.function.IntConsumer;
 
-/** Runs what an experiment asks for and its results do not have yet, on several threads; each run is on one. */
+/**
+ * Runs what an experiment asks for and its results do not have yet, on several threads; each run is
+ * on one.
+ */
 public final class Runner {
-    private final List<Planned> planned = new ArrayList<>();
-    private final Function<Gatekeeper.Settings, Gatekeeper> maker;
-    private final String build;
+  private final List<Planned> planned = new ArrayList<>();
+  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final String build;
 
-    /**
-     * Plans all runs.
-     *
-     * @param build that tells results of other decisions apart
-     * @throws SettingsException when the scenario has mistakes
-     */
-    public Runner(Experiment experiment, Function<Gatekeeper.Settings, Gatekeeper> maker, String build) throws SettingsException {
-        this.maker = maker;
-        this.build = build;
-        Map<Map<String, String>, DeploymentFile.Read> scenarios = new HashMap<>();
-        for (Map<String, String> values : experiment.cells()) {
-            scenarios.put(values, DeploymentFile.read(experiment.scenario(), values));
-        }
-        for (Run run : experiment.runs()) {
-            DeploymentFile.Read read = scenarios.get(run.values());
-            planned.add(new Planned(Build.hash(read.settings(), Long.toString(run.seed()), build), run, read));
-        }
+  /**
+   * Plans all runs.
+   *
+   * @param build that tells results of other decisions apart
+   * @throws SettingsException when the scenario has mistakes
+   */
+  public Runner(
+      Experiment experiment, Function<Gatekeeper.Settings, Gatekeeper> maker, String build)
+      throws SettingsException {
+    this.maker = maker;
+    this.build = build;
+    Map<Map<String, String>, DeploymentFile.Read> scenarios = new HashMap<>();
+    for (Map<String, String> values : experiment.cells()) {
+      scenarios.put(values, DeploymentFile.read(experiment.scenario(), values));
     }
-
-    private record Planned(String key, Run run, DeploymentFile.Read read) {
+    for (Run run : experiment.runs()) {
+      DeploymentFile.Read read = scenarios.get(run.values());
+      planned.add(
+          new Planned(Build.hash(read.settings(), Long.toString(run.seed()), build), run, read));
     }
+  }
 
-    /** How many runs are still to be done. */
-    public int left(Results results) {
-        return (int) planned.stream().map(Planned::key).distinct().filter(key -> !results.outcomes().containsKey(key)).count();
-    }
+  private record Planned(String key, Run run, DeploymentFile.Read read) {}
+
+  /** How many runs are still to be done. */
+  public int left(Results results) {
+    return (int)
+        planned.stream()
+            .map(Planned::key)
+            .distinct()
+            .filter(key -> !results.outcomes().containsKey(key))
+            .count();
+  }
 
-    /**
-     * Does what is left.
-     *
-     * @param progress told how many runs have been done
-     * @return the outcomes of all runs, in the experiment's order, whichever ended first
-     */
-    public List<Outcome> run(Results results, int jobs, IntConsumer progress) throws IOException, InterruptedException {
-        Map<String, Planned> left = new LinkedHashMap<>();
-        planned.stream().filter(p -> !results.outcomes().containsKey(p.key)).forEach(p -> left.putIfAbsent(p.key, p));
-        ExecutorService pool = Executors.newFixedThreadPool(jobs, task -> {
-            Thread thread = new Thread(task, "run");
-            thread.setDaemon(true);
-            return thread;
-        });
-        try {
-            ExecutorCompletionService<Outcome> done = new ExecutorCompletionService<>(pool);
-            left.values().forEach(p -> done.submit(() -> outcome(p)));
-            for (int i = 0; i < left.size(); i++) {
-                results.add(done.take().get());
-                progress.accept(i + 1);
-            }
-        } catch (ExecutionException e) {
-            throw new IOException("a run failed: " + e.getCause(), e.getCause());
-        } finally {
-            pool.shutdownNow();
-        }
-        List<Outcome> inOrder = new ArrayList<>();
-        for (Planned p : planned) { // A cell may be the same run as another: it has its own values all the same.
-            Outcome o = results.outcomes().get(p.key);
-            inOrder.add(new Outcome(o.key(), p.run.values(), o.seed(), o.settings(), o.build(), o.figures(), o.series(),
-                    o.marks(), o.verdict()));
-        }
-        return inOrder;
+  /**
+   * Does what is left.
+   *
+   * @param progress told how many runs have been done
+   * @return the outcomes of all runs, in the experiment's order, whichever ended first
+   */
+  public List<Outcome> run(Results results, int jobs, IntConsumer progress)
+      throws IOException, InterruptedException {
+    Map<String, Planned> left = new LinkedHashMap<>();
+    planned.stream()
+        .filter(p -> !results.outcomes().containsKey(p.key))
+        .forEach(p -> left.putIfAbsent(p.key, p));
+    ExecutorService pool =
+        Executors.newFixedThreadPool(
+            jobs,
+            task -> {
+              Thread thread = new Thread(task, "run");
+              thread.setDaemon(true);
+              return thread;
+            });
+    try {
+      ExecutorCompletionService<Outcome> done = new ExecutorCompletionService<>(pool);
+      left.values().forEach(p -> done.submit(() -> outcome(p)));
+      for (int i = 0; i < left.size(); i++) {
+        results.add(done.take().get());
+        progress.accept(i + 1);
+      }
+    } catch (ExecutionException e) {
+      throw new IOException("a run failed: " + e.getCause(), e.getCause());
+    } finally {
+      pool.shutdownNow();
     }
+    List<Outcome> inOrder = new ArrayList<>();
+    for (Planned p :
+        planned) { // A cell may be the same run as another: it has its own values all the same.
+      Outcome o = results.outcomes().get(p.key);
+      inOrder.add(
+          new Outcome(
+              o.key(),
+              p.run.values(),
+              o.seed(),
+              o.settings(),
+              o.build(),
+              o.figures(),
+              o.series(),
+              o.marks(),
+              o.verdict()));
+    }
+    return inOrder;
+  }
 
-    private Outcome outcome(Planned p) {
-        Emulation.Result result = p.read.seed(p.run.seed()).emulation(maker).run();
-        Map<String, double[]> series = new LinkedHashMap<>();
-        result.series().forEach((name, values) -> {
-            double[] short3 = new double[values.length];
-            for (int i = 0; i < values.length; i++) {
+  private Outcome outcome(Planned p) {
+    Emulation.Result result = p.read.seed(p.run.seed()).emulation(maker).run();
+    Map<String, double[]> series = new LinkedHashMap<>();
+    result
+        .series()
+        .forEach(
+            (name, values) -> {
+              double[] short3 = new double[values.length];
+              for (int i = 0; i < values.length; i++) {
                 short3[i] = Math.round(values[i] * 1e3) / 1e3;
-            }
-            series.put(name, short3);
-        });
-        return new Outcome(p.key, p.run.values(), p.run.seed(), p.read.settings(), build, result.figures(), series,
-                p.read.marks(), result.verdict().line());
-    }
+              }
+              series.put(name, short3);
+            });
+    return new Outcome(
+        p.key,
+        p.run.values(),
+        p.run.seed(),
+        p.read.settings(),
+        build,
+        result.figures(),
+        series,
+        p.read.marks(),
+        result.verdict().line());
+  }
 }
--- a/src/main/java/fawndock/lab/load/Generator.java
+++ b/src/main/java/fawndock/lab/load/Generator.java
@@ -21,270 +21,328 @@
 import java.util.function.Consumer;
 
 /**
- * Sends what is due when it is due, whatever became of what was sent before. One event loop; at most the plan's number of
- * requests is out, and what is due beyond it is counted as not sent, which makes the run unusable.
+ * Sends what is due when it is due, whatever became of what was sent before. One event loop; at
+ * most the plan's number of requests is out, and what is due beyond it is counted as not sent,
+ * which makes the run unusable.
  */
 public final class Generator {
-    /** How it goes, told at each interval and at the end. */
-    public record Progress(double seconds, long due, long good, long other, int out, long p50Micros, long p99Micros) {
-    }
+  /** How it goes, told at each interval and at the end. */
+  public record Progress(
+      double seconds, long due, long good, long other, int out, long p50Micros, long p99Micros) {}
 
-    private static final int HTTP2_STREAMS = 1_000;
-    private static final int TICK_MILLIS = 1;
-    private static final int WARM_REQUESTS = 500;
-    private static final long WARM_MILLIS = 5_000;
-    private final Vertx vertx;
-    private final LoadPlan plan;
-    private final Sources sources;
-    private final List<Tally> tallies = new ArrayList<>();
-    private final List<HttpClient> clients = new ArrayList<>();
-    private final Consumer<Progress> progress;
-    private final Consumer<List<Tally>> interval;
-    private final CompletableFuture<List<Tally>> done = new CompletableFuture<>();
-    private final SplittableRandom random;
-    private long begin;
-    private double nextInterval;
-    private int turn;
-    private int out;
-    private int waiting;
-    private boolean stopped;
+  private static final int HTTP2_STREAMS = 1_000;
+  private static final int TICK_MILLIS = 1;
+  private static final int WARM_REQUESTS = 500;
+  private static final long WARM_MILLIS = 5_000;
+  private final Vertx vertx;
+  private final LoadPlan plan;
+  private final Sources sources;
+  private final List<Tally> tallies = new ArrayList<>();
+  private final List<HttpClient> clients = new ArrayList<>();
+  private final Consumer<Progress> progress;
+  private final Consumer<List<Tally>> interval;
+  private final CompletableFuture<List<Tally>> done = new CompletableFuture<>();
+  private final SplittableRandom random;
+  private long begin;
+  private double nextInterval;
+  private int turn;
+  private int out;
+  private int waiting;
+  private boolean stopped;
 
-    /**
-     * A run that has not begun.
-     *
-     * @param traces read, in the order of the plan's
-     * @param interval told at each interval, before what the tallies hold of it is cleared
-     */
-    public Generator(Vertx vertx, LoadPlan plan, List<Trace.Read> traces, Consumer<Progress> progress,
-                     Consumer<List<Tally>> interval) {
-        this.vertx = vertx;
-        this.plan = plan;
-        this.progress = progress;
-        this.interval = interval;
-        sources = new Sources(plan, traces);
-        random = new SplittableRandom(plan.seed());
-        plan.flows().forEach(flow -> tallies.add(new Tally()));
-        plan.traces().forEach(trace -> tallies.add(new Tally()));
-        for (int i = 0; i < plan.targets().size(); i++) {
-            clients.add(vertx.createHttpClient(new HttpClientOptions().setTcpNoDelay(true).setConnectTimeout(5_000)
-                    .setProtocolVersion(plan.http2() ? HttpVersion.HTTP_2 : HttpVersion.HTTP_1_1)
-                    .setHttp2ClearTextUpgrade(false).setHttp2MultiplexingLimit(HTTP2_STREAMS),
-                    new PoolOptions().setHttp1MaxSize(plan.connections()).setHttp2MaxSize(plan.connections())
-                            .setMaxWaitQueueSize(-1))); // Bounded by what may be out.
-        }
+  /**
+   * A run that has not begun.
+   *
+   * @param traces read, in the order of the plan's
+   * @param interval told at each interval, before what the tallies hold of it is cleared
+   */
+  public Generator(
+      Vertx vertx,
+      LoadPlan plan,
+      List<Trace.Read> traces,
+      Consumer<Progress> progress,
+      Consumer<List<Tally>> interval) {
+    this.vertx = vertx;
+    this.plan = plan;
+    this.progress = progress;
+    this.interval = interval;
+    sources = new Sources(plan, traces);
+    random = new SplittableRandom(plan.seed());
+    plan.flows().forEach(flow -> tallies.add(new Tally()));
+    plan.traces().forEach(trace -> tallies.add(new Tally()));
+    for (int i = 0; i < plan.targets().size(); i++) {
+      clients.add(
+          vertx.createHttpClient(
+              new HttpClientOptions()
+                  .setTcpNoDelay(true)
+                  .setConnectTimeout(5_000)
+                  .setProtocolVersion(plan.http2() ? HttpVersion.HTTP_2 : HttpVersion.HTTP_1_1)
+                  .setHttp2ClearTextUpgrade(false)
+                  .setHttp2MultiplexingLimit(HTTP2_STREAMS),
+              new PoolOptions()
+                  .setHttp1MaxSize(plan.connections())
+                  .setHttp2MaxSize(plan.connections())
+                  .setMaxWaitQueueSize(-1))); // Bounded by what may be out.
     }
+  }
 
-    /** Runs; completes when the last request has ended, with a tally for each flow and trace of the plan. */
-    public CompletableFuture<List<Tally>> run() {
-        vertx.runOnContext(v -> warmUp(() -> {
-            begin = System.nanoTime();
-            nextInterval = plan.intervalSeconds();
-            for (int i = 0; i < plan.flows().size(); i++) {
-                Flow flow = plan.flows().get(i);
-                Customers customers = new Customers(flow.customers(), flow.skew());
-                for (int client = 0; client < flow.closed(); client++) {
-                    closed(flow, i, customers);
-                }
-            }
-            tick();
-        }));
-        return done;
-    }
+  /**
+   * Runs; completes when the last request has ended, with a tally for each flow and trace of the
+   * plan.
+   */
+  public CompletableFuture<List<Tally>> run() {
+    vertx.runOnContext(
+        v ->
+            warmUp(
+                () -> {
+                  begin = System.nanoTime();
+                  nextInterval = plan.intervalSeconds();
+                  for (int i = 0; i < plan.flows().size(); i++) {
+                    Flow flow = plan.flows().get(i);
+                    Customers customers = new Customers(flow.customers(), flow.skew());
+                    for (int client = 0; client < flow.closed(); client++) {
+                      closed(flow, i, customers);
+                    }
+                  }
+                  tick();
+                }));
+    return done;
+  }
 
-    /**
-     * Asks a server of its own first. Guards against the generator's own cold start, half a second of it, in the figures; it
-     * keeps a run from its first request for that long.
-     */
-    private void warmUp(Runnable then) {
-        boolean[] begun = {false};
-        Runnable once = () -> {
-            if (!begun[0]) {
-                begun[0] = true;
-                then.run();
-            }
+  /**
+   * Asks a server of its own first. Guards against the generator's own cold start, half a second of
+   * it, in the figures; it keeps a run from its first request for that long.
+   */
+  private void warmUp(Runnable then) {
+    boolean[] begun = {false};
+    Runnable once =
+        () -> {
+          if (!begun[0]) {
+            begun[0] = true;
+            then.run();
+          }
         };
-        HttpServer server = vertx.createHttpServer().requestHandler(request -> request.response().end());
-        vertx.setTimer(WARM_MILLIS, id -> once.run());
-        server.listen(0, "127.0.0.1").onSuccess(s -> warm(s.actualPort(), WARM_REQUESTS, () -> {
-            server.close();
-            once.run();
-        })).onFailure(e -> once.run());
-    }
+    HttpServer server =
+        vertx.createHttpServer().requestHandler(request -> request.response().end());
+    vertx.setTimer(WARM_MILLIS, id -> once.run());
+    server
+        .listen(0, "127.0.0.1")
+        .onSuccess(
+            s ->
+                warm(
+                    s.actualPort(),
+                    WARM_REQUESTS,
+                    () -> {
+                      server.close();
+                      once.run();
+                    }))
+        .onFailure(e -> once.run());
+  }
 
-    private void warm(int port, int left, Runnable then) {
-        if (left == 0) {
-            then.run();
-            return;
-        }
-        clients.get(0).request(new RequestOptions().setHost("127.0.0.1").setPort(port).setURI("/"))
-                .compose(request -> request.send()).compose(answer -> answer.body())
-                .onComplete(answer -> warm(port, left - 1, then));
+  private void warm(int port, int left, Runnable then) {
+    if (left == 0) {
+      then.run();
+      return;
     }
+    clients
+        .get(0)
+        .request(new RequestOptions().setHost("127.0.0.1").setPort(port).setURI("/"))
+        .compose(request -> request.send())
+        .compose(answer -> answer.body())
+        .onComplete(answer -> warm(port, left - 1, then));
+  }
 
-    /** Nothing new is sent; what is out ends. */
-    public void stop() {
-        vertx.runOnContext(v -> stopped = true);
-    }
+  /** Nothing new is sent; what is out ends. */
+  public void stop() {
+    vertx.runOnContext(v -> stopped = true);
+  }
 
-    private long now() {
-        return (System.nanoTime() - begin) / 1_000;
-    }
+  private long now() {
+    return (System.nanoTime() - begin) / 1_000;
+  }
 
-    private void tick() {
-        long now = now();
-        for (Due due = stopped ? null : sources.next(now); due != null; due = sources.next(now)) {
-            begin(due, due.atMicros(), 1, () -> { });
-        }
-        boolean over = stopped || sources.done() && now >= plan.seconds() * 1e6;
-        over |= plan.flows().isEmpty() && sources.done();
-        if (now / 1e6 >= nextInterval || over && out + waiting == 0) {
-            tell(now / 1e6);
-            nextInterval += plan.intervalSeconds();
-        }
-        if (over && out + waiting == 0) {
-            clients.forEach(HttpClient::close);
-            done.complete(tallies);
-        } else {
-            vertx.setTimer(TICK_MILLIS, id -> tick());
-        }
+  private void tick() {
+    long now = now();
+    for (Due due = stopped ? null : sources.next(now); due != null; due = sources.next(now)) {
+      begin(due, due.atMicros(), 1, () -> {});
     }
+    boolean over = stopped || sources.done() && now >= plan.seconds() * 1e6;
+    over |= plan.flows().isEmpty() && sources.done();
+    if (now / 1e6 >= nextInterval || over && out + waiting == 0) {
+      tell(now / 1e6);
+      nextInterval += plan.intervalSeconds();
+    }
+    if (over && out + waiting == 0) {
+      clients.forEach(HttpClient::close);
+      done.complete(tallies);
+    } else {
+      vertx.setTimer(TICK_MILLIS, id -> tick());
+    }
+  }
 
-    private void tell(double seconds) {
-        long due = 0;
-        long good = 0;
-        long other = 0;
-        org.HdrHistogram.Histogram all = tallies.get(0).interval.copy();
-        for (Tally each : tallies) {
-            due += each.due;
-            good += each.good();
-            other += each.latency.getTotalCount() - each.good();
-            if (each != tallies.get(0)) {
-                all.add(each.interval);
-            }
-        }
-        progress.accept(new Progress(seconds, due, good, other, out, all.getValueAtPercentile(50),
-                all.getValueAtPercentile(99)));
-        interval.accept(tallies);
-        tallies.forEach(each -> each.interval.reset());
+  private void tell(double seconds) {
+    long due = 0;
+    long good = 0;
+    long other = 0;
+    org.HdrHistogram.Histogram all = tallies.get(0).interval.copy();
+    for (Tally each : tallies) {
+      due += each.due;
+      good += each.good();
+      other += each.latency.getTotalCount() - each.good();
+      if (each != tallies.get(0)) {
+        all.add(each.interval);
+      }
     }
+    progress.accept(
+        new Progress(
+            seconds,
+            due,
+            good,
+            other,
+            out,
+            all.getValueAtPercentile(50),
+            all.getValueAtPercentile(99)));
+    interval.accept(tallies);
+    tallies.forEach(each -> each.interval.reset());
+  }
 
-    /** One client that asks again whenever it has its answer. */
-    private void closed(Flow flow, int place, Customers customers) {
-        if (stopped || now() >= plan.seconds() * 1e6) {
-            return;
-        }
-        Request r = flow.request();
-        long now = now();
-        begin(new Due(now, place, r, r.method(), r.path(), Sources.key(flow, customers.draw(random))), now, 1, () ->
-                vertx.runOnContext(v -> closed(flow, place, customers)));
+  /** One client that asks again whenever it has its answer. */
+  private void closed(Flow flow, int place, Customers customers) {
+    if (stopped || now() >= plan.seconds() * 1e6) {
+      return;
     }
+    Request r = flow.request();
+    long now = now();
+    begin(
+        new Due(now, place, r, r.method(), r.path(), Sources.key(flow, customers.draw(random))),
+        now,
+        1,
+        () -> vertx.runOnContext(v -> closed(flow, place, customers)));
+  }
 
-    /** Begins one try of a request that was meant to begin at a time. */
-    private void begin(Due due, long intended, int tried, Runnable ended) {
-        Tally tally = tallies.get(due.flow());
-        tally.due++;
-        tally.retries += tried > 1 ? 1 : 0;
-        if (out >= plan.outstanding()) {
-            tally.unsent++;
-            ended.run();
-            return;
-        }
-        if (now() - intended > plan.slackMicros()) {
-            tally.late++;
-        }
-        out++;
-        new Try(due, intended, tried, ended, tally).send();
+  /** Begins one try of a request that was meant to begin at a time. */
+  private void begin(Due due, long intended, int tried, Runnable ended) {
+    Tally tally = tallies.get(due.flow());
+    tally.due++;
+    tally.retries += tried > 1 ? 1 : 0;
+    if (out >= plan.outstanding()) {
+      tally.unsent++;
+      ended.run();
+      return;
     }
+    if (now() - intended > plan.slackMicros()) {
+      tally.late++;
+    }
+    out++;
+    new Try(due, intended, tried, ended, tally).send();
+  }
 
-    private final class Try {
-        private final Due due;
-        private final long intended;
-        private final int tried;
-        private final Runnable ended;
-        private final Tally tally;
-        private long sentAt;
-        private HttpClientRequest request;
-        private boolean over;
+  private final class Try {
+    private final Due due;
+    private final long intended;
+    private final int tried;
+    private final Runnable ended;
+    private final Tally tally;
+    private long sentAt;
+    private HttpClientRequest request;
+    private boolean over;
 
-        Try(Due due, long intended, int tried, Runnable ended, Tally tally) {
-            this.due = due;
-            this.intended = intended;
-            this.tried = tried;
-            this.ended = ended;
-            this.tally = tally;
-        }
+    Try(Due due, long intended, int tried, Runnable ended, Tally tally) {
+      this.due = due;
+      this.intended = intended;
+      this.tried = tried;
+      this.ended = ended;
+      this.tally = tally;
+    }
 
-        void send() {
-            int target = turn++ % plan.targets().size();
-            Address address = plan.targets().get(target);
-            long leaveIn = intended + due.request().manners().giveUpMicros() - now();
-            long timer = vertx.setTimer(Math.max(1, (leaveIn + 999) / 1_000), id -> leave());
-            RequestOptions options = new RequestOptions().setHost(address.host()).setPort(address.port())
-                    .setMethod(HttpMethod.valueOf(due.method())).setURI(due.path());
-            if (!due.key().isEmpty()) {
-                options.putHeader("x-api-key", due.key());
-            }
-            options.putHeader("x-envoy-expected-rq-timeout-ms", Long.toString(Math.max(1, leaveIn / 1_000)));
-            clients.get(target).request(options).compose(made -> {
+    void send() {
+      int target = turn++ % plan.targets().size();
+      Address address = plan.targets().get(target);
+      long leaveIn = intended + due.request().manners().giveUpMicros() - now();
+      long timer = vertx.setTimer(Math.max(1, (leaveIn + 999) / 1_000), id -> leave());
+      RequestOptions options =
+          new RequestOptions()
+              .setHost(address.host())
+              .setPort(address.port())
+              .setMethod(HttpMethod.valueOf(due.method()))
+              .setURI(due.path());
+      if (!due.key().isEmpty()) {
+        options.putHeader("x-api-key", due.key());
+      }
+      options.putHeader(
+          "x-envoy-expected-rq-timeout-ms", Long.toString(Math.max(1, leaveIn / 1_000)));
+      clients
+          .get(target)
+          .request(options)
+          .compose(
+              made -> {
                 request = made;
                 sentAt = now();
-                made.exceptionHandler(e -> { }); // Told by what is composed below.
+                made.exceptionHandler(e -> {}); // Told by what is composed below.
                 if (over) { // The client left while it waited for a connection.
-                    made.reset();
+                  made.reset();
                 }
-                return due.request().bodyBytes() == 0 ? made.send()
-                        : made.send(Buffer.buffer(new byte[due.request().bodyBytes()]));
-            }).compose(answer -> answer.body().map(body -> answer)).onComplete(answer -> {
+                return due.request().bodyBytes() == 0
+                    ? made.send()
+                    : made.send(Buffer.buffer(new byte[due.request().bodyBytes()]));
+              })
+          .compose(answer -> answer.body().map(body -> answer))
+          .onComplete(
+              answer -> {
                 vertx.cancelTimer(timer);
                 if (answer.succeeded()) {
-                    String wait = answer.result().getHeader("retry-after");
-                    end(answer.result().statusCode(), wait != null && wait.matches("[0-9]{1,9}") ? Long.parseLong(wait) : 0);
+                  String wait = answer.result().getHeader("retry-after");
+                  end(
+                      answer.result().statusCode(),
+                      wait != null && wait.matches("[0-9]{1,9}") ? Long.parseLong(wait) : 0);
                 } else {
-                    end(0, 0);
+                  end(0, 0);
                 }
-            });
-        }
+              });
+    }
 
-        private void leave() {
-            if (over) {
-                return;
-            }
-            over = true;
-            out--;
-            tally.left(now() - intended);
-            if (request != null) {
-                request.reset();
-            }
-            again(0, 0);
-        }
+    private void leave() {
+      if (over) {
+        return;
+      }
+      over = true;
+      out--;
+      tally.left(now() - intended);
+      if (request != null) {
+        request.reset();
+      }
+      again(0, 0);
+    }
 
-        private void end(int status, long retryAfter) {
-            if (over) {
-                return;
-            }
-            over = true;
-            out--;
-            long now = now();
-            if (status == 0) {
-                tally.failed(now - intended);
-            } else {
-                tally.answered(status, now - intended, now - sentAt);
-            }
-            again(status, retryAfter);
-        }
+    private void end(int status, long retryAfter) {
+      if (over) {
+        return;
+      }
+      over = true;
+      out--;
+      long now = now();
+      if (status == 0) {
+        tally.failed(now - intended);
+      } else {
+        tally.answered(status, now - intended, now - sentAt);
+      }
+      again(status, retryAfter);
+    }
 
-        private void again(int status, long retryAfter) {
-            long wait = stopped ? -1 : due.request().manners().again(status, retryAfter, tried);
-            if (wait < 0) {
-                ended.run();
-                return;
-            }
-            waiting++;
-            long at = now() + wait;
-            vertx.setTimer(Math.max(1, wait / 1_000), id -> {
-                waiting--;
-                begin(due, at, tried + 1, ended);
-            });
-        }
+    private void again(int status, long retryAfter) {
+      long wait = stopped ? -1 : due.request().manners().again(status, retryAfter, tried);
+      if (wait < 0) {
+        ended.run();
+        return;
+      }
+      waiting++;
+      long at = now() + wait;
+      vertx.setTimer(
+          Math.max(1, wait / 1_000),
+          id -> {
+            waiting--;
+            begin(due, at, tried + 1, ended);
+          });
     }
+  }
 }
--- a/src/main/java/fawndock/lab/load/LoadPlan.java
+++ b/src/main/java/fawndock/lab/load/LoadPlan.java
@@ -11,34 +11,51 @@
  * @param http2 over cleartext, by prior knowledge; else HTTP/1.1
  * @param seconds how long requests begin
  * @param connections to each target
- * @param outstanding requests at once, beyond which those that are due are not sent and the run is unusable
- * @param slackMicros by which a request may leave late before it counts as one that the generator could not keep up with
+ * @param outstanding requests at once, beyond which those that are due are not sent and the run is
+ *     unusable
+ * @param slackMicros by which a request may leave late before it counts as one that the generator
+ *     could not keep up with
  * @param intervalSeconds between the lines that tell how it goes
  * @param flows of requests
  * @param traces recorded requests that are played again
  */
-public record LoadPlan(List<Address> targets, boolean http2, double seconds, long seed, int connections, int outstanding,
-                       long slackMicros, double intervalSeconds, List<Flow> flows, List<Played> traces) {
-    /** What the requests of a flow or a trace have in common. */
-    public record Request(String name, String method, String path, String key, int bodyBytes, Manners manners) {
-    }
+public record LoadPlan(
+    List<Address> targets,
+    boolean http2,
+    double seconds,
+    long seed,
+    int connections,
+    int outstanding,
+    long slackMicros,
+    double intervalSeconds,
+    List<Flow> flows,
+    List<Played> traces) {
+  /** What the requests of a flow or a trace have in common. */
+  public record Request(
+      String name, String method, String path, String key, int bodyBytes, Manners manners) {}
 
-    /**
-     * Requests that are drawn.
-     *
-     * @param rate a second
-     * @param even equal gaps, else Poisson
-     * @param closed when above 0, so many clients that each ask when they have their answer, and no rate
-     * @param skew of the customers' shares
-     */
-    public record Flow(Request request, double rate, Shape shape, boolean even, int closed, int customers, double skew) {
-    }
+  /**
+   * Requests that are drawn.
+   *
+   * @param rate a second
+   * @param even equal gaps, else Poisson
+   * @param closed when above 0, so many clients that each ask when they have their answer, and no
+   *     rate
+   * @param skew of the customers' shares
+   */
+  public record Flow(
+      Request request,
+      double rate,
+      Shape shape,
+      boolean even,
+      int closed,
+      int customers,
+      double skew) {}
 
-    /**
-     * Requests that were recorded.
-     *
-     * @param speed at which they are played, 1 for as they were
-     */
-    public record Played(Request request, Path file, double speed) {
-    }
+  /**
+   * Requests that were recorded.
+   *
+   * @param speed at which they are played, 1 for as they were
+   */
+  public record Played(Request request, Path file, double speed) {}
 }
--- a/src/main/java/fawndock/lab/load/Sources.java
+++ b/src/main/java/fawndock/lab/load/Sources.java
@@ -8,90 +8,107 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** All that is due, of all flows and traces, in the order of its times; those of the same time in the order of the file. */
+/**
+ * All that is due, of all flows and traces, in the order of its times; those of the same time in
+ * the order of the file.
+ */
 final class Sources {
-    /**
-     * A request that is due.
-     *
-     * @param atMicros from the start of the run
-     * @param flow its place in the file, flows first
-     */
-    record Due(long atMicros, int flow, Request request, String method, String path, String key) {
-    }
+  /**
+   * A request that is due.
+   *
+   * @param atMicros from the start of the run
+   * @param flow its place in the file, flows first
+   */
+  record Due(long atMicros, int flow, Request request, String method, String path, String key) {}
 
-    private interface Source {
-        Due next();
-    }
+  private interface Source {
+    Due next();
+  }
 
-    private record Head(Due due, Source from) {
-    }
+  private record Head(Due due, Source from) {}
 
-    private final PriorityQueue<Head> heads = new PriorityQueue<>((a, b) -> a.due.atMicros != b.due.atMicros
-            ? Long.compare(a.due.atMicros, b.due.atMicros) : Integer.compare(a.due.flow, b.due.flow));
+  private final PriorityQueue<Head> heads =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.due.atMicros != b.due.atMicros
+                  ? Long.compare(a.due.atMicros, b.due.atMicros)
+                  : Integer.compare(a.due.flow, b.due.flow));
 
-    /** @param traces read, in the order of the plan's */
-    Sources(LoadPlan plan, List<Trace.Read> traces) {
-        List<Source> all = new ArrayList<>();
-        for (int i = 0; i < plan.flows().size(); i++) {
-            Flow flow = plan.flows().get(i);
-            if (flow.closed() == 0) {
-                all.add(drawn(flow, i, plan.seconds(), new SplittableRandom(plan.seed() * 1_000 + i)));
-            }
-        }
-        for (int i = 0; i < traces.size(); i++) {
-            all.add(played(plan.traces().get(i), traces.get(i), plan.flows().size() + i, plan.seconds()));
-        }
-        all.forEach(this::refill);
+  /**
+   * @param traces read, in the order of the plan's
+   */
+  Sources(LoadPlan plan, List<Trace.Read> traces) {
+    List<Source> all = new ArrayList<>();
+    for (int i = 0; i < plan.flows().size(); i++) {
+      Flow flow = plan.flows().get(i);
+      if (flow.closed() == 0) {
+        all.add(drawn(flow, i, plan.seconds(), new SplittableRandom(plan.seed() * 1_000 + i)));
+      }
     }
-
-    private static Source drawn(Flow flow, int place, double seconds, SplittableRandom random) {
-        Arrivals arrivals = new Arrivals(flow.rate(), flow.shape(), flow.even(), seconds, random.split());
-        Customers customers = new Customers(flow.customers(), flow.skew());
-        Request r = flow.request();
-        return () -> {
-            long at = arrivals.next();
-            return at < 0 ? null : new Due(at, place, r, r.method(), r.path(), key(flow, customers.draw(random)));
-        };
+    for (int i = 0; i < traces.size(); i++) {
+      all.add(played(plan.traces().get(i), traces.get(i), plan.flows().size() + i, plan.seconds()));
     }
+    all.forEach(this::refill);
+  }
 
-    /** The key of one of a flow's customers. */
-    static String key(Flow flow, int customer) {
-        return flow.customers() == 1 ? flow.request().key() : flow.request().key() + customer;
-    }
+  private static Source drawn(Flow flow, int place, double seconds, SplittableRandom random) {
+    Arrivals arrivals =
+        new Arrivals(flow.rate(), flow.shape(), flow.even(), seconds, random.split());
+    Customers customers = new Customers(flow.customers(), flow.skew());
+    Request r = flow.request();
+    return () -> {
+      long at = arrivals.next();
+      return at < 0
+          ? null
+          : new Due(at, place, r, r.method(), r.path(), key(flow, customers.draw(random)));
+    };
+  }
 
-    private static Source played(Played played, Trace.Read read, int place, double seconds) {
-        Request r = played.request();
-        int[] next = {0};
-        return () -> {
-            if (next[0] == read.entries().size()) {
-                return null;
-            }
-            Trace.Entry e = read.entries().get(next[0]++);
-            long at = (long) (e.atMicros() / played.speed());
-            return at >= seconds * 1e6 ? null : new Due(at, place, r, e.method().isEmpty() ? r.method() : e.method(),
-                    e.path().isEmpty() ? r.path() : e.path(), e.key().isEmpty() ? r.key() : r.key() + e.key());
-        };
-    }
+  /** The key of one of a flow's customers. */
+  static String key(Flow flow, int customer) {
+    return flow.customers() == 1 ? flow.request().key() : flow.request().key() + customer;
+  }
 
-    private void refill(Source from) {
-        Due due = from.next();
-        if (due != null) {
-            heads.add(new Head(due, from));
-        }
-    }
+  private static Source played(Played played, Trace.Read read, int place, double seconds) {
+    Request r = played.request();
+    int[] next = {0};
+    return () -> {
+      if (next[0] == read.entries().size()) {
+        return null;
+      }
+      Trace.Entry e = read.entries().get(next[0]++);
+      long at = (long) (e.atMicros() / played.speed());
+      return at >= seconds * 1e6
+          ? null
+          : new Due(
+              at,
+              place,
+              r,
+              e.method().isEmpty() ? r.method() : e.method(),
+              e.path().isEmpty() ? r.path() : e.path(),
+              e.key().isEmpty() ? r.key() : r.key() + e.key());
+    };
+  }
 
-    /** The next that is due by a time, or null. */
-    Due next(long untilMicros) {
-        Head head = heads.peek();
-        if (head == null || head.due.atMicros > untilMicros) {
-            return null;
-        }
-        heads.poll();
-        refill(head.from);
-        return head.due;
+  private void refill(Source from) {
+    Due due = from.next();
+    if (due != null) {
+      heads.add(new Head(due, from));
     }
+  }
 
-    boolean done() {
-        return heads.isEmpty();
+  /** The next that is due by a time, or null. */
+  Due next(long untilMicros) {
+    Head head = heads.peek();
+    if (head == null || head.due.atMicros > untilMicros) {
+      return null;
     }
+    heads.poll();
+    refill(head.from);
+    return head.due;
+  }
+
+  boolean done() {
+    return heads.isEmpty();
+  }
 }
--- a/src/main/java/fawndock/lab/load/Words.java
+++ b/src/main/java/fawndock/lab/load/Words.java
@@ -4,47 +4,49 @@
 
 /** What load files and deployment files say alike: shapes and manners. */
 public final class Words {
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long DAY = 86_400 * SECOND;
-    private static final double FOREVER = Double.POSITIVE_INFINITY;
+  private static final long MILLI = 1_000;
+  private static final long SECOND = 1_000_000;
+  private static final long DAY = 86_400 * SECOND;
+  private static final double FOREVER = Double.POSITIVE_INFINITY;
 
-    private Words() {
-    }
+  private Words() {}
 
-    /** Reads how a rate goes over time. */
-    public static Shape shape(Args a) {
-        String shape = word(a, "shape", "constant", "constant|wave|jump|on-off");
-        double from = a.time("from", 0, DAY, 0) / (double) SECOND;
-        long until = a.time("until", 0, DAY, -1);
-        double period = a.time("period", MILLI, DAY, 60 * SECOND) / (double) SECOND;
-        double depth = a.number("depth", 0, 1, 0.5);
-        double times = a.number("times", 0, 1_000, 2);
-        double on = a.time("on", MILLI, DAY, SECOND) / (double) SECOND;
-        double off = a.time("off", MILLI, DAY, SECOND) / (double) SECOND;
-        return switch (shape) {
-            case "wave" -> new Shape.Wave(period, depth);
-            case "jump" -> new Shape.Jump(from, until < 0 ? FOREVER : until / (double) SECOND, times);
-            case "on-off" -> new Shape.OnOff(on, off);
-            default -> new Shape.Constant();
-        };
-    }
+  /** Reads how a rate goes over time. */
+  public static Shape shape(Args a) {
+    String shape = word(a, "shape", "constant", "constant|wave|jump|on-off");
+    double from = a.time("from", 0, DAY, 0) / (double) SECOND;
+    long until = a.time("until", 0, DAY, -1);
+    double period = a.time("period", MILLI, DAY, 60 * SECOND) / (double) SECOND;
+    double depth = a.number("depth", 0, 1, 0.5);
+    double times = a.number("times", 0, 1_000, 2);
+    double on = a.time("on", MILLI, DAY, SECOND) / (double) SECOND;
+    double off = a.time("off", MILLI, DAY, SECOND) / (double) SECOND;
+    return switch (shape) {
+      case "wave" -> new Shape.Wave(period, depth);
+      case "jump" -> new Shape.Jump(from, until < 0 ? FOREVER : until / (double) SECOND, times);
+      case "on-off" -> new Shape.OnOff(on, off);
+      default -> new Shape.Constant();
+    };
+  }
 
-    /** Reads what clients do. */
-    public static Manners manners(Args a) {
-        String retry = word(a, "retry", "none", "none|at-once|after");
-        return new Manners(a.time("give-up", MILLI, DAY, 10 * SECOND), Manners.Retry.valueOf(retry
-                .replace('-', '_').toUpperCase(java.util.Locale.ROOT)), a.time("wait", MILLI, DAY, SECOND),
-                a.whole("tries", 1, 100, 3), a.flag("retry-after", false));
-    }
+  /** Reads what clients do. */
+  public static Manners manners(Args a) {
+    String retry = word(a, "retry", "none", "none|at-once|after");
+    return new Manners(
+        a.time("give-up", MILLI, DAY, 10 * SECOND),
+        Manners.Retry.valueOf(retry.replace('-', '_').toUpperCase(java.util.Locale.ROOT)),
+        a.time("wait", MILLI, DAY, SECOND),
+        a.whole("tries", 1, 100, 3),
+        a.flag("retry-after", false));
+  }
 
-    /** Reads one of some words, given with | between them. */
-    public static String word(Args a, String name, String otherwise, String of) {
-        String word = a.word(name, otherwise);
-        if (!word.matches(of)) {
-            a.wrong(name + " '" + word + "'", of.replace("|", " or "));
-            return otherwise;
-        }
-        return word;
+  /** Reads one of some words, given with | between them. */
+  public static String word(Args a, String name, String otherwise, String of) {
+    String word = a.word(name, otherwise);
+    if (!word.matches(of)) {
+      a.wrong(name + " '" + word + "'", of.replace("|", " or "));
+      return otherwise;
     }
+    return word;
+  }
 }
--- a/src/main/java/fawndock/platform/CatalogList.java
+++ b/src/main/java/fawndock/platform/CatalogList.java
@@ -17,30 +17,42 @@
  * @param whole whether it is all there is, rather than what changed
  * @param addresses where each worker listens, by id
  */
-record CatalogList(long index, boolean whole, List<Server> servers, Map<String, Address> addresses) {
-    static final CatalogList NONE = new CatalogList(0, true, List.of(), Map.of());
+record CatalogList(
+    long index, boolean whole, List<Server> servers, Map<String, Address> addresses) {
+  static final CatalogList NONE = new CatalogList(0, true, List.of(), Map.of());
 
-    /** Reads a list; an entry that cannot be read makes all of it unreadable, so that no drain is lost unseen. */
-    static CatalogList of(Obj list) {
-        List<Server> servers = new ArrayList<>();
-        Map<String, Address> addresses = new LinkedHashMap<>();
-        for (Obj e : list.objects("endpoints")) {
-            String id = e.text("name");
-            servers.add(new Server(id, e.textOr("zone", ""), (int) e.integerOr("group", 0),
-                    availability(e.textOr("status", "ready")), e.numberOr("weight", 1), e.integerOr("since_ms", 0) * 1_000));
-            if (e.has("address")) {
-                addresses.put(id, PlatformConfig.address("address", e.text("address")));
-            }
-        }
-        return new CatalogList(list.integer("index"), list.flag("snapshot"), servers, addresses);
+  /**
+   * Reads a list; an entry that cannot be read makes all of it unreadable, so that no drain is lost
+   * unseen.
+   */
+  static CatalogList of(Obj list) {
+    List<Server> servers = new ArrayList<>();
+    Map<String, Address> addresses = new LinkedHashMap<>();
+    for (Obj e : list.objects("endpoints")) {
+      String id = e.text("name");
+      servers.add(
+          new Server(
+              id,
+              e.textOr("zone", ""),
+              (int) e.integerOr("group", 0),
+              availability(e.textOr("status", "ready")),
+              e.numberOr("weight", 1),
+              e.integerOr("since_ms", 0) * 1_000));
+      if (e.has("address")) {
+        addresses.put(id, PlatformConfig.address("address", e.text("address")));
+      }
     }
+    return new CatalogList(list.integer("index"), list.flag("snapshot"), servers, addresses);
+  }
 
-    private static Availability availability(String status) {
-        return switch (status) {
-            case "ready" -> Availability.RUNNING;
-            case "draining" -> Availability.STOPPING;
-            case "gone" -> Availability.DELETED;
-            default -> throw new WireException("'status' is '" + status + "', ready, draining or gone is expected");
-        };
-    }
+  private static Availability availability(String status) {
+    return switch (status) {
+      case "ready" -> Availability.RUNNING;
+      case "draining" -> Availability.STOPPING;
+      case "gone" -> Availability.DELETED;
+      default ->
+          throw new WireException(
+              "'status' is '" + status + "', ready, draining or gone is expected");
+    };
+  }
 }
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -10,226 +10,241 @@
 import java.util.List;
 
 /**
- * One client's connection: commands in, answers out in their order. What cannot be read gets an error line in its turn,
- * and nothing is read after it. One context.
+ * One client's connection: commands in, answers out in their order. What cannot be read gets an
+ * error line in its turn, and nothing is read after it. One context.
  */
 final class ClientConnection extends Wire {
-    /** Commands that wait for their answers on one connection; more are told to be too many, and it ends. */
-    private static final int MOST_OPEN = 64;
-    /** What it may send while it does not read its answers; more ends it. */
-    private static final int MOST_KEPT = 128 << 10;
-    private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
-
-    /** One command's place among the answers. */
-    final class Place {
-        private ByteBuf answer;
-        private PlatformExchange exchange;
-        private long host = -1;
-
-        void answer(ByteBuf bytes) {
-            answer = bytes;
-            if (exchange != null) {
-                front.over(exchange);
-            }
-            flush();
-        }
-
-        void error(String line) {
-            ByteBuf out = Unpooled.buffer(line.length() + 4);
-            new ReplyWriter(out).error(line);
-            answer(out);
-        }
-    }
-
-    private final ClientFront front;
-    private final CommandReader reader = new CommandReader(LIMITS);
-    private final ArrayDeque<Place> places = new ArrayDeque<>(2);
-    /** When it was opened, or last had all of its answers. */
-    private long quietSince;
-    /** When a command began of which the rest has not come; 0 for none. */
-    private long halfSince;
-    /** When it began not to read its answers; 0 while it does. */
-    private long fullSince;
-    /** When it was told that it cannot go on; 0 while it can. */
-    private long endingSince;
-    private boolean spoke;
-    private boolean flushing;
-    private boolean left;
-
-    ClientConnection(ClientFront front) {
-        this.front = front;
-        quietSince = front.now();
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext handler) {
-        front.accepted(this);
-    }
-
-    @Override
-    void bytes(ByteBuf in) {
-        boolean any = false;
-        flushing = true;
-        try {
-            // After it was told that it cannot go on, nothing is read: guards memory against what it still sends.
-            for (byte[][] words = next(in); words != null; words = next(in)) {
-                any = true;
-                if (places.size() >= MOST_OPEN) {
-                    refuse("ERR too many commands at once");
-                } else {
-                    command(words);
-                }
-            }
-        } catch (ProtocolException e) {
-            refuse(e.getMessage());
-        }
-        flushing = false;
-        if (endingSince != 0) {
-            in.skipBytes(in.readableBytes());
-        }
-        // Bytes are taken also while answers are not read, so that its leaving is seen; commands are not.
-        if (fullSince != 0 && in.readableBytes() > MOST_KEPT) {
-            end();
-            return;
-        }
-        boolean half = fullSince == 0 && (reader.within() || in.isReadable());
-        halfSince = !half ? 0 : any || halfSince == 0 ? front.now() : halfSince;
-        flush();
-    }
-
-    private byte[][] next(ByteBuf in) throws ProtocolException {
-        return endingSince != 0 || fullSince != 0 || isOver() ? null : reader.next(in);
-    }
-
-    private void command(byte[][] words) {
-        spoke = true;
-        Place place = new Place();
-        places.add(place);
-        if (ClientCommand.isOne(words[0])) {
-            try {
-                ClientCommand command = ClientCommand.read(words, front.now(), front.terms());
-                String unfit = front.unfit(command);
-                if (unfit != null) {
-                    place.error(unfit);
-                    return;
-                }
-                place.exchange = new PlatformExchange(command, place);
-                place.host = front.request(place.exchange);
-            } catch (ClientCommand.UnfitException e) {
-                place.error(e.getMessage());
-            }
-        } else if (words.length == 1 && ClientCommand.is(words[0], "PING")) {
-            ByteBuf out = Unpooled.buffer(8);
-            new ReplyWriter(out).simple("PONG");
-            place.answer(out);
+  /**
+   * Commands that wait for their answers on one connection; more are told to be too many, and it
+   * ends.
+   */
+  private static final int MOST_OPEN = 64;
+
+  /** What it may send while it does not read its answers; more ends it. */
+  private static final int MOST_KEPT = 128 << 10;
+
+  private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
+
+  /** One command's place among the answers. */
+  final class Place {
+    private ByteBuf answer;
+    private PlatformExchange exchange;
+    private long host = -1;
+
+    void answer(ByteBuf bytes) {
+      answer = bytes;
+      if (exchange != null) {
+        front.over(exchange);
+      }
+      flush();
+    }
+
+    void error(String line) {
+      ByteBuf out = Unpooled.buffer(line.length() + 4);
+      new ReplyWriter(out).error(line);
+      answer(out);
+    }
+  }
+
+  private final ClientFront front;
+  private final CommandReader reader = new CommandReader(LIMITS);
+  private final ArrayDeque<Place> places = new ArrayDeque<>(2);
+
+  /** When it was opened, or last had all of its answers. */
+  private long quietSince;
+
+  /** When a command began of which the rest has not come; 0 for none. */
+  private long halfSince;
+
+  /** When it began not to read its answers; 0 while it does. */
+  private long fullSince;
+
+  /** When it was told that it cannot go on; 0 while it can. */
+  private long endingSince;
+
+  private boolean spoke;
+  private boolean flushing;
+  private boolean left;
+
+  ClientConnection(ClientFront front) {
+    this.front = front;
+    quietSince = front.now();
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext handler) {
+    front.accepted(this);
+  }
+
+  @Override
+  void bytes(ByteBuf in) {
+    boolean any = false;
+    flushing = true;
+    try {
+      // After it was told that it cannot go on, nothing is read: guards memory against what it
+      // still sends.
+      for (byte[][] words = next(in); words != null; words = next(in)) {
+        any = true;
+        if (places.size() >= MOST_OPEN) {
+          refuse("ERR too many commands at once");
         } else {
-            place.error("ERR unknown command");
-        }
-    }
-
-    /** Tells that the connection cannot go on, after the answers before. */
-    private void refuse(String line) {
-        Place place = new Place();
-        places.add(place);
-        endingSince = front.now();
-        halfSince = 0;
-        place.error(line);
-    }
-
-    private void flush() {
-        if (flushing || isOver()) {
-            return;
-        }
-        ByteBuf out = null;
-        while (!places.isEmpty() && places.peek().answer != null) {
-            ByteBuf next = places.poll().answer;
-            out = out == null ? next : Unpooled.wrappedBuffer(out, next);
-        }
-        if (out != null) {
-            quietSince = front.now();
-            send(out);
-            if (!writable() && fullSince == 0) {
-                fullSince = quietSince;
-            }
-        }
-        if (places.isEmpty() && (endingSince != 0 || front.closing() && halfSince == 0 && !holds())) {
-            end();
-        }
-    }
-
-    /** Whether nothing is open on it and it has been so for the time given. */
-    boolean quiet(long now, long micros) {
-        return places.isEmpty() && halfSince == 0 && !holds() && now - quietSince >= micros;
-    }
-
-    boolean spoke() {
-        return spoke;
-    }
-
-    boolean busy() {
-        return !places.isEmpty();
-    }
-
-    /** Ends it when a limit of {@link ClientFront} is passed: silent, half a command, answers not read, told to go. */
-    void check(long now) {
-        boolean silent = !spoke && quiet(now, ClientFront.SILENT_MICROS);
-        boolean half = halfSince != 0 && now - halfSince >= ClientFront.SILENT_MICROS;
-        boolean full = fullSince != 0 && now - fullSince >= ClientFront.UNREAD_MICROS;
-        boolean told = endingSince != 0 && now - endingSince >= ClientFront.SILENT_MICROS;
-        if (silent || full || told || quiet(now, front.idleMicros())) {
-            end();
-        } else if (half && endingSince == 0) {
-            halfSince = 0;
-            refuse("ERR the command did not end");
-        }
-    }
-
-    /** Closes it when nothing is open on it, not even half a command. */
-    void endIfQuiet() {
-        if (places.isEmpty() && halfSince == 0 && !holds()) {
-            end();
-        }
-    }
-
-    /** Answers what is open as failed. */
-    void failOpen() {
-        for (Place place : List.copyOf(places)) {
-            if (place.answer == null && place.host >= 0) {
-                front.gone(place.host);
-                place.error("ERR stopping");
-            }
-        }
-    }
-
-    /** Closes it after what was written; what comes meanwhile is not read. */
-    void end() {
-        halfClose();
-        front.lingers(this);
-        ended();
-    }
-
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext handler) {
-        if (fullSince != 0 && writable()) {
-            fullSince = 0;
-            again();
-        }
-        handler.fireChannelWritabilityChanged();
-    }
-
-    @Override
-    void ended() {
-        if (left) {
-            return;
-        }
-        left = true;
-        front.left(this);
-        for (Place place : places) {
-            if (place.answer == null && place.host >= 0) {
-                front.over(place.exchange);
-                front.gone(place.host);
-            }
-        }
-        places.clear();
-    }
+          command(words);
+        }
+      }
+    } catch (ProtocolException e) {
+      refuse(e.getMessage());
+    }
+    flushing = false;
+    if (endingSince != 0) {
+      in.skipBytes(in.readableBytes());
+    }
+    // Bytes are taken also while answers are not read, so that its leaving is seen; commands are
+    // not.
+    if (fullSince != 0 && in.readableBytes() > MOST_KEPT) {
+      end();
+      return;
+    }
+    boolean half = fullSince == 0 && (reader.within() || in.isReadable());
+    halfSince = !half ? 0 : any || halfSince == 0 ? front.now() : halfSince;
+    flush();
+  }
+
+  private byte[][] next(ByteBuf in) throws ProtocolException {
+    return endingSince != 0 || fullSince != 0 || isOver() ? null : reader.next(in);
+  }
+
+  private void command(byte[][] words) {
+    spoke = true;
+    Place place = new Place();
+    places.add(place);
+    if (ClientCommand.isOne(words[0])) {
+      try {
+        ClientCommand command = ClientCommand.read(words, front.now(), front.terms());
+        String unfit = front.unfit(command);
+        if (unfit != null) {
+          place.error(unfit);
+          return;
+        }
+        place.exchange = new PlatformExchange(command, place);
+        place.host = front.request(place.exchange);
+      } catch (ClientCommand.UnfitException e) {
+        place.error(e.getMessage());
+      }
+    } else if (words.length == 1 && ClientCommand.is(words[0], "PING")) {
+      ByteBuf out = Unpooled.buffer(8);
+      new ReplyWriter(out).simple("PONG");
+      place.answer(out);
+    } else {
+      place.error("ERR unknown command");
+    }
+  }
+
+  /** Tells that the connection cannot go on, after the answers before. */
+  private void refuse(String line) {
+    Place place = new Place();
+    places.add(place);
+    endingSince = front.now();
+    halfSince = 0;
+    place.error(line);
+  }
+
+  private void flush() {
+    if (flushing || isOver()) {
+      return;
+    }
+    ByteBuf out = null;
+    while (!places.isEmpty() && places.peek().answer != null) {
+      ByteBuf next = places.poll().answer;
+      out = out == null ? next : Unpooled.wrappedBuffer(out, next);
+    }
+    if (out != null) {
+      quietSince = front.now();
+      send(out);
+      if (!writable() && fullSince == 0) {
+        fullSince = quietSince;
+      }
+    }
+    if (places.isEmpty() && (endingSince != 0 || front.closing() && halfSince == 0 && !holds())) {
+      end();
+    }
+  }
+
+  /** Whether nothing is open on it and it has been so for the time given. */
+  boolean quiet(long now, long micros) {
+    return places.isEmpty() && halfSince == 0 && !holds() && now - quietSince >= micros;
+  }
+
+  boolean spoke() {
+    return spoke;
+  }
+
+  boolean busy() {
+    return !places.isEmpty();
+  }
+
+  /**
+   * Ends it when a limit of {@link ClientFront} is passed: silent, half a command, answers not
+   * read, told to go.
+   */
+  void check(long now) {
+    boolean silent = !spoke && quiet(now, ClientFront.SILENT_MICROS);
+    boolean half = halfSince != 0 && now - halfSince >= ClientFront.SILENT_MICROS;
+    boolean full = fullSince != 0 && now - fullSince >= ClientFront.UNREAD_MICROS;
+    boolean told = endingSince != 0 && now - endingSince >= ClientFront.SILENT_MICROS;
+    if (silent || full || told || quiet(now, front.idleMicros())) {
+      end();
+    } else if (half && endingSince == 0) {
+      halfSince = 0;
+      refuse("ERR the command did not end");
+    }
+  }
+
+  /** Closes it when nothing is open on it, not even half a command. */
+  void endIfQuiet() {
+    if (places.isEmpty() && halfSince == 0 && !holds()) {
+      end();
+    }
+  }
+
+  /** Answers what is open as failed. */
+  void failOpen() {
+    for (Place place : List.copyOf(places)) {
+      if (place.answer == null && place.host >= 0) {
+        front.gone(place.host);
+        place.error("ERR stopping");
+      }
+    }
+  }
+
+  /** Closes it after what was written; what comes meanwhile is not read. */
+  void end() {
+    halfClose();
+    front.lingers(this);
+    ended();
+  }
+
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext handler) {
+    if (fullSince != 0 && writable()) {
+      fullSince = 0;
+      again();
+    }
+    handler.fireChannelWritabilityChanged();
+  }
+
+  @Override
+  void ended() {
+    if (left) {
+      return;
+    }
+    left = true;
+    front.left(this);
+    for (Place place : places) {
+      if (place.answer == null && place.host >= 0) {
+        front.over(place.exchange);
+        front.gone(place.host);
+      }
+    }
+    places.clear();
+  }
 }
--- a/src/main/java/fawndock/platform/ClientFront.java
+++ b/src/main/java/fawndock/platform/ClientFront.java
@@ -11,197 +11,218 @@
 import java.util.Set;
 
 /**
- * Where clients connect. Connections are bounded: when they are spent, one that never said anything makes room first,
- * then the one that has had nothing open for longest; one with a request open never does. One context.
+ * Where clients connect. Connections are bounded: when they are spent, one that never said anything
+ * makes room first, then the one that has had nothing open for longest; one with a request open
+ * never does. One context.
  */
 final class ClientFront {
-    /** A connection that says nothing, stops within a command, or was told to go is closed after this. */
-    static final long SILENT_MICROS = 2_000_000;
-    /** One whose answers are not read is closed after this. */
-    static final long UNREAD_MICROS = 4_000_000;
-    /** Long: each close may cross a request, and quiet connections go much sooner where they grow scarce. */
-    private static final long IDLE_MICROS = 120_000_000;
-    /** Nothing open for this long, a connection may be closed without harm to its client. */
-    private static final long MAY_CLOSE_MICROS = 2_000_000;
-    private static final long CHECK_MICROS = 250_000;
-    private final Sockets sockets;
-    private final GatekeeperHost host;
-    private final ClientCommand.Terms terms;
-    private final int mostConnections;
-    private final int mostOpen;
-    private final long mostBytes;
-    private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    /** Those that are half-closed: nothing of theirs is owed, but each still holds its descriptor. */
-    private final Set<ClientConnection> lingering = new LinkedHashSet<>();
-    private final Set<String> ids = new HashSet<>();
-    private Channel server;
-    private long bytes;
-    private boolean closing;
-    private Runnable whenEmpty;
-    private Alarms.Alarm next;
-
-    /**
-     * A front that does not listen yet.
-     *
-     * @param mostConnections at once
-     * @param mostOpen requests at once
-     * @param mostBytes of commands that are open, all together
-     */
-    ClientFront(Sockets sockets, GatekeeperHost host, ClientCommand.Terms terms, int mostConnections, int mostOpen,
-                long mostBytes) {
-        this.sockets = sockets;
-        this.host = host;
-        this.terms = terms;
-        this.mostConnections = mostConnections;
-        this.mostOpen = mostOpen;
-        this.mostBytes = mostBytes;
-    }
-
-    /** Listens; the future fails when that cannot be. */
-    ChannelFuture listen(Address address) {
-        next = host.alarms().after(CHECK_MICROS, this::check);
-        ChannelFuture bound = sockets.listen(address, () -> new ClientConnection(this));
-        server = bound.channel();
-        return bound;
-    }
-
-    void accepted(ClientConnection connection) {
-        while (connections.size() + lingering.size() >= mostConnections && !lingering.isEmpty()) {
-            ClientConnection oldest = lingering.iterator().next();
-            lingering.remove(oldest);
-            oldest.lingerEnd();
-        }
-        if (connections.size() >= mostConnections && !evict()) {
-            connection.close();
-        } else {
-            connections.add(connection);
-        }
-    }
-
-    /** A connection was half-closed. */
-    void lingers(ClientConnection connection) {
-        if (lingering.add(connection)) {
-            connection.whenClosed(() -> {
-                lingering.remove(connection);
-                checkEmpty();
-            });
-        }
-    }
-
-    private boolean evict() {
-        ClientConnection idle = null;
-        for (ClientConnection each : connections) {
-            if (!each.spoke() && !each.busy()) {
-                each.end();
-                return true;
-            }
-            if (idle == null && each.quiet(now(), MAY_CLOSE_MICROS)) {
-                idle = each;
-            }
-        }
-        if (idle != null) {
-            idle.end();
-        }
-        return idle != null;
-    }
-
-    private void check() {
-        long now = now();
-        List.copyOf(connections).forEach(c -> c.check(now));
-        next = host.alarms().after(CHECK_MICROS, this::check);
-    }
-
-    /** How long a connection may have nothing open: shorter as they grow scarce. */
-    long idleMicros() {
-        return 2 * connections.size() > mostConnections ? MAY_CLOSE_MICROS : IDLE_MICROS;
-    }
-
-    /** Why a command cannot be given to the host, as an error line, or null. */
-    String unfit(ClientCommand command) {
-        if (ids.contains(command.id())) {
-            return "ERR the id is open already";
-        }
-        return ids.size() >= mostOpen || bytes + command.size() > mostBytes ? "BUSY" : null;
-    }
-
-    /** Gives a request to the host; returns the host's number. */
-    long request(PlatformExchange exchange) {
-        ids.add(exchange.command().id());
-        bytes += exchange.command().size();
-        return host.request(exchange);
-    }
-
-    /** A request has had its answer, or its client has left. */
-    void over(PlatformExchange exchange) {
-        if (ids.remove(exchange.command().id())) {
-            bytes -= exchange.command().size();
-        }
-    }
-
-    void gone(long id) {
-        host.gone(id);
-    }
-
-    void left(ClientConnection connection) {
-        connections.remove(connection);
-        checkEmpty();
-    }
-
-    /**
-     * No connection is accepted any more, and those there are close as soon as nothing is open on them, not even half a
-     * command.
-     *
-     * @param empty is run when the last is closed, on both sides: then nothing is owed to anybody
-     */
-    void drain(Runnable empty) {
-        closing = true;
-        whenEmpty = empty;
-        stopListening();
-        List.copyOf(connections).forEach(ClientConnection::endIfQuiet);
-        checkEmpty();
-    }
-
-    private void checkEmpty() {
-        if (whenEmpty != null && connections.isEmpty() && lingering.isEmpty()) {
-            Runnable what = whenEmpty;
-            whenEmpty = null;
-            what.run();
-        }
-    }
-
-    /** Answers all that is open as failed and closes every connection, in this turn: nothing is read after it. */
-    void failOpen() {
-        for (ClientConnection each : List.copyOf(connections)) {
-            each.failOpen();
-            each.end();
-        }
-    }
-
-    boolean closing() {
-        return closing;
-    }
-
-    void stopListening() {
-        if (server != null) {
-            server.close();
-        }
-    }
-
-    void close() {
-        host.alarms().cancel(next);
-        List.copyOf(connections).forEach(ClientConnection::end);
-        stopListening();
-    }
-
-    ClientCommand.Terms terms() {
-        return terms;
-    }
-
-    long now() {
-        return host.clock().now();
-    }
-
-    int connections() {
-        return connections.size();
-    }
+  /**
+   * A connection that says nothing, stops within a command, or was told to go is closed after this.
+   */
+  static final long SILENT_MICROS = 2_000_000;
+
+  /** One whose answers are not read is closed after this. */
+  static final long UNREAD_MICROS = 4_000_000;
+
+  /**
+   * Long: each close may cross a request, and quiet connections go much sooner where they grow
+   * scarce.
+   */
+  private static final long IDLE_MICROS = 120_000_000;
+
+  /** Nothing open for this long, a connection may be closed without harm to its client. */
+  private static final long MAY_CLOSE_MICROS = 2_000_000;
+
+  private static final long CHECK_MICROS = 250_000;
+  private final Sockets sockets;
+  private final GatekeeperHost host;
+  private final ClientCommand.Terms terms;
+  private final int mostConnections;
+  private final int mostOpen;
+  private final long mostBytes;
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
+  /** Those that are half-closed: nothing of theirs is owed, but each still holds its descriptor. */
+  private final Set<ClientConnection> lingering = new LinkedHashSet<>();
+
+  private final Set<String> ids = new HashSet<>();
+  private Channel server;
+  private long bytes;
+  private boolean closing;
+  private Runnable whenEmpty;
+  private Alarms.Alarm next;
+
+  /**
+   * A front that does not listen yet.
+   *
+   * @param mostConnections at once
+   * @param mostOpen requests at once
+   * @param mostBytes of commands that are open, all together
+   */
+  ClientFront(
+      Sockets sockets,
+      GatekeeperHost host,
+      ClientCommand.Terms terms,
+      int mostConnections,
+      int mostOpen,
+      long mostBytes) {
+    this.sockets = sockets;
+    this.host = host;
+    this.terms = terms;
+    this.mostConnections = mostConnections;
+    this.mostOpen = mostOpen;
+    this.mostBytes = mostBytes;
+  }
+
+  /** Listens; the future fails when that cannot be. */
+  ChannelFuture listen(Address address) {
+    next = host.alarms().after(CHECK_MICROS, this::check);
+    ChannelFuture bound = sockets.listen(address, () -> new ClientConnection(this));
+    server = bound.channel();
+    return bound;
+  }
+
+  void accepted(ClientConnection connection) {
+    while (connections.size() + lingering.size() >= mostConnections && !lingering.isEmpty()) {
+      ClientConnection oldest = lingering.iterator().next();
+      lingering.remove(oldest);
+      oldest.lingerEnd();
+    }
+    if (connections.size() >= mostConnections && !evict()) {
+      connection.close();
+    } else {
+      connections.add(connection);
+    }
+  }
+
+  /** A connection was half-closed. */
+  void lingers(ClientConnection connection) {
+    if (lingering.add(connection)) {
+      connection.whenClosed(
+          () -> {
+            lingering.remove(connection);
+            checkEmpty();
+          });
+    }
+  }
+
+  private boolean evict() {
+    ClientConnection idle = null;
+    for (ClientConnection each : connections) {
+      if (!each.spoke() && !each.busy()) {
+        each.end();
+        return true;
+      }
+      if (idle == null && each.quiet(now(), MAY_CLOSE_MICROS)) {
+        idle = each;
+      }
+    }
+    if (idle != null) {
+      idle.end();
+    }
+    return idle != null;
+  }
+
+  private void check() {
+    long now = now();
+    List.copyOf(connections).forEach(c -> c.check(now));
+    next = host.alarms().after(CHECK_MICROS, this::check);
+  }
+
+  /** How long a connection may have nothing open: shorter as they grow scarce. */
+  long idleMicros() {
+    return 2 * connections.size() > mostConnections ? MAY_CLOSE_MICROS : IDLE_MICROS;
+  }
+
+  /** Why a command cannot be given to the host, as an error line, or null. */
+  String unfit(ClientCommand command) {
+    if (ids.contains(command.id())) {
+      return "ERR the id is open already";
+    }
+    return ids.size() >= mostOpen || bytes + command.size() > mostBytes ? "BUSY" : null;
+  }
+
+  /** Gives a request to the host; returns the host's number. */
+  long request(PlatformExchange exchange) {
+    ids.add(exchange.command().id());
+    bytes += exchange.command().size();
+    return host.request(exchange);
+  }
+
+  /** A request has had its answer, or its client has left. */
+  void over(PlatformExchange exchange) {
+    if (ids.remove(exchange.command().id())) {
+      bytes -= exchange.command().size();
+    }
+  }
+
+  void gone(long id) {
+    host.gone(id);
+  }
+
+  void left(ClientConnection connection) {
+    connections.remove(connection);
+    checkEmpty();
+  }
+
+  /**
+   * No connection is accepted any more, and those there are close as soon as nothing is open on
+   * them, not even half a command.
+   *
+   * @param empty is run when the last is closed, on both sides: then nothing is owed to anybody
+   */
+  void drain(Runnable empty) {
+    closing = true;
+    whenEmpty = empty;
+    stopListening();
+    List.copyOf(connections).forEach(ClientConnection::endIfQuiet);
+    checkEmpty();
+  }
+
+  private void checkEmpty() {
+    if (whenEmpty != null && connections.isEmpty() && lingering.isEmpty()) {
+      Runnable what = whenEmpty;
+      whenEmpty = null;
+      what.run();
+    }
+  }
+
+  /**
+   * Answers all that is open as failed and closes every connection, in this turn: nothing is read
+   * after it.
+   */
+  void failOpen() {
+    for (ClientConnection each : List.copyOf(connections)) {
+      each.failOpen();
+      each.end();
+    }
+  }
+
+  boolean closing() {
+    return closing;
+  }
+
+  void stopListening() {
+    if (server != null) {
+      server.close();
+    }
+  }
+
+  void close() {
+    host.alarms().cancel(next);
+    List.copyOf(connections).forEach(ClientConnection::end);
+    stopListening();
+  }
+
+  ClientCommand.Terms terms() {
+    return terms;
+  }
+
+  long now() {
+    return host.clock().now();
+  }
+
+  int connections() {
+    return connections.size();
+  }
 }
--- a/src/main/java/fawndock/platform/Figures.java
+++ b/src/main/java/fawndock/platform/Figures.java
@@ -7,59 +7,73 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What happened since the last line of the log: ends of attempts and of counter calls, and the last error told. */
+/**
+ * What happened since the last line of the log: ends of attempts and of counter calls, and the last
+ * error told.
+ */
 final class Figures implements Answers {
-    private final Map<Result, Integer> attempts = new EnumMap<>(Result.class);
-    private final Map<Result, Integer> calls = new EnumMap<>(Result.class);
-    /** Ends and errors of each worker; as many as attempts in a few seconds had workers. */
-    private final Map<String, int[]> workers = new HashMap<>();
-    private final Map<Verdict, Integer> answers = new EnumMap<>(Verdict.class);
-    private String lastError = "";
-    private long waitedMicros;
+  private final Map<Result, Integer> attempts = new EnumMap<>(Result.class);
+  private final Map<Result, Integer> calls = new EnumMap<>(Result.class);
 
-    @Override
-    public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
-        answers.merge(verdict, 1, Integer::sum);
-    }
+  /** Ends and errors of each worker; as many as attempts in a few seconds had workers. */
+  private final Map<String, int[]> workers = new HashMap<>();
 
-    void attempt(String worker, Result how) {
-        int[] ends = workers.computeIfAbsent(worker, id -> new int[2]);
-        ends[0]++;
-        ends[1] += how == Result.OK || how == Result.CANCELLED ? 0 : 1;
-        attempts.merge(how, 1, Integer::sum);
-    }
+  private final Map<Verdict, Integer> answers = new EnumMap<>(Verdict.class);
+  private String lastError = "";
+  private long waitedMicros;
 
-    /** A counter call has ended after so long. */
-    void call(Result how, long tookMicros) {
-        calls.merge(how, 1, Integer::sum);
-        waitedMicros += tookMicros;
-    }
+  @Override
+  public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
+    answers.merge(verdict, 1, Integer::sum);
+  }
 
-    /** A worker told an error, or what it told cannot be read. */
-    void error(String told) {
-        lastError = told.length() > 80 ? told.substring(0, 80) : told;
-    }
+  void attempt(String worker, Result how) {
+    int[] ends = workers.computeIfAbsent(worker, id -> new int[2]);
+    ends[0]++;
+    ends[1] += how == Result.OK || how == Result.CANCELLED ? 0 : 1;
+    attempts.merge(how, 1, Integer::sum);
+  }
+
+  /** A counter call has ended after so long. */
+  void call(Result how, long tookMicros) {
+    calls.merge(how, 1, Integer::sum);
+    waitedMicros += tookMicros;
+  }
+
+  /** A worker told an error, or what it told cannot be read. */
+  void error(String told) {
+    lastError = told.length() > 80 ? told.substring(0, 80) : told;
+  }
 
-    /** Tells what happened and begins anew. */
-    String take() {
-        int many = calls.values().stream().mapToInt(Integer::intValue).sum();
-        String told = "answers " + answers + ", attempts " + attempts + ", counter calls " + calls + " of " + (many == 0 ? 0 : waitedMicros / many)
-                + " us" + (lastError.isEmpty() ? "" : ", last error '" + lastError + "'");
-        String worst = "";
-        int most = 0;
-        for (Map.Entry<String, int[]> each : workers.entrySet()) {
-            if (each.getValue()[1] > most) {
-                most = each.getValue()[1];
-                worst = ", most failures at " + each.getKey() + ", " + most + " of " + each.getValue()[0];
-            }
-        }
-        told += worst;
-        workers.clear();
-        answers.clear();
-        attempts.clear();
-        calls.clear();
-        waitedMicros = 0;
-        lastError = "";
-        return told;
+  /** Tells what happened and begins anew. */
+  String take() {
+    int many = calls.values().stream().mapToInt(Integer::intValue).sum();
+    String told =
+        "answers "
+            + answers
+            + ", attempts "
+            + attempts
+            + ", counter calls "
+            + calls
+            + " of "
+            + (many == 0 ? 0 : waitedMicros / many)
+            + " us"
+            + (lastError.isEmpty() ? "" : ", last error '" + lastError + "'");
+    String worst = "";
+    int most = 0;
+    for (Map.Entry<String, int[]> each : workers.entrySet()) {
+      if (each.getValue()[1] > most) {
+        most = each.getValue()[1];
+        worst = ", most failures at " + each.getKey() + ", " + most + " of " + each.getValue()[0];
+      }
     }
+    told += worst;
+    workers.clear();
+    answers.clear();
+    attempts.clear();
+    calls.clear();
+    waitedMicros = 0;
+    lastError = "";
+    return told;
+  }
 }
--- a/src/main/java/fawndock/platform/MemorySockets.java
+++ b/src/main/java/fawndock/platform/MemorySockets.java
@@ -14,70 +14,74 @@
 import java.util.function.Supplier;
 
 /**
- * Connections between two parties of this process, in memory: no descriptor, no port, no file. What one side writes
- * comes to the other in a later turn of the loop, as from a network. For {@link WarmUp}.
+ * Connections between two parties of this process, in memory: no descriptor, no port, no file. What
+ * one side writes comes to the other in a later turn of the loop, as from a network. For {@link
+ * WarmUp}.
  */
 final class MemorySockets extends Sockets {
-    private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
+  private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
 
-    MemorySockets(Context context) {
-        super(context);
-    }
-
-    /** One side of a connection. */
-    private final class Side extends EmbeddedChannel {
-        private Side other;
+  MemorySockets(Context context) {
+    super(context);
+  }
 
-        Side(ChannelHandler handler) {
-            super(handler);
-        }
+  /** One side of a connection. */
+  private final class Side extends EmbeddedChannel {
+    private Side other;
 
-        @Override
-        protected void handleOutboundMessage(Object message) {
-            loop.execute(() -> {
-                if (other != null && other.isActive()) {
-                    other.writeInbound(message);
-                } else {
-                    ReferenceCountUtil.release(message);
-                }
-            });
-        }
-
-        @Override
-        protected void doClose() throws Exception {
-            super.doClose();
-            loop.execute(() -> {
-                if (other != null) {
-                    other.close();
-                }
-            });
-        }
+    Side(ChannelHandler handler) {
+      super(handler);
     }
 
     @Override
-    ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
-        Side near = new Side(handler);
-        ChannelPromise made = new DefaultChannelPromise(near, loop);
-        loop.execute(() -> {
-            Supplier<ChannelHandler> listener = listeners.get(address);
-            if (listener == null) {
-                made.setFailure(new ConnectException("nobody listens at " + address));
-                return;
+    protected void handleOutboundMessage(Object message) {
+      loop.execute(
+          () -> {
+            if (other != null && other.isActive()) {
+              other.writeInbound(message);
+            } else {
+              ReferenceCountUtil.release(message);
             }
-            Side far = new Side(listener.get());
-            near.other = far;
-            far.other = near;
-            made.setSuccess();
-        });
-        return made;
+          });
     }
 
     @Override
-    ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
-        listeners.put(address, handlers);
-        Side bound = new Side(new io.netty.channel.ChannelInboundHandlerAdapter());
-        ChannelPromise done = new DefaultChannelPromise(bound, loop);
-        loop.execute(done::setSuccess);
-        return done;
+    protected void doClose() throws Exception {
+      super.doClose();
+      loop.execute(
+          () -> {
+            if (other != null) {
+              other.close();
+            }
+          });
     }
+  }
+
+  @Override
+  ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
+    Side near = new Side(handler);
+    ChannelPromise made = new DefaultChannelPromise(near, loop);
+    loop.execute(
+        () -> {
+          Supplier<ChannelHandler> listener = listeners.get(address);
+          if (listener == null) {
+            made.setFailure(new ConnectException("nobody listens at " + address));
+            return;
+          }
+          Side far = new Side(listener.get());
+          near.other = far;
+          far.other = near;
+          made.setSuccess();
+        });
+    return made;
+  }
+
+  @Override
+  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
+    listeners.put(address, handlers);
+    Side bound = new Side(new io.netty.channel.ChannelInboundHandlerAdapter());
+    ChannelPromise done = new DefaultChannelPromise(bound, loop);
+    loop.execute(done::setSuccess);
+    return done;
+  }
 }
--- a/src/main/java/fawndock/platform/PlatformConfig.java
+++ b/src/main/java/fawndock/platform/PlatformConfig.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * What the platform tells a gatekeeper: the file that {@code RELAY_CONFIG} names, with the variables for what the file
- * leaves out.
+ * What the platform tells a gatekeeper: the file that {@code RELAY_CONFIG} names, with the
+ * variables for what the file leaves out.
  *
  * @param known the list of workers as it was last held; may be out of date
  * @param counter where the counter listens, or null without one
@@ -22,81 +22,100 @@
  * @param idleMicros a worker closes a connection that is idle for so long; 0 when it says nothing
  * @param mostUnits the most units of one request
  */
-record PlatformConfig(String name, Address listen, Address discovery, Address counter, Settings settings,
-                      CatalogList known, int sockets, long memoryBytes, long connectMicros, long idleMicros,
-                      double mostUnits) {
-    private static final long LONGEST_FILE = 16 << 20;
-    private static final int SOCKETS = 256;
-    private static final long MEMORY_MB = 96;
-    private static final long CONNECT_MICROS = 250_000;
+record PlatformConfig(
+    String name,
+    Address listen,
+    Address discovery,
+    Address counter,
+    Settings settings,
+    CatalogList known,
+    int sockets,
+    long memoryBytes,
+    long connectMicros,
+    long idleMicros,
+    double mostUnits) {
+  private static final long LONGEST_FILE = 16 << 20;
+  private static final int SOCKETS = 256;
+  private static final long MEMORY_MB = 96;
+  private static final long CONNECT_MICROS = 250_000;
 
-    /** A configuration that cannot be used; the message names the file, the key and what is expected. */
-    static final class UnusableException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /**
+   * A configuration that cannot be used; the message names the file, the key and what is expected.
+   */
+  static final class UnusableException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        UnusableException(String told) {
-            super(told, null, false, false);
-        }
+    UnusableException(String told) {
+      super(told, null, false, false);
     }
+  }
 
-    /** Reads it whole, or tells what is wrong. */
-    static PlatformConfig read(Map<String, String> variables) throws UnusableException {
-        String file = variables.get("RELAY_CONFIG");
-        if (file == null || file.isBlank()) {
-            throw new UnusableException("RELAY_CONFIG is not set: the path of the configuration is expected");
-        }
-        String text;
-        try {
-            if (Files.size(Path.of(file)) > LONGEST_FILE) {
-                throw new UnusableException(file + ": larger than " + LONGEST_FILE + " bytes");
-            }
-            text = Files.readString(Path.of(file));
-        } catch (IOException e) {
-            throw new UnusableException(file + ": cannot be read (" + e + "), a JSON file is expected");
-        }
-        try {
-            return parse(text, variables);
-        } catch (IOException e) {
-            throw new UnusableException(file + ": not JSON: " + e.getMessage().lines().findFirst().orElse(""));
-        } catch (WireException | IllegalArgumentException e) {
-            throw new UnusableException(file + ": " + e.getMessage());
-        }
+  /** Reads it whole, or tells what is wrong. */
+  static PlatformConfig read(Map<String, String> variables) throws UnusableException {
+    String file = variables.get("RELAY_CONFIG");
+    if (file == null || file.isBlank()) {
+      throw new UnusableException(
+          "RELAY_CONFIG is not set: the path of the configuration is expected");
     }
+    String text;
+    try {
+      if (Files.size(Path.of(file)) > LONGEST_FILE) {
+        throw new UnusableException(file + ": larger than " + LONGEST_FILE + " bytes");
+      }
+      text = Files.readString(Path.of(file));
+    } catch (IOException e) {
+      throw new UnusableException(file + ": cannot be read (" + e + "), a JSON file is expected");
+    }
+    try {
+      return parse(text, variables);
+    } catch (IOException e) {
+      throw new UnusableException(
+          file + ": not JSON: " + e.getMessage().lines().findFirst().orElse(""));
+    } catch (WireException | IllegalArgumentException e) {
+      throw new UnusableException(file + ": " + e.getMessage());
+    }
+  }
 
-    private static PlatformConfig parse(String text, Map<String, String> variables) throws IOException {
-        Obj o = Json.parse(text);
-        Obj limits = o.objectOr("limits");
-        Obj settings = o.object("settings");
-        Obj caps = settings.objectOr("caps");
-        Settings read = SettingsReader.settings(settings, seed(o.textOr("seed", "0")));
-        if (read.classes().isEmpty() || read.plans().isEmpty()) {
-            throw new WireException("'settings' names no class or no plan; at least one of each is expected");
-        }
-        String counter = o.textOr("counter", "");
-        return new PlatformConfig(o.textOr("name", variables.getOrDefault("RELAY_NAME", "gatekeeper")),
-                address("listen", o.textOr("listen", variables.getOrDefault("RELAY_LISTEN", ""))),
-                address("discovery", o.textOr("discovery", variables.getOrDefault("RELAY_DISCOVERY", ""))),
-                counter.isEmpty() ? null : address("counter", counter), read,
-                o.has("known") ? CatalogList.of(o.object("known")) : CatalogList.NONE,
-                (int) limits.integerOr("sockets", SOCKETS), limits.integerOr("memory_mb", MEMORY_MB) << 20,
-                caps.integerOr("connect-timeout-us", CONNECT_MICROS), caps.integerOr("conn-idle-us", 0),
-                settings.objectOr("extra").numberOr("most-units", 1));
+  private static PlatformConfig parse(String text, Map<String, String> variables)
+      throws IOException {
+    Obj o = Json.parse(text);
+    Obj limits = o.objectOr("limits");
+    Obj settings = o.object("settings");
+    Obj caps = settings.objectOr("caps");
+    Settings read = SettingsReader.settings(settings, seed(o.textOr("seed", "0")));
+    if (read.classes().isEmpty() || read.plans().isEmpty()) {
+      throw new WireException(
+          "'settings' names no class or no plan; at least one of each is expected");
     }
+    String counter = o.textOr("counter", "");
+    return new PlatformConfig(
+        o.textOr("name", variables.getOrDefault("RELAY_NAME", "gatekeeper")),
+        address("listen", o.textOr("listen", variables.getOrDefault("RELAY_LISTEN", ""))),
+        address("discovery", o.textOr("discovery", variables.getOrDefault("RELAY_DISCOVERY", ""))),
+        counter.isEmpty() ? null : address("counter", counter),
+        read,
+        o.has("known") ? CatalogList.of(o.object("known")) : CatalogList.NONE,
+        (int) limits.integerOr("sockets", SOCKETS),
+        limits.integerOr("memory_mb", MEMORY_MB) << 20,
+        caps.integerOr("connect-timeout-us", CONNECT_MICROS),
+        caps.integerOr("conn-idle-us", 0),
+        settings.objectOr("extra").numberOr("most-units", 1));
+  }
 
-    private static long seed(String text) {
-        try {
-            return Long.parseUnsignedLong(text, 16);
-        } catch (NumberFormatException e) {
-            throw new WireException("'seed' is '" + text + "', up to 16 hexadecimal digits are expected");
-        }
+  private static long seed(String text) {
+    try {
+      return Long.parseUnsignedLong(text, 16);
+    } catch (NumberFormatException e) {
+      throw new WireException("'seed' is '" + text + "', up to 16 hexadecimal digits are expected");
     }
+  }
 
-    /** HOST:PORT, as the platform writes it. */
-    static Address address(String key, String text) {
-        Address address = Address.read(text);
-        if (address != null && address.port() > 0) {
-            return address;
-        }
-        throw new WireException("'" + key + "' is '" + text + "', HOST:PORT is expected");
+  /** HOST:PORT, as the platform writes it. */
+  static Address address(String key, String text) {
+    Address address = Address.read(text);
+    if (address != null && address.port() > 0) {
+      return address;
     }
+    throw new WireException("'" + key + "' is '" + text + "', HOST:PORT is expected");
+  }
 }
--- a/src/main/java/fawndock/platform/PlatformExchange.java
+++ b/src/main/java/fawndock/platform/PlatformExchange.java
@@ -5,39 +5,41 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** A command of a client's that the host holds, and its place among the answers of its connection. */
+/**
+ * A command of a client's that the host holds, and its place among the answers of its connection.
+ */
 final class PlatformExchange implements Exchange {
-    private final ClientCommand command;
-    private final ClientConnection.Place place;
-
-    PlatformExchange(ClientCommand command, ClientConnection.Place place) {
-        this.command = command;
-        this.place = place;
-    }
-
-    ClientCommand command() {
-        return command;
-    }
-
-    @Override
-    public Asked asked() {
-        return command.asked();
-    }
-
-    /** Passes on the value that a worker gave for this request. */
-    void serve(byte[] value) {
-        ByteBuf out = Unpooled.buffer(value.length + 16);
-        new ReplyWriter(out).bulk(value);
-        place.answer(out);
-    }
-
-    @Override
-    public void refuse(long retryAfterMicros) {
-        place.error("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
-    }
-
-    @Override
-    public void fail(boolean answered, String reason) {
-        place.error(answered ? "ERR failed" : "ERR no answer in time");
-    }
+  private final ClientCommand command;
+  private final ClientConnection.Place place;
+
+  PlatformExchange(ClientCommand command, ClientConnection.Place place) {
+    this.command = command;
+    this.place = place;
+  }
+
+  ClientCommand command() {
+    return command;
+  }
+
+  @Override
+  public Asked asked() {
+    return command.asked();
+  }
+
+  /** Passes on the value that a worker gave for this request. */
+  void serve(byte[] value) {
+    ByteBuf out = Unpooled.buffer(value.length + 16);
+    new ReplyWriter(out).bulk(value);
+    place.answer(out);
+  }
+
+  @Override
+  public void refuse(long retryAfterMicros) {
+    place.error("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
+  }
+
+  @Override
+  public void fail(boolean answered, String reason) {
+    place.error(answered ? "ERR failed" : "ERR no answer in time");
+  }
 }
--- a/src/main/java/fawndock/platform/PlatformNode.java
+++ b/src/main/java/fawndock/platform/PlatformNode.java
@@ -29,179 +29,243 @@
 
 /** One gatekeeper on the platform, with its sockets, on one event-loop context. */
 final class PlatformNode implements GatekeeperHost.Links {
-    private static final Logger LOG = LoggerFactory.getLogger(PlatformNode.class);
-    /** Shares of the descriptors; the rest is kept for the counter, the catalog, files and a reserve. */
-    private static final double CLIENTS = 0.45;
-    private static final double WORKERS = 0.32;
-    private static final long MOST_BYTES_SHARE = 16;
-    private static final long LIST_WAIT_MICROS = 3_000_000;
-    private static final long REPORT_MICROS = 5_000_000;
-    private static final long SWEEP_MICROS = 1_000_000;
-    /** Of the time after which a worker closes an idle connection; used up to then, it would end as a reset. */
-    private static final double IDLE_PART = 0.5;
-    private static final long IDLE_MICROS = 20_000_000;
-    private final Sockets sockets;
-    private final PlatformConfig config;
-    private final MicroClock clock = new MicroClock();
-    private final Alarms alarms;
-    private final GatekeeperHost host;
-    private final Figures figures = new Figures();
-    private final WorkerPools workers;
-    private final AddGetCounter counter;
-    private final ClientFront front;
-    private final Promise<Void> listed = Promise.promise();
-    /** The newest last; those before it until it has spoken. */
-    private final ArrayDeque<CatalogWatch> catalogs = new ArrayDeque<>();
-    private final SplittableRandom random;
-    private long reportAt;
-    private Address discovery;
-
-    /** Made on the context that it belongs to. */
-    PlatformNode(Vertx vertx, Sockets sockets, PlatformConfig config, Function<Settings, Gatekeeper> maker) {
-        this.sockets = sockets;
-        this.config = config;
-        Settings settings = config.settings();
-        random = new SplittableRandom(settings.seed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
-        alarms = new Alarms(vertx);
-        host = new GatekeeperHost(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
-        host.decideBy(maker.apply(settings));
-        long idle = config.idleMicros() <= 0 ? IDLE_MICROS : (long) (IDLE_PART * config.idleMicros());
-        workers = new WorkerPools(sockets, clock::now, figures, (int) (WORKERS * config.sockets()), config.connectMicros(), idle);
-        counter = new AddGetCounter(sockets, config.counter(), clock, alarms, figures,
-                config.connectMicros(), settings.counter().waitMicros(), host::tell);
-        front = new ClientFront(sockets, host, new ClientCommand.Terms(config), (int) (CLIENTS * config.sockets()),
-                settings.limits().maxOpen(), config.memoryBytes() / MOST_BYTES_SHARE);
-        sweep();
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformNode.class);
 
-    /** Follows the catalog and listens as soon as the list of workers is known. */
-    Future<?> start() {
-        if (!config.known().servers().isEmpty()) {
-            take(config.known(), Listing.CACHED);
-            alarms.after(LIST_WAIT_MICROS, listed::tryComplete);
-        }
-        follow(config.discovery());
-        report();
-        return listed.future().compose(v -> {
-            Promise<Void> bound = Promise.promise();
-            front.listen(config.listen()).addListener(done -> {
-                if (done.isSuccess()) {
-                    bound.complete();
-                } else {
-                    bound.fail(done.cause());
-                }
-            });
-            return bound.future();
-        }).onSuccess(v -> LOG.info("{} ({} of {}) listens on {}", config.name(), config.settings().me(),
-                        config.settings().gatekeepers(), config.listen()));
-    }
+  /**
+   * Shares of the descriptors; the rest is kept for the counter, the catalog, files and a reserve.
+   */
+  private static final double CLIENTS = 0.45;
+
+  private static final double WORKERS = 0.32;
+  private static final long MOST_BYTES_SHARE = 16;
+  private static final long LIST_WAIT_MICROS = 3_000_000;
+  private static final long REPORT_MICROS = 5_000_000;
+  private static final long SWEEP_MICROS = 1_000_000;
+
+  /**
+   * Of the time after which a worker closes an idle connection; used up to then, it would end as a
+   * reset.
+   */
+  private static final double IDLE_PART = 0.5;
+
+  private static final long IDLE_MICROS = 20_000_000;
+  private final Sockets sockets;
+  private final PlatformConfig config;
+  private final MicroClock clock = new MicroClock();
+  private final Alarms alarms;
+  private final GatekeeperHost host;
+  private final Figures figures = new Figures();
+  private final WorkerPools workers;
+  private final AddGetCounter counter;
+  private final ClientFront front;
+  private final Promise<Void> listed = Promise.promise();
+
+  /** The newest last; those before it until it has spoken. */
+  private final ArrayDeque<CatalogWatch> catalogs = new ArrayDeque<>();
 
-    /** Listens with this list of workers and follows no catalog: for {@link WarmUp}. */
-    ChannelFuture warmUp(CatalogList list) {
-        take(list, Listing.COMPLETE);
-        return front.listen(config.listen());
+  private final SplittableRandom random;
+  private long reportAt;
+  private Address discovery;
+
+  /** Made on the context that it belongs to. */
+  PlatformNode(
+      Vertx vertx, Sockets sockets, PlatformConfig config, Function<Settings, Gatekeeper> maker) {
+    this.sockets = sockets;
+    this.config = config;
+    Settings settings = config.settings();
+    random =
+        new SplittableRandom(settings.seed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
+    alarms = new Alarms(vertx);
+    host = new GatekeeperHost(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
+    host.decideBy(maker.apply(settings));
+    long idle = config.idleMicros() <= 0 ? IDLE_MICROS : (long) (IDLE_PART * config.idleMicros());
+    workers =
+        new WorkerPools(
+            sockets,
+            clock::now,
+            figures,
+            (int) (WORKERS * config.sockets()),
+            config.connectMicros(),
+            idle);
+    counter =
+        new AddGetCounter(
+            sockets,
+            config.counter(),
+            clock,
+            alarms,
+            figures,
+            config.connectMicros(),
+            settings.counter().waitMicros(),
+            host::tell);
+    front =
+        new ClientFront(
+            sockets,
+            host,
+            new ClientCommand.Terms(config),
+            (int) (CLIENTS * config.sockets()),
+            settings.limits().maxOpen(),
+            config.memoryBytes() / MOST_BYTES_SHARE);
+    sweep();
+  }
+
+  /** Follows the catalog and listens as soon as the list of workers is known. */
+  Future<?> start() {
+    if (!config.known().servers().isEmpty()) {
+      take(config.known(), Listing.CACHED);
+      alarms.after(LIST_WAIT_MICROS, listed::tryComplete);
     }
+    follow(config.discovery());
+    report();
+    return listed
+        .future()
+        .compose(
+            v -> {
+              Promise<Void> bound = Promise.promise();
+              front
+                  .listen(config.listen())
+                  .addListener(
+                      done -> {
+                        if (done.isSuccess()) {
+                          bound.complete();
+                        } else {
+                          bound.fail(done.cause());
+                        }
+                      });
+              return bound.future();
+            })
+        .onSuccess(
+            v ->
+                LOG.info(
+                    "{} ({} of {}) listens on {}",
+                    config.name(),
+                    config.settings().me(),
+                    config.settings().gatekeepers(),
+                    config.listen()));
+  }
 
-    private void follow(Address address) {
-        List<CatalogWatch> before = List.copyOf(catalogs);
-        discovery = address;
-        boolean[] heard = new boolean[1];
-        CatalogWatch catalog = new CatalogWatch(sockets, address, alarms, random.split(), list -> {
-            if (!heard[0]) {
+  /** Listens with this list of workers and follows no catalog: for {@link WarmUp}. */
+  ChannelFuture warmUp(CatalogList list) {
+    take(list, Listing.COMPLETE);
+    return front.listen(config.listen());
+  }
+
+  private void follow(Address address) {
+    List<CatalogWatch> before = List.copyOf(catalogs);
+    discovery = address;
+    boolean[] heard = new boolean[1];
+    CatalogWatch catalog =
+        new CatalogWatch(
+            sockets,
+            address,
+            alarms,
+            random.split(),
+            list -> {
+              if (!heard[0]) {
                 heard[0] = true;
-                before.forEach(CatalogWatch::close); // Not sooner: until the new one speaks, what they tell counts.
+                before.forEach(
+                    CatalogWatch
+                        ::close); // Not sooner: until the new one speaks, what they tell counts.
                 catalogs.removeAll(before);
-            }
-            take(list, list.whole() ? Listing.COMPLETE : Listing.CHANGES);
-            listed.tryComplete();
-        });
-        catalogs.add(catalog);
-        catalog.start();
-    }
+              }
+              take(list, list.whole() ? Listing.COMPLETE : Listing.CHANGES);
+              listed.tryComplete();
+            });
+    catalogs.add(catalog);
+    catalog.start();
+  }
 
-    private void take(CatalogList list, Listing listing) {
-        if (listing == Listing.COMPLETE) {
-            workers.keep(list.addresses().keySet());
-        }
-        list.servers().forEach(s -> {
-            if (s.availability() == Availability.DELETED) {
+  private void take(CatalogList list, Listing listing) {
+    if (listing == Listing.COMPLETE) {
+      workers.keep(list.addresses().keySet());
+    }
+    list.servers()
+        .forEach(
+            s -> {
+              if (s.availability() == Availability.DELETED) {
                 workers.forget(s.id());
-            } else if (list.addresses().containsKey(s.id())) {
+              } else if (list.addresses().containsKey(s.id())) {
                 workers.address(s.id(), list.addresses().get(s.id()));
-            }
-            workers.draining(s.id(), s.availability() == Availability.STOPPING);
-        });
-        host.tell(new Servers(listing, list.servers()));
-    }
+              }
+              workers.draining(s.id(), s.availability() == Availability.STOPPING);
+            });
+    host.tell(new Servers(listing, list.servers()));
+  }
 
-    /** Takes up the addresses of a new configuration; the decisions keep what they know. */
-    void reload(PlatformConfig fresh) {
-        counter.moveTo(fresh.counter());
-        if (!fresh.discovery().equals(discovery)) {
-            follow(fresh.discovery());
-        }
-        LOG.info("new configuration: discovery {}, counter {}", fresh.discovery(), fresh.counter());
+  /** Takes up the addresses of a new configuration; the decisions keep what they know. */
+  void reload(PlatformConfig fresh) {
+    counter.moveTo(fresh.counter());
+    if (!fresh.discovery().equals(discovery)) {
+      follow(fresh.discovery());
     }
+    LOG.info("new configuration: discovery {}, counter {}", fresh.discovery(), fresh.counter());
+  }
 
-    ClientFront front() {
-        return front;
-    }
+  ClientFront front() {
+    return front;
+  }
 
-    GatekeeperHost host() {
-        return host;
-    }
+  GatekeeperHost host() {
+    return host;
+  }
 
-    /** One line every few seconds, whatever the load. */
-    private void report() {
-        alarms.after(REPORT_MICROS, () -> {
-            long late = clock.now() - reportAt - REPORT_MICROS;
-            LOG.info("open {}, clients {}, workers {}, loop {} ms late; {}", host.open(), front.connections(), workers.open(),
-                    late / 1_000, figures.take());
-            report();
+  /** One line every few seconds, whatever the load. */
+  private void report() {
+    alarms.after(
+        REPORT_MICROS,
+        () -> {
+          long late = clock.now() - reportAt - REPORT_MICROS;
+          LOG.info(
+              "open {}, clients {}, workers {}, loop {} ms late; {}",
+              host.open(),
+              front.connections(),
+              workers.open(),
+              late / 1_000,
+              figures.take());
+          report();
         });
-        reportAt = clock.now();
-    }
+    reportAt = clock.now();
+  }
 
-    private void sweep() {
-        workers.sweep();
-        alarms.after(SWEEP_MICROS, this::sweep);
-    }
+  private void sweep() {
+    workers.sweep();
+    alarms.after(SWEEP_MICROS, this::sweep);
+  }
 
-    void close() {
-        front.close();
-        counter.close();
-        workers.close();
-        catalogs.forEach(CatalogWatch::close);
-        alarms.close();
-    }
+  void close() {
+    front.close();
+    counter.close();
+    workers.close();
+    catalogs.forEach(CatalogWatch::close);
+    alarms.close();
+  }
 
-    @Override
-    public void count(Count count) {
-        counter.count(count);
-    }
+  @Override
+  public void count(Count count) {
+    counter.count(count);
+  }
 
-    @Override
-    public void tell(Tell tell) {
-        LOG.debug("the platform carries no messages between gatekeepers");
-    }
+  @Override
+  public void tell(Tell tell) {
+    LOG.debug("the platform carries no messages between gatekeepers");
+  }
 
-    @Override
-    public void watch() {
-        catalogs.getLast().start();
-    }
+  @Override
+  public void watch() {
+    catalogs.getLast().start();
+  }
 
-    @Override
-    public void fetch() {
-        catalogs.getLast().start();
-    }
+  @Override
+  public void fetch() {
+    catalogs.getLast().start();
+  }
 
-    @Override
-    public OpenAttempt attempt(OpenRequest request, int number, String server) {
-        return new WorkerCall(host, request, number, server, workers);
-    }
+  @Override
+  public OpenAttempt attempt(OpenRequest request, int number, String server) {
+    return new WorkerCall(host, request, number, server, workers);
+  }
 
-    @Override
-    public void probe(String server) {
-        host.tell(new Probed(server, 0, Result.UNUSED, Map.of()));
-    }
+  @Override
+  public void probe(String server) {
+    host.tell(new Probed(server, 0, Result.UNUSED, Map.of()));
+  }
 }
--- a/src/main/java/fawndock/platform/WorkerAnswer.java
+++ b/src/main/java/fawndock/platform/WorkerAnswer.java
@@ -8,53 +8,62 @@
 import java.util.Map;
 
 /**
- * What a worker's reply says, by the platform's table. A reply that is none of the table's is a failed attempt that may
- * have run; an unreadable load report or figure on use costs nothing but itself.
+ * What a worker's reply says, by the platform's table. A reply that is none of the table's is a
+ * failed attempt that may have run; an unreadable load report or figure on use costs nothing but
+ * itself.
  *
  * @param value what the client is served, or null
  * @param load the load report under the decisions' names
  * @param units the true units, or 0 where nothing is said
  * @param sound whether the connection is of further use
  */
-record WorkerAnswer(Result result, byte[] value, Map<String, Double> load, double units, boolean sound) {
-    private static final int PARTS = 3;
-    private static final int MOST_FIELDS = 32;
-    private static final WorkerAnswer SPOILT = new WorkerAnswer(Result.ERROR, null, Map.of(), 0, false);
+record WorkerAnswer(
+    Result result, byte[] value, Map<String, Double> load, double units, boolean sound) {
+  private static final int PARTS = 3;
+  private static final int MOST_FIELDS = 32;
+  private static final WorkerAnswer SPOILT =
+      new WorkerAnswer(Result.ERROR, null, Map.of(), 0, false);
 
-    static WorkerAnswer of(Reply reply) {
-        if (reply.isError()) {
-            String text = reply.text();
-            Map<String, Double> load = SettingsReader.load(figures(text.substring(text.lastIndexOf(' ') + 1)));
-            boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
-            // Only the error that the table names is known to leave the connection in order.
-            return busy ? new WorkerAnswer(Result.SHED, null, load, 0, true)
-                    : new WorkerAnswer(Result.ERROR, null, load, 0, text.startsWith("ERR "));
-        }
-        if (reply.parts() == null || reply.parts().size() != PARTS || !reply.parts().get(0).isBulk()) {
-            return SPOILT;
-        }
-        Map<String, Double> use = figures(reply.parts().get(1).text());
-        double units = use.getOrDefault("charged", use.getOrDefault("cost", 0.0));
-        return new WorkerAnswer(Result.OK, reply.parts().get(0).bytes(),
-                SettingsReader.load(figures(reply.parts().get(2).text())), Math.max(0, units), true);
+  static WorkerAnswer of(Reply reply) {
+    if (reply.isError()) {
+      String text = reply.text();
+      Map<String, Double> load =
+          SettingsReader.load(figures(text.substring(text.lastIndexOf(' ') + 1)));
+      boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
+      // Only the error that the table names is known to leave the connection in order.
+      return busy
+          ? new WorkerAnswer(Result.SHED, null, load, 0, true)
+          : new WorkerAnswer(Result.ERROR, null, load, 0, text.startsWith("ERR "));
+    }
+    if (reply.parts() == null || reply.parts().size() != PARTS || !reply.parts().get(0).isBulk()) {
+      return SPOILT;
     }
+    Map<String, Double> use = figures(reply.parts().get(1).text());
+    double units = use.getOrDefault("charged", use.getOrDefault("cost", 0.0));
+    return new WorkerAnswer(
+        Result.OK,
+        reply.parts().get(0).bytes(),
+        SettingsReader.load(figures(reply.parts().get(2).text())),
+        Math.max(0, units),
+        true);
+  }
 
-    /** Names and values that can be read, {@code name=1.5,other=2}; what cannot is left out. */
-    static Map<String, Double> figures(String text) {
-        Map<String, Double> read = new HashMap<>();
-        for (String pair : text.split(",", MOST_FIELDS)) {
-            int sign = pair.indexOf('=');
-            if (sign > 0) {
-                try {
-                    double value = Double.parseDouble(pair.substring(sign + 1));
-                    if (Double.isFinite(value) && value >= 0) {
-                        read.put(pair.substring(0, sign).trim().toLowerCase(Locale.ROOT), value);
-                    }
-                } catch (NumberFormatException e) {
-                    // Left out, as stated above.
-                }
-            }
+  /** Names and values that can be read, {@code name=1.5,other=2}; what cannot is left out. */
+  static Map<String, Double> figures(String text) {
+    Map<String, Double> read = new HashMap<>();
+    for (String pair : text.split(",", MOST_FIELDS)) {
+      int sign = pair.indexOf('=');
+      if (sign > 0) {
+        try {
+          double value = Double.parseDouble(pair.substring(sign + 1));
+          if (Double.isFinite(value) && value >= 0) {
+            read.put(pair.substring(0, sign).trim().toLowerCase(Locale.ROOT), value);
+          }
+        } catch (NumberFormatException e) {
+          // Left out, as stated above.
         }
-        return read;
+      }
     }
+    return read;
+  }
 }
--- a/src/main/java/fawndock/platform/WorkerCall.java
+++ b/src/main/java/fawndock/platform/WorkerCall.java
@@ -7,153 +7,166 @@
 import java.util.Map;
 
 /**
- * One attempt at a worker, on a connection that carries nothing else meanwhile: giving it up ends the connection, and
- * replies come in order. Whether it can have run goes by the platform's table: never before the last byte is written.
+ * One attempt at a worker, on a connection that carries nothing else meanwhile: giving it up ends
+ * the connection, and replies come in order. Whether it can have run goes by the platform's table:
+ * never before the last byte is written.
  */
 final class WorkerCall extends OpenAttempt {
-    /** Connections that may end under it before it is sent. */
-    private static final int MOST_AGAIN = 3;
-    private final WorkerPools pools;
-    private final PlatformExchange exchange;
-    private WorkerPools.Lease lease;
-    private int again;
-    private boolean sent;
-    private boolean written;
-    private long abandonAt;
-
-    WorkerCall(GatekeeperHost host, OpenRequest open, int number, String server, WorkerPools pools) {
-        super(host, open, number, server);
-        this.pools = pools;
-        this.exchange = (PlatformExchange) open.exchange;
-    }
-
-    @Override
-    protected void begin(long abandonAtMicros) {
-        abandonAt = abandonAtMicros;
-        pools.lease(server, this);
-    }
-
-    private void finish(Result how, Map<String, Double> load, double units) {
-        if (result() == null) {
-            pools.figures().attempt(server, how);
-            end(how, load, units);
-        }
-    }
-
-    private void finish(Result how) {
-        finish(how, Map.of(), 0);
-    }
-
-    /** Nobody has told the worker's address. */
-    void unknown() {
-        finish(Result.UNUSED);
-    }
-
-    /** There is a connection; returns whether it is wanted. */
-    boolean connected(WorkerPools.Lease ready) {
-        if (result() != null) {
-            return false;
-        }
-        lease = ready;
-        // After all that has come in this turn: a client that has closed by now has gone, and a connection that the
-        // worker has closed by now, or on which it sent a second copy, is of no use.
-        pools.later(this::write);
-        return true;
-    }
-
-    private void write() {
-        if (result() != null || lease == null || sent) {
-            return;
-        }
-        // What is left to the client as it is written, also on a connection that came up late.
-        long left = (abandonAt - host.clock().now()) / 1_000;
-        // A drain that was told between the choice of the worker and now: guards against a turn in which a request was
-        // read before the drain that lay there as long. May take a free attempt more; nothing was sent.
-        if (left <= 0 || pools.closedToNew(server)) {
-            leave(Result.UNUSED);
-            return;
-        }
-        sent = true;
-        lease.connection().write(exchange.command().toWorker(left), whole -> {
-            written |= whole;
-            if (!whole) {
+  /** Connections that may end under it before it is sent. */
+  private static final int MOST_AGAIN = 3;
+
+  private final WorkerPools pools;
+  private final PlatformExchange exchange;
+  private WorkerPools.Lease lease;
+  private int again;
+  private boolean sent;
+  private boolean written;
+  private long abandonAt;
+
+  WorkerCall(GatekeeperHost host, OpenRequest open, int number, String server, WorkerPools pools) {
+    super(host, open, number, server);
+    this.pools = pools;
+    this.exchange = (PlatformExchange) open.exchange;
+  }
+
+  @Override
+  protected void begin(long abandonAtMicros) {
+    abandonAt = abandonAtMicros;
+    pools.lease(server, this);
+  }
+
+  private void finish(Result how, Map<String, Double> load, double units) {
+    if (result() == null) {
+      pools.figures().attempt(server, how);
+      end(how, load, units);
+    }
+  }
+
+  private void finish(Result how) {
+    finish(how, Map.of(), 0);
+  }
+
+  /** Nobody has told the worker's address. */
+  void unknown() {
+    finish(Result.UNUSED);
+  }
+
+  /** There is a connection; returns whether it is wanted. */
+  boolean connected(WorkerPools.Lease ready) {
+    if (result() != null) {
+      return false;
+    }
+    lease = ready;
+    // After all that has come in this turn: a client that has closed by now has gone, and a
+    // connection that the
+    // worker has closed by now, or on which it sent a second copy, is of no use.
+    pools.later(this::write);
+    return true;
+  }
+
+  private void write() {
+    if (result() != null || lease == null || sent) {
+      return;
+    }
+    // What is left to the client as it is written, also on a connection that came up late.
+    long left = (abandonAt - host.clock().now()) / 1_000;
+    // A drain that was told between the choice of the worker and now: guards against a turn in
+    // which a request was
+    // read before the drain that lay there as long. May take a free attempt more; nothing was sent.
+    if (left <= 0 || pools.closedToNew(server)) {
+      leave(Result.UNUSED);
+      return;
+    }
+    sent = true;
+    lease
+        .connection()
+        .write(
+            exchange.command().toWorker(left),
+            whole -> {
+              written |= whole;
+              if (!whole) {
                 broken();
-            }
-        });
-    }
-
-    /** Whether its command was handed to the network, in part at least. */
-    boolean sent() {
-        return sent;
-    }
-
-    /** The connection it had is over, or of no use, before anything was sent: it gets another. */
-    private void again() {
-        lease = null;
-        if (++again > MOST_AGAIN) {
-            unconnected();
-        } else if (result() == null) {
-            pools.lease(server, this);
-        }
-    }
-
-    /** No connection came up. */
-    void unconnected() {
-        finish(Result.CONNECT_FAILED);
-    }
-
-    /** Its reply has come. */
-    void replied(WorkerAnswer answer) {
-        if (answer.result() == Result.OK && result() == null) {
-            host.deliver(open, this, () -> exchange.serve(answer.value()));
-        }
-        finish(answer.result(), answer.load(), answer.units());
-    }
-
-    /** What came cannot be read: where it was asked, the worker answered, and the work may have run. */
-    void spoilt() {
-        if (sent) {
-            finish(Result.ERROR);
-        } else {
-            again();
-        }
-    }
-
-    /** The connection broke. */
-    void broken() {
-        if (sent) {
-            finish(written ? Result.RESET : Result.CONNECT_FAILED);
-        } else {
-            again();
-        }
-    }
-
-    @Override
-    protected void abandoned() {
-        leave(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
-    }
-
-    @Override
-    public void cancel() {
-        leave(sent ? Result.CANCELLED : Result.UNUSED);
-    }
-
-    /** A client that has left has nothing begun for it any more, whatever the settings say of cancelling. */
-    @Override
-    public void leave() {
-        if (!sent) {
-            leave(Result.UNUSED);
-        }
-    }
-
-    private void leave(Result how) {
-        if (result() == null) {
-            if (lease != null && sent) {
-                lease.abandon();
-            } else if (lease != null) {
-                lease.rest();
-            }
-            finish(how);
-        }
-    }
+              }
+            });
+  }
+
+  /** Whether its command was handed to the network, in part at least. */
+  boolean sent() {
+    return sent;
+  }
+
+  /** The connection it had is over, or of no use, before anything was sent: it gets another. */
+  private void again() {
+    lease = null;
+    if (++again > MOST_AGAIN) {
+      unconnected();
+    } else if (result() == null) {
+      pools.lease(server, this);
+    }
+  }
+
+  /** No connection came up. */
+  void unconnected() {
+    finish(Result.CONNECT_FAILED);
+  }
+
+  /** Its reply has come. */
+  void replied(WorkerAnswer answer) {
+    if (answer.result() == Result.OK && result() == null) {
+      host.deliver(open, this, () -> exchange.serve(answer.value()));
+    }
+    finish(answer.result(), answer.load(), answer.units());
+  }
+
+  /**
+   * What came cannot be read: where it was asked, the worker answered, and the work may have run.
+   */
+  void spoilt() {
+    if (sent) {
+      finish(Result.ERROR);
+    } else {
+      again();
+    }
+  }
+
+  /** The connection broke. */
+  void broken() {
+    if (sent) {
+      finish(written ? Result.RESET : Result.CONNECT_FAILED);
+    } else {
+      again();
+    }
+  }
+
+  @Override
+  protected void abandoned() {
+    leave(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
+  }
+
+  @Override
+  public void cancel() {
+    leave(sent ? Result.CANCELLED : Result.UNUSED);
+  }
+
+  /**
+   * A client that has left has nothing begun for it any more, whatever the settings say of
+   * cancelling.
+   */
+  @Override
+  public void leave() {
+    if (!sent) {
+      leave(Result.UNUSED);
+    }
+  }
+
+  private void leave(Result how) {
+    if (result() == null) {
+      if (lease != null && sent) {
+        lease.abandon();
+      } else if (lease != null) {
+        lease.rest();
+      }
+      finish(how);
+    }
+  }
 }
--- a/src/main/java/fawndock/ratelimit/RateLimitNode.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitNode.java
@@ -28,80 +28,121 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The rate limit service on an event loop of its own, so that its floods do not hold up requests that are passed on. */
+/**
+ * The rate limit service on an event loop of its own, so that its floods do not hold up requests
+ * that are passed on.
+ */
 public final class RateLimitNode extends VerticleBase {
-    /** How it is called. */
-    public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT = ServiceMethod.server(
-            ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"), "ShouldRateLimit",
-            GrpcMessageEncoder.encoder(), GrpcMessageDecoder.decoder(RateLimitRequest.newBuilder()));
-    private static final Logger LOG = LoggerFactory.getLogger(RateLimitNode.class);
-    private static final long LARGEST = 64 << 10;
-    private static final int MOST_DESCRIPTORS = 64;
-    private static final long DEFAULT_MILLIS = 1_000;
-    private final DaemonSettings settings;
-    private final Function<Gatekeeper.Settings, Gatekeeper> maker;
-    private final Mapping mapping;
-    private final Map<String, Plan> plans = new HashMap<>();
-    private QuotaHost quotas;
-    private HttpServer server;
+  /** How it is called. */
+  public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
+      ServiceMethod.server(
+          ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
+          "ShouldRateLimit",
+          GrpcMessageEncoder.encoder(),
+          GrpcMessageDecoder.decoder(RateLimitRequest.newBuilder()));
 
-    /** @param maker makes the decisions from the settings */
-    public RateLimitNode(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
-        this.settings = settings;
-        this.maker = maker;
-        this.mapping = new Mapping(settings.rateLimit().descriptors());
-        settings.plans().forEach(p -> plans.put(p.name(), p));
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(RateLimitNode.class);
+  private static final long LARGEST = 64 << 10;
+  private static final int MOST_DESCRIPTORS = 64;
+  private static final long DEFAULT_MILLIS = 1_000;
+  private final DaemonSettings settings;
+  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final Mapping mapping;
+  private final Map<String, Plan> plans = new HashMap<>();
+  private QuotaHost quotas;
+  private HttpServer server;
 
-    @Override
-    public Future<?> start() {
-        quotas = new QuotaHost(vertx, context, settings, settings.first(), maker);
-        GrpcServer grpc = GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(LARGEST));
-        grpc.callHandler(SHOULD_RATE_LIMIT, call -> call.handler(asked -> asked(call, asked)));
-        server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true).setTcpNoDelay(true))
-                .requestHandler(grpc);
-        return server.listen(settings.rateLimit().listen().port(), settings.rateLimit().listen().host()).onSuccess(s ->
-                LOG.info("rate limit service listens on {}:{}", settings.rateLimit().listen().host(), s.actualPort()));
-    }
+  /**
+   * @param maker makes the decisions from the settings
+   */
+  public RateLimitNode(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
+    this.settings = settings;
+    this.maker = maker;
+    this.mapping = new Mapping(settings.rateLimit().descriptors());
+    settings.plans().forEach(p -> plans.put(p.name(), p));
+  }
 
-    /** Where it listens. */
-    public int port() {
-        return server.actualPort();
-    }
+  @Override
+  public Future<?> start() {
+    quotas = new QuotaHost(vertx, context, settings, settings.first(), maker);
+    GrpcServer grpc = GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(LARGEST));
+    grpc.callHandler(SHOULD_RATE_LIMIT, call -> call.handler(asked -> asked(call, asked)));
+    server =
+        vertx
+            .createHttpServer(
+                new HttpServerOptions().setHttp2ClearTextEnabled(true).setTcpNoDelay(true))
+            .requestHandler(grpc);
+    return server
+        .listen(settings.rateLimit().listen().port(), settings.rateLimit().listen().host())
+        .onSuccess(
+            s ->
+                LOG.info(
+                    "rate limit service listens on {}:{}",
+                    settings.rateLimit().listen().host(),
+                    s.actualPort()));
+  }
 
-    @Override
-    public Future<?> stop() {
-        quotas.close();
-        return server.close();
-    }
+  /** Where it listens. */
+  public int port() {
+    return server.actualPort();
+  }
 
-    private void asked(GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest asked) {
-        List<Meaning> meanings = new ArrayList<>();
-        try {
-            if (asked.getDomain().isEmpty() || asked.getDescriptorsCount() == 0 || asked.getDescriptorsCount() > MOST_DESCRIPTORS) {
-                throw new IllegalArgumentException("a domain and 1 to " + MOST_DESCRIPTORS + " descriptors are expected, there are "
-                        + asked.getDescriptorsCount() + " in domain '" + asked.getDomain() + "'");
-            }
-            for (RateLimitDescriptor each : asked.getDescriptorsList()) {
-                if (each.hasLimit()) {
-                    throw new IllegalArgumentException("a descriptor overrides its limit; limits are those of the plans");
-                }
-                meanings.add(mapping.of(asked.getDomain(), each.getEntriesList().stream().map(e -> Map.entry(e.getKey(),
-                        e.getValue())).toList(), each.hasHitsAddend() ? each.getHitsAddend().getValue() : asked.getHitsAddend()));
-            }
-        } catch (IllegalArgumentException e) {
-            call.response().status(GrpcStatus.INVALID_ARGUMENT).statusMessage(e.getMessage()).end();
-            return;
+  @Override
+  public Future<?> stop() {
+    quotas.close();
+    return server.close();
+  }
+
+  private void asked(
+      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest asked) {
+    List<Meaning> meanings = new ArrayList<>();
+    try {
+      if (asked.getDomain().isEmpty()
+          || asked.getDescriptorsCount() == 0
+          || asked.getDescriptorsCount() > MOST_DESCRIPTORS) {
+        throw new IllegalArgumentException(
+            "a domain and 1 to "
+                + MOST_DESCRIPTORS
+                + " descriptors are expected, there are "
+                + asked.getDescriptorsCount()
+                + " in domain '"
+                + asked.getDomain()
+                + "'");
+      }
+      for (RateLimitDescriptor each : asked.getDescriptorsList()) {
+        if (each.hasLimit()) {
+          throw new IllegalArgumentException(
+              "a descriptor overrides its limit; limits are those of the plans");
         }
-        long millis = call.timeout() > 0 ? call.timeout() : DEFAULT_MILLIS;
-        Batch batch = new Batch(plans, meanings, quotas, answer -> {
-            if (answer == null) {
-                call.response().status(GrpcStatus.UNAVAILABLE).statusMessage("not decided in time").end();
-            } else {
-                call.response().end(answer);
-            }
-        });
-        call.exceptionHandler(e -> batch.leave());
-        batch.ask(Math.max(1, millis) * 1_000);
+        meanings.add(
+            mapping.of(
+                asked.getDomain(),
+                each.getEntriesList().stream()
+                    .map(e -> Map.entry(e.getKey(), e.getValue()))
+                    .toList(),
+                each.hasHitsAddend() ? each.getHitsAddend().getValue() : asked.getHitsAddend()));
+      }
+    } catch (IllegalArgumentException e) {
+      call.response().status(GrpcStatus.INVALID_ARGUMENT).statusMessage(e.getMessage()).end();
+      return;
     }
+    long millis = call.timeout() > 0 ? call.timeout() : DEFAULT_MILLIS;
+    Batch batch =
+        new Batch(
+            plans,
+            meanings,
+            quotas,
+            answer -> {
+              if (answer == null) {
+                call.response()
+                    .status(GrpcStatus.UNAVAILABLE)
+                    .statusMessage("not decided in time")
+                    .end();
+              } else {
+                call.response().end(answer);
+              }
+            });
+    call.exceptionHandler(e -> batch.leave());
+    batch.ask(Math.max(1, millis) * 1_000);
+  }
 }
--- a/src/main/java/fawndock/resp/Reply.java
+++ b/src/main/java/fawndock/resp/Reply.java
@@ -7,22 +7,23 @@
  * One reply.
  *
  * @param type {@code +}, {@code -}, {@code :}, {@code $} or {@code *}
- * @param bytes the text of a line or a bulk string; null for a null bulk string, an array and a null array
+ * @param bytes the text of a line or a bulk string; null for a null bulk string, an array and a
+ *     null array
  * @param parts an array's elements, or null
  */
 public record Reply(char type, byte[] bytes, List<Reply> parts) {
-    /** Its text; empty where there is none. */
-    public String text() {
-        return bytes == null ? "" : new String(bytes, StandardCharsets.UTF_8);
-    }
+  /** Its text; empty where there is none. */
+  public String text() {
+    return bytes == null ? "" : new String(bytes, StandardCharsets.UTF_8);
+  }
 
-    /** Whether it is a bulk string that is not null. */
-    public boolean isBulk() {
-        return type == '$' && bytes != null;
-    }
+  /** Whether it is a bulk string that is not null. */
+  public boolean isBulk() {
+    return type == '$' && bytes != null;
+  }
 
-    /** Whether it is an error line. */
-    public boolean isError() {
-        return type == '-';
-    }
+  /** Whether it is an error line. */
+  public boolean isError() {
+    return type == '-';
+  }
 }
--- a/src/main/java/fawndock/settings/Args.java
+++ b/src/main/java/fawndock/settings/Args.java
@@ -7,152 +7,167 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** The arguments of one line: some by place, then pairs of a name and a value. Notes every mistake it meets. */
+/**
+ * The arguments of one line: some by place, then pairs of a name and a value. Notes every mistake
+ * it meets.
+ */
 public final class Args {
-    private final Line line;
-    private final List<Mistake> mistakes;
-    private final List<String> placed = new ArrayList<>();
-    private final Map<String, String> named = new LinkedHashMap<>();
-    private final int before;
-
-    /** Takes a line whose first {@code places} arguments go by place; {@code form} shows how it is written. */
-    Args(Line line, int places, String form, List<Mistake> mistakes) {
-        this.line = line;
-        this.mistakes = mistakes;
-        this.before = mistakes.size();
-        List<String> words = line.words();
-        if (words.size() - 1 < places) {
-            wrong(line.keyword() + " has " + (words.size() - 1) + " arguments", form);
-            return;
-        }
-        placed.addAll(words.subList(1, 1 + places));
-        for (int i = 1 + places; i < words.size(); i += 2) {
-            if (i + 1 == words.size()) {
-                wrong("'" + words.get(i) + "' has no value", form);
-            } else if (named.put(words.get(i), words.get(i + 1)) != null) {
-                wrong("'" + words.get(i) + "' is given twice", "each name once");
-            }
-        }
-    }
-
-    /** Whether this line's arguments are all there and nothing was found wrong with them so far. */
-    public boolean good() {
-        return mistakes.size() == before;
-    }
-
-    public void wrong(String wrong, String expected) {
-        mistakes.add(new Mistake(line.file(), line.number(), wrong, expected));
-    }
-
-    public String place(int i) {
-        return i < placed.size() ? placed.get(i) : "";
-    }
-
-    public long time(String name, long least, long most, long otherwise) {
-        String text = named.remove(name);
-        return text == null ? otherwise : timeOf(name, text, least, most, otherwise);
-    }
-
-    public long timeOf(String name, String text, long least, long most, long otherwise) {
-        OptionalLong micros = Units.time(text);
-        if (micros.isEmpty() || micros.getAsLong() < least || micros.getAsLong() > most) {
-            wrong(name + " '" + text + "' is not a time in range", "a number and us, ms, s, m or h, from " + least
-                    + "us to " + most + "us");
-            return otherwise;
-        }
-        return micros.getAsLong();
-    }
-
-    public long sizeOf(String name, String text, long most) {
-        OptionalLong bytes = Units.size(text);
-        if (bytes.isEmpty() || bytes.getAsLong() > most) {
-            wrong(name + " '" + text + "' is not a size in range", "bytes, or a number and KiB or MiB, at most "
-                    + most);
-            return 0;
-        }
-        return bytes.getAsLong();
-    }
-
-    public double number(String name, double least, double most, double otherwise) {
-        String text = named.remove(name);
-        return text == null ? otherwise : numberOf(name, text, least, most, otherwise);
-    }
-
-    public double numberOf(String name, String text, double least, double most, double otherwise) {
-        try {
-            double value = Double.parseDouble(text);
-            if (value >= least && value <= most) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // Told below.
-        }
-        wrong(name + " '" + text + "' is not a number in range", "from " + least + " to " + most);
-        return otherwise;
-    }
-
-    public int whole(String name, int least, int most, int otherwise) {
-        String text = named.remove(name);
-        return text == null ? otherwise : wholeOf(name, text, least, most, otherwise);
-    }
-
-    public int wholeOf(String name, String text, int least, int most, int otherwise) {
-        if (text.matches("[0-9]{1,9}") && Integer.parseInt(text) >= least && Integer.parseInt(text) <= most) {
-            return Integer.parseInt(text);
-        }
-        wrong(name + " '" + text + "' is not a whole number in range", "from " + least + " to " + most);
-        return otherwise;
-    }
-
-    public boolean flag(String name, boolean otherwise) {
-        String text = named.remove(name);
-        if (text == null || text.equals("yes") || text.equals("no")) {
-            return text == null ? otherwise : text.equals("yes");
-        }
-        wrong(name + " '" + text + "'", "yes or no");
-        return otherwise;
-    }
-
-    public String word(String name, String otherwise) {
-        String text = named.remove(name);
-        return text == null ? otherwise : text;
-    }
-
-    public <T extends Enum<T>> T oneOf(String name, Class<T> type, T otherwise) {
-        String text = named.remove(name);
-        if (text == null) {
-            return otherwise;
-        }
-        List<String> words = new ArrayList<>();
-        for (T each : type.getEnumConstants()) {
-            String word = each.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            if (word.equals(text)) {
-                return each;
-            }
-            words.add(word);
-        }
-        wrong(name + " '" + text + "'", String.join(" or ", words));
-        return otherwise;
-    }
-
-    /** The address in a place; one of no host when the line is wrong. */
-    public Address address(int place) {
-        return good() ? addressOf(place(place)) : new Address("", 0);
-    }
-
-    public Address addressOf(String text) {
-        Address address = Address.read(text);
-        if (address == null) {
-            wrong("'" + text + "' is not an address", "HOST:PORT");
-            return new Address("", 0);
-        }
-        return address;
-    }
-
-    /** Notes the names that nobody asked for. */
-    public void finish() {
-        named.keySet().forEach(name -> wrong("unknown argument '" + name + "' of " + line.keyword(),
-                "an argument that the manual names"));
-        named.clear();
-    }
+  private final Line line;
+  private final List<Mistake> mistakes;
+  private final List<String> placed = new ArrayList<>();
+  private final Map<String, String> named = new LinkedHashMap<>();
+  private final int before;
+
+  /**
+   * Takes a line whose first {@code places} arguments go by place; {@code form} shows how it is
+   * written.
+   */
+  Args(Line line, int places, String form, List<Mistake> mistakes) {
+    this.line = line;
+    this.mistakes = mistakes;
+    this.before = mistakes.size();
+    List<String> words = line.words();
+    if (words.size() - 1 < places) {
+      wrong(line.keyword() + " has " + (words.size() - 1) + " arguments", form);
+      return;
+    }
+    placed.addAll(words.subList(1, 1 + places));
+    for (int i = 1 + places; i < words.size(); i += 2) {
+      if (i + 1 == words.size()) {
+        wrong("'" + words.get(i) + "' has no value", form);
+      } else if (named.put(words.get(i), words.get(i + 1)) != null) {
+        wrong("'" + words.get(i) + "' is given twice", "each name once");
+      }
+    }
+  }
+
+  /** Whether this line's arguments are all there and nothing was found wrong with them so far. */
+  public boolean good() {
+    return mistakes.size() == before;
+  }
+
+  public void wrong(String wrong, String expected) {
+    mistakes.add(new Mistake(line.file(), line.number(), wrong, expected));
+  }
+
+  public String place(int i) {
+    return i < placed.size() ? placed.get(i) : "";
+  }
+
+  public long time(String name, long least, long most, long otherwise) {
+    String text = named.remove(name);
+    return text == null ? otherwise : timeOf(name, text, least, most, otherwise);
+  }
+
+  public long timeOf(String name, String text, long least, long most, long otherwise) {
+    OptionalLong micros = Units.time(text);
+    if (micros.isEmpty() || micros.getAsLong() < least || micros.getAsLong() > most) {
+      wrong(
+          name + " '" + text + "' is not a time in range",
+          "a number and us, ms, s, m or h, from " + least + "us to " + most + "us");
+      return otherwise;
+    }
+    return micros.getAsLong();
+  }
+
+  public long sizeOf(String name, String text, long most) {
+    OptionalLong bytes = Units.size(text);
+    if (bytes.isEmpty() || bytes.getAsLong() > most) {
+      wrong(
+          name + " '" + text + "' is not a size in range",
+          "bytes, or a number and KiB or MiB, at most " + most);
+      return 0;
+    }
+    return bytes.getAsLong();
+  }
+
+  public double number(String name, double least, double most, double otherwise) {
+    String text = named.remove(name);
+    return text == null ? otherwise : numberOf(name, text, least, most, otherwise);
+  }
+
+  public double numberOf(String name, String text, double least, double most, double otherwise) {
+    try {
+      double value = Double.parseDouble(text);
+      if (value >= least && value <= most) {
+        return value;
+      }
+    } catch (NumberFormatException e) {
+      // Told below.
+    }
+    wrong(name + " '" + text + "' is not a number in range", "from " + least + " to " + most);
+    return otherwise;
+  }
+
+  public int whole(String name, int least, int most, int otherwise) {
+    String text = named.remove(name);
+    return text == null ? otherwise : wholeOf(name, text, least, most, otherwise);
+  }
+
+  public int wholeOf(String name, String text, int least, int most, int otherwise) {
+    if (text.matches("[0-9]{1,9}")
+        && Integer.parseInt(text) >= least
+        && Integer.parseInt(text) <= most) {
+      return Integer.parseInt(text);
+    }
+    wrong(name + " '" + text + "' is not a whole number in range", "from " + least + " to " + most);
+    return otherwise;
+  }
+
+  public boolean flag(String name, boolean otherwise) {
+    String text = named.remove(name);
+    if (text == null || text.equals("yes") || text.equals("no")) {
+      return text == null ? otherwise : text.equals("yes");
+    }
+    wrong(name + " '" + text + "'", "yes or no");
+    return otherwise;
+  }
+
+  public String word(String name, String otherwise) {
+    String text = named.remove(name);
+    return text == null ? otherwise : text;
+  }
+
+  public <T extends Enum<T>> T oneOf(String name, Class<T> type, T otherwise) {
+    String text = named.remove(name);
+    if (text == null) {
+      return otherwise;
+    }
+    List<String> words = new ArrayList<>();
+    for (T each : type.getEnumConstants()) {
+      String word = each.name().toLowerCase(Locale.ROOT).replace('_', '-');
+      if (word.equals(text)) {
+        return each;
+      }
+      words.add(word);
+    }
+    wrong(name + " '" + text + "'", String.join(" or ", words));
+    return otherwise;
+  }
+
+  /** The address in a place; one of no host when the line is wrong. */
+  public Address address(int place) {
+    return good() ? addressOf(place(place)) : new Address("", 0);
+  }
+
+  public Address addressOf(String text) {
+    Address address = Address.read(text);
+    if (address == null) {
+      wrong("'" + text + "' is not an address", "HOST:PORT");
+      return new Address("", 0);
+    }
+    return address;
+  }
+
+  /** Notes the names that nobody asked for. */
+  public void finish() {
+    named
+        .keySet()
+        .forEach(
+            name ->
+                wrong(
+                    "unknown argument '" + name + "' of " + line.keyword(),
+                    "an argument that the manual names"));
+    named.clear();
+  }
 }
--- a/src/main/java/fawndock/settings/DaemonSettings.java
+++ b/src/main/java/fawndock/settings/DaemonSettings.java
@@ -29,71 +29,113 @@
  * @param log how it is logged
  * @param rateLimit the gRPC rate limit service
  */
-public record DaemonSettings(Address listen, int instances, int first, int fleet, long seed, String zone,
-                             List<RequestClass> classes, List<Plan> plans, Map<String, Key> keys,
-                             List<Route> routes, Limits limits, Rules rules, CounterParts counter,
-                             RosterSource roster, Peers peers, Http http, Log log, RateLimit rateLimit) {
+public record DaemonSettings(
+    Address listen,
+    int instances,
+    int first,
+    int fleet,
+    long seed,
+    String zone,
+    List<RequestClass> classes,
+    List<Plan> plans,
+    Map<String, Key> keys,
+    List<Route> routes,
+    Limits limits,
+    Rules rules,
+    CounterParts counter,
+    RosterSource roster,
+    Peers peers,
+    Http http,
+    Log log,
+    RateLimit rateLimit) {
 
-    /** Whom a key belongs to, and which instances that customer's requests come through: all when spread is 0. */
-    public record Key(String customer, String plan, int first, int spread) {
-    }
+  /**
+   * Whom a key belongs to, and which instances that customer's requests come through: all when
+   * spread is 0.
+   */
+  public record Key(String customer, String plan, int first, int spread) {}
 
-    /** Requests of this method ({@code *} for any) whose path starts with the prefix are of the class. */
-    public record Route(String method, String prefix, String requestClass) {
-        /** Whether a request is this route's: the prefix ends where a path segment ends. */
-        public boolean matches(String method, String path) {
-            return (this.method.equals("*") || this.method.equals(method)) && path.startsWith(prefix)
-                    && (prefix.endsWith("/") || path.length() == prefix.length()
-                    || path.charAt(prefix.length()) == '/');
-        }
+  /**
+   * Requests of this method ({@code *} for any) whose path starts with the prefix are of the class.
+   */
+  public record Route(String method, String prefix, String requestClass) {
+    /** Whether a request is this route's: the prefix ends where a path segment ends. */
+    public boolean matches(String method, String path) {
+      return (this.method.equals("*") || this.method.equals(method))
+          && path.startsWith(prefix)
+          && (prefix.endsWith("/")
+              || path.length() == prefix.length()
+              || path.charAt(prefix.length()) == '/');
     }
+  }
 
-    /**
-     * The parts of the counter service, in an order that all gatekeepers share, each with its own counts; or nodes that
-     * stand in for each other, by names that all gatekeepers share. Both empty is no counter.
-     */
-    public record CounterParts(List<Address> parts, Map<String, Address> nodes, long timeoutMicros, boolean settled,
-                               int maxCalls) {
-        /** Whether there is no counter. */
-        public boolean none() {
-            return parts.isEmpty() && nodes.isEmpty();
-        }
-
+  /**
+   * The parts of the counter service, in an order that all gatekeepers share, each with its own
+   * counts; or nodes that stand in for each other, by names that all gatekeepers share. Both empty
+   * is no counter.
+   */
+  public record CounterParts(
+      List<Address> parts,
+      Map<String, Address> nodes,
+      long timeoutMicros,
+      boolean settled,
+      int maxCalls) {
+    /** Whether there is no counter. */
+    public boolean none() {
+      return parts.isEmpty() && nodes.isEmpty();
     }
+  }
 
-    /** The roster, and the servers known before it is heard; silence for longer than this is a loss. */
-    public record RosterSource(Address address, long silenceMicros, boolean mustAsk, List<FixedServer> fixed) {
-    }
+  /**
+   * The roster, and the servers known before it is heard; silence for longer than this is a loss.
+   */
+  public record RosterSource(
+      Address address, long silenceMicros, boolean mustAsk, List<FixedServer> fixed) {}
 
-    /** A server named in the settings. */
-    public record FixedServer(String id, Address address, String zone, int cell, double weight) {
-    }
+  /** A server named in the settings. */
+  public record FixedServer(String id, Address address, String zone, int cell, double weight) {}
 
-    /** The fellow gatekeepers by their numbers, and where this process hears them; {@code intake} a second. */
-    public record Peers(Address listen, Map<Integer, Address> others, int intake) {
-    }
+  /**
+   * The fellow gatekeepers by their numbers, and where this process hears them; {@code intake} a
+   * second.
+   */
+  public record Peers(Address listen, Map<Integer, Address> others, int intake) {}
 
-    /** Names of the header fields, sizes in bytes, and times. */
-    public record Http(String keyHeader, String deadlineHeader, String attemptHeader, String unitsHeader,
-                       double mostUnits, int bodyLimit, int answerLimit, int connectionsPerServer,
-                       int streamsPerConnection, long connectMicros, long stopMicros, int maxConnections) {
-    }
+  /** Names of the header fields, sizes in bytes, and times. */
+  public record Http(
+      String keyHeader,
+      String deadlineHeader,
+      String attemptHeader,
+      String unitsHeader,
+      double mostUnits,
+      int bodyLimit,
+      int answerLimit,
+      int connectionsPerServer,
+      int streamsPerConnection,
+      long connectMicros,
+      long stopMicros,
+      int maxConnections) {}
 
-    /** Text or JSON lines, and the level: error, warn, info or debug. */
-    public record Log(boolean json, String level) {
-    }
+  /** Text or JSON lines, and the level: error, warn, info or debug. */
+  public record Log(boolean json, String level) {}
 
-    /** Where the rate limit service listens, null for none, and what its descriptors mean, the first that fits. */
-    public record RateLimit(Address listen, List<Descriptor> descriptors) {
-    }
+  /**
+   * Where the rate limit service listens, null for none, and what its descriptors mean, the first
+   * that fits.
+   */
+  public record RateLimit(Address listen, List<Descriptor> descriptors) {}
 
-    /**
-     * What a descriptor of a domain means.
-     *
-     * @param entries its keys in order, each with its value, {@code *} for any
-     * @param customer a name, or the value of the entry whose key stands in braces
-     */
-    public record Descriptor(String domain, List<Map.Entry<String, String>> entries, String customer, String plan,
-                             String requestClass, double units) {
-    }
+  /**
+   * What a descriptor of a domain means.
+   *
+   * @param entries its keys in order, each with its value, {@code *} for any
+   * @param customer a name, or the value of the entry whose key stands in braces
+   */
+  public record Descriptor(
+      String domain,
+      List<Map.Entry<String, String>> entries,
+      String customer,
+      String plan,
+      String requestClass,
+      double units) {}
 }
--- a/src/main/java/fawndock/settings/Line.java
+++ b/src/main/java/fawndock/settings/Line.java
@@ -4,7 +4,7 @@
 
 /** One line that says something: its first word is the keyword, the others its arguments. */
 public record Line(String file, int number, List<String> words) {
-    public String keyword() {
-        return words.get(0);
-    }
+  public String keyword() {
+    return words.get(0);
+  }
 }
--- a/src/main/java/fawndock/settings/Mistake.java
+++ b/src/main/java/fawndock/settings/Mistake.java
@@ -9,8 +9,8 @@
  * @param expected what would be right
  */
 public record Mistake(String file, int line, String wrong, String expected) {
-    @Override
-    public String toString() {
-        return file + ":" + line + ": " + wrong + ", expected " + expected;
-    }
+  @Override
+  public String toString() {
+    return file + ":" + line + ": " + wrong + ", expected " + expected;
+  }
 }
--- a/src/main/java/fawndock/settings/SettingsException.java
+++ b/src/main/java/fawndock/settings/SettingsException.java
@@ -5,16 +5,16 @@
 
 /** Settings that cannot be used, with all that is wrong with them. */
 public final class SettingsException extends Exception {
-    private static final long serialVersionUID = 1;
-    private final transient List<Mistake> mistakes;
+  private static final long serialVersionUID = 1;
+  private final transient List<Mistake> mistakes;
 
-    SettingsException(List<Mistake> mistakes) {
-        super(mistakes.stream().map(Mistake::toString).collect(Collectors.joining("\n")));
-        this.mistakes = List.copyOf(mistakes);
-    }
+  SettingsException(List<Mistake> mistakes) {
+    super(mistakes.stream().map(Mistake::toString).collect(Collectors.joining("\n")));
+    this.mistakes = List.copyOf(mistakes);
+  }
 
-    /** Every mistake found, in the order of files and lines. */
-    public List<Mistake> mistakes() {
-        return mistakes;
-    }
+  /** Every mistake found, in the order of files and lines. */
+  public List<Mistake> mistakes() {
+    return mistakes;
+  }
 }
--- a/src/main/java/fawndock/settings/Units.java
+++ b/src/main/java/fawndock/settings/Units.java
@@ -8,32 +8,48 @@
 
 /** Times and sizes as people write them. */
 final class Units {
-    private static final Pattern NUMBER_UNIT = Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?)([a-zA-Z]*)");
-    private static final Map<String, Long> TIMES = Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L,
-            "m", 60_000_000L, "h", 3_600_000_000L);
-    private static final Map<String, Long> SIZES = Map.of("", 1L, "B", 1L, "KiB", 1L << 10, "MiB", 1L << 20,
-            "GiB", 1L << 30, "kB", 1_000L, "MB", 1_000_000L);
+  private static final Pattern NUMBER_UNIT =
+      Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?)([a-zA-Z]*)");
+  private static final Map<String, Long> TIMES =
+      Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L);
+  private static final Map<String, Long> SIZES =
+      Map.of(
+          "",
+          1L,
+          "B",
+          1L,
+          "KiB",
+          1L << 10,
+          "MiB",
+          1L << 20,
+          "GiB",
+          1L << 30,
+          "kB",
+          1_000L,
+          "MB",
+          1_000_000L);
 
-    private Units() {
-    }
+  private Units() {}
 
-    /** Microseconds, or empty when it is not a time with a unit. */
-    static OptionalLong time(String text) {
-        return scaled(text, TIMES);
-    }
+  /** Microseconds, or empty when it is not a time with a unit. */
+  static OptionalLong time(String text) {
+    return scaled(text, TIMES);
+  }
 
-    /** Bytes, or empty when it is not a size. */
-    static OptionalLong size(String text) {
-        return scaled(text, SIZES);
-    }
+  /** Bytes, or empty when it is not a size. */
+  static OptionalLong size(String text) {
+    return scaled(text, SIZES);
+  }
 
-    private static OptionalLong scaled(String text, Map<String, Long> units) {
-        Matcher m = NUMBER_UNIT.matcher(text);
-        if (!m.matches() || !units.containsKey(m.group(2))) {
-            return OptionalLong.empty();
-        }
-        BigDecimal value = new BigDecimal(m.group(1)).multiply(BigDecimal.valueOf(units.get(m.group(2))));
-        return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0 ? OptionalLong.empty()
-                : OptionalLong.of(value.longValue());
+  private static OptionalLong scaled(String text, Map<String, Long> units) {
+    Matcher m = NUMBER_UNIT.matcher(text);
+    if (!m.matches() || !units.containsKey(m.group(2))) {
+      return OptionalLong.empty();
     }
+    BigDecimal value =
+        new BigDecimal(m.group(1)).multiply(BigDecimal.valueOf(units.get(m.group(2))));
+    return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0
+        ? OptionalLong.empty()
+        : OptionalLong.of(value.longValue());
+  }
 }
--- a/src/main/java/fawndock/standin/CatalogStandIn.java
+++ b/src/main/java/fawndock/standin/CatalogStandIn.java
@@ -10,101 +10,115 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The platform's catalog on a free loopback port: the whole list, and a watch that goes on with lines told to it. */
+/**
+ * The platform's catalog on a free loopback port: the whole list, and a watch that goes on with
+ * lines told to it.
+ */
 public final class CatalogStandIn extends Listener {
-    private final Set<OutputStream> watches = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger watched = new AtomicInteger();
-    private final Object voice = new Object();
-    private boolean silent;
-    private volatile String whole;
+  private final Set<OutputStream> watches = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger watched = new AtomicInteger();
+  private final Object voice = new Object();
+  private boolean silent;
+  private volatile String whole;
 
-    /** Serves this whole list, a JSON object. */
-    public CatalogStandIn(String whole) throws IOException {
-        this.whole = whole;
-        begin();
-    }
+  /** Serves this whole list, a JSON object. */
+  public CatalogStandIn(String whole) throws IOException {
+    this.whole = whole;
+    begin();
+  }
 
-    /** A list as the catalog writes it: an id, an address and a status for each worker. */
-    public static String list(long index, boolean whole, String... workers) {
-        StringBuilder text = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
-        for (int i = 0; i + 2 < workers.length; i += 3) {
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"").append(workers[i]).append("\",\"address\":\"")
-                    .append(workers[i + 1]).append("\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"")
-                    .append(workers[i + 2]).append("\",\"weight\":1.0,\"since_ms\":0}");
-        }
-        return text.append("]}").toString();
+  /** A list as the catalog writes it: an id, an address and a status for each worker. */
+  public static String list(long index, boolean whole, String... workers) {
+    StringBuilder text =
+        new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
+    for (int i = 0; i + 2 < workers.length; i += 3) {
+      text.append(i == 0 ? "" : ",")
+          .append("{\"name\":\"")
+          .append(workers[i])
+          .append("\",\"address\":\"")
+          .append(workers[i + 1])
+          .append("\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"")
+          .append(workers[i + 2])
+          .append("\",\"weight\":1.0,\"since_ms\":0}");
     }
+    return text.append("]}").toString();
+  }
 
-    @Override
-    void serve(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        OutputStream out = socket.getOutputStream();
-        String asked = in.readLine();
-        for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-            // The header fields say nothing of use.
-        }
-        synchronized (voice) {
-            while (silent) {
-                try {
-                    voice.wait();
-                } catch (InterruptedException e) {
-                    return;
-                }
-            }
-        }
-        if (asked != null && asked.contains("stream=1")) {
-            send(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            watches.add(out);
-            watched.incrementAndGet();
-            in.readLine(); // Until the other side has left.
-        } else if (asked != null) {
-            String body = whole;
-            send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+  @Override
+  void serve(Socket socket) throws IOException {
+    BufferedReader in =
+        new BufferedReader(
+            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+    OutputStream out = socket.getOutputStream();
+    String asked = in.readLine();
+    for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+      // The header fields say nothing of use.
+    }
+    synchronized (voice) {
+      while (silent) {
+        try {
+          voice.wait();
+        } catch (InterruptedException e) {
+          return;
         }
+      }
     }
-
-    private static void send(OutputStream out, String text) throws IOException {
-        out.write(text.getBytes(StandardCharsets.ISO_8859_1));
-        out.flush();
+    if (asked != null && asked.contains("stream=1")) {
+      send(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      watches.add(out);
+      watched.incrementAndGet();
+      in.readLine(); // Until the other side has left.
+    } else if (asked != null) {
+      String body = whole;
+      send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
+  }
 
-    /** Tells all watches a line, whatever it is. */
-    public void tell(String line) {
-        chunk(line + "\n");
-    }
+  private static void send(OutputStream out, String text) throws IOException {
+    out.write(text.getBytes(StandardCharsets.ISO_8859_1));
+    out.flush();
+  }
 
-    /** The whole list from now on. */
-    public void whole(String list) {
-        whole = list;
-    }
+  /** Tells all watches a line, whatever it is. */
+  public void tell(String line) {
+    chunk(line + "\n");
+  }
 
-    /** Calls are accepted and get no answer, as while the catalog is down; told false, all that wait get theirs. */
-    public void silent(boolean on) {
-        synchronized (voice) {
-            silent = on;
-            voice.notifyAll();
-        }
-    }
+  /** The whole list from now on. */
+  public void whole(String list) {
+    whole = list;
+  }
 
-    /** Tells all watches these bytes of a chunked answer, as they are. */
-    public void chunk(String bytes) {
-        for (OutputStream out : watches) {
-            try {
-                send(out, Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
-            } catch (IOException e) {
-                watches.remove(out); // It has left.
-            }
-        }
+  /**
+   * Calls are accepted and get no answer, as while the catalog is down; told false, all that wait
+   * get theirs.
+   */
+  public void silent(boolean on) {
+    synchronized (voice) {
+      silent = on;
+      voice.notifyAll();
     }
+  }
 
-    /** Watches begun so far. */
-    public int watched() {
-        return watched.get();
+  /** Tells all watches these bytes of a chunked answer, as they are. */
+  public void chunk(String bytes) {
+    for (OutputStream out : watches) {
+      try {
+        send(out, Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
+      } catch (IOException e) {
+        watches.remove(out); // It has left.
+      }
     }
+  }
 
-    /** Ends the watches that are open. */
-    public void cut() throws IOException {
-        watches.clear();
-        closeOpen();
-    }
+  /** Watches begun so far. */
+  public int watched() {
+    return watched.get();
+  }
+
+  /** Ends the watches that are open. */
+  public void cut() throws IOException {
+    watches.clear();
+    closeOpen();
+  }
 }
--- a/src/main/java/fawndock/standin/CounterStandIn.java
+++ b/src/main/java/fawndock/standin/CounterStandIn.java
@@ -29,146 +29,166 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A counter that speaks enough of the Redis serialization protocol for a gatekeeper, in memory, on one thread, with
- * faults. It is for faults only; its numbers are plain doubles.
+ * A counter that speaks enough of the Redis serialization protocol for a gatekeeper, in memory, on
+ * one thread, with faults. It is for faults only; its numbers are plain doubles.
  */
 public final class CounterStandIn implements AutoCloseable {
-    private record Entry(double value, long forgetAt) {
-    }
-
-    private final EventLoopGroup group = new NioEventLoopGroup(1);
-    private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final Map<String, Entry> counts = new HashMap<>();
-    private Channel listener;
-    private int port;
-    private volatile boolean silent;
-    private volatile boolean refusing;
-    private volatile long slowMillis;
-    private long calls;
-
-    /** Listens; the port is the same after each call. */
-    public CounterStandIn start() throws InterruptedException {
-        listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        clients.add(channel);
-                        channel.pipeline().addLast(new RedisDecoder(), new RedisBulkStringAggregator(),
-                                new RedisArrayAggregator(), new RedisEncoder(), new Commands());
-                    }
-                }).bind("127.0.0.1", port).sync().channel();
-        port = ((java.net.InetSocketAddress) listener.localAddress()).getPort();
-        return this;
-    }
-
-    public int port() {
-        return port;
-    }
-
-    /** Takes connections and calls but answers nothing; calls made meanwhile count all the same. */
-    public void silent(boolean on) {
-        silent = on;
-    }
-
-    /** Answers every call with an error and adds nothing. */
-    public void refusing(boolean on) {
-        refusing = on;
-    }
-
-    /** Answers so much later. */
-    public void slow(long millis) {
-        slowMillis = millis;
-    }
-
-    /** Loses this share of every count; 1 empties it. */
-    public void lose(double share) {
-        group.submit(() -> {
-            if (share >= 1) {
+  private record Entry(double value, long forgetAt) {}
+
+  private final EventLoopGroup group = new NioEventLoopGroup(1);
+  private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final Map<String, Entry> counts = new HashMap<>();
+  private Channel listener;
+  private int port;
+  private volatile boolean silent;
+  private volatile boolean refusing;
+  private volatile long slowMillis;
+  private long calls;
+
+  /** Listens; the port is the same after each call. */
+  public CounterStandIn start() throws InterruptedException {
+    listener =
+        new ServerBootstrap()
+            .group(group)
+            .channel(NioServerSocketChannel.class)
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    clients.add(channel);
+                    channel
+                        .pipeline()
+                        .addLast(
+                            new RedisDecoder(),
+                            new RedisBulkStringAggregator(),
+                            new RedisArrayAggregator(),
+                            new RedisEncoder(),
+                            new Commands());
+                  }
+                })
+            .bind("127.0.0.1", port)
+            .sync()
+            .channel();
+    port = ((java.net.InetSocketAddress) listener.localAddress()).getPort();
+    return this;
+  }
+
+  public int port() {
+    return port;
+  }
+
+  /** Takes connections and calls but answers nothing; calls made meanwhile count all the same. */
+  public void silent(boolean on) {
+    silent = on;
+  }
+
+  /** Answers every call with an error and adds nothing. */
+  public void refusing(boolean on) {
+    refusing = on;
+  }
+
+  /** Answers so much later. */
+  public void slow(long millis) {
+    slowMillis = millis;
+  }
+
+  /** Loses this share of every count; 1 empties it. */
+  public void lose(double share) {
+    group
+        .submit(
+            () -> {
+              if (share >= 1) {
                 counts.clear();
-            } else {
+              } else {
                 counts.replaceAll((name, e) -> new Entry(e.value() * (1 - share), e.forgetAt()));
-            }
-        }).syncUninterruptibly();
-    }
-
-    /** Breaks every connection and stops listening until started again. */
-    public void stop() {
-        listener.close().syncUninterruptibly();
-        clients.close().syncUninterruptibly();
-    }
+              }
+            })
+        .syncUninterruptibly();
+  }
+
+  /** Breaks every connection and stops listening until started again. */
+  public void stop() {
+    listener.close().syncUninterruptibly();
+    clients.close().syncUninterruptibly();
+  }
+
+  /** Calls that added so far. */
+  public long calls() {
+    long[] told = new long[1];
+    group.submit(() -> told[0] = calls).syncUninterruptibly();
+    return told[0];
+  }
+
+  @Override
+  public void close() {
+    stop();
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+
+  private final class Commands extends SimpleChannelInboundHandler<ArrayRedisMessage> {
+    private final java.util.ArrayDeque<RedisMessage> waiting = new java.util.ArrayDeque<>();
+    private long readyAt = System.nanoTime();
 
-    /** Calls that added so far. */
-    public long calls() {
-        long[] told = new long[1];
-        group.submit(() -> told[0] = calls).syncUninterruptibly();
-        return told[0];
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, ArrayRedisMessage message) {
+      List<String> words =
+          message.children().stream()
+              .map(m -> ((FullBulkStringRedisMessage) m).content().toString(StandardCharsets.UTF_8))
+              .toList();
+      RedisMessage answer = answer(words);
+      if (silent) {
+        return;
+      }
+      // Answers keep the order of their calls, also when it has become quicker.
+      long now = System.nanoTime();
+      readyAt = Math.max(readyAt, now + slowMillis * 1_000_000);
+      waiting.add(answer);
+      if (readyAt > now) {
+        context
+            .executor()
+            .schedule(
+                () -> context.writeAndFlush(waiting.poll()), readyAt - now, TimeUnit.NANOSECONDS);
+      } else {
+        context.writeAndFlush(waiting.poll());
+      }
     }
 
     @Override
-    public void close() {
-        stop();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
+  }
 
-    private final class Commands extends SimpleChannelInboundHandler<ArrayRedisMessage> {
-        private final java.util.ArrayDeque<RedisMessage> waiting = new java.util.ArrayDeque<>();
-        private long readyAt = System.nanoTime();
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext context, ArrayRedisMessage message) {
-            List<String> words = message.children().stream()
-                    .map(m -> ((FullBulkStringRedisMessage) m).content().toString(StandardCharsets.UTF_8)).toList();
-            RedisMessage answer = answer(words);
-            if (silent) {
-                return;
-            }
-            // Answers keep the order of their calls, also when it has become quicker.
-            long now = System.nanoTime();
-            readyAt = Math.max(readyAt, now + slowMillis * 1_000_000);
-            waiting.add(answer);
-            if (readyAt > now) {
-                context.executor().schedule(() -> context.writeAndFlush(waiting.poll()), readyAt - now,
-                        TimeUnit.NANOSECONDS);
-            } else {
-                context.writeAndFlush(waiting.poll());
-            }
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
-        }
+  private RedisMessage answer(List<String> words) {
+    String command = words.get(0).toUpperCase(Locale.ROOT);
+    if (refusing) {
+      return new ErrorRedisMessage("ERR refused for a drill");
     }
-
-    private RedisMessage answer(List<String> words) {
-        String command = words.get(0).toUpperCase(Locale.ROOT);
-        if (refusing) {
-            return new ErrorRedisMessage("ERR refused for a drill");
+    long now = System.currentTimeMillis();
+    return switch (command) {
+      case "PING" -> new SimpleStringRedisMessage("PONG");
+      case "INCRBYFLOAT" -> {
+        Entry entry = counts.get(words.get(1));
+        if (entry == null || entry.forgetAt() <= now) {
+          entry = new Entry(0, Long.MAX_VALUE);
         }
-        long now = System.currentTimeMillis();
-        return switch (command) {
-            case "PING" -> new SimpleStringRedisMessage("PONG");
-            case "INCRBYFLOAT" -> {
-                Entry entry = counts.get(words.get(1));
-                if (entry == null || entry.forgetAt() <= now) {
-                    entry = new Entry(0, Long.MAX_VALUE);
-                }
-                calls++;
-                entry = new Entry(entry.value() + Double.parseDouble(words.get(2)), entry.forgetAt());
-                counts.put(words.get(1), entry);
-                yield new FullBulkStringRedisMessage(io.netty.buffer.Unpooled.copiedBuffer(
-                        Double.toString(entry.value()), StandardCharsets.UTF_8));
-            }
-            case "PEXPIRE" -> {
-                Entry entry = counts.get(words.get(1));
-                boolean set = entry != null && entry.forgetAt() == Long.MAX_VALUE;
-                if (set) {
-                    counts.put(words.get(1), new Entry(entry.value(), now + Long.parseLong(words.get(2))));
-                }
-                counts.values().removeIf(e -> counts.size() > 10_000 && e.forgetAt() <= now);
-                yield new IntegerRedisMessage(set ? 1 : 0);
-            }
-            default -> new ErrorRedisMessage("ERR unknown command '" + words.get(0) + "'");
-        };
-    }
+        calls++;
+        entry = new Entry(entry.value() + Double.parseDouble(words.get(2)), entry.forgetAt());
+        counts.put(words.get(1), entry);
+        yield new FullBulkStringRedisMessage(
+            io.netty.buffer.Unpooled.copiedBuffer(
+                Double.toString(entry.value()), StandardCharsets.UTF_8));
+      }
+      case "PEXPIRE" -> {
+        Entry entry = counts.get(words.get(1));
+        boolean set = entry != null && entry.forgetAt() == Long.MAX_VALUE;
+        if (set) {
+          counts.put(words.get(1), new Entry(entry.value(), now + Long.parseLong(words.get(2))));
+        }
+        counts.values().removeIf(e -> counts.size() > 10_000 && e.forgetAt() <= now);
+        yield new IntegerRedisMessage(set ? 1 : 0);
+      }
+      default -> new ErrorRedisMessage("ERR unknown command '" + words.get(0) + "'");
+    };
+  }
 }
--- a/src/main/java/fawndock/standin/Listener.java
+++ b/src/main/java/fawndock/standin/Listener.java
@@ -8,80 +8,84 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Listens on a free loopback port and serves each connection on a thread of its own; at most so many at once. */
+/**
+ * Listens on a free loopback port and serves each connection on a thread of its own; at most so
+ * many at once.
+ */
 abstract class Listener implements AutoCloseable {
-    private static final int MOST_CONNECTIONS = 512;
-    private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger accepted = new AtomicInteger();
+  private static final int MOST_CONNECTIONS = 512;
+  private final ServerSocket listener;
+  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger accepted = new AtomicInteger();
 
-    Listener() throws IOException {
-        listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
-    }
+  Listener() throws IOException {
+    listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
+  }
 
-    /** Takes connections from now on; to be called when all that serves them is made. */
-    final void begin() {
-        thread(this::accept);
-    }
+  /** Takes connections from now on; to be called when all that serves them is made. */
+  final void begin() {
+    thread(this::accept);
+  }
 
-    private static void thread(Runnable what) {
-        Thread thread = new Thread(what, "stand-in");
-        thread.setDaemon(true);
-        thread.start();
-    }
+  private static void thread(Runnable what) {
+    Thread thread = new Thread(what, "stand-in");
+    thread.setDaemon(true);
+    thread.start();
+  }
 
-    private void accept() {
-        while (!listener.isClosed()) {
-            try {
-                Socket socket = listener.accept();
-                accepted.incrementAndGet();
-                if (open.size() >= MOST_CONNECTIONS) {
-                    socket.close();
-                    continue;
-                }
-                open.add(socket);
-                thread(() -> {
-                    try (socket) {
-                        serve(socket);
-                    } catch (IOException e) {
-                        // The connection is over.
-                    } finally {
-                        open.remove(socket);
-                    }
-                });
-            } catch (IOException e) {
-                return; // Closed.
-            }
+  private void accept() {
+    while (!listener.isClosed()) {
+      try {
+        Socket socket = listener.accept();
+        accepted.incrementAndGet();
+        if (open.size() >= MOST_CONNECTIONS) {
+          socket.close();
+          continue;
         }
+        open.add(socket);
+        thread(
+            () -> {
+              try (socket) {
+                serve(socket);
+              } catch (IOException e) {
+                // The connection is over.
+              } finally {
+                open.remove(socket);
+              }
+            });
+      } catch (IOException e) {
+        return; // Closed.
+      }
     }
+  }
 
-    /** Serves one connection; it is closed after this. */
-    abstract void serve(Socket socket) throws IOException;
+  /** Serves one connection; it is closed after this. */
+  abstract void serve(Socket socket) throws IOException;
 
-    public final int port() {
-        return listener.getLocalPort();
-    }
+  public final int port() {
+    return listener.getLocalPort();
+  }
 
-    /** Connections taken so far. */
-    public final int accepted() {
-        return accepted.get();
-    }
+  /** Connections taken so far. */
+  public final int accepted() {
+    return accepted.get();
+  }
 
-    /** Connections open now. */
-    public final int open() {
-        return open.size();
-    }
+  /** Connections open now. */
+  public final int open() {
+    return open.size();
+  }
 
-    /** Closes the connections that are open, and goes on listening. */
-    final void closeOpen() throws IOException {
-        for (Socket socket : open) {
-            socket.close();
-        }
+  /** Closes the connections that are open, and goes on listening. */
+  final void closeOpen() throws IOException {
+    for (Socket socket : open) {
+      socket.close();
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        listener.close();
-        closeOpen();
-    }
+  @Override
+  public void close() throws IOException {
+    listener.close();
+    closeOpen();
+  }
 }
--- a/src/main/java/fawndock/standin/PlatformWorld.java
+++ b/src/main/java/fawndock/standin/PlatformWorld.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 
 /**
- * What a gatekeeper finds on the platform, on loopback: one worker, the counter, the catalog and the file that names
- * them. Plans and classes are of its own making.
+ * What a gatekeeper finds on the platform, on loopback: one worker, the counter, the catalog and
+ * the file that names them. Plans and classes are of its own making.
  */
 public final class PlatformWorld implements AutoCloseable {
-    private static final String SETTINGS = """
+  private static final String SETTINGS =
+      """
             {"azs":["a"],"caps":{"cancel":true,"conn-idle-us":3000000,"connect-timeout-us":250000,"max-attempts":3,
             "max-open":5000,"max-retry-after-us":2000000,"may-duplicate":false,"probes":false,"retry-after":true},
             "classes":[{"name":"look","aim-us":800000,"deadline-us":1000000,"idempotency":"idempotent","worth":1.0},
@@ -26,69 +27,86 @@
             "peers-total":2,"registry-mode":"automatic","round-us":2000,"rules":{"ask-within-us":10000000,
             "cold-share":0.2,"cold-us":18000000,"drain-grace-us":500000,"fall-multiple":2.0,"fall-us":3000000,
             "grace-to-answer-us":16000}}""";
-    private final Path file;
-    private final int port;
-    private final int sockets;
-    public final RespServer worker;
-    public final RespServer counter;
-    public final CatalogStandIn catalog;
+  private final Path file;
+  private final int port;
+  private final int sockets;
+  public final RespServer worker;
+  public final RespServer counter;
+  public final CatalogStandIn catalog;
 
-    /** A world whose worker and counter answer as given. */
-    public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter) throws IOException {
-        this(worker, counter, 256);
-    }
+  /** A world whose worker and counter answer as given. */
+  public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter)
+      throws IOException {
+    this(worker, counter, 256);
+  }
 
-    /**
-     * The same with so many descriptors for the gatekeeper.
-     *
-     * @param sockets the limit that the configuration tells
-     */
-    public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets) throws IOException {
-        this.sockets = sockets;
-        this.worker = new RespServer(worker);
-        this.counter = new RespServer(counter);
-        catalog = new CatalogStandIn(CatalogStandIn.list(7, true, "w1", "127.0.0.1:" + this.worker.port(), "ready"));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            port = free.getLocalPort();
-        }
-        file = Files.createTempFile("fawndock-platform", ".json");
-        configure(catalog.port(), this.counter.port());
+  /**
+   * The same with so many descriptors for the gatekeeper.
+   *
+   * @param sockets the limit that the configuration tells
+   */
+  public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets)
+      throws IOException {
+    this.sockets = sockets;
+    this.worker = new RespServer(worker);
+    this.counter = new RespServer(counter);
+    catalog =
+        new CatalogStandIn(
+            CatalogStandIn.list(7, true, "w1", "127.0.0.1:" + this.worker.port(), "ready"));
+    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      port = free.getLocalPort();
     }
+    file = Files.createTempFile("fawndock-platform", ".json");
+    configure(catalog.port(), this.counter.port());
+  }
 
-    /** Writes the file anew, with these addresses of catalog and counter. */
-    public void configure(int catalogPort, int counterPort) throws IOException {
-        write("{\"name\":\"g0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + catalogPort
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":" + sockets
-                + "},\"counter\":\"127.0.0.1:" + counterPort + "\",\"settings\":" + SETTINGS + "}");
-    }
+  /** Writes the file anew, with these addresses of catalog and counter. */
+  public void configure(int catalogPort, int counterPort) throws IOException {
+    write(
+        "{\"name\":\"g0\",\"listen\":\"127.0.0.1:"
+            + port
+            + "\",\"discovery\":\"127.0.0.1:"
+            + catalogPort
+            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":"
+            + sockets
+            + "},\"counter\":\"127.0.0.1:"
+            + counterPort
+            + "\",\"settings\":"
+            + SETTINGS
+            + "}");
+  }
 
-    /** Writes anything into the file. */
-    public void write(String text) throws IOException {
-        Files.writeString(file, text);
-    }
+  /** Writes anything into the file. */
+  public void write(String text) throws IOException {
+    Files.writeString(file, text);
+  }
 
-    /** The variables that the platform sets. */
-    public Map<String, String> variables() {
-        return Map.of("RELAY_CONFIG", file.toString(), "RELAY_NAME", "g0");
-    }
+  /** The variables that the platform sets. */
+  public Map<String, String> variables() {
+    return Map.of("RELAY_CONFIG", file.toString(), "RELAY_NAME", "g0");
+  }
 
-    /** Where the gatekeeper listens. */
-    public int port() {
-        return port;
-    }
+  /** Where the gatekeeper listens. */
+  public int port() {
+    return port;
+  }
 
-    /** The words of a request, as the platform's clients send it. */
-    public static String[] request(String type, String plan, long customer, long id, String more) {
-        String key = type.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
-        return new String[] {type.equals("look") ? "Q.ASK" : "Q.DO", String.format("%016x", customer),
-            String.format("%016x", id), "c=" + type + ",t=" + plan + ",d=1500" + key + ",units=1,spread=1,first=0" + more};
-    }
+  /** The words of a request, as the platform's clients send it. */
+  public static String[] request(String type, String plan, long customer, long id, String more) {
+    String key = type.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
+    return new String[] {
+      type.equals("look") ? "Q.ASK" : "Q.DO",
+      String.format("%016x", customer),
+      String.format("%016x", id),
+      "c=" + type + ",t=" + plan + ",d=1500" + key + ",units=1,spread=1,first=0" + more
+    };
+  }
 
-    @Override
-    public void close() throws IOException {
-        worker.close();
-        counter.close();
-        catalog.close();
-        Files.deleteIfExists(file);
-    }
+  @Override
+  public void close() throws IOException {
+    worker.close();
+    counter.close();
+    catalog.close();
+    Files.deleteIfExists(file);
+  }
 }
--- a/src/main/java/fawndock/standin/RespClient.java
+++ b/src/main/java/fawndock/standin/RespClient.java
@@ -7,78 +7,84 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client of RESP2 on one loopback connection; sends any bytes and reads one answer at a time, each with a time limit. */
+/**
+ * A client of RESP2 on one loopback connection; sends any bytes and reads one answer at a time,
+ * each with a time limit.
+ */
 public final class RespClient implements AutoCloseable {
-    private static final int LIMIT_MILLIS = 10_000;
-    private final Socket socket;
-    private final InputStream in;
+  private static final int LIMIT_MILLIS = 10_000;
+  private final Socket socket;
+  private final InputStream in;
 
-    /** Connects. */
-    public RespClient(int port) throws IOException {
-        socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
-        socket.setTcpNoDelay(true);
-        socket.setSoTimeout(LIMIT_MILLIS);
-        in = socket.getInputStream();
-    }
+  /** Connects. */
+  public RespClient(int port) throws IOException {
+    socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
+    socket.setTcpNoDelay(true);
+    socket.setSoTimeout(LIMIT_MILLIS);
+    in = socket.getInputStream();
+  }
 
-    /** A command as an array of bulk strings. */
-    public static String command(String... words) {
-        StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-        for (String word : words) {
-            text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
-        }
-        return text.toString();
+  /** A command as an array of bulk strings. */
+  public static String command(String... words) {
+    StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
+    for (String word : words) {
+      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
     }
+    return text.toString();
+  }
 
-    /** Sends these characters, a byte each. */
-    public RespClient send(String bytes) throws IOException {
-        socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-        socket.getOutputStream().flush();
-        return this;
-    }
+  /** Sends these characters, a byte each. */
+  public RespClient send(String bytes) throws IOException {
+    socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+    socket.getOutputStream().flush();
+    return this;
+  }
 
-    /** The same where no exception can be told of; a failure is thrown unchecked. */
-    public void sendUnchecked(String bytes) {
-        try {
-            send(bytes);
-        } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
-        }
+  /** The same where no exception can be told of; a failure is thrown unchecked. */
+  public void sendUnchecked(String bytes) {
+    try {
+      send(bytes);
+    } catch (IOException e) {
+      throw new java.io.UncheckedIOException(e);
     }
+  }
 
-    /** The next answer: a line as it stands, the text of a bulk string, or null when the other side has closed. */
-    public String answer() throws IOException {
-        String line = line();
-        if (line == null || !line.startsWith("$")) {
-            return line;
-        }
-        int length = Integer.parseInt(line.substring(1));
-        byte[] bytes = in.readNBytes(length + 2);
-        return new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
+  /**
+   * The next answer: a line as it stands, the text of a bulk string, or null when the other side
+   * has closed.
+   */
+  public String answer() throws IOException {
+    String line = line();
+    if (line == null || !line.startsWith("$")) {
+      return line;
     }
+    int length = Integer.parseInt(line.substring(1));
+    byte[] bytes = in.readNBytes(length + 2);
+    return new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
+  }
 
-    /** Sends a command and reads its answer. */
-    public String ask(String... words) throws IOException {
-        return send(command(words)).answer();
-    }
+  /** Sends a command and reads its answer. */
+  public String ask(String... words) throws IOException {
+    return send(command(words)).answer();
+  }
 
-    private String line() throws IOException {
-        ByteArrayOutputStream line = new ByteArrayOutputStream();
-        try {
-            for (int b = in.read(); b != '\n'; b = in.read()) {
-                if (b < 0) {
-                    return null;
-                }
-                line.write(b);
-            }
-        } catch (java.net.SocketException e) {
-            return null; // Reset: closed as well.
+  private String line() throws IOException {
+    ByteArrayOutputStream line = new ByteArrayOutputStream();
+    try {
+      for (int b = in.read(); b != '\n'; b = in.read()) {
+        if (b < 0) {
+          return null;
         }
-        return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+        line.write(b);
+      }
+    } catch (java.net.SocketException e) {
+      return null; // Reset: closed as well.
     }
+    return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+  }
 
-    @Override
-    public void close() throws IOException {
-        socket.close();
-    }
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
