--- a/src/main/java/fawndock/standin/RespServer.java
+++ b/src/main/java/fawndock/standin/RespServer.java
@@ -14,91 +14,106 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A server of RESP2 on a free loopback port, a thread for each connection; what it answers is given as bytes, so that
- * it can also answer what no server should. Stands in for the platform's workers and its counter.
+ * A server of RESP2 on a free loopback port, a thread for each connection; what it answers is given
+ * as bytes, so that it can also answer what no server should. Stands in for the platform's workers
+ * and its counter.
  */
 public final class RespServer extends Listener {
-    /** Answers commands, each on its connection's own thread. */
-    public interface Behaviour {
-        void command(List<String> words, Link link) throws IOException, InterruptedException;
-    }
+  /** Answers commands, each on its connection's own thread. */
+  public interface Behaviour {
+    void command(List<String> words, Link link) throws IOException, InterruptedException;
+  }
 
-    /** One connection. */
-    public static final class Link {
-        private final Socket socket;
-        private final OutputStream out;
+  /** One connection. */
+  public static final class Link {
+    private final Socket socket;
+    private final OutputStream out;
 
-        private Link(Socket socket) throws IOException {
-            this.socket = socket;
-            this.out = socket.getOutputStream();
-        }
+    private Link(Socket socket) throws IOException {
+      this.socket = socket;
+      this.out = socket.getOutputStream();
+    }
 
-        /** Sends these characters, a byte each, at once. */
-        public void send(String bytes) throws IOException {
-            out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-            out.flush();
-        }
+    /** Sends these characters, a byte each, at once. */
+    public void send(String bytes) throws IOException {
+      out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+      out.flush();
+    }
 
-        /** Ends the connection: in order, or by a reset. */
-        public void end(boolean reset) throws IOException {
-            if (reset) {
-                socket.setSoLinger(true, 0);
-            }
-            socket.close();
-        }
+    /** Ends the connection: in order, or by a reset. */
+    public void end(boolean reset) throws IOException {
+      if (reset) {
+        socket.setSoLinger(true, 0);
+      }
+      socket.close();
     }
+  }
 
-    private final Behaviour behaviour;
-    private final AtomicInteger commands = new AtomicInteger();
+  private final Behaviour behaviour;
+  private final AtomicInteger commands = new AtomicInteger();
 
-    /** Listens from now on. */
-    public RespServer(Behaviour behaviour) throws IOException {
-        this.behaviour = behaviour;
-        begin();
-    }
+  /** Listens from now on. */
+  public RespServer(Behaviour behaviour) throws IOException {
+    this.behaviour = behaviour;
+    begin();
+  }
 
-    @Override
-    void serve(Socket socket) throws IOException {
-        CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
-        ByteBuf in = Unpooled.buffer();
-        byte[] part = new byte[8_192];
-        try {
-            Link link = new Link(socket);
-            for (int n = socket.getInputStream().read(part); n >= 0; n = socket.getInputStream().read(part)) {
-                in.discardReadBytes().writeBytes(part, 0, n);
-                for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-                    commands.incrementAndGet();
-                    behaviour.command(Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList(), link);
-                }
-            }
-        } catch (ProtocolException e) {
-            // The connection is over.
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+  @Override
+  void serve(Socket socket) throws IOException {
+    CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
+    ByteBuf in = Unpooled.buffer();
+    byte[] part = new byte[8_192];
+    try {
+      Link link = new Link(socket);
+      for (int n = socket.getInputStream().read(part);
+          n >= 0;
+          n = socket.getInputStream().read(part)) {
+        in.discardReadBytes().writeBytes(part, 0, n);
+        for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
+          commands.incrementAndGet();
+          behaviour.command(
+              Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList(),
+              link);
         }
+      }
+    } catch (ProtocolException e) {
+      // The connection is over.
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /** Commands read so far. */
-    public int commands() {
-        return commands.get();
-    }
+  /** Commands read so far. */
+  public int commands() {
+    return commands.get();
+  }
 
-    /** Answers as the platform's worker does when all is well: the value names the request's id. */
-    public static Behaviour worker() {
-        return (words, link) -> link.send(served("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
-    }
+  /** Answers as the platform's worker does when all is well: the value names the request's id. */
+  public static Behaviour worker() {
+    return (words, link) ->
+        link.send(served("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
+  }
 
-    /** A whole answer of a worker with a load report. */
-    public static String served(String value, String load) {
-        return "*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$" + load.length() + "\r\n" + load + "\r\n";
-    }
+  /** A whole answer of a worker with a load report. */
+  public static String served(String value, String load) {
+    return "*3\r\n$"
+        + value.length()
+        + "\r\n"
+        + value
+        + "\r\n$-1\r\n$"
+        + load.length()
+        + "\r\n"
+        + load
+        + "\r\n";
+  }
 
-    /** Answers as the platform's counter does. */
-    public static Behaviour counter() {
-        ConcurrentHashMap<String, Double> totals = new ConcurrentHashMap<>();
-        return (words, link) -> {
-            String total = String.valueOf(totals.merge(words.get(1), Double.parseDouble(words.get(2)), Double::sum));
-            link.send("$" + total.length() + "\r\n" + total + "\r\n");
-        };
-    }
+  /** Answers as the platform's counter does. */
+  public static Behaviour counter() {
+    ConcurrentHashMap<String, Double> totals = new ConcurrentHashMap<>();
+    return (words, link) -> {
+      String total =
+          String.valueOf(totals.merge(words.get(1), Double.parseDouble(words.get(2)), Double::sum));
+      link.send("$" + total.length() + "\r\n" + total + "\r\n");
+    };
+  }
 }
--- a/src/main/java/fawndock/standin/Roster.java
+++ b/src/main/java/fawndock/standin/Roster.java
@@ -13,125 +13,143 @@
 import java.util.Map;
 
 /**
- * Tells gatekeepers of the workers, each on a port of its own so that it is known who was told what. It may be late
- * and may be cut off.
+ * Tells gatekeepers of the workers, each on a port of its own so that it is known who was told
+ * what. It may be late and may be cut off.
  */
 public final class Roster {
-    /** What is told of a worker: running, stopping or deleted. */
-    public record Entry(String id, int port, String zone, int cell, String state, long startedAt) {
-    }
+  /** What is told of a worker: running, stopping or deleted. */
+  public record Entry(String id, int port, String zone, int cell, String state, long startedAt) {}
 
-    private final Vertx vertx;
-    private final Recorder recorder;
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<Integer, HttpServer> servers = new LinkedHashMap<>();
-    private final Map<Integer, Integer> ports = new LinkedHashMap<>();
-    private final Map<HttpServerResponse, Integer> streams = new LinkedHashMap<>();
-    private long lateMillis;
-    private boolean cut;
+  private final Vertx vertx;
+  private final Recorder recorder;
+  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<Integer, HttpServer> servers = new LinkedHashMap<>();
+  private final Map<Integer, Integer> ports = new LinkedHashMap<>();
+  private final Map<HttpServerResponse, Integer> streams = new LinkedHashMap<>();
+  private long lateMillis;
+  private boolean cut;
 
-    public Roster(Vertx vertx, Recorder recorder) {
-        this.vertx = vertx;
-        this.recorder = recorder;
-        vertx.setPeriodic(500, id -> heartbeat());
-    }
+  public Roster(Vertx vertx, Recorder recorder) {
+    this.vertx = vertx;
+    this.recorder = recorder;
+    vertx.setPeriodic(500, id -> heartbeat());
+  }
 
-    /** Listens for one gatekeeper; completes with the port. */
-    public Future<Integer> listen(int gatekeeper) {
-        HttpServer server = vertx.createHttpServer().requestHandler(request -> {
-            HttpServerResponse response = request.response();
-            synchronized (this) {
-                if (cut) {
-                    request.connection().close();
-                    return;
-                }
-                response.setChunked(true);
-                streams.put(response, gatekeeper);
-                response.closeHandler(v -> forget(response));
-                send(response, gatekeeper, "complete", new ArrayList<>(entries.values()));
-            }
-        });
-        synchronized (this) {
-            servers.put(gatekeeper, server);
-        }
-        return server.listen(0, "127.0.0.1").map(s -> {
-            synchronized (this) {
-                ports.put(gatekeeper, s.actualPort());
-            }
-            return s.actualPort();
-        });
+  /** Listens for one gatekeeper; completes with the port. */
+  public Future<Integer> listen(int gatekeeper) {
+    HttpServer server =
+        vertx
+            .createHttpServer()
+            .requestHandler(
+                request -> {
+                  HttpServerResponse response = request.response();
+                  synchronized (this) {
+                    if (cut) {
+                      request.connection().close();
+                      return;
+                    }
+                    response.setChunked(true);
+                    streams.put(response, gatekeeper);
+                    response.closeHandler(v -> forget(response));
+                    send(response, gatekeeper, "complete", new ArrayList<>(entries.values()));
+                  }
+                });
+    synchronized (this) {
+      servers.put(gatekeeper, server);
     }
+    return server
+        .listen(0, "127.0.0.1")
+        .map(
+            s -> {
+              synchronized (this) {
+                ports.put(gatekeeper, s.actualPort());
+              }
+              return s.actualPort();
+            });
+  }
 
-    /** Changes or adds workers and tells everyone, late when it is late. Entries that are deleted are forgotten. */
-    public void tell(Entry... changed) {
-        long late;
-        synchronized (this) {
-            for (Entry entry : changed) {
-                entries.put(entry.id(), entry);
-                if (entry.state().equals("deleted")) {
-                    entries.remove(entry.id());
-                }
-            }
-            late = lateMillis;
+  /**
+   * Changes or adds workers and tells everyone, late when it is late. Entries that are deleted are
+   * forgotten.
+   */
+  public void tell(Entry... changed) {
+    long late;
+    synchronized (this) {
+      for (Entry entry : changed) {
+        entries.put(entry.id(), entry);
+        if (entry.state().equals("deleted")) {
+          entries.remove(entry.id());
         }
-        Runnable tell = () -> {
-            synchronized (this) {
-                streams.forEach((response, gatekeeper) -> send(response, gatekeeper, "changes", List.of(changed)));
-            }
+      }
+      late = lateMillis;
+    }
+    Runnable tell =
+        () -> {
+          synchronized (this) {
+            streams.forEach(
+                (response, gatekeeper) -> send(response, gatekeeper, "changes", List.of(changed)));
+          }
         };
-        if (late > 0) {
-            vertx.setTimer(late, id -> tell.run());
-        } else {
-            tell.run();
-        }
+    if (late > 0) {
+      vertx.setTimer(late, id -> tell.run());
+    } else {
+      tell.run();
     }
+  }
 
-    /** Sends a line as it is to everyone, for lists that no sound roster sends. */
-    public synchronized void raw(String line) {
-        streams.keySet().forEach(response -> response.write(line + "\n"));
-    }
+  /** Sends a line as it is to everyone, for lists that no sound roster sends. */
+  public synchronized void raw(String line) {
+    streams.keySet().forEach(response -> response.write(line + "\n"));
+  }
 
-    /** Changes are told so much later from now on. */
-    public synchronized void late(long millis) {
-        lateMillis = millis;
-    }
+  /** Changes are told so much later from now on. */
+  public synchronized void late(long millis) {
+    lateMillis = millis;
+  }
 
-    /** Cuts everyone off, or lets them connect again. */
-    public synchronized void cut(boolean off) {
-        cut = off;
-        if (off) {
-            List.copyOf(streams.keySet()).forEach(response -> response.reset());
-            streams.clear();
-        }
+  /** Cuts everyone off, or lets them connect again. */
+  public synchronized void cut(boolean off) {
+    cut = off;
+    if (off) {
+      List.copyOf(streams.keySet()).forEach(response -> response.reset());
+      streams.clear();
     }
+  }
 
-    /** Everyone who is connected now. */
-    public synchronized int connected() {
-        return streams.size();
-    }
+  /** Everyone who is connected now. */
+  public synchronized int connected() {
+    return streams.size();
+  }
 
-    private synchronized void forget(HttpServerResponse response) {
-        streams.remove(response);
-    }
+  private synchronized void forget(HttpServerResponse response) {
+    streams.remove(response);
+  }
 
-    private synchronized void heartbeat() {
-        streams.keySet().forEach(response -> response.write("\n"));
-    }
+  private synchronized void heartbeat() {
+    streams.keySet().forEach(response -> response.write("\n"));
+  }
 
-    private void send(HttpServerResponse response, int gatekeeper, String list, List<Entry> told) {
-        JsonArray servers = new JsonArray();
-        long now = Recorder.now();
-        for (Entry e : told) {
-            servers.add(new JsonObject().put("id", e.id()).put("host", "127.0.0.1").put("port", e.port())
-                    .put("zone", e.zone()).put("cell", e.cell()).put("state", e.state()).put("weight", 1)
-                    .put("started_us", e.startedAt()));
-            recorder.add(new Seen.Told(now, gatekeeper, e.id(), e.state(), e.startedAt()));
-        }
-        response.write(new JsonObject().put("list", list).put("servers", servers).encode() + "\n");
+  private void send(HttpServerResponse response, int gatekeeper, String list, List<Entry> told) {
+    JsonArray servers = new JsonArray();
+    long now = Recorder.now();
+    for (Entry e : told) {
+      servers.add(
+          new JsonObject()
+              .put("id", e.id())
+              .put("host", "127.0.0.1")
+              .put("port", e.port())
+              .put("zone", e.zone())
+              .put("cell", e.cell())
+              .put("state", e.state())
+              .put("weight", 1)
+              .put("started_us", e.startedAt()));
+      recorder.add(new Seen.Told(now, gatekeeper, e.id(), e.state(), e.startedAt()));
     }
+    response.write(new JsonObject().put("list", list).put("servers", servers).encode() + "\n");
+  }
 
-    /** Closes every listener. */
-    public synchronized Future<?> close() {
-        return Future.join(servers.values().stream().map(HttpServer::close).toList());
-    }
+  /** Closes every listener. */
+  public synchronized Future<?> close() {
+    return Future.join(servers.values().stream().map(HttpServer::close).toList());
+  }
 }
--- a/src/main/java/fawndock/wire/Json.java
+++ b/src/main/java/fawndock/wire/Json.java
@@ -11,127 +11,126 @@
 
 /** Reads one JSON value into maps, lists and plain values, and takes fields from them. */
 public final class Json {
-    private static final JsonFactory FACTORY = new JsonFactory();
+  private static final JsonFactory FACTORY = new JsonFactory();
 
-    /** One JSON object. */
-    public record Obj(Map<String, Object> fields) {
-        public String text(String key) {
-            return required(key, String.class);
-        }
-
-        public String textOr(String key, String other) {
-            return has(key) ? required(key, String.class) : other;
-        }
-
-        public long integer(String key) {
-            return required(key, Number.class).longValue();
-        }
+  /** One JSON object. */
+  public record Obj(Map<String, Object> fields) {
+    public String text(String key) {
+      return required(key, String.class);
+    }
 
-        public long integerOr(String key, long other) {
-            return has(key) ? integer(key) : other;
-        }
+    public String textOr(String key, String other) {
+      return has(key) ? required(key, String.class) : other;
+    }
 
-        public double numberOr(String key, double other) {
-            return has(key) ? required(key, Number.class).doubleValue() : other;
-        }
+    public long integer(String key) {
+      return required(key, Number.class).longValue();
+    }
 
-        public boolean flag(String key) {
-            return has(key) && required(key, Boolean.class);
-        }
+    public long integerOr(String key, long other) {
+      return has(key) ? integer(key) : other;
+    }
 
-        public Obj object(String key) {
-            return required(key, Obj.class);
-        }
+    public double numberOr(String key, double other) {
+      return has(key) ? required(key, Number.class).doubleValue() : other;
+    }
 
-        public Obj objectOr(String key) {
-            return has(key) ? object(key) : new Obj(Map.of());
-        }
+    public boolean flag(String key) {
+      return has(key) && required(key, Boolean.class);
+    }
 
-        public List<Obj> objects(String key) {
-            List<Obj> found = new ArrayList<>();
-            for (Object each : required(key, List.class)) {
-                if (!(each instanceof Obj obj)) {
-                    throw new WireException("'" + key + "' holds something other than an object");
-                }
-                found.add(obj);
-            }
-            return found;
-        }
+    public Obj object(String key) {
+      return required(key, Obj.class);
+    }
 
-        public List<Obj> objectsOr(String key) {
-            return has(key) ? objects(key) : List.of();
-        }
+    public Obj objectOr(String key) {
+      return has(key) ? object(key) : new Obj(Map.of());
+    }
 
-        public Map<String, Object> all() {
-            return fields;
+    public List<Obj> objects(String key) {
+      List<Obj> found = new ArrayList<>();
+      for (Object each : required(key, List.class)) {
+        if (!(each instanceof Obj obj)) {
+          throw new WireException("'" + key + "' holds something other than an object");
         }
+        found.add(obj);
+      }
+      return found;
+    }
 
-        /** Whether there is a value under this key. */
-        public boolean has(String key) {
-            return fields.get(key) != null;
-        }
+    public List<Obj> objectsOr(String key) {
+      return has(key) ? objects(key) : List.of();
+    }
 
-        private <T> T required(String key, Class<T> type) {
-            Object value = fields.get(key);
-            if (value == null) {
-                throw new WireException("'" + key + "' is missing");
-            }
-            if (!type.isInstance(value)) {
-                throw new WireException("'" + key + "' is not of the right type");
-            }
-            return type.cast(value);
-        }
+    public Map<String, Object> all() {
+      return fields;
     }
 
-    private Json() {
+    /** Whether there is a value under this key. */
+    public boolean has(String key) {
+      return fields.get(key) != null;
     }
 
-    /** Reads a line that holds exactly one object. */
-    public static Obj parse(String line) throws IOException {
-        try (JsonParser parser = FACTORY.createParser(line)) {
-            parser.nextToken();
-            Object value = value(parser);
-            if (!(value instanceof Obj obj)) {
-                throw new WireException("not a JSON object");
-            }
-            if (parser.nextToken() != null) {
-                throw new WireException("more than one JSON value");
-            }
-            return obj;
-        }
+    private <T> T required(String key, Class<T> type) {
+      Object value = fields.get(key);
+      if (value == null) {
+        throw new WireException("'" + key + "' is missing");
+      }
+      if (!type.isInstance(value)) {
+        throw new WireException("'" + key + "' is not of the right type");
+      }
+      return type.cast(value);
     }
+  }
+
+  private Json() {}
+
+  /** Reads a line that holds exactly one object. */
+  public static Obj parse(String line) throws IOException {
+    try (JsonParser parser = FACTORY.createParser(line)) {
+      parser.nextToken();
+      Object value = value(parser);
+      if (!(value instanceof Obj obj)) {
+        throw new WireException("not a JSON object");
+      }
+      if (parser.nextToken() != null) {
+        throw new WireException("more than one JSON value");
+      }
+      return obj;
+    }
+  }
 
-    private static Object value(JsonParser parser) throws IOException {
-        JsonToken token = parser.currentToken();
-        if (token == null) {
-            throw new WireException("the JSON ends too early");
-        }
-        return switch (token) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
-            case VALUE_STRING -> parser.getText();
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
-            default -> null;
-        };
-    }
-
-    private static Obj object(JsonParser parser) throws IOException {
-        Map<String, Object> fields = new LinkedHashMap<>();
-        while (parser.nextToken() == JsonToken.FIELD_NAME) {
-            String name = parser.currentName();
-            parser.nextToken();
-            fields.put(name, value(parser));
-        }
-        return new Obj(fields);
+  private static Object value(JsonParser parser) throws IOException {
+    JsonToken token = parser.currentToken();
+    if (token == null) {
+      throw new WireException("the JSON ends too early");
+    }
+    return switch (token) {
+      case START_OBJECT -> object(parser);
+      case START_ARRAY -> array(parser);
+      case VALUE_STRING -> parser.getText();
+      case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
+      case VALUE_TRUE -> Boolean.TRUE;
+      case VALUE_FALSE -> Boolean.FALSE;
+      default -> null;
+    };
+  }
+
+  private static Obj object(JsonParser parser) throws IOException {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      String name = parser.currentName();
+      parser.nextToken();
+      fields.put(name, value(parser));
     }
+    return new Obj(fields);
+  }
 
-    private static List<Object> array(JsonParser parser) throws IOException {
-        List<Object> items = new ArrayList<>();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-            items.add(value(parser));
-        }
-        return items;
+  private static List<Object> array(JsonParser parser) throws IOException {
+    List<Object> items = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      items.add(value(parser));
     }
+    return items;
+  }
 }
--- a/src/main/java/fawndock/wire/WireException.java
+++ b/src/main/java/fawndock/wire/WireException.java
@@ -2,10 +2,10 @@
 
 /** What came in is not what the wire allows; the message says what is wrong. */
 public final class WireException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    /** What is wrong, for a person. */
-    public WireException(String message) {
-        super(message);
-    }
+  /** What is wrong, for a person. */
+  public WireException(String message) {
+    super(message);
+  }
 }
--- a/src/test/java/fawndock/BordersTest.java
+++ b/src/test/java/fawndock/BordersTest.java
@@ -13,108 +13,251 @@
 /** The borders between packages: decisions below, hosts above them, tools on top. */
 @AnalyzeClasses(packages = "fawndock", importOptions = ImportOption.DoNotIncludeTests.class)
 class BordersTest {
-    private static final DescribedPredicate<JavaClass> DECISIONS = DescribedPredicate.describe("decisions",
-            c -> c.getName().matches("fawndock\\.(Gatekeeper|Logic)(\\$.*)?"));
-
-    @ArchTest
-    static final ArchRule DECISIONS_ARE_PURE = classes().that(DECISIONS).should().onlyDependOnClassesThat(
-            DescribedPredicate.describe("are decisions or plain values", c -> DECISIONS.test(c)
-                    || c.getPackageName().equals("java.util") || c.getPackageName().equals("java.util.function")
-                    || c.getPackageName().equals("java.util.stream")
-                    || c.getPackageName().equals("java.lang") && !c.getSimpleName().matches(
-                            "Thread|Process|ProcessBuilder|Runtime|System")
-                    || c.getPackageName().equals("java.lang.runtime") || c.getPackageName().equals("java.lang.invoke")
-                    || c.isPrimitive() || c.isArray()));
-
-    @ArchTest
-    static final ArchRule NO_CLOCK_OF_THEIR_OWN = noClasses().that(DECISIONS).should()
-            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis");
-
-    @ArchTest
-    static final ArchRule COUNTER_CORE_IS_PURE = classes().that().resideInAPackage("fawndock.counter.core..").should()
-            .onlyDependOnClassesThat(DescribedPredicate.describe("do no I/O, keep no time and start no thread", c ->
-                    c.getPackageName().matches("fawndock\\.counter\\.core|java\\.util(\\.(function|stream|zip))?"
-                            + "|java\\.math|java\\.nio|java\\.nio\\.charset|java\\.lang\\.(runtime|invoke)"
-                            + "|com\\.dynatrace\\.hash4j\\.hashing")
-                            || c.getName().matches("java\\.io\\.(IOException|Closeable)")
-                            || c.getPackageName().equals("java.lang") && !c.getSimpleName().matches(
-                                    "Thread|Process|ProcessBuilder|Runtime")
-                            || c.isPrimitive() || c.isArray()));
-
-    @ArchTest
-    static final ArchRule COUNTER_CORE_HAS_NO_CLOCK = noClasses().that().resideInAPackage("fawndock.counter.core..")
-            .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis");
-
-    @ArchTest
-    static final ArchRule COUNTER_REPLICA_IS_PURE = classes().that().resideInAPackage("fawndock.counter.replica..")
-            .should().onlyDependOnClassesThat(DescribedPredicate.describe("do no I/O, keep no time and start no thread", c ->
-                    c.getPackageName().matches("fawndock\\.counter\\.(core|replica)|java\\.util(\\.(function|regex|stream))?"
-                            + "|java\\.nio(\\.charset)?|java\\.lang\\.(runtime|invoke)")
-                            || c.getPackageName().equals("java.lang") && !c.getSimpleName().matches(
-                                    "Thread|Process|ProcessBuilder|Runtime|System")
-                            || c.isPrimitive() || c.isArray()));
-
-    @ArchTest
-    static final ArchRule COUNTER_KNOWS_NO_GATEKEEPER = noClasses().that().resideInAPackage("fawndock.counter..")
-            .should().dependOnClassesThat().resideInAnyPackage("fawndock", "fawndock.gateway..");
-
-    @ArchTest
-    static final ArchRule JUDGE_AND_MEASURES_ARE_PURE = classes().that().resideInAnyPackage("fawndock.judge..",
-            "fawndock.lab.measure..").should().onlyDependOnClassesThat(DescribedPredicate.describe(
-                    "are traces, decisions' types or plain values", c -> c.getPackageName().matches(
-                            "fawndock\\.judge|fawndock\\.lab\\.measure|org\\.HdrHistogram|java\\.util(\\.(function|stream))?"
-                            + "|java\\.lang(\\.(runtime|invoke))?") || c.getName().startsWith("fawndock.Gatekeeper")
-                            || c.isPrimitive() || c.isArray()));
-
-    @ArchTest
-    static final ArchRule EMULATOR_OPENS_NOTHING = noClasses().that().resideInAPackage("fawndock.lab.emu..").should()
-            .dependOnClassesThat().resideInAnyPackage("io..", "java.net..", "java.util.concurrent..", "fawndock.drill..",
-                    "fawndock.gateway..");
-
-    @ArchTest
-    static final ArchRule RATE_LIMIT_STANDS_ON_THE_GATEWAY_ALONE = noClasses().that().resideInAnyPackage("fawndock.gateway..",
-            "fawndock.counter..", "fawndock.settings..", "fawndock.judge..").should().dependOnClassesThat()
-            .resideInAPackage("fawndock.ratelimit..");
-
-    @ArchTest
-    static final ArchRule MAPPING_IS_PURE = noClasses().that().haveSimpleName("Mapping").should().dependOnClassesThat()
-            .resideInAnyPackage("io..", "com.google..", "fawndock.gateway..");
-
-    @ArchTest
-    static final ArchRule STAND_INS_ARE_FOR_TOOLS = noClasses().that().resideOutsideOfPackages("fawndock.standin..",
-            "fawndock.drill..", "fawndock.lab..", "fawndock.cli..").should().dependOnClassesThat()
-            .resideInAPackage("fawndock.standin..");
-
-    @ArchTest
-    static final ArchRule STAND_INS_KNOW_NO_GATEKEEPER = noClasses().that().resideInAPackage("fawndock.standin..")
-            .should().dependOnClassesThat().resideInAnyPackage("fawndock", "fawndock.gateway..", "fawndock.drill..");
-
-    @ArchTest
-    static final ArchRule HOSTS_KNOW_NO_TOOLS = noClasses().that().resideInAnyPackage("fawndock.gateway..",
-            "fawndock.counter..", "fawndock.settings..").should().dependOnClassesThat().resideInAnyPackage("fawndock.cli..",
-            "fawndock.drill..", "fawndock.lab..", "fawndock.benchlink..");
-
-    @ArchTest
-    static final ArchRule HOST_KNOWS_NO_PROTOCOL = noClasses().that().resideInAPackage("fawndock.host..").should()
-            .dependOnClassesThat().resideInAnyPackage("io.vertx.core.http..", "io.vertx.core.net..", "io.netty..",
-                    "fawndock.gateway..", "fawndock.platform..", "fawndock.resp..");
-
-    @ArchTest
-    static final ArchRule PLATFORM_STANDS_ON_THE_HOST_ALONE = noClasses().that().resideInAPackage("fawndock.platform..").should()
-            .dependOnClassesThat().resideInAnyPackage("fawndock.gateway..", "fawndock.counter..", "fawndock.ratelimit..",
-                    "fawndock.cli..", "fawndock.drill..", "fawndock.lab..", "fawndock.benchlink..", "io.vertx.core.http..");
-
-    @ArchTest
-    static final ArchRule CODEC_OPENS_NOTHING = noClasses().that().resideInAPackage("fawndock.resp..").should()
-            .dependOnClassesThat().resideInAnyPackage("io.netty.channel..", "io.vertx..", "java.net..", "fawndock", "fawndock.host..", "fawndock.counter..",
-                    "fawndock.platform..");
-
-    @ArchTest
-    static final ArchRule SETTINGS_OPEN_NOTHING = noClasses().that().resideInAPackage("fawndock.settings..").should()
-            .dependOnClassesThat().resideInAnyPackage("io..", "java.net..");
-
-    @ArchTest
-    static final ArchRule BENCHLINK_IS_LEAN = noClasses().that().resideInAPackage("fawndock.benchlink..").should()
-            .dependOnClassesThat().resideInAnyPackage("io..", "picocli..", "org.slf4j..", "ch.qos..",
-            "fawndock.gateway..", "fawndock.counter..", "fawndock.settings..", "com.fasterxml.jackson.databind..");
+  private static final DescribedPredicate<JavaClass> DECISIONS =
+      DescribedPredicate.describe(
+          "decisions", c -> c.getName().matches("fawndock\\.(Gatekeeper|Logic)(\\$.*)?"));
+
+  @ArchTest
+  static final ArchRule DECISIONS_ARE_PURE =
+      classes()
+          .that(DECISIONS)
+          .should()
+          .onlyDependOnClassesThat(
+              DescribedPredicate.describe(
+                  "are decisions or plain values",
+                  c ->
+                      DECISIONS.test(c)
+                          || c.getPackageName().equals("java.util")
+                          || c.getPackageName().equals("java.util.function")
+                          || c.getPackageName().equals("java.util.stream")
+                          || c.getPackageName().equals("java.lang")
+                              && !c.getSimpleName()
+                                  .matches("Thread|Process|ProcessBuilder|Runtime|System")
+                          || c.getPackageName().equals("java.lang.runtime")
+                          || c.getPackageName().equals("java.lang.invoke")
+                          || c.isPrimitive()
+                          || c.isArray()));
+
+  @ArchTest
+  static final ArchRule NO_CLOCK_OF_THEIR_OWN =
+      noClasses()
+          .that(DECISIONS)
+          .should()
+          .callMethod(System.class, "nanoTime")
+          .orShould()
+          .callMethod(System.class, "currentTimeMillis");
+
+  @ArchTest
+  static final ArchRule COUNTER_CORE_IS_PURE =
+      classes()
+          .that()
+          .resideInAPackage("fawndock.counter.core..")
+          .should()
+          .onlyDependOnClassesThat(
+              DescribedPredicate.describe(
+                  "do no I/O, keep no time and start no thread",
+                  c ->
+                      c.getPackageName()
+                              .matches(
+                                  "fawndock\\.counter\\.core|java\\.util(\\.(function|stream|zip))?"
+                                      + "|java\\.math|java\\.nio|java\\.nio\\.charset|java\\.lang\\.(runtime|invoke)"
+                                      + "|com\\.dynatrace\\.hash4j\\.hashing")
+                          || c.getName().matches("java\\.io\\.(IOException|Closeable)")
+                          || c.getPackageName().equals("java.lang")
+                              && !c.getSimpleName().matches("Thread|Process|ProcessBuilder|Runtime")
+                          || c.isPrimitive()
+                          || c.isArray()));
+
+  @ArchTest
+  static final ArchRule COUNTER_CORE_HAS_NO_CLOCK =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.counter.core..")
+          .should()
+          .callMethod(System.class, "nanoTime")
+          .orShould()
+          .callMethod(System.class, "currentTimeMillis");
+
+  @ArchTest
+  static final ArchRule COUNTER_REPLICA_IS_PURE =
+      classes()
+          .that()
+          .resideInAPackage("fawndock.counter.replica..")
+          .should()
+          .onlyDependOnClassesThat(
+              DescribedPredicate.describe(
+                  "do no I/O, keep no time and start no thread",
+                  c ->
+                      c.getPackageName()
+                              .matches(
+                                  "fawndock\\.counter\\.(core|replica)|java\\.util(\\.(function|regex|stream))?"
+                                      + "|java\\.nio(\\.charset)?|java\\.lang\\.(runtime|invoke)")
+                          || c.getPackageName().equals("java.lang")
+                              && !c.getSimpleName()
+                                  .matches("Thread|Process|ProcessBuilder|Runtime|System")
+                          || c.isPrimitive()
+                          || c.isArray()));
+
+  @ArchTest
+  static final ArchRule COUNTER_KNOWS_NO_GATEKEEPER =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.counter..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("fawndock", "fawndock.gateway..");
+
+  @ArchTest
+  static final ArchRule JUDGE_AND_MEASURES_ARE_PURE =
+      classes()
+          .that()
+          .resideInAnyPackage("fawndock.judge..", "fawndock.lab.measure..")
+          .should()
+          .onlyDependOnClassesThat(
+              DescribedPredicate.describe(
+                  "are traces, decisions' types or plain values",
+                  c ->
+                      c.getPackageName()
+                              .matches(
+                                  "fawndock\\.judge|fawndock\\.lab\\.measure|org\\.HdrHistogram|java\\.util(\\.(function|stream))?"
+                                      + "|java\\.lang(\\.(runtime|invoke))?")
+                          || c.getName().startsWith("fawndock.Gatekeeper")
+                          || c.isPrimitive()
+                          || c.isArray()));
+
+  @ArchTest
+  static final ArchRule EMULATOR_OPENS_NOTHING =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.lab.emu..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "io..",
+              "java.net..",
+              "java.util.concurrent..",
+              "fawndock.drill..",
+              "fawndock.gateway..");
+
+  @ArchTest
+  static final ArchRule RATE_LIMIT_STANDS_ON_THE_GATEWAY_ALONE =
+      noClasses()
+          .that()
+          .resideInAnyPackage(
+              "fawndock.gateway..", "fawndock.counter..", "fawndock.settings..", "fawndock.judge..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("fawndock.ratelimit..");
+
+  @ArchTest
+  static final ArchRule MAPPING_IS_PURE =
+      noClasses()
+          .that()
+          .haveSimpleName("Mapping")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("io..", "com.google..", "fawndock.gateway..");
+
+  @ArchTest
+  static final ArchRule STAND_INS_ARE_FOR_TOOLS =
+      noClasses()
+          .that()
+          .resideOutsideOfPackages(
+              "fawndock.standin..", "fawndock.drill..", "fawndock.lab..", "fawndock.cli..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("fawndock.standin..");
+
+  @ArchTest
+  static final ArchRule STAND_INS_KNOW_NO_GATEKEEPER =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.standin..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("fawndock", "fawndock.gateway..", "fawndock.drill..");
+
+  @ArchTest
+  static final ArchRule HOSTS_KNOW_NO_TOOLS =
+      noClasses()
+          .that()
+          .resideInAnyPackage("fawndock.gateway..", "fawndock.counter..", "fawndock.settings..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "fawndock.cli..", "fawndock.drill..", "fawndock.lab..", "fawndock.benchlink..");
+
+  @ArchTest
+  static final ArchRule HOST_KNOWS_NO_PROTOCOL =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.host..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "io.vertx.core.http..",
+              "io.vertx.core.net..",
+              "io.netty..",
+              "fawndock.gateway..",
+              "fawndock.platform..",
+              "fawndock.resp..");
+
+  @ArchTest
+  static final ArchRule PLATFORM_STANDS_ON_THE_HOST_ALONE =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.platform..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "fawndock.gateway..",
+              "fawndock.counter..",
+              "fawndock.ratelimit..",
+              "fawndock.cli..",
+              "fawndock.drill..",
+              "fawndock.lab..",
+              "fawndock.benchlink..",
+              "io.vertx.core.http..");
+
+  @ArchTest
+  static final ArchRule CODEC_OPENS_NOTHING =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.resp..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "io.netty.channel..",
+              "io.vertx..",
+              "java.net..",
+              "fawndock",
+              "fawndock.host..",
+              "fawndock.counter..",
+              "fawndock.platform..");
+
+  @ArchTest
+  static final ArchRule SETTINGS_OPEN_NOTHING =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.settings..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("io..", "java.net..");
+
+  @ArchTest
+  static final ArchRule BENCHLINK_IS_LEAN =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.benchlink..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "io..",
+              "picocli..",
+              "org.slf4j..",
+              "ch.qos..",
+              "fawndock.gateway..",
+              "fawndock.counter..",
+              "fawndock.settings..",
+              "com.fasterxml.jackson.databind..");
 }
--- a/src/test/java/fawndock/counter/ProtocolTest.java
+++ b/src/test/java/fawndock/counter/ProtocolTest.java
@@ -19,73 +19,98 @@
 import net.jqwik.api.Property;
 
 class ProtocolTest {
-    /** However a stream of commands is cut, the same commands come out. */
-    @Property(tries = 300, seed = "15")
-    void cutsDoNotMatter(@ForAll long seed) throws ProtocolException {
-        SplittableRandom random = new SplittableRandom(seed);
-        List<String> sent = new ArrayList<>();
-        StringBuilder stream = new StringBuilder();
-        for (int i = 0; i < 20; i++) {
-            List<String> words = new ArrayList<>();
-            for (int w = 1 + random.nextInt(4); w > 0; w--) {
-                words.add("$*\r\nw:-1".substring(0, 1 + random.nextInt(7)) + random.nextInt(100));
-            }
-            sent.add(words.toString());
-            stream.append('*').append(words.size()).append("\r\n");
-            words.forEach(w -> stream.append('$').append(w.length()).append("\r\n").append(w).append("\r\n"));
-        }
-        CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
-        ByteBuf in = Unpooled.buffer();
-        List<String> got = new ArrayList<>();
-        byte[] all = stream.toString().getBytes(StandardCharsets.ISO_8859_1);
-        for (int at = 0; at < all.length;) {
-            int to = Math.min(all.length, at + 1 + random.nextInt(30));
-            in.writeBytes(all, at, to - at);
-            at = to;
-            for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-                got.add(Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList().toString());
-            }
-        }
-        assertEquals(sent, got);
+  /** However a stream of commands is cut, the same commands come out. */
+  @Property(tries = 300, seed = "15")
+  void cutsDoNotMatter(@ForAll long seed) throws ProtocolException {
+    SplittableRandom random = new SplittableRandom(seed);
+    List<String> sent = new ArrayList<>();
+    StringBuilder stream = new StringBuilder();
+    for (int i = 0; i < 20; i++) {
+      List<String> words = new ArrayList<>();
+      for (int w = 1 + random.nextInt(4); w > 0; w--) {
+        words.add("$*\r\nw:-1".substring(0, 1 + random.nextInt(7)) + random.nextInt(100));
+      }
+      sent.add(words.toString());
+      stream.append('*').append(words.size()).append("\r\n");
+      words.forEach(
+          w -> stream.append('$').append(w.length()).append("\r\n").append(w).append("\r\n"));
     }
-
-    private static byte[][] read(String text) throws ProtocolException {
-        return new CommandReader(CommandReader.Limits.SERVER).next(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+    CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
+    ByteBuf in = Unpooled.buffer();
+    List<String> got = new ArrayList<>();
+    byte[] all = stream.toString().getBytes(StandardCharsets.ISO_8859_1);
+    for (int at = 0; at < all.length; ) {
+      int to = Math.min(all.length, at + 1 + random.nextInt(30));
+      in.writeBytes(all, at, to - at);
+      at = to;
+      for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
+        got.add(
+            Arrays.stream(words)
+                .map(w -> new String(w, StandardCharsets.ISO_8859_1))
+                .toList()
+                .toString());
+      }
     }
+    assertEquals(sent, got);
+  }
 
-    @Example
-    void inlineCommandsHaveQuotes() throws ProtocolException {
-        assertArrayEquals(new String[] {"SET", "a b", "", "1"}, Arrays.stream(read("\r\n SET 'a b' \"\"  1\r\n"))
-                .map(w -> new String(w, StandardCharsets.ISO_8859_1)).toArray());
-        assertNull(read("PING"));
-    }
+  private static byte[][] read(String text) throws ProtocolException {
+    return new CommandReader(CommandReader.Limits.SERVER)
+        .next(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+  }
 
-    @Example
-    void whatIsNoCommandIsTold() {
-        for (String[] each : new String[][] {{"*1\r\n+x\r\n", "expected '$', got '+'"},
-                {"*-x\r\n", "invalid multibulk length"}, {"*99999999\r\n", "invalid multibulk length"},
-                {"*1\r\n$-1\r\n", "invalid bulk length"}, {"*1\r\n$999999999999\r\n", "invalid bulk length"},
-                {"*" + "1".repeat(40), "invalid multibulk length"}, {"x".repeat(70_000), "too big inline request"},
-                {"GET \"a\r\n", "unbalanced quotes in request"}}) {
-            assertEquals("ERR Protocol error: " + each[1], assertThrows(ProtocolException.class,
-                    () -> read(each[0])).getMessage());
-        }
-    }
+  @Example
+  void inlineCommandsHaveQuotes() throws ProtocolException {
+    assertArrayEquals(
+        new String[] {"SET", "a b", "", "1"},
+        Arrays.stream(read("\r\n SET 'a b' \"\"  1\r\n"))
+            .map(w -> new String(w, StandardCharsets.ISO_8859_1))
+            .toArray());
+    assertNull(read("PING"));
+  }
 
-    @Example
-    void patternsMatchWholeNames() {
-        String[][] yes = {{"*", ""}, {"a*c", "abbc"}, {"a?c", "abc"}, {"[a-c]x", "bx"}, {"[^a]x", "bx"},
-            {"a\\*", "a*"}, {"*a*b", "xaayb"}, {"[]", "x"}};
-        String[][] no = {{"a*c", "abb"}, {"a?c", "ac"}, {"[^a]x", "ax"}, {"a\\*", "ab"}, {"", "a"}};
-        for (String[] each : yes) {
-            assertEquals(!each[0].equals("[]"), matches(each), each[0]);
-        }
-        for (String[] each : no) {
-            assertEquals(false, matches(each), each[0]);
-        }
+  @Example
+  void whatIsNoCommandIsTold() {
+    for (String[] each :
+        new String[][] {
+          {"*1\r\n+x\r\n", "expected '$', got '+'"},
+          {"*-x\r\n", "invalid multibulk length"},
+          {"*99999999\r\n", "invalid multibulk length"},
+          {"*1\r\n$-1\r\n", "invalid bulk length"},
+          {"*1\r\n$999999999999\r\n", "invalid bulk length"},
+          {"*" + "1".repeat(40), "invalid multibulk length"},
+          {"x".repeat(70_000), "too big inline request"},
+          {"GET \"a\r\n", "unbalanced quotes in request"}
+        }) {
+      assertEquals(
+          "ERR Protocol error: " + each[1],
+          assertThrows(ProtocolException.class, () -> read(each[0])).getMessage());
     }
+  }
 
-    private static boolean matches(String[] each) {
-        return Glob.matches(each[0].getBytes(StandardCharsets.UTF_8), each[1].getBytes(StandardCharsets.UTF_8));
+  @Example
+  void patternsMatchWholeNames() {
+    String[][] yes = {
+      {"*", ""},
+      {"a*c", "abbc"},
+      {"a?c", "abc"},
+      {"[a-c]x", "bx"},
+      {"[^a]x", "bx"},
+      {"a\\*", "a*"},
+      {"*a*b", "xaayb"},
+      {"[]", "x"}
+    };
+    String[][] no = {{"a*c", "abb"}, {"a?c", "ac"}, {"[^a]x", "ax"}, {"a\\*", "ab"}, {"", "a"}};
+    for (String[] each : yes) {
+      assertEquals(!each[0].equals("[]"), matches(each), each[0]);
     }
+    for (String[] each : no) {
+      assertEquals(false, matches(each), each[0]);
+    }
+  }
+
+  private static boolean matches(String[] each) {
+    return Glob.matches(
+        each[0].getBytes(StandardCharsets.UTF_8), each[1].getBytes(StandardCharsets.UTF_8));
+  }
 }
--- a/src/test/java/fawndock/counter/TestDisk.java
+++ b/src/test/java/fawndock/counter/TestDisk.java
@@ -8,93 +8,95 @@
 
 /** A directory whose log can be full, slow to sync, or fail a sync. */
 final class TestDisk implements Disk {
-    private final Disk disk;
-    volatile boolean full;
-    volatile boolean failSync;
-    /** Held by a test so that syncs of files wait. */
-    final Semaphore syncs = new Semaphore(1);
-    /** Whether each sync of a file takes a permit for good. */
-    volatile boolean step;
-
-    TestDisk(Disk disk) {
-        this.disk = disk;
+  private final Disk disk;
+  volatile boolean full;
+  volatile boolean failSync;
+
+  /** Held by a test so that syncs of files wait. */
+  final Semaphore syncs = new Semaphore(1);
+
+  /** Whether each sync of a file takes a permit for good. */
+  volatile boolean step;
+
+  TestDisk(Disk disk) {
+    this.disk = disk;
+  }
+
+  @Override
+  public List<String> list() throws IOException {
+    return disk.list();
+  }
+
+  @Override
+  public File create(String name) throws IOException {
+    return new Faulty(disk.create(name));
+  }
+
+  @Override
+  public File open(String name) throws IOException {
+    return disk.open(name);
+  }
+
+  @Override
+  public void rename(String from, String to) throws IOException {
+    disk.rename(from, to);
+  }
+
+  @Override
+  public void delete(String name) throws IOException {
+    disk.delete(name);
+  }
+
+  @Override
+  public void sync() throws IOException {
+    disk.sync();
+  }
+
+  private final class Faulty implements File {
+    private final File file;
+
+    Faulty(File file) {
+      this.file = file;
     }
 
     @Override
-    public List<String> list() throws IOException {
-        return disk.list();
+    public long size() throws IOException {
+      return file.size();
     }
 
     @Override
-    public File create(String name) throws IOException {
-        return new Faulty(disk.create(name));
+    public int read(ByteBuffer to, long at) throws IOException {
+      return file.read(to, at);
     }
 
     @Override
-    public File open(String name) throws IOException {
-        return disk.open(name);
+    public void write(ByteBuffer from, long at) throws IOException {
+      if (full) {
+        file.write(from.duplicate().limit(from.position() + from.remaining() / 2), at);
+        throw new IOException("no space left");
+      }
+      file.write(from, at);
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        disk.rename(from, to);
-    }
-
-    @Override
-    public void delete(String name) throws IOException {
-        disk.delete(name);
+    public void truncate(long size) throws IOException {
+      file.truncate(size);
     }
 
     @Override
     public void sync() throws IOException {
-        disk.sync();
+      syncs.acquireUninterruptibly();
+      syncs.release(step ? 0 : 1);
+      if (failSync) {
+        failSync = false;
+        throw new IOException("sync failed");
+      }
+      file.sync();
     }
 
-    private final class Faulty implements File {
-        private final File file;
-
-        Faulty(File file) {
-            this.file = file;
-        }
-
-        @Override
-        public long size() throws IOException {
-            return file.size();
-        }
-
-        @Override
-        public int read(ByteBuffer to, long at) throws IOException {
-            return file.read(to, at);
-        }
-
-        @Override
-        public void write(ByteBuffer from, long at) throws IOException {
-            if (full) {
-                file.write(from.duplicate().limit(from.position() + from.remaining() / 2), at);
-                throw new IOException("no space left");
-            }
-            file.write(from, at);
-        }
-
-        @Override
-        public void truncate(long size) throws IOException {
-            file.truncate(size);
-        }
-
-        @Override
-        public void sync() throws IOException {
-            syncs.acquireUninterruptibly();
-            syncs.release(step ? 0 : 1);
-            if (failSync) {
-                failSync = false;
-                throw new IOException("sync failed");
-            }
-            file.sync();
-        }
-
-        @Override
-        public void close() throws IOException {
-            file.close();
-        }
+    @Override
+    public void close() throws IOException {
+      file.close();
     }
+  }
 }
--- a/src/test/java/fawndock/counter/replica/Fleet.java
+++ b/src/test/java/fawndock/counter/replica/Fleet.java
@@ -20,368 +20,446 @@
 import java.util.TreeMap;
 
 /**
- * Nodes, gatekeepers and the network between them in virtual milliseconds, all by one seed. A gatekeeper admits while
- * the weighted estimate over two windows is within the limit, as the gateway's does.
+ * Nodes, gatekeepers and the network between them in virtual milliseconds, all by one seed. A
+ * gatekeeper admits while the weighted estimate over two windows is within the limit, as the
+ * gateway's does.
  */
 final class Fleet {
-    static final long WINDOW = 1_000;
-    static final int LIMIT = 60;
-    static final int NODES = 3;
-    static final int GATEKEEPERS = 4;
-    static final ReplicaNode.Times NODE_TIMES = new ReplicaNode.Times(150, 300);
-    static final ReplicaClient.Times CLIENT_TIMES = new ReplicaClient.Times(25, 50, 100, 40);
-
-    private record Event(long at, long number, Runnable what) {
+  static final long WINDOW = 1_000;
+  static final int LIMIT = 60;
+  static final int NODES = 3;
+  static final int GATEKEEPERS = 4;
+  static final ReplicaNode.Times NODE_TIMES = new ReplicaNode.Times(150, 300);
+  static final ReplicaClient.Times CLIENT_TIMES = new ReplicaClient.Times(25, 50, 100, 40);
+
+  private record Event(long at, long number, Runnable what) {}
+
+  /** A node with its counts, which a crash may leave or take. */
+  final class Node {
+    final String id;
+    CountTable table = new CountTable(1, 2);
+    ReplicaNode node;
+    int life;
+    long skew;
+    boolean stalled;
+
+    Node(String id) {
+      this.id = id;
     }
 
-    /** A node with its counts, which a crash may leave or take. */
-    final class Node {
-        final String id;
-        CountTable table = new CountTable(1, 2);
-        ReplicaNode node;
-        int life;
-        long skew;
-        boolean stalled;
-
-        Node(String id) {
-            this.id = id;
-        }
-
-        void start(boolean empty) {
-            if (empty) {
-                table = new CountTable(1, 2);
-            }
-            List<String> others = new ArrayList<>(settings);
-            others.remove(id);
-            node = new ReplicaNode(id, others, 1, random.nextLong(), NODE_TIMES, new Sums(new Counts(table, Long.MAX_VALUE)), clock());
-            tick(++life);
-        }
+    void start(boolean empty) {
+      if (empty) {
+        table = new CountTable(1, 2);
+      }
+      List<String> others = new ArrayList<>(settings);
+      others.remove(id);
+      node =
+          new ReplicaNode(
+              id,
+              others,
+              1,
+              random.nextLong(),
+              NODE_TIMES,
+              new Sums(new Counts(table, Long.MAX_VALUE)),
+              clock());
+      tick(++life);
+    }
 
-        void die() {
-            node = null;
-            life++;
-        }
+    void die() {
+      node = null;
+      life++;
+    }
 
-        long clock() {
-            return now + skew;
-        }
+    long clock() {
+      return now + skew;
+    }
 
-        private void tick(int mine) {
-            if (life != mine) {
-                return;
-            }
-            if (!stalled) {
-                node.tick(clock());
-                for (String other : List.copyOf(node.others())) {
-                    ReplicaNode.Beat beat = node.beat(clock());
-                    send(id, other, () -> at(other, n -> beaten(n, beat, mine)));
-                    give(other, mine);
-                }
-            }
-            after(20, () -> tick(mine));
+    private void tick(int mine) {
+      if (life != mine) {
+        return;
+      }
+      if (!stalled) {
+        node.tick(clock());
+        for (String other : List.copyOf(node.others())) {
+          ReplicaNode.Beat beat = node.beat(clock());
+          send(id, other, () -> at(other, n -> beaten(n, beat, mine)));
+          give(other, mine);
         }
+      }
+      after(20, () -> tick(mine));
+    }
 
-        /** Another node has this one's beat: it goes by it, or answers that this one's list is old or lacks it. */
-        private void beaten(Node n, ReplicaNode.Beat beat, int mine) {
-            NodeList newer = n.node.newerThan(beat.version());
-            boolean strange = newer == null && beat.version() <= n.node.version() && !n.node.others().contains(id);
-            n.node.beat(id, beat, n.clock());
-            if (newer != null || strange) {
-                send(n.id, id, () -> at(id, me -> {
-                    if (newer != null) {
+    /**
+     * Another node has this one's beat: it goes by it, or answers that this one's list is old or
+     * lacks it.
+     */
+    private void beaten(Node n, ReplicaNode.Beat beat, int mine) {
+      NodeList newer = n.node.newerThan(beat.version());
+      boolean strange =
+          newer == null && beat.version() <= n.node.version() && !n.node.others().contains(id);
+      n.node.beat(id, beat, n.clock());
+      if (newer != null || strange) {
+        send(
+            n.id,
+            id,
+            () ->
+                at(
+                    id,
+                    me -> {
+                      if (newer != null) {
                         me.node.adopt(newer, me.clock());
-                    } else if (me.life == mine && me.node.others().contains(n.id)) {
+                      } else if (me.life == mine && me.node.others().contains(n.id)) {
                         me.node.strange(n.id, me.clock());
-                    }
-                }));
-            }
-        }
+                      }
+                    }));
+      }
+    }
 
-        private void give(String other, int mine) {
-            ReplicaNode.Batch batch = node.next(other, 50, clock());
-            if (batch.isEmpty()) {
-                return;
-            }
-            send(id, other, () -> at(other, n -> {
-                if (!n.node.others().contains(id)) {
-                    return;
-                }
-                try {
-                    for (Sum each : batch.sums()) {
+    private void give(String other, int mine) {
+      ReplicaNode.Batch batch = node.next(other, 50, clock());
+      if (batch.isEmpty()) {
+        return;
+      }
+      send(
+          id,
+          other,
+          () ->
+              at(
+                  other,
+                  n -> {
+                    if (!n.node.others().contains(id)) {
+                      return;
+                    }
+                    try {
+                      for (Sum each : batch.sums()) {
                         n.node.told(id, each, n.clock(), new Changes(64));
+                      }
+                    } catch (CountException e) {
+                      throw new AssertionError(e);
                     }
-                } catch (CountException e) {
-                    throw new AssertionError(e);
-                }
-                if (batch.all()) {
-                    n.node.gaveAll(id, n.clock());
-                }
-                send(other, id, () -> at(id, me -> {
-                    if (me.life == mine && me.node.others().contains(other)) {
-                        me.node.arrived(other);
+                    if (batch.all()) {
+                      n.node.gaveAll(id, n.clock());
                     }
-                }));
-            }));
-        }
+                    send(
+                        other,
+                        id,
+                        () ->
+                            at(
+                                id,
+                                me -> {
+                                  if (me.life == mine && me.node.others().contains(other)) {
+                                    me.node.arrived(other);
+                                  }
+                                }));
+                  }));
     }
+  }
 
-    /** A gatekeeper that customers ask in an even flow, each at its rate. */
-    final class Gate {
-        final String id;
-        final ReplicaClient client;
-        final Map<Long, Runnable> told = new HashMap<>();
-        final Map<String, Double> totals = new HashMap<>();
-        /** What was acknowledged to it, added and taken back, by name. */
-        final Map<String, int[]> acknowledged = new HashMap<>();
-
-        long origin() {
-            return Long.parseLong(id.substring(1));
-        }
+  /** A gatekeeper that customers ask in an even flow, each at its rate. */
+  final class Gate {
+    final String id;
+    final ReplicaClient client;
+    final Map<Long, Runnable> told = new HashMap<>();
+    final Map<String, Double> totals = new HashMap<>();
 
-        Gate(String id, long origin) {
-            this.id = id;
-            client = new ReplicaClient(origin, settings, CLIENT_TIMES);
-        }
+    /** What was acknowledged to it, added and taken back, by name. */
+    final Map<String, int[]> acknowledged = new HashMap<>();
 
-        void start() {
-            tick();
-            demand.forEach((customer, perSecond) ->
-                    after(random.nextInt(200), () -> ask(customer, (long) (1_000 * GATEKEEPERS / perSecond))));
-        }
+    long origin() {
+      return Long.parseLong(id.substring(1));
+    }
 
-        private void tick() {
-            List<Out> out = new ArrayList<>();
-            client.tick(now, out);
-            carry(out);
-            after(10, this::tick);
-        }
+    Gate(String id, long origin) {
+      this.id = id;
+      client = new ReplicaClient(origin, settings, CLIENT_TIMES);
+    }
 
-        private void ask(String customer, long every) {
-            if (quiet) {
-                return;
-            }
-            after(every - every / 4 + random.nextInt((int) every / 2 + 1), () -> ask(customer, every));
-            asked.merge(customer, 1L, Long::sum);
-            long number = now / WINDOW;
-            String name = customer + "." + number;
-            double before = totals.getOrDefault(customer + "." + (number - 1), 0.0);
-            double part = 1 - (double) (now % WINDOW) / WINDOW;
-            // What the total lacks is this gatekeeper's own calls that are out.
-            if (before * part + totals.getOrDefault(name, 0.0) >= LIMIT && random.nextInt(8) > 0) {
-                refused.computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
-                return;
-            }
-            add(name, 1, total -> {
-                if (total >= 0 && before * part + total > LIMIT) {
-                    refused.computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
-                    add(name, -1, t -> { });
-                } else {
-                    // While no node answers it admits freely, by design: that is counted by itself.
-                    (total < 0 ? freely : admitted).computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
-                }
-            });
-        }
+    void start() {
+      tick();
+      demand.forEach(
+          (customer, perSecond) ->
+              after(
+                  random.nextInt(200),
+                  () -> ask(customer, (long) (1_000 * GATEKEEPERS / perSecond))));
+    }
 
-        private void add(String name, int amount, java.util.function.DoubleConsumer then) {
-            List<Out> out = new ArrayList<>();
-            try {
-                long call = client.call(name, new Amount(amount, false), 2 * WINDOW, now, out);
-                told.put(call, () -> then.accept(lastTotal));
-                pending.put(call, amount);
-            } catch (CountException e) {
-                throw new AssertionError(e);
+    private void tick() {
+      List<Out> out = new ArrayList<>();
+      client.tick(now, out);
+      carry(out);
+      after(10, this::tick);
+    }
+
+    private void ask(String customer, long every) {
+      if (quiet) {
+        return;
+      }
+      after(every - every / 4 + random.nextInt((int) every / 2 + 1), () -> ask(customer, every));
+      asked.merge(customer, 1L, Long::sum);
+      long number = now / WINDOW;
+      String name = customer + "." + number;
+      double before = totals.getOrDefault(customer + "." + (number - 1), 0.0);
+      double part = 1 - (double) (now % WINDOW) / WINDOW;
+      // What the total lacks is this gatekeeper's own calls that are out.
+      if (before * part + totals.getOrDefault(name, 0.0) >= LIMIT && random.nextInt(8) > 0) {
+        refused.computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
+        return;
+      }
+      add(
+          name,
+          1,
+          total -> {
+            if (total >= 0 && before * part + total > LIMIT) {
+              refused.computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
+              add(name, -1, t -> {});
+            } else {
+              // While no node answers it admits freely, by design: that is counted by itself.
+              (total < 0 ? freely : admitted)
+                  .computeIfAbsent(customer, c -> new ArrayList<>())
+                  .add(now);
             }
-            carry(out);
-        }
+          });
+    }
 
-        private final Map<Long, Integer> pending = new HashMap<>();
-        private double lastTotal;
+    private void add(String name, int amount, java.util.function.DoubleConsumer then) {
+      List<Out> out = new ArrayList<>();
+      try {
+        long call = client.call(name, new Amount(amount, false), 2 * WINDOW, now, out);
+        told.put(call, () -> then.accept(lastTotal));
+        pending.put(call, amount);
+      } catch (CountException e) {
+        throw new AssertionError(e);
+      }
+      carry(out);
+    }
 
-        private void carry(List<Out> out) {
-            for (Out each : out) {
-                if (each instanceof Ask ask) {
-                    send(id, ask.node(), () -> at(ask.node(), n -> asked(ask, n)));
-                } else if (each instanceof Here here) {
-                    long origin = origin();
-                    send(id, here.node(), () -> at(here.node(), n -> {
+    private final Map<Long, Integer> pending = new HashMap<>();
+    private double lastTotal;
+
+    private void carry(List<Out> out) {
+      for (Out each : out) {
+        if (each instanceof Ask ask) {
+          send(id, ask.node(), () -> at(ask.node(), n -> asked(ask, n)));
+        } else if (each instanceof Here here) {
+          long origin = origin();
+          send(
+              id,
+              here.node(),
+              () ->
+                  at(
+                      here.node(),
+                      n -> {
                         n.node.here(origin, here.stamp(), n.clock());
                         boolean ready = n.node.ready();
                         long version = n.node.version();
-                        send(n.id, id, () -> {
-                            List<Out> more = new ArrayList<>();
-                            client.hereAnswered(n.id, ready, version, more);
-                            carry(more);
-                        });
-                    }));
-                } else if (each instanceof ReplicaClient.Fetch fetch) {
-                    send(id, fetch.node(), () -> at(fetch.node(), n -> {
+                        send(
+                            n.id,
+                            id,
+                            () -> {
+                              List<Out> more = new ArrayList<>();
+                              client.hereAnswered(n.id, ready, version, more);
+                              carry(more);
+                            });
+                      }));
+        } else if (each instanceof ReplicaClient.Fetch fetch) {
+          send(
+              id,
+              fetch.node(),
+              () ->
+                  at(
+                      fetch.node(),
+                      n -> {
                         NodeList list = n.node.given();
-                        send(n.id, id, () -> {
-                            List<Out> more = new ArrayList<>();
-                            client.adopt(list, now, more);
-                            carry(more);
-                        });
-                    }));
-                } else if (each instanceof ReplicaClient.Give give) {
-                    send(id, give.node(), () -> at(give.node(), n -> n.node.adopt(give.list(), n.clock())));
-                } else if (each instanceof End end) {
-                    int amount = pending.remove(end.call());
-                    if (end.result() == ReplicaClient.Result.OK) {
-                        totals.merge(end.name(), end.total(), (a, b) -> b);
-                        acknowledged.computeIfAbsent(end.name(), n -> new int[2])[amount > 0 ? 0 : 1] += 1;
-                    }
-                    lastTotal = end.result() == ReplicaClient.Result.OK ? end.total() : -1;
-                    told.remove(end.call()).run();
-                }
-            }
-        }
-
-        private void asked(Ask ask, Node n) {
-            List<Out> out = new ArrayList<>();
-            try {
-                double total = Double.parseDouble(n.node.ask(ask.sum(), n.clock(), new Changes(64)).toString());
-                send(n.id, id, () -> {
-                    client.answered(n.id, ask.call(), total, out);
-                    carry(out);
-                });
-            } catch (CountException e) {
-                send(n.id, id, () -> {
-                    client.refused(n.id, ask.call(), true, now, out);
-                    carry(out);
-                });
-            }
+                        send(
+                            n.id,
+                            id,
+                            () -> {
+                              List<Out> more = new ArrayList<>();
+                              client.adopt(list, now, more);
+                              carry(more);
+                            });
+                      }));
+        } else if (each instanceof ReplicaClient.Give give) {
+          send(id, give.node(), () -> at(give.node(), n -> n.node.adopt(give.list(), n.clock())));
+        } else if (each instanceof End end) {
+          int amount = pending.remove(end.call());
+          if (end.result() == ReplicaClient.Result.OK) {
+            totals.merge(end.name(), end.total(), (a, b) -> b);
+            acknowledged.computeIfAbsent(end.name(), n -> new int[2])[amount > 0 ? 0 : 1] += 1;
+          }
+          lastTotal = end.result() == ReplicaClient.Result.OK ? end.total() : -1;
+          told.remove(end.call()).run();
         }
+      }
     }
 
-    final SplittableRandom random;
-    /** All nodes that there ever were. */
-    final Map<String, Node> nodes = new TreeMap<>();
-    /** The list in everyone's settings. */
-    final List<String> settings = new ArrayList<>();
-    /** The list that holds now. */
-    List<String> list = settings;
-    final List<Gate> gates = new ArrayList<>();
-    final Map<String, Double> demand = new TreeMap<>();
-    final Map<String, Long> asked = new HashMap<>();
-    final Map<String, List<Long>> admitted = new HashMap<>();
-    final Map<String, List<Long>> refused = new HashMap<>();
-    final Set<String> cut = new HashSet<>();
-    long slowest = 4;
-    /** Nobody asks any more. */
-    boolean quiet;
-    final Map<String, List<Long>> freely = new HashMap<>();
-    long now = 10 * WINDOW;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private long number;
-
-    Fleet(long seed) {
-        random = new SplittableRandom(seed);
-        double rate = LIMIT * 1_000.0 / WINDOW;
-        demand.put("over", 1.5 * rate);
-        demand.put("under", 0.5 * rate);
-        for (int i = 0; i < NODES; i++) {
-            nodes.put("n" + i, new Node("n" + i));
-            settings.add("n" + i);
-        }
-        nodes.values().forEach(n -> n.start(true));
-        for (int i = 0; i < GATEKEEPERS; i++) {
-            gates.add(new Gate("g" + i, i));
-        }
-        gates.forEach(Gate::start);
-    }
-
-    /** Starts a new node in the place of another, and gives one of those that stay the list with it. */
-    void replace(String gone, String told, long untilGone) {
-        Node made = new Node("n" + nodes.size());
-        nodes.put(made.id, made);
-        made.start(true);
-        list = new ArrayList<>(list);
-        list.remove(gone);
-        list.add(made.id);
-        Map<String, String> addresses = new TreeMap<>();
-        list.forEach(id -> addresses.put(id, id + ":1"));
-        after(400, () -> give(told, new NodeList(2, addresses)));
-        after(400 + untilGone, nodes.get(gone)::die);
-    }
-
-    /** An operator gives a list, again until the node is there. */
-    private void give(String to, NodeList given) {
-        if (nodes.get(to).node == null) {
-            after(50, () -> give(to, given));
-        } else {
-            nodes.get(to).node.adopt(given, nodes.get(to).clock());
-        }
+    private void asked(Ask ask, Node n) {
+      List<Out> out = new ArrayList<>();
+      try {
+        double total =
+            Double.parseDouble(n.node.ask(ask.sum(), n.clock(), new Changes(64)).toString());
+        send(
+            n.id,
+            id,
+            () -> {
+              client.answered(n.id, ask.call(), total, out);
+              carry(out);
+            });
+      } catch (CountException e) {
+        send(
+            n.id,
+            id,
+            () -> {
+              client.refused(n.id, ask.call(), true, now, out);
+              carry(out);
+            });
+      }
     }
-
-    void after(long millis, Runnable what) {
-        events.add(new Event(now + millis, number++, what));
+  }
+
+  final SplittableRandom random;
+
+  /** All nodes that there ever were. */
+  final Map<String, Node> nodes = new TreeMap<>();
+
+  /** The list in everyone's settings. */
+  final List<String> settings = new ArrayList<>();
+
+  /** The list that holds now. */
+  List<String> list = settings;
+
+  final List<Gate> gates = new ArrayList<>();
+  final Map<String, Double> demand = new TreeMap<>();
+  final Map<String, Long> asked = new HashMap<>();
+  final Map<String, List<Long>> admitted = new HashMap<>();
+  final Map<String, List<Long>> refused = new HashMap<>();
+  final Set<String> cut = new HashSet<>();
+  long slowest = 4;
+
+  /** Nobody asks any more. */
+  boolean quiet;
+
+  final Map<String, List<Long>> freely = new HashMap<>();
+  long now = 10 * WINDOW;
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(
+          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+  private long number;
+
+  Fleet(long seed) {
+    random = new SplittableRandom(seed);
+    double rate = LIMIT * 1_000.0 / WINDOW;
+    demand.put("over", 1.5 * rate);
+    demand.put("under", 0.5 * rate);
+    for (int i = 0; i < NODES; i++) {
+      nodes.put("n" + i, new Node("n" + i));
+      settings.add("n" + i);
     }
-
-    /** Runs until so many milliseconds have gone by. */
-    void run(long millis) {
-        long end = now + millis;
-        while (!events.isEmpty() && events.peek().at <= end) {
-            Event next = events.poll();
-            now = next.at;
-            next.what.run();
-        }
-        now = end;
+    nodes.values().forEach(n -> n.start(true));
+    for (int i = 0; i < GATEKEEPERS; i++) {
+      gates.add(new Gate("g" + i, i));
     }
-
-    private interface OnNode {
-        void happen(Node node);
+    gates.forEach(Gate::start);
+  }
+
+  /**
+   * Starts a new node in the place of another, and gives one of those that stay the list with it.
+   */
+  void replace(String gone, String told, long untilGone) {
+    Node made = new Node("n" + nodes.size());
+    nodes.put(made.id, made);
+    made.start(true);
+    list = new ArrayList<>(list);
+    list.remove(gone);
+    list.add(made.id);
+    Map<String, String> addresses = new TreeMap<>();
+    list.forEach(id -> addresses.put(id, id + ":1"));
+    after(400, () -> give(told, new NodeList(2, addresses)));
+    after(400 + untilGone, nodes.get(gone)::die);
+  }
+
+  /** An operator gives a list, again until the node is there. */
+  private void give(String to, NodeList given) {
+    if (nodes.get(to).node == null) {
+      after(50, () -> give(to, given));
+    } else {
+      nodes.get(to).node.adopt(given, nodes.get(to).clock());
     }
-
-    private void at(String id, OnNode what) {
-        Node node = nodes.get(id);
-        if (node.stalled) {
-            after(10, () -> at(id, what)); // It lies in the sockets until the node goes on.
-        } else if (node.node != null) {
-            what.happen(node);
-        }
+  }
+
+  void after(long millis, Runnable what) {
+    events.add(new Event(now + millis, number++, what));
+  }
+
+  /** Runs until so many milliseconds have gone by. */
+  void run(long millis) {
+    long end = now + millis;
+    while (!events.isEmpty() && events.peek().at <= end) {
+      Event next = events.poll();
+      now = next.at;
+      next.what.run();
     }
-
-    private void send(String from, String to, Runnable arrives) {
-        if (!cut.contains(from + ">" + to)) {
-            after(1 + random.nextInt((int) slowest), () -> {
-                if (!cut.contains(from + ">" + to)) {
-                    arrives.run();
-                }
-            });
-        }
+    now = end;
+  }
+
+  private interface OnNode {
+    void happen(Node node);
+  }
+
+  private void at(String id, OnNode what) {
+    Node node = nodes.get(id);
+    if (node.stalled) {
+      after(10, () -> at(id, what)); // It lies in the sockets until the node goes on.
+    } else if (node.node != null) {
+      what.happen(node);
     }
-
-    /** Cuts or mends the ways between two sets, in both directions or from the first to the second. */
-    void cut(List<String> one, List<String> two, boolean both, boolean on) {
-        for (String a : one) {
-            for (String b : two) {
-                for (String way : both ? List.of(a + ">" + b, b + ">" + a) : List.of(a + ">" + b)) {
-                    if (on) {
-                        cut.add(way);
-                    } else {
-                        cut.remove(way);
-                    }
-                }
+  }
+
+  private void send(String from, String to, Runnable arrives) {
+    if (!cut.contains(from + ">" + to)) {
+      after(
+          1 + random.nextInt((int) slowest),
+          () -> {
+            if (!cut.contains(from + ">" + to)) {
+              arrives.run();
             }
-        }
-    }
-
-    /** What was admitted of late, as a share of what the limit allows in that time. */
-    double rate(String customer, long span) {
-        return admitted.get(customer).stream().filter(at -> at >= now - span).count() / (LIMIT * (double) span / WINDOW);
+          });
     }
-
-    /** The most that was admitted over any such span, as a share of what the limit allows in it. */
-    double most(String customer, long span) {
-        List<Long> at = admitted.getOrDefault(customer, List.of());
-        int most = 0;
-        for (int from = 0, to = 0; to < at.size(); to++) {
-            while (at.get(to) - at.get(from) >= span) {
-                from++;
-            }
-            most = Math.max(most, to - from + 1);
+  }
+
+  /**
+   * Cuts or mends the ways between two sets, in both directions or from the first to the second.
+   */
+  void cut(List<String> one, List<String> two, boolean both, boolean on) {
+    for (String a : one) {
+      for (String b : two) {
+        for (String way : both ? List.of(a + ">" + b, b + ">" + a) : List.of(a + ">" + b)) {
+          if (on) {
+            cut.add(way);
+          } else {
+            cut.remove(way);
+          }
         }
-        return most / (LIMIT * (double) span / WINDOW);
+      }
+    }
+  }
+
+  /** What was admitted of late, as a share of what the limit allows in that time. */
+  double rate(String customer, long span) {
+    return admitted.get(customer).stream().filter(at -> at >= now - span).count()
+        / (LIMIT * (double) span / WINDOW);
+  }
+
+  /** The most that was admitted over any such span, as a share of what the limit allows in it. */
+  double most(String customer, long span) {
+    List<Long> at = admitted.getOrDefault(customer, List.of());
+    int most = 0;
+    for (int from = 0, to = 0; to < at.size(); to++) {
+      while (at.get(to) - at.get(from) >= span) {
+        from++;
+      }
+      most = Math.max(most, to - from + 1);
     }
+    return most / (LIMIT * (double) span / WINDOW);
+  }
 }
--- a/src/test/java/fawndock/counter/replica/NodeRulesTest.java
+++ b/src/test/java/fawndock/counter/replica/NodeRulesTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.counter.core.Amount;
@@ -17,175 +16,188 @@
 
 /** When a node answers, with what, and what it tells others, step by step. */
 class NodeRulesTest {
-    private static final long V1 = NodeList.settingsVersion(1);
-    private final Sums sums = new Sums(new Counts(new CountTable(1, 2), Long.MAX_VALUE));
-    private final ReplicaNode node = new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-
-    private void beat(String from, long version, long start, boolean ready, long now) {
-        node.beat(from, new Beat(version, start, ready, Map.of()), now);
-    }
-
-    private void upWithAll(long now) {
-        beat("b", V1, 1, true, now);
-        beat("c", V1, 1, true, now);
-        node.gaveAll("b", now);
-        node.gaveAll("c", now);
-        assertTrue(node.ready());
-        assertTrue(node.next("b", 100, now).all());
-        node.arrived("b");
+  private static final long V1 = NodeList.settingsVersion(1);
+  private final Sums sums = new Sums(new Counts(new CountTable(1, 2), Long.MAX_VALUE));
+  private final ReplicaNode node =
+      new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+
+  private void beat(String from, long version, long start, boolean ready, long now) {
+    node.beat(from, new Beat(version, start, ready, Map.of()), now);
+  }
+
+  private void upWithAll(long now) {
+    beat("b", V1, 1, true, now);
+    beat("c", V1, 1, true, now);
+    node.gaveAll("b", now);
+    node.gaveAll("c", now);
+    assertTrue(node.ready());
+    assertTrue(node.next("b", 100, now).all());
+    node.arrived("b");
+  }
+
+  private static Sum sum(String name, long origin, long plus) {
+    return new Sum(name, origin, new Amount(plus, false), Amount.ZERO, 60_000);
+  }
+
+  private String ask(Sum sum, long now) {
+    try {
+      return node.ask(sum, now, new Changes(64)).toString();
+    } catch (CountException e) {
+      return e.getMessage().split(" ")[0];
     }
-
-    private static Sum sum(String name, long origin, long plus) {
-        return new Sum(name, origin, new Amount(plus, false), Amount.ZERO, 60_000);
+  }
+
+  @Test
+  void itAnswersWhenEachThatIsReadyHasToldAll() {
+    assertEquals("LOADING", ask(sum("n.1", 7, 1), 0));
+    beat("b", V1, 1, true, 10);
+    beat("c", V1, 1, true, 10);
+    node.gaveAll("b", 20);
+    assertEquals("LOADING", ask(sum("n.1", 7, 1), 20), "b may lag behind c");
+    node.gaveAll("c", 30);
+    assertEquals("1", ask(sum("n.1", 7, 1), 30));
+  }
+
+  @Test
+  void whatWasToldByAnEarlierStartIsNotAll() {
+    beat("b", V1, 1, true, 10);
+    node.gaveAll("b", 20);
+    assertTrue(node.ready());
+    ReplicaNode late =
+        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+    late.beat("b", new Beat(V1, 1, false, Map.of()), 10);
+    late.gaveAll("b", 20);
+    late.beat("b", new Beat(V1, 2, true, Map.of()), 30);
+    assertFalse(late.ready(), "b has started again, and may have come back with more from c");
+  }
+
+  @Test
+  void itBeginsByItselfOnlyWhereNobodyElseCan() {
+    node.tick(499);
+    assertFalse(node.ready());
+    node.tick(500);
+    assertTrue(node.ready(), "nobody there");
+    ReplicaNode beside =
+        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+    for (long now = 100; now <= 4_900; now += 100) {
+      beside.beat("b", new Beat(V1, 1, true, Map.of()), now);
+      beside.tick(now);
+      assertFalse(beside.ready(), "b is ready, and still telling, at " + now);
     }
-
-    private String ask(Sum sum, long now) {
-        try {
-            return node.ask(sum, now, new Changes(64)).toString();
-        } catch (CountException e) {
-            return e.getMessage().split(" ")[0];
-        }
+    beside.tick(5_000);
+    assertTrue(beside.ready(), "told nothing for ten times as long: b cannot tell");
+    ReplicaNode both =
+        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+    both.beat("b", new Beat(V1, 1, false, Map.of()), 450);
+    both.tick(600);
+    assertFalse(both.ready(), "b waits as well, and has not told what it has");
+    ReplicaNode stranger =
+        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+    for (long now = 0; now <= 20_000; now += 400) {
+      stranger.strange("b", now);
+      stranger.tick(now);
+      assertFalse(stranger.ready(), "b does not know it yet, at " + now);
     }
-
-    @Test
-    void itAnswersWhenEachThatIsReadyHasToldAll() {
-        assertEquals("LOADING", ask(sum("n.1", 7, 1), 0));
-        beat("b", V1, 1, true, 10);
-        beat("c", V1, 1, true, 10);
-        node.gaveAll("b", 20);
-        assertEquals("LOADING", ask(sum("n.1", 7, 1), 20), "b may lag behind c");
-        node.gaveAll("c", 30);
-        assertEquals("1", ask(sum("n.1", 7, 1), 30));
+    stranger.tick(30_000);
+    assertTrue(stranger.ready());
+  }
+
+  @Test
+  void aNewerListFencesUntilItIsTaken() {
+    upWithAll(10);
+    NodeList without = new NodeList(2, Map.of("b", "h:1", "d", "h:2"));
+    beat("b", without.version(), 1, true, 20);
+    assertEquals("FENCED", ask(sum("n.1", 7, 1), 20));
+    NodeList with = new NodeList(2, Map.of("a", "h:3", "b", "h:1"));
+    NodeList newer = with.version() > without.version() ? with : new NodeList(3, with.addresses());
+    assertTrue(node.adopt(newer, 30));
+    assertEquals("1", ask(sum("n.1", 7, 1), 30));
+    assertEquals(java.util.Set.of("b"), node.others());
+    assertFalse(node.adopt(without, 40), "an older one");
+    assertEquals(newer, node.newerThan(V1));
+    assertEquals(null, node.newerThan(newer.version()));
+    assertTrue(node.adopt(new NodeList(4, Map.of("b", "h:1")), 50));
+    assertEquals("FENCED", ask(sum("n.1", 7, 1), 50), "off the list");
+  }
+
+  @Test
+  void anOlderListIsNotHeard() {
+    assertTrue(node.adopt(new NodeList(2, Map.of("a", "h:1", "b", "h:2")), 0));
+    beat("b", V1, 1, true, 10);
+    assertFalse(node.hears("b", 10));
+  }
+
+  @Test
+  void theEstimateIsOfGatekeepersThatMayCountWhereOneIsNotHeard() throws CountException {
+    upWithAll(0);
+    long now = 0;
+    for (int i = 1; i <= 200; i++) { // 100 a second by gatekeeper 8, told by b.
+      now += 10;
+      node.told("b", sum("n.1", 8, i), now, new Changes(64));
+      beat("b", V1, 1, true, now);
+      beat("c", V1, 1, true, now);
+      node.here(8, i, now);
     }
-
-    @Test
-    void whatWasToldByAnEarlierStartIsNotAll() {
-        beat("b", V1, 1, true, 10);
-        node.gaveAll("b", 20);
-        assertTrue(node.ready());
-        ReplicaNode late = new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-        late.beat("b", new Beat(V1, 1, false, Map.of()), 10);
-        late.gaveAll("b", 20);
-        late.beat("b", new Beat(V1, 2, true, Map.of()), 30);
-        assertFalse(late.ready(), "b has started again, and may have come back with more from c");
-    }
-
-    @Test
-    void itBeginsByItselfOnlyWhereNobodyElseCan() {
-        node.tick(499);
-        assertFalse(node.ready());
-        node.tick(500);
-        assertTrue(node.ready(), "nobody there");
-        ReplicaNode beside = new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-        for (long now = 100; now <= 4_900; now += 100) {
-            beside.beat("b", new Beat(V1, 1, true, Map.of()), now);
-            beside.tick(now);
-            assertFalse(beside.ready(), "b is ready, and still telling, at " + now);
-        }
-        beside.tick(5_000);
-        assertTrue(beside.ready(), "told nothing for ten times as long: b cannot tell");
-        ReplicaNode both = new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-        both.beat("b", new Beat(V1, 1, false, Map.of()), 450);
-        both.tick(600);
-        assertFalse(both.ready(), "b waits as well, and has not told what it has");
-        ReplicaNode stranger = new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-        for (long now = 0; now <= 20_000; now += 400) {
-            stranger.strange("b", now);
-            stranger.tick(now);
-            assertFalse(stranger.ready(), "b does not know it yet, at " + now);
-        }
-        stranger.tick(30_000);
-        assertTrue(stranger.ready());
-    }
-
-    @Test
-    void aNewerListFencesUntilItIsTaken() {
-        upWithAll(10);
-        NodeList without = new NodeList(2, Map.of("b", "h:1", "d", "h:2"));
-        beat("b", without.version(), 1, true, 20);
-        assertEquals("FENCED", ask(sum("n.1", 7, 1), 20));
-        NodeList with = new NodeList(2, Map.of("a", "h:3", "b", "h:1"));
-        NodeList newer = with.version() > without.version() ? with : new NodeList(3, with.addresses());
-        assertTrue(node.adopt(newer, 30));
-        assertEquals("1", ask(sum("n.1", 7, 1), 30));
-        assertEquals(java.util.Set.of("b"), node.others());
-        assertFalse(node.adopt(without, 40), "an older one");
-        assertEquals(newer, node.newerThan(V1));
-        assertEquals(null, node.newerThan(newer.version()));
-        assertTrue(node.adopt(new NodeList(4, Map.of("b", "h:1")), 50));
-        assertEquals("FENCED", ask(sum("n.1", 7, 1), 50), "off the list");
-    }
-
-    @Test
-    void anOlderListIsNotHeard() {
-        assertTrue(node.adopt(new NodeList(2, Map.of("a", "h:1", "b", "h:2")), 0));
-        beat("b", V1, 1, true, 10);
-        assertFalse(node.hears("b", 10));
-    }
-
-    @Test
-    void theEstimateIsOfGatekeepersThatMayCountWhereOneIsNotHeard() throws CountException {
-        upWithAll(0);
-        long now = 0;
-        for (int i = 1; i <= 200; i++) { // 100 a second by gatekeeper 8, told by b.
-            now += 10;
-            node.told("b", sum("n.1", 8, i), now, new Changes(64));
-            beat("b", V1, 1, true, now);
-            beat("c", V1, 1, true, now);
-            node.here(8, i, now);
-        }
-        assertEquals("200", ask(sum("n.1", 7, 0), now));
-        beat("b", V1, 1, true, now + 1_000);
-        beat("c", V1, 1, true, now + 1_000);
-        node.here(8, 200, now + 1_000); // An echo.
-        assertEquals("200", ask(sum("n.1", 7, 0), now + 1_000), "all nodes are heard: it is dead");
-        assertEquals(400, Double.parseDouble(ask(sum("n.1", 7, 0), now + 2_000)), 30, "b and c are not");
-        assertEquals("0", ask(sum("n.2", 7, 0), now + 2_000), "the newest window begins with nothing");
-        assertEquals(100, Double.parseDouble(ask(sum("n.2", 7, 0), now + 3_000)), 20);
-        assertEquals(400, Double.parseDouble(ask(sum("n.1", 7, 0), now + 3_000)), 30, "and the one before has ended");
-        ask(sum("n.3", 7, 0), now + 3_000);
-        assertEquals("200", ask(sum("n.1", 7, 0), now + 4_000), "an older one has had what it had");
-    }
-
-    @Test
-    void aGatekeeperThatHadCeasedToCountIsEstimatedAtLittle() throws CountException {
-        upWithAll(0);
-        for (int now = 10; now <= 24_000; now += 10) { // 100 a second for 2 s, then it is there and counts nothing.
-            node.told("b", sum("n.1", 8, Math.min(200, now / 10)), now, new Changes(64));
-            node.here(8, now, now);
-            beat("b", V1, 1, true, now);
-            beat("c", V1, 1, true, now);
-        }
-        assertEquals(200, Double.parseDouble(ask(sum("n.1", 7, 0), 25_000)), 10);
-    }
-
-    @Test
-    void everythingIsToldAgainToOneThatWasAwayOrForgot() throws CountException {
-        upWithAll(0);
-        ask(sum("n.1", 7, 1), 10);
-        assertEquals(List.of("n.1"), node.next("b", 100, 20).sums().stream().map(Sum::name).toList());
-        ask(sum("n.2", 7, 1), 30);
-        assertTrue(node.next("b", 100, 40).isEmpty(), "the last is not confirmed yet");
-        node.arrived("b");
-        assertEquals(List.of("n.2"), node.next("b", 100, 50).sums().stream().map(Sum::name).toList());
-        beat("b", V1, 1, true, 140);
-        node.tick(201); // Not confirmed within the time to miss it.
-        assertTrue(node.next("b", 100, 201).all());
-        node.arrived("b");
-        beat("b", V1, 2, true, 210);
-        assertTrue(node.next("b", 100, 210).all(), "it has started again");
-        node.arrived("b");
-        beat("b", V1, 2, true, 400);
-        assertTrue(node.next("b", 100, 400).all(), "it was away");
-    }
-
-    @Test
-    void aSumNeverShrinksAndItsPartsAreForgottenAtOnce() {
-        upWithAll(0);
-        assertEquals("5", ask(sum("n.1", 7, 5), 10));
-        assertEquals("5", ask(sum("n.1", 7, 3), 20), "an older one, overtaken");
-        assertEquals("6", ask(sum("n.1", 8, 1), 59_000));
-        assertEquals("6", ask(sum("n.1", 7, 5), 59_900), "not added again before the total is forgotten");
-        assertEquals("2", ask(sum("n.1", 8, 2), 60_020), "all of it is forgotten at once");
+    assertEquals("200", ask(sum("n.1", 7, 0), now));
+    beat("b", V1, 1, true, now + 1_000);
+    beat("c", V1, 1, true, now + 1_000);
+    node.here(8, 200, now + 1_000); // An echo.
+    assertEquals("200", ask(sum("n.1", 7, 0), now + 1_000), "all nodes are heard: it is dead");
+    assertEquals(
+        400, Double.parseDouble(ask(sum("n.1", 7, 0), now + 2_000)), 30, "b and c are not");
+    assertEquals("0", ask(sum("n.2", 7, 0), now + 2_000), "the newest window begins with nothing");
+    assertEquals(100, Double.parseDouble(ask(sum("n.2", 7, 0), now + 3_000)), 20);
+    assertEquals(
+        400,
+        Double.parseDouble(ask(sum("n.1", 7, 0), now + 3_000)),
+        30,
+        "and the one before has ended");
+    ask(sum("n.3", 7, 0), now + 3_000);
+    assertEquals("200", ask(sum("n.1", 7, 0), now + 4_000), "an older one has had what it had");
+  }
+
+  @Test
+  void aGatekeeperThatHadCeasedToCountIsEstimatedAtLittle() throws CountException {
+    upWithAll(0);
+    for (int now = 10;
+        now <= 24_000;
+        now += 10) { // 100 a second for 2 s, then it is there and counts nothing.
+      node.told("b", sum("n.1", 8, Math.min(200, now / 10)), now, new Changes(64));
+      node.here(8, now, now);
+      beat("b", V1, 1, true, now);
+      beat("c", V1, 1, true, now);
     }
+    assertEquals(200, Double.parseDouble(ask(sum("n.1", 7, 0), 25_000)), 10);
+  }
+
+  @Test
+  void everythingIsToldAgainToOneThatWasAwayOrForgot() throws CountException {
+    upWithAll(0);
+    ask(sum("n.1", 7, 1), 10);
+    assertEquals(List.of("n.1"), node.next("b", 100, 20).sums().stream().map(Sum::name).toList());
+    ask(sum("n.2", 7, 1), 30);
+    assertTrue(node.next("b", 100, 40).isEmpty(), "the last is not confirmed yet");
+    node.arrived("b");
+    assertEquals(List.of("n.2"), node.next("b", 100, 50).sums().stream().map(Sum::name).toList());
+    beat("b", V1, 1, true, 140);
+    node.tick(201); // Not confirmed within the time to miss it.
+    assertTrue(node.next("b", 100, 201).all());
+    node.arrived("b");
+    beat("b", V1, 2, true, 210);
+    assertTrue(node.next("b", 100, 210).all(), "it has started again");
+    node.arrived("b");
+    beat("b", V1, 2, true, 400);
+    assertTrue(node.next("b", 100, 400).all(), "it was away");
+  }
+
+  @Test
+  void aSumNeverShrinksAndItsPartsAreForgottenAtOnce() {
+    upWithAll(0);
+    assertEquals("5", ask(sum("n.1", 7, 5), 10));
+    assertEquals("5", ask(sum("n.1", 7, 3), 20), "an older one, overtaken");
+    assertEquals("6", ask(sum("n.1", 8, 1), 59_000));
+    assertEquals(
+        "6", ask(sum("n.1", 7, 5), 59_900), "not added again before the total is forgotten");
+    assertEquals("2", ask(sum("n.1", 8, 2), 60_020), "all of it is forgotten at once");
+  }
 }
--- a/src/test/java/fawndock/drill/DayFileTest.java
+++ b/src/test/java/fawndock/drill/DayFileTest.java
@@ -21,12 +21,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DayFileTest {
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    @Test
-    void readsWhatADrillNeeds() throws Exception {
-        DayFile day = DayFile.read(Files.writeString(folder.resolve("day.json"), """
+  @Test
+  void readsWhatADrillNeeds() throws Exception {
+    DayFile day =
+        DayFile.read(
+            Files.writeString(
+                folder.resolve("day.json"),
+                """
                 {"site":"s","length":4000000,"traffic":{"load":0.4},"servers":[{},{},{},{}],"balancers":[{},{}],
                 "tiers":[{"kinds":[{"cores":3,"queue":9,"cold_from":0.3,"cold":5000000}]}],
                 "classes":[{"name":"c","share":1,"work":1000,"aim":2000,"deadline":3000,"effect":"keyed","window":7}],
@@ -34,32 +37,50 @@
                 "troubles":[{"kind":"slow","at":1000000,"len":2000000,"size":3,"on":[1,2],
                 "steps":[{"at":1500000,"stop":[1],"start":[]}]}]}
                 """));
-        assertEquals(4, day.seconds());
-        assertEquals(Repeat.DEDUPLICATED, day.kinds().get(0).repeat());
-        assertEquals(new DayFile.PlanOf("t", 1, 2, 4, 0.5, 0, 1, 2), day.plans().get(0));
-        assertEquals(new DayFile.Trouble("slow", 1, 2, 0.5, 3, 0, "", 0, List.of(new DayFile.Step(1.5, 0.25, 0))),
-                day.troubles().get(0));
-    }
+    assertEquals(4, day.seconds());
+    assertEquals(Repeat.DEDUPLICATED, day.kinds().get(0).repeat());
+    assertEquals(new DayFile.PlanOf("t", 1, 2, 4, 0.5, 0, 1, 2), day.plans().get(0));
+    assertEquals(
+        new DayFile.Trouble(
+            "slow", 1, 2, 0.5, 3, 0, "", 0, List.of(new DayFile.Step(1.5, 0.25, 0))),
+        day.troubles().get(0));
+  }
 
-    @Test
-    void anotherFileIsToldApart() throws Exception {
-        Path file = Files.writeString(folder.resolve("other.json"), "{\"length\":1}");
-        assertTrue(assertThrows(IOException.class, () -> DayFile.read(file)).getMessage().contains("no 'classes'"));
-        Path torn = Files.writeString(folder.resolve("torn.json"), "{\"length\":");
-        assertThrows(IOException.class, () -> DayFile.read(torn));
-    }
+  @Test
+  void anotherFileIsToldApart() throws Exception {
+    Path file = Files.writeString(folder.resolve("other.json"), "{\"length\":1}");
+    assertTrue(
+        assertThrows(IOException.class, () -> DayFile.read(file))
+            .getMessage()
+            .contains("no 'classes'"));
+    Path torn = Files.writeString(folder.resolve("torn.json"), "{\"length\":");
+    assertThrows(IOException.class, () -> DayFile.read(torn));
+  }
 
-    /** Of three tries at once with a store of two, two are inside; one of them is answered in time. */
-    @Test
-    void serviceCountsWhatIsInsideTheQuotaAndInTime() {
-        Figures figures = new Figures(Map.of("c", new RequestClass("c", 1_000, 0, 9_000, 1, 0, Repeat.IDEMPOTENT,
-                Group.ALL, 0, false)), new Rules(0, 0, 1, 0, 1, 1, 0),
-                Map.of("x", new Plan("p", 1, 2, 0, 1, 0, 0, 0, 0, 0)), 0);
-        List<Seen> trace = List.of(new Seen.Asked(10, "a.0", 0, "c", "x", 1, 9_010),
-                new Seen.Asked(20, "b.0", 0, "c", "x", 1, 9_020), new Seen.Asked(30, "d.0", 0, "c", "x", 1, 9_030),
-                new Seen.Answered(500, "a.0", 429), new Seen.Asked(600, "a.1", 0, "c", "x", 1, 9_600),
-                new Seen.Answered(900, "a.1", 200), new Seen.Answered(1_500, "b.0", 200),
-                new Seen.Answered(900, "d.0", 200));
-        assertEquals(0.5, Worth.judge(trace, figures));
-    }
+  /**
+   * Of three tries at once with a store of two, two are inside; one of them is answered in time.
+   */
+  @Test
+  void serviceCountsWhatIsInsideTheQuotaAndInTime() {
+    Figures figures =
+        new Figures(
+            Map.of(
+                "c",
+                new RequestClass(
+                    "c", 1_000, 0, 9_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
+            new Rules(0, 0, 1, 0, 1, 1, 0),
+            Map.of("x", new Plan("p", 1, 2, 0, 1, 0, 0, 0, 0, 0)),
+            0);
+    List<Seen> trace =
+        List.of(
+            new Seen.Asked(10, "a.0", 0, "c", "x", 1, 9_010),
+            new Seen.Asked(20, "b.0", 0, "c", "x", 1, 9_020),
+            new Seen.Asked(30, "d.0", 0, "c", "x", 1, 9_030),
+            new Seen.Answered(500, "a.0", 429),
+            new Seen.Asked(600, "a.1", 0, "c", "x", 1, 9_600),
+            new Seen.Answered(900, "a.1", 200),
+            new Seen.Answered(1_500, "b.0", 200),
+            new Seen.Answered(900, "d.0", 200));
+    assertEquals(0.5, Worth.judge(trace, figures));
+  }
 }
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -33,203 +33,248 @@
 import redis.clients.jedis.Jedis;
 
 class CounterLinkTest {
-    private final Vertx vertx = Vertx.vertx();
-    private final Context context = vertx.getOrCreateContext();
-    private final BlockingQueue<Counted> told = new LinkedBlockingQueue<>();
-    private CounterStandIn counter;
-    private CounterLink link;
-    private int port;
-    private Map<String, Address> nodes = Map.of();
-
-    @BeforeEach
-    void start() throws Exception {
-        counter = new CounterStandIn().start();
-        port = counter.port();
-    }
+  private final Vertx vertx = Vertx.vertx();
+  private final Context context = vertx.getOrCreateContext();
+  private final BlockingQueue<Counted> told = new LinkedBlockingQueue<>();
+  private CounterStandIn counter;
+  private CounterLink link;
+  private int port;
+  private Map<String, Address> nodes = Map.of();
 
-    @AfterEach
-    void stop() throws Exception {
-        link.close();
-        Setup.wait(vertx.close());
-        counter.close();
-    }
+  @BeforeEach
+  void start() throws Exception {
+    counter = new CounterStandIn().start();
+    port = counter.port();
+  }
 
-    private void connect(long timeoutMicros, int most) throws Exception {
-        context.runOnContext(v -> link = new CounterLink(vertx, context, new CounterParts(
-                nodes.isEmpty() ? List.of(new Address("127.0.0.1", port)) : List.of(), nodes, timeoutMicros, false, most), new MicroClock(),
-                new Alarms(vertx), told::add));
-        while (true) { // Until the connection is there: each probe is told exactly once.
-            count("probe", 0);
-            if (next().result() == Result.OK) {
-                return;
-            }
-        }
+  @AfterEach
+  void stop() throws Exception {
+    link.close();
+    Setup.wait(vertx.close());
+    counter.close();
+  }
+
+  private void connect(long timeoutMicros, int most) throws Exception {
+    context.runOnContext(
+        v ->
+            link =
+                new CounterLink(
+                    vertx,
+                    context,
+                    new CounterParts(
+                        nodes.isEmpty() ? List.of(new Address("127.0.0.1", port)) : List.of(),
+                        nodes,
+                        timeoutMicros,
+                        false,
+                        most),
+                    new MicroClock(),
+                    new Alarms(vertx),
+                    told::add));
+    while (true) { // Until the connection is there: each probe is told exactly once.
+      count("probe", 0);
+      if (next().result() == Result.OK) {
+        return;
+      }
     }
+  }
 
-    private void count(String name, double... amounts) {
-        context.runOnContext(v -> {
-            for (double amount : amounts) {
-                link.count(new Count(name, amount, 60_000_000));
-            }
+  private void count(String name, double... amounts) {
+    context.runOnContext(
+        v -> {
+          for (double amount : amounts) {
+            link.count(new Count(name, amount, 60_000_000));
+          }
         });
-    }
+  }
 
-    private Counted next() throws InterruptedException {
-        Counted next = told.poll(20, TimeUnit.SECONDS);
-        assertTrue(next != null, "a call was never told");
-        return next;
-    }
+  private Counted next() throws InterruptedException {
+    Counted next = told.poll(20, TimeUnit.SECONDS);
+    assertTrue(next != null, "a call was never told");
+    return next;
+  }
 
-    @Test
-    void totalsComeInTheOrderOfTheCalls() throws Exception {
-        connect(20_000_000, 4_096);
-        count("n", 1, 0.5, -1);
-        assertEquals(List.of(1.0, 1.5, 0.5), List.of(next().total(), next().total(), next().total()));
-    }
+  @Test
+  void totalsComeInTheOrderOfTheCalls() throws Exception {
+    connect(20_000_000, 4_096);
+    count("n", 1, 0.5, -1);
+    assertEquals(List.of(1.0, 1.5, 0.5), List.of(next().total(), next().total(), next().total()));
+  }
 
-    /** Add, expiry and total are one command where the server knows it. */
-    @Test
-    void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
-        try (FileDisk disk = new FileDisk(directory, true)) {
-            CounterServer own = own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
-            port = own.start(bytes -> { });
-            connect(20_000_000, 4_096);
-            count("n", 1, 0.1, -0.1);
-            assertEquals(List.of(1.0, 1.1, 1.0), List.of(next().total(), next().total(), next().total()));
-            try (Jedis asked = new Jedis("127.0.0.1", port)) {
-                long before = commands(asked);
-                count("n", 1, 1, 1);
-                assertEquals(4, List.of(next(), next(), next()).get(2).total());
-                assertEquals(before + 4, commands(asked), "and one INFO");
-                assertTrue(asked.pttl("n") > 50_000 && asked.pttl("n") <= 60_000);
-            } finally {
-                own.stop();
-            }
-        }
+  /** Add, expiry and total are one command where the server knows it. */
+  @Test
+  void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
+    try (FileDisk disk = new FileDisk(directory, true)) {
+      CounterServer own =
+          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+      port = own.start(bytes -> {});
+      connect(20_000_000, 4_096);
+      count("n", 1, 0.1, -0.1);
+      assertEquals(List.of(1.0, 1.1, 1.0), List.of(next().total(), next().total(), next().total()));
+      try (Jedis asked = new Jedis("127.0.0.1", port)) {
+        long before = commands(asked);
+        count("n", 1, 1, 1);
+        assertEquals(4, List.of(next(), next(), next()).get(2).total());
+        assertEquals(before + 4, commands(asked), "and one INFO");
+        assertTrue(asked.pttl("n") > 50_000 && asked.pttl("n") <= 60_000);
+      } finally {
+        own.stop();
+      }
     }
+  }
 
-    /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
-    @Test
-    void silentNodesAreStoodInFor(@TempDir Path directory) throws Exception {
-        try (FileDisk disk = new FileDisk(directory, true); ServerSocket one = new ServerSocket(0);
-             ServerSocket two = new ServerSocket(0)) {
-            CounterServer own = own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
-            nodes = Map.of("n0", new Address("127.0.0.1", one.getLocalPort()), "n1",
-                    new Address("127.0.0.1", own.start(bytes -> { })), "n2",
-                    new Address("127.0.0.1", two.getLocalPort()));
-            try {
-                connect(3_000_000, 4_096);
-                for (int i = 0; i < 6; i++) { // Each name has an order of its own.
-                    count("name-" + i + ".1", 2, -1);
-                    double first = next().total(); // With the second in it when it was asked again elsewhere.
-                    assertTrue(first == 2 || first == 1, "total " + first);
-                    assertEquals(1.0, next().total());
-                }
-            } finally {
-                own.stop();
-            }
+  /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
+  @Test
+  void silentNodesAreStoodInFor(@TempDir Path directory) throws Exception {
+    try (FileDisk disk = new FileDisk(directory, true);
+        ServerSocket one = new ServerSocket(0);
+        ServerSocket two = new ServerSocket(0)) {
+      CounterServer own =
+          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+      nodes =
+          Map.of(
+              "n0",
+              new Address("127.0.0.1", one.getLocalPort()),
+              "n1",
+              new Address("127.0.0.1", own.start(bytes -> {})),
+              "n2",
+              new Address("127.0.0.1", two.getLocalPort()));
+      try {
+        connect(3_000_000, 4_096);
+        for (int i = 0; i < 6; i++) { // Each name has an order of its own.
+          count("name-" + i + ".1", 2, -1);
+          double first = next().total(); // With the second in it when it was asked again elsewhere.
+          assertTrue(first == 2 || first == 1, "total " + first);
+          assertEquals(1.0, next().total());
         }
+      } finally {
+        own.stop();
+      }
     }
+  }
 
-    /** A gateway learns of a new list from a node that is off it, and puts its own part back where it goes. */
-    @Test
-    void aNewListOfNodesIsTaken(@TempDir Path directory) throws Exception {
-        try (FileDisk old = new FileDisk(directory.resolve("old"), true);
-             FileDisk fresh = new FileDisk(directory.resolve("fresh"), true)) {
-            CounterServer off = own(old, directory.resolve("old"), new CounterSettings.Fleet("n0", 1, 150, 200, Map.of()));
-            int offPort = off.start(bytes -> { });
-            CounterServer on = own(fresh, directory.resolve("fresh"), new CounterSettings.Fleet("n1", 1, 150, 200,
-                    Map.of("n0", new Address("127.0.0.1", offPort))));
-            int onPort = on.start(bytes -> { });
-            nodes = Map.of("n0", new Address("127.0.0.1", offPort));
-            try (Jedis operator = new Jedis("127.0.0.1", offPort)) {
-                connect(3_000_000, 4_096);
-                count("a.1", 5);
-                assertEquals(5, next().total());
-                operator.sendCommand(() -> "FD.NODES".getBytes(), "2", "n1=127.0.0.1:" + onPort);
-                Counted counted;
-                do {
-                    count("a.1", 0);
-                    counted = next();
-                } while (counted.result() != Result.OK); // The old one answers no more.
-                assertEquals(5, counted.total());
-                off.stop();
-                count("a.1", 1);
-                assertEquals(6, next().total());
-            } finally {
-                on.stop();
-            }
-        }
+  /**
+   * A gateway learns of a new list from a node that is off it, and puts its own part back where it
+   * goes.
+   */
+  @Test
+  void aNewListOfNodesIsTaken(@TempDir Path directory) throws Exception {
+    try (FileDisk old = new FileDisk(directory.resolve("old"), true);
+        FileDisk fresh = new FileDisk(directory.resolve("fresh"), true)) {
+      CounterServer off =
+          own(
+              old,
+              directory.resolve("old"),
+              new CounterSettings.Fleet("n0", 1, 150, 200, Map.of()));
+      int offPort = off.start(bytes -> {});
+      CounterServer on =
+          own(
+              fresh,
+              directory.resolve("fresh"),
+              new CounterSettings.Fleet(
+                  "n1", 1, 150, 200, Map.of("n0", new Address("127.0.0.1", offPort))));
+      int onPort = on.start(bytes -> {});
+      nodes = Map.of("n0", new Address("127.0.0.1", offPort));
+      try (Jedis operator = new Jedis("127.0.0.1", offPort)) {
+        connect(3_000_000, 4_096);
+        count("a.1", 5);
+        assertEquals(5, next().total());
+        operator.sendCommand(() -> "FD.NODES".getBytes(), "2", "n1=127.0.0.1:" + onPort);
+        Counted counted;
+        do {
+          count("a.1", 0);
+          counted = next();
+        } while (counted.result() != Result.OK); // The old one answers no more.
+        assertEquals(5, counted.total());
+        off.stop();
+        count("a.1", 1);
+        assertEquals(6, next().total());
+      } finally {
+        on.stop();
+      }
     }
+  }
 
-    private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Fleet fleet) {
-        return new CounterServer(new CounterSettings(new Address("127.0.0.1", 0), directory,
-                GroupCommit.Durability.ALWAYS, 1_000, 1 << 20, "", 10, 1 << 20, 10_000,
-                new DaemonSettings.Log(false, "warn"), fleet), disk);
-    }
+  private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Fleet fleet) {
+    return new CounterServer(
+        new CounterSettings(
+            new Address("127.0.0.1", 0),
+            directory,
+            GroupCommit.Durability.ALWAYS,
+            1_000,
+            1 << 20,
+            "",
+            10,
+            1 << 20,
+            10_000,
+            new DaemonSettings.Log(false, "warn"),
+            fleet),
+        disk);
+  }
 
-    private static long commands(Jedis asked) {
-        return Long.parseLong(asked.info("stats").replaceAll("(?s).*processed:([0-9]+).*", "$1"));
-    }
+  private static long commands(Jedis asked) {
+    return Long.parseLong(asked.info("stats").replaceAll("(?s).*processed:([0-9]+).*", "$1"));
+  }
 
-    /** The answer to a call that timed out comes while another call of the same name is out. */
-    @Test
-    void aLateTotalIsNotGivenToAnotherCall() throws Exception {
-        connect(2_000_000, 4_096);
-        counter.slow(2_600);
-        count("n", 100);
-        assertEquals(Result.TIMEOUT, next().result());
-        counter.slow(0);
-        count("n", 1);
-        Counted second = next();
-        assertEquals(Result.OK, second.result());
-        assertEquals(101, second.total());
-        assertTrue(told.isEmpty());
-    }
+  /** The answer to a call that timed out comes while another call of the same name is out. */
+  @Test
+  void aLateTotalIsNotGivenToAnotherCall() throws Exception {
+    connect(2_000_000, 4_096);
+    counter.slow(2_600);
+    count("n", 100);
+    assertEquals(Result.TIMEOUT, next().result());
+    counter.slow(0);
+    count("n", 1);
+    Counted second = next();
+    assertEquals(Result.OK, second.result());
+    assertEquals(101, second.total());
+    assertTrue(told.isEmpty());
+  }
 
-    /** A connection that is open and silent is given up, and calls are answered again on a new one. */
-    @Test
-    void aHalfOpenConnectionIsReplaced() throws Exception {
-        connect(20_000, 4_096);
-        counter.silent(true);
-        double[] many = new double[30];
-        count("n", many);
-        for (int i = 0; i < many.length; i++) {
-            assertEquals(Result.TIMEOUT, next().result());
-        }
-        counter.silent(false);
-        List<Result> ends = new ArrayList<>();
-        while (!ends.contains(Result.OK)) {
-            count("after", 1);
-            ends.add(next().result());
-        }
-        assertTrue(ends.size() > 1 || ends.get(0) == Result.OK);
+  /**
+   * A connection that is open and silent is given up, and calls are answered again on a new one.
+   */
+  @Test
+  void aHalfOpenConnectionIsReplaced() throws Exception {
+    connect(20_000, 4_096);
+    counter.silent(true);
+    double[] many = new double[30];
+    count("n", many);
+    for (int i = 0; i < many.length; i++) {
+      assertEquals(Result.TIMEOUT, next().result());
     }
-
-    @Test
-    void anErrorAddedNothingAndALostConnectionMayHave() throws Exception {
-        connect(20_000_000, 4_096);
-        counter.refusing(true);
-        count("n", 5);
-        assertEquals(Result.SHED, next().result());
-        counter.refusing(false);
-        counter.silent(true);
-        long calls = counter.calls();
-        count("n", 7);
-        Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
-        counter.stop();
-        assertEquals(Result.TIMEOUT, next().result());
-        count("n", 1);
-        assertEquals(Result.CONNECT_FAILED, next().result());
+    counter.silent(false);
+    List<Result> ends = new ArrayList<>();
+    while (!ends.contains(Result.OK)) {
+      count("after", 1);
+      ends.add(next().result());
     }
+    assertTrue(ends.size() > 1 || ends.get(0) == Result.OK);
+  }
 
-    /** One call too many is turned away, but told after the older call of its name. */
-    @Test
-    void callsBeyondTheMostWaitForTheirTurn() throws Exception {
-        connect(5_000_000, 1);
-        counter.slow(60);
-        count("n", 1, 1);
-        assertEquals(Result.OK, next().result());
-        assertEquals(Result.SHED, next().result());
-    }
+  @Test
+  void anErrorAddedNothingAndALostConnectionMayHave() throws Exception {
+    connect(20_000_000, 4_096);
+    counter.refusing(true);
+    count("n", 5);
+    assertEquals(Result.SHED, next().result());
+    counter.refusing(false);
+    counter.silent(true);
+    long calls = counter.calls();
+    count("n", 7);
+    Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
+    counter.stop();
+    assertEquals(Result.TIMEOUT, next().result());
+    count("n", 1);
+    assertEquals(Result.CONNECT_FAILED, next().result());
+  }
+
+  /** One call too many is turned away, but told after the older call of its name. */
+  @Test
+  void callsBeyondTheMostWaitForTheirTurn() throws Exception {
+    connect(5_000_000, 1);
+    counter.slow(60);
+    count("n", 1, 1);
+    assertEquals(Result.OK, next().result());
+    assertEquals(Result.SHED, next().result());
+  }
 }
--- a/src/test/java/fawndock/gateway/FrontTest.java
+++ b/src/test/java/fawndock/gateway/FrontTest.java
@@ -32,190 +32,278 @@
 import org.junit.jupiter.api.Test;
 
 class FrontTest {
-    @Test
-    void theGatekeeperIsToldWhoAsksAndHowLongIsLeft() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end("ok " + r.getHeader("x-api-key") + " "
-                + r.getHeader("idempotency-key") + " " + r.version() + " " + r.getHeader("x-request-id")))) {
-            HttpResponse<String> answer = s.send(s.to("/update").PUT(HttpRequest.BodyPublishers.ofString("body"))
-                    .header("idempotency-key", "\"abc\"").header("x-envoy-expected-rq-timeout-ms", "700")
-                    .header("x-envoy-attempt-count", "2").version(HttpClient.Version.HTTP_2))
-                    .get(20, TimeUnit.SECONDS);
-            Request r = s.gatekeeper.await(Request.class);
-            assertEquals("ok null \"abc\" HTTP_2 " + r.id(), answer.body(),
-                    "the key stays here, the idempotency key goes on");
-            assertEquals("update basic one true", r.requestClass() + " " + r.plan() + " " + r.customer() + " "
-                    + r.repeat());
-            long left = r.giveUpAtMicros() - MicroClock.systemMicros();
-            assertTrue(left < 700_000, "it says " + left);
-        }
-    }
-
-    @Test
-    void whatCannotBeReadIsAnsweredAndNeverCounted() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB")) {
-            assertEquals(401, s.send(s.to("/lookup").setHeader("x-api-key", "nobody's")).get().statusCode());
-            assertEquals(404, s.get("/elsewhere").statusCode());
-            assertEquals(404, s.get("/lookups").statusCode(), "a prefix ends where a segment ends");
-            assertEquals(400, s.get("/lookup/%2e%2E/admin").statusCode());
-            assertEquals(400, s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "soon")).get()
-                    .statusCode());
-            assertEquals(400, s.send(s.to("/update").PUT(HttpRequest.BodyPublishers.noBody())).get().statusCode());
-            assertEquals(400, s.send(s.to("/update").PUT(HttpRequest.BodyPublishers.noBody())
-                    .header("idempotency-key", "bare")).get().statusCode());
-            assertEquals(413, s.send(s.to("/lookup").POST(HttpRequest.BodyPublishers.ofString("x".repeat(2_000))))
-                    .get().statusCode());
-            try (Socket socket = new Socket("127.0.0.1", s.port)) {
-                socket.setSoTimeout(20_000);
-                socket.getOutputStream().write("GET /lookup HTTP/1.1\r\nhost: x\r\nbroken\u0000 field\r\n\r\n"
-                        .getBytes(StandardCharsets.ISO_8859_1));
-                assertTrue(new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
-                        .endsWith(" 400"));
-            }
-            assertEquals(0, s.gatekeeper.all(Request.class).size());
-        }
+  @Test
+  void theGatekeeperIsToldWhoAsksAndHowLongIsLeft() throws Exception {
+    try (Setup s =
+        new Setup(
+            r ->
+                r.response()
+                    .end(
+                        "ok "
+                            + r.getHeader("x-api-key")
+                            + " "
+                            + r.getHeader("idempotency-key")
+                            + " "
+                            + r.version()
+                            + " "
+                            + r.getHeader("x-request-id")))) {
+      HttpResponse<String> answer =
+          s.send(
+                  s.to("/update")
+                      .PUT(HttpRequest.BodyPublishers.ofString("body"))
+                      .header("idempotency-key", "\"abc\"")
+                      .header("x-envoy-expected-rq-timeout-ms", "700")
+                      .header("x-envoy-attempt-count", "2")
+                      .version(HttpClient.Version.HTTP_2))
+              .get(20, TimeUnit.SECONDS);
+      Request r = s.gatekeeper.await(Request.class);
+      assertEquals(
+          "ok null \"abc\" HTTP_2 " + r.id(),
+          answer.body(),
+          "the key stays here, the idempotency key goes on");
+      assertEquals(
+          "update basic one true",
+          r.requestClass() + " " + r.plan() + " " + r.customer() + " " + r.repeat());
+      long left = r.giveUpAtMicros() - MicroClock.systemMicros();
+      assertTrue(left < 700_000, "it says " + left);
     }
+  }
 
-    @Test
-    void aBodyOfUnstatedSizeIsCutOffAtTheLimit() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB");
-             Socket socket = new Socket("127.0.0.1", s.port)) {
-            socket.setSoTimeout(20_000);
-            socket.getOutputStream().write(("POST /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\n"
-                    + "transfer-encoding: chunked\r\n\r\n800\r\n" + "x".repeat(2_048) + "\r\n")
+  @Test
+  void whatCannotBeReadIsAnsweredAndNeverCounted() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB")) {
+      assertEquals(
+          401, s.send(s.to("/lookup").setHeader("x-api-key", "nobody's")).get().statusCode());
+      assertEquals(404, s.get("/elsewhere").statusCode());
+      assertEquals(404, s.get("/lookups").statusCode(), "a prefix ends where a segment ends");
+      assertEquals(400, s.get("/lookup/%2e%2E/admin").statusCode());
+      assertEquals(
+          400,
+          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "soon"))
+              .get()
+              .statusCode());
+      assertEquals(
+          400, s.send(s.to("/update").PUT(HttpRequest.BodyPublishers.noBody())).get().statusCode());
+      assertEquals(
+          400,
+          s.send(
+                  s.to("/update")
+                      .PUT(HttpRequest.BodyPublishers.noBody())
+                      .header("idempotency-key", "bare"))
+              .get()
+              .statusCode());
+      assertEquals(
+          413,
+          s.send(s.to("/lookup").POST(HttpRequest.BodyPublishers.ofString("x".repeat(2_000))))
+              .get()
+              .statusCode());
+      try (Socket socket = new Socket("127.0.0.1", s.port)) {
+        socket.setSoTimeout(20_000);
+        socket
+            .getOutputStream()
+            .write(
+                "GET /lookup HTTP/1.1\r\nhost: x\r\nbroken\u0000 field\r\n\r\n"
                     .getBytes(StandardCharsets.ISO_8859_1));
-            assertTrue(new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
-                    .endsWith(" 413"));
-            assertEquals(0, s.gatekeeper.all(Request.class).size());
-        }
+        assertTrue(
+            new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
+                .endsWith(" 400"));
+      }
+      assertEquals(0, s.gatekeeper.all(Request.class).size());
     }
+  }
 
-    @Test
-    void aRefusalSaysWhenToComeAgain() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end())) {
-            s.gatekeeper.doing((now, e) -> e instanceof Request r ? List.of(new Refuse(r.id(), 2_400_000)) : List.of());
-            HttpResponse<String> answer = s.get("/lookup");
-            assertEquals(429, answer.statusCode());
-            assertEquals("3", answer.headers().firstValue("retry-after").orElse(""));
-            assertEquals("\"basic\";q=8;w=4", answer.headers().firstValue("ratelimit-policy").orElse(""));
-            assertEquals("\"basic\";r=0;t=3", answer.headers().firstValue("ratelimit").orElse(""));
-        }
+  @Test
+  void aBodyOfUnstatedSizeIsCutOffAtTheLimit() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB");
+        Socket socket = new Socket("127.0.0.1", s.port)) {
+      socket.setSoTimeout(20_000);
+      socket
+          .getOutputStream()
+          .write(
+              ("POST /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\n"
+                      + "transfer-encoding: chunked\r\n\r\n800\r\n"
+                      + "x".repeat(2_048)
+                      + "\r\n")
+                  .getBytes(StandardCharsets.ISO_8859_1));
+      assertTrue(
+          new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
+              .endsWith(" 413"));
+      assertEquals(0, s.gatekeeper.all(Request.class).size());
     }
+  }
 
-    /** A gatekeeper that forgets a request, or fails on it, does not leave its client without an answer. */
-    @Test
-    void theHostAnswersWhatItsGatekeeperDoesNot() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end())) {
-            s.gatekeeper.doing((now, e) -> {
-                if (e instanceof Request) {
-                    throw new IllegalStateException("a defect, for a test");
-                }
-                return List.of();
-            });
-            assertEquals(504, s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50")).get()
-                    .statusCode());
-            s.gatekeeper.await(Gone.class);
-        }
+  @Test
+  void aRefusalSaysWhenToComeAgain() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end())) {
+      s.gatekeeper.doing(
+          (now, e) -> e instanceof Request r ? List.of(new Refuse(r.id(), 2_400_000)) : List.of());
+      HttpResponse<String> answer = s.get("/lookup");
+      assertEquals(429, answer.statusCode());
+      assertEquals("3", answer.headers().firstValue("retry-after").orElse(""));
+      assertEquals("\"basic\";q=8;w=4", answer.headers().firstValue("ratelimit-policy").orElse(""));
+      assertEquals("\"basic\";r=0;t=3", answer.headers().firstValue("ratelimit").orElse(""));
     }
+  }
 
-    @Test
-    void aClientThatLeavesWhileItsCounterCallIsOutIsGoneAndTheCallIsStillTold() throws Exception {
-        try (CounterStandIn counter = new CounterStandIn().start()) {
-            try (Setup s = new Setup(r -> r.response().end(), "counter 127.0.0.1:" + counter.port(),
-                    "counter-limits timeout 20s")) {
-                CompletableFuture<Long> asked = new CompletableFuture<>();
-                s.gatekeeper.doing((now, e) -> {
-                    if (e instanceof Request r) {
-                        asked.complete(r.id());
-                        return List.of(new Count("n", 1, 1_000_000));
-                    }
-                    return List.of();
-                });
-                counter.slow(300);
-                try (Socket socket = new Socket("127.0.0.1", s.port)) {
-                    socket.getOutputStream().write("GET /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\n\r\n"
-                            .getBytes(StandardCharsets.ISO_8859_1));
-                    asked.get(20, TimeUnit.SECONDS);
-                }
-                assertEquals(asked.get(), s.gatekeeper.await(Gone.class).requestId());
-                assertEquals("n", s.gatekeeper.await(Counted.class).name());
-                assertEquals(1, s.gatekeeper.all(Counted.class).size());
+  /**
+   * A gatekeeper that forgets a request, or fails on it, does not leave its client without an
+   * answer.
+   */
+  @Test
+  void theHostAnswersWhatItsGatekeeperDoesNot() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end())) {
+      s.gatekeeper.doing(
+          (now, e) -> {
+            if (e instanceof Request) {
+              throw new IllegalStateException("a defect, for a test");
             }
-        }
+            return List.of();
+          });
+      assertEquals(
+          504,
+          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50"))
+              .get()
+              .statusCode());
+      s.gatekeeper.await(Gone.class);
     }
+  }
 
-    @Test
-    void aClientThatResetsItsStreamIsGone() throws Exception {
-        try (Setup s = new Setup(r -> { })) {
-            var client = s.vertx.createHttpClient(new HttpClientOptions().setProtocolVersion(HttpVersion.HTTP_2)
-                    .setHttp2ClearTextUpgrade(false));
-            var request = Setup.wait(client.request(new RequestOptions().setHost("127.0.0.1").setPort(s.port)
-                    .setURI("/lookup").putHeader("x-api-key", "k1")));
-            request.send();
-            long id = s.gatekeeper.await(Request.class).id();
-            request.reset(Ends.CANCEL);
-            assertEquals(id, s.gatekeeper.await(Gone.class).requestId());
+  @Test
+  void aClientThatLeavesWhileItsCounterCallIsOutIsGoneAndTheCallIsStillTold() throws Exception {
+    try (CounterStandIn counter = new CounterStandIn().start()) {
+      try (Setup s =
+          new Setup(
+              r -> r.response().end(),
+              "counter 127.0.0.1:" + counter.port(),
+              "counter-limits timeout 20s")) {
+        CompletableFuture<Long> asked = new CompletableFuture<>();
+        s.gatekeeper.doing(
+            (now, e) -> {
+              if (e instanceof Request r) {
+                asked.complete(r.id());
+                return List.of(new Count("n", 1, 1_000_000));
+              }
+              return List.of();
+            });
+        counter.slow(300);
+        try (Socket socket = new Socket("127.0.0.1", s.port)) {
+          socket
+              .getOutputStream()
+              .write(
+                  "GET /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\n\r\n"
+                      .getBytes(StandardCharsets.ISO_8859_1));
+          asked.get(20, TimeUnit.SECONDS);
         }
+        assertEquals(asked.get(), s.gatekeeper.await(Gone.class).requestId());
+        assertEquals("n", s.gatekeeper.await(Counted.class).name());
+        assertEquals(1, s.gatekeeper.all(Counted.class).size());
+      }
+    }
+  }
+
+  @Test
+  void aClientThatResetsItsStreamIsGone() throws Exception {
+    try (Setup s = new Setup(r -> {})) {
+      var client =
+          s.vertx.createHttpClient(
+              new HttpClientOptions()
+                  .setProtocolVersion(HttpVersion.HTTP_2)
+                  .setHttp2ClearTextUpgrade(false));
+      var request =
+          Setup.wait(
+              client.request(
+                  new RequestOptions()
+                      .setHost("127.0.0.1")
+                      .setPort(s.port)
+                      .setURI("/lookup")
+                      .putHeader("x-api-key", "k1")));
+      request.send();
+      long id = s.gatekeeper.await(Request.class).id();
+      request.reset(Ends.CANCEL);
+      assertEquals(id, s.gatekeeper.await(Gone.class).requestId());
     }
+  }
 
-    @Test
-    void tenThousandRequestsAreOpenAtOnceAndAllAreAnswered() throws Exception {
-        int count = 10_000;
-        List<HttpServerRequest> held = new ArrayList<>();
-        try (Setup s = new Setup(r -> {
-            held.add(r);
-            if (held.size() == count) {
+  @Test
+  void tenThousandRequestsAreOpenAtOnceAndAllAreAnswered() throws Exception {
+    int count = 10_000;
+    List<HttpServerRequest> held = new ArrayList<>();
+    try (Setup s =
+        new Setup(
+            r -> {
+              held.add(r);
+              if (held.size() == count) {
                 held.forEach(each -> each.response().end());
-            }
-        }, "limits open 10000 attempts 1", "pool connections 4 streams 5000")) {
-            s.gatekeeper.doing((now, e) -> e instanceof Request r
-                    ? List.of(new Attempt(r.id(), "w", r.giveUpAtMicros())) : Scripted.sendOnce(now, e));
-            var client = s.vertx.createHttpClient(new HttpClientOptions().setProtocolVersion(HttpVersion.HTTP_2)
-                    .setHttp2ClearTextUpgrade(false), new PoolOptions().setHttp2MaxSize(20));
-            List<Future<Integer>> answers = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                answers.add(client.request(new RequestOptions().setMethod(HttpMethod.GET).setHost("127.0.0.1")
-                        .setPort(s.port).setURI("/lookup").putHeader("x-api-key", "k1"))
-                        .compose(r -> r.send()).map(HttpClientResponse::statusCode));
-            }
-            Setup.wait(Future.all(answers));
-            assertEquals(count, answers.stream().filter(a -> a.result() == 200).count());
-            assertEquals(count, s.gatekeeper.all(Outcome.class).size());
-        }
+              }
+            },
+            "limits open 10000 attempts 1",
+            "pool connections 4 streams 5000")) {
+      s.gatekeeper.doing(
+          (now, e) ->
+              e instanceof Request r
+                  ? List.of(new Attempt(r.id(), "w", r.giveUpAtMicros()))
+                  : Scripted.sendOnce(now, e));
+      var client =
+          s.vertx.createHttpClient(
+              new HttpClientOptions()
+                  .setProtocolVersion(HttpVersion.HTTP_2)
+                  .setHttp2ClearTextUpgrade(false),
+              new PoolOptions().setHttp2MaxSize(20));
+      List<Future<Integer>> answers = new ArrayList<>();
+      for (int i = 0; i < count; i++) {
+        answers.add(
+            client
+                .request(
+                    new RequestOptions()
+                        .setMethod(HttpMethod.GET)
+                        .setHost("127.0.0.1")
+                        .setPort(s.port)
+                        .setURI("/lookup")
+                        .putHeader("x-api-key", "k1"))
+                .compose(r -> r.send())
+                .map(HttpClientResponse::statusCode));
+      }
+      Setup.wait(Future.all(answers));
+      assertEquals(count, answers.stream().filter(a -> a.result() == 200).count());
+      assertEquals(count, s.gatekeeper.all(Outcome.class).size());
     }
+  }
 
-    @Test
-    void beyondTheMostThatMayBeOpenIsTurnedAwayUnasked() throws Exception {
-        try (Setup s = new Setup(r -> { }, "limits open 1")) {
-            CompletableFuture<HttpResponse<String>> first = s.send(s.to("/lookup")
-                    .header("x-envoy-expected-rq-timeout-ms", "2000"));
-            s.gatekeeper.await(Request.class);
-            assertEquals(503, s.get("/lookup").statusCode());
-            assertEquals(1, s.gatekeeper.all(Request.class).size());
-            assertEquals(504, first.get(20, TimeUnit.SECONDS).statusCode());
-        }
+  @Test
+  void beyondTheMostThatMayBeOpenIsTurnedAwayUnasked() throws Exception {
+    try (Setup s = new Setup(r -> {}, "limits open 1")) {
+      CompletableFuture<HttpResponse<String>> first =
+          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
+      s.gatekeeper.await(Request.class);
+      assertEquals(503, s.get("/lookup").statusCode());
+      assertEquals(1, s.gatekeeper.all(Request.class).size());
+      assertEquals(504, first.get(20, TimeUnit.SECONDS).statusCode());
     }
+  }
 
-    @Test
-    void stoppingAnswersWhatIsOpenAndLetsNobodyIn() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        Setup s = new Setup(held::complete, "stop 30s");
-        CompletableFuture<HttpResponse<String>> open = s.send(s.to("/lookup"));
-        HttpServerRequest request = held.get(20, TimeUnit.SECONDS);
-        var stopped = s.daemon.stop();
-        CompletableFuture<Boolean> refused = CompletableFuture.supplyAsync(() -> {
-            while (true) {
+  @Test
+  void stoppingAnswersWhatIsOpenAndLetsNobodyIn() throws Exception {
+    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+    Setup s = new Setup(held::complete, "stop 30s");
+    CompletableFuture<HttpResponse<String>> open = s.send(s.to("/lookup"));
+    HttpServerRequest request = held.get(20, TimeUnit.SECONDS);
+    var stopped = s.daemon.stop();
+    CompletableFuture<Boolean> refused =
+        CompletableFuture.supplyAsync(
+            () -> {
+              while (true) {
                 try (Socket socket = new Socket("127.0.0.1", s.port)) {
-                    Thread.onSpinWait();
+                  Thread.onSpinWait();
                 } catch (java.io.IOException e) {
-                    return true;
+                  return true;
                 }
-            }
-        });
-        assertTrue(refused.get(20, TimeUnit.SECONDS));
-        assertTrue(!stopped.isComplete(), "it waits for the open request");
-        request.response().end("kept");
-        assertEquals("kept", open.get(20, TimeUnit.SECONDS).body());
-        Setup.wait(stopped);
-        s.close();
-    }
+              }
+            });
+    assertTrue(refused.get(20, TimeUnit.SECONDS));
+    assertTrue(!stopped.isComplete(), "it waits for the open request");
+    request.response().end("kept");
+    assertEquals("kept", open.get(20, TimeUnit.SECONDS).body());
+    Setup.wait(stopped);
+    s.close();
+  }
 }
--- a/src/test/java/fawndock/gateway/PartsTest.java
+++ b/src/test/java/fawndock/gateway/PartsTest.java
@@ -23,112 +23,155 @@
 
 /** The small parts: clock, alarms, load reports, header fields, peer messages. */
 class PartsTest {
-    @Test
-    void theClockNeverRunsBackwardsAndStillMoves() {
-        long[] wall = {1_000_000};
-        long[] nanos = {0};
-        MicroClock clock = new MicroClock(() -> wall[0], () -> nanos[0]);
-        assertEquals(1_000_000, clock.now());
-        wall[0] = 500_000;
-        nanos[0] = 100_000_000;
-        assertEquals(1_050_000, clock.now(), "half speed while it is ahead of the wall clock");
-        wall[0] = 1_040_000;
-        assertEquals(1_050_000, clock.now());
-        wall[0] = 2_000_000;
-        assertEquals(2_000_000, clock.now());
-    }
+  @Test
+  void theClockNeverRunsBackwardsAndStillMoves() {
+    long[] wall = {1_000_000};
+    long[] nanos = {0};
+    MicroClock clock = new MicroClock(() -> wall[0], () -> nanos[0]);
+    assertEquals(1_000_000, clock.now());
+    wall[0] = 500_000;
+    nanos[0] = 100_000_000;
+    assertEquals(1_050_000, clock.now(), "half speed while it is ahead of the wall clock");
+    wall[0] = 1_040_000;
+    assertEquals(1_050_000, clock.now());
+    wall[0] = 2_000_000;
+    assertEquals(2_000_000, clock.now());
+  }
 
-    @Test
-    void alarmsRingInOrderOnceAndNotWhenCancelled() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        List<Integer> rung = new ArrayList<>();
-        CompletableFuture<Void> last = new CompletableFuture<>();
-        vertx.runOnContext(v -> {
-            Alarms alarms = new Alarms(vertx);
-            alarms.after(20_000, () -> rung.add(3));
-            alarms.after(1_000, () -> rung.add(1));
-            Alarms.Alarm cancelled = alarms.after(10_000, () -> rung.add(2));
-            alarms.cancel(cancelled);
-            List<Alarms.Alarm> many = new ArrayList<>();
-            for (int i = 0; i < 5_000; i++) {
-                many.add(alarms.after(3_600_000_000L, () -> rung.add(9)));
-            }
-            many.forEach(alarms::cancel);
-            assertEquals(2, alarms.pending());
-            alarms.after(4_200_000, () -> rung.add(4)); // Beyond one round of the wheel: its slot comes up early.
-            alarms.after(1_000_000, () -> rung.add(5));
-            alarms.after(4_250_000, () -> last.complete(null));
+  @Test
+  void alarmsRingInOrderOnceAndNotWhenCancelled() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    List<Integer> rung = new ArrayList<>();
+    CompletableFuture<Void> last = new CompletableFuture<>();
+    vertx.runOnContext(
+        v -> {
+          Alarms alarms = new Alarms(vertx);
+          alarms.after(20_000, () -> rung.add(3));
+          alarms.after(1_000, () -> rung.add(1));
+          Alarms.Alarm cancelled = alarms.after(10_000, () -> rung.add(2));
+          alarms.cancel(cancelled);
+          List<Alarms.Alarm> many = new ArrayList<>();
+          for (int i = 0; i < 5_000; i++) {
+            many.add(alarms.after(3_600_000_000L, () -> rung.add(9)));
+          }
+          many.forEach(alarms::cancel);
+          assertEquals(2, alarms.pending());
+          alarms.after(
+              4_200_000,
+              () -> rung.add(4)); // Beyond one round of the wheel: its slot comes up early.
+          alarms.after(1_000_000, () -> rung.add(5));
+          alarms.after(4_250_000, () -> last.complete(null));
         });
-        last.get(20, TimeUnit.SECONDS);
-        assertEquals(List.of(1, 3, 5, 4), rung);
-        Setup.wait(vertx.close());
-    }
+    last.get(20, TimeUnit.SECONDS);
+    assertEquals(List.of(1, 3, 5, 4), rung);
+    Setup.wait(vertx.close());
+  }
 
-    /** Each part has about its share of the names, and a further part takes names without moving others. */
-    @Test
-    void namesAreSpreadOverThePartsOfTheCounter() {
-        int[] names = new int[3];
-        for (int i = 0; i < 3_000; i++) {
-            String name = "customer-" + i + ":" + i % 7;
-            int part = CounterLink.part(name, 3);
-            names[part]++;
-            int of4 = CounterLink.part(name, 4);
-            assertTrue(of4 == part || of4 == 3, name);
-        }
-        for (int each : names) {
-            assertTrue(each > 900 && each < 1_100, "one part has " + each + " of 3000");
-        }
+  /**
+   * Each part has about its share of the names, and a further part takes names without moving
+   * others.
+   */
+  @Test
+  void namesAreSpreadOverThePartsOfTheCounter() {
+    int[] names = new int[3];
+    for (int i = 0; i < 3_000; i++) {
+      String name = "customer-" + i + ":" + i % 7;
+      int part = CounterLink.part(name, 3);
+      names[part]++;
+      int of4 = CounterLink.part(name, 4);
+      assertTrue(of4 == part || of4 == 3, name);
+    }
+    for (int each : names) {
+      assertTrue(each > 900 && each < 1_100, "one part has " + each + " of 3000");
     }
+  }
 
-    @Test
-    void loadReportsInBothFormsAndNonsense() {
-        Map<String, Double> expected = Map.of("utilization", 0.3, "throughput", 90.0, "queue", 4.0);
-        assertEquals(expected, LoadReport.parse(
-                "TEXT cpu_utilization=0.3, rps_fractional=90,named_metrics.queue=4,other=1,mem=x").load());
-        LoadReport.Report json = LoadReport.parse("JSON {\"cpu_utilization\":0.3,\"rps_fractional\":90,"
+  @Test
+  void loadReportsInBothFormsAndNonsense() {
+    Map<String, Double> expected = Map.of("utilization", 0.3, "throughput", 90.0, "queue", 4.0);
+    assertEquals(
+        expected,
+        LoadReport.parse(
+                "TEXT cpu_utilization=0.3, rps_fractional=90,named_metrics.queue=4,other=1,mem=x")
+            .load());
+    LoadReport.Report json =
+        LoadReport.parse(
+            "JSON {\"cpu_utilization\":0.3,\"rps_fractional\":90,"
                 + "\"request_cost\":{\"units\":2.5},\"named_metrics\":{\"queue\":4,\"deep\":{\"queue\":9}}}");
-        assertEquals(expected, json.load());
-        assertEquals(2.5, json.units());
-        for (String bad : List.of("", "JSON", "JSON {", "JSON [1]", "TEXT cpu_utilization=NaN,eps=-1", "BIN x",
-                "TEXT " + "x".repeat(5_000))) {
-            assertEquals(Map.of(), LoadReport.parse(bad).load(), bad);
-        }
-        assertEquals(Map.of(), LoadReport.parse(null).load());
+    assertEquals(expected, json.load());
+    assertEquals(2.5, json.units());
+    for (String bad :
+        List.of(
+            "",
+            "JSON",
+            "JSON {",
+            "JSON [1]",
+            "TEXT cpu_utilization=NaN,eps=-1",
+            "BIN x",
+            "TEXT " + "x".repeat(5_000))) {
+      assertEquals(Map.of(), LoadReport.parse(bad).load(), bad);
     }
+    assertEquals(Map.of(), LoadReport.parse(null).load());
+  }
 
-    @Test
-    void fieldsOfOneConnectionStay() {
-        MultiMap passed = Headers.forwarded(MultiMap.caseInsensitiveMultiMap().add("Connection", "X-Hop, close")
-                .add("X-Hop", "1").add("TE", "trailers").add("X-Kept", "a").add("x-kept", "b"), Set.of("x-key"));
-        assertEquals(List.of("a", "b"), passed.getAll("x-kept"));
-        assertEquals(1, passed.names().size());
-        assertFalse(Headers.forwarded(MultiMap.caseInsensitiveMultiMap().add("X-Key", "s"), Set.of("x-key"))
-                .contains("x-key"));
-    }
+  @Test
+  void fieldsOfOneConnectionStay() {
+    MultiMap passed =
+        Headers.forwarded(
+            MultiMap.caseInsensitiveMultiMap()
+                .add("Connection", "X-Hop, close")
+                .add("X-Hop", "1")
+                .add("TE", "trailers")
+                .add("X-Kept", "a")
+                .add("x-kept", "b"),
+            Set.of("x-key"));
+    assertEquals(List.of("a", "b"), passed.getAll("x-kept"));
+    assertEquals(1, passed.names().size());
+    assertFalse(
+        Headers.forwarded(MultiMap.caseInsensitiveMultiMap().add("X-Key", "s"), Set.of("x-key"))
+            .contains("x-key"));
+  }
 
-    @Test
-    void peersAreHeardWithinTheirLimits() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
-        CompletableFuture<Integer> port = new CompletableFuture<>();
-        Address nowhere = new Address("127.0.0.1", 0);
-        vertx.runOnContext(v -> new PeerLink(vertx, new Peers(nowhere, Map.of(0, nowhere, 1, nowhere), 2), 1,
-                new MicroClock(() -> 0, () -> 0), heard::add).start().onSuccess(port::complete));
-        Address listener = new Address("127.0.0.1", port.get(20, TimeUnit.SECONDS));
-        vertx.runOnContext(v -> {
-            PeerLink sender = new PeerLink(vertx, new Peers(nowhere, Map.of(1, listener), 100), 0, new MicroClock(),
-                    m -> { });
-            sender.start().onSuccess(p -> {
-                sender.tell(new Tell(-1, "x".repeat(300)));
-                sender.tell(new Tell(7, "for another"));
-                for (int i = 0; i < 10; i++) {
-                    sender.tell(new Tell(-1, "hi " + i));
-                }
-            });
+  @Test
+  void peersAreHeardWithinTheirLimits() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
+    CompletableFuture<Integer> port = new CompletableFuture<>();
+    Address nowhere = new Address("127.0.0.1", 0);
+    vertx.runOnContext(
+        v ->
+            new PeerLink(
+                    vertx,
+                    new Peers(nowhere, Map.of(0, nowhere, 1, nowhere), 2),
+                    1,
+                    new MicroClock(() -> 0, () -> 0),
+                    heard::add)
+                .start()
+                .onSuccess(port::complete));
+    Address listener = new Address("127.0.0.1", port.get(20, TimeUnit.SECONDS));
+    vertx.runOnContext(
+        v -> {
+          PeerLink sender =
+              new PeerLink(
+                  vertx,
+                  new Peers(nowhere, Map.of(1, listener), 100),
+                  0,
+                  new MicroClock(),
+                  m -> {});
+          sender
+              .start()
+              .onSuccess(
+                  p -> {
+                    sender.tell(new Tell(-1, "x".repeat(300)));
+                    sender.tell(new Tell(7, "for another"));
+                    for (int i = 0; i < 10; i++) {
+                      sender.tell(new Tell(-1, "hi " + i));
+                    }
+                  });
         });
-        assertEquals(new Message(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
-        assertEquals(new Message(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
-        Setup.wait(vertx.close());
-        assertEquals(0, heard.size(), "more than its intake was taken in");
-    }
+    assertEquals(new Message(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
+    assertEquals(new Message(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
+    Setup.wait(vertx.close());
+    assertEquals(0, heard.size(), "more than its intake was taken in");
+  }
 }
--- a/src/test/java/fawndock/gateway/RosterLinkTest.java
+++ b/src/test/java/fawndock/gateway/RosterLinkTest.java
@@ -12,67 +12,100 @@
 import org.junit.jupiter.api.Test;
 
 class RosterLinkTest {
-    private static String entry(String id, String state) {
-        return "{\"id\":\"" + id + "\",\"host\":\"127.0.0.1\",\"port\":1,\"state\":\"" + state + "\"}";
-    }
+  private static String entry(String id, String state) {
+    return "{\"id\":\"" + id + "\",\"host\":\"127.0.0.1\",\"port\":1,\"state\":\"" + state + "\"}";
+  }
 
-    @Test
-    void aServerNamedTwiceCountsAsTheOneNearerToItsEnd() {
-        for (String order : List.of(entry("w", "stopping") + "," + entry("w", "running"),
-                entry("w", "running") + "," + entry("w", "stopping"))) {
-            RosterLine line = RosterLine.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
-            assertEquals(1, line.servers().size());
-            assertEquals(Availability.STOPPING, line.servers().get(0).availability());
-            assertEquals(1, line.twice().size());
-        }
+  @Test
+  void aServerNamedTwiceCountsAsTheOneNearerToItsEnd() {
+    for (String order :
+        List.of(
+            entry("w", "stopping") + "," + entry("w", "running"),
+            entry("w", "running") + "," + entry("w", "stopping"))) {
+      RosterLine line = RosterLine.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
+      assertEquals(1, line.servers().size());
+      assertEquals(Availability.STOPPING, line.servers().get(0).availability());
+      assertEquals(1, line.twice().size());
     }
+  }
 
-    @Test
-    void whatCannotBeReadSaysWhy() {
-        for (String bad : List.of("{", "{}", "{\"list\":\"some\",\"servers\":[]}", "{\"list\":\"complete\"}",
-                "{\"list\":\"complete\",\"servers\":[{\"id\":\"w\",\"state\":\"running\"}]}",
-                "{\"list\":\"complete\",\"servers\":[" + entry("w", "sleeping") + "]}")) {
-            assertThrows(IllegalArgumentException.class, () -> RosterLine.parse(bad), bad);
-        }
+  @Test
+  void whatCannotBeReadSaysWhy() {
+    for (String bad :
+        List.of(
+            "{",
+            "{}",
+            "{\"list\":\"some\",\"servers\":[]}",
+            "{\"list\":\"complete\"}",
+            "{\"list\":\"complete\",\"servers\":[{\"id\":\"w\",\"state\":\"running\"}]}",
+            "{\"list\":\"complete\",\"servers\":[" + entry("w", "sleeping") + "]}")) {
+      assertThrows(IllegalArgumentException.class, () -> RosterLine.parse(bad), bad);
     }
+  }
 
-    /** A stream that does not begin with everything may hide servers that drain: it is given up, not followed. */
-    @Test
-    void aStreamThatBeginsWithChangesIsNotFollowed() throws Exception {
-        io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
-        int[] connections = {0};
-        int port = Setup.wait(vertx.createHttpServer().requestHandler(r -> r.response().setChunked(true).write(
-                "{\"list\":\"" + (connections[0]++ == 0 ? "changes" : "complete") + "\",\"servers\":["
-                + entry("w", "running") + "]}\n")).listen(0, "127.0.0.1")).actualPort();
-        try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
-            assertEquals(Listing.COMPLETE, s.gatekeeper.await(Servers.class).listing());
-        }
-        Setup.wait(vertx.close());
+  /**
+   * A stream that does not begin with everything may hide servers that drain: it is given up, not
+   * followed.
+   */
+  @Test
+  void aStreamThatBeginsWithChangesIsNotFollowed() throws Exception {
+    io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
+    int[] connections = {0};
+    int port =
+        Setup.wait(
+                vertx
+                    .createHttpServer()
+                    .requestHandler(
+                        r ->
+                            r.response()
+                                .setChunked(true)
+                                .write(
+                                    "{\"list\":\""
+                                        + (connections[0]++ == 0 ? "changes" : "complete")
+                                        + "\",\"servers\":["
+                                        + entry("w", "running")
+                                        + "]}\n"))
+                    .listen(0, "127.0.0.1"))
+            .actualPort();
+    try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
+      assertEquals(Listing.COMPLETE, s.gatekeeper.await(Servers.class).listing());
     }
+    Setup.wait(vertx.close());
+  }
 
-    /** Cut off, back, nobody listed, nonsense: the gatekeeper is never told that the fleet is empty. */
-    @Test
-    void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
-        io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
-        Roster roster = new Roster(vertx, new Recorder());
-        roster.tell(new Roster.Entry("a", 1, "", 0, "running", 0), new Roster.Entry("b", 2, "", 0, "running", 0));
-        int port = Setup.wait(roster.listen(0));
-        try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
-            s.gatekeeper.await(Servers.class, e -> e.listing() == Listing.COMPLETE && e.servers().size() == 2);
-            roster.cut(true);
-            roster.cut(false);
-            Setup.until(() -> complete(s) >= 2); // It connects again and has the complete list once more.
-            roster.raw("{\"list\":\"complete\",\"servers\":[]}");
-            s.gatekeeper.await(Servers.class, e -> e.listing() == Listing.FAILED);
-            roster.raw("nonsense");
-            Setup.until(() -> complete(s) >= 3);
-            assertEquals(0, s.gatekeeper.all(Servers.class).stream()
-                    .filter(e -> e.listing() != Listing.FAILED && e.servers().isEmpty()).count());
-        }
-        Setup.wait(vertx.close());
+  /**
+   * Cut off, back, nobody listed, nonsense: the gatekeeper is never told that the fleet is empty.
+   */
+  @Test
+  void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
+    io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
+    Roster roster = new Roster(vertx, new Recorder());
+    roster.tell(
+        new Roster.Entry("a", 1, "", 0, "running", 0),
+        new Roster.Entry("b", 2, "", 0, "running", 0));
+    int port = Setup.wait(roster.listen(0));
+    try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
+      s.gatekeeper.await(
+          Servers.class, e -> e.listing() == Listing.COMPLETE && e.servers().size() == 2);
+      roster.cut(true);
+      roster.cut(false);
+      Setup.until(() -> complete(s) >= 2); // It connects again and has the complete list once more.
+      roster.raw("{\"list\":\"complete\",\"servers\":[]}");
+      s.gatekeeper.await(Servers.class, e -> e.listing() == Listing.FAILED);
+      roster.raw("nonsense");
+      Setup.until(() -> complete(s) >= 3);
+      assertEquals(
+          0,
+          s.gatekeeper.all(Servers.class).stream()
+              .filter(e -> e.listing() != Listing.FAILED && e.servers().isEmpty())
+              .count());
     }
+    Setup.wait(vertx.close());
+  }
 
-    private static long complete(Setup s) {
-        return s.gatekeeper.all(Servers.class).stream().filter(e -> e.listing() == Listing.COMPLETE).count();
-    }
+  private static long complete(Setup s) {
+    return s.gatekeeper.all(Servers.class).stream()
+        .filter(e -> e.listing() == Listing.COMPLETE)
+        .count();
+  }
 }
--- a/src/test/java/fawndock/gateway/Setup.java
+++ b/src/test/java/fawndock/gateway/Setup.java
@@ -21,19 +21,26 @@
 
 /** A daemon with a scripted gatekeeper and one worker, on free loopback ports. */
 final class Setup implements AutoCloseable {
-    final Vertx vertx = Vertx.vertx();
-    final Scripted gatekeeper = new Scripted();
-    final HttpClient http = HttpClient.newHttpClient();
-    Daemon daemon;
-    HttpServer worker;
-    int port;
+  final Vertx vertx = Vertx.vertx();
+  final Scripted gatekeeper = new Scripted();
+  final HttpClient http = HttpClient.newHttpClient();
+  Daemon daemon;
+  HttpServer worker;
+  int port;
 
-    Setup(Handler<HttpServerRequest> worker, String... lines) throws Exception {
-        this.worker = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true)
-                .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(20_000))).requestHandler(worker);
-        int workerPort = wait(this.worker.listen(0, "127.0.0.1")).actualPort();
-        Path file = Files.createTempFile("fawndock", ".conf");
-        Files.writeString(file, """
+  Setup(Handler<HttpServerRequest> worker, String... lines) throws Exception {
+    this.worker =
+        vertx
+            .createHttpServer(
+                new HttpServerOptions()
+                    .setHttp2ClearTextEnabled(true)
+                    .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(20_000)))
+            .requestHandler(worker);
+    int workerPort = wait(this.worker.listen(0, "127.0.0.1")).actualPort();
+    Path file = Files.createTempFile("fawndock", ".conf");
+    Files.writeString(
+        file,
+        """
                 listen 127.0.0.1:0
                 class lookup aim 500ms deadline 40s repeat idempotent
                 class stream aim 500ms deadline 40s repeat idempotent streamed yes
@@ -43,46 +50,52 @@
                 route PUT /update update
                 plan basic rate 2 store 8
                 key k1 customer one plan basic
-                """ + (String.join(" ", lines).contains("stop ") ? "" : "stop 1s\n") + String.join("\n", lines) + (String.join("", lines).contains("roster") ? "" : "\nserver w 127.0.0.1:"
-                + workerPort) + "\n");
-        DaemonSettings settings = SettingsFile.read(file);
-        Files.delete(file);
-        AtomicInteger made = new AtomicInteger();
-        daemon = new Daemon(settings, s -> made.getAndIncrement() == 0 ? gatekeeper : new Scripted());
-        port = wait(daemon.start());
-    }
+                """
+            + (String.join(" ", lines).contains("stop ") ? "" : "stop 1s\n")
+            + String.join("\n", lines)
+            + (String.join("", lines).contains("roster")
+                ? ""
+                : "\nserver w 127.0.0.1:" + workerPort)
+            + "\n");
+    DaemonSettings settings = SettingsFile.read(file);
+    Files.delete(file);
+    AtomicInteger made = new AtomicInteger();
+    daemon = new Daemon(settings, s -> made.getAndIncrement() == 0 ? gatekeeper : new Scripted());
+    port = wait(daemon.start());
+  }
 
-    static <T> T wait(Future<T> future) throws Exception {
-        return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    }
+  static <T> T wait(Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+  }
 
-    /** Waits for something that can only be asked for. */
-    static void until(java.util.function.BooleanSupplier what) {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!what.getAsBoolean()) {
-            if (System.nanoTime() > limit) {
-                throw new AssertionError("it never came");
-            }
-            Thread.onSpinWait();
-        }
+  /** Waits for something that can only be asked for. */
+  static void until(java.util.function.BooleanSupplier what) {
+    long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    while (!what.getAsBoolean()) {
+      if (System.nanoTime() > limit) {
+        throw new AssertionError("it never came");
+      }
+      Thread.onSpinWait();
     }
+  }
 
-    HttpRequest.Builder to(String path) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path)).header("x-api-key", "k1")
-                .version(HttpClient.Version.HTTP_1_1);
-    }
+  HttpRequest.Builder to(String path) {
+    return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+        .header("x-api-key", "k1")
+        .version(HttpClient.Version.HTTP_1_1);
+  }
 
-    CompletableFuture<HttpResponse<String>> send(HttpRequest.Builder request) {
-        return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
-    }
+  CompletableFuture<HttpResponse<String>> send(HttpRequest.Builder request) {
+    return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
+  }
 
-    HttpResponse<String> get(String path) throws Exception {
-        return send(to(path)).get(20, TimeUnit.SECONDS);
-    }
+  HttpResponse<String> get(String path) throws Exception {
+    return send(to(path)).get(20, TimeUnit.SECONDS);
+  }
 
-    @Override
-    public void close() throws Exception {
-        daemon.stopAndWait();
-        wait(vertx.close());
-    }
+  @Override
+  public void close() throws Exception {
+    daemon.stopAndWait();
+    wait(vertx.close());
+  }
 }
--- a/src/test/java/fawndock/gateway/WorkerEndsTest.java
+++ b/src/test/java/fawndock/gateway/WorkerEndsTest.java
@@ -23,195 +23,241 @@
 
 /** Each line of the table of ends in docs/design/gateway.md, on sockets. */
 class WorkerEndsTest {
-    @Test
-    void noConnectionNeverRan() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end())) {
-            Setup.wait(s.worker.close());
-            assertEquals(502, s.get("/lookup").statusCode());
-            assertEquals(Result.CONNECT_FAILED, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void noConnectionNeverRan() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end())) {
+      Setup.wait(s.worker.close());
+      assertEquals(502, s.get("/lookup").statusCode());
+      assertEquals(Result.CONNECT_FAILED, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void refusedStreamNeverRan() throws Exception {
-        try (Setup s = new Setup(r -> r.response().reset(Ends.REFUSED_STREAM))) {
-            assertEquals(502, s.get("/lookup").statusCode());
-            assertEquals(Result.SHED, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void refusedStreamNeverRan() throws Exception {
+    try (Setup s = new Setup(r -> r.response().reset(Ends.REFUSED_STREAM))) {
+      assertEquals(502, s.get("/lookup").statusCode());
+      assertEquals(Result.SHED, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void streamsAboveTheLastOfAGoAwayNeverRanAndThoseBelowGoOn() throws Exception {
-        List<HttpServerRequest> held = new ArrayList<>();
-        try (Setup s = new Setup(r -> {
-            held.add(r);
-            if (held.size() == 2) {
+  @Test
+  void streamsAboveTheLastOfAGoAwayNeverRanAndThoseBelowGoOn() throws Exception {
+    List<HttpServerRequest> held = new ArrayList<>();
+    try (Setup s =
+        new Setup(
+            r -> {
+              held.add(r);
+              if (held.size() == 2) {
                 r.connection().goAway(0, Math.min(held.get(0).streamId(), held.get(1).streamId()));
-                HttpServerRequest below = held.get(0).streamId() < held.get(1).streamId() ? held.get(0) : held.get(1);
+                HttpServerRequest below =
+                    held.get(0).streamId() < held.get(1).streamId() ? held.get(0) : held.get(1);
                 below.response().end("below");
-            }
-        }, "pool connections 1")) {
-            CompletableFuture<HttpResponse<String>> one = s.send(s.to("/lookup"));
-            s.gatekeeper.await(Request.class);
-            CompletableFuture<HttpResponse<String>> two = s.send(s.to("/lookup"));
-            List<Integer> statuses = new ArrayList<>(List.of(one.get(20, TimeUnit.SECONDS).statusCode(),
-                    two.get(20, TimeUnit.SECONDS).statusCode()));
-            statuses.sort(null);
-            assertEquals(List.of(200, 502), statuses);
-            assertEquals(List.of(Result.OK, Result.SHED), s.gatekeeper.all(Outcome.class).stream()
-                    .map(Outcome::result).sorted().toList());
-        }
+              }
+            },
+            "pool connections 1")) {
+      CompletableFuture<HttpResponse<String>> one = s.send(s.to("/lookup"));
+      s.gatekeeper.await(Request.class);
+      CompletableFuture<HttpResponse<String>> two = s.send(s.to("/lookup"));
+      List<Integer> statuses =
+          new ArrayList<>(
+              List.of(
+                  one.get(20, TimeUnit.SECONDS).statusCode(),
+                  two.get(20, TimeUnit.SECONDS).statusCode()));
+      statuses.sort(null);
+      assertEquals(List.of(200, 502), statuses);
+      assertEquals(
+          List.of(Result.OK, Result.SHED),
+          s.gatekeeper.all(Outcome.class).stream().map(Outcome::result).sorted().toList());
     }
+  }
 
-    @Test
-    void streamsBelowTheLastOfAGoAwayMayHaveRunWhenTheConnectionBreaks() throws Exception {
-        try (Setup s = new Setup(r -> {
-            r.connection().goAway(0, r.streamId());
-            r.connection().close();
-        })) {
-            assertEquals(502, s.get("/lookup").statusCode());
-            assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void streamsBelowTheLastOfAGoAwayMayHaveRunWhenTheConnectionBreaks() throws Exception {
+    try (Setup s =
+        new Setup(
+            r -> {
+              r.connection().goAway(0, r.streamId());
+              r.connection().close();
+            })) {
+      assertEquals(502, s.get("/lookup").statusCode());
+      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void anotherResetMayHaveRun() throws Exception {
-        try (Setup s = new Setup(r -> r.response().reset(2))) {
-            assertEquals(502, s.get("/lookup").statusCode());
-            assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void anotherResetMayHaveRun() throws Exception {
+    try (Setup s = new Setup(r -> r.response().reset(2))) {
+      assertEquals(502, s.get("/lookup").statusCode());
+      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void anAnswerThatBreaksHalfwayMayHaveRunAndIsNotServed() throws Exception {
-        try (Setup s = new Setup(r -> r.response().setChunked(true).write("half").onSuccess(v ->
-                r.response().reset(2)))) {
-            assertEquals(502, s.get("/lookup").statusCode());
-            assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void anAnswerThatBreaksHalfwayMayHaveRunAndIsNotServed() throws Exception {
+    try (Setup s =
+        new Setup(
+            r ->
+                r.response()
+                    .setChunked(true)
+                    .write("half")
+                    .onSuccess(v -> r.response().reset(2)))) {
+      assertEquals(502, s.get("/lookup").statusCode());
+      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void errorStatusIsAnError() throws Exception {
-        try (Setup s = new Setup(r -> r.response().setStatusCode(503).putHeader("endpoint-load-metrics",
-                "TEXT cpu_utilization=0.5").end())) {
-            HttpResponse<String> answer = s.get("/lookup");
-            assertEquals(502, answer.statusCode());
-            assertEquals("application/problem+json", answer.headers().firstValue("content-type").orElse(""));
-            Outcome outcome = s.gatekeeper.await(Outcome.class);
-            assertEquals(Result.ERROR, outcome.result());
-            assertEquals(0.5, outcome.load().get("utilization"));
-        }
+  @Test
+  void errorStatusIsAnError() throws Exception {
+    try (Setup s =
+        new Setup(
+            r ->
+                r.response()
+                    .setStatusCode(503)
+                    .putHeader("endpoint-load-metrics", "TEXT cpu_utilization=0.5")
+                    .end())) {
+      HttpResponse<String> answer = s.get("/lookup");
+      assertEquals(502, answer.statusCode());
+      assertEquals(
+          "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
+      Outcome outcome = s.gatekeeper.await(Outcome.class);
+      assertEquals(Result.ERROR, outcome.result());
+      assertEquals(0.5, outcome.load().get("utilization"));
     }
+  }
 
-    @Test
-    void statusesBelowFiveHundredAreServed() throws Exception {
-        try (Setup s = new Setup(r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
-            HttpResponse<String> answer = s.get("/lookup");
-            assertEquals(404, answer.statusCode());
-            assertEquals("none", answer.body());
-            assertEquals("1", answer.headers().firstValue("x-own").orElse(""));
-            Outcome outcome = s.gatekeeper.await(Outcome.class);
-            assertEquals(Result.OK, outcome.result());
-            assertTrue(outcome.over());
-        }
+  @Test
+  void statusesBelowFiveHundredAreServed() throws Exception {
+    try (Setup s =
+        new Setup(r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
+      HttpResponse<String> answer = s.get("/lookup");
+      assertEquals(404, answer.statusCode());
+      assertEquals("none", answer.body());
+      assertEquals("1", answer.headers().firstValue("x-own").orElse(""));
+      Outcome outcome = s.gatekeeper.await(Outcome.class);
+      assertEquals(Result.OK, outcome.result());
+      assertTrue(outcome.over());
     }
+  }
 
-    /** Also a worker that answers after the attempt was abandoned: nobody gets that answer. */
-    @Test
-    void silenceIsATimeOutAndALaterAnswerIsDropped() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        CountDownLatch reset = new CountDownLatch(1);
-        try (Setup s = new Setup(r -> {
-            r.response().exceptionHandler(e -> reset.countDown());
-            held.complete(r);
-        })) {
-            s.gatekeeper.doing((now, e) -> e instanceof Request r
-                    ? List.of(new Attempt(r.id(), "w", now + 1_500_000)) : Scripted.sendOnce(now, e));
-            HttpResponse<String> answer = s.get("/lookup");
-            assertEquals(504, answer.statusCode());
-            assertEquals(Result.TIMEOUT, s.gatekeeper.await(Outcome.class).result());
-            assertTrue(reset.await(20, TimeUnit.SECONDS), "the worker is told that nobody waits");
-            held.get().response().end("late");
-            assertEquals(1, s.gatekeeper.all(Outcome.class).size());
-        }
+  /** Also a worker that answers after the attempt was abandoned: nobody gets that answer. */
+  @Test
+  void silenceIsATimeOutAndALaterAnswerIsDropped() throws Exception {
+    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+    CountDownLatch reset = new CountDownLatch(1);
+    try (Setup s =
+        new Setup(
+            r -> {
+              r.response().exceptionHandler(e -> reset.countDown());
+              held.complete(r);
+            })) {
+      s.gatekeeper.doing(
+          (now, e) ->
+              e instanceof Request r
+                  ? List.of(new Attempt(r.id(), "w", now + 1_500_000))
+                  : Scripted.sendOnce(now, e));
+      HttpResponse<String> answer = s.get("/lookup");
+      assertEquals(504, answer.statusCode());
+      assertEquals(Result.TIMEOUT, s.gatekeeper.await(Outcome.class).result());
+      assertTrue(reset.await(20, TimeUnit.SECONDS), "the worker is told that nobody waits");
+      held.get().response().end("late");
+      assertEquals(1, s.gatekeeper.all(Outcome.class).size());
     }
+  }
 
-    @Test
-    void cancelMayHaveRunAndItsWorkerIsTold() throws Exception {
-        CountDownLatch reset = new CountDownLatch(1);
-        try (Setup s = new Setup(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
-            s.gatekeeper.doing((now, e) -> {
-                if (e instanceof Request r) {
-                    return List.of(new Attempt(r.id(), "w", 0), new WakeAfter(100_000, "" + r.id()));
-                }
-                return e instanceof Wake w ? List.of(new Cancel(Long.parseLong(w.token()), 0),
-                        new Fail(Long.parseLong(w.token()))) : List.of();
-            });
-            assertEquals(504, s.get("/lookup").statusCode());
-            Result result = s.gatekeeper.await(Outcome.class).result();
-            // Sent or not by then, it ends once; what was sent may have run.
-            assertTrue(result == Result.CANCELLED && reset.await(20, TimeUnit.SECONDS) || result == Result.UNUSED);
-        }
+  @Test
+  void cancelMayHaveRunAndItsWorkerIsTold() throws Exception {
+    CountDownLatch reset = new CountDownLatch(1);
+    try (Setup s = new Setup(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
+      s.gatekeeper.doing(
+          (now, e) -> {
+            if (e instanceof Request r) {
+              return List.of(new Attempt(r.id(), "w", 0), new WakeAfter(100_000, "" + r.id()));
+            }
+            return e instanceof Wake w
+                ? List.of(
+                    new Cancel(Long.parseLong(w.token()), 0), new Fail(Long.parseLong(w.token())))
+                : List.of();
+          });
+      assertEquals(504, s.get("/lookup").statusCode());
+      Result result = s.gatekeeper.await(Outcome.class).result();
+      // Sent or not by then, it ends once; what was sent may have run.
+      assertTrue(
+          result == Result.CANCELLED && reset.await(20, TimeUnit.SECONDS)
+              || result == Result.UNUSED);
     }
+  }
 
-    /** The loop is held until the worker's answer is there and the time-out is due: exactly one of them counts. */
-    @Test
-    void answerAndTimeOutInOneTurnEndTheAttemptOnce() throws Exception {
-        CountDownLatch answered = new CountDownLatch(1);
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        try (Setup s = new Setup(held::complete)) {
-            long[] due = {0};
-            s.gatekeeper.doing((now, e) -> {
-                if (e instanceof Request r) {
-                    due[0] = System.nanoTime() + 1_500_000_000;
-                    return List.of(new Attempt(r.id(), "w", now + 1_500_000), new WakeAfter(10_000, "hold"));
-                }
-                if (e instanceof Wake && !held.isDone()) {
-                    return List.of(new WakeAfter(10_000, "hold"));
-                }
-                if (e instanceof Wake) {
-                    try {
-                        held.get(20, TimeUnit.SECONDS).response().end("in time").onComplete(v -> answered.countDown());
-                        answered.await(20, TimeUnit.SECONDS);
-                        TimeUnit.NANOSECONDS.sleep(Math.max(0, due[0] + 20_000_000 - System.nanoTime()));
-                    } catch (Exception interrupted) {
-                        throw new IllegalStateException(interrupted);
-                    }
-                }
-                return Scripted.sendOnce(now, e instanceof Wake ? new Wake("") : e);
-            });
-            HttpResponse<String> answer = s.get("/lookup");
-            Outcome outcome = s.gatekeeper.await(Outcome.class);
-            assertEquals(outcome.result() == Result.OK ? 200 : 504, answer.statusCode());
-            assertEquals(1, s.gatekeeper.all(Outcome.class).size());
-        }
+  /**
+   * The loop is held until the worker's answer is there and the time-out is due: exactly one of
+   * them counts.
+   */
+  @Test
+  void answerAndTimeOutInOneTurnEndTheAttemptOnce() throws Exception {
+    CountDownLatch answered = new CountDownLatch(1);
+    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+    try (Setup s = new Setup(held::complete)) {
+      long[] due = {0};
+      s.gatekeeper.doing(
+          (now, e) -> {
+            if (e instanceof Request r) {
+              due[0] = System.nanoTime() + 1_500_000_000;
+              return List.of(
+                  new Attempt(r.id(), "w", now + 1_500_000), new WakeAfter(10_000, "hold"));
+            }
+            if (e instanceof Wake && !held.isDone()) {
+              return List.of(new WakeAfter(10_000, "hold"));
+            }
+            if (e instanceof Wake) {
+              try {
+                held.get(20, TimeUnit.SECONDS)
+                    .response()
+                    .end("in time")
+                    .onComplete(v -> answered.countDown());
+                answered.await(20, TimeUnit.SECONDS);
+                TimeUnit.NANOSECONDS.sleep(Math.max(0, due[0] + 20_000_000 - System.nanoTime()));
+              } catch (Exception interrupted) {
+                throw new IllegalStateException(interrupted);
+              }
+            }
+            return Scripted.sendOnce(now, e instanceof Wake ? new Wake("") : e);
+          });
+      HttpResponse<String> answer = s.get("/lookup");
+      Outcome outcome = s.gatekeeper.await(Outcome.class);
+      assertEquals(outcome.result() == Result.OK ? 200 : 504, answer.statusCode());
+      assertEquals(1, s.gatekeeper.all(Outcome.class).size());
     }
+  }
 
-    @Test
-    void streamedAnswerStartsAndHasNoDeadlineAfterwards() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        try (Setup s = new Setup(r -> {
-            r.response().setChunked(true).write("first ");
-            held.complete(r);
-        })) {
-            s.gatekeeper.doing((now, e) -> e instanceof Request r
-                    ? List.of(new Attempt(r.id(), "w", now + 2_000_000), new WakeAfter(2_100_000, "after")) : List.of());
-            CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
-            s.gatekeeper.await(Started.class);
-            s.gatekeeper.await(Wake.class); // The time of the attempt is over by now.
-            assertEquals(0, s.gatekeeper.all(Outcome.class).size());
-            held.get().response().end("last");
-            assertEquals("first last", answer.get(20, TimeUnit.SECONDS).body());
-            assertEquals(Result.OK, s.gatekeeper.await(Outcome.class).result());
-        }
+  @Test
+  void streamedAnswerStartsAndHasNoDeadlineAfterwards() throws Exception {
+    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+    try (Setup s =
+        new Setup(
+            r -> {
+              r.response().setChunked(true).write("first ");
+              held.complete(r);
+            })) {
+      s.gatekeeper.doing(
+          (now, e) ->
+              e instanceof Request r
+                  ? List.of(
+                      new Attempt(r.id(), "w", now + 2_000_000), new WakeAfter(2_100_000, "after"))
+                  : List.of());
+      CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
+      s.gatekeeper.await(Started.class);
+      s.gatekeeper.await(Wake.class); // The time of the attempt is over by now.
+      assertEquals(0, s.gatekeeper.all(Outcome.class).size());
+      held.get().response().end("last");
+      assertEquals("first last", answer.get(20, TimeUnit.SECONDS).body());
+      assertEquals(Result.OK, s.gatekeeper.await(Outcome.class).result());
     }
+  }
 
-    @Test
-    void anAnswerBeyondTheBufferIsStreamed() throws Exception {
-        try (Setup s = new Setup(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
-            assertEquals(100_000, s.get("/lookup").body().length());
-            s.gatekeeper.await(Started.class);
-        }
+  @Test
+  void anAnswerBeyondTheBufferIsStreamed() throws Exception {
+    try (Setup s = new Setup(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
+      assertEquals(100_000, s.get("/lookup").body().length());
+      s.gatekeeper.await(Started.class);
     }
+  }
 }
--- a/src/test/java/fawndock/lab/calibrate/CalibrateTest.java
+++ b/src/test/java/fawndock/lab/calibrate/CalibrateTest.java
@@ -14,24 +14,30 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class CalibrateTest {
-    @TempDir
-    private Path directory;
+  @TempDir private Path directory;
 
-    @Test
-    void figuresThatDifferMuchAreMarked() {
-        Map<String, Double> emulated = new LinkedHashMap<>(Map.of("a", 1.0));
-        emulated.put("b", 0.01);
-        emulated.put("c", 2.0);
-        emulated.put("d", 1.0);
-        List<Beside.Row> rows = Beside.rows(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
-        assertEquals(List.of(false, false, true), rows.stream().map(Beside.Row::much).toList());
-        assertEquals(0.15, rows.get(2).differs(), 1e-9);
-    }
+  @Test
+  void figuresThatDifferMuchAreMarked() {
+    Map<String, Double> emulated = new LinkedHashMap<>(Map.of("a", 1.0));
+    emulated.put("b", 0.01);
+    emulated.put("c", 2.0);
+    emulated.put("d", 1.0);
+    List<Beside.Row> rows = Beside.rows(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
+    assertEquals(List.of(false, false, true), rows.stream().map(Beside.Row::much).toList());
+    assertEquals(0.15, rows.get(2).differs(), 1e-9);
+  }
 
-    /** What a day says is a deployment that can be read, with its sizes, and what has no match is said. */
-    @Test
-    void aDayIsDescribed() throws Exception {
-        DayFile day = DayFile.read(Files.writeString(directory.resolve("day.json"), """
+  /**
+   * What a day says is a deployment that can be read, with its sizes, and what has no match is
+   * said.
+   */
+  @Test
+  void aDayIsDescribed() throws Exception {
+    DayFile day =
+        DayFile.read(
+            Files.writeString(
+                directory.resolve("day.json"),
+                """
                 {"site":"s","length":4000000,"traffic":{"load":0.4},"servers":[{},{},{},{}],"balancers":[{},{}],
                 "tiers":[{"kinds":[{"cores":3,"queue":9,"cold_from":0.3,"cold":5000000}]}],
                 "classes":[{"name":"c","share":1,"work":1000,"aim":2000,"deadline":3000,"effect":"keyed","window":7}],
@@ -40,15 +46,18 @@
                 "troubles":[{"kind":"slow","at":1000000,"len":2000000,"size":3,"on":[1,2],"steps":[]},
                 {"kind":"sunspots","at":1000000,"len":2000000,"size":3,"on":[],"steps":[]}]}
                 """));
-        Path file = Files.writeString(directory.resolve("d.emu"), DayDescribed.of(day));
-        DeploymentFile.Read read = DeploymentFile.read(file);
-        assertEquals(4, read.deployment().workers());
-        assertEquals(2, read.deployment().counter().parts());
-        assertEquals(9_000, read.deployment().counter().queueMicros());
-        assertEquals(List.of(2, 3, 5), read.deployment().demands().stream().map(d -> d.customers()).toList());
-        assertEquals(2 * 3 * 2, read.deployment().demands().get(0).rate(), 1e-6);
-        assertEquals(new DeploymentFile.Mark("worker-slow", 1, 3, 0, 2, 3, 0.5), read.marks().get(0));
-        assertTrue(Files.readString(file).contains("# trouble sunspots"));
-        assertEquals(List.of("over sockets each customer comes through all gatekeepers"), new OverSockets(read, System.out).beyond());
-    }
+    Path file = Files.writeString(directory.resolve("d.emu"), DayDescribed.of(day));
+    DeploymentFile.Read read = DeploymentFile.read(file);
+    assertEquals(4, read.deployment().workers());
+    assertEquals(2, read.deployment().counter().parts());
+    assertEquals(9_000, read.deployment().counter().queueMicros());
+    assertEquals(
+        List.of(2, 3, 5), read.deployment().demands().stream().map(d -> d.customers()).toList());
+    assertEquals(2 * 3 * 2, read.deployment().demands().get(0).rate(), 1e-6);
+    assertEquals(new DeploymentFile.Mark("worker-slow", 1, 3, 0, 2, 3, 0.5), read.marks().get(0));
+    assertTrue(Files.readString(file).contains("# trouble sunspots"));
+    assertEquals(
+        List.of("over sockets each customer comes through all gatekeepers"),
+        new OverSockets(read, System.out).beyond());
+  }
 }
