--- a/src/test/java/fawndock/lab/emu/EmulationTest.java
+++ b/src/test/java/fawndock/lab/emu/EmulationTest.java
@@ -32,101 +32,150 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class EmulationTest {
-    private static final Manners PATIENT = new Manners(3_000_000, Manners.Retry.NONE, 0, 1, false);
+  private static final Manners PATIENT = new Manners(3_000_000, Manners.Retry.NONE, 0, 1, false);
 
-    private static Deployment deployment(long seed, double seconds) {
-        return new Deployment(6, 8, 2, new Worker.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000), 0.02,
-                new Deployment.Network(200, 100, 0), new Deployment.Counter(20_000, 50_000, 2, 0, 0), 50_000,
-                List.of(new RequestClass("lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
-                List.of(new Plan("seat", 20, 40, 0, 1, 0, 0, 0, 0, 0)),
-                new Limits(3, 2_000, 60_000_000, false, true, true, true, true),
-                new Rules(10_000, 1_000_000, 0.2, 4_000_000, 2, 1_000_000, 60_000_000),
-                List.of(new Deployment.Demand("over", "lookup", "seat", 4, 0, 6, 120, new Shape.Constant(), 1_500_000, PATIENT),
-                        new Deployment.Demand("under", "lookup", "seat", 4, 0, 6, 40, new Shape.Constant(), 1_500_000,
-                                PATIENT)), seconds, seed);
-    }
+  private static Deployment deployment(long seed, double seconds) {
+    return new Deployment(
+        6,
+        8,
+        2,
+        new Worker.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000),
+        0.02,
+        new Deployment.Network(200, 100, 0),
+        new Deployment.Counter(20_000, 50_000, 2, 0, 0),
+        50_000,
+        List.of(
+            new RequestClass(
+                "lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
+        List.of(new Plan("seat", 20, 40, 0, 1, 0, 0, 0, 0, 0)),
+        new Limits(3, 2_000, 60_000_000, false, true, true, true, true),
+        new Rules(10_000, 1_000_000, 0.2, 4_000_000, 2, 1_000_000, 60_000_000),
+        List.of(
+            new Deployment.Demand(
+                "over", "lookup", "seat", 4, 0, 6, 120, new Shape.Constant(), 1_500_000, PATIENT),
+            new Deployment.Demand(
+                "under", "lookup", "seat", 4, 0, 6, 40, new Shape.Constant(), 1_500_000, PATIENT)),
+        seconds,
+        seed);
+  }
 
-    private static Emulation.Result run(Emulation emulation) {
-        return emulation.run();
-    }
+  private static Emulation.Result run(Emulation emulation) {
+    return emulation.run();
+  }
 
-    @Test
-    void eventsAtTheSameTimeHappenInTheOrderInWhichTheyWerePut() {
-        Agenda agenda = new Agenda();
-        List<Integer> seen = new ArrayList<>();
-        agenda.at(5, () -> {
-            seen.add(1);
-            agenda.at(5, () -> seen.add(4));
-            agenda.at(3, () -> seen.add(5));
+  @Test
+  void eventsAtTheSameTimeHappenInTheOrderInWhichTheyWerePut() {
+    Agenda agenda = new Agenda();
+    List<Integer> seen = new ArrayList<>();
+    agenda.at(
+        5,
+        () -> {
+          seen.add(1);
+          agenda.at(5, () -> seen.add(4));
+          agenda.at(3, () -> seen.add(5));
         });
-        agenda.at(5, () -> seen.add(2));
-        agenda.at(4, () -> seen.add(0));
-        agenda.at(5, () -> seen.add(3));
-        agenda.run(5);
-        assertEquals(List.of(0, 1, 2, 3, 4, 5), seen);
-        assertEquals(5, agenda.now());
-    }
+    agenda.at(5, () -> seen.add(2));
+    agenda.at(4, () -> seen.add(0));
+    agenda.at(5, () -> seen.add(3));
+    agenda.run(5);
+    assertEquals(List.of(0, 1, 2, 3, 4, 5), seen);
+    assertEquals(5, agenda.now());
+  }
 
-    @Test
-    void theSameSeedGivesTheSameRunAndCustomersAreHeldToTheirPlans() {
-        Emulation.Result first = run(new Emulation(deployment(1, 30), Logic::new));
-        Emulation.Result again = run(new Emulation(deployment(1, 30), Logic::new));
-        assertEquals(first.figures(), again.figures());
-        first.series().forEach((name, values) -> assertArrayEquals(values, again.series().get(name), name));
-        assertNotEquals(first.statuses(), run(new Emulation(deployment(2, 30), Logic::new)).statuses());
-        assertTrue(first.verdict().kept(), first.verdict().breaches().toString());
-        assertTrue(first.figures().get("use.over") > 0.9 && first.figures().get("use.over") < 1.1, "30 a second asked, 20 "
-                + "allowed, 4 times: " + first.figures());
-        assertTrue(first.figures().get("kept.under") > 0.95, "10 a second asked: " + first.figures());
-        assertTrue(first.figures().get("refused-within-plan-a-try") < 0.05, first.figures().toString());
-    }
+  @Test
+  void theSameSeedGivesTheSameRunAndCustomersAreHeldToTheirPlans() {
+    Emulation.Result first = run(new Emulation(deployment(1, 30), Logic::new));
+    Emulation.Result again = run(new Emulation(deployment(1, 30), Logic::new));
+    assertEquals(first.figures(), again.figures());
+    first
+        .series()
+        .forEach((name, values) -> assertArrayEquals(values, again.series().get(name), name));
+    assertNotEquals(first.statuses(), run(new Emulation(deployment(2, 30), Logic::new)).statuses());
+    assertTrue(first.verdict().kept(), first.verdict().breaches().toString());
+    assertTrue(
+        first.figures().get("use.over") > 0.9 && first.figures().get("use.over") < 1.1,
+        "30 a second asked, 20 " + "allowed, 4 times: " + first.figures());
+    assertTrue(first.figures().get("kept.under") > 0.95, "10 a second asked: " + first.figures());
+    assertTrue(first.figures().get("refused-within-plan-a-try") < 0.05, first.figures().toString());
+  }
 
-    @Test
-    void troublesShowAndTheRulesAreKept() {
-        long calm = run(new Emulation(deployment(1, 20), Logic::new)).statuses().get(200);
-        Emulation silent = new Emulation(deployment(1, 20), Logic::new);
-        Troubles.counterSilent(silent, 5, 15);
-        Emulation.Result result = run(silent);
-        assertTrue(result.statuses().get(200) > calm + 200, "let in while the counter is silent: " + result.statuses());
-        assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
-        Emulation bad = new Emulation(deployment(1, 20), Logic::new);
-        Troubles.dies(bad, 3, 8, "w0");
-        Troubles.silent(bad, 6, 12, "w1");
-        Troubles.slow(bad, 6, 12, "w2", 10);
-        Troubles.losesAnswers(bad, 2, 18, "w3", 0.3);
-        Troubles.counterDies(bad, 9, 11, true);
-        Troubles.counterSplit(bad, 13, 16, 3, -1);
-        Troubles.networkSlow(bad, 14, 15, 5);
-        Emulation.Result many = run(bad);
-        assertTrue(many.verdict().kept(), many.verdict().breaches().toString());
-        assertTrue(many.statuses().get(200) > 0.8 * calm, many.statuses() + " beside " + calm);
-    }
+  @Test
+  void troublesShowAndTheRulesAreKept() {
+    long calm = run(new Emulation(deployment(1, 20), Logic::new)).statuses().get(200);
+    Emulation silent = new Emulation(deployment(1, 20), Logic::new);
+    Troubles.counterSilent(silent, 5, 15);
+    Emulation.Result result = run(silent);
+    assertTrue(
+        result.statuses().get(200) > calm + 200,
+        "let in while the counter is silent: " + result.statuses());
+    assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
+    Emulation bad = new Emulation(deployment(1, 20), Logic::new);
+    Troubles.dies(bad, 3, 8, "w0");
+    Troubles.silent(bad, 6, 12, "w1");
+    Troubles.slow(bad, 6, 12, "w2", 10);
+    Troubles.losesAnswers(bad, 2, 18, "w3", 0.3);
+    Troubles.counterDies(bad, 9, 11, true);
+    Troubles.counterSplit(bad, 13, 16, 3, -1);
+    Troubles.networkSlow(bad, 14, 15, 5);
+    Emulation.Result many = run(bad);
+    assertTrue(many.verdict().kept(), many.verdict().breaches().toString());
+    assertTrue(many.statuses().get(200) > 0.8 * calm, many.statuses() + " beside " + calm);
+  }
 
-    /** Decisions that answer twice, or send twice what must not be, are found by the same judge. */
-    @Test
-    void brokenDecisionsAreFound() {
-        Function<Gatekeeper.Settings, Gatekeeper> mute = s -> (now, event) -> List.of();
-        assertTrue(run(new Emulation(deployment(1, 2), mute)).verdict().unanswered() > 100);
-        Function<Gatekeeper.Settings, Gatekeeper> hasty = s -> new Gatekeeper() {
-            @Override
-            public List<Action> on(long now, Event event) {
-                return event instanceof Request r ? List.of(new Attempt(r.id(), "w0", 0), new Attempt(r.id(), "w1", 0))
-                        : List.of();
-            }
-        };
-        Deployment once = deployment(1, 2);
-        RequestClass charge = new RequestClass("lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.AT_MOST_ONCE, Group.ALL, 0, false);
-        once = new Deployment(6, 8, 1, once.build(), 0, once.network(), once.counter(), 0, List.of(charge), once.plans(),
-                once.limits(), once.rules(), once.demands(), 2, 1);
-        assertTrue(run(new Emulation(once, hasty)).verdict().breaches().size() > 5);
-        Function<Gatekeeper.Settings, Gatekeeper> strict = s -> (now, event) -> event instanceof Request r
-                ? List.of(new Refuse(r.id(), 1_000_000)) : List.of();
-        assertEquals(java.util.Set.of(429), run(new Emulation(deployment(1, 2), strict)).statuses().keySet());
-    }
+  /** Decisions that answer twice, or send twice what must not be, are found by the same judge. */
+  @Test
+  void brokenDecisionsAreFound() {
+    Function<Gatekeeper.Settings, Gatekeeper> mute = s -> (now, event) -> List.of();
+    assertTrue(run(new Emulation(deployment(1, 2), mute)).verdict().unanswered() > 100);
+    Function<Gatekeeper.Settings, Gatekeeper> hasty =
+        s ->
+            new Gatekeeper() {
+              @Override
+              public List<Action> on(long now, Event event) {
+                return event instanceof Request r
+                    ? List.of(new Attempt(r.id(), "w0", 0), new Attempt(r.id(), "w1", 0))
+                    : List.of();
+              }
+            };
+    Deployment once = deployment(1, 2);
+    RequestClass charge =
+        new RequestClass(
+            "lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.AT_MOST_ONCE, Group.ALL, 0, false);
+    once =
+        new Deployment(
+            6,
+            8,
+            1,
+            once.build(),
+            0,
+            once.network(),
+            once.counter(),
+            0,
+            List.of(charge),
+            once.plans(),
+            once.limits(),
+            once.rules(),
+            once.demands(),
+            2,
+            1);
+    assertTrue(run(new Emulation(once, hasty)).verdict().breaches().size() > 5);
+    Function<Gatekeeper.Settings, Gatekeeper> strict =
+        s ->
+            (now, event) ->
+                event instanceof Request r ? List.of(new Refuse(r.id(), 1_000_000)) : List.of();
+    assertEquals(
+        java.util.Set.of(429), run(new Emulation(deployment(1, 2), strict)).statuses().keySet());
+  }
 
-    /** Each kind does what it says, seen in the figures beside a calm run, and no rule is broken by it. */
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+  /**
+   * Each kind does what it says, seen in the figures beside a calm run, and no rule is broken by
+   * it.
+   */
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      textBlock =
+          """
             counter-turns-away from 5s until 18s share 1                   | use                       | more | 1.1
             counter-slow from 5s until 18s times 400                       | counter-queue-ms          | more | 20
             counter-loses from 10s                                         | use                       | more | 1.0
@@ -143,9 +192,12 @@
             poison from 5s until 15s share 0.01                            | repeated-attempts-a-try   | more | 2
             clock-skew from 5s until 15s gatekeepers 3 by 700ms behind yes | use                       | more | 1.0
             """)
-    void eachTroubleShows(String trouble, String figure, String way, double times, @TempDir Path directory) throws Exception {
-        Path file = directory.resolve("d.emu");
-        String base = """
+  void eachTroubleShows(
+      String trouble, String figure, String way, double times, @TempDir Path directory)
+      throws Exception {
+    Path file = directory.resolve("d.emu");
+    String base =
+        """
                 gatekeepers 6
                 workers 8 zones 2 cores 2
                 counter parts 2
@@ -157,20 +209,23 @@
                 demand over class lookup plan seat rate 100 customers 4 remaining 1500ms give-up 3s
                 demand under class lookup plan seat rate 40 customers 4 remaining 1500ms give-up 3s
                 """;
-        Files.writeString(file, base);
-        double calm = run(DeploymentFile.read(file).emulation(Logic::new)).figures().get(figure);
-        Files.writeString(file, base + "trouble " + trouble + "\n");
-        Emulation.Result result = run(DeploymentFile.read(file).emulation(Logic::new));
-        double troubled = result.figures().get(figure);
-        assertTrue(way.equals("more") ? troubled > times * calm : troubled < times * calm, troubled + " beside " + calm);
-        assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
-    }
+    Files.writeString(file, base);
+    double calm = run(DeploymentFile.read(file).emulation(Logic::new)).figures().get(figure);
+    Files.writeString(file, base + "trouble " + trouble + "\n");
+    Emulation.Result result = run(DeploymentFile.read(file).emulation(Logic::new));
+    double troubled = result.figures().get(figure);
+    assertTrue(
+        way.equals("more") ? troubled > times * calm : troubled < times * calm,
+        troubled + " beside " + calm);
+    assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
+  }
 
-    @Test
-    void aFileDescribesARunAndItsMistakesComeAtOnce(@TempDir Path directory)
-            throws Exception {
-        Path file = directory.resolve("d.emu");
-        Files.writeString(file, """
+  @Test
+  void aFileDescribesARunAndItsMistakesComeAtOnce(@TempDir Path directory) throws Exception {
+    Path file = directory.resolve("d.emu");
+    Files.writeString(
+        file,
+        """
                 gatekeepers 6
                 workers 8
                 for 20s
@@ -179,18 +234,28 @@
                 demand crowd class lookup plan seat rate 160 customers 4 remaining 1500ms
                 trouble counter-silent from 5s until 15s
                 """);
-        DeploymentFile.Read read = DeploymentFile.read(file);
-        Emulation.Result calm = run(new Emulation(read.deployment(), Logic::new));
-        Emulation troubled = new Emulation(read.deployment(), Logic::new);
-        read.troubles().forEach(trouble -> trouble.accept(troubled));
-        assertTrue(run(troubled).statuses().get(200) > calm.statuses().get(200) + 200);
-        Files.writeString(file, "let rate 20\nwhen rate 20 demand x class a plan b\ntrouble rain from 3s until 2s\nworkers $n\n"
-                + "when rate 21 nonsense\n");
-        String told = org.junit.jupiter.api.Assertions.assertThrows(fawndock.settings.SettingsException.class, () ->
-                DeploymentFile.read(file)).getMessage();
-        for (String each : List.of(":2: demand x has no rate", ":2: there is no class 'a'", ":2: there is no plan 'b'",
-                ":3: trouble rain ends before", ":3: trouble 'rain'", ":4: there is no variable '$n'")) {
-            assertTrue(told.contains(each), each + " in " + told);
-        }
+    DeploymentFile.Read read = DeploymentFile.read(file);
+    Emulation.Result calm = run(new Emulation(read.deployment(), Logic::new));
+    Emulation troubled = new Emulation(read.deployment(), Logic::new);
+    read.troubles().forEach(trouble -> trouble.accept(troubled));
+    assertTrue(run(troubled).statuses().get(200) > calm.statuses().get(200) + 200);
+    Files.writeString(
+        file,
+        "let rate 20\nwhen rate 20 demand x class a plan b\ntrouble rain from 3s until 2s\nworkers $n\n"
+            + "when rate 21 nonsense\n");
+    String told =
+        org.junit.jupiter.api.Assertions.assertThrows(
+                fawndock.settings.SettingsException.class, () -> DeploymentFile.read(file))
+            .getMessage();
+    for (String each :
+        List.of(
+            ":2: demand x has no rate",
+            ":2: there is no class 'a'",
+            ":2: there is no plan 'b'",
+            ":3: trouble rain ends before",
+            ":3: trouble 'rain'",
+            ":4: there is no variable '$n'")) {
+      assertTrue(told.contains(each), each + " in " + told);
     }
+  }
 }
--- a/src/test/java/fawndock/lab/report/ReportTest.java
+++ b/src/test/java/fawndock/lab/report/ReportTest.java
@@ -24,70 +24,108 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ReportTest {
-    private static Outcome run(int fleet, int rate, String mode, long seed, double use) {
-        Map<String, String> values = new TreeMap<>(Map.of("fleet", "" + fleet, "rate", "" + rate, "mode", mode));
-        return new Outcome("k", values, seed, "", "b1", Map.of("use", use, "rules-broken", 0.0, "plan.a", 10.0),
-                Map.of("asked", new double[] {1, 5, 3}, "used a", new double[] {1, 4, 3}), List.of(new Mark("counter-silent", 1, 2, 0, 1, 1, 1)),
-                "rules kept");
-    }
+  private static Outcome run(int fleet, int rate, String mode, long seed, double use) {
+    Map<String, String> values =
+        new TreeMap<>(Map.of("fleet", "" + fleet, "rate", "" + rate, "mode", mode));
+    return new Outcome(
+        "k",
+        values,
+        seed,
+        "",
+        "b1",
+        Map.of("use", use, "rules-broken", 0.0, "plan.a", 10.0),
+        Map.of("asked", new double[] {1, 5, 3}, "used a", new double[] {1, 4, 3}),
+        List.of(new Mark("counter-silent", 1, 2, 0, 1, 1, 1)),
+        "rules kept");
+  }
 
-    private static List<Outcome> all(double more) {
-        List<Outcome> all = new ArrayList<>();
-        for (int fleet : new int[] {100, 20, 4}) {
-            for (int rate : new int[] {1, 2, 3, 4, 5}) {
-                for (String mode : List.of("calm", "silent")) {
-                    if (fleet != 20 || rate != 5) {
-                        all.add(run(fleet, rate, mode, 1, fleet + more));
-                        all.add(run(fleet, rate, mode, 2, fleet + 2 + 2 * more));
-                    }
-                }
-            }
+  private static List<Outcome> all(double more) {
+    List<Outcome> all = new ArrayList<>();
+    for (int fleet : new int[] {100, 20, 4}) {
+      for (int rate : new int[] {1, 2, 3, 4, 5}) {
+        for (String mode : List.of("calm", "silent")) {
+          if (fleet != 20 || rate != 5) {
+            all.add(run(fleet, rate, mode, 1, fleet + more));
+            all.add(run(fleet, rate, mode, 2, fleet + 2 + 2 * more));
+          }
         }
-        return all;
+      }
     }
+    return all;
+  }
 
-    @Test
-    void aPlotHasNoMoreLinesThanCanBeRead() {
-        List<Plots.Plot> plots = Plots.along("fleet", "use", Map.of("", all(0)));
-        assertEquals(2, plots.size(), "ten lines are too many for one: a plot for each mode");
-        assertEquals("use (mode calm)", plots.get(0).title());
-        assertEquals(List.of("4", "20", "100"), plots.get(0).foot(), "as numbers, not as text");
-        assertEquals(5, plots.get(0).series().size());
-        assertArrayEquals(new double[] {5, 21, 101}, plots.get(0).series().get(0).values());
-        assertArrayEquals(new double[] {5, Double.NaN, 101}, plots.get(0).series().get(4).values(), "no run, no point");
-        assertEquals(List.of(), Plots.along("speed", "use", Map.of("", all(0))));
-        assertTrue(Plots.along("fleet", "use", Map.of("before", all(0), "after", all(1))).stream().allMatch(p -> p.series().size()
-                <= Plots.MOST_LINES));
-    }
+  @Test
+  void aPlotHasNoMoreLinesThanCanBeRead() {
+    List<Plots.Plot> plots = Plots.along("fleet", "use", Map.of("", all(0)));
+    assertEquals(2, plots.size(), "ten lines are too many for one: a plot for each mode");
+    assertEquals("use (mode calm)", plots.get(0).title());
+    assertEquals(List.of("4", "20", "100"), plots.get(0).foot(), "as numbers, not as text");
+    assertEquals(5, plots.get(0).series().size());
+    assertArrayEquals(new double[] {5, 21, 101}, plots.get(0).series().get(0).values());
+    assertArrayEquals(
+        new double[] {5, Double.NaN, 101},
+        plots.get(0).series().get(4).values(),
+        "no run, no point");
+    assertEquals(List.of(), Plots.along("speed", "use", Map.of("", all(0))));
+    assertTrue(
+        Plots.along("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
+            .allMatch(p -> p.series().size() <= Plots.MOST_LINES));
+  }
 
-    @Test
-    void aPageStandsByItself(@TempDir Path directory) throws Exception {
-        Experiment experiment = new Experiment("Fleets <of> all sizes", directory.resolve("x"), List.of(), List.of(), List.of(1L, 2L),
-                List.of("use"), List.of(new Expect("use", true, 50, Map.of())), null, "fleet");
-        String page = Files.readString(new Page(experiment, all(0), List.of(), directory).write());
-        assertTrue(page.contains("Fleets &lt;of&gt; all sizes") && page.contains("Simulated"));
-        assertTrue(page.contains("<td class=n>use at most 50.0<td class='n bad'>NO<td>102.0<td class=n>fleet 100"), page.substring(0, 2000));
-        assertTrue(page.contains("<td class=n>fleet 4, mode calm, rate 1<td>5.000 (4.000 – 6.000)"));
-        assertFalse(Pattern.compile("(src|href)=\"(?!data:)").matcher(page).find(), "nothing from elsewhere");
-        Matcher images = Pattern.compile("data:image/png;base64,([^\"]+)").matcher(page);
-        int many = 0;
-        while (images.find()) {
-            assertEquals(Drawing.WIDTH, ImageIO.read(new ByteArrayInputStream(Base64.getDecoder().decode(images.group(1)))).getWidth());
-            many++;
-        }
-        try (var files = Files.list(directory.resolve("plots"))) {
-            assertEquals(many, files.count());
-        }
-        assertEquals(2 + 6 * 2, many, "two along the fleet, and for six cells answers and quotas");
+  @Test
+  void aPageStandsByItself(@TempDir Path directory) throws Exception {
+    Experiment experiment =
+        new Experiment(
+            "Fleets <of> all sizes",
+            directory.resolve("x"),
+            List.of(),
+            List.of(),
+            List.of(1L, 2L),
+            List.of("use"),
+            List.of(new Expect("use", true, 50, Map.of())),
+            null,
+            "fleet");
+    String page = Files.readString(new Page(experiment, all(0), List.of(), directory).write());
+    assertTrue(page.contains("Fleets &lt;of&gt; all sizes") && page.contains("Simulated"));
+    assertTrue(
+        page.contains(
+            "<td class=n>use at most 50.0<td class='n bad'>NO<td>102.0<td class=n>fleet 100"),
+        page.substring(0, 2000));
+    assertTrue(page.contains("<td class=n>fleet 4, mode calm, rate 1<td>5.000 (4.000 – 6.000)"));
+    assertFalse(
+        Pattern.compile("(src|href)=\"(?!data:)").matcher(page).find(), "nothing from elsewhere");
+    Matcher images = Pattern.compile("data:image/png;base64,([^\"]+)").matcher(page);
+    int many = 0;
+    while (images.find()) {
+      assertEquals(
+          Drawing.WIDTH,
+          ImageIO.read(new ByteArrayInputStream(Base64.getDecoder().decode(images.group(1))))
+              .getWidth());
+      many++;
     }
-
-    @Test
-    void twoSetsAreHeldAgainstEachOtherSeedBySeed(@TempDir Path directory) throws Exception {
-        Experiment experiment = new Experiment("t", directory.resolve("x"), List.of(), List.of(), List.of(1L, 2L), List.of("use"),
-                List.of(), null, "fleet");
-        String page = Files.readString(new Page(experiment, all(1), all(0).subList(0, 40), directory).write());
-        // 1 and 2 more: 1.5 on average, t(0.975, 1) = 12.706, deviation 0.707.
-        assertTrue(page.contains("101.0 → 102.5<br>+1.500 [-4.853, 7.853]"), page.substring(0, 3000));
-        assertTrue(page.contains("cells have nothing before") == all(0).size() > 40);
+    try (var files = Files.list(directory.resolve("plots"))) {
+      assertEquals(many, files.count());
     }
+    assertEquals(2 + 6 * 2, many, "two along the fleet, and for six cells answers and quotas");
+  }
+
+  @Test
+  void twoSetsAreHeldAgainstEachOtherSeedBySeed(@TempDir Path directory) throws Exception {
+    Experiment experiment =
+        new Experiment(
+            "t",
+            directory.resolve("x"),
+            List.of(),
+            List.of(),
+            List.of(1L, 2L),
+            List.of("use"),
+            List.of(),
+            null,
+            "fleet");
+    String page =
+        Files.readString(new Page(experiment, all(1), all(0).subList(0, 40), directory).write());
+    // 1 and 2 more: 1.5 on average, t(0.975, 1) = 12.706, deviation 0.707.
+    assertTrue(page.contains("101.0 → 102.5<br>+1.500 [-4.853, 7.853]"), page.substring(0, 3000));
+    assertTrue(page.contains("cells have nothing before") == all(0).size() > 40);
+  }
 }
--- a/src/test/java/fawndock/platform/AttemptEndsTest.java
+++ b/src/test/java/fawndock/platform/AttemptEndsTest.java
@@ -11,106 +11,121 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Ends of attempts: late copies, connections that the worker ends, and what a further attempt is told. */
+/**
+ * Ends of attempts: late copies, connections that the worker ends, and what a further attempt is
+ * told.
+ */
 class AttemptEndsTest {
-    private static final long RESTED_MILLIS = 80;
+  private static final long RESTED_MILLIS = 80;
 
-    /** A second copy some milliseconds behind an answer is no answer to the next request. */
-    @Test
-    void aSecondCopyAfterAPauseAnswersNobody() throws Exception {
-        AtomicInteger many = new AtomicInteger();
-        RespServer.Behaviour worker = (words, link) -> {
-            String answer = RespServer.served("value of " + words.get(2), "backlog=0");
+  /** A second copy some milliseconds behind an answer is no answer to the next request. */
+  @Test
+  void aSecondCopyAfterAPauseAnswersNobody() throws Exception {
+    AtomicInteger many = new AtomicInteger();
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          String answer = RespServer.served("value of " + words.get(2), "backlog=0");
+          link.send(answer);
+          if (many.getAndIncrement() == 0) {
+            Thread.sleep(20);
             link.send(answer);
-            if (many.getAndIncrement() == 0) {
-                Thread.sleep(20);
-                link.send(answer);
-            }
+          }
         };
-        try (Service service = new Service(worker, RespServer.counter()); RespClient client = service.client()) {
-            for (int i = 0; i < 4; i++) {
-                String[] words = service.request("pay");
-                assertEquals("value of " + words[2], client.ask(words));
-                Thread.sleep(10);
-            }
-        }
+    try (Service service = new Service(worker, RespServer.counter());
+        RespClient client = service.client()) {
+      for (int i = 0; i < 4; i++) {
+        String[] words = service.request("pay");
+        assertEquals("value of " + words[2], client.ask(words));
+        Thread.sleep(10);
+      }
     }
+  }
 
-    /** The connection to be used again has ended by then: its close is found in the turn of the request. */
-    @Test
-    void aRequestThatMeetsAWorkersCloseGetsAnotherConnection() throws Exception {
-        CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
-        RespServer.Behaviour worker = (words, link) -> {
-            links.add(link);
-            RespServer.worker().command(words, link);
+  /**
+   * The connection to be used again has ended by then: its close is found in the turn of the
+   * request.
+   */
+  @Test
+  void aRequestThatMeetsAWorkersCloseGetsAnotherConnection() throws Exception {
+    CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          links.add(link);
+          RespServer.worker().command(words, link);
         };
-        try (Service service = new Service(worker, RespServer.counter()); RespClient client = service.client()) {
-            client.ask(service.request("pay"));
-            Thread.sleep(RESTED_MILLIS);
-            for (boolean reset : new boolean[] {false, true}) {
-                CountDownLatch release = service.hold();
-                String[] words = service.request("pay");
-                client.send(RespClient.command(words));
-                Thread.sleep(20);
-                links.get(links.size() - 1).end(reset);
-                Thread.sleep(20);
-                release.countDown();
-                assertEquals("value of " + words[2], client.answer());
-                Thread.sleep(RESTED_MILLIS);
-            }
-        }
+    try (Service service = new Service(worker, RespServer.counter());
+        RespClient client = service.client()) {
+      client.ask(service.request("pay"));
+      Thread.sleep(RESTED_MILLIS);
+      for (boolean reset : new boolean[] {false, true}) {
+        CountDownLatch release = service.hold();
+        String[] words = service.request("pay");
+        client.send(RespClient.command(words));
+        Thread.sleep(20);
+        links.get(links.size() - 1).end(reset);
+        Thread.sleep(20);
+        release.countDown();
+        assertEquals("value of " + words[2], client.answer());
+        Thread.sleep(RESTED_MILLIS);
+      }
     }
+  }
 
-    /** Noise that came on the connection to be used again, half a reply too. */
-    @Test
-    void bytesOnAnIdleConnectionEndIt() throws Exception {
-        CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
-        RespServer.Behaviour worker = (words, link) -> {
-            links.add(link);
-            RespServer.worker().command(words, link);
+  /** Noise that came on the connection to be used again, half a reply too. */
+  @Test
+  void bytesOnAnIdleConnectionEndIt() throws Exception {
+    CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          links.add(link);
+          RespServer.worker().command(words, link);
         };
-        try (Service service = new Service(worker, RespServer.counter()); RespClient client = service.client()) {
-            for (int i = 0; i < 3; i++) {
-                String[] words = service.request("pay");
-                assertEquals("value of " + words[2], client.ask(words));
-                Thread.sleep(RESTED_MILLIS);
-                links.get(i).send("*3\r\n$5\r\nva");
-                Await.until(() -> service.world.worker.open() == 0);
-            }
-            assertEquals(3, service.world.worker.accepted());
-        }
+    try (Service service = new Service(worker, RespServer.counter());
+        RespClient client = service.client()) {
+      for (int i = 0; i < 3; i++) {
+        String[] words = service.request("pay");
+        assertEquals("value of " + words[2], client.ask(words));
+        Thread.sleep(RESTED_MILLIS);
+        links.get(i).send("*3\r\n$5\r\nva");
+        Await.until(() -> service.world.worker.open() == 0);
+      }
+      assertEquals(3, service.world.worker.accepted());
     }
+  }
 
-    /** What is left to the client, not what there was at first. */
-    @Test
-    void aFurtherAttemptTellsWhatIsLeft() throws Exception {
-        List<Integer> told = new CopyOnWriteArrayList<>();
-        RespServer.Behaviour worker = (words, link) -> {
-            told.add(Integer.parseInt(words.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
-            if (told.size() == 1) {
-                Thread.sleep(100);
-                link.send("-BUSY\r\n");
-            } else {
-                RespServer.worker().command(words, link);
-            }
+  /** What is left to the client, not what there was at first. */
+  @Test
+  void aFurtherAttemptTellsWhatIsLeft() throws Exception {
+    List<Integer> told = new CopyOnWriteArrayList<>();
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          told.add(Integer.parseInt(words.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
+          if (told.size() == 1) {
+            Thread.sleep(100);
+            link.send("-BUSY\r\n");
+          } else {
+            RespServer.worker().command(words, link);
+          }
         };
-        try (Service service = new Service(worker, RespServer.counter()); RespClient client = service.client()) {
-            String[] words = service.request("look");
-            assertEquals("value of " + words[2], client.ask(words));
-            assertTrue(told.get(0) <= 1_500 && told.get(1) <= told.get(0) - 100, told.toString());
-        }
+    try (Service service = new Service(worker, RespServer.counter());
+        RespClient client = service.client()) {
+      String[] words = service.request("look");
+      assertEquals("value of " + words[2], client.ask(words));
+      assertTrue(told.get(0) <= 1_500 && told.get(1) <= told.get(0) - 100, told.toString());
     }
+  }
 
-    /** No attempt begins for a request whose time was up while the loop was held. */
-    @Test
-    void noAttemptBeginsWithNoTimeLeft() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client()) {
-            client.ask(service.request("look"));
-            Thread.sleep(RESTED_MILLIS);
-            String[] words = service.request("look");
-            words[3] = words[3].replace("d=1500", "d=1");
-            assertTrue(client.ask(words).startsWith("-"));
-            assertEquals(1, service.world.worker.commands());
-        }
+  /** No attempt begins for a request whose time was up while the loop was held. */
+  @Test
+  void noAttemptBeginsWithNoTimeLeft() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client()) {
+      client.ask(service.request("look"));
+      Thread.sleep(RESTED_MILLIS);
+      String[] words = service.request("look");
+      words[3] = words[3].replace("d=1500", "d=1");
+      assertTrue(client.ask(words).startsWith("-"));
+      assertEquals(1, service.world.worker.commands());
     }
+  }
 }
--- a/src/test/java/fawndock/platform/OutcomesTest.java
+++ b/src/test/java/fawndock/platform/OutcomesTest.java
@@ -13,151 +13,208 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/** The platform's table of outcomes, row by row, and spoilt answers; each worker answers as its case says. */
+/**
+ * The platform's table of outcomes, row by row, and spoilt answers; each worker answers as its case
+ * says.
+ */
 class OutcomesTest {
-    /** Answers the first attempt of all as given, and the others well. */
-    private static RespServer.Behaviour first(RespServer.Behaviour odd) {
-        AtomicInteger many = new AtomicInteger();
-        return (words, link) -> {
-            if (many.getAndIncrement() == 0) {
-                odd.command(words, link);
-            } else {
-                RespServer.worker().command(words, link);
-            }
-        };
-    }
-
-    /** What a client is answered when the first attempt ends so, by class, and how many commands the worker read. */
-    private static Map.Entry<String, Integer> answer(String type, RespServer.Behaviour odd) throws Exception {
-        try (Service service = new Service(first(odd), RespServer.counter()); RespClient client = service.client()) {
-            String[] words = service.request(type);
-            String answer = client.ask(words);
-            return Map.entry(answer.equals("value of " + words[2]) ? "served" : answer.split(" ")[0], service.world.worker.commands());
-        }
+  /** Answers the first attempt of all as given, and the others well. */
+  private static RespServer.Behaviour first(RespServer.Behaviour odd) {
+    AtomicInteger many = new AtomicInteger();
+    return (words, link) -> {
+      if (many.getAndIncrement() == 0) {
+        odd.command(words, link);
+      } else {
+        RespServer.worker().command(words, link);
+      }
+    };
+  }
+
+  /**
+   * What a client is answered when the first attempt ends so, by class, and how many commands the
+   * worker read.
+   */
+  private static Map.Entry<String, Integer> answer(String type, RespServer.Behaviour odd)
+      throws Exception {
+    try (Service service = new Service(first(odd), RespServer.counter());
+        RespClient client = service.client()) {
+      String[] words = service.request(type);
+      String answer = client.ask(words);
+      return Map.entry(
+          answer.equals("value of " + words[2]) ? "served" : answer.split(" ")[0],
+          service.world.worker.commands());
     }
-
-    @Test
-    void servedIsTheValueAndTheCommandIsUnchangedButForTheTime() throws Exception {
-        Map<String, String> lists = new ConcurrentHashMap<>();
-        try (Service service = new Service((words, link) -> {
-            lists.put(words.get(2), String.join(" ", words));
-            RespServer.worker().command(words, link);
-        }, RespServer.counter()); RespClient client = service.client()) {
-            String[] words = service.request("note");
-            assertEquals("value of " + words[2], client.ask(words[0], words[1], words[2], words[3], "BODY \r\n $5"));
-            String sent = lists.get(words[2]);
-            assertTrue(sent.matches("Q\\.DO " + words[1] + " " + words[2] + " c=note,t=large,d=1[0-9]{3},k=5c0f6e1a2b3d4c59,units=1,"
-                    + "spread=1,first=0 BODY \r\n \\$5"), sent);
-        }
-    }
-
-    @Test
-    void anErrorMayHaveRun() throws Exception {
-        assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.send("-ERR failed backlog=3\r\n")));
+  }
+
+  @Test
+  void servedIsTheValueAndTheCommandIsUnchangedButForTheTime() throws Exception {
+    Map<String, String> lists = new ConcurrentHashMap<>();
+    try (Service service =
+            new Service(
+                (words, link) -> {
+                  lists.put(words.get(2), String.join(" ", words));
+                  RespServer.worker().command(words, link);
+                },
+                RespServer.counter());
+        RespClient client = service.client()) {
+      String[] words = service.request("note");
+      assertEquals(
+          "value of " + words[2],
+          client.ask(words[0], words[1], words[2], words[3], "BODY \r\n $5"));
+      String sent = lists.get(words[2]);
+      assertTrue(
+          sent.matches(
+              "Q\\.DO "
+                  + words[1]
+                  + " "
+                  + words[2]
+                  + " c=note,t=large,d=1[0-9]{3},k=5c0f6e1a2b3d4c59,units=1,"
+                  + "spread=1,first=0 BODY \r\n \\$5"),
+          sent);
     }
-
-    @Test
-    void busyNeverRanSoThatItIsSentAgain() throws Exception {
-        assertEquals(Map.entry("served", 2), answer("pay", (words, link) -> link.send("-BUSY backlog=9\r\n")));
-    }
-
-    @Test
-    void aBreakAfterTheLastByteMayHaveRun() throws Exception {
-        assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(true)));
-        assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(false)));
-    }
-
-    @Test
-    void noConnectionNeverRan() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client()) {
-            service.world.worker.close();
-            assertTrue(client.ask(service.request("pay")).startsWith("-BUSY"));
-        }
+  }
+
+  @Test
+  void anErrorMayHaveRun() throws Exception {
+    assertEquals(
+        Map.entry("-ERR", 1),
+        answer("pay", (words, link) -> link.send("-ERR failed backlog=3\r\n")));
+  }
+
+  @Test
+  void busyNeverRanSoThatItIsSentAgain() throws Exception {
+    assertEquals(
+        Map.entry("served", 2), answer("pay", (words, link) -> link.send("-BUSY backlog=9\r\n")));
+  }
+
+  @Test
+  void aBreakAfterTheLastByteMayHaveRun() throws Exception {
+    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(true)));
+    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(false)));
+  }
+
+  @Test
+  void noConnectionNeverRan() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client()) {
+      service.world.worker.close();
+      assertTrue(client.ask(service.request("pay")).startsWith("-BUSY"));
     }
-
-    @Test
-    void spoiltAnswersMayHaveRunAndEndTheConnection() throws Exception {
-        AtomicReference<String> next = new AtomicReference<>();
-        RespServer.Behaviour worker = (words, link) -> {
-            String spoilt = next.getAndSet(null);
-            link.send(spoilt == null ? RespServer.served("value of " + words.get(2), "backlog=0") : spoilt);
+  }
+
+  @Test
+  void spoiltAnswersMayHaveRunAndEndTheConnection() throws Exception {
+    AtomicReference<String> next = new AtomicReference<>();
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          String spoilt = next.getAndSet(null);
+          link.send(
+              spoilt == null ? RespServer.served("value of " + words.get(2), "backlog=0") : spoilt);
         };
-        try (Service service = new Service(worker, RespServer.counter()); RespClient client = service.client()) {
-            int connections = 0;
-            for (String spoilt : new String[] {"noise\r\n", "$3000000000\r\nabc", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "$5\r\nvalue\r\n",
-                "+OK\r\n", "*3\r\n$2\r\nvalue\r\n", "*9\r\n", ":7\r\n", "+" + "x".repeat(3_000), "*2\r\n$1\r\nv\r\n$-1\r\n"}) {
-                next.set(spoilt);
-                assertTrue(client.ask(service.request("pay")).startsWith("-ERR"), spoilt);
-                assertTrue(service.world.worker.accepted() > connections, spoilt);
-                connections = service.world.worker.accepted();
-            }
-            Await.until(() -> service.world.worker.open() == 0);
-        }
+    try (Service service = new Service(worker, RespServer.counter());
+        RespClient client = service.client()) {
+      int connections = 0;
+      for (String spoilt :
+          new String[] {
+            "noise\r\n",
+            "$3000000000\r\nabc",
+            "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+            "$5\r\nvalue\r\n",
+            "+OK\r\n",
+            "*3\r\n$2\r\nvalue\r\n",
+            "*9\r\n",
+            ":7\r\n",
+            "+" + "x".repeat(3_000),
+            "*2\r\n$1\r\nv\r\n$-1\r\n"
+          }) {
+        next.set(spoilt);
+        assertTrue(client.ask(service.request("pay")).startsWith("-ERR"), spoilt);
+        assertTrue(service.world.worker.accepted() > connections, spoilt);
+        connections = service.world.worker.accepted();
+      }
+      Await.until(() -> service.world.worker.open() == 0);
     }
-
-    @Test
-    void aSecondCopyNeverAnswersTheNextRequest() throws Exception {
-        RespServer.Behaviour twice = (words, link) -> {
-            String answer = RespServer.served("value of " + words.get(2), "queue=x,noise");
-            link.send(answer + answer);
+  }
+
+  @Test
+  void aSecondCopyNeverAnswersTheNextRequest() throws Exception {
+    RespServer.Behaviour twice =
+        (words, link) -> {
+          String answer = RespServer.served("value of " + words.get(2), "queue=x,noise");
+          link.send(answer + answer);
         };
-        try (Service service = new Service(twice, RespServer.counter()); RespClient client = service.client()) {
-            for (int i = 0; i < 5; i++) {
-                String[] words = service.request("pay");
-                assertEquals("value of " + words[2], client.ask(words));
-            }
-            assertEquals(5, service.world.worker.accepted());
-        }
-    }
-
-    /** What stands behind an answer may be the beginning of something; it is no part of the next one. */
-    @Test
-    void halfAReplyBehindAnAnswerIsNoPartOfTheNext() throws Exception {
-        RespServer.Behaviour more = (words, link) -> link.send(RespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
-        try (Service service = new Service(more, RespServer.counter()); RespClient client = service.client()) {
-            for (int i = 0; i < 3; i++) {
-                String[] words = service.request("pay");
-                assertEquals("value of " + words[2], client.ask(words));
-                Thread.sleep(10); // Longer than a connection rests: it would be used again.
-            }
-            assertEquals(3, service.world.worker.accepted());
-        }
+    try (Service service = new Service(twice, RespServer.counter());
+        RespClient client = service.client()) {
+      for (int i = 0; i < 5; i++) {
+        String[] words = service.request("pay");
+        assertEquals("value of " + words[2], client.ask(words));
+      }
+      assertEquals(5, service.world.worker.accepted());
     }
-
-    /** The worker would close at 3 s; a request that met that would end as a reset. */
-    @Test
-    void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client()) {
-            client.ask(service.request("look"));
-            assertEquals(1, service.world.worker.open());
-            Await.until(() -> service.world.worker.open() == 0);
-        }
+  }
+
+  /**
+   * What stands behind an answer may be the beginning of something; it is no part of the next one.
+   */
+  @Test
+  void halfAReplyBehindAnAnswerIsNoPartOfTheNext() throws Exception {
+    RespServer.Behaviour more =
+        (words, link) ->
+            link.send(
+                RespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
+    try (Service service = new Service(more, RespServer.counter());
+        RespClient client = service.client()) {
+      for (int i = 0; i < 3; i++) {
+        String[] words = service.request("pay");
+        assertEquals("value of " + words[2], client.ask(words));
+        Thread.sleep(10); // Longer than a connection rests: it would be used again.
+      }
+      assertEquals(3, service.world.worker.accepted());
     }
-
-    @Test
-    void anAttemptGivenUpEndsItsConnection() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        try (Service service = new Service(first((words, link) -> asked.countDown()), RespServer.counter())) {
-            RespClient client = service.client();
-            client.send(RespClient.command(service.request("pay")));
-            asked.await();
-            client.close();
-            Await.until(() -> service.world.worker.open() == 0);
-        }
+  }
+
+  /** The worker would close at 3 s; a request that met that would end as a reset. */
+  @Test
+  void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client()) {
+      client.ask(service.request("look"));
+      assertEquals(1, service.world.worker.open());
+      Await.until(() -> service.world.worker.open() == 0);
     }
-
-    @Test
-    void anUnreadableReportCostsNothingButItself() {
-        assertEquals(Map.of("queue", 2.0), WorkerAnswer.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
-        assertEquals(Map.of(), WorkerAnswer.of(reply("\u0000\u00ff")).load());
-        assertNotEquals(null, WorkerAnswer.of(reply("")).value());
-    }
-
-    private static fawndock.resp.Reply reply(String load) {
-        return new fawndock.resp.Reply('*', null, java.util.List.of(bulk("value"), new fawndock.resp.Reply('$', null, null), bulk(load)));
-    }
-
-    private static fawndock.resp.Reply bulk(String text) {
-        return new fawndock.resp.Reply('$', text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), null);
+  }
+
+  @Test
+  void anAttemptGivenUpEndsItsConnection() throws Exception {
+    CountDownLatch asked = new CountDownLatch(1);
+    try (Service service =
+        new Service(first((words, link) -> asked.countDown()), RespServer.counter())) {
+      RespClient client = service.client();
+      client.send(RespClient.command(service.request("pay")));
+      asked.await();
+      client.close();
+      Await.until(() -> service.world.worker.open() == 0);
     }
+  }
+
+  @Test
+  void anUnreadableReportCostsNothingButItself() {
+    assertEquals(
+        Map.of("queue", 2.0),
+        WorkerAnswer.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
+    assertEquals(Map.of(), WorkerAnswer.of(reply("\u0000\u00ff")).load());
+    assertNotEquals(null, WorkerAnswer.of(reply("")).value());
+  }
+
+  private static fawndock.resp.Reply reply(String load) {
+    return new fawndock.resp.Reply(
+        '*',
+        null,
+        java.util.List.of(bulk("value"), new fawndock.resp.Reply('$', null, null), bulk(load)));
+  }
+
+  private static fawndock.resp.Reply bulk(String text) {
+    return new fawndock.resp.Reply(
+        '$', text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), null);
+  }
 }
--- a/src/test/java/fawndock/platform/Service.java
+++ b/src/test/java/fawndock/platform/Service.java
@@ -11,67 +11,75 @@
 
 /** One gatekeeper of the platform's way in, in service among stand-ins, for one test. */
 final class Service implements AutoCloseable {
-    final PlatformWorld world;
-    final PlatformDaemon daemon;
-    private final Thread thread;
-    private final AtomicInteger code = new AtomicInteger(-1);
-    private long nextId = 1;
+  final PlatformWorld world;
+  final PlatformDaemon daemon;
+  private final Thread thread;
+  private final AtomicInteger code = new AtomicInteger(-1);
+  private long nextId = 1;
 
-    Service(RespServer.Behaviour worker, RespServer.Behaviour counter) throws Exception {
-        this(worker, counter, 256);
-    }
+  Service(RespServer.Behaviour worker, RespServer.Behaviour counter) throws Exception {
+    this(worker, counter, 256);
+  }
 
-    Service(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets) throws Exception {
-        world = new PlatformWorld(worker, counter, sockets);
-        daemon = new PlatformDaemon(world.variables());
-        thread = new Thread(() -> {
-            try {
+  Service(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets) throws Exception {
+    world = new PlatformWorld(worker, counter, sockets);
+    daemon = new PlatformDaemon(world.variables());
+    thread =
+        new Thread(
+            () -> {
+              try {
                 code.set(daemon.run(Logic::new));
-            } catch (InterruptedException e) {
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
-        });
-        thread.start();
-        if (!daemon.awaitReady(30, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("not ready within 30 s");
-        }
+              }
+            });
+    thread.start();
+    if (!daemon.awaitReady(30, TimeUnit.SECONDS)) {
+      throw new IllegalStateException("not ready within 30 s");
     }
+  }
 
-    RespClient client() throws IOException {
-        return new RespClient(world.port());
-    }
+  RespClient client() throws IOException {
+    return new RespClient(world.port());
+  }
 
-    /** The words of a new request. */
-    String[] request(String type) {
-        return PlatformWorld.request(type, "large", 7, nextId++, "");
-    }
+  /** The words of a new request. */
+  String[] request(String type) {
+    return PlatformWorld.request(type, "large", 7, nextId++, "");
+  }
 
-    /** Holds the event loop until the latch is counted down: what comes meanwhile is found all at once. */
-    CountDownLatch hold() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch release = new CountDownLatch(1);
-        daemon.context().runOnContext(v -> {
-            held.countDown();
-            try {
+  /**
+   * Holds the event loop until the latch is counted down: what comes meanwhile is found all at
+   * once.
+   */
+  CountDownLatch hold() throws InterruptedException {
+    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
+    daemon
+        .context()
+        .runOnContext(
+            v -> {
+              held.countDown();
+              try {
                 release.await();
-            } catch (InterruptedException e) {
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
-        });
-        held.await();
-        return release;
-    }
+              }
+            });
+    held.await();
+    return release;
+  }
 
-    /** Tells it to stop and waits for its end; returns the exit code. */
-    int stop() throws InterruptedException {
-        daemon.stop();
-        thread.join(30_000);
-        return code.get();
-    }
+  /** Tells it to stop and waits for its end; returns the exit code. */
+  int stop() throws InterruptedException {
+    daemon.stop();
+    thread.join(30_000);
+    return code.get();
+  }
 
-    @Override
-    public void close() throws Exception {
-        stop();
-        world.close();
-    }
+  @Override
+  public void close() throws Exception {
+    stop();
+    world.close();
+  }
 }
--- a/src/test/java/fawndock/platform/TroubleTest.java
+++ b/src/test/java/fawndock/platform/TroubleTest.java
@@ -30,222 +30,288 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The counter, the catalog, new configurations and stops, each with its trouble, under requests. */
+/**
+ * The counter, the catalog, new configurations and stops, each with its trouble, under requests.
+ */
 class TroubleTest {
-    private static String ask(Service service, RespClient client, String type) throws Exception {
-        String[] words = service.request(type);
-        String answer = client.ask(words);
-        return answer.equals("value of " + words[2]) ? "served" : answer;
-    }
+  private static String ask(Service service, RespClient client, String type) throws Exception {
+    String[] words = service.request(type);
+    String answer = client.ask(words);
+    return answer.equals("value of " + words[2]) ? "served" : answer;
+  }
 
-    @Test
-    void aCounterInTroubleCostsARequestNothingButItsWait() throws Exception {
-        for (RespServer.Behaviour counter : new RespServer.Behaviour[] {(words, link) -> { }, (words, link) -> link.send("-BUSY\r\n"),
-            (words, link) -> link.send("-ERR no such call\r\n"), (words, link) -> link.end(true),
-            (words, link) -> link.send("$3000000000\r\n"), (words, link) -> link.send("$5\r\nnoise\r\n"),
-            (words, link) -> link.send("+OK\r\n"), (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")}) {
-            try (Service service = new Service(RespServer.worker(), counter); RespClient client = service.client()) {
-                for (int i = 0; i < 3; i++) {
-                    assertEquals("served", ask(service, client, "look"));
-                }
-                assertTrue(service.world.counter.commands() > 0);
-            }
+  @Test
+  void aCounterInTroubleCostsARequestNothingButItsWait() throws Exception {
+    for (RespServer.Behaviour counter :
+        new RespServer.Behaviour[] {
+          (words, link) -> {},
+          (words, link) -> link.send("-BUSY\r\n"),
+          (words, link) -> link.send("-ERR no such call\r\n"),
+          (words, link) -> link.end(true),
+          (words, link) -> link.send("$3000000000\r\n"),
+          (words, link) -> link.send("$5\r\nnoise\r\n"),
+          (words, link) -> link.send("+OK\r\n"),
+          (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")
+        }) {
+      try (Service service = new Service(RespServer.worker(), counter);
+          RespClient client = service.client()) {
+        for (int i = 0; i < 3; i++) {
+          assertEquals("served", ask(service, client, "look"));
         }
+        assertTrue(service.world.counter.commands() > 0);
+      }
     }
+  }
 
-    @Test
-    void amountsHaveNoExponent() {
-        assertEquals("-2.5", AddGetCounter.number(-2.5));
-        assertEquals("0", AddGetCounter.number(0));
-        assertEquals("0.00000012", AddGetCounter.number(1.2e-7));
-        assertEquals("3", AddGetCounter.number(3));
-    }
+  @Test
+  void amountsHaveNoExponent() {
+    assertEquals("-2.5", AddGetCounter.number(-2.5));
+    assertEquals("0", AddGetCounter.number(0));
+    assertEquals("0.00000012", AddGetCounter.number(1.2e-7));
+    assertEquals("3", AddGetCounter.number(3));
+  }
 
-    @Test
-    void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client();
-                RespServer second = new RespServer(RespServer.worker())) {
-            Await.until(() -> service.world.catalog.watched() == 1);
-            assertEquals("served", ask(service, client, "look"));
-            String at = "127.0.0.1:" + service.world.worker.port();
-            service.world.catalog.tell("what is no JSON");
-            service.world.catalog.whole(CatalogStandIn.list(9, true, "w9", at, "ready"));
-            Await.until(() -> service.world.catalog.watched() == 2);
+  @Test
+  void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client();
+        RespServer second = new RespServer(RespServer.worker())) {
+      Await.until(() -> service.world.catalog.watched() == 1);
+      assertEquals("served", ask(service, client, "look"));
+      String at = "127.0.0.1:" + service.world.worker.port();
+      service.world.catalog.tell("what is no JSON");
+      service.world.catalog.whole(CatalogStandIn.list(9, true, "w9", at, "ready"));
+      Await.until(() -> service.world.catalog.watched() == 2);
+      assertEquals("served", ask(service, client, "look"));
+      service.world.catalog.tell(
+          CatalogStandIn.list(
+              10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
+      Await.until(
+          () -> {
             assertEquals("served", ask(service, client, "look"));
-            service.world.catalog.tell(CatalogStandIn.list(10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
-            Await.until(() -> {
-                assertEquals("served", ask(service, client, "look"));
-                return second.commands() > 0;
-            });
-            int before = service.world.worker.commands();
-            for (int i = 0; i < 5; i++) {
-                assertEquals("served", ask(service, client, "look"));
-            }
-            assertEquals(before, service.world.worker.commands());
-        }
+            return second.commands() > 0;
+          });
+      int before = service.world.worker.commands();
+      for (int i = 0; i < 5; i++) {
+        assertEquals("served", ask(service, client, "look"));
+      }
+      assertEquals(before, service.world.worker.commands());
     }
+  }
 
-    /** It answers its own requests in memory: no socket but TCP, no file, no request to a worker or the counter. */
-    @Test
-    void theWarmUpLeavesNothingBehind() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client()) {
-            assertEquals(0, service.world.worker.accepted());
-            assertEquals(0, service.world.counter.accepted());
-            assertEquals("served", ask(service, client, "look"));
-            assertTrue(Files.readAllLines(Path.of("/proc/net/unix")).stream().noneMatch(line -> line.contains("fawndock")));
-            try (Stream<Path> left = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
-                assertTrue(left.noneMatch(each -> each.getFileName().toString().startsWith("fawndock-" + ProcessHandle.current().pid())));
-            }
-        }
+  /**
+   * It answers its own requests in memory: no socket but TCP, no file, no request to a worker or
+   * the counter.
+   */
+  @Test
+  void theWarmUpLeavesNothingBehind() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client()) {
+      assertEquals(0, service.world.worker.accepted());
+      assertEquals(0, service.world.counter.accepted());
+      assertEquals("served", ask(service, client, "look"));
+      assertTrue(
+          Files.readAllLines(Path.of("/proc/net/unix")).stream()
+              .noneMatch(line -> line.contains("fawndock")));
+      try (Stream<Path> left = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
+        assertTrue(
+            left.noneMatch(
+                each ->
+                    each.getFileName()
+                        .toString()
+                        .startsWith("fawndock-" + ProcessHandle.current().pid())));
+      }
     }
+  }
 
-    @Test
-    void theWarmUpServes() throws Exception {
-        Vertx vertx = Vertx.vertx();
-        try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
-            PlatformConfig config = PlatformConfig.read(world.variables());
-            CompletableFuture<Integer> served = new CompletableFuture<>();
-            vertx.getOrCreateContext().runOnContext(v -> {
+  @Test
+  void theWarmUpServes() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
+      PlatformConfig config = PlatformConfig.read(world.variables());
+      CompletableFuture<Integer> served = new CompletableFuture<>();
+      vertx
+          .getOrCreateContext()
+          .runOnContext(
+              v -> {
                 WarmUp warmUp = new WarmUp(vertx, config, Logic::new);
                 warmUp.run().onComplete(done -> served.complete(warmUp.served()));
-            });
-            assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
-            assertEquals(0, world.worker.accepted());
-        } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-        }
+              });
+      assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
+      assertEquals(0, world.worker.accepted());
+    } finally {
+      vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
+  }
 
-    /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
-    @Test
-    void connectionsToACounterOfBeforeEnd() throws Exception {
-        try (Service service = new Service(RespServer.worker(), (words, link) -> { }); RespClient client = service.client();
-                RespServer counter = new RespServer(RespServer.counter())) {
-            assertEquals("served", ask(service, client, "look"));
-            assertTrue(service.world.counter.open() > 0);
-            service.world.configure(service.world.catalog.port(), counter.port());
-            service.daemon.reload();
-            Await.until(() -> service.world.counter.open() == 0);
-        }
+  /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
+  @Test
+  void connectionsToACounterOfBeforeEnd() throws Exception {
+    try (Service service = new Service(RespServer.worker(), (words, link) -> {});
+        RespClient client = service.client();
+        RespServer counter = new RespServer(RespServer.counter())) {
+      assertEquals("served", ask(service, client, "look"));
+      assertTrue(service.world.counter.open() > 0);
+      service.world.configure(service.world.catalog.port(), counter.port());
+      service.daemon.reload();
+      Await.until(() -> service.world.counter.open() == 0);
     }
+  }
 
-    /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
-    @Test
-    void aSilentWatchIsMadeAgain() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter())) {
-            Await.until(() -> service.world.catalog.watched() >= 2);
-            assertEquals("served", ask(service, service.client(), "look"));
-        }
+  /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
+  @Test
+  void aSilentWatchIsMadeAgain() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter())) {
+      Await.until(() -> service.world.catalog.watched() >= 2);
+      assertEquals("served", ask(service, service.client(), "look"));
     }
+  }
 
-    /** A call that has timed out keeps its place: the next one is not told its total. */
-    @Test
-    void aLateTotalIsNobodyElses() throws Exception {
-        CountDownLatch release = new CountDownLatch(1);
-        AtomicInteger many = new AtomicInteger();
-        Vertx vertx = Vertx.vertx();
-        List<Counted> told = new CopyOnWriteArrayList<>();
-        try (RespServer server = new RespServer((words, link) -> {
-            release.await();
-            link.send("$1\r\n" + many.incrementAndGet() + "\r\n");
-        })) {
-            Context context = vertx.getOrCreateContext();
-            AddGetCounter[] counter = new AddGetCounter[1];
-            context.runOnContext(v -> {
-                counter[0] = new AddGetCounter(new Sockets(context), new Address("127.0.0.1", server.port()), new MicroClock(),
-                        new Alarms(vertx), new Figures(), 250_000, 50_000, told::add);
-                counter[0].count(new Count("name", 1, 4_000_000));
-            });
-            Await.until(() -> told.size() == 1);
-            assertEquals(Result.TIMEOUT, told.get(0).result());
-            context.runOnContext(v -> {
-                counter[0].count(new Count("name", 1, 4_000_000));
-                release.countDown();
-            });
-            Await.until(() -> told.size() == 2);
-            assertEquals(2.0, told.get(1).total());
-        } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-        }
+  /** A call that has timed out keeps its place: the next one is not told its total. */
+  @Test
+  void aLateTotalIsNobodyElses() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    AtomicInteger many = new AtomicInteger();
+    Vertx vertx = Vertx.vertx();
+    List<Counted> told = new CopyOnWriteArrayList<>();
+    try (RespServer server =
+        new RespServer(
+            (words, link) -> {
+              release.await();
+              link.send("$1\r\n" + many.incrementAndGet() + "\r\n");
+            })) {
+      Context context = vertx.getOrCreateContext();
+      AddGetCounter[] counter = new AddGetCounter[1];
+      context.runOnContext(
+          v -> {
+            counter[0] =
+                new AddGetCounter(
+                    new Sockets(context),
+                    new Address("127.0.0.1", server.port()),
+                    new MicroClock(),
+                    new Alarms(vertx),
+                    new Figures(),
+                    250_000,
+                    50_000,
+                    told::add);
+            counter[0].count(new Count("name", 1, 4_000_000));
+          });
+      Await.until(() -> told.size() == 1);
+      assertEquals(Result.TIMEOUT, told.get(0).result());
+      context.runOnContext(
+          v -> {
+            counter[0].count(new Count("name", 1, 4_000_000));
+            release.countDown();
+          });
+      Await.until(() -> told.size() == 2);
+      assertEquals(2.0, told.get(1).total());
+    } finally {
+      vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
+  }
 
-    @Test
-    void anEmptyListEmptiesNothing() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client()) {
-            Await.until(() -> service.world.catalog.watched() == 1);
-            service.world.catalog.whole(CatalogStandIn.list(11, true));
-            service.world.catalog.tell(CatalogStandIn.list(11, true));
-            assertEquals("served", ask(service, client, "look"));
-            service.world.catalog.cut();
-            assertEquals("served", ask(service, client, "look"));
-        }
+  @Test
+  void anEmptyListEmptiesNothing() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client()) {
+      Await.until(() -> service.world.catalog.watched() == 1);
+      service.world.catalog.whole(CatalogStandIn.list(11, true));
+      service.world.catalog.tell(CatalogStandIn.list(11, true));
+      assertEquals("served", ask(service, client, "look"));
+      service.world.catalog.cut();
+      assertEquals("served", ask(service, client, "look"));
     }
+  }
 
-    @Test
-    void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
-        try (Service service = new Service(RespServer.worker(), RespServer.counter()); RespClient client = service.client();
-                RespServer counter = new RespServer(RespServer.counter());
-                CatalogStandIn catalog = new CatalogStandIn(CatalogStandIn.list(3, true, "w1",
-                        "127.0.0.1:" + service.world.worker.port(), "ready"))) {
-            assertEquals("served", ask(service, client, "look"));
-            service.world.write("{\"name\":");
-            service.daemon.reload();
-            assertEquals("served", ask(service, client, "look"));
-            assertEquals(0, counter.commands());
-            service.world.configure(catalog.port(), counter.port());
-            service.daemon.reload();
-            service.daemon.reload();
-            Await.until(() -> {
-                assertEquals("served", ask(service, client, "look"));
-                return counter.commands() > 0 && catalog.watched() == 1;
-            });
-            service.world.counter.close();
-            service.world.catalog.close();
-            int before = counter.commands();
+  @Test
+  void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
+    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+        RespClient client = service.client();
+        RespServer counter = new RespServer(RespServer.counter());
+        CatalogStandIn catalog =
+            new CatalogStandIn(
+                CatalogStandIn.list(
+                    3, true, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"))) {
+      assertEquals("served", ask(service, client, "look"));
+      service.world.write("{\"name\":");
+      service.daemon.reload();
+      assertEquals("served", ask(service, client, "look"));
+      assertEquals(0, counter.commands());
+      service.world.configure(catalog.port(), counter.port());
+      service.daemon.reload();
+      service.daemon.reload();
+      Await.until(
+          () -> {
             assertEquals("served", ask(service, client, "look"));
-            assertTrue(counter.commands() > before);
-        }
+            return counter.commands() > 0 && catalog.watched() == 1;
+          });
+      service.world.counter.close();
+      service.world.catalog.close();
+      int before = counter.commands();
+      assertEquals("served", ask(service, client, "look"));
+      assertTrue(counter.commands() > before);
     }
+  }
 
-    @Test
-    void aStopAnswersWhatIsOpenAndWhatStillComes() throws Exception {
-        CountDownLatch release = new CountDownLatch(1);
-        RespServer.Behaviour worker = (words, link) -> {
-            if (words.get(0).equals("Q.DO")) {
-                release.await();
-            }
-            RespServer.worker().command(words, link);
+  @Test
+  void aStopAnswersWhatIsOpenAndWhatStillComes() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    RespServer.Behaviour worker =
+        (words, link) -> {
+          if (words.get(0).equals("Q.DO")) {
+            release.await();
+          }
+          RespServer.worker().command(words, link);
         };
-        try (Service service = new Service(worker, RespServer.counter())) {
-            RespClient open = service.client();
-            String[] words = service.request("pay");
-            open.send(RespClient.command(words));
-            Await.until(() -> service.world.worker.commands() == 1);
-            service.daemon.stop();
-            assertEquals("served", ask(service, service.client(), "look"));
-            release.countDown();
-            assertEquals("value of " + words[2], open.answer());
-            assertNull(open.answer());
-            assertEquals(0, service.stop());
-        }
+    try (Service service = new Service(worker, RespServer.counter())) {
+      RespClient open = service.client();
+      String[] words = service.request("pay");
+      open.send(RespClient.command(words));
+      Await.until(() -> service.world.worker.commands() == 1);
+      service.daemon.stop();
+      assertEquals("served", ask(service, service.client(), "look"));
+      release.countDown();
+      assertEquals("value of " + words[2], open.answer());
+      assertNull(open.answer());
+      assertEquals(0, service.stop());
     }
+  }
 
-    @Test
-    void anUnusableConfigurationIsToldInOneLine() throws Exception {
-        assertEquals("RELAY_CONFIG is not set: the path of the configuration is expected", assertThrows(
-                PlatformConfig.UnusableException.class, () -> PlatformConfig.read(Map.of())).getMessage());
-        try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
-            String file = world.variables().get("RELAY_CONFIG");
-            String good = Files.readString(Path.of(file));
-            for (String[] each : new String[][] {{"{\"name\":", "not JSON"}, {"[]", "not a JSON object"}, {"{}", "'settings' is missing"},
-                {good.replace("\"listen\":\"127", "\"listen\":\"nowhere\",\"was\":\"127"), "'listen' is 'nowhere', HOST:PORT is expected"},
-                {good.replace(":" + world.catalog.port(), ":0"), "'discovery' is '127.0.0.1:0', HOST:PORT is expected"},
-                {good.replace("8c1f30d27a5be964", "xyz"), "'seed' is 'xyz'"}, {good.replace("at_most_once", "ever"), "unknown word 'ever'"},
-                {good.replace("\"name\":\"small\"", "\"title\":\"small\""), "'name' is missing"}}) {
-                world.write(each[0]);
-                String line = assertThrows(PlatformConfig.UnusableException.class, () -> PlatformConfig.read(world.variables())).getMessage();
-                assertTrue(line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
-            }
-        }
+  @Test
+  void anUnusableConfigurationIsToldInOneLine() throws Exception {
+    assertEquals(
+        "RELAY_CONFIG is not set: the path of the configuration is expected",
+        assertThrows(PlatformConfig.UnusableException.class, () -> PlatformConfig.read(Map.of()))
+            .getMessage());
+    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
+      String file = world.variables().get("RELAY_CONFIG");
+      String good = Files.readString(Path.of(file));
+      for (String[] each :
+          new String[][] {
+            {"{\"name\":", "not JSON"},
+            {"[]", "not a JSON object"},
+            {"{}", "'settings' is missing"},
+            {
+              good.replace("\"listen\":\"127", "\"listen\":\"nowhere\",\"was\":\"127"),
+              "'listen' is 'nowhere', HOST:PORT is expected"
+            },
+            {
+              good.replace(":" + world.catalog.port(), ":0"),
+              "'discovery' is '127.0.0.1:0', HOST:PORT is expected"
+            },
+            {good.replace("8c1f30d27a5be964", "xyz"), "'seed' is 'xyz'"},
+            {good.replace("at_most_once", "ever"), "unknown word 'ever'"},
+            {good.replace("\"name\":\"small\"", "\"title\":\"small\""), "'name' is missing"}
+          }) {
+        world.write(each[0]);
+        String line =
+            assertThrows(
+                    PlatformConfig.UnusableException.class,
+                    () -> PlatformConfig.read(world.variables()))
+                .getMessage();
+        assertTrue(
+            line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
+      }
     }
+  }
 }
--- a/src/test/java/fawndock/settings/SettingsFileTest.java
+++ b/src/test/java/fawndock/settings/SettingsFileTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsFileTest {
-    private static final String GOOD = """
+  private static final String GOOD =
+      """
             listen 127.0.0.1:8080      # clients
             class lookup aim 500ms deadline 2s repeat idempotent
             route GET /lookup lookup
@@ -21,44 +22,49 @@
             server w1 127.0.0.1:7001
             """;
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private Path file(String name, String text) throws IOException {
-        return Files.writeString(folder.resolve(name), text);
-    }
+  private Path file(String name, String text) throws IOException {
+    return Files.writeString(folder.resolve(name), text);
+  }
 
-    private List<String> mistakes(String text) throws IOException {
-        Path file = file("bad.conf", text);
-        return assertThrows(SettingsException.class, () -> SettingsFile.read(file)).mistakes().stream()
-                .map(m -> m.toString().replace(folder + "/", "")).toList();
-    }
+  private List<String> mistakes(String text) throws IOException {
+    Path file = file("bad.conf", text);
+    return assertThrows(SettingsException.class, () -> SettingsFile.read(file)).mistakes().stream()
+        .map(m -> m.toString().replace(folder + "/", ""))
+        .toList();
+  }
 
-    @Test
-    void readsWordsQuotesCommentsUnitsAndIncludes() throws Exception {
-        file("more.conf", "counter 127.0.0.1:6379 [::1]:6380\ncounter-limits timeout 1.5ms\nsizes body 2KiB\n");
-        DaemonSettings s = SettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
-        assertEquals("one", s.keys().get("a key # with \"blanks\"").customer());
-        assertEquals(500_000, s.classes().get(0).aimMicros());
-        assertEquals(1_500, s.counter().timeoutMicros());
-        assertEquals(List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().parts());
-        assertEquals(2048, s.http().bodyLimit());
-        assertEquals("/lookup/deep", s.routes().get(0).prefix(), "the longest prefix decides first");
-    }
+  @Test
+  void readsWordsQuotesCommentsUnitsAndIncludes() throws Exception {
+    file(
+        "more.conf",
+        "counter 127.0.0.1:6379 [::1]:6380\ncounter-limits timeout 1.5ms\nsizes body 2KiB\n");
+    DaemonSettings s = SettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
+    assertEquals("one", s.keys().get("a key # with \"blanks\"").customer());
+    assertEquals(500_000, s.classes().get(0).aimMicros());
+    assertEquals(1_500, s.counter().timeoutMicros());
+    assertEquals(
+        List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().parts());
+    assertEquals(2048, s.http().bodyLimit());
+    assertEquals("/lookup/deep", s.routes().get(0).prefix(), "the longest prefix decides first");
+  }
 
-    @Test
-    void everyMistakeIsToldAtOnceWithItsPlace() throws Exception {
-        assertEquals(List.of(
-                "bad.conf:0: no roster and no server, expected roster HOST:PORT, or server lines",
-                "bad.conf:1: 'nowhere' is not an address, expected HOST:PORT",
-                "bad.conf:2: deadline '2' is not a time in range, expected a number and us, ms, s, m or h, from 1000us to 3600000000us",
-                "bad.conf:3: 'rate' is given twice, expected each name once",
-                "bad.conf:4: there is no class 'ghost', expected the name of a class line",
-                "bad.conf:5: a quote is not closed, expected \" before the line ends",
-                "bad.conf:6: unknown argument 'colour' of plan, expected an argument that the manual names",
-                "bad.conf:7: 'listen' stands already in bad.conf:1, expected it once",
-                "bad.conf:8: include names 0 files, expected include FILE"),
-                mistakes("""
+  @Test
+  void everyMistakeIsToldAtOnceWithItsPlace() throws Exception {
+    assertEquals(
+        List.of(
+            "bad.conf:0: no roster and no server, expected roster HOST:PORT, or server lines",
+            "bad.conf:1: 'nowhere' is not an address, expected HOST:PORT",
+            "bad.conf:2: deadline '2' is not a time in range, expected a number and us, ms, s, m or h, from 1000us to 3600000000us",
+            "bad.conf:3: 'rate' is given twice, expected each name once",
+            "bad.conf:4: there is no class 'ghost', expected the name of a class line",
+            "bad.conf:5: a quote is not closed, expected \" before the line ends",
+            "bad.conf:6: unknown argument 'colour' of plan, expected an argument that the manual names",
+            "bad.conf:7: 'listen' stands already in bad.conf:1, expected it once",
+            "bad.conf:8: include names 0 files, expected include FILE"),
+        mistakes(
+            """
                         listen nowhere
                         class lookup aim 1ms deadline 2
                         plan a rate 1 rate 2 store 3
@@ -68,22 +74,25 @@
                         listen 127.0.0.1:1
                         include
                         """));
-    }
+  }
 
-    @Test
-    void unknownKeywordIsAMistake() throws Exception {
-        assertEquals(1, mistakes(GOOD + "lisden 127.0.0.1:1\n").size());
-    }
+  @Test
+  void unknownKeywordIsAMistake() throws Exception {
+    assertEquals(1, mistakes(GOOD + "lisden 127.0.0.1:1\n").size());
+  }
 
-    @Test
-    void keyOfAPlanThatIsNotThereIsAMistake() throws Exception {
-        assertEquals(List.of("bad.conf:8: there is no plan 'gold', expected the name of a plan line"),
-                mistakes(GOOD + "key k2 customer two plan gold\n"));
-    }
+  @Test
+  void keyOfAPlanThatIsNotThereIsAMistake() throws Exception {
+    assertEquals(
+        List.of("bad.conf:8: there is no plan 'gold', expected the name of a plan line"),
+        mistakes(GOOD + "key k2 customer two plan gold\n"));
+  }
 
-    @Test
-    void aFileThatIncludesItselfOrIsNotThereEndsWithOneMistake() throws Exception {
-        assertEquals(1, mistakes("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
-        assertEquals(1, mistakes("include gone.conf\n").stream().filter(m -> m.contains("cannot read")).count());
-    }
+  @Test
+  void aFileThatIncludesItselfOrIsNotThereEndsWithOneMistake() throws Exception {
+    assertEquals(
+        1, mistakes("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
+    assertEquals(
+        1, mistakes("include gone.conf\n").stream().filter(m -> m.contains("cannot read")).count());
+  }
 }
