--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -17,6 +17,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.ThreadLocalRandom;
@@ -269,7 +270,7 @@
     links.forEach(
         (id, link) -> {
           boolean hears = node.hears(id, now);
-          if (heard.put(id, hears) != Boolean.valueOf(hears)) {
+          if (!Objects.equals(heard.put(id, hears), hears)) {
             LOG.warn("node {} is {}", id, hears ? "heard" : "missing");
           }
           if (!link.usable()) {
