--- a/src/main/java/fawndock/gateway/GatekeeperNode.java
+++ b/src/main/java/fawndock/gateway/GatekeeperNode.java
@@ -1,19 +1,19 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counter;
-import fawndock.Gatekeeper.Probed;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Tell;
-import fawndock.host.Alarms;
-import fawndock.host.GatekeeperHost;
-import fawndock.host.MicroClock;
-import fawndock.host.OpenAttempt;
-import fawndock.host.OpenRequest;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.VerticleBase;
@@ -30,22 +30,22 @@
 
 /** One gatekeeper with its sockets, on one event loop; a process runs one or several. */
 public final class GatekeeperNode extends VerticleBase
-    implements GatekeeperHost.Links, WorkerAttempt.Ways {
+    implements PolicyRunner.GatewayConnections, WorkerAttempt.Ways {
   /**
    * How often a host looks at its gatekeeper's timers: the least gap between two batches of events.
    */
   private static final long ROUND_MICROS = 5_000;
 
   private static final Logger LOG = LoggerFactory.getLogger(GatekeeperNode.class);
-  private final DaemonSettings settings;
+  private final GatewaySettings settings;
   private final int me;
   private final int port;
   private final AtomicInteger connections;
-  private final Function<Settings, Gatekeeper> maker;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private HttpServer server;
   private WorkerPools workers;
-  private Alarms alarms;
-  private GatekeeperHost host;
+  private Timers alarms;
+  private PolicyRunner host;
   private CounterLink counter;
   private PeerLink peers;
   private RosterLink roster;
@@ -59,11 +59,11 @@
    * @param maker makes the decisions from the settings
    */
   GatekeeperNode(
-      DaemonSettings settings,
+      GatewaySettings settings,
       int me,
       int port,
       AtomicInteger connections,
-      Function<Settings, Gatekeeper> maker) {
+      Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
     this.me = me;
     this.port = port;
@@ -74,15 +74,15 @@
   @Override
   public Future<?> start() {
     MicroClock clock = new MicroClock();
-    alarms = new Alarms(vertx);
+    alarms = new Timers(vertx);
     AnswerLog answerLog = new AnswerLog(me, true);
     workers = new WorkerPools(vertx, settings);
     host =
-        new GatekeeperHost(
+        new PolicyRunner(
             clock, alarms, this, settings.limits().maxAttempts(), clock.now(), answerLog);
     host.decideBy(
         maker.apply(
-            new Settings(
+            new PolicyConfig(
                 me,
                 settings.fleet(),
                 settings.seed() + me,
@@ -93,16 +93,16 @@
                 settings.plans(),
                 settings.limits(),
                 settings.rules(),
-                new Counter(
+                new CounterConfig(
                     !settings.counter().none(),
                     settings.counter().timeoutMicros(),
                     settings.counter().settled()))));
-    counter = new CounterLink(vertx, context, settings.counter(), clock, alarms, host::tell);
+    counter = new CounterLink(vertx, context, settings.counter(), clock, alarms, host::onEvent);
     peers =
         settings.peers().listen() == null
             ? null
-            : new PeerLink(vertx, settings.peers(), me, clock, host::tell);
-    roster = new RosterLink(vertx, settings.roster(), alarms, host::tell);
+            : new PeerLink(vertx, settings.peers(), me, clock, host::onEvent);
+    roster = new RosterLink(vertx, settings.roster(), alarms, host::onEvent);
     roster.start();
     Front front = new Front(settings, host, answerLog);
     long longest =
@@ -156,7 +156,7 @@
     context.runOnContext(
         v -> {
           long millis = Math.max(1, settings.http().stopMicros() / 1_000);
-          LOG.info("gatekeeper {} stops with {} requests open", me, host.open());
+          LOG.info("gatekeeper {} stops with {} requests open", me, host.openCount());
           Future<Void> closing = server.shutdown(millis, TimeUnit.MILLISECONDS);
           host.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
           vertx.setTimer(millis, id -> drained.tryComplete());
@@ -176,24 +176,24 @@
   }
 
   @Override
-  public void count(Count count) {
+  public void addToCounter(AddToCounter count) {
     counter.count(count);
   }
 
   @Override
-  public void tell(Tell tell) {
+  public void sendPeerMessage(SendPeerMessage tell) {
     if (peers != null) {
       peers.tell(tell);
     }
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     roster.watch();
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     roster.watch();
   }
 
@@ -216,16 +216,16 @@
   }
 
   @Override
-  public OpenAttempt attempt(OpenRequest request, int number, String server) {
+  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
     return new WorkerAttempt(host, request, number, server, this);
   }
 
   @Override
-  public void probe(String server) {
+  public void startHealthCheck(String server) {
     long startedAt = host.clock().now();
     RequestOptions target = target(server);
     if (target == null) {
-      host.tell(new Probed(server, 0, Result.UNUSED, Map.of()));
+      host.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
       return;
     }
     target.setURI("/healthz").setTimeout(1_000);
@@ -234,11 +234,13 @@
         .compose(r -> r.send())
         .onComplete(
             done ->
-                host.tell(
-                    new Probed(
+                host.onEvent(
+                    new HealthCheckCompleted(
                         server,
                         host.clock().now() - startedAt,
-                        done.failed() ? Result.TIMEOUT : Ends.answered(done.result().statusCode()),
+                        done.failed()
+                            ? CallResult.TIMEOUT
+                            : Ends.answered(done.result().statusCode()),
                         done.failed()
                             ? Map.of()
                             : LoadReport.parse(done.result().getHeader(LoadReport.HEADER))
--- a/src/main/java/fawndock/gateway/HttpExchange.java
+++ b/src/main/java/fawndock/gateway/HttpExchange.java
@@ -1,7 +1,7 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.host.Exchange;
+import fawndock.policy.config.Plan;
+import fawndock.runtime.ServerExchange;
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClientResponse;
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 
 /** A client's HTTP request. */
-final class HttpExchange implements Exchange {
+final class HttpExchange implements ServerExchange {
   private final HttpServerRequest request;
-  private final Asked asked;
+  private final RequestAttributes asked;
   private final HttpAsked sent;
   private int status;
   private final Plan plan;
 
-  HttpExchange(HttpServerRequest request, Asked asked, HttpAsked sent, Plan plan) {
+  HttpExchange(HttpServerRequest request, RequestAttributes asked, HttpAsked sent, Plan plan) {
     this.request = request;
     this.asked = asked;
     this.sent = sent;
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public Asked asked() {
+  public RequestAttributes requestAttributes() {
     return asked;
   }
 
@@ -80,19 +80,19 @@
 
   /** 429 with {@code Retry-After} and the fields of draft-ietf-httpapi-ratelimit-headers-10. */
   @Override
-  public void refuse(long retryAfterMicros) {
+  public void reject(long retryAfterMicros) {
     long seconds = Math.max(1, (retryAfterMicros + 999_999) / 1_000_000);
     HttpServerResponse response = request.response();
     response.putHeader("retry-after", Long.toString(seconds));
-    if (plan != null && plan.rate() > 0) {
+    if (plan != null && plan.unitsPerSecond() > 0) {
       String name = '"' + plan.name().replaceAll("[^ !#-\\[\\]-~]", "") + '"';
       response.putHeader(
           "ratelimit-policy",
           name
               + ";q="
-              + (long) Math.floor(plan.storeSize())
+              + (long) Math.floor(plan.burstUnits())
               + ";w="
-              + Math.max(1, (long) Math.ceil(plan.storeSize() / plan.rate())));
+              + Math.max(1, (long) Math.ceil(plan.burstUnits() / plan.unitsPerSecond())));
       response.putHeader("ratelimit", name + ";r=0;t=" + seconds);
     }
     new Problem(
--- a/src/main/java/fawndock/gateway/NodeLine.java
+++ b/src/main/java/fawndock/gateway/NodeLine.java
@@ -1,6 +1,6 @@
 package fawndock.gateway;
 
-import fawndock.host.Alarms;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
@@ -31,7 +31,7 @@
       Context context,
       Address address,
       int maxCalls,
-      Alarms alarms,
+      Timers alarms,
       Runnable connected,
       Runnable lost) {
     this.context = context;
--- a/src/main/java/fawndock/gateway/PeerLink.java
+++ b/src/main/java/fawndock/gateway/PeerLink.java
@@ -1,10 +1,10 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Message;
-import fawndock.Gatekeeper.Tell;
-import fawndock.host.MicroClock;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.event.PeerMessageReceived;
+import fawndock.runtime.MicroClock;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.Peers;
+import fawndock.settings.GatewaySettings.Peers;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -26,13 +26,13 @@
   private final Peers peers;
   private final int me;
   private final MicroClock clock;
-  private final Consumer<Message> told;
+  private final Consumer<PeerMessageReceived> told;
   private final DatagramSocket socket;
   private double intake;
   private long intakeAt;
   private boolean listening;
 
-  PeerLink(Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<Message> told) {
+  PeerLink(Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<PeerMessageReceived> told) {
     this.peers = peers;
     this.me = me;
     this.clock = clock;
@@ -54,9 +54,9 @@
             });
   }
 
-  void tell(Tell tell) {
+  void tell(SendPeerMessage tell) {
     for (Map.Entry<Integer, Address> peer : peers.others().entrySet()) {
-      if (peer.getKey() == me || tell.to() >= 0 && tell.to() != peer.getKey()) {
+      if (peer.getKey() == me || tell.toInstance() >= 0 && tell.toInstance() != peer.getKey()) {
         continue;
       }
       Buffer datagram = encode(peer.getKey(), me, tell.text());
@@ -85,7 +85,7 @@
             && peers.others().containsKey(Integer.parseInt(words[2]));
     if (ours && intake >= 1) {
       intake--;
-      told.accept(new Message(Integer.parseInt(words[2]), words[3]));
+      told.accept(new PeerMessageReceived(Integer.parseInt(words[2]), words[3]));
     }
   }
 
--- a/src/main/java/fawndock/gateway/QuotaHost.java
+++ b/src/main/java/fawndock/gateway/QuotaHost.java
@@ -1,27 +1,28 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Event;
-import fawndock.Gatekeeper.Fail;
-import fawndock.Gatekeeper.Gone;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Refuse;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Wake;
-import fawndock.Gatekeeper.WakeAfter;
-import fawndock.host.Alarms;
-import fawndock.host.Decisions;
-import fawndock.host.MicroClock;
-import fawndock.settings.DaemonSettings;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.ClientDisconnected;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.TimerFired;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.PolicyEventQueue;
+import fawndock.runtime.Timers;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -65,9 +66,9 @@
   private static final double NOTHING = 1e-9;
 
   private final MicroClock clock = new MicroClock();
-  private final Alarms alarms;
+  private final Timers alarms;
   private final CounterLink counter;
-  private final Decisions decisions;
+  private final PolicyEventQueue decisions;
   private final int fleet;
   private final Map<Long, Answer> asked = new HashMap<>();
   private final Map<Long, String> allowed = new HashMap<>();
@@ -81,15 +82,15 @@
   public QuotaHost(
       Vertx vertx,
       Context context,
-      DaemonSettings settings,
+      GatewaySettings settings,
       int me,
-      Function<Settings, Gatekeeper> maker) {
-    alarms = new Alarms(vertx);
+      Function<PolicyConfig, GatewayPolicy> maker) {
+    alarms = new Timers(vertx);
     fleet = settings.fleet();
     decisions =
-        new Decisions(
+        new PolicyEventQueue(
             maker.apply(
-                new Settings(
+                new PolicyConfig(
                     me,
                     fleet,
                     settings.seed() + me,
@@ -100,17 +101,17 @@
                     settings.plans(),
                     settings.limits(),
                     settings.rules(),
-                    new Gatekeeper.Counter(
+                    new CounterConfig(
                         !settings.counter().none(), settings.counter().timeoutMicros(), true))),
             clock,
             this::carryOut,
             LOG);
     counter = new CounterLink(vertx, context, settings.counter(), clock, alarms, this::tell);
-    List<Server> callers = new ArrayList<>();
+    List<Endpoint> callers = new ArrayList<>();
     for (int i = 0; i < CALLERS; i++) {
-      callers.add(new Server("caller-" + i, "", 0, Availability.RUNNING, 1, 0));
+      callers.add(new Endpoint("caller-" + i, "", 0, EndpointState.RUNNING, 1, 0));
     }
-    tell(new Servers(Listing.COMPLETE, callers));
+    tell(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, callers));
   }
 
   /**
@@ -130,9 +131,9 @@
     long id = nextId++;
     asked.put(id, answer);
     // Guards against decisions that failed to answer: the caller is told in time all the same.
-    alarms.after(withinMicros, () -> end(id, Verdict.UNDECIDED, 0));
+    alarms.schedule(withinMicros, () -> end(id, Verdict.UNDECIDED, 0));
     tell(
-        new Request(
+        new RequestArrived(
             id, requestClass, plan, customer, clock.now() + withinMicros, units, fleet, 0, false));
     return id;
   }
@@ -140,7 +141,7 @@
   /** The caller does not want to know any more. */
   public void leave(long id) {
     if (asked.remove(id) != null) {
-      tell(new Gone(id));
+      tell(new ClientDisconnected(id));
     }
     takeBack(id);
   }
@@ -158,7 +159,7 @@
   private void settle(long id, double units) {
     String caller = allowed.remove(id);
     if (caller != null) {
-      tell(new Outcome(id, 0, caller, 1, Result.OK, true, units, Map.of()));
+      tell(new AttemptCompleted(id, 0, caller, 1, CallResult.OK, true, units, Map.of()));
     }
   }
 
@@ -169,26 +170,26 @@
     }
   }
 
-  private void tell(Event event) {
-    decisions.tell(event);
+  private void tell(PolicyEvent event) {
+    decisions.submit(event);
   }
 
-  private void carryOut(Action action) {
-    if (action instanceof Attempt a) {
-      allowed.put(a.requestId(), a.server());
+  private void carryOut(PolicyAction action) {
+    if (action instanceof StartAttempt a) {
+      allowed.put(a.requestId(), a.endpointId());
       if (asked.containsKey(a.requestId())) {
         end(a.requestId(), Verdict.ALLOWED, 0);
       } else {
         takeBack(a.requestId());
       }
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof RejectRequest a) {
       end(a.requestId(), Verdict.REFUSED, a.retryAfterMicros());
-    } else if (action instanceof Fail a) {
+    } else if (action instanceof FailRequest a) {
       end(a.requestId(), Verdict.UNDECIDED, 0);
-    } else if (action instanceof Count a) {
+    } else if (action instanceof AddToCounter a) {
       counter.count(a);
-    } else if (action instanceof WakeAfter a) {
-      alarms.after(a.micros(), () -> tell(new Wake(a.token())));
+    } else if (action instanceof ScheduleTimer a) {
+      alarms.schedule(a.delayMicros(), () -> tell(new TimerFired(a.token())));
     }
   }
 
--- a/src/main/java/fawndock/gateway/RosterLine.java
+++ b/src/main/java/fawndock/gateway/RosterLine.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Server;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.settings.Address;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,7 +22,10 @@
  * drain.
  */
 record RosterLine(
-    Listing listing, List<Server> servers, Map<String, Address> addresses, Set<String> twice) {
+    EndpointUpdateKind listing,
+    List<Endpoint> servers,
+    Map<String, Address> addresses,
+    Set<String> twice) {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int MOST = 100_000;
 
@@ -36,10 +39,10 @@
     } catch (JsonProcessingException e) {
       throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage());
     }
-    Listing listing =
+    EndpointUpdateKind listing =
         switch (line.path("list").asText()) {
-          case "complete" -> Listing.COMPLETE;
-          case "changes" -> Listing.CHANGES;
+          case "complete" -> EndpointUpdateKind.SNAPSHOT;
+          case "changes" -> EndpointUpdateKind.CHANGES;
           default ->
               throw new IllegalArgumentException(
                   "list is '" + line.path("list").asText() + "', not complete or changes");
@@ -48,16 +51,16 @@
     if (!entries.isArray() || entries.size() > MOST) {
       throw new IllegalArgumentException("servers is not a list of at most " + MOST);
     }
-    Map<String, Server> servers = new LinkedHashMap<>();
+    Map<String, Endpoint> servers = new LinkedHashMap<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
     Set<String> twice = new TreeSet<>();
     for (JsonNode entry : entries) {
-      Server server = server(entry);
-      Server before = servers.get(server.id());
+      Endpoint server = server(entry);
+      Endpoint before = servers.get(server.id());
       if (before != null) {
         twice.add(server.id());
       }
-      if (before == null || server.availability().compareTo(before.availability()) >= 0) {
+      if (before == null || server.state().compareTo(before.state()) >= 0) {
         servers.put(server.id(), server);
         addresses.put(server.id(), address(entry));
       }
@@ -65,14 +68,14 @@
     return new RosterLine(listing, List.copyOf(servers.values()), addresses, twice);
   }
 
-  private static Server server(JsonNode entry) {
+  private static Endpoint server(JsonNode entry) {
     String id = entry.path("id").asText();
     if (id.isEmpty() || id.length() > 256) {
       throw new IllegalArgumentException("a server without an id");
     }
-    Availability state;
+    EndpointState state;
     try {
-      state = Availability.valueOf(entry.path("state").asText().toUpperCase(Locale.ROOT));
+      state = EndpointState.valueOf(entry.path("state").asText().toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException(
           "state of "
@@ -82,7 +85,7 @@
               + "', not running, stopping or deleted");
     }
     double weight = entry.path("weight").asDouble(1);
-    return new Server(
+    return new Endpoint(
         id,
         entry.path("zone").asText(),
         entry.path("cell").asInt(),
--- a/src/main/java/fawndock/gateway/RosterLink.java
+++ b/src/main/java/fawndock/gateway/RosterLink.java
@@ -1,12 +1,12 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.host.Alarms;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.RosterSource;
+import fawndock.settings.GatewaySettings.RosterSource;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
@@ -36,8 +36,8 @@
   private static final long FIRST_PAUSE = 100_000;
   private static final long LONGEST_PAUSE = 2_000_000;
   private final RosterSource source;
-  private final Alarms alarms;
-  private final Consumer<Servers> told;
+  private final Timers alarms;
+  private final Consumer<EndpointUpdate> told;
   private final HttpClient http;
   private final Map<String, Address> addresses = new HashMap<>();
   private Object connection = new Object();
@@ -45,9 +45,9 @@
   private boolean wanted;
   private boolean closed;
   private long pause = FIRST_PAUSE;
-  private Alarms.Alarm silence;
+  private Timers.Timer silence;
 
-  RosterLink(Vertx vertx, RosterSource source, Alarms alarms, Consumer<Servers> told) {
+  RosterLink(Vertx vertx, RosterSource source, Timers alarms, Consumer<EndpointUpdate> told) {
     this.source = source;
     this.alarms = alarms;
     this.told = told;
@@ -61,16 +61,16 @@
    */
   void start() {
     if (!source.fixed().isEmpty() || source.mustAsk()) {
-      List<Server> fixed = new ArrayList<>();
+      List<Endpoint> fixed = new ArrayList<>();
       source
           .fixed()
           .forEach(
               s -> {
                 addresses.put(s.id(), s.address());
                 fixed.add(
-                    new Server(s.id(), s.zone(), s.cell(), Availability.RUNNING, s.weight(), 0));
+                    new Endpoint(s.id(), s.zone(), s.cell(), EndpointState.RUNNING, s.weight(), 0));
               });
-      told.accept(new Servers(Listing.CACHED, fixed));
+      told.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
     }
     if (!source.mustAsk()) {
       watch();
@@ -132,7 +132,7 @@
           if (line.length() > 0) {
             try {
               RosterLine read = RosterLine.parse(line.toString());
-              if (!begun[0] && read.listing() != Listing.COMPLETE) {
+              if (!begun[0] && read.listing() != EndpointUpdateKind.SNAPSHOT) {
                 throw new IllegalArgumentException("changes before a complete list");
               }
               begun[0] = true;
@@ -146,27 +146,27 @@
   }
 
   private void take(RosterLine line) {
-    if (line.listing() == Listing.COMPLETE && line.servers().isEmpty()) {
+    if (line.listing() == EndpointUpdateKind.SNAPSHOT && line.servers().isEmpty()) {
       LOG.warn("the roster lists nobody: kept what was known");
-      told.accept(new Servers(Listing.FAILED, List.of()));
+      told.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
       return;
     }
     if (!line.twice().isEmpty()) {
       LOG.warn("the roster names twice: {}", line.twice());
     }
     addresses.putAll(line.addresses());
-    if (line.listing() == Listing.COMPLETE) {
+    if (line.listing() == EndpointUpdateKind.SNAPSHOT) {
       addresses.keySet().retainAll(line.addresses().keySet());
     }
     line.servers().stream()
-        .filter(s -> s.availability() == Availability.DELETED)
+        .filter(s -> s.state() == EndpointState.REMOVED)
         .forEach(s -> addresses.remove(s.id()));
-    told.accept(new Servers(line.listing(), line.servers()));
+    told.accept(new EndpointUpdate(line.listing(), line.servers()));
   }
 
   private void alive(Object mine) {
     alarms.cancel(silence);
-    silence = alarms.after(source.silenceMicros(), () -> lost(mine, "silent"));
+    silence = alarms.schedule(source.silenceMicros(), () -> lost(mine, "silent"));
   }
 
   private void lost(Object which, String why) {
@@ -182,7 +182,7 @@
         why,
         pause / 1_000);
     Object waiting = connection;
-    alarms.after(
+    alarms.schedule(
         pause,
         () -> {
           if (connection == waiting && !closed) {
@@ -191,7 +191,7 @@
         });
     pause = Math.min(LONGEST_PAUSE, pause * 2);
     if (source.mustAsk()) {
-      told.accept(new Servers(Listing.FAILED, List.of()));
+      told.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
 
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -1,20 +1,20 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counter;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Tell;
-import fawndock.host.Alarms;
-import fawndock.host.GatekeeperHost;
-import fawndock.host.MicroClock;
-import fawndock.host.OpenAttempt;
-import fawndock.host.OpenRequest;
-import fawndock.settings.DaemonSettings;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.Timers;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -34,19 +34,19 @@
  * to load while their time runs out: about 350 ms was seen. May delay a start by its time limit; it
  * touches neither roster, counter nor real workers.
  */
-final class WarmUp implements GatekeeperHost.Links, WorkerAttempt.Ways {
+final class WarmUp implements PolicyRunner.GatewayConnections, WorkerAttempt.Ways {
   private static final int REQUESTS = 200;
   private static final int AT_ONCE = 10;
   private static final long LIMIT_MILLIS = 3_000;
   private static final String KEY = "warm-up";
   private final Vertx vertx;
-  private final DaemonSettings settings;
-  private final Function<Settings, Gatekeeper> maker;
+  private final GatewaySettings settings;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private int workerPort;
   private WorkerPools pools;
-  private GatekeeperHost host;
+  private PolicyRunner host;
 
-  WarmUp(Vertx vertx, DaemonSettings settings, Function<Settings, Gatekeeper> maker) {
+  WarmUp(Vertx vertx, GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
     this.vertx = vertx;
     this.settings = settings;
     this.maker = maker;
@@ -54,8 +54,8 @@
 
   /** Never fails: a warm-up that does not work out is no reason not to start. */
   Future<Void> run() {
-    DaemonSettings own =
-        new DaemonSettings(
+    GatewaySettings own =
+        new GatewaySettings(
             settings.listen(),
             1,
             0,
@@ -64,7 +64,7 @@
             settings.zone(),
             settings.classes(),
             settings.plans(),
-            Map.of(KEY, new DaemonSettings.Key(KEY, KEY, 0, 1)),
+            Map.of(KEY, new GatewaySettings.Key(KEY, KEY, 0, 1)),
             settings.routes(),
             settings.limits(),
             settings.rules(),
@@ -74,13 +74,13 @@
             settings.http(),
             settings.log(),
             settings.rateLimit());
-    Alarms alarms = new Alarms(vertx);
+    Timers alarms = new Timers(vertx);
     pools = new WorkerPools(vertx, own);
     AnswerLog silent = new AnswerLog(-1, false);
-    host = new GatekeeperHost(new MicroClock(), alarms, this, 1, 1, silent);
+    host = new PolicyRunner(new MicroClock(), alarms, this, 1, 1, silent);
     host.decideBy(
         maker.apply(
-            new Settings(
+            new PolicyConfig(
                 0,
                 1,
                 1,
@@ -91,7 +91,7 @@
                 own.plans(),
                 own.limits(),
                 own.rules(),
-                new Counter(false, 50_000, false))));
+                new CounterConfig(false, 50_000, false))));
     HttpServer worker =
         vertx
             .createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true))
@@ -111,10 +111,10 @@
         .compose(
             w -> {
               workerPort = w.actualPort();
-              host.tell(
-                  new Servers(
-                      Listing.COMPLETE,
-                      List.of(new Server(KEY, own.zone(), 0, Availability.RUNNING, 1, 0))));
+              host.onEvent(
+                  new EndpointUpdate(
+                      EndpointUpdateKind.SNAPSHOT,
+                      List.of(new Endpoint(KEY, own.zone(), 0, EndpointState.RUNNING, 1, 0))));
               return front.listen(0, "127.0.0.1");
             })
         .onSuccess(f -> send(client, f.actualPort(), REQUESTS, done))
@@ -135,7 +135,7 @@
       done.tryComplete();
       return;
     }
-    DaemonSettings.Route route = settings.routes().get(0);
+    GatewaySettings.Route route = settings.routes().get(0);
     RequestOptions options =
         new RequestOptions()
             .setHost("127.0.0.1")
@@ -157,22 +157,22 @@
   }
 
   @Override
-  public void count(Count count) {
+  public void addToCounter(AddToCounter count) {
     throw new IllegalStateException("there is no counter here");
   }
 
   @Override
-  public void tell(Tell tell) {
+  public void sendPeerMessage(SendPeerMessage tell) {
     // There is nobody to tell.
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     // There is no roster here.
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     // There is no roster here.
   }
 
@@ -182,12 +182,12 @@
   }
 
   @Override
-  public OpenAttempt attempt(OpenRequest request, int number, String server) {
+  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
     return new WorkerAttempt(host, request, number, server, this);
   }
 
   @Override
-  public void probe(String server) {
+  public void startHealthCheck(String server) {
     throw new IllegalStateException("nothing is probed here");
   }
 
--- a/src/main/java/fawndock/gateway/WorkerAttempt.java
+++ b/src/main/java/fawndock/gateway/WorkerAttempt.java
@@ -1,9 +1,9 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Result;
-import fawndock.host.GatekeeperHost;
-import fawndock.host.OpenAttempt;
-import fawndock.host.OpenRequest;
+import fawndock.policy.event.CallResult;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.PolicyRunner;
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClientRequest;
@@ -15,7 +15,7 @@
  * One attempt at a worker over HTTP: from the pool's connection to the end of the answer. One
  * context.
  */
-final class WorkerAttempt extends OpenAttempt {
+final class WorkerAttempt extends InFlightAttempt {
   /** How far an attempt has come. */
   private enum Stage {
     CONNECTING,
@@ -42,7 +42,7 @@
   private LoadReport.Report report = LoadReport.NONE;
   private Buffer body = Buffer.buffer();
 
-  WorkerAttempt(GatekeeperHost host, OpenRequest open, int number, String server, Ways ways) {
+  WorkerAttempt(PolicyRunner host, InFlightRequest open, int number, String server, Ways ways) {
     super(host, open, number, server);
     this.ways = ways;
     this.exchange = (HttpExchange) open.exchange;
@@ -50,9 +50,9 @@
 
   @Override
   protected void begin(long abandonAt) {
-    RequestOptions target = ways.target(server);
+    RequestOptions target = ways.target(endpointId);
     if (target == null) {
-      finish(Result.UNUSED);
+      finish(CallResult.NOT_SENT);
       return;
     }
     HttpAsked asked = exchange.sent();
@@ -76,7 +76,7 @@
                   connected.result().reset(Ends.CANCEL);
                 }
               } else if (connected.failed()) {
-                finish(Result.CONNECT_FAILED);
+                finish(CallResult.CONNECT_FAILED);
               } else {
                 send(connected.result());
               }
@@ -105,12 +105,12 @@
     }
     report = LoadReport.parse(answer.getHeader(LoadReport.HEADER));
     answer.exceptionHandler(this::broken);
-    if (Ends.answered(answer.statusCode()) != Result.OK) {
+    if (Ends.answered(answer.statusCode()) != CallResult.OK) {
       finish(Ends.answered(answer.statusCode()));
       answer.resume();
     } else if (!open.open()) {
-      answer.endHandler(done -> finish(Result.OK));
-    } else if (exchange.asked().type().streamed()) {
+      answer.endHandler(done -> finish(CallResult.OK));
+    } else if (exchange.requestAttributes().requestClass().isStreamed()) {
       stream(answer);
     } else {
       answer.handler(
@@ -126,7 +126,7 @@
               exchange.serving(answer.statusCode());
               host.deliver(
                   open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
-              finish(Result.OK);
+              finish(CallResult.OK);
             }
           });
     }
@@ -136,7 +136,7 @@
   private void stream(HttpClientResponse answer) {
     if (!open.open()) {
       answer.handler(null);
-      answer.endHandler(done -> finish(Result.OK));
+      answer.endHandler(done -> finish(CallResult.OK));
       return;
     }
     stage = Stage.STREAMING;
@@ -150,7 +150,7 @@
         broken -> {
           if (stage == Stage.STREAMING) {
             host.streamed(open, this, broken == null);
-            finish(broken == null ? Result.OK : Result.RESET);
+            finish(broken == null ? CallResult.OK : CallResult.RESET);
           }
         });
   }
@@ -165,9 +165,9 @@
   @Override
   protected void abandoned() {
     if (stage == Stage.CONNECTING) {
-      finish(Result.CONNECT_FAILED);
+      finish(CallResult.CONNECT_FAILED);
     } else if (stage == Stage.SENT) {
-      finish(Result.TIMEOUT);
+      finish(CallResult.TIMEOUT);
       request.reset(Ends.CANCEL);
     }
   }
@@ -175,9 +175,9 @@
   @Override
   public void cancel() {
     if (stage == Stage.CONNECTING) {
-      finish(Result.UNUSED);
+      finish(CallResult.NOT_SENT);
     } else if (stage == Stage.SENT) {
-      finish(Result.CANCELLED);
+      finish(CallResult.CANCELLED);
       request.reset(Ends.CANCEL);
     }
   }
@@ -185,12 +185,12 @@
   @Override
   public void leave() {
     if (stage == Stage.STREAMING) {
-      finish(Result.CANCELLED);
+      finish(CallResult.CANCELLED);
       request.reset(Ends.CANCEL);
     }
   }
 
-  private void finish(Result how) {
+  private void finish(CallResult how) {
     if (stage != Stage.ENDED) {
       stage = Stage.ENDED;
       body = null;
--- a/src/main/java/fawndock/gateway/WorkerPools.java
+++ b/src/main/java/fawndock/gateway/WorkerPools.java
@@ -1,6 +1,6 @@
 package fawndock.gateway;
 
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -23,7 +23,7 @@
   private final HttpClient http;
   private final Map<HttpConnection, Integer> goneAway = new IdentityHashMap<>();
 
-  WorkerPools(Vertx vertx, DaemonSettings settings) {
+  WorkerPools(Vertx vertx, GatewaySettings settings) {
     Context context = vertx.getOrCreateContext();
     http =
         vertx
@@ -38,7 +38,7 @@
             .with(
                 new PoolOptions()
                     .setHttp2MaxSize(settings.http().connectionsPerServer())
-                    .setMaxWaitQueueSize(settings.limits().maxOpen()))
+                    .setMaxWaitQueueSize(settings.limits().maxInFlight()))
             .withConnectHandler(
                 connection -> {
                   connection.goAwayHandler(
--- a/src/main/java/fawndock/lab/load/Customers.java
+++ b/src/main/java/fawndock/loadgen/Customers.java
@@ -1,4 +1,4 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/fawndock/lab/load/Generator.java
+++ b/src/main/java/fawndock/loadgen/Generator.java
@@ -1,8 +1,8 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
-import fawndock.lab.load.LoadPlan.Flow;
-import fawndock.lab.load.LoadPlan.Request;
-import fawndock.lab.load.Sources.Due;
+import fawndock.loadgen.LoadPlan.Flow;
+import fawndock.loadgen.LoadPlan.Request;
+import fawndock.loadgen.Sources.Due;
 import fawndock.settings.Address;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/src/main/java/fawndock/lab/load/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -1,20 +1,20 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
-import fawndock.lab.load.LoadPlan.Flow;
-import fawndock.lab.load.LoadPlan.Played;
-import fawndock.lab.load.LoadPlan.Request;
+import fawndock.loadgen.LoadPlan.Flow;
+import fawndock.loadgen.LoadPlan.Played;
+import fawndock.loadgen.LoadPlan.Request;
 import fawndock.settings.Address;
-import fawndock.settings.Args;
-import fawndock.settings.KeywordFile;
-import fawndock.settings.Line;
-import fawndock.settings.SettingsException;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.ConfigurationFile;
+import fawndock.settings.ConfigurationLine;
+import fawndock.settings.LineArguments;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
 /** Reads a load file; what each keyword means is in docs/operations/load.md. */
-public final class LoadFile extends KeywordFile {
+public final class LoadFile extends ConfigurationFile {
   private static final long MILLI = 1_000;
   private static final long SECOND = 1_000_000;
   private static final long DAY = 86_400 * SECOND;
@@ -34,14 +34,14 @@
     keywords.put(
         "target",
         line -> {
-          Args a = args(line, 1, "target HOST:PORT");
+          LineArguments a = args(line, 1, "target HOST:PORT");
           targets.add(a.address(0));
           a.finish();
         });
     keywords.put(
         "protocol",
         line -> {
-          Args a = args(line, 1, "protocol h1|h2");
+          LineArguments a = args(line, 1, "protocol h1|h2");
           http2 = a.place(0).equals("h2");
           if (!a.place(0).matches("h1|h2")) {
             a.wrong("protocol '" + a.place(0) + "'", "h1 or h2");
@@ -58,15 +58,16 @@
     keywords.put("trace", line -> trace(line, file));
   }
 
-  private double seconds(Line line, long least) {
-    Args a = args(line, 1, line.keyword() + " TIME");
+  private double seconds(ConfigurationLine line, long least) {
+    LineArguments a = args(line, 1, line.keyword() + " TIME");
     double time = a.timeOf(line.keyword(), a.place(0), least, DAY, least) / (double) SECOND;
     a.finish();
     return time;
   }
 
-  private void flow(Line line) {
-    Args a = args(line, 3, "flow NAME METHOD PATH rate NUMBER|clients NUMBER [ARGUMENT VALUE ...]");
+  private void flow(ConfigurationLine line) {
+    LineArguments a =
+        args(line, 3, "flow NAME METHOD PATH rate NUMBER|clients NUMBER [ARGUMENT VALUE ...]");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
     int closed = a.whole("clients", 1, 100_000, 0);
     if (a.good() && (rate > 0) == (closed > 0)) {
@@ -83,8 +84,8 @@
     a.finish();
   }
 
-  private void trace(Line line, Path file) {
-    Args a = args(line, 2, "trace NAME FILE [speed NUMBER] [ARGUMENT VALUE ...]");
+  private void trace(ConfigurationLine line, Path file) {
+    LineArguments a = args(line, 2, "trace NAME FILE [speed NUMBER] [ARGUMENT VALUE ...]");
     double speed = a.number("speed", 0.001, 1_000, 1);
     String method = a.word("method", "GET");
     String path = a.word("path", "/");
@@ -96,7 +97,7 @@
     a.finish();
   }
 
-  private static Request request(Args a, String method, String path) {
+  private static Request request(LineArguments a, String method, String path) {
     if (!method.matches("[A-Z]{1,20}|")) {
       a.wrong("method '" + method + "'", "letters such as GET");
     }
@@ -115,9 +116,9 @@
   /**
    * Reads a load file and all that it includes.
    *
-   * @throws SettingsException with every mistake when there is any
+   * @throws ConfigurationException with every mistake when there is any
    */
-  public static LoadPlan read(Path file) throws SettingsException {
+  public static LoadPlan read(Path file) throws ConfigurationException {
     LoadFile read = new LoadFile(file);
     read.lines(file);
     read.missing(read.targets.isEmpty(), "no target", "target HOST:PORT");
--- a/src/main/java/fawndock/lab/load/Manners.java
+++ b/src/main/java/fawndock/loadgen/Manners.java
@@ -1,4 +1,4 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 /**
  * What a flow's clients do when they have waited or were refused.
--- a/src/main/java/fawndock/lab/load/Shape.java
+++ b/src/main/java/fawndock/loadgen/Shape.java
@@ -1,4 +1,4 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 /**
  * How a flow's rate goes over time, as a factor on its rate; times in seconds from the start of the
--- a/src/main/java/fawndock/lab/load/Sources.java
+++ b/src/main/java/fawndock/loadgen/Sources.java
@@ -1,8 +1,8 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
-import fawndock.lab.load.LoadPlan.Flow;
-import fawndock.lab.load.LoadPlan.Played;
-import fawndock.lab.load.LoadPlan.Request;
+import fawndock.loadgen.LoadPlan.Flow;
+import fawndock.loadgen.LoadPlan.Played;
+import fawndock.loadgen.LoadPlan.Request;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
--- a/src/main/java/fawndock/lab/load/Trace.java
+++ b/src/main/java/fawndock/loadgen/Trace.java
@@ -1,4 +1,4 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/fawndock/lab/load/Words.java
+++ b/src/main/java/fawndock/loadgen/Words.java
@@ -1,6 +1,6 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
-import fawndock.settings.Args;
+import fawndock.settings.LineArguments;
 
 /** What load files and deployment files say alike: shapes and manners. */
 public final class Words {
@@ -12,7 +12,7 @@
   private Words() {}
 
   /** Reads how a rate goes over time. */
-  public static Shape shape(Args a) {
+  public static Shape shape(LineArguments a) {
     String shape = word(a, "shape", "constant", "constant|wave|jump|on-off");
     double from = a.time("from", 0, DAY, 0) / (double) SECOND;
     long until = a.time("until", 0, DAY, -1);
@@ -30,7 +30,7 @@
   }
 
   /** Reads what clients do. */
-  public static Manners manners(Args a) {
+  public static Manners manners(LineArguments a) {
     String retry = word(a, "retry", "none", "none|at-once|after");
     return new Manners(
         a.time("give-up", MILLI, DAY, 10 * SECOND),
@@ -41,7 +41,7 @@
   }
 
   /** Reads one of some words, given with | between them. */
-  public static String word(Args a, String name, String otherwise, String of) {
+  public static String word(LineArguments a, String name, String otherwise, String of) {
     String word = a.word(name, otherwise);
     if (!word.matches(of)) {
       a.wrong(name + " '" + word + "'", of.replace("|", " or "));
--- a/src/main/java/fawndock/lab/load/package-info.java
+++ b/src/main/java/fawndock/loadgen/package-info.java
@@ -4,4 +4,4 @@
  * {@code Arrivals}, {@code Customers}, {@code Manners} and {@code Trace} decide, free of I/O and
  * clock; {@code Generator} sends. It knows nothing of a gatekeeper.
  */
-package fawndock.lab.load;
+package fawndock.loadgen;
--- a/src/main/java/fawndock/lab/measure/Measures.java
+++ b/src/main/java/fawndock/measurement/Measures.java
@@ -1,9 +1,9 @@
-package fawndock.lab.measure;
+package fawndock.measurement;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.judge.QuotaUse;
-import fawndock.judge.Seen;
+import fawndock.conformance.QuotaUsage;
+import fawndock.conformance.TraceEvent;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -43,14 +43,14 @@
           "left",
           "attempts",
           "repeated attempts");
-  private final Map<String, Seen.Asked> asked = new HashMap<>();
+  private final Map<String, TraceEvent.Asked> asked = new HashMap<>();
   private final Set<String> open = new HashSet<>();
   private final Map<String, Integer> arrivals = new HashMap<>();
   private final Map<String, double[]> series = new LinkedHashMap<>();
   private final Map<String, Long> totals = new HashMap<>();
   private final Map<Integer, Long> statuses = new TreeMap<>();
   private final Map<String, RequestClass> classes;
-  private final QuotaUse use;
+  private final QuotaUsage use;
   private final int seconds;
   private final Histogram latency = new Histogram(LONGEST, 3);
   private final List<Histogram> bySecond = new ArrayList<>();
@@ -61,7 +61,7 @@
     this.classes = classes;
     this.begin = begin;
     this.seconds = seconds;
-    use = new QuotaUse(plans, seconds);
+    use = new QuotaUsage(plans, seconds);
     COUNTED.forEach(name -> series.put(name, new double[seconds]));
     for (int i = 0; i < seconds; i++) {
       bySecond.add(null);
@@ -77,29 +77,29 @@
    * @param length of the run in seconds; what is asked later does not count
    */
   public static Told of(
-      List<Seen> trace,
+      List<TraceEvent> trace,
       Map<String, RequestClass> classes,
       Map<String, Plan> plans,
       List<String> groups,
       long begin,
       double length) {
     Measures m = new Measures(classes, plans, begin, Math.max(1, (int) Math.ceil(length)));
-    List<Seen> inOrder = new ArrayList<>(trace);
-    inOrder.sort(Comparator.comparingLong(Seen::at));
+    List<TraceEvent> inOrder = new ArrayList<>(trace);
+    inOrder.sort(Comparator.comparingLong(TraceEvent::at));
     inOrder.forEach(m::take);
     return m.told(groups);
   }
 
-  private void take(Seen seen) {
+  private void take(TraceEvent seen) {
     long at = seen.at() - begin;
-    if (seen instanceof Seen.Asked e) {
+    if (seen instanceof TraceEvent.Asked e) {
       if (at < seconds * 1_000_000L && asked.putIfAbsent(e.request(), e) == null) {
         add("asked", at);
         open.add(e.request());
         use.asked(at, e.customer(), e.units());
       }
-    } else if (seen instanceof Seen.Arrived e) {
-      Seen.Asked a = asked.get(e.request());
+    } else if (seen instanceof TraceEvent.Arrived e) {
+      TraceEvent.Asked a = asked.get(e.request());
       if (a != null) {
         add("attempts", at);
         if (arrivals.merge(e.request(), 1, Integer::sum) == 1) {
@@ -108,17 +108,17 @@
           add("repeated attempts", at);
         }
       }
-    } else if (seen instanceof Seen.Answered e) {
+    } else if (seen instanceof TraceEvent.Answered e) {
       answered(e, at);
-    } else if (seen instanceof Seen.Left e) {
+    } else if (seen instanceof TraceEvent.Left e) {
       ended(e.request(), 0, "left", at);
-    } else if (seen instanceof Seen.Broke e) {
+    } else if (seen instanceof TraceEvent.Broke e) {
       ended(e.request(), -1, "left", at);
     }
   }
 
-  private void answered(Seen.Answered e, long at) {
-    Seen.Asked a = asked.get(e.request());
+  private void answered(TraceEvent.Answered e, long at) {
+    TraceEvent.Asked a = asked.get(e.request());
     if (a == null) {
       return;
     }
@@ -141,7 +141,7 @@
         second.recordValue(took);
       }
       RequestClass type = classes.get(a.type());
-      if (type == null || took <= type.aimMicros()) {
+      if (type == null || took <= type.latencyObjectiveMicros()) {
         add("good", at);
       }
     }
@@ -174,7 +174,7 @@
     }
     figures.put("p50-ms", latency.getValueAtPercentile(50) / 1e3);
     figures.put("p99-ms", latency.getValueAtPercentile(99) / 1e3);
-    QuotaUse.Use whole = use.of("");
+    QuotaUsage.Use whole = use.of("");
     figures.put("use", whole.worst());
     figures.put("use-worst-customer", whole.worstCustomer());
     figures.put("kept", whole.kept());
--- a/src/main/java/fawndock/lab/measure/package-info.java
+++ b/src/main/java/fawndock/measurement/package-info.java
@@ -3,4 +3,4 @@
  * over sockets, so that both can be laid side by side. Pure: it reads what was seen and nothing
  * else.
  */
-package fawndock.lab.measure;
+package fawndock.measurement;
--- a/src/main/java/fawndock/platform/AddGetCounter.java
+++ b/src/main/java/fawndock/platform/AddGetCounter.java
@@ -1,14 +1,14 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
-import fawndock.host.Alarms;
-import fawndock.host.InOrder;
-import fawndock.host.MicroClock;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
 import fawndock.resp.Reply;
 import fawndock.resp.ReplyReader;
 import fawndock.resp.ReplyWriter;
+import fawndock.runtime.CounterReplySequencer;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -41,13 +41,13 @@
   private static final ReplyReader READER = new ReplyReader(LONGEST, LONGEST, 0);
 
   /** A call that is out. */
-  private static final class Call extends InOrder.Place {
-    private final Count count;
+  private static final class Call extends CounterReplySequencer.PendingCall {
+    private final AddToCounter count;
     private boolean written;
-    private Alarms.Alarm timeOut;
+    private Timers.Timer timeOut;
 
-    Call(Count count, long startedAt) {
-      super(count.name(), startedAt);
+    Call(AddToCounter count, long startedAt) {
+      super(count.counterName(), startedAt);
       this.count = count;
     }
   }
@@ -91,9 +91,9 @@
       ReplyWriter writer = new ReplyWriter(command);
       writer.array(4);
       writer.bulk("ADDGET");
-      writer.bulk(call.count.name());
+      writer.bulk(call.count.counterName());
       writer.bulk(number(call.count.amount()));
-      writer.bulk(Long.toString(Math.max(1, (call.count.keepMicros() + 999) / 1_000)));
+      writer.bulk(Long.toString(Math.max(1, (call.count.timeToLiveMicros() + 999) / 1_000)));
       connection.write(command, whole -> call.written |= whole);
     }
 
@@ -119,10 +119,10 @@
         return;
       }
       if (reply.isError()) {
-        end(call, Result.SHED, 0);
+        end(call, CallResult.SHED, 0);
       } else {
         Double total = reply.isBulk() ? total(reply.text()) : null;
-        end(call, total == null ? Result.TIMEOUT : Result.OK, total == null ? 0 : total);
+        end(call, total == null ? CallResult.TIMEOUT : CallResult.OK, total == null ? 0 : total);
         if (total == null) { // Spoilt: it was added, and the connection is of no further use.
           abandon();
         }
@@ -143,7 +143,7 @@
         line.pause = wasUp ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, 2 * line.pause);
       }
       for (Call call = out.poll(); call != null; call = out.poll()) {
-        end(call, call.written ? Result.TIMEOUT : Result.CONNECT_FAILED, 0);
+        end(call, call.written ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED, 0);
       }
     }
 
@@ -166,10 +166,10 @@
 
   private final Sockets sockets;
   private final MicroClock clock;
-  private final Alarms alarms;
+  private final Timers alarms;
   private final long connectMicros;
   private final long waitMicros;
-  private final InOrder order;
+  private final CounterReplySequencer order;
   private final Figures figures;
   private List<Line> lines = List.of();
 
@@ -178,7 +178,7 @@
 
   private Address address;
   private int calls;
-  private Alarms.Alarm next;
+  private Timers.Timer next;
 
   /**
    * Connects when the first call comes.
@@ -190,20 +190,20 @@
       Sockets sockets,
       Address address,
       MicroClock clock,
-      Alarms alarms,
+      Timers alarms,
       Figures figures,
       long connectMicros,
       long waitMicros,
-      Consumer<Counted> told) {
+      Consumer<CounterReply> told) {
     this.clock = clock;
     this.alarms = alarms;
     this.figures = figures;
     this.waitMicros = waitMicros;
-    order = new InOrder(told);
+    order = new CounterReplySequencer(told);
     this.sockets = sockets;
     this.connectMicros = connectMicros;
     moveTo(address);
-    next = alarms.after(SILENT_MICROS / 4, this::check);
+    next = alarms.schedule(SILENT_MICROS / 4, this::check);
   }
 
   /**
@@ -221,35 +221,35 @@
     lines = made;
   }
 
-  void count(Count count) {
+  void count(AddToCounter count) {
     Call call = new Call(count, clock.now());
     order.begin(call);
     if (address == null || calls >= MOST_CALLS) {
-      end(call, Result.CONNECT_FAILED, 0);
+      end(call, CallResult.CONNECT_FAILED, 0);
       return;
     }
     calls++;
-    Line line = lines.get(Math.floorMod(count.name().hashCode(), LINES));
+    Line line = lines.get(Math.floorMod(count.counterName().hashCode(), LINES));
     if (line.wire == null && clock.now() >= line.notBefore) {
       line.wire = new Connection(line, address);
     }
     if (line.wire == null) {
       calls--;
-      end(call, Result.CONNECT_FAILED, 0);
+      end(call, CallResult.CONNECT_FAILED, 0);
       return;
     }
     call.timeOut =
-        alarms.after(
+        alarms.schedule(
             waitMicros,
             () -> {
               calls--;
               call.timeOut = null;
-              end(call, call.written ? Result.TIMEOUT : Result.CONNECT_FAILED, 0);
+              end(call, call.written ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED, 0);
             });
     line.wire.add(call);
   }
 
-  private void end(Call call, Result result, double total) {
+  private void end(Call call, CallResult result, double total) {
     if (call.ended()) {
       return;
     }
@@ -265,7 +265,7 @@
   private void check() {
     long now = clock.now();
     List.copyOf(connections).forEach(connection -> connection.check(now));
-    next = alarms.after(SILENT_MICROS / 4, this::check);
+    next = alarms.schedule(SILENT_MICROS / 4, this::check);
   }
 
   /** A decimal number without an exponent. */
--- a/src/main/java/fawndock/platform/CatalogCall.java
+++ b/src/main/java/fawndock/platform/CatalogCall.java
@@ -1,6 +1,6 @@
 package fawndock.platform;
 
-import fawndock.host.Alarms;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -44,7 +44,7 @@
   final boolean whole;
 
   /** Rings when nothing has come for too long; the owner's. */
-  Alarms.Alarm silence;
+  Timers.Timer silence;
 
   /** Nothing came for too long: another call is out beside it. */
   boolean suspected;
--- a/src/main/java/fawndock/platform/CatalogList.java
+++ b/src/main/java/fawndock/platform/CatalogList.java
@@ -1,10 +1,10 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Server;
+import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.WireException;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
 import fawndock.settings.Address;
-import fawndock.wire.Json.Obj;
-import fawndock.wire.WireException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,7 +18,7 @@
  * @param addresses where each worker listens, by id
  */
 record CatalogList(
-    long index, boolean whole, List<Server> servers, Map<String, Address> addresses) {
+    long index, boolean whole, List<Endpoint> servers, Map<String, Address> addresses) {
   static final CatalogList NONE = new CatalogList(0, true, List.of(), Map.of());
 
   /**
@@ -26,12 +26,12 @@
    * unseen.
    */
   static CatalogList of(Obj list) {
-    List<Server> servers = new ArrayList<>();
+    List<Endpoint> servers = new ArrayList<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
     for (Obj e : list.objects("endpoints")) {
       String id = e.text("name");
       servers.add(
-          new Server(
+          new Endpoint(
               id,
               e.textOr("zone", ""),
               (int) e.integerOr("group", 0),
@@ -45,11 +45,11 @@
     return new CatalogList(list.integer("index"), list.flag("snapshot"), servers, addresses);
   }
 
-  private static Availability availability(String status) {
+  private static EndpointState availability(String status) {
     return switch (status) {
-      case "ready" -> Availability.RUNNING;
-      case "draining" -> Availability.STOPPING;
-      case "gone" -> Availability.DELETED;
+      case "ready" -> EndpointState.RUNNING;
+      case "draining" -> EndpointState.DRAINING;
+      case "gone" -> EndpointState.REMOVED;
       default ->
           throw new WireException(
               "'status' is '" + status + "', ready, draining or gone is expected");
--- a/src/main/java/fawndock/platform/CatalogWatch.java
+++ b/src/main/java/fawndock/platform/CatalogWatch.java
@@ -1,9 +1,9 @@
 package fawndock.platform;
 
-import fawndock.host.Alarms;
+import fawndock.platformconfig.Json;
+import fawndock.platformconfig.WireException;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.wire.Json;
-import fawndock.wire.WireException;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
@@ -38,7 +38,7 @@
   private static final int MOST_CALLS = 3;
 
   private final Sockets sockets;
-  private final Alarms alarms;
+  private final Timers alarms;
   private final Address address;
   private final SplittableRandom random;
   private final Consumer<CatalogList> told;
@@ -46,7 +46,7 @@
   /** Calls that are out, the newest last. */
   private final ArrayDeque<CatalogCall> calls = new ArrayDeque<>();
 
-  private Alarms.Alarm next;
+  private Timers.Timer next;
   private long index = -1;
   private long pause = FIRST_PAUSE;
   private boolean closed;
@@ -59,7 +59,7 @@
   CatalogWatch(
       Sockets sockets,
       Address address,
-      Alarms alarms,
+      Timers alarms,
       SplittableRandom random,
       Consumer<CatalogList> told) {
     this.sockets = sockets;
@@ -92,7 +92,7 @@
   private void listen(CatalogCall call) {
     alarms.cancel(call.silence);
     call.silence =
-        alarms.after(
+        alarms.schedule(
             call.whole ? ANSWER_MICROS : SILENT_MICROS,
             () -> {
               if (!call.suspected) {
@@ -168,7 +168,7 @@
     if (closed || next != null) {
       return;
     }
-    next = alarms.after(pause / 2 + random.nextLong(pause), this::call);
+    next = alarms.schedule(pause / 2 + random.nextLong(pause), this::call);
     pause = Math.min(LONGEST_PAUSE, 2 * pause);
   }
 
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -1,10 +1,10 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.host.Exchange.Asked;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
 import fawndock.resp.ReplyWriter;
+import fawndock.runtime.ServerExchange.RequestAttributes;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -34,9 +34,9 @@
     private final double mostUnits;
 
     Terms(PlatformConfig config) {
-      config.settings().classes().forEach(c -> classes.put(c.name(), c));
+      config.settings().requestClasses().forEach(c -> classes.put(c.name(), c));
       config.settings().plans().forEach(p -> plans.put(p.name(), p));
-      gatekeepers = config.settings().gatekeepers();
+      gatekeepers = config.settings().instanceCount();
       mostUnits = config.mostUnits();
     }
   }
@@ -51,9 +51,9 @@
   private final byte[][] words;
   private final String fields;
   private final String id;
-  private final Asked asked;
+  private final RequestAttributes asked;
 
-  private ClientCommand(byte[][] words, String fields, String id, Asked asked) {
+  private ClientCommand(byte[][] words, String fields, String id, RequestAttributes asked) {
     this.words = words;
     this.fields = fields;
     this.id = id;
@@ -94,11 +94,13 @@
     if (type == null || !terms.plans.containsKey(values.getOrDefault("t", ""))) {
       throw new UnfitException("no such class or plan");
     }
-    if (is(words[0], "Q.ASK") != (type.repeat() == Repeat.IDEMPOTENT)) {
+    if (is(words[0], "Q.ASK") != (type.idempotency() == Idempotency.IDEMPOTENT)) {
       throw new UnfitException("the class is another command's");
     }
     String key = values.get("k");
-    if (key == null ? type.repeat() == Repeat.DEDUPLICATED : !KEY.matcher(key).matches()) {
+    if (key == null
+        ? type.idempotency() == Idempotency.DEDUPLICATED
+        : !KEY.matcher(key).matches()) {
       throw new UnfitException("'k' is missing or cannot be read");
     }
     long wait = whole(values, "d", 1, LONGEST_WAIT_MILLIS);
@@ -109,7 +111,7 @@
         words,
         fields,
         id,
-        new Asked(
+        new RequestAttributes(
             type,
             values.get("t"),
             customer,
@@ -151,7 +153,7 @@
     return units;
   }
 
-  Asked asked() {
+  RequestAttributes asked() {
     return asked;
   }
 
--- a/src/main/java/fawndock/platform/ClientFront.java
+++ b/src/main/java/fawndock/platform/ClientFront.java
@@ -1,7 +1,7 @@
 package fawndock.platform;
 
-import fawndock.host.Alarms;
-import fawndock.host.GatekeeperHost;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -35,7 +35,7 @@
 
   private static final long CHECK_MICROS = 250_000;
   private final Sockets sockets;
-  private final GatekeeperHost host;
+  private final PolicyRunner host;
   private final ClientCommand.Terms terms;
   private final int mostConnections;
   private final int mostOpen;
@@ -50,7 +50,7 @@
   private long bytes;
   private boolean closing;
   private Runnable whenEmpty;
-  private Alarms.Alarm next;
+  private Timers.Timer next;
 
   /**
    * A front that does not listen yet.
@@ -61,7 +61,7 @@
    */
   ClientFront(
       Sockets sockets,
-      GatekeeperHost host,
+      PolicyRunner host,
       ClientCommand.Terms terms,
       int mostConnections,
       int mostOpen,
@@ -76,7 +76,7 @@
 
   /** Listens; the future fails when that cannot be. */
   ChannelFuture listen(Address address) {
-    next = host.alarms().after(CHECK_MICROS, this::check);
+    next = host.timers().schedule(CHECK_MICROS, this::check);
     ChannelFuture bound = sockets.listen(address, () -> new ClientConnection(this));
     server = bound.channel();
     return bound;
@@ -126,7 +126,7 @@
   private void check() {
     long now = now();
     List.copyOf(connections).forEach(c -> c.check(now));
-    next = host.alarms().after(CHECK_MICROS, this::check);
+    next = host.timers().schedule(CHECK_MICROS, this::check);
   }
 
   /** How long a connection may have nothing open: shorter as they grow scarce. */
@@ -146,7 +146,7 @@
   long request(PlatformExchange exchange) {
     ids.add(exchange.command().id());
     bytes += exchange.command().size();
-    return host.request(exchange);
+    return host.onRequest(exchange);
   }
 
   /** A request has had its answer, or its client has left. */
@@ -157,7 +157,7 @@
   }
 
   void gone(long id) {
-    host.gone(id);
+    host.onClientDisconnected(id);
   }
 
   void left(ClientConnection connection) {
@@ -209,7 +209,7 @@
   }
 
   void close() {
-    host.alarms().cancel(next);
+    host.timers().cancel(next);
     List.copyOf(connections).forEach(ClientConnection::end);
     stopListening();
   }
--- a/src/main/java/fawndock/platform/Figures.java
+++ b/src/main/java/fawndock/platform/Figures.java
@@ -1,8 +1,8 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Result;
-import fawndock.host.Answers;
-import fawndock.host.OpenRequest;
+import fawndock.policy.event.CallResult;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.ResponseRecorder;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,31 +11,31 @@
  * What happened since the last line of the log: ends of attempts and of counter calls, and the last
  * error told.
  */
-final class Figures implements Answers {
-  private final Map<Result, Integer> attempts = new EnumMap<>(Result.class);
-  private final Map<Result, Integer> calls = new EnumMap<>(Result.class);
+final class Figures implements ResponseRecorder {
+  private final Map<CallResult, Integer> attempts = new EnumMap<>(CallResult.class);
+  private final Map<CallResult, Integer> calls = new EnumMap<>(CallResult.class);
 
   /** Ends and errors of each worker; as many as attempts in a few seconds had workers. */
   private final Map<String, int[]> workers = new HashMap<>();
 
-  private final Map<Verdict, Integer> answers = new EnumMap<>(Verdict.class);
+  private final Map<RequestOutcome, Integer> answers = new EnumMap<>(RequestOutcome.class);
   private String lastError = "";
   private long waitedMicros;
 
   @Override
-  public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
+  public void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason) {
     answers.merge(verdict, 1, Integer::sum);
   }
 
-  void attempt(String worker, Result how) {
+  void attempt(String worker, CallResult how) {
     int[] ends = workers.computeIfAbsent(worker, id -> new int[2]);
     ends[0]++;
-    ends[1] += how == Result.OK || how == Result.CANCELLED ? 0 : 1;
+    ends[1] += how == CallResult.OK || how == CallResult.CANCELLED ? 0 : 1;
     attempts.merge(how, 1, Integer::sum);
   }
 
   /** A counter call has ended after so long. */
-  void call(Result how, long tookMicros) {
+  void call(CallResult how, long tookMicros) {
     calls.merge(how, 1, Integer::sum);
     waitedMicros += tookMicros;
   }
--- a/src/main/java/fawndock/platform/PlatformConfig.java
+++ b/src/main/java/fawndock/platform/PlatformConfig.java
@@ -1,11 +1,11 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Settings;
+import fawndock.platformconfig.Json;
+import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.SettingsReader;
+import fawndock.platformconfig.WireException;
+import fawndock.policy.config.PolicyConfig;
 import fawndock.settings.Address;
-import fawndock.wire.Json;
-import fawndock.wire.Json.Obj;
-import fawndock.wire.SettingsReader;
-import fawndock.wire.WireException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,7 +27,7 @@
     Address listen,
     Address discovery,
     Address counter,
-    Settings settings,
+    PolicyConfig settings,
     CatalogList known,
     int sockets,
     long memoryBytes,
@@ -82,8 +82,8 @@
     Obj limits = o.objectOr("limits");
     Obj settings = o.object("settings");
     Obj caps = settings.objectOr("caps");
-    Settings read = SettingsReader.settings(settings, seed(o.textOr("seed", "0")));
-    if (read.classes().isEmpty() || read.plans().isEmpty()) {
+    PolicyConfig read = SettingsReader.settings(settings, seed(o.textOr("seed", "0")));
+    if (read.requestClasses().isEmpty() || read.plans().isEmpty()) {
       throw new WireException(
           "'settings' names no class or no plan; at least one of each is expected");
     }
--- a/src/main/java/fawndock/platform/PlatformDaemon.java
+++ b/src/main/java/fawndock/platform/PlatformDaemon.java
@@ -1,7 +1,7 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Settings;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.PolicyConfig;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -58,7 +58,7 @@
    * Serves until it is told to stop; returns the exit code: 0 after a stop, 1 could not listen, 2
    * unusable configuration.
    */
-  public int run(Function<Settings, Gatekeeper> maker) throws InterruptedException {
+  public int run(Function<PolicyConfig, GatewayPolicy> maker) throws InterruptedException {
     PlatformConfig config;
     try {
       config = PlatformConfig.read(variables);
@@ -67,7 +67,10 @@
       return 2;
     }
     longestMicros =
-        config.settings().classes().stream().mapToLong(c -> c.deadlineMicros()).max().orElse(0);
+        config.settings().requestClasses().stream()
+            .mapToLong(c -> c.deadlineMicros())
+            .max()
+            .orElse(0);
     vertx =
         Vertx.vertx(
             new VertxOptions()
@@ -156,7 +159,7 @@
       end(0);
       return;
     }
-    LOG.info("stopping with {} requests open", node.host().open());
+    LOG.info("stopping with {} requests open", node.host().openCount());
     long longest = Math.min(LONGEST_MICROS, longestMicros);
     after(
         Math.max(COMING_MICROS, (long) (SERVING * longest)),
--- a/src/main/java/fawndock/platform/PlatformExchange.java
+++ b/src/main/java/fawndock/platform/PlatformExchange.java
@@ -1,14 +1,14 @@
 package fawndock.platform;
 
-import fawndock.host.Exchange;
 import fawndock.resp.ReplyWriter;
+import fawndock.runtime.ServerExchange;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
 /**
  * A command of a client's that the host holds, and its place among the answers of its connection.
  */
-final class PlatformExchange implements Exchange {
+final class PlatformExchange implements ServerExchange {
   private final ClientCommand command;
   private final ClientConnection.Place place;
 
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public Asked asked() {
+  public RequestAttributes requestAttributes() {
     return command.asked();
   }
 
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void refuse(long retryAfterMicros) {
+  public void reject(long retryAfterMicros) {
     place.error("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
   }
 
--- a/src/main/java/fawndock/platform/PlatformNode.java
+++ b/src/main/java/fawndock/platform/PlatformNode.java
@@ -1,19 +1,19 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Probed;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Tell;
-import fawndock.host.Alarms;
-import fawndock.host.GatekeeperHost;
-import fawndock.host.MicroClock;
-import fawndock.host.OpenAttempt;
-import fawndock.host.OpenRequest;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.netty.channel.ChannelFuture;
 import io.vertx.core.Future;
@@ -28,7 +28,7 @@
 import org.slf4j.LoggerFactory;
 
 /** One gatekeeper on the platform, with its sockets, on one event-loop context. */
-final class PlatformNode implements GatekeeperHost.Links {
+final class PlatformNode implements PolicyRunner.GatewayConnections {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformNode.class);
 
   /**
@@ -52,8 +52,8 @@
   private final Sockets sockets;
   private final PlatformConfig config;
   private final MicroClock clock = new MicroClock();
-  private final Alarms alarms;
-  private final GatekeeperHost host;
+  private final Timers alarms;
+  private final PolicyRunner host;
   private final Figures figures = new Figures();
   private final WorkerPools workers;
   private final AddGetCounter counter;
@@ -69,14 +69,18 @@
 
   /** Made on the context that it belongs to. */
   PlatformNode(
-      Vertx vertx, Sockets sockets, PlatformConfig config, Function<Settings, Gatekeeper> maker) {
+      Vertx vertx,
+      Sockets sockets,
+      PlatformConfig config,
+      Function<PolicyConfig, GatewayPolicy> maker) {
     this.sockets = sockets;
     this.config = config;
-    Settings settings = config.settings();
+    PolicyConfig settings = config.settings();
     random =
-        new SplittableRandom(settings.seed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
-    alarms = new Alarms(vertx);
-    host = new GatekeeperHost(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
+        new SplittableRandom(
+            settings.randomSeed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
+    alarms = new Timers(vertx);
+    host = new PolicyRunner(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
     host.decideBy(maker.apply(settings));
     long idle = config.idleMicros() <= 0 ? IDLE_MICROS : (long) (IDLE_PART * config.idleMicros());
     workers =
@@ -95,15 +99,15 @@
             alarms,
             figures,
             config.connectMicros(),
-            settings.counter().waitMicros(),
-            host::tell);
+            settings.counter().timeoutMicros(),
+            host::onEvent);
     front =
         new ClientFront(
             sockets,
             host,
             new ClientCommand.Terms(config),
             (int) (CLIENTS * config.sockets()),
-            settings.limits().maxOpen(),
+            settings.limits().maxInFlight(),
             config.memoryBytes() / MOST_BYTES_SHARE);
     sweep();
   }
@@ -111,8 +115,8 @@
   /** Follows the catalog and listens as soon as the list of workers is known. */
   Future<?> start() {
     if (!config.known().servers().isEmpty()) {
-      take(config.known(), Listing.CACHED);
-      alarms.after(LIST_WAIT_MICROS, listed::tryComplete);
+      take(config.known(), EndpointUpdateKind.CACHED);
+      alarms.schedule(LIST_WAIT_MICROS, listed::tryComplete);
     }
     follow(config.discovery());
     report();
@@ -138,14 +142,14 @@
                 LOG.info(
                     "{} ({} of {}) listens on {}",
                     config.name(),
-                    config.settings().me(),
-                    config.settings().gatekeepers(),
+                    config.settings().instanceIndex(),
+                    config.settings().instanceCount(),
                     config.listen()));
   }
 
   /** Listens with this list of workers and follows no catalog: for {@link WarmUp}. */
   ChannelFuture warmUp(CatalogList list) {
-    take(list, Listing.COMPLETE);
+    take(list, EndpointUpdateKind.SNAPSHOT);
     return front.listen(config.listen());
   }
 
@@ -167,28 +171,28 @@
                         ::close); // Not sooner: until the new one speaks, what they tell counts.
                 catalogs.removeAll(before);
               }
-              take(list, list.whole() ? Listing.COMPLETE : Listing.CHANGES);
+              take(list, list.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.CHANGES);
               listed.tryComplete();
             });
     catalogs.add(catalog);
     catalog.start();
   }
 
-  private void take(CatalogList list, Listing listing) {
-    if (listing == Listing.COMPLETE) {
+  private void take(CatalogList list, EndpointUpdateKind listing) {
+    if (listing == EndpointUpdateKind.SNAPSHOT) {
       workers.keep(list.addresses().keySet());
     }
     list.servers()
         .forEach(
             s -> {
-              if (s.availability() == Availability.DELETED) {
+              if (s.state() == EndpointState.REMOVED) {
                 workers.forget(s.id());
               } else if (list.addresses().containsKey(s.id())) {
                 workers.address(s.id(), list.addresses().get(s.id()));
               }
-              workers.draining(s.id(), s.availability() == Availability.STOPPING);
+              workers.draining(s.id(), s.state() == EndpointState.DRAINING);
             });
-    host.tell(new Servers(listing, list.servers()));
+    host.onEvent(new EndpointUpdate(listing, list.servers()));
   }
 
   /** Takes up the addresses of a new configuration; the decisions keep what they know. */
@@ -204,19 +208,19 @@
     return front;
   }
 
-  GatekeeperHost host() {
+  PolicyRunner host() {
     return host;
   }
 
   /** One line every few seconds, whatever the load. */
   private void report() {
-    alarms.after(
+    alarms.schedule(
         REPORT_MICROS,
         () -> {
           long late = clock.now() - reportAt - REPORT_MICROS;
           LOG.info(
               "open {}, clients {}, workers {}, loop {} ms late; {}",
-              host.open(),
+              host.openCount(),
               front.connections(),
               workers.open(),
               late / 1_000,
@@ -228,7 +232,7 @@
 
   private void sweep() {
     workers.sweep();
-    alarms.after(SWEEP_MICROS, this::sweep);
+    alarms.schedule(SWEEP_MICROS, this::sweep);
   }
 
   void close() {
@@ -240,32 +244,32 @@
   }
 
   @Override
-  public void count(Count count) {
+  public void addToCounter(AddToCounter count) {
     counter.count(count);
   }
 
   @Override
-  public void tell(Tell tell) {
+  public void sendPeerMessage(SendPeerMessage tell) {
     LOG.debug("the platform carries no messages between gatekeepers");
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     catalogs.getLast().start();
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     catalogs.getLast().start();
   }
 
   @Override
-  public OpenAttempt attempt(OpenRequest request, int number, String server) {
+  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
     return new WorkerCall(host, request, number, server, workers);
   }
 
   @Override
-  public void probe(String server) {
-    host.tell(new Probed(server, 0, Result.UNUSED, Map.of()));
+  public void startHealthCheck(String server) {
+    host.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
   }
 }
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -1,10 +1,12 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Settings;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
 import fawndock.resp.CommandReader;
 import fawndock.resp.ProtocolException;
 import fawndock.resp.Reply;
@@ -37,14 +39,14 @@
   private static final long LIMIT_MILLIS = 2_500;
   private final Vertx vertx;
   private final PlatformConfig config;
-  private final Function<Settings, Gatekeeper> maker;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private final Promise<Void> done = Promise.promise();
   private PlatformNode node;
   private int sent;
   private int answered;
   private int served;
 
-  WarmUp(Vertx vertx, PlatformConfig config, Function<Settings, Gatekeeper> maker) {
+  WarmUp(Vertx vertx, PlatformConfig config, Function<PolicyConfig, GatewayPolicy> maker) {
     this.vertx = vertx;
     this.config = config;
     this.maker = maker;
@@ -61,9 +63,7 @@
           new CatalogList(
               1,
               true,
-              List.of(
-                  new Gatekeeper.Server(
-                      "w", config.settings().zone(), 0, Gatekeeper.Availability.RUNNING, 1, 0)),
+              List.of(new Endpoint("w", config.settings().zone(), 0, EndpointState.RUNNING, 1, 0)),
               Map.of("w", back));
       PlatformConfig own =
           new PlatformConfig(
@@ -115,7 +115,8 @@
   }
 
   private ByteBuf next() {
-    RequestClass type = config.settings().classes().get(sent % config.settings().classes().size());
+    RequestClass type =
+        config.settings().requestClasses().get(sent % config.settings().requestClasses().size());
     Plan plan = config.settings().plans().get(sent % config.settings().plans().size());
     sent++;
     String list =
@@ -124,12 +125,12 @@
             + ",t="
             + plan.name()
             + ",d=1000"
-            + (type.repeat() == Repeat.DEDUPLICATED ? ",k=0" : "")
+            + (type.idempotency() == Idempotency.DEDUPLICATED ? ",k=0" : "")
             + ",units=1,spread=1,first=0";
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
     writer.array(4);
-    writer.bulk(type.repeat() == Repeat.IDEMPOTENT ? "Q.ASK" : "Q.DO");
+    writer.bulk(type.idempotency() == Idempotency.IDEMPOTENT ? "Q.ASK" : "Q.DO");
     String number = Integer.toHexString(0x10000000 | sent);
     writer.bulk("00000000" + number);
     writer.bulk("00000000" + number);
--- a/src/main/java/fawndock/platform/WorkerAnswer.java
+++ b/src/main/java/fawndock/platform/WorkerAnswer.java
@@ -1,8 +1,8 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Result;
+import fawndock.platformconfig.SettingsReader;
+import fawndock.policy.event.CallResult;
 import fawndock.resp.Reply;
-import fawndock.wire.SettingsReader;
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
@@ -18,11 +18,11 @@
  * @param sound whether the connection is of further use
  */
 record WorkerAnswer(
-    Result result, byte[] value, Map<String, Double> load, double units, boolean sound) {
+    CallResult result, byte[] value, Map<String, Double> load, double units, boolean sound) {
   private static final int PARTS = 3;
   private static final int MOST_FIELDS = 32;
   private static final WorkerAnswer SPOILT =
-      new WorkerAnswer(Result.ERROR, null, Map.of(), 0, false);
+      new WorkerAnswer(CallResult.ERROR, null, Map.of(), 0, false);
 
   static WorkerAnswer of(Reply reply) {
     if (reply.isError()) {
@@ -32,8 +32,8 @@
       boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
       // Only the error that the table names is known to leave the connection in order.
       return busy
-          ? new WorkerAnswer(Result.SHED, null, load, 0, true)
-          : new WorkerAnswer(Result.ERROR, null, load, 0, text.startsWith("ERR "));
+          ? new WorkerAnswer(CallResult.SHED, null, load, 0, true)
+          : new WorkerAnswer(CallResult.ERROR, null, load, 0, text.startsWith("ERR "));
     }
     if (reply.parts() == null || reply.parts().size() != PARTS || !reply.parts().get(0).isBulk()) {
       return SPOILT;
@@ -41,7 +41,7 @@
     Map<String, Double> use = figures(reply.parts().get(1).text());
     double units = use.getOrDefault("charged", use.getOrDefault("cost", 0.0));
     return new WorkerAnswer(
-        Result.OK,
+        CallResult.OK,
         reply.parts().get(0).bytes(),
         SettingsReader.load(figures(reply.parts().get(2).text())),
         Math.max(0, units),
--- a/src/main/java/fawndock/platform/WorkerCall.java
+++ b/src/main/java/fawndock/platform/WorkerCall.java
@@ -1,9 +1,9 @@
 package fawndock.platform;
 
-import fawndock.Gatekeeper.Result;
-import fawndock.host.GatekeeperHost;
-import fawndock.host.OpenAttempt;
-import fawndock.host.OpenRequest;
+import fawndock.policy.event.CallResult;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.PolicyRunner;
 import java.util.Map;
 
 /**
@@ -11,7 +11,7 @@
  * the connection, and replies come in order. Whether it can have run goes by the platform's table:
  * never before the last byte is written.
  */
-final class WorkerCall extends OpenAttempt {
+final class WorkerCall extends InFlightAttempt {
   /** Connections that may end under it before it is sent. */
   private static final int MOST_AGAIN = 3;
 
@@ -23,7 +23,8 @@
   private boolean written;
   private long abandonAt;
 
-  WorkerCall(GatekeeperHost host, OpenRequest open, int number, String server, WorkerPools pools) {
+  WorkerCall(
+      PolicyRunner host, InFlightRequest open, int number, String server, WorkerPools pools) {
     super(host, open, number, server);
     this.pools = pools;
     this.exchange = (PlatformExchange) open.exchange;
@@ -32,23 +33,23 @@
   @Override
   protected void begin(long abandonAtMicros) {
     abandonAt = abandonAtMicros;
-    pools.lease(server, this);
+    pools.lease(endpointId, this);
   }
 
-  private void finish(Result how, Map<String, Double> load, double units) {
+  private void finish(CallResult how, Map<String, Double> load, double units) {
     if (result() == null) {
-      pools.figures().attempt(server, how);
+      pools.figures().attempt(endpointId, how);
       end(how, load, units);
     }
   }
 
-  private void finish(Result how) {
+  private void finish(CallResult how) {
     finish(how, Map.of(), 0);
   }
 
   /** Nobody has told the worker's address. */
   void unknown() {
-    finish(Result.UNUSED);
+    finish(CallResult.NOT_SENT);
   }
 
   /** There is a connection; returns whether it is wanted. */
@@ -73,8 +74,8 @@
     // A drain that was told between the choice of the worker and now: guards against a turn in
     // which a request was
     // read before the drain that lay there as long. May take a free attempt more; nothing was sent.
-    if (left <= 0 || pools.closedToNew(server)) {
-      leave(Result.UNUSED);
+    if (left <= 0 || pools.closedToNew(endpointId)) {
+      leave(CallResult.NOT_SENT);
       return;
     }
     sent = true;
@@ -101,18 +102,18 @@
     if (++again > MOST_AGAIN) {
       unconnected();
     } else if (result() == null) {
-      pools.lease(server, this);
+      pools.lease(endpointId, this);
     }
   }
 
   /** No connection came up. */
   void unconnected() {
-    finish(Result.CONNECT_FAILED);
+    finish(CallResult.CONNECT_FAILED);
   }
 
   /** Its reply has come. */
   void replied(WorkerAnswer answer) {
-    if (answer.result() == Result.OK && result() == null) {
+    if (answer.result() == CallResult.OK && result() == null) {
       host.deliver(open, this, () -> exchange.serve(answer.value()));
     }
     finish(answer.result(), answer.load(), answer.units());
@@ -123,7 +124,7 @@
    */
   void spoilt() {
     if (sent) {
-      finish(Result.ERROR);
+      finish(CallResult.ERROR);
     } else {
       again();
     }
@@ -132,7 +133,7 @@
   /** The connection broke. */
   void broken() {
     if (sent) {
-      finish(written ? Result.RESET : Result.CONNECT_FAILED);
+      finish(written ? CallResult.RESET : CallResult.CONNECT_FAILED);
     } else {
       again();
     }
@@ -140,12 +141,12 @@
 
   @Override
   protected void abandoned() {
-    leave(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
+    leave(written ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
   }
 
   @Override
   public void cancel() {
-    leave(sent ? Result.CANCELLED : Result.UNUSED);
+    leave(sent ? CallResult.CANCELLED : CallResult.NOT_SENT);
   }
 
   /**
@@ -155,11 +156,11 @@
   @Override
   public void leave() {
     if (!sent) {
-      leave(Result.UNUSED);
+      leave(CallResult.NOT_SENT);
     }
   }
 
-  private void leave(Result how) {
+  private void leave(CallResult how) {
     if (result() == null) {
       if (lease != null && sent) {
         lease.abandon();
--- a/src/main/java/fawndock/wire/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -1,4 +1,4 @@
-package fawndock.wire;
+package fawndock.platformconfig;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/fawndock/wire/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -1,14 +1,14 @@
-package fawndock.wire;
+package fawndock.platformconfig;
 
-import fawndock.Gatekeeper.Counter;
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.Gatekeeper.Settings;
-import fawndock.wire.Json.Obj;
+import fawndock.platformconfig.Json.Obj;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -36,11 +36,11 @@
    *
    * @param seed of random numbers
    */
-  public static Settings settings(Obj o, long seed) {
+  public static PolicyConfig settings(Obj o, long seed) {
     Obj caps = o.objectOr("caps");
     Obj rules = o.objectOr("rules");
     Obj extra = o.objectOr("extra");
-    return new Settings(
+    return new PolicyConfig(
         (int) o.integerOr("me", 0),
         (int) o.integerOr("peers-total", 1),
         seed,
@@ -49,7 +49,7 @@
         o.textOr("registry-mode", "automatic").equals("subscribe"),
         o.objectsOr("classes").stream().map(SettingsReader::requestClass).toList(),
         o.objectsOr("packages").stream().map(SettingsReader::plan).toList(),
-        new Limits(
+        new GatewayLimits(
             (int) caps.integerOr("max-attempts", 1),
             (int) caps.integerOr("max-open", Integer.MAX_VALUE),
             caps.integerOr("max-retry-after-us", 0),
@@ -58,7 +58,7 @@
             caps.flag("probes"),
             caps.flag("peers"),
             caps.flag("retry-after")),
-        new Rules(
+        new ServiceRules(
             rules.integerOr("grace-to-answer-us", 0),
             rules.integerOr("drain-grace-us", 0),
             rules.numberOr("cold-share", 1),
@@ -66,7 +66,7 @@
             rules.numberOr("fall-multiple", 1),
             rules.integerOr("fall-us", 0),
             rules.integerOr("ask-within-us", 0)),
-        new Counter(
+        new CounterConfig(
             extra.flag("counter"), extra.integerOr("count-wait-us", 0), extra.flag("trued-up")));
   }
 
@@ -79,8 +79,8 @@
         deadline,
         c.numberOr("worth", 1),
         c.numberOr("late-worth", 0),
-        constant(Repeat.class, c.textOr("idempotency", "at_most_once")),
-        constant(Group.class, c.textOr("group", "cell")),
+        constant(Idempotency.class, c.textOr("idempotency", "at_most_once")),
+        constant(DeduplicationScope.class, c.textOr("group", "cell")),
         c.integerOr("window-us", 0),
         c.flag("streaming"));
   }
--- a/src/main/java/fawndock/wire/WireException.java
+++ b/src/main/java/fawndock/platformconfig/WireException.java
@@ -1,4 +1,4 @@
-package fawndock.wire;
+package fawndock.platformconfig;
 
 /** What came in is not what the wire allows; the message says what is wrong. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/fawndock/Logic.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -1,14 +1,40 @@
-package fawndock;
-
+package fawndock.policy;
+
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.CancelAttempt;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.action.WatchEndpoints;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.ClientDisconnected;
+import fawndock.policy.event.CounterReply;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.ResponseStarted;
+import fawndock.policy.event.TimerFired;
 import java.util.*;
 
 /**
- * The decisions of one gatekeeper; the types it takes and gives are all in Gatekeeper.java. A
+ * The decisions of one gatekeeper; the types it takes and gives are all in GatewayPolicy.java. A
  * request is first weighed against its customer's pair of counts (quota), then waits for room on a
  * server (server choice, health), is sent (attempts) and is answered before its client gives up
  * (deadlines).
  */
-public final class Logic implements Gatekeeper {
+public final class DefaultGatewayPolicy implements GatewayPolicy {
   private static final long LONGEST_WINDOW = 30_000_000; // Names are kept 60 s: two windows.
   private static final double WAIT_OF_AIM =
       0.1; // Longest wait for the counter: costs no answer by itself.
@@ -177,7 +203,7 @@
     }
 
     double estimate(double previous, double current, long now) {
-      return Logic.estimate(previous, current, now % window, window);
+      return DefaultGatewayPolicy.estimate(previous, current, now % window, window);
     }
 
     // What the store holds, from the same two totals: it fills at the plan's rate and is drained by
@@ -229,7 +255,7 @@
 
   /** A request that this gatekeeper holds. */
   private static final class Held {
-    final Request request;
+    final RequestArrived request;
     final ClassState type;
     final Plan plan;
     final long arrived, aimAt;
@@ -240,12 +266,12 @@
     double rank, weight, luck;
     long startBy;
 
-    Held(Request request, ClassState type, Plan plan, long now) {
+    Held(RequestArrived request, ClassState type, Plan plan, long now) {
       this.request = request;
       this.type = type;
       this.plan = plan;
       this.arrived = now;
-      this.aimAt = Math.min(now + type.info.aimMicros(), request.giveUpAtMicros());
+      this.aimAt = Math.min(now + type.info.latencyObjectiveMicros(), request.deadlineAtMicros());
     }
   }
 
@@ -254,7 +280,7 @@
     final ServerState server;
     final long sentAt;
     final double outBefore;
-    Result result;
+    CallResult result;
     boolean overdue;
 
     Try(ServerState server, long sentAt, double outBefore) {
@@ -264,7 +290,7 @@
     }
 
     boolean mayHaveRun() {
-      return result == null || result.mayHaveRun;
+      return result == null || result.mayHaveTakenEffect;
     }
   }
 
@@ -275,13 +301,13 @@
 
     ClassState(RequestClass info) {
       this.info = info;
-      this.latency = info.aimMicros() * LATENCY_TARGET / 2;
+      this.latency = info.latencyObjectiveMicros() * LATENCY_TARGET / 2;
     }
   }
 
   /** What has been learned of a server. */
   private static final class ServerState {
-    Server info;
+    Endpoint info;
     boolean running;
     double latency = Double.NaN, out, reported;
     int failures, ejections;
@@ -289,7 +315,7 @@
     final TreeMap<Long, Integer> sentAt = new TreeMap<>();
   }
 
-  private final Settings settings;
+  private final PolicyConfig settings;
   private final SplittableRandom random;
   private final Map<String, ClassState> classes = new LinkedHashMap<>();
   private final Map<String, Plan> plans = new LinkedHashMap<>();
@@ -307,10 +333,10 @@
                   ? Double.compare(b.rank, a.rank)
                   : a.arrived != b.arrived
                       ? Long.compare(a.arrived, b.arrived)
-                      : Long.compare(a.request.id(), b.request.id()));
+                      : Long.compare(a.request.requestId(), b.request.requestId()));
   private List<ServerState> running = List.of();
   private final long longestDeadline, longestAim;
-  private List<Action> actions = new ArrayList<>();
+  private List<PolicyAction> actions = new ArrayList<>();
   private long now,
       heardAt,
       crowdedAt = Long.MIN_VALUE / 2,
@@ -324,45 +350,46 @@
   private double retries = RETRY_STORE, fleetLatency = LATENCY_TARGET / 2;
 
   /** Makes the decisions of one gatekeeper. */
-  public Logic(Settings settings) {
+  public DefaultGatewayPolicy(PolicyConfig settings) {
     this.settings = settings;
-    this.random = new SplittableRandom(settings.seed());
-    settings.classes().forEach(c -> classes.put(c.name(), new ClassState(c)));
+    this.random = new SplittableRandom(settings.randomSeed());
+    settings.requestClasses().forEach(c -> classes.put(c.name(), new ClassState(c)));
     settings.plans().forEach(p -> plans.put(p.name(), p));
-    List<RequestClass> types = settings.classes();
+    List<RequestClass> types = settings.requestClasses();
     longestDeadline =
         types.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(1_000_000);
-    longestAim = types.stream().mapToLong(RequestClass::aimMicros).max().orElse(1_000_000);
+    longestAim =
+        types.stream().mapToLong(RequestClass::latencyObjectiveMicros).max().orElse(1_000_000);
     for (int i = 0; i < 2 * LEVELS; i++) {
       risk[i / LEVELS][i % LEVELS] =
           Math.min(MOST_RISK, FIRST_RISK + LEVEL_RISK * (i % LEVELS) + REPEAT_RISK * (i / LEVELS));
     }
-    pace = Math.min(1, UNPACED / Math.max(1, settings.gatekeepers()));
+    pace = Math.min(1, UNPACED / Math.max(1, settings.instanceCount()));
   }
 
   @Override
-  public List<Action> on(long nowMicros, Event event) {
+  public List<PolicyAction> onEvent(long nowMicros, PolicyEvent event) {
     now = nowMicros;
     actions = new ArrayList<>();
-    if (event instanceof Request e) {
+    if (event instanceof RequestArrived e) {
       request(e);
     }
-    if (event instanceof Counted e) {
+    if (event instanceof CounterReply e) {
       counted(e);
     }
-    if (event instanceof Outcome e) {
+    if (event instanceof AttemptCompleted e) {
       outcome(e);
     }
-    if (event instanceof Wake e) {
+    if (event instanceof TimerFired e) {
       wake(e.token());
     }
-    if (event instanceof Servers e) {
+    if (event instanceof EndpointUpdate e) {
       list(e);
     }
-    if (event instanceof Gone e) {
+    if (event instanceof ClientDisconnected e) {
       gone(e);
     }
-    if (event instanceof Started e) {
+    if (event instanceof ResponseStarted e) {
       started(e);
     }
     dispatch();
@@ -371,8 +398,8 @@
 
   // ---- quota ----
 
-  private void request(Request r) {
-    if (held.containsKey(r.id())) {
+  private void request(RequestArrived r) {
+    if (held.containsKey(r.requestId())) {
       return;
     }
     // A class or plan that the settings do not name: nothing may be repeated, and there is no
@@ -389,18 +416,18 @@
                         longestDeadline,
                         1,
                         0,
-                        Repeat.AT_MOST_ONCE,
-                        Group.CELL,
+                        Idempotency.AT_MOST_ONCE,
+                        DeduplicationScope.CELL,
                         0,
                         false)));
     Plan plan = plans.computeIfAbsent(r.plan(), name -> new Plan(name, 0, 0, 0, 1, 0, 0, 0, 0, 0));
     Held q = new Held(r, type, plan, now);
-    held.put(r.id(), q);
+    held.put(r.requestId(), q);
     // Guards against a final answer after the client's time when a core was held up. May fail a
     // request whose answer would have come in the last part of its time.
-    long rounds = MARGIN_ROUNDS * settings.roundMicros();
-    double margin = Math.max(rounds, MARGIN_PART * (r.giveUpAtMicros() - now));
-    wakeAt(Math.max(now, r.giveUpAtMicros() - (long) margin), "end:", q);
+    long rounds = MARGIN_ROUNDS * settings.roundTripMicros();
+    double margin = Math.max(rounds, MARGIN_PART * (r.deadlineAtMicros() - now));
+    wakeAt(Math.max(now, r.deadlineAtMicros() - (long) margin), "end:", q);
     ask(q);
   }
 
@@ -408,7 +435,7 @@
   // over, and
   // about the rest by chance.
   private void ask(Held q) {
-    for (Kind kind : settings.counter().present() ? Kind.values() : new Kind[0]) {
+    for (Kind kind : settings.counter().isPresent() ? Kind.values() : new Kind[0]) {
       Pair pair = pair(q, kind);
       if (pair == null) {
         continue;
@@ -440,8 +467,8 @@
     if (q.waiting == 0 || silent()) {
       decide(q);
     } else {
-      long most = (long) (WAIT_OF_AIM * q.type.info.aimMicros());
-      wakeAt(now + Math.min(settings.counter().waitMicros(), most), "ask:", q);
+      long most = (long) (WAIT_OF_AIM * q.type.info.latencyObjectiveMicros());
+      wakeAt(now + Math.min(settings.counter().timeoutMicros(), most), "ask:", q);
     }
   }
 
@@ -495,7 +522,8 @@
    * No sign of life from the counter for several calls and long enough that it is not just crowded.
    */
   private boolean silent() {
-    return silences >= SILENCES && now - heardAt > SILENT_WAITS * settings.counter().waitMicros();
+    return silences >= SILENCES
+        && now - heardAt > SILENT_WAITS * settings.counter().timeoutMicros();
   }
 
   // Client-side adaptive throttling: the share of tries asked grows with prompt answers and is cut
@@ -504,28 +532,28 @@
   // it slow
   // or the calls many. It may hurt where chance failures are common: fewer tries are asked than
   // could be.
-  private void regulate(Counted e) {
-    double took = (double) e.tookMicros() / Math.max(1, settings.counter().waitMicros());
+  private void regulate(CounterReply e) {
+    double took = (double) e.latencyMicros() / Math.max(1, settings.counter().timeoutMicros());
     // A prompt end without a total, as by an answer that cannot be read, is no sign of a crowd. May
     // miss
     // one that breaks connections rather than keep them waiting, until none can be made.
-    boolean unread = e.result() == Result.TIMEOUT && took <= TARDY;
-    if (!unread && (e.result() != Result.OK || took > TARDY)) {
+    boolean unread = e.result() == CallResult.TIMEOUT && took <= TARDY;
+    if (!unread && (e.result() != CallResult.OK || took > TARDY)) {
       ramping = false;
       crowdedAt = now;
       pace = Math.max(LEAST_PACE, pace * PACE_CUT);
       // A call turned away is a prompt answer too: it costs the counter nothing, and widens no gap.
-      double longer = e.result() == Result.SHED ? gap : Math.max(gap, between) / GAP_EASE;
+      double longer = e.result() == CallResult.SHED ? gap : Math.max(gap, between) / GAP_EASE;
       gap =
           (long)
               Math.min(
-                  1e6 * settings.gatekeepers() / LEAST_CALLS,
-                  Math.max(longer, SILENT_WAITS * settings.counter().waitMicros()));
+                  1e6 * settings.instanceCount() / LEAST_CALLS,
+                  Math.max(longer, SILENT_WAITS * settings.counter().timeoutMicros()));
     } else if (took <= PROMPT) {
       gap = ramping ? 0 : (long) (gap * GAP_EASE);
       pace = Math.min(1, pace + (ramping ? pace : PACE_STEP + PACE_GROWTH * pace));
     }
-    if (e.result() == Result.OK || e.result() == Result.SHED || unread) {
+    if (e.result() == CallResult.OK || e.result() == CallResult.SHED || unread) {
       silences = 0;
       heardAt = now;
     } else if (++silences >= SILENCES) {
@@ -566,7 +594,7 @@
     double known = pair.demand * Math.exp(-(now - pair.demandAt) / (DEMAND_WINDOWS * pair.window));
     pair.demand = known + share.units;
     pair.demandAt = now;
-    double part = known * q.request.spread() / (limit * DEMAND_WINDOWS);
+    double part = known * q.request.customerInstanceCount() / (limit * DEMAND_WINDOWS);
     return (int) Math.max(0, Math.min(LEVELS - 1, 3 + Math.floor(Math.log(part) / Math.log(2))));
   }
 
@@ -575,13 +603,13 @@
    * late.
    */
   private double risk(Share share, Held q) {
-    double general = risk[q.request.repeat() ? 1 : 0][share.level];
+    double general = risk[q.request.isRetry() ? 1 : 0][share.level];
     double fade = Math.exp(-(now - share.pair.riskAt) / (RISK_WINDOWS * share.pair.window));
     return Double.isNaN(share.pair.risk) ? general : general + (share.pair.risk - general) * fade;
   }
 
   private void learnRisk(Share share, Held q, boolean over) {
-    int repeat = q.request.repeat() ? 1 : 0;
+    int repeat = q.request.isRetry() ? 1 : 0;
     double known = risk(share, q);
     share.pair.risk = known + RISK_GAIN * ((over ? 1 : 0) - known);
     share.pair.riskAt = now;
@@ -591,7 +619,7 @@
 
   /** What sending a try beyond its quota loses, over what sending one inside it earns. */
   private static double overLoss(Held q) {
-    return Math.max(0, q.plan.overCost() - q.plan.overWorth());
+    return Math.max(0, q.plan.overQuotaCost() - q.plan.overQuotaValue());
   }
 
   private void readPrevious(Held q, Pair pair) {
@@ -613,9 +641,9 @@
     Plan plan = q.plan;
     boolean none =
         switch (kind) {
-          case RATE -> plan.rate() <= 0;
-          case OPEN -> plan.concurrency() <= 0;
-          case CEILING -> plan.ceilingRate() <= 0;
+          case RATE -> plan.unitsPerSecond() <= 0;
+          case OPEN -> plan.maxConcurrent() <= 0;
+          case CEILING -> plan.ceilingUnitsPerSecond() <= 0;
         };
     if (none) {
       return null;
@@ -627,10 +655,11 @@
             prefix,
             p ->
                 switch (kind) {
-                  case RATE -> pair(kind, p, plan.storeSize(), plan.rate());
-                  case CEILING -> pair(kind, p, plan.ceilingBurst(), plan.ceilingRate());
+                  case RATE -> pair(kind, p, plan.burstUnits(), plan.unitsPerSecond());
+                  case CEILING ->
+                      pair(kind, p, plan.ceilingBurstUnits(), plan.ceilingUnitsPerSecond());
                   case OPEN ->
-                      new Pair(kind, p, Math.min(LONGEST_WINDOW, longestAim), plan.concurrency());
+                      new Pair(kind, p, Math.min(LONGEST_WINDOW, longestAim), plan.maxConcurrent());
                 });
     pair.roll(now, tallies);
     return pair;
@@ -663,18 +692,18 @@
     Call call = new Call(tally, amount + tally.owed, units, new ArrayList<>(1));
     tally.owed = 0;
     calls.computeIfAbsent(tally.name, n -> new ArrayDeque<>(2)).add(call);
-    actions.add(new Count(tally.name, call.amount, 2 * tally.pair.window));
+    actions.add(new AddToCounter(tally.name, call.amount, 2 * tally.pair.window));
     return call;
   }
 
-  private void counted(Counted e) {
-    ArrayDeque<Call> line = calls.get(e.name());
+  private void counted(CounterReply e) {
+    ArrayDeque<Call> line = calls.get(e.counterName());
     Call call = line == null ? null : line.poll();
     if (call == null) {
       return;
     }
     if (line.isEmpty()) {
-      calls.remove(e.name());
+      calls.remove(e.counterName());
     }
     Tally tally = call.tally;
     boolean reading = tally.reading == call;
@@ -682,11 +711,11 @@
     if (reading) {
       tally.reading = null;
     }
-    boolean ok = e.result() == Result.OK && Double.isFinite(e.total());
+    boolean ok = e.result() == CallResult.OK && Double.isFinite(e.total());
     if (ok) {
       tally.closedRead |= reading;
       learn(call, e.total());
-    } else if (!e.result().mayHaveRun) {
+    } else if (!e.result().mayHaveTakenEffect) {
       owe(tally, call.amount); // Surely not added: it goes with a later call.
     }
     for (Held q : call.waiters) {
@@ -737,7 +766,7 @@
     tally.waking = true;
     double share = (tight() ? OWED_DELAY_CROWDED : OWED_DELAY) * (1 + random.nextDouble());
     actions.add(
-        new WakeAfter(Math.max(1, (long) (share * tally.pair.window)), "owed:" + tally.name));
+        new ScheduleTimer(Math.max(1, (long) (share * tally.pair.window)), "owed:" + tally.name));
   }
 
   private void payOwed(String name) {
@@ -862,7 +891,7 @@
     if (pair.kind != Kind.CEILING) {
       return crowded() && !silent() && risk(share, q) * (1 + overLoss(q)) > BREAK_EVEN;
     }
-    double part = Math.max(1, q.request.spread());
+    double part = Math.max(1, q.request.customerInstanceCount());
     pair.level =
         Math.min(
             pair.limit / part,
@@ -911,7 +940,7 @@
 
   private void settle(Held q, double units) {
     Share share = q.shares.get(Kind.RATE);
-    if (settings.counter().settled() && units > 0 && share != null && share.counted > 0) {
+    if (settings.counter().settlesUnits() && units > 0 && share != null && share.counted > 0) {
       owe(share.tally, units - q.request.units());
     }
   }
@@ -935,7 +964,7 @@
     Share share = q.shares.get(Kind.RATE);
     boolean told = share == null || !crowded() || !Double.isNaN(share.before);
     double loss = told ? 0 : risk(share, q) * (1 + overLoss(q));
-    return q.type.info.worth() * q.plan.pays() * Math.max(LEAST_GAIN, 1 - loss);
+    return q.type.info.priorityWeight() * q.plan.priorityWeight() * Math.max(LEAST_GAIN, 1 - loss);
   }
 
   private void enqueue(Held q) {
@@ -990,7 +1019,8 @@
     ServerState best = null;
     double bestScore = Double.MAX_VALUE;
     int size = subset(count);
-    int home = (int) ((long) settings.me() * count / Math.max(1, settings.gatekeepers()));
+    int home =
+        (int) ((long) settings.instanceIndex() * count / Math.max(1, settings.instanceCount()));
     for (int i = 0; i < Math.min(count, CANDIDATES) && (i < size || best == null); i++) {
       ServerState s = running.get((home + (i < size ? (start + i) % size : i)) % count);
       double score = score(s) * (1 + 0.001 * random.nextDouble());
@@ -1010,7 +1040,8 @@
   // where
   // traffic is uneven among gatekeepers; looks beyond it when none of it may take more.
   private int subset(int count) {
-    return Math.min(count, Math.max(SUBSET, SHARERS * count / Math.max(1, settings.gatekeepers())));
+    return Math.min(
+        count, Math.max(SUBSET, SHARERS * count / Math.max(1, settings.instanceCount())));
   }
 
   private boolean mayTake(ServerState s, Held q, boolean trust, int count) {
@@ -1026,7 +1057,7 @@
   // Attempts that may be out in all: never less than keeps the servers at work, whatever the
   // latency says.
   private double room(int count) {
-    return Math.max(room, Math.max(1, count * Math.min(1, LEAST_OUT / settings.gatekeepers())));
+    return Math.max(room, Math.max(1, count * Math.min(1, LEAST_OUT / settings.instanceCount())));
   }
 
   // Learns how many attempts may be out from the latency of all servers: what was out, scaled so
@@ -1073,49 +1104,51 @@
 
   // ---- health ----
 
-  private void list(Servers e) {
-    if (e.listing() == Listing.FAILED) {
-      actions.add(new WakeAfter(Math.max(1, settings.rules().askWithinMicros() / 8), "watch:"));
+  private void list(EndpointUpdate e) {
+    if (e.kind() == EndpointUpdateKind.FAILED) {
+      actions.add(
+          new ScheduleTimer(Math.max(1, settings.rules().watchWithinMicros() / 8), "watch:"));
       return;
     }
-    if (e.listing() != Listing.CHANGES) {
+    if (e.kind() != EndpointUpdateKind.CHANGES) {
       servers.values().forEach(s -> s.running = false);
     }
-    for (Server server : e.servers()) {
+    for (Endpoint server : e.endpoints()) {
       ServerState s = servers.computeIfAbsent(server.id(), id -> new ServerState());
-      if (s.info != null && s.info.startedMicros() != server.startedMicros()) {
+      if (s.info != null && s.info.startedAtMicros() != server.startedAtMicros()) {
         s.failures = 0;
         s.latency = Double.NaN;
       }
       s.info = server;
-      s.running = server.availability() == Availability.RUNNING;
+      s.running = server.state() == EndpointState.RUNNING;
     }
-    room = room > 0 ? room : servers.size() * FIRST_OUT / Math.max(1, settings.gatekeepers());
+    room = room > 0 ? room : servers.size() * FIRST_OUT / Math.max(1, settings.instanceCount());
     servers.values().removeIf(s -> !s.running && s.sentAt.isEmpty());
     running = servers.values().stream().filter(s -> s.running).toList();
-    if (e.listing() == Listing.CACHED && settings.mustAskForServers()) {
-      actions.add(new Watch());
+    if (e.kind() == EndpointUpdateKind.CACHED && settings.mustWatchEndpoints()) {
+      actions.add(new WatchEndpoints());
     }
   }
 
   /** The share of its work that a server can do by now, at the least. */
   private double warmth(ServerState s) {
-    Rules rules = settings.rules();
-    long age = now - s.info.startedMicros();
-    if (s.info.startedMicros() <= 0 || age >= rules.coldMicros()) {
+    ServiceRules rules = settings.rules();
+    long age = now - s.info.startedAtMicros();
+    if (s.info.startedAtMicros() <= 0 || age >= rules.slowStartMicros()) {
       return 1;
     }
-    return rules.coldShare() + (1 - rules.coldShare()) * Math.max(0, age) / rules.coldMicros();
+    return rules.slowStartShare()
+        + (1 - rules.slowStartShare()) * Math.max(0, age) / rules.slowStartMicros();
   }
 
-  private void judge(Try t, Outcome e, ClassState type) {
+  private void judge(Try t, AttemptCompleted e, ClassState type) {
     ServerState s = t.server;
-    double took = (double) e.tookMicros() / type.info.aimMicros();
+    double took = (double) e.latencyMicros() / type.info.latencyObjectiveMicros();
     switch (e.result()) {
       case OK -> {
         s.failures = s.ejections = 0;
         learn(s, took);
-        type.latency += SLOW_GAIN / 4 * (e.tookMicros() - type.latency);
+        type.latency += SLOW_GAIN / 4 * (e.latencyMicros() - type.latency);
         adapt(took, t.outBefore);
       }
       // An error is worth no more than an answer that comes late. Guards against a server that
@@ -1123,7 +1156,7 @@
       // fast and, looking quick, draws the traffic. May spare a good one whose requests are at
       // fault.
       case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> {
-        learn(s, Math.max(e.result() == Result.ERROR ? Math.max(1, took) : took, s.latency));
+        learn(s, Math.max(e.result() == CallResult.ERROR ? Math.max(1, took) : took, s.latency));
         s.failures++;
         if (s.failures >= FAILURES) {
           long time = FIRST_EJECTION << Math.min(s.ejections++, 8);
@@ -1151,9 +1184,9 @@
     q.out++;
     s.out += q.weight;
     s.sentAt.merge(now, 1, Integer::sum);
-    actions.add(new Attempt(q.request.id(), s.info.id(), q.request.giveUpAtMicros()));
+    actions.add(new StartAttempt(q.request.requestId(), s.info.id(), q.request.deadlineAtMicros()));
     retries = Math.min(RETRY_STORE, retries + RETRY_SHARE);
-    wakeAt(now + q.type.info.aimMicros(), "late:", q);
+    wakeAt(now + q.type.info.latencyObjectiveMicros(), "late:", q);
   }
 
   // An attempt that is out for longer than its aim is late or lost: it no longer fills the room,
@@ -1165,7 +1198,7 @@
   // fleet: then the room falls by the late answers that do come.
   private void overdue(Held q) {
     for (Try t : q.tries) {
-      if (t.result == null && now - t.sentAt >= q.type.info.aimMicros()) {
+      if (t.result == null && now - t.sentAt >= q.type.info.latencyObjectiveMicros()) {
         leave(t, q);
         learn(t.server, Math.max(1, t.server.latency));
       }
@@ -1177,12 +1210,12 @@
     t.overdue = true;
   }
 
-  private void outcome(Outcome e) {
+  private void outcome(AttemptCompleted e) {
     Held q = held.get(e.requestId());
-    if (q == null || e.attempt() < 0 || e.attempt() >= q.tries.size()) {
+    if (q == null || e.attemptIndex() < 0 || e.attemptIndex() >= q.tries.size()) {
       return;
     }
-    Try t = q.tries.get(e.attempt());
+    Try t = q.tries.get(e.attemptIndex());
     if (t.result != null) {
       return;
     }
@@ -1194,10 +1227,10 @@
     s.sentAt.computeIfPresent(t.sentAt, (at, n) -> n == 1 ? null : n - 1);
     judge(t, e, q.type);
     report(s, e.load());
-    if (e.result() == Result.OK) {
+    if (e.result() == CallResult.OK) {
       settle(q, e.settledUnits());
     }
-    q.done |= e.over();
+    q.done |= e.isFinal();
     if (q.done) {
       queue.remove(q);
     }
@@ -1221,7 +1254,7 @@
   }
 
   private boolean mayRepeat(Held q) {
-    return switch (q.type.info.repeat()) {
+    return switch (q.type.info.idempotency()) {
       case IDEMPOTENT -> true;
       case DEDUPLICATED ->
           q.tries.stream()
@@ -1229,24 +1262,24 @@
               .findFirst()
               .map(
                   t ->
-                      t.sentAt + q.type.info.repeatWindowMicros()
-                          > now + 2 * settings.roundMicros())
+                      t.sentAt + q.type.info.deduplicationWindowMicros()
+                          > now + 2 * settings.roundTripMicros())
               .orElse(true);
       case AT_MOST_ONCE -> q.tries.stream().noneMatch(Try::mayHaveRun);
     };
   }
 
   private boolean groupAllows(ServerState s, Held q) {
-    if (q.type.info.repeat() != Repeat.DEDUPLICATED) {
+    if (q.type.info.idempotency() != Idempotency.DEDUPLICATED) {
       return true;
     }
     if (!mayRepeat(q)) {
       return false;
     }
     for (Try t : q.tries) {
-      Server was = t.server.info;
+      Endpoint was = t.server.info;
       boolean same =
-          switch (q.type.info.group()) {
+          switch (q.type.info.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> was.zone().equals(s.info.zone());
             case CELL -> was.cell() == s.info.cell() && was.zone().equals(s.info.zone());
@@ -1260,21 +1293,22 @@
 
   private boolean mayRefuse(Held q) {
     RequestClass type = q.type.info;
-    return type.repeat() == Repeat.IDEMPOTENT
+    return type.idempotency() == Idempotency.IDEMPOTENT
         || q.tries.stream().noneMatch(Try::mayHaveRun)
-        || type.repeat() == Repeat.DEDUPLICATED && type.group() == Group.ALL;
+        || type.idempotency() == Idempotency.DEDUPLICATED
+            && type.deduplicationScope() == DeduplicationScope.ALL;
   }
 
   // ---- deadlines ----
 
   private void wakeAt(long at, String what, Held q) {
-    actions.add(new WakeAfter(Math.max(1, at - now), what + q.request.id()));
+    actions.add(new ScheduleTimer(Math.max(1, at - now), what + q.request.requestId()));
   }
 
   private void wake(String token) {
     int colon = token.indexOf(':');
     if (token.equals("watch:")) {
-      actions.add(new Watch());
+      actions.add(new WatchEndpoints());
     }
     if (token.startsWith("owed:")) {
       payOwed(token.substring(colon + 1));
@@ -1310,19 +1344,19 @@
 
   private void end(Held q) {
     close(q);
-    actions.add(new Fail(q.request.id()));
+    actions.add(new FailRequest(q.request.requestId()));
     forget(q);
   }
 
   private void refuse(Held q, long waitMicros) {
     close(q);
     long seconds = Math.max(1, (waitMicros + 999_999) / 1_000_000);
-    long id = q.request.id();
-    actions.add(mayRefuse(q) ? new Refuse(id, seconds * 1_000_000) : new Fail(id));
+    long id = q.request.requestId();
+    actions.add(mayRefuse(q) ? new RejectRequest(id, seconds * 1_000_000) : new FailRequest(id));
     forget(q);
   }
 
-  private void gone(Gone e) {
+  private void gone(ClientDisconnected e) {
     Held q = held.get(e.requestId());
     if (q == null || q.done) {
       return;
@@ -1332,7 +1366,7 @@
   }
 
   // A streamed answer that has begun is the client's: nothing is sent or ended for it any more.
-  private void started(Started e) {
+  private void started(ResponseStarted e) {
     Held q = held.get(e.requestId());
     if (q != null) {
       q.streaming = true;
@@ -1344,10 +1378,10 @@
     queue.remove(q);
     q.decided = true;
     q.done = true;
-    if (settings.limits().cancel()) {
+    if (settings.limits().allowsCancellation()) {
       for (int i = 0; i < q.tries.size(); i++) {
         if (q.tries.get(i).result == null) {
-          actions.add(new Cancel(q.request.id(), i));
+          actions.add(new CancelAttempt(q.request.requestId(), i));
         }
       }
     }
@@ -1356,7 +1390,7 @@
   private void forget(Held q) {
     if (q.done && q.out == 0) {
       release(q);
-      held.remove(q.request.id());
+      held.remove(q.request.requestId());
     }
   }
 }
--- /dev/null
+++ b/src/main/java/fawndock/policy/event/EndpointState.java
@@ -0,0 +1,8 @@
+package fawndock.policy.event;
+
+/** What discovery says of a server. */
+public enum EndpointState {
+  RUNNING,
+  DRAINING,
+  REMOVED
+}
--- a/src/main/java/fawndock/ratelimit/Batch.java
+++ b/src/main/java/fawndock/ratelimit/Batch.java
@@ -1,9 +1,9 @@
 package fawndock.ratelimit;
 
 import com.google.protobuf.Duration;
-import fawndock.Gatekeeper.Plan;
 import fawndock.gateway.QuotaHost;
 import fawndock.gateway.QuotaHost.Verdict;
+import fawndock.policy.config.Plan;
 import fawndock.ratelimit.Mapping.Meaning;
 import fawndock.ratelimit.proto.HeaderValue;
 import fawndock.ratelimit.proto.RateLimitResponse;
@@ -123,13 +123,13 @@
               .setCode(verdicts[i] == Verdict.REFUSED ? Code.OVER_LIMIT : Code.OK);
       Meaning meaning = meanings.get(i);
       Plan plan = meaning == null ? null : plans.get(meaning.plan());
-      if (plan != null && plan.rate() > 0) {
+      if (plan != null && plan.unitsPerSecond() > 0) {
         one.setCurrentLimit(
             RateLimit.newBuilder()
                 .setName(plan.name())
                 .setUnit(RateLimit.Unit.MINUTE)
                 .setRequestsPerUnit(
-                    (int) Math.min(Integer.MAX_VALUE, Math.round(60 * plan.rate()))));
+                    (int) Math.min(Integer.MAX_VALUE, Math.round(60 * plan.unitsPerSecond()))));
       }
       if (verdicts[i] == Verdict.REFUSED) {
         one.setDurationUntilReset(
--- a/src/main/java/fawndock/ratelimit/Mapping.java
+++ b/src/main/java/fawndock/ratelimit/Mapping.java
@@ -1,6 +1,6 @@
 package fawndock.ratelimit;
 
-import fawndock.settings.DaemonSettings.Descriptor;
+import fawndock.settings.GatewaySettings.Descriptor;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/fawndock/ratelimit/RateLimitNode.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitNode.java
@@ -1,13 +1,14 @@
 package fawndock.ratelimit;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Plan;
 import fawndock.gateway.QuotaHost;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
 import fawndock.ratelimit.Mapping.Meaning;
 import fawndock.ratelimit.proto.RateLimitDescriptor;
 import fawndock.ratelimit.proto.RateLimitRequest;
 import fawndock.ratelimit.proto.RateLimitResponse;
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.Future;
 import io.vertx.core.VerticleBase;
 import io.vertx.core.http.HttpServer;
@@ -45,8 +46,8 @@
   private static final long LARGEST = 64 << 10;
   private static final int MOST_DESCRIPTORS = 64;
   private static final long DEFAULT_MILLIS = 1_000;
-  private final DaemonSettings settings;
-  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final GatewaySettings settings;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private final Mapping mapping;
   private final Map<String, Plan> plans = new HashMap<>();
   private QuotaHost quotas;
@@ -55,7 +56,7 @@
   /**
    * @param maker makes the decisions from the settings
    */
-  public RateLimitNode(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
+  public RateLimitNode(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
     this.maker = maker;
     this.mapping = new Mapping(settings.rateLimit().descriptors());
--- a/src/main/java/fawndock/lab/report/Drawing.java
+++ b/src/main/java/fawndock/report/Drawing.java
@@ -1,8 +1,8 @@
-package fawndock.lab.report;
+package fawndock.report;
 
-import fawndock.lab.emu.DeploymentFile.Mark;
-import fawndock.lab.report.Plots.Plot;
-import fawndock.lab.report.Plots.Series;
+import fawndock.report.Plots.Plot;
+import fawndock.report.Plots.Series;
+import fawndock.simulation.DeploymentFile.Mark;
 import java.awt.BasicStroke;
 import java.awt.Color;
 import java.awt.Font;
--- a/src/main/java/fawndock/lab/report/Page.java
+++ b/src/main/java/fawndock/report/Page.java
@@ -1,10 +1,10 @@
-package fawndock.lab.report;
+package fawndock.report;
 
-import fawndock.lab.emu.DeploymentFile.Mark;
-import fawndock.lab.experiment.Cells;
-import fawndock.lab.experiment.Experiment;
-import fawndock.lab.experiment.Outcome;
-import fawndock.lab.report.Plots.Plot;
+import fawndock.experiment.Cells;
+import fawndock.experiment.Experiment;
+import fawndock.experiment.Outcome;
+import fawndock.report.Plots.Plot;
+import fawndock.simulation.DeploymentFile.Mark;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/fawndock/lab/report/Plots.java
+++ b/src/main/java/fawndock/report/Plots.java
@@ -1,7 +1,7 @@
-package fawndock.lab.report;
+package fawndock.report;
 
-import fawndock.lab.experiment.Cells;
-import fawndock.lab.experiment.Outcome;
+import fawndock.experiment.Cells;
+import fawndock.experiment.Outcome;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/main/java/fawndock/lab/report/package-info.java
+++ b/src/main/java/fawndock/report/package-info.java
@@ -3,4 +3,4 @@
  * one HTML page that needs nothing else. What is plotted against what is decided in {@code Plots},
  * free of I/O; drawing is XChart's.
  */
-package fawndock.lab.report;
+package fawndock.report;
--- a/src/main/java/fawndock/host/InOrder.java
+++ b/src/main/java/fawndock/runtime/CounterReplySequencer.java
@@ -1,7 +1,7 @@
-package fawndock.host;
+package fawndock.runtime;
 
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,15 +11,15 @@
  * Tells the ends of counter calls, each once, those of a name in the order in which its calls were
  * made.
  */
-public final class InOrder {
+public final class CounterReplySequencer {
   /** A call of a name that has its place among the others. */
-  public static class Place {
+  public static class PendingCall {
     private final String name;
     private final long startedAt;
-    private Counted end;
+    private CounterReply end;
 
     /** A call of this name, made at this time in microseconds. */
-    public Place(String name, long startedAt) {
+    public PendingCall(String name, long startedAt) {
       this.name = name;
       this.startedAt = startedAt;
     }
@@ -34,17 +34,17 @@
     }
   }
 
-  private final Map<String, ArrayDeque<Place>> lines = new HashMap<>();
-  private final Consumer<Counted> told;
+  private final Map<String, ArrayDeque<PendingCall>> lines = new HashMap<>();
+  private final Consumer<CounterReply> told;
   private boolean closed;
 
   /** Ends are told to the consumer given. */
-  public InOrder(Consumer<Counted> told) {
+  public CounterReplySequencer(Consumer<CounterReply> told) {
     this.told = told;
   }
 
   /** A call is made. */
-  public void begin(Place place) {
+  public void begin(PendingCall place) {
     lines.computeIfAbsent(place.name, name -> new ArrayDeque<>(2)).add(place);
   }
 
@@ -52,11 +52,11 @@
    * A call that ends before an older one of its name, such as one that was never sent, waits for
    * it.
    */
-  public void end(Place place, Result result, double total, long now) {
-    place.end = new Counted(place.name, result, total, place.tookMicros(now));
-    ArrayDeque<Place> line = lines.get(place.name);
+  public void end(PendingCall place, CallResult result, double total, long now) {
+    place.end = new CounterReply(place.name, result, total, place.tookMicros(now));
+    ArrayDeque<PendingCall> line = lines.get(place.name);
     while (line != null && !line.isEmpty() && line.peek().ended()) {
-      Counted next = line.poll().end;
+      CounterReply next = line.poll().end;
       if (line.isEmpty()) {
         lines.remove(place.name);
       }
--- a/src/main/java/fawndock/host/OpenAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -1,6 +1,7 @@
-package fawndock.host;
+package fawndock.runtime;
 
-import fawndock.Gatekeeper.Result;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
 import java.util.Map;
 
 /**
@@ -8,25 +9,25 @@
  * first of what happens to it, and tells its host the end; what comes later is dropped. One
  * context.
  */
-public abstract class OpenAttempt {
-  protected final GatekeeperHost host;
-  protected final OpenRequest open;
+public abstract class InFlightAttempt {
+  protected final PolicyRunner host;
+  protected final InFlightRequest open;
 
   /** Its number among the request's attempts, from 0. */
   public final int number;
 
   /** The server's id, as discovery has it. */
-  public final String server;
+  public final String endpointId;
 
   private final long startedAt;
-  private Alarms.Alarm abandon;
-  private Result result;
+  private Timers.Timer abandon;
+  private CallResult result;
 
-  protected OpenAttempt(GatekeeperHost host, OpenRequest open, int number, String server) {
+  protected InFlightAttempt(PolicyRunner host, InFlightRequest open, int number, String server) {
     this.host = host;
     this.open = open;
     this.number = number;
-    this.server = server;
+    this.endpointId = server;
     this.startedAt = host.clock().now();
   }
 
@@ -35,11 +36,11 @@
    * before.
    */
   final void start(long abandonAtMicros) {
-    abandon = host.alarms().after(abandonAtMicros - startedAt, this::abandoned);
+    abandon = host.timers().schedule(abandonAtMicros - startedAt, this::abandoned);
     begin(abandonAtMicros);
   }
 
-  /** Connects and sends. An attempt that cannot be sent ends as {@link Result#UNUSED}. */
+  /** Connects and sends. An attempt that cannot be sent ends as {@link CallResult#UNUSED}. */
   protected abstract void begin(long abandonAtMicros);
 
   /** The time to wait for it is up: it is to end. */
@@ -55,30 +56,30 @@
 
   /** The answer belongs to the client from now on: the time to wait for it no longer counts. */
   protected final void keep() {
-    host.alarms().cancel(abandon);
+    host.timers().cancel(abandon);
   }
 
   /** How it ended, or null while it is out. */
-  public final Result result() {
+  public final CallResult result() {
     return result;
   }
 
-  protected final void end(Result how) {
+  protected final void end(CallResult how) {
     end(how, Map.of(), 0);
   }
 
   /**
    * Ends it; called again, does nothing.
    *
-   * @param load the server's load report, by the names of {@link fawndock.Gatekeeper.Outcome}
+   * @param load the server's load report, by the names of {@link AttemptCompleted}
    * @param units the true units of the request where the server told them, else 0
    */
-  protected final void end(Result how, Map<String, Double> load, double units) {
+  protected final void end(CallResult how, Map<String, Double> load, double units) {
     if (result != null) {
       return;
     }
     result = how;
-    host.alarms().cancel(abandon);
+    host.timers().cancel(abandon);
     host.ended(open, this, host.clock().now() - startedAt, load, units);
   }
 }
--- a/src/main/java/fawndock/host/OpenRequest.java
+++ b/src/main/java/fawndock/runtime/InFlightRequest.java
@@ -1,11 +1,11 @@
-package fawndock.host;
+package fawndock.runtime;
 
-import fawndock.Gatekeeper.Result;
+import fawndock.policy.event.CallResult;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One request that the host has given to its gatekeeper and not yet forgotten. One context. */
-public final class OpenRequest {
+public final class InFlightRequest {
   /** Where a request stands with its client. */
   public enum Stage {
     OPEN,
@@ -14,14 +14,14 @@
   }
 
   public final long id;
-  public final Exchange exchange;
-  public final List<OpenAttempt> attempts = new ArrayList<>(1);
+  public final ServerExchange exchange;
+  public final List<InFlightAttempt> attempts = new ArrayList<>(1);
   Stage stage = Stage.OPEN;
   int out;
   private boolean streamed;
-  Alarms.Alarm backstop;
+  Timers.Timer backstop;
 
-  OpenRequest(long id, Exchange exchange) {
+  InFlightRequest(long id, ServerExchange exchange) {
     this.id = id;
     this.exchange = exchange;
   }
@@ -36,11 +36,11 @@
    * out.
    */
   public boolean answered() {
-    Result last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).result();
-    return last == Result.ERROR
-        || last == Result.RESET
-        || last == Result.CONNECT_FAILED
-        || last == Result.SHED;
+    CallResult last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).result();
+    return last == CallResult.ERROR
+        || last == CallResult.RESET
+        || last == CallResult.CONNECT_FAILED
+        || last == CallResult.SHED;
   }
 
   /** Whether its answer was streamed. */
--- a/src/main/java/fawndock/host/MicroClock.java
+++ b/src/main/java/fawndock/runtime/MicroClock.java
@@ -1,4 +1,4 @@
-package fawndock.host;
+package fawndock.runtime;
 
 import java.time.Clock;
 import java.time.Instant;
--- a/src/main/java/fawndock/host/Decisions.java
+++ b/src/main/java/fawndock/runtime/PolicyEventQueue.java
@@ -1,8 +1,8 @@
-package fawndock.host;
+package fawndock.runtime;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Event;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.event.PolicyEvent;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -11,16 +11,17 @@
  * Tells a gatekeeper what happened, in order, and has carried out what it says. What is told while
  * an action is carried out waits its turn, so the gatekeeper never calls itself. One context.
  */
-public final class Decisions {
-  private final Gatekeeper gatekeeper;
+public final class PolicyEventQueue {
+  private final GatewayPolicy gatekeeper;
   private final MicroClock clock;
-  private final Consumer<Action> carryOut;
+  private final Consumer<PolicyAction> carryOut;
   private final Logger log;
-  private final ArrayDeque<Event> inbox = new ArrayDeque<>();
+  private final ArrayDeque<PolicyEvent> inbox = new ArrayDeque<>();
   private boolean telling;
 
   /** Decisions that are carried out by the consumer given. */
-  public Decisions(Gatekeeper gatekeeper, MicroClock clock, Consumer<Action> carryOut, Logger log) {
+  public PolicyEventQueue(
+      GatewayPolicy gatekeeper, MicroClock clock, Consumer<PolicyAction> carryOut, Logger log) {
     this.gatekeeper = gatekeeper;
     this.clock = clock;
     this.carryOut = carryOut;
@@ -28,14 +29,14 @@
   }
 
   /** Tells an event, now or after what is being told. */
-  public void tell(Event event) {
+  public void submit(PolicyEvent event) {
     inbox.add(event);
     if (telling) {
       return;
     }
     telling = true;
     try {
-      for (Event next = inbox.poll(); next != null; next = inbox.poll()) {
+      for (PolicyEvent next = inbox.poll(); next != null; next = inbox.poll()) {
         decide(next);
       }
     } finally {
@@ -43,9 +44,9 @@
     }
   }
 
-  private void decide(Event event) {
+  private void decide(PolicyEvent event) {
     try {
-      gatekeeper.on(clock.now(), event).forEach(carryOut);
+      gatekeeper.onEvent(clock.now(), event).forEach(carryOut);
     } catch (RuntimeException | StackOverflowError e) {
       // The requests it concerns are answered by the host's backstop.
       log.error("the decision on {} failed", event, e);
--- a/src/main/java/fawndock/host/Exchange.java
+++ b/src/main/java/fawndock/runtime/ServerExchange.java
@@ -1,36 +1,36 @@
-package fawndock.host;
+package fawndock.runtime;
 
-import fawndock.Gatekeeper.RequestClass;
+import fawndock.policy.config.RequestClass;
 
 /**
  * A client's side of one request, whatever protocol it came by. Its request gets exactly one final
  * answer: one that a server gave, passed on by the protocol's own attempt, or one of {@link
  * #refuse} and {@link #fail}; none when the client has left.
  */
-public interface Exchange {
+public interface ServerExchange {
   /**
    * What was asked and by whom.
    *
-   * @param arrivedAt when it was read, in microseconds since 1970
-   * @param giveUpAt when the client stops waiting
+   * @param arrivedAtMicros when it was read, in microseconds since 1970
+   * @param deadlineAtMicros when the client stops waiting
    * @param label the client's own name for the request, for the log
    */
-  record Asked(
-      RequestClass type,
+  record RequestAttributes(
+      RequestClass requestClass,
       String plan,
       String customer,
-      long arrivedAt,
-      long giveUpAt,
+      long arrivedAtMicros,
+      long deadlineAtMicros,
       double units,
-      int spread,
-      int first,
-      boolean repeat,
+      int customerInstanceCount,
+      int customerFirstInstance,
+      boolean isRetry,
       String label) {}
 
-  Asked asked();
+  RequestAttributes requestAttributes();
 
   /** Turned away; trying again after so long is harmless. */
-  void refuse(long retryAfterMicros);
+  void reject(long retryAfterMicros);
 
   /**
    * Failed, with no promise about the effect.
--- a/src/main/java/fawndock/host/Alarms.java
+++ b/src/main/java/fawndock/runtime/Timers.java
@@ -1,4 +1,4 @@
-package fawndock.host;
+package fawndock.runtime;
 
 import io.vertx.core.Vertx;
 
@@ -9,16 +9,16 @@
  * its deadline, hundreds of thousands at full load, in a queue whose cost grows with their number.
  * Bounded by the requests taken on within the longest deadline.
  */
-public final class Alarms {
+public final class Timers {
   private static final int SLOTS = 4_096;
 
   /** One alarm; it rings once, unless cancelled before. */
-  public static final class Alarm {
+  public static final class Timer {
     private final long tick;
     private Runnable what;
-    private Alarm next;
+    private Timer next;
 
-    private Alarm(long tick, Runnable what) {
+    private Timer(long tick, Runnable what) {
       this.tick = tick;
       this.what = what;
     }
@@ -26,8 +26,8 @@
 
   private final Vertx vertx;
   private final long begin = System.nanoTime();
-  private final Alarm[] heads = new Alarm[SLOTS];
-  private final Alarm[] tails = new Alarm[SLOTS];
+  private final Timer[] heads = new Timer[SLOTS];
+  private final Timer[] tails = new Timer[SLOTS];
 
   /** All ticks up to this one have rung. */
   private long rung;
@@ -38,7 +38,7 @@
   private boolean ringing;
 
   /** Alarms of the context that this is made on. */
-  public Alarms(Vertx vertx) {
+  public Timers(Vertx vertx) {
     this.vertx = vertx;
   }
 
@@ -46,9 +46,9 @@
    * Runs something after at least so many microseconds, on the context that asks; those of one tick
    * in order.
    */
-  public Alarm after(long micros, Runnable what) {
+  public Timer schedule(long micros, Runnable what) {
     long due = (System.nanoTime() - begin + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
-    Alarm alarm = new Alarm(Math.max(due, rung + 1), what);
+    Timer alarm = new Timer(Math.max(due, rung + 1), what);
     append(alarm);
     pending++;
     if (!ringing && (timer < 0 || alarm.tick < armedFor)) {
@@ -58,7 +58,7 @@
   }
 
   /** An alarm that is cancelled takes its place until its time, but holds nothing else. */
-  public void cancel(Alarm alarm) {
+  public void cancel(Timer alarm) {
     if (alarm != null && alarm.what != null) {
       alarm.what = null;
       pending--;
@@ -81,7 +81,7 @@
     }
   }
 
-  private void append(Alarm alarm) {
+  private void append(Timer alarm) {
     int slot = (int) (alarm.tick % SLOTS);
     if (heads[slot] == null) {
       heads[slot] = alarm;
@@ -132,11 +132,11 @@
   }
 
   private void ring(int slot, long now) {
-    Alarm alarm = heads[slot];
+    Timer alarm = heads[slot];
     heads[slot] = null;
     tails[slot] = null;
     while (alarm != null) {
-      Alarm next = alarm.next;
+      Timer next = alarm.next;
       alarm.next = null;
       if (alarm.what == null) {
         // Cancelled.
--- a/src/main/java/fawndock/drill/BadDay.java
+++ b/src/main/java/fawndock/scenario/BadDay.java
@@ -1,15 +1,15 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.judge.Figures;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.settings.DaemonSettings;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.FakeBackend;
+import fawndock.fake.RawHttpClient;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
-import fawndock.standin.RawClient;
-import fawndock.standin.Worker;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.HashMap;
@@ -28,7 +28,8 @@
   static final int WORKERS = 8;
   private static final double LENGTH = 27;
   private static final long SLACK = 250_000;
-  static final Worker.Build BUILD = new Worker.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000);
+  static final FakeBackend.Build BUILD =
+      new FakeBackend.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000);
   static final String COMMON =
       """
             class lookup aim 500ms deadline 2s worth 1 repeat idempotent
@@ -68,7 +69,7 @@
       Traffic traffic =
           new Traffic(
               scene.vertx,
-              new RawClient(scene.vertx, scene.recorder),
+              new RawHttpClient(scene.vertx, scene.recorder),
               kinds(),
               customers(),
               GATEKEEPERS,
@@ -79,8 +80,8 @@
       script(scene, traffic).play(LENGTH, out);
       traffic.stop();
       awaitEnds(traffic);
-      List<Seen> trace = scene.recorder.all();
-      Verdict verdict = RuleChecker.judge(trace, figures(scene));
+      List<TraceEvent> trace = scene.recorder.all();
+      ConformanceResult verdict = InvariantChecker.judge(trace, figures(scene));
       summary(traffic, trace);
       out.printf("%.1f s in all%n", (System.nanoTime() - began) / 1e9);
       return scene.conclude(verdict, out);
@@ -89,9 +90,10 @@
 
   static List<Traffic.Kind> kinds() {
     return List.of(
-        new Traffic.Kind("lookup", "GET", "/lookup/tours", Repeat.IDEMPOTENT, 1_600_000, 0.6),
-        new Traffic.Kind("update", "PUT", "/update/guest", Repeat.DEDUPLICATED, 1_600_000, 0.25),
-        new Traffic.Kind("charge", "POST", "/charge", Repeat.AT_MOST_ONCE, 2_400_000, 0.15));
+        new Traffic.Kind("lookup", "GET", "/lookup/tours", Idempotency.IDEMPOTENT, 1_600_000, 0.6),
+        new Traffic.Kind(
+            "update", "PUT", "/update/guest", Idempotency.DEDUPLICATED, 1_600_000, 0.25),
+        new Traffic.Kind("charge", "POST", "/charge", Idempotency.AT_MOST_ONCE, 2_400_000, 0.15));
   }
 
   static List<Traffic.Customer> customers() {
@@ -104,7 +106,7 @@
   }
 
   private Script script(Scene s, Traffic traffic) {
-    Function<Integer, Worker> w = s.workers::get;
+    Function<Integer, FakeBackend> w = s.workers::get;
     return new Script()
         // Stand-ins and records start cold as well, and it is not their start that is judged.
         .at(1.5, "traffic is at its full height", () -> traffic.factor(1))
@@ -214,20 +216,20 @@
   }
 
   /** The figures that the judge uses are those that the gatekeepers were given. */
-  static Figures figures(Scene scene) throws Exception {
-    DaemonSettings s = SettingsFile.read(scene.folder().resolve("gatekeeper-0.conf"));
+  static ConformanceLimits figures(Scene scene) throws Exception {
+    GatewaySettings s = SettingsFile.read(scene.folder().resolve("gatekeeper-0.conf"));
     Map<String, Plan> plans = s.plans().stream().collect(Collectors.toMap(Plan::name, p -> p));
     Map<String, Plan> byCustomer = new HashMap<>();
     s.keys().values().forEach(k -> byCustomer.put(k.customer(), plans.get(k.plan())));
-    return new Figures(
+    return new ConformanceLimits(
         s.classes().stream().collect(Collectors.toMap(c -> c.name(), c -> c)),
         s.rules(),
         byCustomer,
         SLACK);
   }
 
-  private void summary(Traffic traffic, List<Seen> trace) throws IOException {
-    long attempts = trace.stream().filter(e -> e instanceof Seen.Arrived).count();
+  private void summary(Traffic traffic, List<TraceEvent> trace) throws IOException {
+    long attempts = trace.stream().filter(e -> e instanceof TraceEvent.Arrived).count();
     out.printf(
         "served %d, refused %d, failed %d, left or cut off %d; %d attempts reached workers%n",
         traffic.ended(200),
--- a/src/main/java/fawndock/drill/Chaos.java
+++ b/src/main/java/fawndock/scenario/Chaos.java
@@ -1,8 +1,8 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.judge.RuleChecker;
-import fawndock.standin.RawClient;
-import fawndock.standin.Worker;
+import fawndock.conformance.InvariantChecker;
+import fawndock.fake.FakeBackend;
+import fawndock.fake.RawHttpClient;
 import java.io.PrintStream;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
@@ -54,7 +54,7 @@
       Traffic traffic =
           new Traffic(
               scene.vertx,
-              new RawClient(scene.vertx, scene.recorder),
+              new RawHttpClient(scene.vertx, scene.recorder),
               BadDay.kinds(),
               BadDay.customers(),
               BadDay.GATEKEEPERS,
@@ -72,7 +72,8 @@
       if (fleet != null) {
         fleet.close(); // Before its folder goes.
       }
-      return scene.conclude(RuleChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out);
+      return scene.conclude(
+          InvariantChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out);
     }
   }
 
@@ -223,8 +224,8 @@
       String what,
       double at,
       double end,
-      Consumer<Worker.Faults> on,
-      Consumer<Worker.Faults> off) {
+      Consumer<FakeBackend.Faults> on,
+      Consumer<FakeBackend.Faults> off) {
     strike(
         "worker-" + worker,
         "worker-" + worker + " is " + what,
--- a/src/main/java/fawndock/drill/CounterCaller.java
+++ b/src/main/java/fawndock/scenario/CounterCaller.java
@@ -1,4 +1,4 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
--- a/src/main/java/fawndock/drill/CounterFleet.java
+++ b/src/main/java/fawndock/scenario/CounterFleet.java
@@ -1,6 +1,6 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.standin.Relay;
+import fawndock.fake.FaultInjectingProxy;
 import io.vertx.core.Vertx;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
 final class CounterFleet implements AutoCloseable {
   private static final String[] JVM = {"-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"};
   private final List<CounterProcess> nodes = new ArrayList<>();
-  private final Map<String, Relay> relays = new LinkedHashMap<>();
+  private final Map<String, FaultInjectingProxy> relays = new LinkedHashMap<>();
   private final int gatekeepers;
   private final Path folder;
   private final List<CounterProcess> replaced = new ArrayList<>();
@@ -68,12 +68,12 @@
   }
 
   private void relay(Vertx vertx, String from, int to, int port) throws IOException {
-    Relay relay = new Relay(vertx, port);
+    FaultInjectingProxy relay = new FaultInjectingProxy(vertx, port);
     Scene.await(relay.start());
     relays.put(from + ">n" + to, relay);
   }
 
-  private Relay way(String from, int to) {
+  private FaultInjectingProxy way(String from, int to) {
     return relays.get(from + ">n" + to);
   }
 
@@ -248,6 +248,6 @@
     closed = true;
     replaced.forEach(CounterProcess::close);
     nodes.forEach(CounterProcess::close);
-    relays.values().forEach(Relay::stop);
+    relays.values().forEach(FaultInjectingProxy::stop);
   }
 }
--- a/src/main/java/fawndock/drill/CounterSplit.java
+++ b/src/main/java/fawndock/scenario/CounterSplit.java
@@ -1,10 +1,10 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Gatekeeper.Repeat;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.standin.RawClient;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.RawHttpClient;
+import fawndock.policy.config.Idempotency;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -123,10 +123,10 @@
       Traffic traffic =
           new Traffic(
                   scene.vertx,
-                  new RawClient(scene.vertx, scene.recorder),
+                  new RawHttpClient(scene.vertx, scene.recorder),
                   List.of(
                       new Traffic.Kind(
-                          "lookup", "GET", "/tours/today", Repeat.IDEMPOTENT, 1_500_000, 1)),
+                          "lookup", "GET", "/tours/today", Idempotency.IDEMPOTENT, 1_500_000, 1)),
                   customers,
                   GATEKEEPERS,
                   scene.gatekeepers::port,
@@ -139,7 +139,8 @@
       script.play(end, out);
       traffic.stop();
       BadDay.awaitEnds(traffic);
-      Verdict verdict = RuleChecker.judge(scene.recorder.all(), BadDay.figures(scene));
+      ConformanceResult verdict =
+          InvariantChecker.judge(scene.recorder.all(), BadDay.figures(scene));
       boolean within = report(scene.recorder.all(), start, end);
       if (!verdict.kept()) {
         out.println(verdict.line());
@@ -338,22 +339,23 @@
     watcher.start();
   }
 
-  private boolean report(List<Seen> trace, long start, double end) throws IOException {
+  private boolean report(List<TraceEvent> trace, long start, double end) throws IOException {
     Map<String, String> customers = new HashMap<>();
     Map<String, List<Double>> used = new TreeMap<>();
     Map<String, List<Double>> refused = new TreeMap<>();
     Set<String> ran = new HashSet<>();
-    for (Seen seen : trace) {
+    for (TraceEvent seen : trace) {
       double at = (seen.at() - start) / 1e6;
-      if (seen instanceof Seen.Asked a) {
-        customers.put(RuleChecker.operation(a.request()), a.customer());
-      } else if (seen instanceof Seen.Ran r && ran.add(RuleChecker.operation(r.request()))) {
-        String customer = customers.get(RuleChecker.operation(r.request()));
+      if (seen instanceof TraceEvent.Asked a) {
+        customers.put(InvariantChecker.operation(a.request()), a.customer());
+      } else if (seen instanceof TraceEvent.Ran r
+          && ran.add(InvariantChecker.operation(r.request()))) {
+        String customer = customers.get(InvariantChecker.operation(r.request()));
         used.computeIfAbsent(String.valueOf(customer), c -> new ArrayList<>()).add(at);
-      } else if (seen instanceof Seen.Answered a && a.status() == 429) {
+      } else if (seen instanceof TraceEvent.Answered a && a.status() == 429) {
         refused
             .computeIfAbsent(
-                String.valueOf(customers.get(RuleChecker.operation(a.request()))),
+                String.valueOf(customers.get(InvariantChecker.operation(a.request()))),
                 c -> new ArrayList<>())
             .add(at);
       }
--- a/src/main/java/fawndock/drill/DayDrill.java
+++ b/src/main/java/fawndock/scenario/DayDrill.java
@@ -1,12 +1,13 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.judge.Figures;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.judge.Worth;
-import fawndock.standin.RawClient;
-import fawndock.standin.Worker;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.PriorityWeights;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.FakeBackend;
+import fawndock.fake.RawHttpClient;
+import fawndock.policy.config.Idempotency;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -45,8 +46,8 @@
     double work =
         day.kinds().stream().mapToDouble(k -> k.share() * k.workMicros()).sum()
             / day.kinds().stream().mapToDouble(DayFile.Kind::share).sum();
-    Worker.Build build =
-        new Worker.Build(
+    FakeBackend.Build build =
+        new FakeBackend.Build(
             day.server().cores(),
             (long) work,
             day.server().queue(),
@@ -62,7 +63,7 @@
       Traffic traffic =
           new Traffic(
                   scene.vertx,
-                  new RawClient(scene.vertx, scene.recorder),
+                  new RawHttpClient(scene.vertx, scene.recorder),
                   day.kinds().stream()
                       .map(
                           k ->
@@ -87,9 +88,9 @@
       script(scene, traffic).play(Math.min(LONGEST, day.seconds()), out);
       traffic.stop();
       BadDay.awaitEnds(traffic);
-      List<Seen> trace = scene.recorder.all();
-      Figures figures = BadDay.figures(scene);
-      Verdict verdict = RuleChecker.judge(trace, figures);
+      List<TraceEvent> trace = scene.recorder.all();
+      ConformanceLimits figures = BadDay.figures(scene);
+      ConformanceResult verdict = InvariantChecker.judge(trace, figures);
       out.printf(
           "served %d, refused %d, failed %d, no answer %d%n",
           traffic.ended(200),
@@ -98,7 +99,7 @@
           traffic.ended(0));
       out.printf(
           "worth served within its aim, of what was asked inside quotas: %.2f%n",
-          Worth.judge(trace, figures));
+          PriorityWeights.judge(trace, figures));
       unknown.forEach(k -> out.println("not played, no such kind here: " + k));
       return scene.conclude(verdict, out);
     }
@@ -118,7 +119,7 @@
               k.aimMicros(),
               k.deadlineMicros(),
               k.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-'),
-              k.repeat() == fawndock.Gatekeeper.Repeat.DEDUPLICATED
+              k.repeat() == Idempotency.DEDUPLICATED
                   ? " group all window " + k.windowMicros() + "us"
                   : "",
               k.name(),
@@ -344,7 +345,7 @@
     script.at(t.at() + t.seconds(), "end of " + t.kind(), end);
   }
 
-  private static void faults(Scene s, List<Integer> on, Consumer<Worker.Faults> how) {
+  private static void faults(Scene s, List<Integer> on, Consumer<FakeBackend.Faults> how) {
     on.forEach(i -> s.workers.get(i).change(how));
   }
 
--- a/src/main/java/fawndock/drill/DayFile.java
+++ b/src/main/java/fawndock/scenario/DayFile.java
@@ -1,8 +1,8 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import fawndock.Gatekeeper.Repeat;
+import fawndock.policy.config.Idempotency;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
       long workMicros,
       long aimMicros,
       long deadlineMicros,
-      Repeat repeat,
+      Idempotency repeat,
       long windowMicros) {}
 
   /**
@@ -194,11 +194,11 @@
         day.at("/discovery/notice").asDouble(1_000_000));
   }
 
-  private static Repeat repeat(String effect) {
+  private static Idempotency repeat(String effect) {
     return switch (effect.toLowerCase(Locale.ROOT)) {
-      case "safe" -> Repeat.IDEMPOTENT;
-      case "keyed" -> Repeat.DEDUPLICATED;
-      default -> Repeat.AT_MOST_ONCE;
+      case "safe" -> Idempotency.IDEMPOTENT;
+      case "keyed" -> Idempotency.DEDUPLICATED;
+      default -> Idempotency.AT_MOST_ONCE;
     };
   }
 }
--- a/src/main/java/fawndock/drill/Demo.java
+++ b/src/main/java/fawndock/scenario/Demo.java
@@ -1,8 +1,8 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Gatekeeper.Repeat;
-import fawndock.judge.RuleChecker;
-import fawndock.standin.RawClient;
+import fawndock.conformance.InvariantChecker;
+import fawndock.fake.RawHttpClient;
+import fawndock.policy.config.Idempotency;
 import java.io.PrintStream;
 import java.util.List;
 import java.util.Map;
@@ -46,10 +46,10 @@
       Traffic traffic =
           new Traffic(
               scene.vertx,
-              new RawClient(scene.vertx, scene.recorder),
+              new RawHttpClient(scene.vertx, scene.recorder),
               List.of(
                   new Traffic.Kind(
-                      "lookup", "GET", "/tours/today", Repeat.IDEMPOTENT, 1_500_000, 1)),
+                      "lookup", "GET", "/tours/today", Idempotency.IDEMPOTENT, 1_500_000, 1)),
               customers,
               1,
               scene.gatekeepers::port,
@@ -87,7 +87,8 @@
       }
       traffic.stop();
       BadDay.awaitEnds(traffic);
-      return scene.conclude(RuleChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out)
+      return scene.conclude(
+              InvariantChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out)
           && traffic.ended(200) > 0;
     }
   }
--- a/src/main/java/fawndock/drill/Folders.java
+++ b/src/main/java/fawndock/scenario/Folders.java
@@ -1,4 +1,4 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/fawndock/drill/Gatekeepers.java
+++ b/src/main/java/fawndock/scenario/Gatekeepers.java
@@ -1,7 +1,7 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.judge.Seen;
-import fawndock.standin.Recorder;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.TraceRecorder;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetAddress;
@@ -25,7 +25,7 @@
 public final class Gatekeepers implements AutoCloseable {
   private static final int MOST_PORTS = 1_000;
   private final Path folder;
-  private final Recorder recorder;
+  private final TraceRecorder recorder;
   private final List<String> jvmOptions;
   private final Map<Integer, Process> processes = new TreeMap<>();
   private final Map<Integer, Integer> ports = new TreeMap<>();
@@ -36,7 +36,7 @@
    *
    * @param jvmOptions of each process
    */
-  public Gatekeepers(Path folder, Recorder recorder, String... jvmOptions) {
+  public Gatekeepers(Path folder, TraceRecorder recorder, String... jvmOptions) {
     this.folder = folder;
     this.recorder = recorder;
     this.jvmOptions = List.of(jvmOptions);
@@ -112,7 +112,7 @@
     synchronized (processes) {
       Process process = processes.remove(number);
       if (process != null) {
-        recorder.add(new Seen.Killed(Recorder.now(), number));
+        recorder.add(new TraceEvent.Killed(TraceRecorder.now(), number));
         process.destroyForcibly();
       }
     }
--- a/src/main/java/fawndock/drill/LargeFleet.java
+++ b/src/main/java/fawndock/scenario/LargeFleet.java
@@ -1,14 +1,14 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Gatekeeper.Repeat;
-import fawndock.judge.Figures;
-import fawndock.judge.QuotaUse;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.lab.measure.Measures;
-import fawndock.standin.RawClient;
-import fawndock.standin.Recorder;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.QuotaUsage;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.RawHttpClient;
+import fawndock.fake.TraceRecorder;
+import fawndock.measurement.Measures;
+import fawndock.policy.config.Idempotency;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -63,26 +63,26 @@
       Traffic traffic =
           new Traffic(
                   scene.vertx,
-                  new RawClient(scene.vertx, scene.recorder),
+                  new RawHttpClient(scene.vertx, scene.recorder),
                   List.of(
                       new Traffic.Kind(
-                          "lookup", "GET", "/tours/today", Repeat.IDEMPOTENT, 1_500_000, 1)),
+                          "lookup", "GET", "/tours/today", Idempotency.IDEMPOTENT, 1_500_000, 1)),
                   customers,
                   PROCESSES,
                   scene.gatekeepers::port,
                   seed)
               .tries(1);
       nodes.count(CALL);
-      long begin = Recorder.now();
+      long begin = TraceRecorder.now();
       traffic.start();
       new Script()
-          .at(QuotaUse.SETTLED, "held against the plans from here", () -> {})
+          .at(QuotaUsage.SETTLED, "held against the plans from here", () -> {})
           .play(seconds, out);
       traffic.stop();
       BadDay.awaitEnds(traffic);
-      List<Seen> trace = scene.recorder.all();
-      Figures figures = BadDay.figures(scene);
-      Verdict verdict = RuleChecker.judge(trace, figures);
+      List<TraceEvent> trace = scene.recorder.all();
+      ConformanceLimits figures = BadDay.figures(scene);
+      ConformanceResult verdict = InvariantChecker.judge(trace, figures);
       Map<String, Double> told =
           Measures.of(trace, figures.classes(), figures.plans(), List.of(), begin, seconds)
               .figures();
--- a/src/main/java/fawndock/drill/PlatformDrill.java
+++ b/src/main/java/fawndock/scenario/PlatformDrill.java
@@ -1,10 +1,10 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Logic;
+import fawndock.fake.FakePlatform;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import fawndock.platform.PlatformDaemon;
-import fawndock.standin.PlatformWorld;
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.policy.DefaultGatewayPolicy;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.concurrent.TimeUnit;
@@ -27,15 +27,15 @@
 
   /** Plays it; whether each request was answered as it should be. */
   public boolean run() throws IOException, InterruptedException {
-    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter());
-        RespServer otherCounter = new RespServer(RespServer.counter())) {
+    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter());
+        FakeRespServer otherCounter = new FakeRespServer(FakeRespServer.counter())) {
       PlatformDaemon daemon = new PlatformDaemon(world.variables());
       int[] code = {-1};
       Thread running =
           new Thread(
               () -> {
                 try {
-                  code[0] = daemon.run(Logic::new);
+                  code[0] = daemon.run(DefaultGatewayPolicy::new);
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -54,7 +54,7 @@
     }
   }
 
-  private boolean requests(PlatformWorld world, RespServer otherCounter, PlatformDaemon daemon)
+  private boolean requests(FakePlatform world, FakeRespServer otherCounter, PlatformDaemon daemon)
       throws IOException {
     RespClient[] clients = new RespClient[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++) {
@@ -70,7 +70,7 @@
       }
       boolean small = i % 10 == 9; // Customers of the small plan ask more than it holds.
       String[] words =
-          PlatformWorld.request(
+          FakePlatform.request(
               types[i % 3], small ? "small" : "large", small ? 1 : 100 + i % 50, 1_000 + i, "");
       String answer = clients[i % CONNECTIONS].ask(words);
       served += answer != null && answer.equals("value of " + words[2]) ? 1 : 0;
--- a/src/main/java/fawndock/drill/Scene.java
+++ b/src/main/java/fawndock/scenario/Scene.java
@@ -1,9 +1,9 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.judge.Verdict;
-import fawndock.standin.Recorder;
-import fawndock.standin.Roster;
-import fawndock.standin.Worker;
+import fawndock.conformance.ConformanceResult;
+import fawndock.fake.FakeBackend;
+import fawndock.fake.FakeEndpointFeed;
+import fawndock.fake.TraceRecorder;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -24,16 +24,17 @@
 public final class Scene implements AutoCloseable {
   private static final int WAIT_SECONDS = 20;
   public final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
-  public final Recorder recorder = new Recorder();
-  public final Roster roster = new Roster(vertx, recorder);
+  public final TraceRecorder recorder = new TraceRecorder();
+  public final FakeEndpointFeed roster = new FakeEndpointFeed(vertx, recorder);
   public final SceneCounter counter;
-  public final List<Worker> workers = new ArrayList<>();
+  public final List<FakeBackend> workers = new ArrayList<>();
   public final Gatekeepers gatekeepers;
   private final Path folder;
   private boolean closed;
 
   /** Workers of one build, warm and listed as running, and a counter. */
-  public Scene(int count, Worker.Build build, long seed) throws IOException, InterruptedException {
+  public Scene(int count, FakeBackend.Build build, long seed)
+      throws IOException, InterruptedException {
     this(count, build, seed, true);
   }
 
@@ -41,7 +42,7 @@
    * @param counted whether there is a counter; without, the settings must name what the gatekeepers
    *     ask
    */
-  public Scene(int count, Worker.Build build, long seed, boolean counted)
+  public Scene(int count, FakeBackend.Build build, long seed, boolean counted)
       throws IOException, InterruptedException {
     folder = Files.createTempDirectory("fawndock-drill");
     gatekeepers =
@@ -50,8 +51,8 @@
     counter = counted ? new SceneCounter(vertx, folder) : null;
     Set<String> keys = ConcurrentHashMap.newKeySet();
     for (int i = 0; i < count; i++) {
-      Worker worker =
-          new Worker(vertx, "worker-" + i, build, recorder, seed * 1_000 + i)
+      FakeBackend worker =
+          new FakeBackend(vertx, "worker-" + i, build, recorder, seed * 1_000 + i)
               .droppingRepeatsBy(keys);
       workers.add(worker);
       await(worker.start(false));
@@ -60,9 +61,9 @@
   }
 
   /** How the roster lists a worker. */
-  public Roster.Entry entry(int worker, String state) {
-    Worker w = workers.get(worker);
-    return new Roster.Entry(w.id(), w.port(), "here", worker / 4, state, w.startedAt());
+  public FakeEndpointFeed.Entry entry(int worker, String state) {
+    FakeBackend w = workers.get(worker);
+    return new FakeEndpointFeed.Entry(w.id(), w.port(), "here", worker / 4, state, w.startedAt());
   }
 
   /**
@@ -149,7 +150,7 @@
    * Ends a drill: prints the breaches, closes everything, and prints the verdict last. The
    * gatekeepers' settings and logs stay when a rule was broken.
    */
-  public boolean conclude(Verdict verdict, PrintStream out) throws IOException {
+  public boolean conclude(ConformanceResult verdict, PrintStream out) throws IOException {
     verdict.breaches().forEach(b -> out.println("  " + b));
     end(verdict.kept(), out);
     out.println(verdict.line());
--- a/src/main/java/fawndock/drill/SceneCounter.java
+++ b/src/main/java/fawndock/scenario/SceneCounter.java
@@ -1,6 +1,6 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.standin.Relay;
+import fawndock.fake.FaultInjectingProxy;
 import io.vertx.core.Vertx;
 import java.io.IOException;
 import java.math.BigDecimal;
@@ -17,7 +17,7 @@
  */
 public final class SceneCounter implements AutoCloseable {
   private final CounterProcess process;
-  private final Relay relay;
+  private final FaultInjectingProxy relay;
 
   SceneCounter(Vertx vertx, Path folder) throws IOException {
     process =
@@ -27,7 +27,7 @@
             "-Xmx128m",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1");
-    relay = new Relay(vertx, process.port());
+    relay = new FaultInjectingProxy(vertx, process.port());
     try {
       process.start().get(Child.START_SECONDS, TimeUnit.SECONDS);
       Scene.await(relay.start());
--- a/src/main/java/fawndock/drill/Totals.java
+++ b/src/main/java/fawndock/scenario/Totals.java
@@ -1,4 +1,4 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import java.math.BigDecimal;
 import java.util.ArrayList;
--- a/src/main/java/fawndock/drill/Traffic.java
+++ b/src/main/java/fawndock/scenario/Traffic.java
@@ -1,7 +1,7 @@
-package fawndock.drill;
+package fawndock.scenario;
 
-import fawndock.Gatekeeper.Repeat;
-import fawndock.standin.RawClient;
+import fawndock.fake.RawHttpClient;
+import fawndock.policy.config.Idempotency;
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.Map;
@@ -22,11 +22,16 @@
 
   /** A kind of request and its share of all. */
   public record Kind(
-      String type, String method, String path, Repeat repeat, long remainingMicros, double share) {}
+      String type,
+      String method,
+      String path,
+      Idempotency repeat,
+      long remainingMicros,
+      double share) {}
 
   private static final int MOST_AT_ONCE = 4_000;
   private final Vertx vertx;
-  private final RawClient client;
+  private final RawHttpClient client;
   private final List<Kind> kinds;
   private final List<Customer> customers;
   private final IntUnaryOperator port;
@@ -55,7 +60,7 @@
    */
   public Traffic(
       Vertx vertx,
-      RawClient client,
+      RawHttpClient client,
       List<Kind> kinds,
       List<Customer> customers,
       int gatekeepers,
@@ -209,10 +214,10 @@
     }
     open.incrementAndGet();
     int gatekeeper = gatekeeper(customer);
-    boolean leaves = kind.repeat() != Repeat.AT_MOST_ONCE && random.nextDouble() < leaving;
-    String key = kind.repeat() == Repeat.DEDUPLICATED ? operation : null;
+    boolean leaves = kind.repeat() != Idempotency.AT_MOST_ONCE && random.nextDouble() < leaving;
+    String key = kind.repeat() == Idempotency.DEDUPLICATED ? operation : null;
     client.send(
-        new RawClient.Call(
+        new RawHttpClient.Call(
             operation + "." + attempt,
             gatekeeper,
             port.applyAsInt(gatekeeper),
@@ -236,12 +241,12 @@
   }
 
   private void again(
-      Customer customer, Kind kind, String operation, int attempt, RawClient.End end) {
+      Customer customer, Kind kind, String operation, int attempt, RawHttpClient.End end) {
     // A request that may have run is the client's to repeat only when its class allows that.
     boolean harmless =
         end.status() == 429
             || end.status() == 503
-            || kind.repeat() == Repeat.IDEMPOTENT && end.status() != 200;
+            || kind.repeat() == Idempotency.IDEMPOTENT && end.status() != 200;
     if (attempt + 1 >= (abuse ? 2 * tries : tries)
         || end.status() == 200
         || !harmless && !end.left()) {
--- a/src/main/java/fawndock/drill/package-info.java
+++ b/src/main/java/fawndock/scenario/package-info.java
@@ -3,4 +3,4 @@
  * the judge of the five rules. The judge knows only what the stand-ins recorded at their sockets;
  * it never reads a gatekeeper's log.
  */
-package fawndock.drill;
+package fawndock.scenario;
--- a/src/main/java/fawndock/settings/Mistake.java
+++ b/src/main/java/fawndock/settings/ConfigurationError.java
@@ -8,7 +8,7 @@
  * @param wrong what is wrong
  * @param expected what would be right
  */
-public record Mistake(String file, int line, String wrong, String expected) {
+public record ConfigurationError(String file, int line, String wrong, String expected) {
   @Override
   public String toString() {
     return file + ":" + line + ": " + wrong + ", expected " + expected;
--- a/src/main/java/fawndock/settings/SettingsException.java
+++ b/src/main/java/fawndock/settings/ConfigurationException.java
@@ -4,17 +4,17 @@
 import java.util.stream.Collectors;
 
 /** Settings that cannot be used, with all that is wrong with them. */
-public final class SettingsException extends Exception {
+public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1;
-  private final transient List<Mistake> mistakes;
+  private final transient List<ConfigurationError> mistakes;
 
-  SettingsException(List<Mistake> mistakes) {
-    super(mistakes.stream().map(Mistake::toString).collect(Collectors.joining("\n")));
+  ConfigurationException(List<ConfigurationError> mistakes) {
+    super(mistakes.stream().map(ConfigurationError::toString).collect(Collectors.joining("\n")));
     this.mistakes = List.copyOf(mistakes);
   }
 
   /** Every mistake found, in the order of files and lines. */
-  public List<Mistake> mistakes() {
+  public List<ConfigurationError> mistakes() {
     return mistakes;
   }
 }
--- a/src/main/java/fawndock/settings/Line.java
+++ b/src/main/java/fawndock/settings/ConfigurationLine.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** One line that says something: its first word is the keyword, the others its arguments. */
-public record Line(String file, int number, List<String> words) {
+public record ConfigurationLine(String file, int number, List<String> words) {
   public String keyword() {
     return words.get(0);
   }
--- a/src/main/java/fawndock/settings/CounterSettings.java
+++ b/src/main/java/fawndock/settings/CounterSettings.java
@@ -1,7 +1,7 @@
 package fawndock.settings;
 
-import fawndock.counter.core.GroupCommit.Durability;
-import fawndock.settings.DaemonSettings.Log;
+import fawndock.counter.storage.GroupCommit.Durability;
+import fawndock.settings.GatewaySettings.Log;
 import java.nio.file.Path;
 import java.util.Map;
 
--- a/src/main/java/fawndock/settings/CounterSettingsFile.java
+++ b/src/main/java/fawndock/settings/CounterSettingsFile.java
@@ -1,15 +1,15 @@
 package fawndock.settings;
 
-import fawndock.counter.core.GroupCommit.Durability;
+import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.CounterSettings.Fleet;
-import fawndock.settings.DaemonSettings.Log;
+import fawndock.settings.GatewaySettings.Log;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
 /** Reads the counter's settings; what each keyword means is in docs/operations/counter.md. */
-public final class CounterSettingsFile extends KeywordFile {
+public final class CounterSettingsFile extends ConfigurationFile {
   private static final long MINUTE = 60_000_000L;
   private static final long LARGEST_LOG = 64L << 30;
   private Address listen;
@@ -30,21 +30,21 @@
     keywords.put(
         "listen",
         line -> {
-          Args a = args(line, 1, "listen HOST:PORT");
+          LineArguments a = args(line, 1, "listen HOST:PORT");
           listen = a.address(0);
           a.finish();
         });
     keywords.put(
         "directory",
         line -> {
-          Args a = args(line, 1, "directory PATH");
+          LineArguments a = args(line, 1, "directory PATH");
           directory = file.toAbsolutePath().getParent().resolve(a.place(0));
           a.finish();
         });
     keywords.put(
         "durability",
         line -> {
-          Args a = args(line, 1, "durability always|interval|none [every TIME]");
+          LineArguments a = args(line, 1, "durability always|interval|none [every TIME]");
           try {
             durability = Durability.valueOf(a.place(0).toUpperCase(java.util.Locale.ROOT));
           } catch (IllegalArgumentException e) {
@@ -56,35 +56,35 @@
     keywords.put(
         "snapshot",
         line -> {
-          Args a = args(line, 0, "snapshot after SIZE");
+          LineArguments a = args(line, 0, "snapshot after SIZE");
           snapshotAfter = a.sizeOf("after", a.word("after", "64MiB"), LARGEST_LOG);
           a.finish();
         });
     keywords.put(
         "password",
         line -> {
-          Args a = args(line, 1, "password WORD");
+          LineArguments a = args(line, 1, "password WORD");
           password = a.place(0);
           a.finish();
         });
     keywords.put(
         "max-connections",
         line -> {
-          Args a = args(line, 1, "max-connections NUMBER");
+          LineArguments a = args(line, 1, "max-connections NUMBER");
           maxConnections = a.wholeOf("max-connections", a.place(0), 1, 1_000_000, 10_000);
           a.finish();
         });
     keywords.put(
         "max-memory",
         line -> {
-          Args a = args(line, 1, "max-memory SIZE");
+          LineArguments a = args(line, 1, "max-memory SIZE");
           maxMemory = a.sizeOf("max-memory", a.place(0), Runtime.getRuntime().maxMemory());
           a.finish();
         });
     keywords.put(
         "stall",
         line -> {
-          Args a = args(line, 1, "stall TIME");
+          LineArguments a = args(line, 1, "stall TIME");
           stallMillis = a.timeOf("stall", a.place(0), 100_000, 60 * MINUTE, 10_000_000) / 1_000;
           a.finish();
         });
@@ -92,7 +92,7 @@
     keywords.put(
         "fleet",
         line -> {
-          Args a = args(line, 1, "fleet NAME [epoch N] [missing TIME] [alone TIME]");
+          LineArguments a = args(line, 1, "fleet NAME [epoch N] [missing TIME] [alone TIME]");
           fleet =
               new Fleet(
                   a.place(0),
@@ -108,7 +108,7 @@
     keywords.put(
         "fellow",
         line -> {
-          Args a = args(line, 2, "fellow NAME HOST:PORT");
+          LineArguments a = args(line, 2, "fellow NAME HOST:PORT");
           Address address = a.address(1);
           if (fellows.putIfAbsent(a.place(0), address) != null) {
             a.wrong("fellow " + a.place(0) + " is given twice", "each fellow once");
@@ -126,13 +126,13 @@
   /**
    * Reads a settings file and all that it includes; a relative directory is beside the file.
    *
-   * @throws SettingsException with every mistake when there is any
+   * @throws ConfigurationException with every mistake when there is any
    */
-  public static CounterSettings read(Path file) throws SettingsException {
+  public static CounterSettings read(Path file) throws ConfigurationException {
     return new CounterSettingsFile(file).all(file);
   }
 
-  private CounterSettings all(Path file) throws SettingsException {
+  private CounterSettings all(Path file) throws ConfigurationException {
     lines(file);
     missing(listen == null, "no listen", "listen HOST:PORT");
     missing(directory == null, "no directory", "directory PATH");
--- a/src/main/java/fawndock/settings/Entries.java
+++ b/src/main/java/fawndock/settings/Entries.java
@@ -1,11 +1,11 @@
 package fawndock.settings;
 
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 
 /**
  * The entries that a gatekeeper is started with: what a line says, and what in it does not go
@@ -18,7 +18,7 @@
   private Entries() {}
 
   /** Reads what a {@code class} line says. */
-  public static RequestClass requestClass(Args a) {
+  public static RequestClass requestClass(LineArguments a) {
     long deadline = a.time("deadline", 1_000, HOUR, 1_000_000);
     RequestClass c =
         new RequestClass(
@@ -28,21 +28,21 @@
             deadline,
             a.number("worth", 0, MANY, 1),
             a.number("late-worth", 0, 1, 0),
-            a.oneOf("repeat", Repeat.class, Repeat.AT_MOST_ONCE),
-            a.oneOf("group", Group.class, Group.CELL),
+            a.oneOf("repeat", Idempotency.class, Idempotency.AT_MOST_ONCE),
+            a.oneOf("group", DeduplicationScope.class, DeduplicationScope.CELL),
             a.time("window", 0, HOUR, 0),
             a.flag("streamed", false));
-    if (c.aimMicros() > c.deadlineMicros()) {
+    if (c.latencyObjectiveMicros() > c.deadlineMicros()) {
       a.wrong("the aim of " + c.name() + " is beyond its deadline", "aim at most deadline");
     }
-    if (c.repeat() == Repeat.DEDUPLICATED && c.repeatWindowMicros() == 0) {
+    if (c.idempotency() == Idempotency.DEDUPLICATED && c.deduplicationWindowMicros() == 0) {
       a.wrong("class " + c.name() + " is deduplicated without a window", "window TIME");
     }
     return c;
   }
 
   /** Reads what a {@code plan} line says. */
-  public static Plan plan(Args a) {
+  public static Plan plan(LineArguments a) {
     Plan p =
         new Plan(
             a.place(0),
@@ -55,10 +55,10 @@
             a.number("ceiling-rate", 0, MANY, 0),
             a.number("ceiling-burst", 0, MANY, 0),
             a.number("ceiling-slack", 0, MANY, 0));
-    if (p.rate() > 0 && p.storeSize() <= 0) {
+    if (p.unitsPerSecond() > 0 && p.burstUnits() <= 0) {
       a.wrong("plan " + p.name() + " has a rate and no store", "store N above 0");
     }
-    if (p.ceilingRate() > 0 && p.ceilingBurst() <= 0) {
+    if (p.ceilingUnitsPerSecond() > 0 && p.ceilingBurstUnits() <= 0) {
       a.wrong(
           "plan " + p.name() + " has a ceiling-rate and no ceiling-burst",
           "ceiling-burst N above 0");
@@ -67,8 +67,8 @@
   }
 
   /** Reads what a {@code limits} line says. */
-  public static Limits limits(Args a) {
-    return new Limits(
+  public static GatewayLimits limits(LineArguments a) {
+    return new GatewayLimits(
         a.whole("attempts", 1, 100, 3),
         a.whole("open", 1, 1_000_000, 10_000),
         a.time("retry-after", 0, HOUR, 30_000_000),
@@ -80,8 +80,8 @@
   }
 
   /** Reads what a {@code rules} line says. */
-  public static Rules rules(Args a) {
-    return new Rules(
+  public static ServiceRules rules(LineArguments a) {
+    return new ServiceRules(
         a.time("answer-grace", 0, HOUR, 10_000),
         a.time("drain-grace", 0, HOUR, 2_000_000),
         a.number("cold-share", 0, 1, 0.2),
--- a/src/main/java/fawndock/settings/DaemonSettings.java
+++ b/src/main/java/fawndock/settings/GatewaySettings.java
@@ -1,9 +1,9 @@
 package fawndock.settings;
 
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.util.List;
 import java.util.Map;
 
@@ -29,7 +29,7 @@
  * @param log how it is logged
  * @param rateLimit the gRPC rate limit service
  */
-public record DaemonSettings(
+public record GatewaySettings(
     Address listen,
     int instances,
     int first,
@@ -40,8 +40,8 @@
     List<Plan> plans,
     Map<String, Key> keys,
     List<Route> routes,
-    Limits limits,
-    Rules rules,
+    GatewayLimits limits,
+    ServiceRules rules,
     CounterParts counter,
     RosterSource roster,
     Peers peers,
--- a/src/main/java/fawndock/settings/Args.java
+++ b/src/main/java/fawndock/settings/LineArguments.java
@@ -11,9 +11,9 @@
  * The arguments of one line: some by place, then pairs of a name and a value. Notes every mistake
  * it meets.
  */
-public final class Args {
-  private final Line line;
-  private final List<Mistake> mistakes;
+public final class LineArguments {
+  private final ConfigurationLine line;
+  private final List<ConfigurationError> mistakes;
   private final List<String> placed = new ArrayList<>();
   private final Map<String, String> named = new LinkedHashMap<>();
   private final int before;
@@ -22,7 +22,8 @@
    * Takes a line whose first {@code places} arguments go by place; {@code form} shows how it is
    * written.
    */
-  Args(Line line, int places, String form, List<Mistake> mistakes) {
+  LineArguments(
+      ConfigurationLine line, int places, String form, List<ConfigurationError> mistakes) {
     this.line = line;
     this.mistakes = mistakes;
     this.before = mistakes.size();
@@ -47,7 +48,7 @@
   }
 
   public void wrong(String wrong, String expected) {
-    mistakes.add(new Mistake(line.file(), line.number(), wrong, expected));
+    mistakes.add(new ConfigurationError(line.file(), line.number(), wrong, expected));
   }
 
   public String place(int i) {
--- a/src/main/java/fawndock/settings/LineReader.java
+++ b/src/main/java/fawndock/settings/LineReader.java
@@ -18,14 +18,14 @@
   private static final int DEEPEST = 8;
   private static final int MOST_LINES = 1_000_000;
   private static final long LARGEST = 64L << 20;
-  private final List<Line> lines = new ArrayList<>();
-  private final List<Mistake> mistakes;
+  private final List<ConfigurationLine> lines = new ArrayList<>();
+  private final List<ConfigurationError> mistakes;
 
-  LineReader(List<Mistake> mistakes) {
+  LineReader(List<ConfigurationError> mistakes) {
     this.mistakes = mistakes;
   }
 
-  List<Line> read(Path file) {
+  List<ConfigurationLine> read(Path file) {
     include(file, file.toString(), 0, 0);
     return lines;
   }
@@ -33,7 +33,7 @@
   private void include(Path file, String namedIn, int line, int depth) {
     if (depth > DEEPEST) {
       mistakes.add(
-          new Mistake(
+          new ConfigurationError(
               namedIn,
               line,
               "includes are nested more than " + DEEPEST + " deep",
@@ -43,12 +43,14 @@
     String text;
     try {
       if (Files.isRegularFile(file) && Files.size(file) > LARGEST) {
-        mistakes.add(new Mistake(namedIn, line, file + " is over 64 MiB", "a settings file"));
+        mistakes.add(
+            new ConfigurationError(namedIn, line, file + " is over 64 MiB", "a settings file"));
         return;
       }
       text = new String(Files.readAllBytes(file), StandardCharsets.UTF_8);
     } catch (IOException | SecurityException e) {
-      mistakes.add(new Mistake(namedIn, line, "cannot read " + file, "a file that can be read"));
+      mistakes.add(
+          new ConfigurationError(namedIn, line, "cannot read " + file, "a file that can be read"));
       return;
     }
     int number = 0;
@@ -60,16 +62,16 @@
       }
       if (lines.size() >= MOST_LINES) {
         mistakes.add(
-            new Mistake(
+            new ConfigurationError(
                 file.toString(), number, "more than " + MOST_LINES + " lines in all", "fewer"));
         return;
       }
-      Line line1 = new Line(file.toString(), number, words.get());
+      ConfigurationLine line1 = new ConfigurationLine(file.toString(), number, words.get());
       if (!line1.keyword().equals("include")) {
         lines.add(line1);
       } else if (line1.words().size() != 2) {
         mistakes.add(
-            new Mistake(
+            new ConfigurationError(
                 file.toString(),
                 number,
                 "include names " + (line1.words().size() - 1) + " files",
@@ -104,7 +106,8 @@
         }
         if (quoted) {
           mistakes.add(
-              new Mistake(file, number, "a quote is not closed", "\" before the line ends"));
+              new ConfigurationError(
+                  file, number, "a quote is not closed", "\" before the line ends"));
           return Optional.empty();
         }
         words.add(word.toString());
