--- a/src/main/java/fawndock/settings/SettingsFile.java
+++ b/src/main/java/fawndock/settings/SettingsFile.java
@@ -1,19 +1,19 @@
 package fawndock.settings;
 
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.settings.DaemonSettings.CounterParts;
-import fawndock.settings.DaemonSettings.Descriptor;
-import fawndock.settings.DaemonSettings.FixedServer;
-import fawndock.settings.DaemonSettings.Http;
-import fawndock.settings.DaemonSettings.Key;
-import fawndock.settings.DaemonSettings.Log;
-import fawndock.settings.DaemonSettings.Peers;
-import fawndock.settings.DaemonSettings.RateLimit;
-import fawndock.settings.DaemonSettings.RosterSource;
-import fawndock.settings.DaemonSettings.Route;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.Descriptor;
+import fawndock.settings.GatewaySettings.FixedServer;
+import fawndock.settings.GatewaySettings.Http;
+import fawndock.settings.GatewaySettings.Key;
+import fawndock.settings.GatewaySettings.Log;
+import fawndock.settings.GatewaySettings.Peers;
+import fawndock.settings.GatewaySettings.RateLimit;
+import fawndock.settings.GatewaySettings.RosterSource;
+import fawndock.settings.GatewaySettings.Route;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -27,7 +27,7 @@
  * Reads the daemon's settings. Every keyword that may stand in a file is in {@link #keywords}; what
  * each means is in the operators' manual.
  */
-public final class SettingsFile extends KeywordFile {
+public final class SettingsFile extends ConfigurationFile {
   private static final long HOUR = Entries.HOUR;
   private static final double MANY = Entries.MANY;
   private static final Set<String> OFTEN =
@@ -47,8 +47,10 @@
   private final Map<Integer, Address> others = new TreeMap<>();
   private Address peerListen;
   private int peerIntake = 100;
-  private Limits limits = new Limits(3, 10_000, 30_000_000, false, true, false, true, true);
-  private Rules rules = new Rules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000);
+  private GatewayLimits limits =
+      new GatewayLimits(3, 10_000, 30_000_000, false, true, false, true, true);
+  private ServiceRules rules =
+      new ServiceRules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000);
   private CounterParts counter = new CounterParts(List.of(), Map.of(), 50_000, false, 4096);
   private final Map<String, Address> counterNodes = new TreeMap<>();
   private Address roster;
@@ -75,21 +77,21 @@
     keywords.put(
         "listen",
         line -> {
-          Args a = args(line, 1, "listen HOST:PORT");
+          LineArguments a = args(line, 1, "listen HOST:PORT");
           listen = a.address(0);
           a.finish();
         });
     keywords.put(
         "instances",
         line -> {
-          Args a = args(line, 1, "instances NUMBER");
+          LineArguments a = args(line, 1, "instances NUMBER");
           instances = a.wholeOf("instances", a.place(0), 1, 64, 1);
           a.finish();
         });
     keywords.put(
         "gatekeeper",
         line -> {
-          Args a = args(line, 1, "gatekeeper NUMBER of FLEET");
+          LineArguments a = args(line, 1, "gatekeeper NUMBER of FLEET");
           first = a.wholeOf("gatekeeper", a.place(0), 0, 9_999, 0);
           fleet = a.whole("of", 1, 10_000, 1);
           a.finish();
@@ -107,14 +109,14 @@
     keywords.put(
         "seed",
         line -> {
-          Args a = args(line, 1, "seed NUMBER");
+          LineArguments a = args(line, 1, "seed NUMBER");
           seed = a.wholeOf("seed", a.place(0), 0, 999_999_999, 1);
           a.finish();
         });
     keywords.put(
         "zone",
         line -> {
-          Args a = args(line, 1, "zone NAME");
+          LineArguments a = args(line, 1, "zone NAME");
           zone = a.place(0);
           a.finish();
         });
@@ -129,7 +131,7 @@
     keywords.put(
         "counter-node",
         line -> {
-          Args a = args(line, 2, "counter-node NAME HOST:PORT");
+          LineArguments a = args(line, 2, "counter-node NAME HOST:PORT");
           Address address = a.address(1);
           if (counterNodes.putIfAbsent(a.place(0), address) != null) {
             a.wrong("counter-node " + a.place(0) + " is given twice", "each node once");
@@ -140,7 +142,7 @@
     keywords.put(
         "roster",
         line -> {
-          Args a = args(line, 1, "roster HOST:PORT [silence TIME] [must-ask yes|no]");
+          LineArguments a = args(line, 1, "roster HOST:PORT [silence TIME] [must-ask yes|no]");
           roster = a.good() ? a.addressOf(a.place(0)) : null;
           rosterSilence = a.time("silence", 100_000, HOUR, 5_000_000);
           rosterAsk = a.flag("must-ask", false);
@@ -149,7 +151,7 @@
     keywords.put(
         "peer",
         line -> {
-          Args a = args(line, 2, "peer NUMBER HOST:PORT");
+          LineArguments a = args(line, 2, "peer NUMBER HOST:PORT");
           int number = a.wholeOf("peer", a.place(0), 0, 9_999, 0);
           if (a.good() && others.put(number, a.addressOf(a.place(1))) != null) {
             a.wrong("peer " + number + " is given twice", "each peer once");
@@ -164,7 +166,7 @@
     keywords.put(
         "peer-listen",
         line -> {
-          Args a = args(line, 1, "peer-listen HOST:PORT [intake MESSAGES-A-SECOND]");
+          LineArguments a = args(line, 1, "peer-listen HOST:PORT [intake MESSAGES-A-SECOND]");
           peerListen = a.good() ? a.addressOf(a.place(0)) : null;
           peerIntake = a.whole("intake", 1, 100_000, 100);
           a.finish();
@@ -172,7 +174,7 @@
     keywords.put(
         "headers",
         line -> {
-          Args a =
+          LineArguments a =
               args(
                   line,
                   0,
@@ -187,7 +189,7 @@
     keywords.put(
         "sizes",
         line -> {
-          Args a = args(line, 0, "sizes [body SIZE] [answer SIZE]");
+          LineArguments a = args(line, 0, "sizes [body SIZE] [answer SIZE]");
           bodyLimit = (int) a.sizeOf("body", a.word("body", "64KiB"), 64 << 20);
           answerLimit = (int) a.sizeOf("answer", a.word("answer", "1MiB"), 64 << 20);
           a.finish();
@@ -195,7 +197,8 @@
     keywords.put(
         "pool",
         line -> {
-          Args a = args(line, 0, "pool [connections NUMBER] [streams NUMBER] [connect TIME]");
+          LineArguments a =
+              args(line, 0, "pool [connections NUMBER] [streams NUMBER] [connect TIME]");
           connections = a.whole("connections", 1, 1_000, 2);
           streams = a.whole("streams", 1, 100_000, 250);
           connectMicros = a.time("connect", 1_000, 60_000_000, 1_000_000);
@@ -204,14 +207,14 @@
     keywords.put(
         "stop",
         line -> {
-          Args a = args(line, 1, "stop TIME");
+          LineArguments a = args(line, 1, "stop TIME");
           stopMicros = a.timeOf("stop", a.place(0), 0, HOUR, 30_000_000);
           a.finish();
         });
     keywords.put(
         "max-connections",
         line -> {
-          Args a = args(line, 1, "max-connections NUMBER");
+          LineArguments a = args(line, 1, "max-connections NUMBER");
           maxConnections = a.wholeOf("max-connections", a.place(0), 1, 1_000_000, 20_000);
           a.finish();
         });
@@ -219,7 +222,7 @@
     keywords.put(
         "rate-limit",
         line -> {
-          Args a = args(line, 1, "rate-limit HOST:PORT");
+          LineArguments a = args(line, 1, "rate-limit HOST:PORT");
           rateLimit = a.good() ? a.addressOf(a.place(0)) : null;
           a.finish();
         });
@@ -229,13 +232,13 @@
   /**
    * Reads a settings file and all that it includes.
    *
-   * @throws SettingsException with every mistake when there is any
+   * @throws ConfigurationException with every mistake when there is any
    */
-  public static DaemonSettings read(Path file) throws SettingsException {
+  public static GatewaySettings read(Path file) throws ConfigurationException {
     return new SettingsFile().all(file);
   }
 
-  private DaemonSettings all(Path file) throws SettingsException {
+  private GatewaySettings all(Path file) throws ConfigurationException {
     lines(file);
     missing(listen == null, "no listen", "listen HOST:PORT");
     missing(classes.isEmpty(), "no class", "class NAME aim TIME deadline TIME");
@@ -247,7 +250,7 @@
     finish();
     List<Route> longestFirst = new ArrayList<>(routes);
     longestFirst.sort((a, b) -> b.prefix().length() - a.prefix().length());
-    return new DaemonSettings(
+    return new GatewaySettings(
         listen,
         instances,
         first,
@@ -285,7 +288,7 @@
         new RateLimit(rateLimit, List.copyOf(descriptors)));
   }
 
-  private String header(Args a, String what, String otherwise) {
+  private String header(LineArguments a, String what, String otherwise) {
     String name = a.word(what, otherwise);
     if (!name.isEmpty() && !name.matches("[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}")) {
       a.wrong("'" + name + "' cannot be a header field's name", "letters, digits and -");
@@ -293,8 +296,8 @@
     return name;
   }
 
-  private void requestClass(Line line) {
-    Args a =
+  private void requestClass(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             1,
@@ -307,8 +310,8 @@
     a.finish();
   }
 
-  private void plan(Line line) {
-    Args a =
+  private void plan(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             1,
@@ -321,8 +324,8 @@
     a.finish();
   }
 
-  private void key(Line line) {
-    Args a = args(line, 1, "key KEY customer NAME plan NAME [first NUMBER spread NUMBER]");
+  private void key(ConfigurationLine line) {
+    LineArguments a = args(line, 1, "key KEY customer NAME plan NAME [first NUMBER spread NUMBER]");
     Key key =
         new Key(
             a.word("customer", ""),
@@ -348,8 +351,8 @@
         "first below it, spread at most it");
   }
 
-  private void route(Line line) {
-    Args a = args(line, 3, "route METHOD PATH CLASS");
+  private void route(ConfigurationLine line) {
+    LineArguments a = args(line, 3, "route METHOD PATH CLASS");
     Route route = new Route(a.place(0), a.place(1), a.place(2));
     if (a.good() && !route.prefix().startsWith("/")) {
       a.wrong("path '" + route.prefix() + "'", "a path that starts with /");
@@ -371,8 +374,8 @@
         "the name of a class line");
   }
 
-  private void descriptor(Line line) {
-    Args a =
+  private void descriptor(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             2,
@@ -422,8 +425,8 @@
         "rate-limit HOST:PORT");
   }
 
-  private void server(Line line) {
-    Args a = args(line, 2, "server ID HOST:PORT [zone NAME] [cell NUMBER] [weight N]");
+  private void server(ConfigurationLine line) {
+    LineArguments a = args(line, 2, "server ID HOST:PORT [zone NAME] [cell NUMBER] [weight N]");
     FixedServer s =
         new FixedServer(
             a.place(0),
@@ -437,8 +440,8 @@
     a.finish();
   }
 
-  private void limits(Line line) {
-    Args a =
+  private void limits(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             0,
@@ -448,8 +451,8 @@
     a.finish();
   }
 
-  private void rules(Line line) {
-    Args a =
+  private void rules(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             0,
@@ -459,9 +462,10 @@
     a.finish();
   }
 
-  private void counter(Line line) {
+  private void counter(ConfigurationLine line) {
     List<Address> parts = new ArrayList<>();
-    Args a = args(line, line.words().size() - 1, line.keyword() + " HOST:PORT [HOST:PORT ...]");
+    LineArguments a =
+        args(line, line.words().size() - 1, line.keyword() + " HOST:PORT [HOST:PORT ...]");
     for (String each : line.words().subList(1, line.words().size())) {
       Address address = a.addressOf(each);
       if (parts.contains(address)) {
@@ -482,8 +486,9 @@
             counter.maxCalls());
   }
 
-  private void counterLimits(Line line) {
-    Args a = args(line, 0, "counter-limits [timeout TIME] [calls NUMBER] [settled yes|no]");
+  private void counterLimits(ConfigurationLine line) {
+    LineArguments a =
+        args(line, 0, "counter-limits [timeout TIME] [calls NUMBER] [settled yes|no]");
     counter =
         new CounterParts(
             counter.parts(),
--- a/src/main/java/fawndock/lab/emu/Agenda.java
+++ b/src/main/java/fawndock/simulation/Agenda.java
@@ -1,4 +1,4 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
 import java.util.PriorityQueue;
 
--- a/src/main/java/fawndock/lab/emu/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -1,12 +1,12 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.lab.load.Manners;
-import fawndock.lab.load.Shape;
-import fawndock.standin.Worker;
+import fawndock.fake.FakeBackend;
+import fawndock.loadgen.Manners;
+import fawndock.loadgen.Shape;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -29,15 +29,15 @@
     int gatekeepers,
     int workers,
     int zones,
-    Worker.Build build,
+    FakeBackend.Build build,
     double thrash,
     Network network,
     Counter counter,
     long rosterMicros,
     List<RequestClass> classes,
     List<Plan> plans,
-    Limits limits,
-    Rules rules,
+    GatewayLimits limits,
+    ServiceRules rules,
     List<Demand> demands,
     double seconds,
     long seed) {
--- a/src/main/java/fawndock/lab/emu/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -1,18 +1,18 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.Gatekeeper.Settings;
-import fawndock.lab.load.Words;
-import fawndock.settings.Args;
+import fawndock.fake.FakeBackend.Build;
+import fawndock.loadgen.Words;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.ConfigurationFile;
+import fawndock.settings.ConfigurationLine;
 import fawndock.settings.Entries;
-import fawndock.settings.KeywordFile;
-import fawndock.settings.Line;
-import fawndock.settings.SettingsException;
-import fawndock.standin.Worker.Build;
+import fawndock.settings.LineArguments;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -26,7 +26,7 @@
  * Reads a deployment to be emulated, with its troubles; what each keyword means is in
  * docs/operations/emulate.md.
  */
-public final class DeploymentFile extends KeywordFile {
+public final class DeploymentFile extends ConfigurationFile {
   /**
    * What was read.
    *
@@ -40,7 +40,7 @@
       List<Mark> marks,
       String settings) {
     /** The run that the file describes, ready to begin. */
-    public Emulation emulation(Function<Settings, Gatekeeper> maker) {
+    public Emulation emulation(Function<PolicyConfig, GatewayPolicy> maker) {
       Emulation made = new Emulation(deployment, maker);
       troubles.forEach(trouble -> trouble.accept(made));
       return made;
@@ -97,8 +97,10 @@
   private Deployment.Network network = new Deployment.Network(200, 100, 0);
   private Deployment.Counter counter = new Deployment.Counter(20_000, 50_000, 1, 0, 0);
   private long roster = 1_000_000;
-  private Limits limits = new Limits(3, 10_000, 30 * SECOND, false, true, false, true, true);
-  private Rules rules = new Rules(10_000, 2 * SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND);
+  private GatewayLimits limits =
+      new GatewayLimits(3, 10_000, 30 * SECOND, false, true, false, true, true);
+  private ServiceRules rules =
+      new ServiceRules(10_000, 2 * SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND);
   private double seconds = 60;
   private long seed = 1;
 
@@ -111,7 +113,7 @@
     keywords.put(
         "network",
         line -> {
-          Args a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+          LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
           network =
               new Deployment.Network(
                   a.time("way", 1, SECOND, 200),
@@ -122,7 +124,7 @@
     keywords.put(
         "counter",
         line -> {
-          Args a =
+          LineArguments a =
               args(
                   line,
                   0,
@@ -142,7 +144,7 @@
     keywords.put(
         "class",
         line -> {
-          Args a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+          LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
           RequestClass c = Entries.requestClass(a);
           if (classes.putIfAbsent(c.name(), c) != null) {
             a.wrong("class " + c.name() + " is given twice", "each class once");
@@ -152,7 +154,7 @@
     keywords.put(
         "plan",
         line -> {
-          Args a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+          LineArguments a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
           Plan p = Entries.plan(a);
           if (plans.putIfAbsent(p.name(), p) != null) {
             a.wrong("plan " + p.name() + " is given twice", "each plan once");
@@ -162,14 +164,14 @@
     keywords.put(
         "limits",
         line -> {
-          Args a = args(line, 0, "limits [ARGUMENT VALUE ...]");
+          LineArguments a = args(line, 0, "limits [ARGUMENT VALUE ...]");
           limits = Entries.limits(a);
           a.finish();
         });
     keywords.put(
         "rules",
         line -> {
-          Args a = args(line, 0, "rules [ARGUMENT VALUE ...]");
+          LineArguments a = args(line, 0, "rules [ARGUMENT VALUE ...]");
           rules = Entries.rules(a);
           a.finish();
         });
@@ -177,15 +179,15 @@
     keywords.put("trouble", this::trouble);
   }
 
-  private long time(Line line, long most) {
-    Args a = args(line, 1, line.keyword() + " TIME");
+  private long time(ConfigurationLine line, long most) {
+    LineArguments a = args(line, 1, line.keyword() + " TIME");
     long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND);
     a.finish();
     return time;
   }
 
-  private void workers(Line line) {
-    Args a =
+  private void workers(ConfigurationLine line) {
+    LineArguments a =
         args(
             line,
             1,
@@ -206,8 +208,9 @@
     a.finish();
   }
 
-  private void demand(Line line) {
-    Args a = args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
+  private void demand(ConfigurationLine line) {
+    LineArguments a =
+        args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
     String type = a.word("class", "");
     String plan = a.word("plan", "");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
@@ -249,8 +252,8 @@
    * What stands in the place of {@code $NAME} in later lines, unless whoever reads the file gives
    * another.
    */
-  private void let(Line line) {
-    Args a = args(line, 2, "let NAME VALUE");
+  private void let(ConfigurationLine line) {
+    LineArguments a = args(line, 2, "let NAME VALUE");
     if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
       a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
     }
@@ -259,7 +262,7 @@
   }
 
   @Override
-  protected Line prepared(Line line) {
+  protected ConfigurationLine prepared(ConfigurationLine line) {
     List<String> words = line.words();
     if (line.keyword().equals("when")) {
       String name = words.size() > 3 ? words.get(1) : "";
@@ -295,11 +298,11 @@
     if (!put.get(0).equals("let")) {
       taken.append(String.join(" ", put)).append('\n');
     }
-    return new Line(line.file(), line.number(), put);
+    return new ConfigurationLine(line.file(), line.number(), put);
   }
 
-  private void trouble(Line line) {
-    Args a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
+  private void trouble(ConfigurationLine line) {
+    LineArguments a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
     TroubleLine read = TroubleLine.read(a);
     int last = read.mark().worker() + read.mark().count() - 1;
     check(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
@@ -330,9 +333,9 @@
   /**
    * Reads a deployment file and all that it includes.
    *
-   * @throws SettingsException with every mistake when there is any
+   * @throws ConfigurationException with every mistake when there is any
    */
-  public static Read read(Path file) throws SettingsException {
+  public static Read read(Path file) throws ConfigurationException {
     return read(file, Map.of());
   }
 
@@ -341,7 +344,7 @@
    *
    * @param given by name; each must have a {@code let} line
    */
-  public static Read read(Path file, Map<String, String> given) throws SettingsException {
+  public static Read read(Path file, Map<String, String> given) throws ConfigurationException {
     DeploymentFile f = new DeploymentFile(given);
     f.lines(file);
     given
--- a/src/main/java/fawndock/lab/emu/EmuCounter.java
+++ b/src/main/java/fawndock/simulation/EmuCounter.java
@@ -1,11 +1,11 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper.Result;
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterTable;
+import fawndock.counter.storage.DecimalAmount;
+import fawndock.policy.event.CallResult;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 
@@ -16,7 +16,7 @@
 final class EmuCounter {
   /** Told how a call ended, and the total. */
   interface Ended {
-    void told(Result result, double total);
+    void told(CallResult result, double total);
   }
 
   private static final long LONGEST_QUEUE = 1_000_000;
@@ -27,8 +27,8 @@
   private final SplittableRandom random;
   private final double[] callsBySecond;
   private final double[] queueBySecond;
-  private Counts counts = empty();
-  private final Changes changes = new Changes(1 << 12);
+  private CounterOperations counts = empty();
+  private final ChangeRecord changes = new ChangeRecord(1 << 12);
   private long freeAt;
   private int life;
   private boolean up = true;
@@ -54,8 +54,8 @@
     queueBySecond = new double[seconds];
   }
 
-  private static Counts empty() {
-    return new Counts(new CountTable(1, 2), Long.MAX_VALUE);
+  private static CounterOperations empty() {
+    return new CounterOperations(new CounterTable(1, 2), Long.MAX_VALUE);
   }
 
   /**
@@ -76,7 +76,7 @@
     }
     if (queueMicros > 0 && freeAt - agenda.now() > queueMicros
         || turnsAway > 0 && random.nextDouble() < turnsAway) {
-      ended.told(Result.SHED, 0);
+      ended.told(CallResult.SHED, 0);
       return;
     }
     freeAt = Math.max(agenda.now(), freeAt) + (long) Math.ceil(microsPerCall * slow);
@@ -85,7 +85,7 @@
         freeAt,
         () -> {
           if (mine == life) {
-            ended.told(Result.OK, total(count, amount, keepMicros));
+            ended.told(CallResult.OK, total(count, amount, keepMicros));
           }
         });
   }
@@ -97,12 +97,12 @@
           counts
               .add(
                   count.getBytes(StandardCharsets.UTF_8),
-                  Amount.of(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
+                  DecimalAmount.of(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
                   Math.max(1, keepMicros / 1_000),
                   agenda.now() / 1_000,
                   changes)
               .toString());
-    } catch (CountException e) {
+    } catch (CommandException e) {
       throw new IllegalStateException("count of " + count, e);
     }
   }
--- a/src/main/java/fawndock/lab/emu/EmuGatekeeper.java
+++ b/src/main/java/fawndock/simulation/EmuGatekeeper.java
@@ -1,24 +1,25 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Cancel;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Event;
-import fawndock.Gatekeeper.Fail;
-import fawndock.Gatekeeper.Gone;
-import fawndock.Gatekeeper.Message;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Probe;
-import fawndock.Gatekeeper.Probed;
-import fawndock.Gatekeeper.Refuse;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Tell;
-import fawndock.Gatekeeper.Wake;
-import fawndock.Gatekeeper.WakeAfter;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.CancelAttempt;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.FetchEndpoints;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.action.StartHealthCheck;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.ClientDisconnected;
+import fawndock.policy.event.CounterReply;
+import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.PeerMessageReceived;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.TimerFired;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -37,7 +38,7 @@
    * microseconds.
    */
   private static final class Open {
-    final Request request;
+    final RequestArrived request;
     final String name;
     final String key;
     final BiConsumer<Integer, Long> answer;
@@ -48,7 +49,7 @@
     int attempts;
     boolean over;
 
-    Open(Request request, String name, String key, BiConsumer<Integer, Long> answer) {
+    Open(RequestArrived request, String name, String key, BiConsumer<Integer, Long> answer) {
       this.request = request;
       this.name = name;
       this.key = key;
@@ -61,19 +62,19 @@
 
   final int me;
   private final Emulation in;
-  private final Supplier<Gatekeeper> maker;
-  private Gatekeeper gatekeeper;
+  private final Supplier<GatewayPolicy> maker;
+  private GatewayPolicy gatekeeper;
   private int life;
   private boolean up = true;
   private long skew;
   private long lastClock;
   private long lastAt;
   private final Map<Long, Open> requests = new HashMap<>();
-  private final ArrayDeque<Event> inbox = new ArrayDeque<>();
+  private final ArrayDeque<PolicyEvent> inbox = new ArrayDeque<>();
   private boolean telling;
   private long nextId = 1;
 
-  EmuGatekeeper(int me, Emulation in, Supplier<Gatekeeper> maker) {
+  EmuGatekeeper(int me, Emulation in, Supplier<GatewayPolicy> maker) {
     this.me = me;
     this.in = in;
     this.maker = maker;
@@ -125,23 +126,23 @@
   }
 
   /** A request has arrived; returns its number. */
-  long request(Request asked, String name, String key, BiConsumer<Integer, Long> answer) {
+  long request(RequestArrived asked, String name, String key, BiConsumer<Integer, Long> answer) {
     long id = nextId++;
     if (!up) {
       answer.accept(BROKE, 0L);
       return id;
     }
-    Request request =
-        new Request(
+    RequestArrived request =
+        new RequestArrived(
             id,
             asked.requestClass(),
             asked.plan(),
             asked.customer(),
-            asked.giveUpAtMicros() - in.agenda.now() + clock(),
+            asked.deadlineAtMicros() - in.agenda.now() + clock(),
             asked.units(),
-            asked.spread(),
-            asked.first(),
-            asked.repeat());
+            asked.customerInstanceCount(),
+            asked.customerFirstInstance(),
+            asked.isRetry());
     requests.put(id, new Open(request, name, key, answer));
     tell(request);
     return id;
@@ -152,12 +153,12 @@
     Open open = requests.get(id);
     if (open != null && !open.over) {
       open.over = true;
-      tell(new Gone(id));
+      tell(new ClientDisconnected(id));
       forget(open);
     }
   }
 
-  void tell(Event event) {
+  void tell(PolicyEvent event) {
     if (!up) {
       return;
     }
@@ -166,42 +167,42 @@
       return;
     }
     telling = true;
-    for (Event next = inbox.poll(); next != null; next = inbox.poll()) {
-      List<Action> actions = gatekeeper.on(clock(), next);
-      if (next instanceof Request) {
-        in.tried(actions.stream().anyMatch(Count.class::isInstance));
+    for (PolicyEvent next = inbox.poll(); next != null; next = inbox.poll()) {
+      List<PolicyAction> actions = gatekeeper.onEvent(clock(), next);
+      if (next instanceof RequestArrived) {
+        in.tried(actions.stream().anyMatch(AddToCounter.class::isInstance));
       }
       actions.forEach(this::carryOut);
     }
     telling = false;
   }
 
-  private void carryOut(Action action) {
-    if (action instanceof Attempt a) {
+  private void carryOut(PolicyAction action) {
+    if (action instanceof StartAttempt a) {
       attempt(a);
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof RejectRequest a) {
       end(a.requestId(), 429, a.retryAfterMicros());
-    } else if (action instanceof Fail a) {
+    } else if (action instanceof FailRequest a) {
       end(a.requestId(), 504, 0);
-    } else if (action instanceof Count a) {
+    } else if (action instanceof AddToCounter a) {
       count(a);
-    } else if (action instanceof WakeAfter a) {
-      later(a.micros(), () -> tell(new Wake(a.token())));
-    } else if (action instanceof Cancel a) {
+    } else if (action instanceof ScheduleTimer a) {
+      later(a.delayMicros(), () -> tell(new TimerFired(a.token())));
+    } else if (action instanceof CancelAttempt a) {
       Open open = requests.get(a.requestId());
       if (open != null) {
-        ended(open, a.attempt(), 0, Result.CANCELLED, Map.of());
+        ended(open, a.attemptIndex(), 0, CallResult.CANCELLED, Map.of());
       }
-    } else if (action instanceof Probe a) {
-      probe(a.server());
-    } else if (action instanceof Tell a) {
+    } else if (action instanceof StartHealthCheck a) {
+      probe(a.endpointId());
+    } else if (action instanceof SendPeerMessage a) {
       in.peers(
           me,
-          a.to(),
+          a.toInstance(),
           to ->
               in.network.sendLossy(
-                  "g" + me, "g" + to.me, () -> to.tell(new Message(me, a.text()))));
-    } else if (action instanceof Gatekeeper.Fetch) {
+                  "g" + me, "g" + to.me, () -> to.tell(new PeerMessageReceived(me, a.text()))));
+    } else if (action instanceof FetchEndpoints) {
       in.roster(this);
     }
   }
@@ -227,27 +228,27 @@
     }
   }
 
-  private void attempt(Attempt a) {
+  private void attempt(StartAttempt a) {
     Open open = requests.get(a.requestId());
     if (open == null) {
       throw new IllegalStateException(
           "an attempt for request " + a.requestId() + ", which is not held");
     }
     int number = open.attempts++;
-    open.out.put(number, a.server());
+    open.out.put(number, a.endpointId());
     long now = in.agenda.now();
     long abandonAt =
         now
             - clock()
-            + (a.abandonAtMicros() <= 0
-                ? open.request.giveUpAtMicros()
-                : Math.min(a.abandonAtMicros(), open.request.giveUpAtMicros()));
-    EmuWorker worker = in.worker(a.server());
+            + (a.deadlineAtMicros() <= 0
+                ? open.request.deadlineAtMicros()
+                : Math.min(a.deadlineAtMicros(), open.request.deadlineAtMicros()));
+    EmuWorker worker = in.worker(a.endpointId());
     if (open.over
         || worker == null
         || number >= in.deployment.limits().maxAttempts()
         || abandonAt <= now) {
-      later(0, () -> ended(open, number, 0, Result.UNUSED, Map.of()));
+      later(0, () -> ended(open, number, 0, CallResult.NOT_SENT, Map.of()));
       return;
     }
     in.network.send(
@@ -259,42 +260,45 @@
                     in.network.send(
                         () -> ended(open, number, in.agenda.now() - now, result, load))));
     in.agenda.at(
-        abandonAt, () -> ended(open, number, in.agenda.now() - now, Result.TIMEOUT, Map.of()));
+        abandonAt, () -> ended(open, number, in.agenda.now() - now, CallResult.TIMEOUT, Map.of()));
   }
 
   /** An attempt ended, unless it had already. */
-  private void ended(Open open, int number, long took, Result result, Map<String, Double> load) {
+  private void ended(
+      Open open, int number, long took, CallResult result, Map<String, Double> load) {
     String server = open.out.remove(number);
-    if (server == null || requests.get(open.request.id()) != open) {
+    if (server == null || requests.get(open.request.requestId()) != open) {
       return;
     }
-    if (result == Result.OK && !open.over) {
+    if (result == CallResult.OK && !open.over) {
       open.over = true;
       open.answer.accept(200, 0L);
     }
-    tell(new Outcome(open.request.id(), number, server, took, result, open.over, 0, load));
+    tell(
+        new AttemptCompleted(
+            open.request.requestId(), number, server, took, result, open.over, 0, load));
     forget(open);
   }
 
   private void forget(Open open) {
     if (open.over && open.out.isEmpty()) {
-      requests.remove(open.request.id());
+      requests.remove(open.request.requestId());
     }
   }
 
-  private void count(Count a) {
+  private void count(AddToCounter a) {
     long at = in.agenda.now();
     boolean[] over = {false};
     int mine = life;
-    EmuCounter part = in.part(a.name());
+    EmuCounter part = in.part(a.counterName());
     in.network.sendLossy(
         "g" + me,
         part.name,
         () ->
             part.add(
-                a.name(),
+                a.counterName(),
                 a.amount(),
-                a.keepMicros(),
+                a.timeToLiveMicros(),
                 (result, total) ->
                     in.network.sendLossy(
                         part.name,
@@ -302,14 +306,17 @@
                         () -> {
                           if (mine == life) {
                             counted(
-                                over, new Counted(a.name(), result, total, in.agenda.now() - at));
+                                over,
+                                new CounterReply(
+                                    a.counterName(), result, total, in.agenda.now() - at));
                           }
                         })));
     long wait = in.deployment.counter().waitMicros();
-    later(wait, () -> counted(over, new Counted(a.name(), Result.TIMEOUT, 0, wait)));
+    later(
+        wait, () -> counted(over, new CounterReply(a.counterName(), CallResult.TIMEOUT, 0, wait)));
   }
 
-  private void counted(boolean[] over, Counted counted) {
+  private void counted(boolean[] over, CounterReply counted) {
     if (!over[0]) {
       over[0] = true;
       tell(counted);
@@ -324,12 +331,12 @@
             in.network.send(
                 () ->
                     tell(
-                        new Probed(
+                        new HealthCheckCompleted(
                             server,
                             in.agenda.now() - at,
                             worker != null && worker.up() && !worker.silent
-                                ? Result.OK
-                                : Result.TIMEOUT,
+                                ? CallResult.OK
+                                : CallResult.TIMEOUT,
                             Map.of()))));
   }
 }
--- a/src/main/java/fawndock/lab/emu/EmuWorker.java
+++ b/src/main/java/fawndock/simulation/EmuWorker.java
@@ -1,8 +1,8 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper.Result;
-import fawndock.judge.Seen;
-import fawndock.standin.Worker.Build;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.FakeBackend.Build;
+import fawndock.policy.event.CallResult;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -20,9 +20,9 @@
   private static final class Work {
     final String request;
     final String key;
-    final BiConsumer<Result, Map<String, Double>> ended;
+    final BiConsumer<CallResult, Map<String, Double>> ended;
 
-    Work(String request, String key, BiConsumer<Result, Map<String, Double>> ended) {
+    Work(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
       this.request = request;
       this.key = key;
       this.ended = ended;
@@ -34,7 +34,7 @@
   private final Build build;
   private final double thrash;
   private final SplittableRandom random;
-  private final List<Seen> trace;
+  private final List<TraceEvent> trace;
   private final Set<String> keys;
   private final Predicate<String> deadly;
   private final Consumer<EmuWorker> crashed;
@@ -67,7 +67,7 @@
       Agenda agenda,
       Deployment of,
       SplittableRandom random,
-      List<Seen> trace,
+      List<TraceEvent> trace,
       Set<String> keys,
       Predicate<String> deadly,
       Consumer<EmuWorker> crashed) {
@@ -91,7 +91,8 @@
     leaks = 0;
     startedAt = cold ? agenda.now() : 0;
     trace.add(
-        new Seen.Came(agenda.now(), id, life, cold, build.cores() * 1e6 / build.workMicros()));
+        new TraceEvent.Came(
+            agenda.now(), id, life, cold, build.cores() * 1e6 / build.workMicros()));
   }
 
   /** Dies: what it had is never answered, and its connections break. */
@@ -102,7 +103,7 @@
     lost.addAll(waiting);
     running.clear();
     waiting.clear();
-    lost.forEach(work -> work.ended.accept(Result.RESET, Map.of()));
+    lost.forEach(work -> work.ended.accept(CallResult.RESET, Map.of()));
   }
 
   boolean up() {
@@ -110,24 +111,24 @@
   }
 
   /** An attempt has arrived; told its end, or nothing when it is silent. */
-  void arrive(String request, String key, BiConsumer<Result, Map<String, Double>> ended) {
+  void arrive(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
     if (!up) {
-      ended.accept(Result.CONNECT_FAILED, Map.of());
+      ended.accept(CallResult.CONNECT_FAILED, Map.of());
       return;
     }
     if (leaks > 0
         && waiting.size() + running.size() + leaks * (agenda.now() - leaksSince) / 1e6
             >= build.cores() + build.queue()) {
-      ended.accept(Result.CONNECT_FAILED, Map.of());
+      ended.accept(CallResult.CONNECT_FAILED, Map.of());
       return;
     }
     boolean refuse = waiting.size() >= build.queue();
-    trace.add(new Seen.Arrived(agenda.now(), request, id, life, refuse));
+    trace.add(new TraceEvent.Arrived(agenda.now(), request, id, life, refuse));
     if (pushedOver()) {
       crash();
-      ended.accept(Result.RESET, Map.of());
+      ended.accept(CallResult.RESET, Map.of());
     } else if (refuse) {
-      ended.accept(Result.SHED, load());
+      ended.accept(CallResult.SHED, load());
     } else if (!silent) {
       waiting.add(new Work(request, key, ended));
       next();
@@ -183,12 +184,12 @@
       return;
     }
     if (work.key.isEmpty() || keys.add(work.key)) {
-      trace.add(new Seen.Ran(agenda.now(), work.request, id));
+      trace.add(new TraceEvent.Ran(agenda.now(), work.request, id));
     }
     if (random.nextDouble() < loses) {
       return;
     }
-    work.ended.accept(random.nextDouble() < errs ? Result.ERROR : Result.OK, load());
+    work.ended.accept(random.nextDouble() < errs ? CallResult.ERROR : CallResult.OK, load());
   }
 
   private Map<String, Double> load() {
--- a/src/main/java/fawndock/lab/emu/Emulation.java
+++ b/src/main/java/fawndock/simulation/Emulation.java
@@ -1,25 +1,26 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.judge.Figures;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.judge.Worth;
-import fawndock.lab.emu.Deployment.Demand;
-import fawndock.lab.load.Arrivals;
-import fawndock.lab.load.Customers;
-import fawndock.lab.load.Manners;
-import fawndock.lab.measure.Measures;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.PriorityWeights;
+import fawndock.conformance.TraceEvent;
+import fawndock.loadgen.Arrivals;
+import fawndock.loadgen.Customers;
+import fawndock.loadgen.Manners;
+import fawndock.measurement.Measures;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.RequestArrived;
+import fawndock.simulation.Deployment.Demand;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -47,7 +48,7 @@
    * @param events that happened
    */
   public record Result(
-      Verdict verdict,
+      ConformanceResult verdict,
       Map<Integer, Long> statuses,
       Map<String, Double> figures,
       Map<String, double[]> series,
@@ -62,8 +63,8 @@
   final List<EmuCounter> counter = new ArrayList<>();
   final List<EmuGatekeeper> gatekeepers = new ArrayList<>();
   final Map<String, EmuWorker> workers = new LinkedHashMap<>();
-  private final List<Seen> trace = new ArrayList<>();
-  private final Map<String, Availability> listed = new HashMap<>();
+  private final List<TraceEvent> trace = new ArrayList<>();
+  private final Map<String, EndpointState> listed = new HashMap<>();
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Set<String> poisoned = new HashSet<>();
   private final SplittableRandom random;
@@ -84,7 +85,7 @@
   /**
    * @param maker makes each gatekeeper's decisions
    */
-  public Emulation(Deployment deployment, Function<Settings, Gatekeeper> maker) {
+  public Emulation(Deployment deployment, Function<PolicyConfig, GatewayPolicy> maker) {
     this.deployment = deployment;
     random = new SplittableRandom(deployment.seed());
     triesAsked = new double[(int) Math.ceil(deployment.seconds())];
@@ -112,12 +113,12 @@
               poisoned::contains,
               this::crashed);
       workers.put(worker.id, worker);
-      listed.put(worker.id, Availability.RUNNING);
+      listed.put(worker.id, EndpointState.RUNNING);
       worker.start(false);
     }
     for (int i = 0; i < deployment.gatekeepers(); i++) {
-      Settings settings =
-          new Settings(
+      PolicyConfig settings =
+          new PolicyConfig(
               i,
               deployment.gatekeepers(),
               deployment.seed() + i,
@@ -128,7 +129,7 @@
               deployment.plans(),
               deployment.limits(),
               deployment.rules(),
-              new Gatekeeper.Counter(true, deployment.counter().waitMicros(), false));
+              new CounterConfig(true, deployment.counter().waitMicros(), false));
       EmuGatekeeper made = new EmuGatekeeper(i, this, () -> maker.apply(settings));
       gatekeepers.add(made);
       roster(made);
@@ -155,8 +156,8 @@
             deployment.demands().stream().map(Demand::name).toList(),
             0,
             deployment.seconds());
-    Figures judged = new Figures(classes, deployment.rules(), plans, slack);
-    Verdict verdict = RuleChecker.judge(trace, judged);
+    ConformanceLimits judged = new ConformanceLimits(classes, deployment.rules(), plans, slack);
+    ConformanceResult verdict = InvariantChecker.judge(trace, judged);
     double[] calls = new double[(int) Math.ceil(deployment.seconds())];
     double[] queue = new double[calls.length];
     for (EmuCounter part : counter) {
@@ -171,7 +172,7 @@
     told.series().put("counter queue ms", queue);
     told.figures().put("calls-a-try", Arrays.stream(calls).sum() / Math.max(1, verdict.requests()));
     told.figures().put("counter-queue-ms", Arrays.stream(queue).max().orElse(0));
-    told.figures().put("worth", Worth.judge(trace, judged));
+    told.figures().put("worth", PriorityWeights.judge(trace, judged));
     told.figures().put("rules-broken", (double) verdict.broken());
     return new Result(verdict, told.statuses(), told.figures(), told.series(), agenda.put());
   }
@@ -192,13 +193,13 @@
 
   /** A worker's process has ended by itself: it is taken off the roster, and starts again cold. */
   private void crashed(EmuWorker worker) {
-    list(worker.id, Availability.DELETED);
+    list(worker.id, EndpointState.REMOVED);
     agenda.after(
         RESTART_MICROS,
         () -> {
           if (!worker.up()) {
             worker.start(true);
-            list(worker.id, Availability.RUNNING);
+            list(worker.id, EndpointState.RUNNING);
           }
         });
   }
@@ -258,18 +259,21 @@
     long asked = agenda.now();
     long giveUpAt = asked + demand.remainingMicros();
     String key =
-        classes.get(demand.requestClass()).repeat() == Repeat.DEDUPLICATED ? operation : "";
+        classes.get(demand.requestClass()).idempotency() == Idempotency.DEDUPLICATED
+            ? operation
+            : "";
     if (kills) {
       poisoned.add(request);
     }
-    trace.add(new Seen.Asked(asked, request, to.me, demand.requestClass(), name, 1, giveUpAt));
+    trace.add(
+        new TraceEvent.Asked(asked, request, to.me, demand.requestClass(), name, 1, giveUpAt));
     boolean[] over = {false};
     long[] id = {0};
     network.send(
         () ->
             id[0] =
                 to.request(
-                    new Request(
+                    new RequestArrived(
                         0,
                         demand.requestClass(),
                         demand.plan(),
@@ -288,8 +292,8 @@
                                 over[0] = true;
                                 trace.add(
                                     status == EmuGatekeeper.BROKE
-                                        ? new Seen.Broke(agenda.now(), request)
-                                        : new Seen.Answered(agenda.now(), request, status));
+                                        ? new TraceEvent.Broke(agenda.now(), request)
+                                        : new TraceEvent.Answered(agenda.now(), request, status));
                                 ended(
                                     demand, customer, operation, tried, status, wait, kills, draw);
                               }
@@ -303,7 +307,7 @@
         () -> {
           if (!over[0]) {
             over[0] = true;
-            trace.add(new Seen.Left(agenda.now(), request));
+            trace.add(new TraceEvent.Left(agenda.now(), request));
             network.send(() -> to.gone(id[0]));
             ended(demand, customer, operation, tried, 0, 0, kills, draw);
           }
@@ -322,7 +326,7 @@
   }
 
   void kill(EmuGatekeeper gatekeeper) {
-    trace.add(new Seen.Killed(agenda.now(), gatekeeper.me));
+    trace.add(new TraceEvent.Killed(agenda.now(), gatekeeper.me));
     gatekeeper.die();
   }
 
@@ -336,7 +340,8 @@
       boolean kills,
       SplittableRandom draw) {
     boolean harmless =
-        status == 429 || classes.get(demand.requestClass()).repeat() != Repeat.AT_MOST_ONCE;
+        status == 429
+            || classes.get(demand.requestClass()).idempotency() != Idempotency.AT_MOST_ONCE;
     Manners manners =
         storm == 0 ? demand.manners() : new Manners(0, Manners.Retry.AT_ONCE, 0, storm, false);
     long again =
@@ -360,41 +365,41 @@
     agenda.after(
         0,
         () -> {
-          List<Server> all = new ArrayList<>();
+          List<Endpoint> all = new ArrayList<>();
           workers.values().forEach(worker -> all.add(entry(worker)));
           all.forEach(server -> told(to, server));
-          to.tell(new Servers(Listing.COMPLETE, all));
+          to.tell(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, all));
         });
   }
 
-  private Server entry(EmuWorker worker) {
-    return new Server(worker.id, worker.zone, 0, listed.get(worker.id), 1, worker.startedAt);
+  private Endpoint entry(EmuWorker worker) {
+    return new Endpoint(worker.id, worker.zone, 0, listed.get(worker.id), 1, worker.startedAt);
   }
 
-  private void told(EmuGatekeeper to, Server server) {
+  private void told(EmuGatekeeper to, Endpoint server) {
     trace.add(
-        new Seen.Told(
+        new TraceEvent.Told(
             agenda.now(),
             to.me,
             server.id(),
-            server.availability().name().toLowerCase(java.util.Locale.ROOT),
-            server.startedMicros()));
+            server.state().name().toLowerCase(java.util.Locale.ROOT),
+            server.startedAtMicros()));
   }
 
   /** The roster lists a worker otherwise, and tells all gatekeepers, each after its time. */
-  public void list(String worker, Availability as) {
+  public void list(String worker, EndpointState as) {
     listed.put(worker, as);
     if (rosterMute) {
       return;
     }
-    Server server = entry(workers.get(worker));
+    Endpoint server = entry(workers.get(worker));
     gatekeepers.forEach(
         to ->
             agenda.after(
                 deployment.rosterMicros(),
                 () -> {
                   told(to, server);
-                  to.tell(new Servers(Listing.CHANGES, List.of(server)));
+                  to.tell(new EndpointUpdate(EndpointUpdateKind.CHANGES, List.of(server)));
                 }));
   }
 
--- a/src/main/java/fawndock/lab/emu/TroubleLine.java
+++ b/src/main/java/fawndock/simulation/TroubleLine.java
@@ -1,6 +1,6 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.settings.Args;
+import fawndock.settings.LineArguments;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -38,7 +38,7 @@
       String demand) {}
 
   /** Reads a line; notes what is wrong with it. */
-  static TroubleLine read(Args a) {
+  static TroubleLine read(LineArguments a) {
     double from = a.time("from", 0, DAY, 0) / SECOND;
     double until = a.time("until", 0, DAY, (long) (from * SECOND) + 1) / SECOND;
     int worker = a.whole("worker", 0, 9_999, 0);
--- a/src/main/java/fawndock/lab/emu/Troubles.java
+++ b/src/main/java/fawndock/simulation/Troubles.java
@@ -1,6 +1,6 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
-import fawndock.Gatekeeper.Availability;
+import fawndock.policy.event.EndpointState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -126,11 +126,11 @@
         to,
         e -> {
           e.worker(worker).die();
-          e.list(worker, Availability.DELETED);
+          e.list(worker, EndpointState.REMOVED);
         },
         e -> {
           e.worker(worker).start(true);
-          e.list(worker, Availability.RUNNING);
+          e.list(worker, EndpointState.RUNNING);
         });
   }
 
@@ -140,7 +140,7 @@
         in.deployment.rules().drainGraceMicros() / 1e6
             + in.deployment.rosterMicros() / 1e6
             + GONE_AFTER;
-    in.at(from, e -> e.list(worker, Availability.STOPPING));
+    in.at(from, e -> e.list(worker, EndpointState.DRAINING));
     dies(in, Math.min(from + grace, to), to, worker);
   }
 
--- a/src/main/java/fawndock/lab/emu/package-info.java
+++ b/src/main/java/fawndock/simulation/package-info.java
@@ -4,4 +4,4 @@
  * own; what it models is in docs/design/lab.md. It records the same events as the stand-ins do, and
  * the drills' judge judges them.
  */
-package fawndock.lab.emu;
+package fawndock.simulation;
--- a/src/main/java/fawndock/benchlink/BenchLink.java
+++ b/src/main/java/fawndock/simulatoradapter/BenchLink.java
@@ -1,16 +1,17 @@
-package fawndock.benchlink;
+package fawndock.simulatoradapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Logic;
-import fawndock.wire.Json;
-import fawndock.wire.Json.Obj;
-import fawndock.wire.SettingsReader;
-import fawndock.wire.WireException;
+import fawndock.platformconfig.Json;
+import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.SettingsReader;
+import fawndock.platformconfig.WireException;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.PolicyEvent;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -31,16 +32,16 @@
 public final class BenchLink {
   private static final int MALFORMED = 1;
   private final JsonFactory factory = new JsonFactory();
-  private final Map<Integer, Gatekeeper> instances = new TreeMap<>();
-  private final Function<Settings, Gatekeeper> maker;
+  private final Map<Integer, GatewayPolicy> instances = new TreeMap<>();
+  private final Function<PolicyConfig, GatewayPolicy> maker;
 
   /** Hosts the project's own module. */
   public BenchLink() {
-    this(Logic::new);
+    this(DefaultGatewayPolicy::new);
   }
 
   /** Hosts the gatekeepers that the maker makes. */
-  BenchLink(Function<Settings, Gatekeeper> maker) {
+  BenchLink(Function<PolicyConfig, GatewayPolicy> maker) {
     this.maker = maker;
   }
 
@@ -97,21 +98,21 @@
       instances.remove(instance);
       return;
     }
-    Settings settings =
+    PolicyConfig settings =
         what.equals("Attach")
             ? SettingsReader.settings(event.object("options"), event.integerOr("rng-seed", 0))
             : null;
-    Gatekeeper.Event translated = settings == null ? Reader.event(what, event) : null;
+    PolicyEvent translated = settings == null ? Reader.event(what, event) : null;
     try {
       if (settings != null) {
         instances.put(instance, maker.apply(settings));
         return;
       }
-      Gatekeeper gatekeeper = instances.get(instance);
+      GatewayPolicy gatekeeper = instances.get(instance);
       if (gatekeeper == null) {
         return;
       }
-      for (Action action : gatekeeper.on(now, translated)) {
+      for (PolicyAction action : gatekeeper.onEvent(now, translated)) {
         writer.write(instance, action);
       }
     } catch (RuntimeException | StackOverflowError e) {
--- a/src/test/java/fawndock/BordersTest.java
+++ b/src/test/java/fawndock/ArchitectureTest.java
@@ -12,10 +12,10 @@
 
 /** The borders between packages: decisions below, hosts above them, tools on top. */
 @AnalyzeClasses(packages = "fawndock", importOptions = ImportOption.DoNotIncludeTests.class)
-class BordersTest {
+class ArchitectureTest {
   private static final DescribedPredicate<JavaClass> DECISIONS =
       DescribedPredicate.describe(
-          "decisions", c -> c.getName().matches("fawndock\\.(Gatekeeper|Logic)(\\$.*)?"));
+          "decisions", c -> c.getPackageName().matches("fawndock\\.policy(\\..*)?"));
 
   @ArchTest
   static final ArchRule DECISIONS_ARE_PURE =
@@ -51,7 +51,7 @@
   static final ArchRule COUNTER_CORE_IS_PURE =
       classes()
           .that()
-          .resideInAPackage("fawndock.counter.core..")
+          .resideInAPackage("fawndock.counter.storage..")
           .should()
           .onlyDependOnClassesThat(
               DescribedPredicate.describe(
@@ -59,7 +59,7 @@
                   c ->
                       c.getPackageName()
                               .matches(
-                                  "fawndock\\.counter\\.core|java\\.util(\\.(function|stream|zip))?"
+                                  "fawndock\\.counter\\.storage|java\\.util(\\.(function|stream|zip))?"
                                       + "|java\\.math|java\\.nio|java\\.nio\\.charset|java\\.lang\\.(runtime|invoke)"
                                       + "|com\\.dynatrace\\.hash4j\\.hashing")
                           || c.getName().matches("java\\.io\\.(IOException|Closeable)")
@@ -72,7 +72,7 @@
   static final ArchRule COUNTER_CORE_HAS_NO_CLOCK =
       noClasses()
           .that()
-          .resideInAPackage("fawndock.counter.core..")
+          .resideInAPackage("fawndock.counter.storage..")
           .should()
           .callMethod(System.class, "nanoTime")
           .orShould()
@@ -82,7 +82,7 @@
   static final ArchRule COUNTER_REPLICA_IS_PURE =
       classes()
           .that()
-          .resideInAPackage("fawndock.counter.replica..")
+          .resideInAPackage("fawndock.counter.replication..")
           .should()
           .onlyDependOnClassesThat(
               DescribedPredicate.describe(
@@ -90,7 +90,7 @@
                   c ->
                       c.getPackageName()
                               .matches(
-                                  "fawndock\\.counter\\.(core|replica)|java\\.util(\\.(function|regex|stream))?"
+                                  "fawndock\\.counter\\.(storage|replication)|java\\.util(\\.(function|regex|stream))?"
                                       + "|java\\.nio(\\.charset)?|java\\.lang\\.(runtime|invoke)")
                           || c.getPackageName().equals("java.lang")
                               && !c.getSimpleName()
@@ -105,13 +105,13 @@
           .resideInAPackage("fawndock.counter..")
           .should()
           .dependOnClassesThat()
-          .resideInAnyPackage("fawndock", "fawndock.gateway..");
+          .resideInAnyPackage("fawndock", "fawndock.policy..", "fawndock.gateway..");
 
   @ArchTest
   static final ArchRule JUDGE_AND_MEASURES_ARE_PURE =
       classes()
           .that()
-          .resideInAnyPackage("fawndock.judge..", "fawndock.lab.measure..")
+          .resideInAnyPackage("fawndock.conformance..", "fawndock.measurement..")
           .should()
           .onlyDependOnClassesThat(
               DescribedPredicate.describe(
@@ -119,9 +119,9 @@
                   c ->
                       c.getPackageName()
                               .matches(
-                                  "fawndock\\.judge|fawndock\\.lab\\.measure|org\\.HdrHistogram|java\\.util(\\.(function|stream))?"
+                                  "fawndock\\.conformance|fawndock\\.measurement|org\\.HdrHistogram|java\\.util(\\.(function|stream))?"
                                       + "|java\\.lang(\\.(runtime|invoke))?")
-                          || c.getName().startsWith("fawndock.Gatekeeper")
+                          || c.getPackageName().matches("fawndock\\.policy\\.(event|action|config)")
                           || c.isPrimitive()
                           || c.isArray()));
 
@@ -129,14 +129,14 @@
   static final ArchRule EMULATOR_OPENS_NOTHING =
       noClasses()
           .that()
-          .resideInAPackage("fawndock.lab.emu..")
+          .resideInAPackage("fawndock.simulation..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
               "io..",
               "java.net..",
               "java.util.concurrent..",
-              "fawndock.drill..",
+              "fawndock.scenario..",
               "fawndock.gateway..");
 
   @ArchTest
@@ -144,7 +144,10 @@
       noClasses()
           .that()
           .resideInAnyPackage(
-              "fawndock.gateway..", "fawndock.counter..", "fawndock.settings..", "fawndock.judge..")
+              "fawndock.gateway..",
+              "fawndock.counter..",
+              "fawndock.settings..",
+              "fawndock.conformance..")
           .should()
           .dependOnClassesThat()
           .resideInAPackage("fawndock.ratelimit..");
@@ -163,19 +166,29 @@
       noClasses()
           .that()
           .resideOutsideOfPackages(
-              "fawndock.standin..", "fawndock.drill..", "fawndock.lab..", "fawndock.cli..")
+              "fawndock.fake..",
+              "fawndock.scenario..",
+              "fawndock.benchmark..",
+              "fawndock.loadgen..",
+              "fawndock.simulation..",
+              "fawndock.measurement..",
+              "fawndock.experiment..",
+              "fawndock.report..",
+              "fawndock.calibration..",
+              "fawndock.cli..")
           .should()
           .dependOnClassesThat()
-          .resideInAPackage("fawndock.standin..");
+          .resideInAPackage("fawndock.fake..");
 
   @ArchTest
   static final ArchRule STAND_INS_KNOW_NO_GATEKEEPER =
       noClasses()
           .that()
-          .resideInAPackage("fawndock.standin..")
+          .resideInAPackage("fawndock.fake..")
           .should()
           .dependOnClassesThat()
-          .resideInAnyPackage("fawndock", "fawndock.gateway..", "fawndock.drill..");
+          .resideInAnyPackage(
+              "fawndock", "fawndock.policy..", "fawndock.gateway..", "fawndock.scenario..");
 
   @ArchTest
   static final ArchRule HOSTS_KNOW_NO_TOOLS =
@@ -185,13 +198,22 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "fawndock.cli..", "fawndock.drill..", "fawndock.lab..", "fawndock.benchlink..");
+              "fawndock.cli..",
+              "fawndock.scenario..",
+              "fawndock.benchmark..",
+              "fawndock.loadgen..",
+              "fawndock.simulation..",
+              "fawndock.measurement..",
+              "fawndock.experiment..",
+              "fawndock.report..",
+              "fawndock.calibration..",
+              "fawndock.simulatoradapter..");
 
   @ArchTest
   static final ArchRule HOST_KNOWS_NO_PROTOCOL =
       noClasses()
           .that()
-          .resideInAPackage("fawndock.host..")
+          .resideInAPackage("fawndock.runtime..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -214,9 +236,15 @@
               "fawndock.counter..",
               "fawndock.ratelimit..",
               "fawndock.cli..",
-              "fawndock.drill..",
-              "fawndock.lab..",
-              "fawndock.benchlink..",
+              "fawndock.scenario..",
+              "fawndock.benchmark..",
+              "fawndock.loadgen..",
+              "fawndock.simulation..",
+              "fawndock.measurement..",
+              "fawndock.experiment..",
+              "fawndock.report..",
+              "fawndock.calibration..",
+              "fawndock.simulatoradapter..",
               "io.vertx.core.http..");
 
   @ArchTest
@@ -231,7 +259,8 @@
               "io.vertx..",
               "java.net..",
               "fawndock",
-              "fawndock.host..",
+              "fawndock.policy..",
+              "fawndock.runtime..",
               "fawndock.counter..",
               "fawndock.platform..");
 
@@ -248,7 +277,7 @@
   static final ArchRule BENCHLINK_IS_LEAN =
       noClasses()
           .that()
-          .resideInAPackage("fawndock.benchlink..")
+          .resideInAPackage("fawndock.simulatoradapter..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
--- a/src/test/java/fawndock/MainTest.java
+++ b/src/test/java/fawndock/MainTest.java
@@ -50,7 +50,7 @@
     process.getOutputStream().close();
     String loaded = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(0, process.waitFor());
-    assertTrue(loaded.contains("fawndock.benchlink.BenchLink"), "it tells what it loads");
+    assertTrue(loaded.contains("fawndock.simulatoradapter.BenchLink"), "it tells what it loads");
     assertEquals(
         List.of(),
         loaded
--- a/src/test/java/fawndock/lab/calibrate/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -1,10 +1,10 @@
-package fawndock.lab.calibrate;
+package fawndock.calibration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.drill.DayFile;
-import fawndock.lab.emu.DeploymentFile;
+import fawndock.scenario.DayFile;
+import fawndock.simulation.DeploymentFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
--- a/src/test/java/fawndock/judge/RuleCheckerTest.java
+++ b/src/test/java/fawndock/conformance/RuleCheckerTest.java
@@ -1,23 +1,23 @@
-package fawndock.judge;
+package fawndock.conformance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.judge.Seen.Answered;
-import fawndock.judge.Seen.Arrived;
-import fawndock.judge.Seen.Asked;
-import fawndock.judge.Seen.Broke;
-import fawndock.judge.Seen.Came;
-import fawndock.judge.Seen.Killed;
-import fawndock.judge.Seen.Left;
-import fawndock.judge.Seen.Ran;
-import fawndock.judge.Seen.Told;
+import fawndock.conformance.TraceEvent.Answered;
+import fawndock.conformance.TraceEvent.Arrived;
+import fawndock.conformance.TraceEvent.Asked;
+import fawndock.conformance.TraceEvent.Broke;
+import fawndock.conformance.TraceEvent.Came;
+import fawndock.conformance.TraceEvent.Killed;
+import fawndock.conformance.TraceEvent.Left;
+import fawndock.conformance.TraceEvent.Ran;
+import fawndock.conformance.TraceEvent.Told;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -29,16 +29,16 @@
 /** The judge itself is tried: a sound trace, then one for each way in which a rule is broken. */
 class RuleCheckerTest {
   private static final long S = 1_000_000;
-  private static final Figures FIGURES =
-      new Figures(
+  private static final ConformanceLimits FIGURES =
+      new ConformanceLimits(
           Map.of(
               "lookup",
-              type("lookup", Repeat.IDEMPOTENT),
+              type("lookup", Idempotency.IDEMPOTENT),
               "update",
-              type("update", Repeat.DEDUPLICATED),
+              type("update", Idempotency.DEDUPLICATED),
               "charge",
-              type("charge", Repeat.AT_MOST_ONCE)),
-          new Rules(10_000, S, 0.2, 10 * S, 2, S, 10 * S),
+              type("charge", Idempotency.AT_MOST_ONCE)),
+          new ServiceRules(10_000, S, 0.2, 10 * S, 2, S, 10 * S),
           Map.of(
               "c",
               new Plan("p", 0, 0, 0, 1, 0, 0, 0, 0, 0),
@@ -46,8 +46,8 @@
               new Plan("t", 0, 0, 0, 1, 0, 0, 2, 3, 1)),
           50_000);
 
-  private static RequestClass type(String name, Repeat repeat) {
-    return new RequestClass(name, S, 0, 2 * S, 1, 0, repeat, Group.ALL, S, false);
+  private static RequestClass type(String name, Idempotency repeat) {
+    return new RequestClass(name, S, 0, 2 * S, 1, 0, repeat, DeduplicationScope.ALL, S, false);
   }
 
   private static Asked asked(String request, String type, long at) {
@@ -59,7 +59,7 @@
   }
 
   /** A sound request: sent, run, answered. */
-  private static List<Seen> served(String request, String type, long at) {
+  private static List<TraceEvent> served(String request, String type, long at) {
     return List.of(
         asked(request, type, at),
         arrived(request, "w", at + 1_000),
@@ -67,26 +67,26 @@
         new Answered(at + 3_000, request, 200));
   }
 
-  private static Verdict judge(List<Seen> base, Seen... more) {
-    List<Seen> trace = new ArrayList<>(base);
+  private static ConformanceResult judge(List<TraceEvent> base, TraceEvent... more) {
+    List<TraceEvent> trace = new ArrayList<>(base);
     trace.addAll(Arrays.asList(more));
-    return RuleChecker.judge(trace, FIGURES);
+    return InvariantChecker.judge(trace, FIGURES);
   }
 
-  private static String counts(Verdict v) {
+  private static String counts(ConformanceResult v) {
     return v.line().replaceAll("[^0-9]+", " ").trim();
   }
 
   @Test
   void aSoundTraceKeepsTheRules() {
-    List<Seen> sound =
+    List<TraceEvent> sound =
         Stream.of(
                 served("a.0", "lookup", S),
                 served("b.0", "charge", 2 * S),
                 served("d.0", "update", 3 * S))
             .flatMap(List::stream)
             .toList();
-    Verdict verdict =
+    ConformanceResult verdict =
         judge(
             sound,
             new Told(0, 0, "w", "running", 0),
@@ -184,7 +184,7 @@
                     new Answered(S + 9, "a.0", 429)))
             .kept(),
         "the worker had refused it unrun");
-    List<Seen> update =
+    List<TraceEvent> update =
         List.of(
             asked("a.0", "update", S), arrived("a.0", "w", S + 5), new Answered(3 * S, "a.0", 200));
     assertEquals(
@@ -196,21 +196,21 @@
 
   @Test
   void findsAColdWorkerPushedOver() {
-    List<Seen> trace =
+    List<TraceEvent> trace =
         new ArrayList<>(
             List.of(new Came(0, "w", 1, true, 100), new Told(1, 0, "w", "running", 10)));
     // At one second it can do 28 of its 100 a second: twice that is 56, and three deviations make
     // 78.
     IntStream.range(0, 90).forEach(i -> trace.addAll(served("a" + i + ".0", "lookup", S + i)));
-    assertEquals(1, RuleChecker.judge(trace, FIGURES).coldFalls());
-    assertEquals(0, RuleChecker.judge(trace.subList(0, 2 + 4 * 70), FIGURES).coldFalls());
+    assertEquals(1, InvariantChecker.judge(trace, FIGURES).coldFalls());
+    assertEquals(0, InvariantChecker.judge(trace.subList(0, 2 + 4 * 70), FIGURES).coldFalls());
     trace.set(1, new Told(1, 1, "w", "running", 10));
-    assertEquals(0, RuleChecker.judge(trace, FIGURES).coldFalls(), "nobody who sent it knew");
+    assertEquals(0, InvariantChecker.judge(trace, FIGURES).coldFalls(), "nobody who sent it knew");
   }
 
   @Test
   void findsACeilingPassed() {
-    List<Seen> trace = new ArrayList<>();
+    List<TraceEvent> trace = new ArrayList<>();
     IntStream.range(0, 5)
         .forEach(
             i ->
@@ -221,12 +221,12 @@
                         new Answered(S + 10, "a" + i + ".0", 200))));
     assertEquals(
         1,
-        RuleChecker.judge(trace, FIGURES).ceilingsPassed(),
+        InvariantChecker.judge(trace, FIGURES).ceilingsPassed(),
         "3 stored, 1 of slack: the fifth passes");
-    assertTrue(RuleChecker.judge(trace.subList(0, 12), FIGURES).kept());
+    assertTrue(InvariantChecker.judge(trace.subList(0, 12), FIGURES).kept());
     trace.set(12, new Asked(2 * S, "a4.0", 0, "lookup", "top", 1, 4 * S));
     trace.set(13, arrived("a4.0", "w", 2 * S));
     trace.set(14, new Answered(2 * S + 9, "a4.0", 200));
-    assertTrue(RuleChecker.judge(trace, FIGURES).kept(), "it has filled again");
+    assertTrue(InvariantChecker.judge(trace, FIGURES).kept(), "it has filled again");
   }
 }
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.GroupCommit.Durability;
+import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
 import fawndock.settings.CounterSettings;
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -68,7 +68,7 @@
                 1_100,
                 300_000,
                 stallMillis,
-                new DaemonSettings.Log(false, "warn"),
+                new GatewaySettings.Log(false, "warn"),
                 ALONE),
             disk);
     port = server.start(bytes -> {});
@@ -614,7 +614,8 @@
     }
     assertEquals(6_000, all);
     long newest =
-        fawndock.counter.core.Recovery.files(files, fawndock.counter.core.LogFormat.Kind.SNAPSHOT)
+        fawndock.counter.storage.Recovery.files(
+                files, fawndock.counter.storage.LogFormat.Kind.SNAPSHOT)
             .lastKey();
     assertTrue(newest > 0, "no snapshot was taken");
     again("", 1_000);
--- a/src/test/java/fawndock/counter/FleetTest.java
+++ b/src/test/java/fawndock/counter/FleetTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.GroupCommit.Durability;
+import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
 import fawndock.settings.CounterSettings;
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -66,7 +66,7 @@
                 100,
                 1 << 20,
                 10_000,
-                new DaemonSettings.Log(false, "error"),
+                new GatewaySettings.Log(false, "error"),
                 new CounterSettings.Fleet("n" + node, epoch, 300, 600, fellows)),
             disks.get(node)));
     servers.get(node).start(b -> {});
--- a/src/test/java/fawndock/counter/TestDisk.java
+++ b/src/test/java/fawndock/counter/TestDisk.java
@@ -1,14 +1,14 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Disk;
+import fawndock.counter.storage.Storage;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.concurrent.Semaphore;
 
 /** A directory whose log can be full, slow to sync, or fail a sync. */
-final class TestDisk implements Disk {
-  private final Disk disk;
+final class TestDisk implements Storage {
+  private final Storage disk;
   volatile boolean full;
   volatile boolean failSync;
 
@@ -18,7 +18,7 @@
   /** Whether each sync of a file takes a permit for good. */
   volatile boolean step;
 
-  TestDisk(Disk disk) {
+  TestDisk(Storage disk) {
     this.disk = disk;
   }
 
--- a/src/test/java/fawndock/counter/replica/ClientRulesTest.java
+++ b/src/test/java/fawndock/counter/replication/ClientRulesTest.java
@@ -1,17 +1,17 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.CountException;
-import fawndock.counter.replica.ReplicaClient.Ask;
-import fawndock.counter.replica.ReplicaClient.End;
-import fawndock.counter.replica.ReplicaClient.Fetch;
-import fawndock.counter.replica.ReplicaClient.Give;
-import fawndock.counter.replica.ReplicaClient.Out;
-import fawndock.counter.replica.ReplicaClient.Result;
+import fawndock.counter.replication.ReplicaClient.Ask;
+import fawndock.counter.replication.ReplicaClient.End;
+import fawndock.counter.replication.ReplicaClient.Fetch;
+import fawndock.counter.replication.ReplicaClient.Give;
+import fawndock.counter.replication.ReplicaClient.Out;
+import fawndock.counter.replication.ReplicaClient.Result;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,14 +19,14 @@
 
 /** Which node a gatekeeper asks, step by step. */
 class ClientRulesTest {
-  private static final Amount ONE = new Amount(1, false);
-  private static final long V1 = NodeList.settingsVersion(1);
+  private static final DecimalAmount ONE = new DecimalAmount(1, false);
+  private static final long V1 = MembershipList.settingsVersion(1);
   private final ReplicaClient client =
       new ReplicaClient(7, List.of("a", "b"), new ReplicaClient.Times(10, 50, 100, 1_000));
 
   private final List<Out> out = new ArrayList<>();
 
-  private Ask call(long now) throws CountException {
+  private Ask call(long now) throws CommandException {
     out.clear();
     client.call("n.1", ONE, 60_000, now, out);
     return asked();
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aSilentNodeIsStoodInForWithinTheCall() throws CountException {
+  void aSilentNodeIsStoodInForWithinTheCall() throws CommandException {
     Ask first = call(0);
     tick(9);
     assertEquals(null, asked());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void oneThatStaysSilentIsNotAskedFirstUntilItSaysThatItIsReady() throws CountException {
+  void oneThatStaysSilentIsNotAskedFirstUntilItSaysThatItIsReady() throws CommandException {
     Ask first = call(0);
     tick(101);
     assertFalse(client.well(first.node()));
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aLostConnectionOrARefusalIsAskedElsewhereAtOnce() throws CountException {
+  void aLostConnectionOrARefusalIsAskedElsewhereAtOnce() throws CommandException {
     Ask first = call(0);
     out.clear();
     client.lost(first.node(), 1, out);
@@ -102,21 +102,21 @@
   }
 
   @Test
-  void whatWasNotAddedIsTakenBack() throws CountException {
+  void whatWasNotAddedIsTakenBack() throws CommandException {
     client.lost("a", 0, out);
     client.lost("b", 0, out);
     assertEquals(null, call(1));
     assertEquals(Result.UNREACHABLE, ended().result());
     client.hereAnswered("a", true, V1, out);
-    Sum told = call(2).sum();
+    ReplicatedSum told = call(2).sum();
     assertEquals("2", told.plus().toString());
     assertEquals("1", told.minus().toString());
   }
 
   @Test
-  void aNewerListIsFetchedAndGivenBack() throws CountException {
+  void aNewerListIsFetchedAndGivenBack() throws CommandException {
     Ask first = call(0);
-    NodeList list = new NodeList(2, Map.of("b", "h:1", "c", "h:2"));
+    MembershipList list = new MembershipList(2, Map.of("b", "h:1", "c", "h:2"));
     out.clear();
     client.hereAnswered("b", true, list.version(), out);
     assertEquals(List.of(new Fetch("b")), out);
@@ -127,7 +127,7 @@
     }
     assertFalse(client.well("c"), "until it says that it is ready");
     assertFalse(client.adopt(list, 2, out));
-    assertFalse(client.adopt(new NodeList(1, Map.of("a", "h:0")), 2, out));
+    assertFalse(client.adopt(new MembershipList(1, Map.of("a", "h:0")), 2, out));
     out.clear();
     client.hereAnswered("c", true, V1, out);
     assertEquals(List.of(new Give("c", list)), out, "it came up by its settings");
--- a/src/test/java/fawndock/counter/replica/Fleet.java
+++ b/src/test/java/fawndock/counter/replication/Fleet.java
@@ -1,14 +1,14 @@
-package fawndock.counter.replica;
-
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
-import fawndock.counter.replica.ReplicaClient.Ask;
-import fawndock.counter.replica.ReplicaClient.End;
-import fawndock.counter.replica.ReplicaClient.Here;
-import fawndock.counter.replica.ReplicaClient.Out;
+package fawndock.counter.replication;
+
+import fawndock.counter.replication.ReplicaClient.Ask;
+import fawndock.counter.replication.ReplicaClient.End;
+import fawndock.counter.replication.ReplicaClient.Here;
+import fawndock.counter.replication.ReplicaClient.Out;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterTable;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -37,7 +37,7 @@
   /** A node with its counts, which a crash may leave or take. */
   final class Node {
     final String id;
-    CountTable table = new CountTable(1, 2);
+    CounterTable table = new CounterTable(1, 2);
     ReplicaNode node;
     int life;
     long skew;
@@ -49,7 +49,7 @@
 
     void start(boolean empty) {
       if (empty) {
-        table = new CountTable(1, 2);
+        table = new CounterTable(1, 2);
       }
       List<String> others = new ArrayList<>(settings);
       others.remove(id);
@@ -60,7 +60,7 @@
               1,
               random.nextLong(),
               NODE_TIMES,
-              new Sums(new Counts(table, Long.MAX_VALUE)),
+              new ReplicatedSums(new CounterOperations(table, Long.MAX_VALUE)),
               clock());
       tick(++life);
     }
@@ -94,7 +94,7 @@
      * lacks it.
      */
     private void beaten(Node n, ReplicaNode.Beat beat, int mine) {
-      NodeList newer = n.node.newerThan(beat.version());
+      MembershipList newer = n.node.newerThan(beat.version());
       boolean strange =
           newer == null && beat.version() <= n.node.version() && !n.node.others().contains(id);
       n.node.beat(id, beat, n.clock());
@@ -131,10 +131,10 @@
                       return;
                     }
                     try {
-                      for (Sum each : batch.sums()) {
-                        n.node.told(id, each, n.clock(), new Changes(64));
+                      for (ReplicatedSum each : batch.sums()) {
+                        n.node.told(id, each, n.clock(), new ChangeRecord(64));
                       }
-                    } catch (CountException e) {
+                    } catch (CommandException e) {
                       throw new AssertionError(e);
                     }
                     if (batch.all()) {
@@ -224,10 +224,10 @@
     private void add(String name, int amount, java.util.function.DoubleConsumer then) {
       List<Out> out = new ArrayList<>();
       try {
-        long call = client.call(name, new Amount(amount, false), 2 * WINDOW, now, out);
+        long call = client.call(name, new DecimalAmount(amount, false), 2 * WINDOW, now, out);
         told.put(call, () -> then.accept(lastTotal));
         pending.put(call, amount);
-      } catch (CountException e) {
+      } catch (CommandException e) {
         throw new AssertionError(e);
       }
       carry(out);
@@ -269,7 +269,7 @@
                   at(
                       fetch.node(),
                       n -> {
-                        NodeList list = n.node.given();
+                        MembershipList list = n.node.given();
                         send(
                             n.id,
                             id,
@@ -297,7 +297,7 @@
       List<Out> out = new ArrayList<>();
       try {
         double total =
-            Double.parseDouble(n.node.ask(ask.sum(), n.clock(), new Changes(64)).toString());
+            Double.parseDouble(n.node.ask(ask.sum(), n.clock(), new ChangeRecord(64)).toString());
         send(
             n.id,
             id,
@@ -305,7 +305,7 @@
               client.answered(n.id, ask.call(), total, out);
               carry(out);
             });
-      } catch (CountException e) {
+      } catch (CommandException e) {
         send(
             n.id,
             id,
@@ -374,12 +374,12 @@
     list.add(made.id);
     Map<String, String> addresses = new TreeMap<>();
     list.forEach(id -> addresses.put(id, id + ":1"));
-    after(400, () -> give(told, new NodeList(2, addresses)));
+    after(400, () -> give(told, new MembershipList(2, addresses)));
     after(400 + untilGone, nodes.get(gone)::die);
   }
 
   /** An operator gives a list, again until the node is there. */
-  private void give(String to, NodeList given) {
+  private void give(String to, MembershipList given) {
     if (nodes.get(to).node == null) {
       after(50, () -> give(to, given));
     } else {
--- a/src/test/java/fawndock/counter/replica/NodeRulesTest.java
+++ b/src/test/java/fawndock/counter/replication/NodeRulesTest.java
@@ -1,23 +1,24 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
-import fawndock.counter.replica.ReplicaNode.Beat;
+import fawndock.counter.replication.ReplicaNode.Beat;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterTable;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** When a node answers, with what, and what it tells others, step by step. */
 class NodeRulesTest {
-  private static final long V1 = NodeList.settingsVersion(1);
-  private final Sums sums = new Sums(new Counts(new CountTable(1, 2), Long.MAX_VALUE));
+  private static final long V1 = MembershipList.settingsVersion(1);
+  private final ReplicatedSums sums =
+      new ReplicatedSums(new CounterOperations(new CounterTable(1, 2), Long.MAX_VALUE));
   private final ReplicaNode node =
       new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
 
@@ -35,14 +36,15 @@
     node.arrived("b");
   }
 
-  private static Sum sum(String name, long origin, long plus) {
-    return new Sum(name, origin, new Amount(plus, false), Amount.ZERO, 60_000);
+  private static ReplicatedSum sum(String name, long origin, long plus) {
+    return new ReplicatedSum(
+        name, origin, new DecimalAmount(plus, false), DecimalAmount.ZERO, 60_000);
   }
 
-  private String ask(Sum sum, long now) {
+  private String ask(ReplicatedSum sum, long now) {
     try {
-      return node.ask(sum, now, new Changes(64)).toString();
-    } catch (CountException e) {
+      return node.ask(sum, now, new ChangeRecord(64)).toString();
+    } catch (CommandException e) {
       return e.getMessage().split(" ")[0];
     }
   }
@@ -105,35 +107,36 @@
   @Test
   void aNewerListFencesUntilItIsTaken() {
     upWithAll(10);
-    NodeList without = new NodeList(2, Map.of("b", "h:1", "d", "h:2"));
+    MembershipList without = new MembershipList(2, Map.of("b", "h:1", "d", "h:2"));
     beat("b", without.version(), 1, true, 20);
     assertEquals("FENCED", ask(sum("n.1", 7, 1), 20));
-    NodeList with = new NodeList(2, Map.of("a", "h:3", "b", "h:1"));
-    NodeList newer = with.version() > without.version() ? with : new NodeList(3, with.addresses());
+    MembershipList with = new MembershipList(2, Map.of("a", "h:3", "b", "h:1"));
+    MembershipList newer =
+        with.version() > without.version() ? with : new MembershipList(3, with.addresses());
     assertTrue(node.adopt(newer, 30));
     assertEquals("1", ask(sum("n.1", 7, 1), 30));
     assertEquals(java.util.Set.of("b"), node.others());
     assertFalse(node.adopt(without, 40), "an older one");
     assertEquals(newer, node.newerThan(V1));
     assertEquals(null, node.newerThan(newer.version()));
-    assertTrue(node.adopt(new NodeList(4, Map.of("b", "h:1")), 50));
+    assertTrue(node.adopt(new MembershipList(4, Map.of("b", "h:1")), 50));
     assertEquals("FENCED", ask(sum("n.1", 7, 1), 50), "off the list");
   }
 
   @Test
   void anOlderListIsNotHeard() {
-    assertTrue(node.adopt(new NodeList(2, Map.of("a", "h:1", "b", "h:2")), 0));
+    assertTrue(node.adopt(new MembershipList(2, Map.of("a", "h:1", "b", "h:2")), 0));
     beat("b", V1, 1, true, 10);
     assertFalse(node.hears("b", 10));
   }
 
   @Test
-  void theEstimateIsOfGatekeepersThatMayCountWhereOneIsNotHeard() throws CountException {
+  void theEstimateIsOfGatekeepersThatMayCountWhereOneIsNotHeard() throws CommandException {
     upWithAll(0);
     long now = 0;
     for (int i = 1; i <= 200; i++) { // 100 a second by gatekeeper 8, told by b.
       now += 10;
-      node.told("b", sum("n.1", 8, i), now, new Changes(64));
+      node.told("b", sum("n.1", 8, i), now, new ChangeRecord(64));
       beat("b", V1, 1, true, now);
       beat("c", V1, 1, true, now);
       node.here(8, i, now);
@@ -157,12 +160,12 @@
   }
 
   @Test
-  void aGatekeeperThatHadCeasedToCountIsEstimatedAtLittle() throws CountException {
+  void aGatekeeperThatHadCeasedToCountIsEstimatedAtLittle() throws CommandException {
     upWithAll(0);
     for (int now = 10;
         now <= 24_000;
         now += 10) { // 100 a second for 2 s, then it is there and counts nothing.
-      node.told("b", sum("n.1", 8, Math.min(200, now / 10)), now, new Changes(64));
+      node.told("b", sum("n.1", 8, Math.min(200, now / 10)), now, new ChangeRecord(64));
       node.here(8, now, now);
       beat("b", V1, 1, true, now);
       beat("c", V1, 1, true, now);
@@ -171,14 +174,16 @@
   }
 
   @Test
-  void everythingIsToldAgainToOneThatWasAwayOrForgot() throws CountException {
+  void everythingIsToldAgainToOneThatWasAwayOrForgot() throws CommandException {
     upWithAll(0);
     ask(sum("n.1", 7, 1), 10);
-    assertEquals(List.of("n.1"), node.next("b", 100, 20).sums().stream().map(Sum::name).toList());
+    assertEquals(
+        List.of("n.1"), node.next("b", 100, 20).sums().stream().map(ReplicatedSum::name).toList());
     ask(sum("n.2", 7, 1), 30);
     assertTrue(node.next("b", 100, 40).isEmpty(), "the last is not confirmed yet");
     node.arrived("b");
-    assertEquals(List.of("n.2"), node.next("b", 100, 50).sums().stream().map(Sum::name).toList());
+    assertEquals(
+        List.of("n.2"), node.next("b", 100, 50).sums().stream().map(ReplicatedSum::name).toList());
     beat("b", V1, 1, true, 140);
     node.tick(201); // Not confirmed within the time to miss it.
     assertTrue(node.next("b", 100, 201).all());
--- a/src/test/java/fawndock/counter/replica/ReplicaTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaTest.java
@@ -1,9 +1,9 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.Counts;
+import fawndock.counter.storage.CounterOperations;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -141,13 +141,13 @@
         if (!node.node.ready()) {
           wrong.add(node.id + " does not answer after all was mended");
         }
-        Sums sums = new Sums(new Counts(node.table, Long.MAX_VALUE));
+        ReplicatedSums sums = new ReplicatedSums(new CounterOperations(node.table, Long.MAX_VALUE));
         double all = 0;
         for (Fleet.Gate gate : fleet.gates) {
           int[] told = gate.acknowledged.getOrDefault(name, new int[2]);
-          Sum has = sums.of(name, gate.origin(), node.clock());
-          Sum other =
-              new Sums(new Counts(first.table, Long.MAX_VALUE))
+          ReplicatedSum has = sums.of(name, gate.origin(), node.clock());
+          ReplicatedSum other =
+              new ReplicatedSums(new CounterOperations(first.table, Long.MAX_VALUE))
                   .of(name, gate.origin(), first.clock());
           long plus = has == null ? 0 : has.plus().digits();
           long minus = has == null ? 0 : has.minus().digits();
--- a/src/test/java/fawndock/counter/core/CoreTest.java
+++ b/src/test/java/fawndock/counter/storage/CoreTest.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.core.GroupCommit.Durability;
+import fawndock.counter.storage.GroupCommit.Durability;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -32,40 +32,40 @@
   void amountsAddExactly(
       @ForAll @BigRange(min = "-4000000000", max = "4000000000") @Scale(12) BigDecimal a,
       @ForAll @BigRange(min = "-4000000000", max = "4000000000") @Scale(9) BigDecimal b)
-      throws CountException {
-    Amount one = Amount.of(bytes(a.toPlainString()));
-    Amount two = Amount.of(bytes(b.toString()));
+      throws CommandException {
+    DecimalAmount one = DecimalAmount.of(bytes(a.toPlainString()));
+    DecimalAmount two = DecimalAmount.of(bytes(b.toString()));
     BigDecimal rounded = a.setScale(9, RoundingMode.HALF_EVEN);
     assertEquals(0, rounded.add(b).compareTo(new BigDecimal(one.plus(two).toString())));
-    assertEquals(two, two.plus(one).plus(Amount.of(bytes(a.negate().toPlainString()))));
+    assertEquals(two, two.plus(one).plus(DecimalAmount.of(bytes(a.negate().toPlainString()))));
   }
 
   @Example
-  void amountsHaveBounds() throws CountException {
-    assertEquals("9223372036854775807", Amount.of(bytes("9223372036854775807")).toString());
-    assertEquals("0.000000001", Amount.of(bytes("1e-9")).toString());
-    assertEquals(Amount.ZERO, Amount.of(bytes("1e-999999999")));
-    assertEquals(new Amount(5, false), Amount.of(bytes("5.000")));
+  void amountsHaveBounds() throws CommandException {
+    assertEquals("9223372036854775807", DecimalAmount.of(bytes("9223372036854775807")).toString());
+    assertEquals("0.000000001", DecimalAmount.of(bytes("1e-9")).toString());
+    assertEquals(DecimalAmount.ZERO, DecimalAmount.of(bytes("1e-999999999")));
+    assertEquals(new DecimalAmount(5, false), DecimalAmount.of(bytes("5.000")));
     for (String over : List.of("9223372036854775808", "1e30", "9300000000.5", "1e999999999")) {
       assertEquals(
-          CountException.OVERFLOW,
-          assertThrows(CountException.class, () -> Amount.of(bytes(over))).getMessage(),
+          CommandException.OVERFLOW,
+          assertThrows(CommandException.class, () -> DecimalAmount.of(bytes(over))).getMessage(),
           over);
     }
     for (String none : List.of("", "-", ".", "1.2.3", "NaN", "Infinity", "0x1", "1 ")) {
       assertEquals(
-          CountException.NOT_FLOAT,
-          assertThrows(CountException.class, () -> Amount.of(bytes(none))).getMessage(),
+          CommandException.NOT_FLOAT,
+          assertThrows(CommandException.class, () -> DecimalAmount.of(bytes(none))).getMessage(),
           none);
     }
     for (String none : List.of("01", "+1", "1.0", "9223372036854775808")) {
-      assertThrows(CountException.class, () -> Amount.whole(bytes(none)), none);
+      assertThrows(CommandException.class, () -> DecimalAmount.whole(bytes(none)), none);
     }
   }
 
   @Example
   void timeNeverRunsBackwards() {
-    SteadyTime time = new SteadyTime(5_000, 4_000, 0);
+    MonotonicWallClock time = new MonotonicWallClock(5_000, 4_000, 0);
     assertEquals(5_000, time.now(4_000, 0));
     assertEquals(
         5_010, time.now(3_000, 10_500_000)); // Set back: goes on at the pace of the other clock.
@@ -77,7 +77,7 @@
   @Property(tries = 200, seed = "15")
   void theTableIsAMap(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    CountTable table = new CountTable(seed, 2);
+    CounterTable table = new CounterTable(seed, 2);
     Map<String, long[]> model = new HashMap<>();
     long now = 100;
     for (int i = 0; i < 2_000; i++) {
@@ -93,11 +93,11 @@
         default -> {
           long expiry = random.nextBoolean() ? 0 : now + 1 + random.nextInt(50);
           model.put(name, new long[] {i, expiry});
-          table.put(bytes(name), new Amount(i, random.nextBoolean()), expiry);
+          table.put(bytes(name), new DecimalAmount(i, random.nextBoolean()), expiry);
         }
       }
       long[] has = model.get(name);
-      Amount found = table.get(bytes(name), at);
+      DecimalAmount found = table.get(bytes(name), at);
       assertEquals(has != null && (has[1] == 0 || has[1] > at), found != null);
       assertTrue(found == null || found.digits() == has[0]);
     }
@@ -112,9 +112,9 @@
   }
 
   @Example
-  void oneSyncServesAllThatCameMeanwhile() throws CountException {
+  void oneSyncServesAllThatCameMeanwhile() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
-    assertThrows(CountException.class, () -> commit.room(10));
+    assertThrows(CommandException.class, () -> commit.room(10));
     commit.resumed();
     assertNull(commit.next(0));
     commit.room(10).deleted(bytes("a"));
@@ -126,7 +126,7 @@
     assertEquals(2, commit.awaited());
     assertNull(commit.next(0), "two at once");
     commit.stalled("full");
-    assertThrows(CountException.class, () -> commit.room(10));
+    assertThrows(CommandException.class, () -> commit.room(10));
     commit.done(1);
     assertEquals(2, commit.next(0).number());
     assertNull(commit.next(0));
@@ -134,7 +134,7 @@
 
   /** What is offered gathers on until it is taken; what comes after is in the next group. */
   @Example
-  void anOfferedGroupIsTakenOrWithdrawn() throws CountException {
+  void anOfferedGroupIsTakenOrWithdrawn() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
     commit.resumed();
     commit.room(10).deleted(bytes("a"));
@@ -158,16 +158,16 @@
   }
 
   @Example
-  void aFullGroupTurnsAway() throws CountException {
+  void aFullGroupTurnsAway() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
     commit.resumed();
     byte[] name = new byte[1_000];
-    CountException e =
+    CommandException e =
         assertThrows(
-            CountException.class,
+            CommandException.class,
             () -> {
               for (int i = 0; i < 2_000; i++) {
-                commit.room(Counts.bytes(name)).set(name, Amount.ZERO, 0);
+                commit.room(CounterOperations.bytes(name)).set(name, DecimalAmount.ZERO, 0);
               }
             });
     assertTrue(e.getMessage().startsWith("BUSY"));
@@ -175,7 +175,7 @@
   }
 
   @Example
-  void byIntervalItSyncsWhenOneHasPassed() throws CountException {
+  void byIntervalItSyncsWhenOneHasPassed() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.INTERVAL, 100);
     commit.resumed();
     commit.room(10).deleted(bytes("a"));
@@ -195,8 +195,8 @@
     SimDisk disk = new SimDisk(1);
     LogWriter log = new LogWriter(disk, 0);
     for (int i = 0; i < 3 * segments; i++) {
-      Changes changes = new Changes(64);
-      changes.set(bytes("n"), new Amount(i + 1, false), 0);
+      ChangeRecord changes = new ChangeRecord(64);
+      changes.set(bytes("n"), new DecimalAmount(i + 1, false), 0);
       log.append(changes.record(i));
       log.sync();
       if (i % 3 == 2 && i < 3 * segments - 1) {
@@ -215,17 +215,19 @@
     SimDisk disk = log(3);
     String second = LogFormat.Kind.SEGMENT.file(4);
     disk.rot(second, 16 + 44 + 20);
-    assertThrows(DamageException.class, () -> Recovery.recover(disk, new CountTable(1), b -> {}));
+    assertThrows(
+        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
     assertEquals(
         second + ": damaged, records 4 to 4, 148 bytes, damaged record 5 at offset 60",
-        LogAudit.verify(disk).get(1).line());
-    List<String> steps = LogAudit.truncate(disk, false);
+        LogVerifier.verify(disk).get(1).line());
+    List<String> steps = LogVerifier.truncate(disk, false);
     assertEquals(second + ": cut from 148 to 60 bytes, after record 4", steps.get(0));
-    assertThrows(DamageException.class, () -> Recovery.recover(disk, new CountTable(1), b -> {}));
-    assertEquals(steps, LogAudit.truncate(disk, true));
-    CountTable table = new CountTable(1);
+    assertThrows(
+        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
+    assertEquals(steps, LogVerifier.truncate(disk, true));
+    CounterTable table = new CounterTable(1);
     assertEquals(4, Recovery.recover(disk, table, b -> {}).sequence());
-    assertEquals(new Amount(4, false), table.get(bytes("n"), 0));
+    assertEquals(new DecimalAmount(4, false), table.get(bytes("n"), 0));
     assertEquals(88, disk.open(second + ".cut").size());
     assertTrue(disk.list().contains(LogFormat.Kind.SEGMENT.file(7) + ".cut"));
   }
@@ -234,7 +236,7 @@
   void aTornLogIsNoDamageToTheAudit() throws IOException {
     SimDisk disk = log(1);
     disk.rot(LogFormat.Kind.SEGMENT.file(1), 147);
-    assertEquals(LogAudit.State.TORN, LogAudit.verify(disk).get(0).state());
-    assertEquals(List.of(), LogAudit.truncate(disk, true));
+    assertEquals(LogVerifier.State.TORN, LogVerifier.verify(disk).get(0).state());
+    assertEquals(List.of(), LogVerifier.truncate(disk, true));
   }
 }
--- a/src/test/java/fawndock/counter/core/CrashTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashTest.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,8 +27,8 @@
   private static final class Life {
     final SimDisk disk;
     final SplittableRandom random;
-    final CountTable table;
-    final Counts counts;
+    final CounterTable table;
+    final CounterOperations counts;
     final GroupCommit commit = new GroupCommit(GroupCommit.Durability.ALWAYS, 0);
 
     /** What the names were at the end of each group, by its number. */
@@ -47,16 +47,16 @@
     GroupCommit.Work work;
     GroupCommit.Work offered;
     SnapshotWriter snapshot;
-    SnapshotWalk walk;
-    Iterator<SnapshotWalk.Part> parts;
+    SnapshotIterator walk;
+    Iterator<SnapshotIterator.Part> parts;
     long covered;
     long walkedTo = -1;
 
     Life(SimDisk disk, SplittableRandom random, long time) throws IOException {
       this.disk = disk;
       this.random = random;
-      table = new CountTable(random.nextLong(), 8);
-      counts = new Counts(table, Long.MAX_VALUE);
+      table = new CounterTable(random.nextLong(), 8);
+      counts = new CounterOperations(table, Long.MAX_VALUE);
       Recovery.Found found = Recovery.recover(disk, table, bytes -> {});
       this.time = Math.max(time, found.time());
       states.put(0L, state(table, this.time));
@@ -71,11 +71,11 @@
     void anew(long sequence) throws IOException {
       anew.add(state(table, Long.MIN_VALUE));
       SnapshotWriter all = new SnapshotWriter(disk, sequence);
-      SnapshotWalk through = new SnapshotWalk(table);
-      for (List<SnapshotWalk.Part> piece = through.next(time);
+      SnapshotIterator through = new SnapshotIterator(table);
+      for (List<SnapshotIterator.Part> piece = through.next(time);
           !piece.isEmpty();
           piece = through.next(time)) {
-        for (SnapshotWalk.Part part : piece) {
+        for (SnapshotIterator.Part part : piece) {
           all.write(part.changes(), part.names(), time);
         }
       }
@@ -103,15 +103,18 @@
       openGroup();
       byte[] name = ("n" + random.nextInt(NAMES)).getBytes(StandardCharsets.UTF_8);
       try {
-        Changes to = commit.room(2 * Counts.bytes(name));
+        ChangeRecord to = commit.room(2 * CounterOperations.bytes(name));
         switch (random.nextInt(8)) {
           case 0 -> counts.delete(name, time, to);
-          case 1 -> counts.expire(name, time + random.nextInt(20), Counts.When.ALWAYS, time, to);
-          case 2 -> counts.add(name, new Amount(random.nextInt(-500, 500), true), 30, time, to);
-          default -> counts.add(name, new Amount(random.nextInt(9), false), 0, time, to);
+          case 1 ->
+              counts.expire(
+                  name, time + random.nextInt(20), CounterOperations.When.ALWAYS, time, to);
+          case 2 ->
+              counts.add(name, new DecimalAmount(random.nextInt(-500, 500), true), 30, time, to);
+          default -> counts.add(name, new DecimalAmount(random.nextInt(9), false), 0, time, to);
         }
         states.put(commit.open(), state(table, Long.MIN_VALUE));
-      } catch (CountException e) {
+      } catch (CommandException e) {
         // Refused: nothing has changed.
       }
       table.sweep(time, 3);
@@ -174,12 +177,12 @@
           if (work == null && !log.failed()) {
             covered = log.roll();
             snapshot = new SnapshotWriter(disk, covered);
-            walk = new SnapshotWalk(table);
+            walk = new SnapshotIterator(table);
             parts = walk.next(time).iterator();
             walkedTo = commit.open();
           }
         } else if (parts.hasNext()) {
-          SnapshotWalk.Part part = parts.next();
+          SnapshotIterator.Part part = parts.next();
           snapshot.write(part.changes(), part.names(), time);
         } else if (walkedTo >= 0 && walkedTo < acknowledged.get(acknowledged.size() - 1)) {
           SnapshotWriter ending = snapshot;
@@ -198,7 +201,7 @@
     }
   }
 
-  private static Map<String, String> state(CountTable table, long now) {
+  private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> all = new TreeMap<>();
     for (int i = 0; i < table.shards(); i++) {
       table.visit(
@@ -261,8 +264,8 @@
     SimDisk disk = new SimDisk(1);
     LogWriter log = new LogWriter(disk, 0);
     for (int i = 0; i < records; i++) {
-      Changes changes = new Changes(64);
-      changes.set(new byte[] {'n'}, new Amount(i + 1, false), 0);
+      ChangeRecord changes = new ChangeRecord(64);
+      changes.set(new byte[] {'n'}, new DecimalAmount(i + 1, false), 0);
       log.append(changes.record(i));
       log.sync();
     }
@@ -274,10 +277,10 @@
     SimDisk disk = written(3);
     String name = LogFormat.Kind.SEGMENT.file(1);
     disk.rot(name, (int) disk.open(name).size() - 1);
-    CountTable table = new CountTable(1);
+    CounterTable table = new CounterTable(1);
     Recovery.Found found = Recovery.recover(disk, table, b -> {});
     assertEquals(2, found.sequence());
-    assertEquals(new Amount(2, false), table.get(new byte[] {'n'}, 0));
+    assertEquals(new DecimalAmount(2, false), table.get(new byte[] {'n'}, 0));
     assertEquals(
         List.of(name + ": cut off 44 bytes of a torn record at offset 104"), found.reports());
     assertEquals(104, disk.open(name).size());
@@ -289,7 +292,7 @@
     disk.rot(LogFormat.Kind.SEGMENT.file(1), 16 + 44 + 30);
     IOException e =
         assertThrows(
-            DamageException.class, () -> Recovery.recover(disk, new CountTable(1), b -> {}));
+            CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
     assertEquals(
         "segment-00000000000000000001.log: damaged record 2 before the end of the log at offset 60",
         e.getMessage());
@@ -300,7 +303,8 @@
     SimDisk disk = written(2);
     LogWriter later = new LogWriter(disk, 5);
     later.close();
-    assertThrows(DamageException.class, () -> Recovery.recover(disk, new CountTable(1), b -> {}));
+    assertThrows(
+        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
   }
 
   /**
@@ -312,37 +316,37 @@
     SimDisk disk = new SimDisk(1);
     LogWriter log = new LogWriter(disk, 0);
     for (int i = 0; i < 40; i++) {
-      Changes changes = new Changes(64);
-      changes.set(new byte[] {(byte) i}, Amount.ZERO, 0);
+      ChangeRecord changes = new ChangeRecord(64);
+      changes.set(new byte[] {(byte) i}, DecimalAmount.ZERO, 0);
       log.append(changes.record(i));
     }
     log.roll();
     disk.crash();
-    assertEquals(40, Recovery.recover(disk, new CountTable(1), b -> {}).sequence());
+    assertEquals(40, Recovery.recover(disk, new CounterTable(1), b -> {}).sequence());
   }
 
   @Example
   void aDamagedSnapshotIsLeftAsideAndTheLogReadInstead() throws IOException {
     SimDisk disk = written(3);
-    CountTable table = new CountTable(1);
+    CounterTable table = new CounterTable(1);
     Recovery.recover(disk, table, b -> {});
     SnapshotWriter snapshot = new SnapshotWriter(disk, 3);
-    snapshot.write(new SnapshotWalk(table).next(0).get(0).changes(), 1, 0);
+    snapshot.write(new SnapshotIterator(table).next(0).get(0).changes(), 1, 0);
     snapshot.finish(0);
     disk.rot(LogFormat.Kind.SNAPSHOT.file(3), 16 + 44 + 30); // In its end.
-    CountTable again = new CountTable(1);
+    CounterTable again = new CounterTable(1);
     Recovery.Found found = Recovery.recover(disk, again, b -> {});
     assertEquals(3, found.sequence());
     assertEquals(
         List.of("snapshot-00000000000000000003.snap: not whole, left aside"), found.reports());
-    assertEquals(new Amount(3, false), again.get(new byte[] {'n'}, 0));
+    assertEquals(new DecimalAmount(3, false), again.get(new byte[] {'n'}, 0));
   }
 
   @Example
   void nothingIsAppendedAfterAFailedSync() throws IOException {
     SimDisk disk = new SimDisk(1);
     LogWriter log = new LogWriter(disk, 0);
-    Changes changes = new Changes(64);
+    ChangeRecord changes = new ChangeRecord(64);
     changes.deleted(new byte[] {'n'});
     log.append(changes.record(0));
     disk.failingSyncs = 1;
--- a/src/test/java/fawndock/counter/core/SimDisk.java
+++ b/src/test/java/fawndock/counter/storage/SimDisk.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
  * unsynced change of the directory, is there or not by itself. It can be full, fail a sync and lose
  * what that covered, and crash at any call.
  */
-public final class SimDisk implements Disk {
+public final class SimDisk implements Storage {
   /** The process is gone. */
   public static final class Crash extends Error {
     private static final long serialVersionUID = 1L;
--- a/src/test/java/fawndock/lab/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -1,4 +1,4 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper;
-import fawndock.Logic;
-import fawndock.lab.experiment.Experiment.Expect;
-import fawndock.settings.SettingsException;
+import fawndock.experiment.Experiment.Expect;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,10 +29,10 @@
   @TempDir private Path directory;
   private Path file;
   private final AtomicInteger made = new AtomicInteger();
-  private final Function<Gatekeeper.Settings, Gatekeeper> maker =
+  private final Function<PolicyConfig, GatewayPolicy> maker =
       s -> {
         made.incrementAndGet();
-        return new Logic(s);
+        return new DefaultGatewayPolicy(s);
       };
 
   @BeforeEach
@@ -57,7 +58,7 @@
     Files.writeString(file, "scenario s.emu\n" + String.join("\n", lines) + "\n");
     try {
       return ExperimentFile.read(file);
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
@@ -155,12 +156,12 @@
   @Test
   void aRunThatFailsEndsTheExperimentAndKeepsTheOthers() throws Exception {
     Path folder = directory.resolve("r");
-    Function<Gatekeeper.Settings, Gatekeeper> broken =
+    Function<PolicyConfig, GatewayPolicy> broken =
         s -> {
-          if (s.gatekeepers() == 3) {
+          if (s.instanceCount() == 3) {
             throw new IllegalStateException("no");
           }
-          return new Logic(s);
+          return new DefaultGatewayPolicy(s);
         };
     try (Results results = Results.open(folder)) {
       Runner runner = new Runner(ExperimentFile.read(file), broken, "b");
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
 import fawndock.counter.CounterServer;
 import fawndock.counter.FileDisk;
-import fawndock.counter.core.GroupCommit;
-import fawndock.host.Alarms;
-import fawndock.host.MicroClock;
+import fawndock.counter.storage.GroupCommit;
+import fawndock.fake.FakeCounterServer;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import fawndock.settings.CounterSettings;
-import fawndock.settings.DaemonSettings;
-import fawndock.settings.DaemonSettings.CounterParts;
-import fawndock.standin.CounterStandIn;
+import fawndock.settings.GatewaySettings;
+import fawndock.settings.GatewaySettings.CounterParts;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.net.ServerSocket;
@@ -35,15 +35,15 @@
 class CounterLinkTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
-  private final BlockingQueue<Counted> told = new LinkedBlockingQueue<>();
-  private CounterStandIn counter;
+  private final BlockingQueue<CounterReply> told = new LinkedBlockingQueue<>();
+  private FakeCounterServer counter;
   private CounterLink link;
   private int port;
   private Map<String, Address> nodes = Map.of();
 
   @BeforeEach
   void start() throws Exception {
-    counter = new CounterStandIn().start();
+    counter = new FakeCounterServer().start();
     port = counter.port();
   }
 
@@ -68,11 +68,11 @@
                         false,
                         most),
                     new MicroClock(),
-                    new Alarms(vertx),
+                    new Timers(vertx),
                     told::add));
     while (true) { // Until the connection is there: each probe is told exactly once.
       count("probe", 0);
-      if (next().result() == Result.OK) {
+      if (next().result() == CallResult.OK) {
         return;
       }
     }
@@ -82,13 +82,13 @@
     context.runOnContext(
         v -> {
           for (double amount : amounts) {
-            link.count(new Count(name, amount, 60_000_000));
+            link.count(new AddToCounter(name, amount, 60_000_000));
           }
         });
   }
 
-  private Counted next() throws InterruptedException {
-    Counted next = told.poll(20, TimeUnit.SECONDS);
+  private CounterReply next() throws InterruptedException {
+    CounterReply next = told.poll(20, TimeUnit.SECONDS);
     assertTrue(next != null, "a call was never told");
     return next;
   }
@@ -179,11 +179,11 @@
         count("a.1", 5);
         assertEquals(5, next().total());
         operator.sendCommand(() -> "FD.NODES".getBytes(), "2", "n1=127.0.0.1:" + onPort);
-        Counted counted;
+        CounterReply counted;
         do {
           count("a.1", 0);
           counted = next();
-        } while (counted.result() != Result.OK); // The old one answers no more.
+        } while (counted.result() != CallResult.OK); // The old one answers no more.
         assertEquals(5, counted.total());
         off.stop();
         count("a.1", 1);
@@ -206,7 +206,7 @@
             10,
             1 << 20,
             10_000,
-            new DaemonSettings.Log(false, "warn"),
+            new GatewaySettings.Log(false, "warn"),
             fleet),
         disk);
   }
@@ -221,11 +221,11 @@
     connect(2_000_000, 4_096);
     counter.slow(2_600);
     count("n", 100);
-    assertEquals(Result.TIMEOUT, next().result());
+    assertEquals(CallResult.TIMEOUT, next().result());
     counter.slow(0);
     count("n", 1);
-    Counted second = next();
-    assertEquals(Result.OK, second.result());
+    CounterReply second = next();
+    assertEquals(CallResult.OK, second.result());
     assertEquals(101, second.total());
     assertTrue(told.isEmpty());
   }
@@ -240,15 +240,15 @@
     double[] many = new double[30];
     count("n", many);
     for (int i = 0; i < many.length; i++) {
-      assertEquals(Result.TIMEOUT, next().result());
+      assertEquals(CallResult.TIMEOUT, next().result());
     }
     counter.silent(false);
-    List<Result> ends = new ArrayList<>();
-    while (!ends.contains(Result.OK)) {
+    List<CallResult> ends = new ArrayList<>();
+    while (!ends.contains(CallResult.OK)) {
       count("after", 1);
       ends.add(next().result());
     }
-    assertTrue(ends.size() > 1 || ends.get(0) == Result.OK);
+    assertTrue(ends.size() > 1 || ends.get(0) == CallResult.OK);
   }
 
   @Test
@@ -256,16 +256,16 @@
     connect(20_000_000, 4_096);
     counter.refusing(true);
     count("n", 5);
-    assertEquals(Result.SHED, next().result());
+    assertEquals(CallResult.SHED, next().result());
     counter.refusing(false);
     counter.silent(true);
     long calls = counter.calls();
     count("n", 7);
     Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
     counter.stop();
-    assertEquals(Result.TIMEOUT, next().result());
+    assertEquals(CallResult.TIMEOUT, next().result());
     count("n", 1);
-    assertEquals(Result.CONNECT_FAILED, next().result());
+    assertEquals(CallResult.CONNECT_FAILED, next().result());
   }
 
   /** One call too many is turned away, but told after the older call of its name. */
@@ -274,7 +274,7 @@
     connect(5_000_000, 1);
     counter.slow(60);
     count("n", 1, 1);
-    assertEquals(Result.OK, next().result());
-    assertEquals(Result.SHED, next().result());
+    assertEquals(CallResult.OK, next().result());
+    assertEquals(CallResult.SHED, next().result());
   }
 }
--- a/src/test/java/fawndock/gateway/FrontTest.java
+++ b/src/test/java/fawndock/gateway/FrontTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Gone;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Refuse;
-import fawndock.Gatekeeper.Request;
-import fawndock.host.MicroClock;
-import fawndock.standin.CounterStandIn;
+import fawndock.fake.FakeCounterServer;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.ClientDisconnected;
+import fawndock.policy.event.CounterReply;
+import fawndock.policy.event.RequestArrived;
+import fawndock.runtime.MicroClock;
 import io.vertx.core.Future;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.HttpClientResponse;
@@ -56,15 +56,15 @@
                       .header("x-envoy-attempt-count", "2")
                       .version(HttpClient.Version.HTTP_2))
               .get(20, TimeUnit.SECONDS);
-      Request r = s.gatekeeper.await(Request.class);
+      RequestArrived r = s.gatekeeper.await(RequestArrived.class);
       assertEquals(
-          "ok null \"abc\" HTTP_2 " + r.id(),
+          "ok null \"abc\" HTTP_2 " + r.requestId(),
           answer.body(),
           "the key stays here, the idempotency key goes on");
       assertEquals(
           "update basic one true",
-          r.requestClass() + " " + r.plan() + " " + r.customer() + " " + r.repeat());
-      long left = r.giveUpAtMicros() - MicroClock.systemMicros();
+          r.requestClass() + " " + r.plan() + " " + r.customer() + " " + r.isRetry());
+      long left = r.deadlineAtMicros() - MicroClock.systemMicros();
       assertTrue(left < 700_000, "it says " + left);
     }
   }
@@ -108,7 +108,7 @@
             new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                 .endsWith(" 400"));
       }
-      assertEquals(0, s.gatekeeper.all(Request.class).size());
+      assertEquals(0, s.gatekeeper.all(RequestArrived.class).size());
     }
   }
 
@@ -128,7 +128,7 @@
       assertTrue(
           new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
               .endsWith(" 413"));
-      assertEquals(0, s.gatekeeper.all(Request.class).size());
+      assertEquals(0, s.gatekeeper.all(RequestArrived.class).size());
     }
   }
 
@@ -136,7 +136,10 @@
   void aRefusalSaysWhenToComeAgain() throws Exception {
     try (Setup s = new Setup(r -> r.response().end())) {
       s.gatekeeper.doing(
-          (now, e) -> e instanceof Request r ? List.of(new Refuse(r.id(), 2_400_000)) : List.of());
+          (now, e) ->
+              e instanceof RequestArrived r
+                  ? List.of(new RejectRequest(r.requestId(), 2_400_000))
+                  : List.of());
       HttpResponse<String> answer = s.get("/lookup");
       assertEquals(429, answer.statusCode());
       assertEquals("3", answer.headers().firstValue("retry-after").orElse(""));
@@ -154,7 +157,7 @@
     try (Setup s = new Setup(r -> r.response().end())) {
       s.gatekeeper.doing(
           (now, e) -> {
-            if (e instanceof Request) {
+            if (e instanceof RequestArrived) {
               throw new IllegalStateException("a defect, for a test");
             }
             return List.of();
@@ -164,13 +167,13 @@
           s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50"))
               .get()
               .statusCode());
-      s.gatekeeper.await(Gone.class);
+      s.gatekeeper.await(ClientDisconnected.class);
     }
   }
 
   @Test
   void aClientThatLeavesWhileItsCounterCallIsOutIsGoneAndTheCallIsStillTold() throws Exception {
-    try (CounterStandIn counter = new CounterStandIn().start()) {
+    try (FakeCounterServer counter = new FakeCounterServer().start()) {
       try (Setup s =
           new Setup(
               r -> r.response().end(),
@@ -179,9 +182,9 @@
         CompletableFuture<Long> asked = new CompletableFuture<>();
         s.gatekeeper.doing(
             (now, e) -> {
-              if (e instanceof Request r) {
-                asked.complete(r.id());
-                return List.of(new Count("n", 1, 1_000_000));
+              if (e instanceof RequestArrived r) {
+                asked.complete(r.requestId());
+                return List.of(new AddToCounter("n", 1, 1_000_000));
               }
               return List.of();
             });
@@ -194,9 +197,9 @@
                       .getBytes(StandardCharsets.ISO_8859_1));
           asked.get(20, TimeUnit.SECONDS);
         }
-        assertEquals(asked.get(), s.gatekeeper.await(Gone.class).requestId());
-        assertEquals("n", s.gatekeeper.await(Counted.class).name());
-        assertEquals(1, s.gatekeeper.all(Counted.class).size());
+        assertEquals(asked.get(), s.gatekeeper.await(ClientDisconnected.class).requestId());
+        assertEquals("n", s.gatekeeper.await(CounterReply.class).counterName());
+        assertEquals(1, s.gatekeeper.all(CounterReply.class).size());
       }
     }
   }
@@ -218,9 +221,9 @@
                       .setURI("/lookup")
                       .putHeader("x-api-key", "k1")));
       request.send();
-      long id = s.gatekeeper.await(Request.class).id();
+      long id = s.gatekeeper.await(RequestArrived.class).requestId();
       request.reset(Ends.CANCEL);
-      assertEquals(id, s.gatekeeper.await(Gone.class).requestId());
+      assertEquals(id, s.gatekeeper.await(ClientDisconnected.class).requestId());
     }
   }
 
@@ -240,8 +243,8 @@
             "pool connections 4 streams 5000")) {
       s.gatekeeper.doing(
           (now, e) ->
-              e instanceof Request r
-                  ? List.of(new Attempt(r.id(), "w", r.giveUpAtMicros()))
+              e instanceof RequestArrived r
+                  ? List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()))
                   : Scripted.sendOnce(now, e));
       var client =
           s.vertx.createHttpClient(
@@ -265,7 +268,7 @@
       }
       Setup.wait(Future.all(answers));
       assertEquals(count, answers.stream().filter(a -> a.result() == 200).count());
-      assertEquals(count, s.gatekeeper.all(Outcome.class).size());
+      assertEquals(count, s.gatekeeper.all(AttemptCompleted.class).size());
     }
   }
 
@@ -274,9 +277,9 @@
     try (Setup s = new Setup(r -> {}, "limits open 1")) {
       CompletableFuture<HttpResponse<String>> first =
           s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
-      s.gatekeeper.await(Request.class);
+      s.gatekeeper.await(RequestArrived.class);
       assertEquals(503, s.get("/lookup").statusCode());
-      assertEquals(1, s.gatekeeper.all(Request.class).size());
+      assertEquals(1, s.gatekeeper.all(RequestArrived.class).size());
       assertEquals(504, first.get(20, TimeUnit.SECONDS).statusCode());
     }
   }
--- a/src/test/java/fawndock/gateway/PartsTest.java
+++ b/src/test/java/fawndock/gateway/PartsTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Message;
-import fawndock.Gatekeeper.Tell;
-import fawndock.host.Alarms;
-import fawndock.host.MicroClock;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.event.PeerMessageReceived;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.Peers;
+import fawndock.settings.GatewaySettings.Peers;
 import io.vertx.core.MultiMap;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -45,22 +45,22 @@
     CompletableFuture<Void> last = new CompletableFuture<>();
     vertx.runOnContext(
         v -> {
-          Alarms alarms = new Alarms(vertx);
-          alarms.after(20_000, () -> rung.add(3));
-          alarms.after(1_000, () -> rung.add(1));
-          Alarms.Alarm cancelled = alarms.after(10_000, () -> rung.add(2));
+          Timers alarms = new Timers(vertx);
+          alarms.schedule(20_000, () -> rung.add(3));
+          alarms.schedule(1_000, () -> rung.add(1));
+          Timers.Timer cancelled = alarms.schedule(10_000, () -> rung.add(2));
           alarms.cancel(cancelled);
-          List<Alarms.Alarm> many = new ArrayList<>();
+          List<Timers.Timer> many = new ArrayList<>();
           for (int i = 0; i < 5_000; i++) {
-            many.add(alarms.after(3_600_000_000L, () -> rung.add(9)));
+            many.add(alarms.schedule(3_600_000_000L, () -> rung.add(9)));
           }
           many.forEach(alarms::cancel);
           assertEquals(2, alarms.pending());
-          alarms.after(
+          alarms.schedule(
               4_200_000,
               () -> rung.add(4)); // Beyond one round of the wheel: its slot comes up early.
-          alarms.after(1_000_000, () -> rung.add(5));
-          alarms.after(4_250_000, () -> last.complete(null));
+          alarms.schedule(1_000_000, () -> rung.add(5));
+          alarms.schedule(4_250_000, () -> last.complete(null));
         });
     last.get(20, TimeUnit.SECONDS);
     assertEquals(List.of(1, 3, 5, 4), rung);
@@ -135,7 +135,7 @@
   @Test
   void peersAreHeardWithinTheirLimits() throws Exception {
     Vertx vertx = Vertx.vertx();
-    LinkedBlockingQueue<Message> heard = new LinkedBlockingQueue<>();
+    LinkedBlockingQueue<PeerMessageReceived> heard = new LinkedBlockingQueue<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
     Address nowhere = new Address("127.0.0.1", 0);
     vertx.runOnContext(
@@ -162,15 +162,15 @@
               .start()
               .onSuccess(
                   p -> {
-                    sender.tell(new Tell(-1, "x".repeat(300)));
-                    sender.tell(new Tell(7, "for another"));
+                    sender.tell(new SendPeerMessage(-1, "x".repeat(300)));
+                    sender.tell(new SendPeerMessage(7, "for another"));
                     for (int i = 0; i < 10; i++) {
-                      sender.tell(new Tell(-1, "hi " + i));
+                      sender.tell(new SendPeerMessage(-1, "hi " + i));
                     }
                   });
         });
-    assertEquals(new Message(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
-    assertEquals(new Message(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
+    assertEquals(new PeerMessageReceived(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
+    assertEquals(new PeerMessageReceived(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
     Setup.wait(vertx.close());
     assertEquals(0, heard.size(), "more than its intake was taken in");
   }
--- a/src/test/java/fawndock/gateway/RosterLinkTest.java
+++ b/src/test/java/fawndock/gateway/RosterLinkTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Servers;
-import fawndock.standin.Recorder;
-import fawndock.standin.Roster;
+import fawndock.fake.FakeEndpointFeed;
+import fawndock.fake.TraceRecorder;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -24,7 +24,7 @@
             entry("w", "running") + "," + entry("w", "stopping"))) {
       RosterLine line = RosterLine.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
       assertEquals(1, line.servers().size());
-      assertEquals(Availability.STOPPING, line.servers().get(0).availability());
+      assertEquals(EndpointState.DRAINING, line.servers().get(0).state());
       assertEquals(1, line.twice().size());
     }
   }
@@ -68,7 +68,7 @@
                     .listen(0, "127.0.0.1"))
             .actualPort();
     try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
-      assertEquals(Listing.COMPLETE, s.gatekeeper.await(Servers.class).listing());
+      assertEquals(EndpointUpdateKind.SNAPSHOT, s.gatekeeper.await(EndpointUpdate.class).kind());
     }
     Setup.wait(vertx.close());
   }
@@ -79,33 +79,34 @@
   @Test
   void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
-    Roster roster = new Roster(vertx, new Recorder());
+    FakeEndpointFeed roster = new FakeEndpointFeed(vertx, new TraceRecorder());
     roster.tell(
-        new Roster.Entry("a", 1, "", 0, "running", 0),
-        new Roster.Entry("b", 2, "", 0, "running", 0));
+        new FakeEndpointFeed.Entry("a", 1, "", 0, "running", 0),
+        new FakeEndpointFeed.Entry("b", 2, "", 0, "running", 0));
     int port = Setup.wait(roster.listen(0));
     try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
       s.gatekeeper.await(
-          Servers.class, e -> e.listing() == Listing.COMPLETE && e.servers().size() == 2);
+          EndpointUpdate.class,
+          e -> e.kind() == EndpointUpdateKind.SNAPSHOT && e.endpoints().size() == 2);
       roster.cut(true);
       roster.cut(false);
       Setup.until(() -> complete(s) >= 2); // It connects again and has the complete list once more.
       roster.raw("{\"list\":\"complete\",\"servers\":[]}");
-      s.gatekeeper.await(Servers.class, e -> e.listing() == Listing.FAILED);
+      s.gatekeeper.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
       roster.raw("nonsense");
       Setup.until(() -> complete(s) >= 3);
       assertEquals(
           0,
-          s.gatekeeper.all(Servers.class).stream()
-              .filter(e -> e.listing() != Listing.FAILED && e.servers().isEmpty())
+          s.gatekeeper.all(EndpointUpdate.class).stream()
+              .filter(e -> e.kind() != EndpointUpdateKind.FAILED && e.endpoints().isEmpty())
               .count());
     }
     Setup.wait(vertx.close());
   }
 
   private static long complete(Setup s) {
-    return s.gatekeeper.all(Servers.class).stream()
-        .filter(e -> e.listing() == Listing.COMPLETE)
+    return s.gatekeeper.all(EndpointUpdate.class).stream()
+        .filter(e -> e.kind() == EndpointUpdateKind.SNAPSHOT)
         .count();
   }
 }
--- a/src/test/java/fawndock/gateway/Scripted.java
+++ b/src/test/java/fawndock/gateway/Scripted.java
@@ -1,6 +1,12 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -8,29 +14,29 @@
 import java.util.function.Predicate;
 
 /** A gatekeeper that does what a test says and remembers what it was told. */
-final class Scripted implements Gatekeeper {
-  private final List<Event> events = new ArrayList<>();
-  private volatile BiFunction<Long, Event, List<Action>> script = Scripted::sendOnce;
+final class Scripted implements GatewayPolicy {
+  private final List<PolicyEvent> events = new ArrayList<>();
+  private volatile BiFunction<Long, PolicyEvent, List<PolicyAction>> script = Scripted::sendOnce;
 
   /** Sends each request to the server "w" once, and fails it when that did not serve it. */
-  static List<Action> sendOnce(long now, Event event) {
-    if (event instanceof Request r) {
-      return List.of(new Attempt(r.id(), "w", r.giveUpAtMicros()));
+  static List<PolicyAction> sendOnce(long now, PolicyEvent event) {
+    if (event instanceof RequestArrived r) {
+      return List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()));
     }
-    if (event instanceof Outcome o && !o.over()) {
-      return List.of(new Fail(o.requestId()));
+    if (event instanceof AttemptCompleted o && !o.isFinal()) {
+      return List.of(new FailRequest(o.requestId()));
     }
     return List.of();
   }
 
-  Scripted doing(BiFunction<Long, Event, List<Action>> what) {
+  Scripted doing(BiFunction<Long, PolicyEvent, List<PolicyAction>> what) {
     script = what;
     return this;
   }
 
   @Override
-  public List<Action> on(long nowMicros, Event event) {
-    List<Action> actions = script.apply(nowMicros, event);
+  public List<PolicyAction> onEvent(long nowMicros, PolicyEvent event) {
+    List<PolicyAction> actions = script.apply(nowMicros, event);
     synchronized (events) {
       events.add(event);
       events.notifyAll();
@@ -38,18 +44,18 @@
     return actions;
   }
 
-  synchronized <T extends Event> List<T> all(Class<T> type) {
+  synchronized <T extends PolicyEvent> List<T> all(Class<T> type) {
     synchronized (events) {
       return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
   }
 
   /** Waits for an event that is already there or still comes. */
-  <T extends Event> T await(Class<T> type, Predicate<T> which) {
+  <T extends PolicyEvent> T await(Class<T> type, Predicate<T> which) {
     long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     synchronized (events) {
       while (true) {
-        for (Event e : events) {
+        for (PolicyEvent e : events) {
           if (type.isInstance(e) && which.test(type.cast(e))) {
             return type.cast(e);
           }
@@ -68,7 +74,7 @@
     }
   }
 
-  <T extends Event> T await(Class<T> type) {
+  <T extends PolicyEvent> T await(Class<T> type) {
     return await(type, e -> true);
   }
 }
--- a/src/test/java/fawndock/gateway/Setup.java
+++ b/src/test/java/fawndock/gateway/Setup.java
@@ -1,6 +1,6 @@
 package fawndock.gateway;
 
-import fawndock.settings.DaemonSettings;
+import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
 import io.vertx.core.Future;
 import io.vertx.core.Handler;
@@ -57,7 +57,7 @@
                 ? ""
                 : "\nserver w 127.0.0.1:" + workerPort)
             + "\n");
-    DaemonSettings settings = SettingsFile.read(file);
+    GatewaySettings settings = SettingsFile.read(file);
     Files.delete(file);
     AtomicInteger made = new AtomicInteger();
     daemon = new Daemon(settings, s -> made.getAndIncrement() == 0 ? gatekeeper : new Scripted());
--- a/src/test/java/fawndock/gateway/WorkerEndsTest.java
+++ b/src/test/java/fawndock/gateway/WorkerEndsTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Cancel;
-import fawndock.Gatekeeper.Fail;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Started;
-import fawndock.Gatekeeper.Wake;
-import fawndock.Gatekeeper.WakeAfter;
+import fawndock.policy.action.CancelAttempt;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.ResponseStarted;
+import fawndock.policy.event.TimerFired;
 import io.vertx.core.http.HttpServerRequest;
 import java.net.http.HttpResponse;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
     try (Setup s = new Setup(r -> r.response().end())) {
       Setup.wait(s.worker.close());
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(Result.CONNECT_FAILED, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.CONNECT_FAILED, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -36,7 +36,7 @@
   void refusedStreamNeverRan() throws Exception {
     try (Setup s = new Setup(r -> r.response().reset(Ends.REFUSED_STREAM))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(Result.SHED, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.SHED, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -56,7 +56,7 @@
             },
             "pool connections 1")) {
       CompletableFuture<HttpResponse<String>> one = s.send(s.to("/lookup"));
-      s.gatekeeper.await(Request.class);
+      s.gatekeeper.await(RequestArrived.class);
       CompletableFuture<HttpResponse<String>> two = s.send(s.to("/lookup"));
       List<Integer> statuses =
           new ArrayList<>(
@@ -66,8 +66,11 @@
       statuses.sort(null);
       assertEquals(List.of(200, 502), statuses);
       assertEquals(
-          List.of(Result.OK, Result.SHED),
-          s.gatekeeper.all(Outcome.class).stream().map(Outcome::result).sorted().toList());
+          List.of(CallResult.OK, CallResult.SHED),
+          s.gatekeeper.all(AttemptCompleted.class).stream()
+              .map(AttemptCompleted::result)
+              .sorted()
+              .toList());
     }
   }
 
@@ -80,7 +83,7 @@
               r.connection().close();
             })) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -88,7 +91,7 @@
   void anotherResetMayHaveRun() throws Exception {
     try (Setup s = new Setup(r -> r.response().reset(2))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -102,7 +105,7 @@
                     .write("half")
                     .onSuccess(v -> r.response().reset(2)))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(Result.RESET, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -119,8 +122,8 @@
       assertEquals(502, answer.statusCode());
       assertEquals(
           "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
-      Outcome outcome = s.gatekeeper.await(Outcome.class);
-      assertEquals(Result.ERROR, outcome.result());
+      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      assertEquals(CallResult.ERROR, outcome.result());
       assertEquals(0.5, outcome.load().get("utilization"));
     }
   }
@@ -133,9 +136,9 @@
       assertEquals(404, answer.statusCode());
       assertEquals("none", answer.body());
       assertEquals("1", answer.headers().firstValue("x-own").orElse(""));
-      Outcome outcome = s.gatekeeper.await(Outcome.class);
-      assertEquals(Result.OK, outcome.result());
-      assertTrue(outcome.over());
+      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      assertEquals(CallResult.OK, outcome.result());
+      assertTrue(outcome.isFinal());
     }
   }
 
@@ -152,15 +155,15 @@
             })) {
       s.gatekeeper.doing(
           (now, e) ->
-              e instanceof Request r
-                  ? List.of(new Attempt(r.id(), "w", now + 1_500_000))
+              e instanceof RequestArrived r
+                  ? List.of(new StartAttempt(r.requestId(), "w", now + 1_500_000))
                   : Scripted.sendOnce(now, e));
       HttpResponse<String> answer = s.get("/lookup");
       assertEquals(504, answer.statusCode());
-      assertEquals(Result.TIMEOUT, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.TIMEOUT, s.gatekeeper.await(AttemptCompleted.class).result());
       assertTrue(reset.await(20, TimeUnit.SECONDS), "the worker is told that nobody waits");
       held.get().response().end("late");
-      assertEquals(1, s.gatekeeper.all(Outcome.class).size());
+      assertEquals(1, s.gatekeeper.all(AttemptCompleted.class).size());
     }
   }
 
@@ -170,20 +173,23 @@
     try (Setup s = new Setup(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
       s.gatekeeper.doing(
           (now, e) -> {
-            if (e instanceof Request r) {
-              return List.of(new Attempt(r.id(), "w", 0), new WakeAfter(100_000, "" + r.id()));
+            if (e instanceof RequestArrived r) {
+              return List.of(
+                  new StartAttempt(r.requestId(), "w", 0),
+                  new ScheduleTimer(100_000, "" + r.requestId()));
             }
-            return e instanceof Wake w
+            return e instanceof TimerFired w
                 ? List.of(
-                    new Cancel(Long.parseLong(w.token()), 0), new Fail(Long.parseLong(w.token())))
+                    new CancelAttempt(Long.parseLong(w.token()), 0),
+                    new FailRequest(Long.parseLong(w.token())))
                 : List.of();
           });
       assertEquals(504, s.get("/lookup").statusCode());
-      Result result = s.gatekeeper.await(Outcome.class).result();
+      CallResult result = s.gatekeeper.await(AttemptCompleted.class).result();
       // Sent or not by then, it ends once; what was sent may have run.
       assertTrue(
-          result == Result.CANCELLED && reset.await(20, TimeUnit.SECONDS)
-              || result == Result.UNUSED);
+          result == CallResult.CANCELLED && reset.await(20, TimeUnit.SECONDS)
+              || result == CallResult.NOT_SENT);
     }
   }
 
@@ -199,15 +205,16 @@
       long[] due = {0};
       s.gatekeeper.doing(
           (now, e) -> {
-            if (e instanceof Request r) {
+            if (e instanceof RequestArrived r) {
               due[0] = System.nanoTime() + 1_500_000_000;
               return List.of(
-                  new Attempt(r.id(), "w", now + 1_500_000), new WakeAfter(10_000, "hold"));
+                  new StartAttempt(r.requestId(), "w", now + 1_500_000),
+                  new ScheduleTimer(10_000, "hold"));
             }
-            if (e instanceof Wake && !held.isDone()) {
-              return List.of(new WakeAfter(10_000, "hold"));
+            if (e instanceof TimerFired && !held.isDone()) {
+              return List.of(new ScheduleTimer(10_000, "hold"));
             }
-            if (e instanceof Wake) {
+            if (e instanceof TimerFired) {
               try {
                 held.get(20, TimeUnit.SECONDS)
                     .response()
@@ -219,12 +226,12 @@
                 throw new IllegalStateException(interrupted);
               }
             }
-            return Scripted.sendOnce(now, e instanceof Wake ? new Wake("") : e);
+            return Scripted.sendOnce(now, e instanceof TimerFired ? new TimerFired("") : e);
           });
       HttpResponse<String> answer = s.get("/lookup");
-      Outcome outcome = s.gatekeeper.await(Outcome.class);
-      assertEquals(outcome.result() == Result.OK ? 200 : 504, answer.statusCode());
-      assertEquals(1, s.gatekeeper.all(Outcome.class).size());
+      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      assertEquals(outcome.result() == CallResult.OK ? 200 : 504, answer.statusCode());
+      assertEquals(1, s.gatekeeper.all(AttemptCompleted.class).size());
     }
   }
 
@@ -239,17 +246,18 @@
             })) {
       s.gatekeeper.doing(
           (now, e) ->
-              e instanceof Request r
+              e instanceof RequestArrived r
                   ? List.of(
-                      new Attempt(r.id(), "w", now + 2_000_000), new WakeAfter(2_100_000, "after"))
+                      new StartAttempt(r.requestId(), "w", now + 2_000_000),
+                      new ScheduleTimer(2_100_000, "after"))
                   : List.of());
       CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
-      s.gatekeeper.await(Started.class);
-      s.gatekeeper.await(Wake.class); // The time of the attempt is over by now.
-      assertEquals(0, s.gatekeeper.all(Outcome.class).size());
+      s.gatekeeper.await(ResponseStarted.class);
+      s.gatekeeper.await(TimerFired.class); // The time of the attempt is over by now.
+      assertEquals(0, s.gatekeeper.all(AttemptCompleted.class).size());
       held.get().response().end("last");
       assertEquals("first last", answer.get(20, TimeUnit.SECONDS).body());
-      assertEquals(Result.OK, s.gatekeeper.await(Outcome.class).result());
+      assertEquals(CallResult.OK, s.gatekeeper.await(AttemptCompleted.class).result());
     }
   }
 
@@ -257,7 +265,7 @@
   void anAnswerBeyondTheBufferIsStreamed() throws Exception {
     try (Setup s = new Setup(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
       assertEquals(100_000, s.get("/lookup").body().length());
-      s.gatekeeper.await(Started.class);
+      s.gatekeeper.await(ResponseStarted.class);
     }
   }
 }
--- a/src/test/java/fawndock/lab/load/DrawnTest.java
+++ b/src/test/java/fawndock/loadgen/DrawnTest.java
@@ -1,4 +1,4 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/fawndock/lab/load/GeneratorTest.java
+++ b/src/test/java/fawndock/loadgen/GeneratorTest.java
@@ -1,11 +1,11 @@
-package fawndock.lab.load;
+package fawndock.loadgen;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.settings.SettingsException;
+import fawndock.settings.ConfigurationException;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServerRequest;
 import java.net.ServerSocket;
@@ -208,7 +208,7 @@
   void allMistakesAreToldAtOnce() {
     String told =
         assertThrows(
-                SettingsException.class,
+                ConfigurationException.class,
                 () ->
                     plan(
                         1,
--- a/src/test/java/fawndock/lab/measure/MeasuresTest.java
+++ b/src/test/java/fawndock/measurement/MeasuresTest.java
@@ -1,13 +1,13 @@
-package fawndock.lab.measure;
+package fawndock.measurement;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.judge.QuotaUse;
-import fawndock.judge.Seen;
+import fawndock.conformance.QuotaUsage;
+import fawndock.conformance.TraceEvent;
+import fawndock.policy.config.Plan;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +23,7 @@
           new Plan("p", 10, 20, 0, 1, 0, 0, 0, 0, 0));
 
   /** So many a second, each used, from a second to another. */
-  private static void even(QuotaUse use, String customer, double aSecond, int from, int to) {
+  private static void even(QuotaUsage use, String customer, double aSecond, int from, int to) {
     for (int i = 0; i < (to - from) * aSecond; i++) {
       long at = from * S + (long) (i * S / aSecond);
       use.asked(at, customer, 1);
@@ -33,22 +33,22 @@
 
   @Test
   void useIsHeldAgainstThePlanOverTheWorstMinute() {
-    QuotaUse use = new QuotaUse(PLANS, 130);
+    QuotaUsage use = new QuotaUsage(PLANS, 130);
     even(use, "a-0", 10, 0, 70);
     even(use, "a-0", 20, 70, 130); // 10 a second allowed: twice that in the last minute.
-    QuotaUse.Use of = use.of("a-0");
+    QuotaUsage.Use of = use.of("a-0");
     assertEquals(2.0, of.worst(), 1e-9);
     assertEquals(1.0, of.kept(), 1e-9);
     assertEquals((60 * 20 - 60 * 10 - 20) / (60.0 * 10 + 60 * 10 + 20), of.beyond(), 0.01);
     even(use, "a-1", 5, 0, 130);
     assertEquals((20 + 5) / 20.0, use.of("a-").worst(), 1e-9);
     assertEquals(2.0, use.of("a-").worstCustomer(), 1e-9);
-    assertEquals(0, new QuotaUse(PLANS, 130).of("").worst());
+    assertEquals(0, new QuotaUsage(PLANS, 130).of("").worst());
   }
 
   @Test
   void theFirstTenSecondsDoNotCountAndWhatIsKeptIsOfWhatWasAskedAndAllowed() {
-    QuotaUse use = new QuotaUse(PLANS, 70);
+    QuotaUsage use = new QuotaUsage(PLANS, 70);
     even(use, "a-0", 100, 0, 10);
     assertEquals(0, use.of("").worst());
     for (int i = 0; i < 600; i++) { // Asked half its plan, and let in one time in two.
@@ -64,7 +64,7 @@
 
   @Test
   void aCustomerIsModestWhileItAsksLessThanItsPlan() {
-    QuotaUse use = new QuotaUse(PLANS, 100);
+    QuotaUsage use = new QuotaUsage(PLANS, 100);
     even(use, "a-0", 8, 0, 30);
     assertTrue(use.modest(30 * S, "a-0"));
     even(use, "a-0", 12, 30, 60);
@@ -75,23 +75,23 @@
 
   @Test
   void aTraceIsToldInFiguresAndBySecond() {
-    List<Seen> trace = new ArrayList<>();
+    List<TraceEvent> trace = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String id = "r" + i + ".1";
-      trace.add(new Seen.Asked(S + i * S, id, 0, "lookup", "a-0", 1, S * 9));
+      trace.add(new TraceEvent.Asked(S + i * S, id, 0, "lookup", "a-0", 1, S * 9));
       if (i < 3) {
-        trace.add(new Seen.Arrived(S + i * S + 5, id, "w", 1, false));
+        trace.add(new TraceEvent.Arrived(S + i * S + 5, id, "w", 1, false));
       }
     }
-    trace.add(new Seen.Arrived(S + 9, "r0.1", "v", 1, false));
-    trace.add(new Seen.Answered(S + 20_000, "r0.1", 200));
+    trace.add(new TraceEvent.Arrived(S + 9, "r0.1", "v", 1, false));
+    trace.add(new TraceEvent.Answered(S + 20_000, "r0.1", 200));
     trace.add(
-        new Seen.Answered(
+        new TraceEvent.Answered(
             S + 30_000, "r0.1", 200)); // A second answer is the judge's, and does not count here.
-    trace.add(new Seen.Answered(2 * S + 10_000, "r1.1", 504));
-    trace.add(new Seen.Left(3 * S + 10_000, "r2.1"));
-    trace.add(new Seen.Answered(4 * S + 10_000, "r3.1", 429));
-    trace.add(new Seen.Answered(4 * S + 10_000, "unknown.1", 200));
+    trace.add(new TraceEvent.Answered(2 * S + 10_000, "r1.1", 504));
+    trace.add(new TraceEvent.Left(3 * S + 10_000, "r2.1"));
+    trace.add(new TraceEvent.Answered(4 * S + 10_000, "r3.1", 429));
+    trace.add(new TraceEvent.Answered(4 * S + 10_000, "unknown.1", 200));
     Measures.Told told = Measures.of(trace, Map.of(), PLANS, List.of("a"), 0, 6);
     assertEquals(Map.of(200, 1L, 504, 1L, 0, 1L, 429, 1L), told.statuses());
     assertEquals(0.25, told.figures().get("served-a-try"));
--- a/src/test/java/fawndock/platform/AttemptEndsTest.java
+++ b/src/test/java/fawndock/platform/AttemptEndsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
@@ -22,16 +22,16 @@
   @Test
   void aSecondCopyAfterAPauseAnswersNobody() throws Exception {
     AtomicInteger many = new AtomicInteger();
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
-          String answer = RespServer.served("value of " + words.get(2), "backlog=0");
+          String answer = FakeRespServer.served("value of " + words.get(2), "backlog=0");
           link.send(answer);
           if (many.getAndIncrement() == 0) {
             Thread.sleep(20);
             link.send(answer);
           }
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 4; i++) {
         String[] words = service.request("pay");
@@ -47,13 +47,13 @@
    */
   @Test
   void aRequestThatMeetsAWorkersCloseGetsAnotherConnection() throws Exception {
-    CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
-    RespServer.Behaviour worker =
+    CopyOnWriteArrayList<FakeRespServer.Link> links = new CopyOnWriteArrayList<>();
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           links.add(link);
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
@@ -74,13 +74,13 @@
   /** Noise that came on the connection to be used again, half a reply too. */
   @Test
   void bytesOnAnIdleConnectionEndIt() throws Exception {
-    CopyOnWriteArrayList<RespServer.Link> links = new CopyOnWriteArrayList<>();
-    RespServer.Behaviour worker =
+    CopyOnWriteArrayList<FakeRespServer.Link> links = new CopyOnWriteArrayList<>();
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           links.add(link);
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
@@ -97,17 +97,17 @@
   @Test
   void aFurtherAttemptTellsWhatIsLeft() throws Exception {
     List<Integer> told = new CopyOnWriteArrayList<>();
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           told.add(Integer.parseInt(words.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
           if (told.size() == 1) {
             Thread.sleep(100);
             link.send("-BUSY\r\n");
           } else {
-            RespServer.worker().command(words, link);
+            FakeRespServer.worker().command(words, link);
           }
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] words = service.request("look");
       assertEquals("value of " + words[2], client.ask(words));
@@ -118,7 +118,7 @@
   /** No attempt begins for a request whose time was up while the loop was held. */
   @Test
   void noAttemptBeginsWithNoTimeLeft() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("look"));
       Thread.sleep(RESTED_MILLIS);
--- a/src/test/java/fawndock/platform/CatalogEndsTest.java
+++ b/src/test/java/fawndock/platform/CatalogEndsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.standin.CatalogStandIn;
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakeDiscoveryServer;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -24,8 +24,8 @@
   }
 
   /** The first worker drains and the second is ready, as the whole list and as a change. */
-  private static String drained(Service service, RespServer second, boolean whole) {
-    return CatalogStandIn.list(
+  private static String drained(Service service, FakeRespServer second, boolean whole) {
+    return FakeDiscoveryServer.list(
         20,
         whole,
         "w1",
@@ -36,7 +36,7 @@
         "ready");
   }
 
-  private static void goesToSecond(Service service, RespClient client, RespServer second)
+  private static void goesToSecond(Service service, RespClient client, FakeRespServer second)
       throws Exception {
     Await.until(
         () -> {
@@ -52,9 +52,9 @@
 
   @Test
   void aChangeIsReadInAnyFormAndPieces() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
       String indented =
           "\n"
@@ -74,9 +74,9 @@
    */
   @Test
   void aCallWaitsAllTheWhileThatTheCatalogIsSilent() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
       served(service, client);
       service.world.catalog.silent(true);
@@ -111,14 +111,14 @@
   @Test
   void aDrainThatCameWithTheChoiceIsKept() throws Exception {
     AtomicReference<CountDownLatch> counting = new AtomicReference<>(new CountDownLatch(0));
-    RespServer.Behaviour counter =
+    FakeRespServer.Behaviour counter =
         (words, link) -> {
           counting.get().await();
-          RespServer.counter().command(words, link);
+          FakeRespServer.counter().command(words, link);
         };
-    try (Service service = new Service(RespServer.worker(), counter);
+    try (Service service = new Service(FakeRespServer.worker(), counter);
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
       served(service, client);
       Thread.sleep(80); // The connection has rested and is used again.
@@ -142,9 +142,9 @@
 
   @Test
   void aWatchThatEndsInsteadOfTellingIsMadeAgain() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       for (int i = 1; i <= 5; i++) {
         int many = i;
         Await.until(() -> service.world.catalog.watched() == many);
@@ -158,13 +158,14 @@
 
   @Test
   void anOlderListIsNotTaken() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
       service.world.catalog.tell(drained(service, second, false));
       service.world.catalog.tell(
-          CatalogStandIn.list(8, false, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"));
+          FakeDiscoveryServer.list(
+              8, false, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"));
       goesToSecond(service, client, second);
     }
   }
@@ -175,11 +176,11 @@
    */
   @Test
   void addressesOfBeforeAreLeftWhenTheNewestSpeaks() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker());
-        CatalogStandIn mute = new CatalogStandIn(drained(service, second, true));
-        CatalogStandIn last = new CatalogStandIn(drained(service, second, true))) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker());
+        FakeDiscoveryServer mute = new FakeDiscoveryServer(drained(service, second, true));
+        FakeDiscoveryServer last = new FakeDiscoveryServer(drained(service, second, true))) {
       mute.silent(true);
       last.silent(true);
       service.world.configure(mute.port(), service.world.counter.port());
@@ -202,7 +203,7 @@
 
   @Test
   void aWatchIsMadeAnewWhileClientsFillTheirDescriptors() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter(), 64)) {
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       Await.until(() -> service.world.catalog.watched() == 1);
       CountDownLatch release = service.hold();
       List<RespClient> idle = new ArrayList<>();
--- a/src/test/java/fawndock/platform/ClientEndsTest.java
+++ b/src/test/java/fawndock/platform/ClientEndsTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.standin.CatalogStandIn;
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakeDiscoveryServer;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import java.io.InputStream;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -43,7 +43,7 @@
 
   @Test
   void aCloseOverUnreadBytesIsNoReset() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         Socket bad = socket(service)) {
       CountDownLatch release = service.hold();
       send(bad, "*x\r\n" + "y".repeat(100_000));
@@ -55,7 +55,7 @@
 
   @Test
   void whatIsReadAfterTheHalfCloseIsNotSentOn() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         Socket bad = socket(service);
         RespClient usual = service.client()) {
       send(bad, "*x\r\n");
@@ -74,7 +74,7 @@
    */
   @Test
   void aRequestThatCrossesAnEvictionIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter(), 64)) {
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       RespClient silent = service.client();
       Await.until(() -> service.daemon.node().front().connections() == 1);
       int most = (int) (0.45 * 64);
@@ -96,14 +96,14 @@
   @Test
   void nothingIsSentForAClientThatLeftWhileItWasCounted() throws Exception {
     CountDownLatch[] counting = {null};
-    RespServer.Behaviour counter =
+    FakeRespServer.Behaviour counter =
         (words, link) -> {
           if (counting[0] != null) {
             counting[0].await();
           }
-          RespServer.counter().command(words, link);
+          FakeRespServer.counter().command(words, link);
         };
-    try (Service service = new Service(RespServer.worker(), counter);
+    try (Service service = new Service(FakeRespServer.worker(), counter);
         RespClient usual = service.client()) {
       usual.ask(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
@@ -129,21 +129,21 @@
   @Test
   void nothingIsSentAgainForAClientThatLeftMeanwhile() throws Exception {
     CountDownLatch[] working = {null};
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           if (working[0] != null) {
             working[0].await();
             link.send("-ERR failed\r\n");
           } else {
-            RespServer.worker().command(words, link);
+            FakeRespServer.worker().command(words, link);
           }
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient usual = service.client();
-        RespServer second = new RespServer(worker)) {
+        FakeRespServer second = new FakeRespServer(worker)) {
       Await.until(() -> service.world.catalog.watched() == 1);
       service.world.catalog.tell(
-          CatalogStandIn.list(9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
+          FakeDiscoveryServer.list(9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
             usual.ask(service.request("look"));
@@ -174,15 +174,15 @@
     CountDownLatch hang = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
     String large = "v".repeat(60_000);
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             asked.countDown();
             hang.await();
           }
-          link.send(RespServer.served(large, "backlog=0"));
+          link.send(FakeRespServer.served(large, "backlog=0"));
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4_096);
       client.connect(new java.net.InetSocketAddress("127.0.0.1", service.world.port()));
@@ -209,10 +209,10 @@
                       .daemon
                       .node()
                       .host()
-                      .alarms()
-                      .after(ClientFront.UNREAD_MICROS / 2, late::countDown));
+                      .timers()
+                      .schedule(ClientFront.UNREAD_MICROS / 2, late::countDown));
       client.close();
-      Await.until(() -> service.daemon.node().host().open() == 0);
+      Await.until(() -> service.daemon.node().host().openCount() == 0);
       assertEquals(1, late.getCount());
       hang.countDown();
     }
@@ -221,14 +221,14 @@
   @Test
   void aStopAnswersAllThatCameAndEndsConnectionsInOrder() throws Exception {
     CountDownLatch hang = new CountDownLatch(1);
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             hang.await();
           }
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter())) {
+    try (Service service = new Service(worker, FakeRespServer.counter())) {
       Socket resting = socket(service);
       send(resting, "*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", line(resting.getInputStream()));
@@ -254,7 +254,7 @@
   /** A request that comes in the turn in which the stop closes what is quiet. */
   @Test
   void aRequestThatCrossesAStopIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask("PING");
       service.daemon.stop();
--- a/src/test/java/fawndock/platform/ClientsTest.java
+++ b/src/test/java/fawndock/platform/ClientsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -19,14 +19,14 @@
   @Test
   void answersComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             release.await();
           }
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] slow = service.request("pay");
       String[] quick = service.request("look");
@@ -42,7 +42,7 @@
 
   @Test
   void badInputGetsAnErrorOrACloseAndReachesNobody() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient usual = service.client()) {
       String good = "c=look,t=large,d=900,units=1,spread=1,first=0";
       List<String[]> unfit = new ArrayList<>();
@@ -106,7 +106,7 @@
 
   @Test
   void halfACommandAndSilenceEnd() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient half = service.client();
         RespClient silent = service.client();
         RespClient usual = service.client()) {
@@ -122,12 +122,12 @@
   @Test
   void anIdThatIsOpenIsNotTakenTwice() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           release.await();
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient usual = service.client();
         RespClient bad = service.client()) {
       String[] words = service.request("pay");
@@ -142,7 +142,7 @@
 
   @Test
   void tooManyCommandsAtOnceEndTheConnectionAfterTheFirst() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient bad = service.client()) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 200; i++) {
@@ -163,7 +163,7 @@
 
   @Test
   void whenConnectionsAreSpentTheSilentOnesGo() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter(), 64)) {
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       RespClient usual = service.client();
       usual.ask("PING");
       List<RespClient> silent = new ArrayList<>();
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import fawndock.standin.CatalogStandIn;
-import fawndock.wire.Json;
+import fawndock.fake.FakeDiscoveryServer;
+import fawndock.platformconfig.Json;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
@@ -48,9 +48,9 @@
   @Test
   void everyCutOfTwoListsGivesTheSame() throws Exception {
     String first =
-        CatalogStandIn.list(
+        FakeDiscoveryServer.list(
             41, true, "a", "127.0.0.1:1", "ready", "b{\\\"}", "127.0.0.1:2", "draining");
-    String second = CatalogStandIn.list(42, false, "ä", "127.0.0.1:3", "gone");
+    String second = FakeDiscoveryServer.list(42, false, "ä", "127.0.0.1:3", "gone");
     String indented = "{\n  \"index\": 43,\n  \"snapshot\": false,\n  \"endpoints\": [\n\n  ]\n}";
     String all = first + "\n\n" + second + "\r\n" + indented + "\n";
     for (int cut = 0; cut <= all.length(); cut++) {
--- a/src/test/java/fawndock/platform/OutcomesTest.java
+++ b/src/test/java/fawndock/platform/OutcomesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
@@ -19,13 +19,13 @@
  */
 class OutcomesTest {
   /** Answers the first attempt of all as given, and the others well. */
-  private static RespServer.Behaviour first(RespServer.Behaviour odd) {
+  private static FakeRespServer.Behaviour first(FakeRespServer.Behaviour odd) {
     AtomicInteger many = new AtomicInteger();
     return (words, link) -> {
       if (many.getAndIncrement() == 0) {
         odd.command(words, link);
       } else {
-        RespServer.worker().command(words, link);
+        FakeRespServer.worker().command(words, link);
       }
     };
   }
@@ -34,9 +34,9 @@
    * What a client is answered when the first attempt ends so, by class, and how many commands the
    * worker read.
    */
-  private static Map.Entry<String, Integer> answer(String type, RespServer.Behaviour odd)
+  private static Map.Entry<String, Integer> answer(String type, FakeRespServer.Behaviour odd)
       throws Exception {
-    try (Service service = new Service(first(odd), RespServer.counter());
+    try (Service service = new Service(first(odd), FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] words = service.request(type);
       String answer = client.ask(words);
@@ -53,9 +53,9 @@
             new Service(
                 (words, link) -> {
                   lists.put(words.get(2), String.join(" ", words));
-                  RespServer.worker().command(words, link);
+                  FakeRespServer.worker().command(words, link);
                 },
-                RespServer.counter());
+                FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] words = service.request("note");
       assertEquals(
@@ -95,7 +95,7 @@
 
   @Test
   void noConnectionNeverRan() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       service.world.worker.close();
       assertTrue(client.ask(service.request("pay")).startsWith("-BUSY"));
@@ -105,13 +105,15 @@
   @Test
   void spoiltAnswersMayHaveRunAndEndTheConnection() throws Exception {
     AtomicReference<String> next = new AtomicReference<>();
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           String spoilt = next.getAndSet(null);
           link.send(
-              spoilt == null ? RespServer.served("value of " + words.get(2), "backlog=0") : spoilt);
+              spoilt == null
+                  ? FakeRespServer.served("value of " + words.get(2), "backlog=0")
+                  : spoilt);
         };
-    try (Service service = new Service(worker, RespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       int connections = 0;
       for (String spoilt :
@@ -138,12 +140,12 @@
 
   @Test
   void aSecondCopyNeverAnswersTheNextRequest() throws Exception {
-    RespServer.Behaviour twice =
+    FakeRespServer.Behaviour twice =
         (words, link) -> {
-          String answer = RespServer.served("value of " + words.get(2), "queue=x,noise");
+          String answer = FakeRespServer.served("value of " + words.get(2), "queue=x,noise");
           link.send(answer + answer);
         };
-    try (Service service = new Service(twice, RespServer.counter());
+    try (Service service = new Service(twice, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 5; i++) {
         String[] words = service.request("pay");
@@ -158,11 +160,11 @@
    */
   @Test
   void halfAReplyBehindAnAnswerIsNoPartOfTheNext() throws Exception {
-    RespServer.Behaviour more =
+    FakeRespServer.Behaviour more =
         (words, link) ->
             link.send(
-                RespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
-    try (Service service = new Service(more, RespServer.counter());
+                FakeRespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
+    try (Service service = new Service(more, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
@@ -176,7 +178,7 @@
   /** The worker would close at 3 s; a request that met that would end as a reset. */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("look"));
       assertEquals(1, service.world.worker.open());
@@ -188,7 +190,7 @@
   void anAttemptGivenUpEndsItsConnection() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
     try (Service service =
-        new Service(first((words, link) -> asked.countDown()), RespServer.counter())) {
+        new Service(first((words, link) -> asked.countDown()), FakeRespServer.counter())) {
       RespClient client = service.client();
       client.send(RespClient.command(service.request("pay")));
       asked.await();
--- a/src/test/java/fawndock/platform/Service.java
+++ b/src/test/java/fawndock/platform/Service.java
@@ -1,9 +1,9 @@
 package fawndock.platform;
 
-import fawndock.Logic;
-import fawndock.standin.PlatformWorld;
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
+import fawndock.fake.FakePlatform;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
+import fawndock.policy.DefaultGatewayPolicy;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -11,24 +11,25 @@
 
 /** One gatekeeper of the platform's way in, in service among stand-ins, for one test. */
 final class Service implements AutoCloseable {
-  final PlatformWorld world;
+  final FakePlatform world;
   final PlatformDaemon daemon;
   private final Thread thread;
   private final AtomicInteger code = new AtomicInteger(-1);
   private long nextId = 1;
 
-  Service(RespServer.Behaviour worker, RespServer.Behaviour counter) throws Exception {
+  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter) throws Exception {
     this(worker, counter, 256);
   }
 
-  Service(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets) throws Exception {
-    world = new PlatformWorld(worker, counter, sockets);
+  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
+      throws Exception {
+    world = new FakePlatform(worker, counter, sockets);
     daemon = new PlatformDaemon(world.variables());
     thread =
         new Thread(
             () -> {
               try {
-                code.set(daemon.run(Logic::new));
+                code.set(daemon.run(DefaultGatewayPolicy::new));
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -45,7 +46,7 @@
 
   /** The words of a new request. */
   String[] request(String type) {
-    return PlatformWorld.request(type, "large", 7, nextId++, "");
+    return FakePlatform.request(type, "large", 7, nextId++, "");
   }
 
   /**
--- a/src/test/java/fawndock/platform/TroubleTest.java
+++ b/src/test/java/fawndock/platform/TroubleTest.java
@@ -5,17 +5,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
-import fawndock.Logic;
-import fawndock.host.Alarms;
-import fawndock.host.MicroClock;
+import fawndock.fake.FakeDiscoveryServer;
+import fawndock.fake.FakePlatform;
+import fawndock.fake.FakeRespServer;
+import fawndock.fake.RespClient;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.standin.CatalogStandIn;
-import fawndock.standin.PlatformWorld;
-import fawndock.standin.RespClient;
-import fawndock.standin.RespServer;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.nio.file.Files;
@@ -42,8 +42,8 @@
 
   @Test
   void aCounterInTroubleCostsARequestNothingButItsWait() throws Exception {
-    for (RespServer.Behaviour counter :
-        new RespServer.Behaviour[] {
+    for (FakeRespServer.Behaviour counter :
+        new FakeRespServer.Behaviour[] {
           (words, link) -> {},
           (words, link) -> link.send("-BUSY\r\n"),
           (words, link) -> link.send("-ERR no such call\r\n"),
@@ -53,7 +53,7 @@
           (words, link) -> link.send("+OK\r\n"),
           (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")
         }) {
-      try (Service service = new Service(RespServer.worker(), counter);
+      try (Service service = new Service(FakeRespServer.worker(), counter);
           RespClient client = service.client()) {
         for (int i = 0; i < 3; i++) {
           assertEquals("served", ask(service, client, "look"));
@@ -73,18 +73,18 @@
 
   @Test
   void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer second = new RespServer(RespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
       assertEquals("served", ask(service, client, "look"));
       String at = "127.0.0.1:" + service.world.worker.port();
       service.world.catalog.tell("what is no JSON");
-      service.world.catalog.whole(CatalogStandIn.list(9, true, "w9", at, "ready"));
+      service.world.catalog.whole(FakeDiscoveryServer.list(9, true, "w9", at, "ready"));
       Await.until(() -> service.world.catalog.watched() == 2);
       assertEquals("served", ask(service, client, "look"));
       service.world.catalog.tell(
-          CatalogStandIn.list(
+          FakeDiscoveryServer.list(
               10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
@@ -105,7 +105,7 @@
    */
   @Test
   void theWarmUpLeavesNothingBehind() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       assertEquals(0, service.world.worker.accepted());
       assertEquals(0, service.world.counter.accepted());
@@ -127,14 +127,14 @@
   @Test
   void theWarmUpServes() throws Exception {
     Vertx vertx = Vertx.vertx();
-    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
+    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
       PlatformConfig config = PlatformConfig.read(world.variables());
       CompletableFuture<Integer> served = new CompletableFuture<>();
       vertx
           .getOrCreateContext()
           .runOnContext(
               v -> {
-                WarmUp warmUp = new WarmUp(vertx, config, Logic::new);
+                WarmUp warmUp = new WarmUp(vertx, config, DefaultGatewayPolicy::new);
                 warmUp.run().onComplete(done -> served.complete(warmUp.served()));
               });
       assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
@@ -147,9 +147,9 @@
   /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
   @Test
   void connectionsToACounterOfBeforeEnd() throws Exception {
-    try (Service service = new Service(RespServer.worker(), (words, link) -> {});
+    try (Service service = new Service(FakeRespServer.worker(), (words, link) -> {});
         RespClient client = service.client();
-        RespServer counter = new RespServer(RespServer.counter())) {
+        FakeRespServer counter = new FakeRespServer(FakeRespServer.counter())) {
       assertEquals("served", ask(service, client, "look"));
       assertTrue(service.world.counter.open() > 0);
       service.world.configure(service.world.catalog.port(), counter.port());
@@ -161,7 +161,7 @@
   /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
   @Test
   void aSilentWatchIsMadeAgain() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter())) {
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter())) {
       Await.until(() -> service.world.catalog.watched() >= 2);
       assertEquals("served", ask(service, service.client(), "look"));
     }
@@ -173,9 +173,9 @@
     CountDownLatch release = new CountDownLatch(1);
     AtomicInteger many = new AtomicInteger();
     Vertx vertx = Vertx.vertx();
-    List<Counted> told = new CopyOnWriteArrayList<>();
-    try (RespServer server =
-        new RespServer(
+    List<CounterReply> told = new CopyOnWriteArrayList<>();
+    try (FakeRespServer server =
+        new FakeRespServer(
             (words, link) -> {
               release.await();
               link.send("$1\r\n" + many.incrementAndGet() + "\r\n");
@@ -189,18 +189,18 @@
                     new Sockets(context),
                     new Address("127.0.0.1", server.port()),
                     new MicroClock(),
-                    new Alarms(vertx),
+                    new Timers(vertx),
                     new Figures(),
                     250_000,
                     50_000,
                     told::add);
-            counter[0].count(new Count("name", 1, 4_000_000));
+            counter[0].count(new AddToCounter("name", 1, 4_000_000));
           });
       Await.until(() -> told.size() == 1);
-      assertEquals(Result.TIMEOUT, told.get(0).result());
+      assertEquals(CallResult.TIMEOUT, told.get(0).result());
       context.runOnContext(
           v -> {
-            counter[0].count(new Count("name", 1, 4_000_000));
+            counter[0].count(new AddToCounter("name", 1, 4_000_000));
             release.countDown();
           });
       Await.until(() -> told.size() == 2);
@@ -212,11 +212,11 @@
 
   @Test
   void anEmptyListEmptiesNothing() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       Await.until(() -> service.world.catalog.watched() == 1);
-      service.world.catalog.whole(CatalogStandIn.list(11, true));
-      service.world.catalog.tell(CatalogStandIn.list(11, true));
+      service.world.catalog.whole(FakeDiscoveryServer.list(11, true));
+      service.world.catalog.tell(FakeDiscoveryServer.list(11, true));
       assertEquals("served", ask(service, client, "look"));
       service.world.catalog.cut();
       assertEquals("served", ask(service, client, "look"));
@@ -225,12 +225,12 @@
 
   @Test
   void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
-    try (Service service = new Service(RespServer.worker(), RespServer.counter());
+    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
-        RespServer counter = new RespServer(RespServer.counter());
-        CatalogStandIn catalog =
-            new CatalogStandIn(
-                CatalogStandIn.list(
+        FakeRespServer counter = new FakeRespServer(FakeRespServer.counter());
+        FakeDiscoveryServer catalog =
+            new FakeDiscoveryServer(
+                FakeDiscoveryServer.list(
                     3, true, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"))) {
       assertEquals("served", ask(service, client, "look"));
       service.world.write("{\"name\":");
@@ -256,14 +256,14 @@
   @Test
   void aStopAnswersWhatIsOpenAndWhatStillComes() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    RespServer.Behaviour worker =
+    FakeRespServer.Behaviour worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             release.await();
           }
-          RespServer.worker().command(words, link);
+          FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, RespServer.counter())) {
+    try (Service service = new Service(worker, FakeRespServer.counter())) {
       RespClient open = service.client();
       String[] words = service.request("pay");
       open.send(RespClient.command(words));
@@ -283,7 +283,7 @@
         "RELAY_CONFIG is not set: the path of the configuration is expected",
         assertThrows(PlatformConfig.UnusableException.class, () -> PlatformConfig.read(Map.of()))
             .getMessage());
-    try (PlatformWorld world = new PlatformWorld(RespServer.worker(), RespServer.counter())) {
+    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
       String file = world.variables().get("RELAY_CONFIG");
       String good = Files.readString(Path.of(file));
       for (String[] each :
