--- a/src/test/java/fawndock/ColdFleetTest.java
+++ b/src/test/java/fawndock/policy/ColdFleetTest.java
@@ -1,27 +1,27 @@
-package fawndock;
+package fawndock.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Counter;
-import fawndock.Gatekeeper.Event;
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Rules;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Wake;
-import fawndock.Gatekeeper.WakeAfter;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.TimerFired;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -38,8 +38,8 @@
   private static final int FLEET = 30;
   private static final int SERVERS = 12;
   private static final long SECOND = 1_000_000;
-  private static final Rules RULES =
-      new Rules(16_000, SECOND, 0.2, 10 * SECOND, 1.5, 2 * SECOND, 10 * SECOND);
+  private static final ServiceRules RULES =
+      new ServiceRules(16_000, SECOND, 0.2, 10 * SECOND, 1.5, 2 * SECOND, 10 * SECOND);
 
   /** Tries a second of the fleet, and what a warm server can do: it is loaded by four fifths. */
   private static final double RATE = 900;
@@ -48,10 +48,10 @@
 
   /** One play of the thirty. */
   private static final class Play {
-    private record Due(long at, int to, Event event) {}
+    private record Due(long at, int to, PolicyEvent event) {}
 
     private final Random random;
-    private final Logic[] fleet = new Logic[FLEET];
+    private final DefaultGatewayPolicy[] fleet = new DefaultGatewayPolicy[FLEET];
     private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final List<Long> reached = new ArrayList<>();
     private final Map<Long, Integer> tries = new HashMap<>();
@@ -62,13 +62,22 @@
       random = new Random(seed);
     }
 
-    private Logic start(int me, long now, long coldSince) {
+    private DefaultGatewayPolicy start(int me, long now, long coldSince) {
       RequestClass type =
           new RequestClass(
-              "class", SECOND, 0, 3 * SECOND, 1, 0, Repeat.IDEMPOTENT, Group.ALL, SECOND, false);
-      Logic logic =
-          new Logic(
-              new Settings(
+              "class",
+              SECOND,
+              0,
+              3 * SECOND,
+              1,
+              0,
+              Idempotency.IDEMPOTENT,
+              DeduplicationScope.ALL,
+              SECOND,
+              false);
+      DefaultGatewayPolicy logic =
+          new DefaultGatewayPolicy(
+              new PolicyConfig(
                   me,
                   FLEET,
                   random.nextLong(),
@@ -77,14 +86,15 @@
                   false,
                   List.of(type),
                   List.of(new Plan("plan", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
-                  new Limits(3, 1_000, SECOND, false, true, false, false, true),
+                  new GatewayLimits(3, 1_000, SECOND, false, true, false, false, true),
                   RULES,
-                  new Counter(false, 50_000, false)));
-      List<Server> list = new ArrayList<>();
+                  new CounterConfig(false, 50_000, false)));
+      List<Endpoint> list = new ArrayList<>();
       for (int i = 0; i < SERVERS; i++) {
-        list.add(new Server("s" + i, "here", 0, Availability.RUNNING, 1, i == 4 ? coldSince : 0));
+        list.add(
+            new Endpoint("s" + i, "here", 0, EndpointState.RUNNING, 1, i == 4 ? coldSince : 0));
       }
-      logic.on(now, new Servers(Listing.COMPLETE, list));
+      logic.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, list));
       return logic;
     }
 
@@ -104,7 +114,7 @@
             new Due(
                 now,
                 to,
-                new Request(
+                new RequestArrived(
                     ++id,
                     "class",
                     "plan",
@@ -121,9 +131,9 @@
             new Due(
                 cold + random.nextInt(1_000_000),
                 i,
-                new Servers(
-                    Listing.CHANGES,
-                    List.of(new Server("s4", "here", 0, Availability.RUNNING, 1, cold)))));
+                new EndpointUpdate(
+                    EndpointUpdateKind.CHANGES,
+                    List.of(new Endpoint("s4", "here", 0, EndpointState.RUNNING, 1, cold)))));
       }
       boolean restarted = false;
       for (Due next = due.poll();
@@ -136,15 +146,15 @@
             fleet[i] = start(i, next.at, cold);
           }
         }
-        take(next, fleet[next.to].on(next.at, next.event), cold + SECOND);
+        take(next, fleet[next.to].onEvent(next.at, next.event), cold + SECOND);
       }
     }
 
-    private void take(Due from, List<Action> actions, long told) {
-      for (Action action : actions) {
-        if (action instanceof WakeAfter w) {
-          due.add(new Due(from.at + w.micros(), from.to, new Wake(w.token())));
-        } else if (action instanceof Attempt a) {
+    private void take(Due from, List<PolicyAction> actions, long told) {
+      for (PolicyAction action : actions) {
+        if (action instanceof ScheduleTimer w) {
+          due.add(new Due(from.at + w.delayMicros(), from.to, new TimerFired(w.token())));
+        } else if (action instanceof StartAttempt a) {
           int number = tries.merge(a.requestId(), 1, Integer::sum) - 1;
           long took = (long) (60_000 + random.nextInt(120_000));
           boolean good = random.nextInt(20) > 0;
@@ -152,16 +162,16 @@
               new Due(
                   from.at + took,
                   from.to,
-                  new Outcome(
+                  new AttemptCompleted(
                       a.requestId(),
                       number,
-                      a.server(),
+                      a.endpointId(),
                       took,
-                      good ? Result.OK : Result.ERROR,
+                      good ? CallResult.OK : CallResult.ERROR,
                       good,
                       0,
                       Map.of())));
-          if (a.server().equals("s4") && from.at >= told) {
+          if (a.endpointId().equals("s4") && from.at >= told) {
             reached.add(from.at);
           }
         }
@@ -178,13 +188,15 @@
       long cold = play.begin + 3 * SECOND;
       for (int i = 0; i < play.reached.size(); i++) {
         long from = play.reached.get(i);
-        long to = from + RULES.fallMicros();
+        long to = from + RULES.collapseWindowMicros();
         long sent = play.reached.stream().filter(at -> at >= from && at < to).count();
         double warmth =
             Math.min(
                 1,
-                RULES.coldShare() + (1 - RULES.coldShare()) * (from - cold) / RULES.coldMicros());
-        double budget = RULES.fallMultiple() * warmth * CAPACITY * RULES.fallMicros() / 1e6;
+                RULES.slowStartShare()
+                    + (1 - RULES.slowStartShare()) * (from - cold) / RULES.slowStartMicros());
+        double budget =
+            RULES.collapseMultiple() * warmth * CAPACITY * RULES.collapseWindowMicros() / 1e6;
         assertTrue(
             sent <= budget + 2 * Math.sqrt(budget) + 2,
             "seed " + seed + ": " + sent + " of " + budget);
--- a/src/test/java/fawndock/FleetTest.java
+++ b/src/test/java/fawndock/policy/FleetTest.java
@@ -1,21 +1,21 @@
-package fawndock;
+package fawndock.policy;
 
-import static fawndock.Rig.only;
+import static fawndock.policy.Rig.only;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Event;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Wake;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.TimerFired;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -29,59 +29,62 @@
   private static final int GATEKEEPERS = 300;
   private static final int SERVERS = 60;
   private long now = 100 * Rig.SECOND;
-  private final List<Gatekeeper> fleet = new ArrayList<>();
+  private final List<GatewayPolicy> fleet = new ArrayList<>();
 
-  private void start(int gatekeepers, List<Server> servers) {
-    Settings s = Rig.settings(Rig.ratePlan(0, 0), Repeat.IDEMPOTENT, false, false);
+  private void start(int gatekeepers, List<Endpoint> servers) {
+    PolicyConfig s = Rig.settings(Rig.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false);
     for (int i = 0; i < gatekeepers; i++) {
       fleet.add(
-          new Logic(
-              new Settings(
+          new DefaultGatewayPolicy(
+              new PolicyConfig(
                   i,
                   gatekeepers,
                   i,
-                  s.roundMicros(),
+                  s.roundTripMicros(),
                   s.zone(),
                   false,
-                  s.classes(),
+                  s.requestClasses(),
                   s.plans(),
                   s.limits(),
                   s.rules(),
                   s.counter())));
-      on(i, new Servers(Listing.CACHED, servers));
+      on(i, new EndpointUpdate(EndpointUpdateKind.CACHED, servers));
     }
   }
 
-  private List<Attempt> on(int gatekeeper, Event event) {
-    return only(Attempt.class, fleet.get(gatekeeper).on(now, event));
+  private List<StartAttempt> on(int gatekeeper, PolicyEvent event) {
+    return only(StartAttempt.class, fleet.get(gatekeeper).onEvent(now, event));
   }
 
-  private static List<Server> warm(int count) {
-    List<Server> servers = new ArrayList<>();
+  private static List<Endpoint> warm(int count) {
+    List<Endpoint> servers = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      servers.add(Rig.server("s" + i, Availability.RUNNING, 0));
+      servers.add(Rig.server("s" + i, EndpointState.RUNNING, 0));
     }
     return servers;
   }
 
-  private Request request(long id) {
-    return new Request(id, "class", "plan", "customer", now + 3 * Rig.SECOND, 1, 2, 0, false);
+  private RequestArrived request(long id) {
+    return new RequestArrived(
+        id, "class", "plan", "customer", now + 3 * Rig.SECOND, 1, 2, 0, false);
   }
 
   @Test
   void hundredsOfGatekeepersSendAColdServerItsShareOnly() {
-    List<Server> servers = warm(SERVERS);
-    servers.set(17, Rig.server("s17", Availability.RUNNING, now));
+    List<Endpoint> servers = warm(SERVERS);
+    servers.set(17, Rig.server("s17", EndpointState.RUNNING, now));
     start(GATEKEEPERS, servers);
     int cold = 0;
     int all = 0;
     for (int id = 0; id < 20 * GATEKEEPERS; id++) {
       now += 100;
       int gatekeeper = id % GATEKEEPERS;
-      for (Attempt a : on(gatekeeper, request(id))) {
+      for (StartAttempt a : on(gatekeeper, request(id))) {
         all++;
-        cold += a.server().equals("s17") ? 1 : 0;
-        on(gatekeeper, new Outcome(id, 0, a.server(), 100_000, Result.OK, true, 0, Map.of()));
+        cold += a.endpointId().equals("s17") ? 1 : 0;
+        on(
+            gatekeeper,
+            new AttemptCompleted(id, 0, a.endpointId(), 100_000, CallResult.OK, true, 0, Map.of()));
       }
     }
     assertEquals(20 * GATEKEEPERS, all);
@@ -108,11 +111,13 @@
       for (int i = 0; i < 40; i++) {
         now += 100;
         long id = gatekeeper * 100L + i;
-        Attempt sent = on(gatekeeper, request(id)).get(0);
-        known.add(sent.server());
-        met.merge(sent.server(), 1, Integer::sum);
+        StartAttempt sent = on(gatekeeper, request(id)).get(0);
+        known.add(sent.endpointId());
+        met.merge(sent.endpointId(), 1, Integer::sum);
         long took = 50_000 + 2_000 * (id * 7_919 % 100);
-        on(gatekeeper, new Outcome(id, 0, sent.server(), took, Result.OK, true, 0, Map.of()));
+        on(
+            gatekeeper,
+            new AttemptCompleted(id, 0, sent.endpointId(), took, CallResult.OK, true, 0, Map.of()));
       }
       assertTrue(known.size() <= 8, known.size() + " servers met by one gatekeeper");
     }
@@ -128,18 +133,18 @@
     Set<String> met = new TreeSet<>();
     for (int id = 0; id < 60; id++) {
       now += 1_000;
-      List<Attempt> sent = on(0, request(id));
+      List<StartAttempt> sent = on(0, request(id));
       for (int attempt = 0; !sent.isEmpty(); attempt++) {
-        met.add(sent.get(0).server());
+        met.add(sent.get(0).endpointId());
         sent =
             on(
                 0,
-                new Outcome(
+                new AttemptCompleted(
                     id,
                     attempt,
-                    sent.get(0).server(),
+                    sent.get(0).endpointId(),
                     1_000,
-                    Result.CONNECT_FAILED,
+                    CallResult.CONNECT_FAILED,
                     false,
                     0,
                     Map.of()));
@@ -158,16 +163,16 @@
     assertTrue(id > 1, "no room at all");
     now += Rig.SECOND;
     for (long out = 1; out < id; out++) {
-      on(0, new Wake("late:" + out));
+      on(0, new TimerFired("late:" + out));
     }
     assertEquals(1, on(0, request(1_000)).size());
   }
 
   @Test
   void allServersColdTakeLittle() {
-    List<Server> servers = new ArrayList<>();
+    List<Endpoint> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      servers.add(Rig.server("s" + i, Availability.RUNNING, now));
+      servers.add(Rig.server("s" + i, EndpointState.RUNNING, now));
     }
     start(40, servers);
     int sent = 0;
@@ -187,7 +192,7 @@
   @Test
   void instancesInOneProcessShareNothing() {
     start(3, warm(4));
-    List<List<Attempt>> together = new ArrayList<>();
+    List<List<StartAttempt>> together = new ArrayList<>();
     for (int id = 0; id < 60; id++) {
       together.add(on(id % 3, request(id)));
     }
--- a/src/test/java/fawndock/ratelimit/RateLimitTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitTest.java
@@ -5,15 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.protobuf.UInt64Value;
-import fawndock.Logic;
+import fawndock.fake.FakeCounterServer;
+import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.ratelimit.proto.RateLimitDescriptor;
 import fawndock.ratelimit.proto.RateLimitRequest;
 import fawndock.ratelimit.proto.RateLimitResponse;
 import fawndock.ratelimit.proto.RateLimitResponse.Code;
-import fawndock.settings.DaemonSettings;
-import fawndock.settings.SettingsException;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
-import fawndock.standin.CounterStandIn;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
 import io.vertx.grpc.client.GrpcClient;
@@ -46,7 +46,7 @@
           GrpcMessageDecoder.decoder(RateLimitResponse.newBuilder()));
   @TempDir private Path directory;
   private final Vertx vertx = Vertx.vertx();
-  private final CounterStandIn counter = new CounterStandIn();
+  private final FakeCounterServer counter = new FakeCounterServer();
   private final List<RateLimitNode> nodes = new ArrayList<>();
   private GrpcClient client;
 
@@ -65,7 +65,7 @@
     counter.start();
     client = GrpcClient.client(vertx);
     for (int i = 0; i < 2; i++) {
-      RateLimitNode node = new RateLimitNode(settings(i, ""), Logic::new);
+      RateLimitNode node = new RateLimitNode(settings(i, ""), DefaultGatewayPolicy::new);
       wait(vertx.deployVerticle(node));
       nodes.add(node);
     }
@@ -77,7 +77,7 @@
     counter.close();
   }
 
-  private DaemonSettings settings(int me, String more) throws Exception {
+  private GatewaySettings settings(int me, String more) throws Exception {
     Path file =
         Files.writeString(
             directory.resolve("g" + me + ".conf"),
@@ -229,7 +229,7 @@
   void mistakesInDescriptorsAreToldAtOnce() {
     String told =
         assertThrows(
-                SettingsException.class,
+                ConfigurationException.class,
                 () ->
                     settings(
                         0,
--- a/src/test/java/fawndock/lab/report/ReportTest.java
+++ b/src/test/java/fawndock/report/ReportTest.java
@@ -1,14 +1,14 @@
-package fawndock.lab.report;
+package fawndock.report;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.lab.emu.DeploymentFile.Mark;
-import fawndock.lab.experiment.Experiment;
-import fawndock.lab.experiment.Experiment.Expect;
-import fawndock.lab.experiment.Outcome;
+import fawndock.experiment.Experiment;
+import fawndock.experiment.Experiment.Expect;
+import fawndock.experiment.Outcome;
+import fawndock.simulation.DeploymentFile.Mark;
 import java.io.ByteArrayInputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/fawndock/drill/DayFileTest.java
+++ b/src/test/java/fawndock/scenario/DayFileTest.java
@@ -1,17 +1,17 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.judge.Figures;
-import fawndock.judge.Seen;
-import fawndock.judge.Worth;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.PriorityWeights;
+import fawndock.conformance.TraceEvent;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -38,7 +38,7 @@
                 "steps":[{"at":1500000,"stop":[1],"start":[]}]}]}
                 """));
     assertEquals(4, day.seconds());
-    assertEquals(Repeat.DEDUPLICATED, day.kinds().get(0).repeat());
+    assertEquals(Idempotency.DEDUPLICATED, day.kinds().get(0).repeat());
     assertEquals(new DayFile.PlanOf("t", 1, 2, 4, 0.5, 0, 1, 2), day.plans().get(0));
     assertEquals(
         new DayFile.Trouble(
@@ -62,25 +62,34 @@
    */
   @Test
   void serviceCountsWhatIsInsideTheQuotaAndInTime() {
-    Figures figures =
-        new Figures(
+    ConformanceLimits figures =
+        new ConformanceLimits(
             Map.of(
                 "c",
                 new RequestClass(
-                    "c", 1_000, 0, 9_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
-            new Rules(0, 0, 1, 0, 1, 1, 0),
+                    "c",
+                    1_000,
+                    0,
+                    9_000,
+                    1,
+                    0,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    false)),
+            new ServiceRules(0, 0, 1, 0, 1, 1, 0),
             Map.of("x", new Plan("p", 1, 2, 0, 1, 0, 0, 0, 0, 0)),
             0);
-    List<Seen> trace =
+    List<TraceEvent> trace =
         List.of(
-            new Seen.Asked(10, "a.0", 0, "c", "x", 1, 9_010),
-            new Seen.Asked(20, "b.0", 0, "c", "x", 1, 9_020),
-            new Seen.Asked(30, "d.0", 0, "c", "x", 1, 9_030),
-            new Seen.Answered(500, "a.0", 429),
-            new Seen.Asked(600, "a.1", 0, "c", "x", 1, 9_600),
-            new Seen.Answered(900, "a.1", 200),
-            new Seen.Answered(1_500, "b.0", 200),
-            new Seen.Answered(900, "d.0", 200));
-    assertEquals(0.5, Worth.judge(trace, figures));
+            new TraceEvent.Asked(10, "a.0", 0, "c", "x", 1, 9_010),
+            new TraceEvent.Asked(20, "b.0", 0, "c", "x", 1, 9_020),
+            new TraceEvent.Asked(30, "d.0", 0, "c", "x", 1, 9_030),
+            new TraceEvent.Answered(500, "a.0", 429),
+            new TraceEvent.Asked(600, "a.1", 0, "c", "x", 1, 9_600),
+            new TraceEvent.Answered(900, "a.1", 200),
+            new TraceEvent.Answered(1_500, "b.0", 200),
+            new TraceEvent.Answered(900, "d.0", 200));
+    assertEquals(0.5, PriorityWeights.judge(trace, figures));
   }
 }
--- a/src/test/java/fawndock/drill/TotalsTest.java
+++ b/src/test/java/fawndock/scenario/TotalsTest.java
@@ -1,4 +1,4 @@
-package fawndock.drill;
+package fawndock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/fawndock/settings/SettingsFileTest.java
+++ b/src/test/java/fawndock/settings/SettingsFileTest.java
@@ -30,7 +30,9 @@
 
   private List<String> mistakes(String text) throws IOException {
     Path file = file("bad.conf", text);
-    return assertThrows(SettingsException.class, () -> SettingsFile.read(file)).mistakes().stream()
+    return assertThrows(ConfigurationException.class, () -> SettingsFile.read(file))
+        .mistakes()
+        .stream()
         .map(m -> m.toString().replace(folder + "/", ""))
         .toList();
   }
@@ -40,9 +42,9 @@
     file(
         "more.conf",
         "counter 127.0.0.1:6379 [::1]:6380\ncounter-limits timeout 1.5ms\nsizes body 2KiB\n");
-    DaemonSettings s = SettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
+    GatewaySettings s = SettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
     assertEquals("one", s.keys().get("a key # with \"blanks\"").customer());
-    assertEquals(500_000, s.classes().get(0).aimMicros());
+    assertEquals(500_000, s.classes().get(0).latencyObjectiveMicros());
     assertEquals(1_500, s.counter().timeoutMicros());
     assertEquals(
         List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().parts());
--- a/src/test/java/fawndock/lab/emu/EmulationTest.java
+++ b/src/test/java/fawndock/simulation/EmulationTest.java
@@ -1,26 +1,27 @@
-package fawndock.lab.emu;
+package fawndock.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Event;
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Refuse;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
-import fawndock.Logic;
-import fawndock.lab.load.Manners;
-import fawndock.lab.load.Shape;
-import fawndock.standin.Worker;
+import fawndock.fake.FakeBackend;
+import fawndock.loadgen.Manners;
+import fawndock.loadgen.Shape;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.RequestArrived;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -39,17 +40,26 @@
         6,
         8,
         2,
-        new Worker.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000),
+        new FakeBackend.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000),
         0.02,
         new Deployment.Network(200, 100, 0),
         new Deployment.Counter(20_000, 50_000, 2, 0, 0),
         50_000,
         List.of(
             new RequestClass(
-                "lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
+                "lookup",
+                500_000,
+                1,
+                2_000_000,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false)),
         List.of(new Plan("seat", 20, 40, 0, 1, 0, 0, 0, 0, 0)),
-        new Limits(3, 2_000, 60_000_000, false, true, true, true, true),
-        new Rules(10_000, 1_000_000, 0.2, 4_000_000, 2, 1_000_000, 60_000_000),
+        new GatewayLimits(3, 2_000, 60_000_000, false, true, true, true, true),
+        new ServiceRules(10_000, 1_000_000, 0.2, 4_000_000, 2, 1_000_000, 60_000_000),
         List.of(
             new Deployment.Demand(
                 "over", "lookup", "seat", 4, 0, 6, 120, new Shape.Constant(), 1_500_000, PATIENT),
@@ -84,13 +94,15 @@
 
   @Test
   void theSameSeedGivesTheSameRunAndCustomersAreHeldToTheirPlans() {
-    Emulation.Result first = run(new Emulation(deployment(1, 30), Logic::new));
-    Emulation.Result again = run(new Emulation(deployment(1, 30), Logic::new));
+    Emulation.Result first = run(new Emulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    Emulation.Result again = run(new Emulation(deployment(1, 30), DefaultGatewayPolicy::new));
     assertEquals(first.figures(), again.figures());
     first
         .series()
         .forEach((name, values) -> assertArrayEquals(values, again.series().get(name), name));
-    assertNotEquals(first.statuses(), run(new Emulation(deployment(2, 30), Logic::new)).statuses());
+    assertNotEquals(
+        first.statuses(),
+        run(new Emulation(deployment(2, 30), DefaultGatewayPolicy::new)).statuses());
     assertTrue(first.verdict().kept(), first.verdict().breaches().toString());
     assertTrue(
         first.figures().get("use.over") > 0.9 && first.figures().get("use.over") < 1.1,
@@ -101,15 +113,16 @@
 
   @Test
   void troublesShowAndTheRulesAreKept() {
-    long calm = run(new Emulation(deployment(1, 20), Logic::new)).statuses().get(200);
-    Emulation silent = new Emulation(deployment(1, 20), Logic::new);
+    long calm =
+        run(new Emulation(deployment(1, 20), DefaultGatewayPolicy::new)).statuses().get(200);
+    Emulation silent = new Emulation(deployment(1, 20), DefaultGatewayPolicy::new);
     Troubles.counterSilent(silent, 5, 15);
     Emulation.Result result = run(silent);
     assertTrue(
         result.statuses().get(200) > calm + 200,
         "let in while the counter is silent: " + result.statuses());
     assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
-    Emulation bad = new Emulation(deployment(1, 20), Logic::new);
+    Emulation bad = new Emulation(deployment(1, 20), DefaultGatewayPolicy::new);
     Troubles.dies(bad, 3, 8, "w0");
     Troubles.silent(bad, 6, 12, "w1");
     Troubles.slow(bad, 6, 12, "w2", 10);
@@ -125,22 +138,33 @@
   /** Decisions that answer twice, or send twice what must not be, are found by the same judge. */
   @Test
   void brokenDecisionsAreFound() {
-    Function<Gatekeeper.Settings, Gatekeeper> mute = s -> (now, event) -> List.of();
+    Function<PolicyConfig, GatewayPolicy> mute = s -> (now, event) -> List.of();
     assertTrue(run(new Emulation(deployment(1, 2), mute)).verdict().unanswered() > 100);
-    Function<Gatekeeper.Settings, Gatekeeper> hasty =
+    Function<PolicyConfig, GatewayPolicy> hasty =
         s ->
-            new Gatekeeper() {
+            new GatewayPolicy() {
               @Override
-              public List<Action> on(long now, Event event) {
-                return event instanceof Request r
-                    ? List.of(new Attempt(r.id(), "w0", 0), new Attempt(r.id(), "w1", 0))
+              public List<PolicyAction> onEvent(long now, PolicyEvent event) {
+                return event instanceof RequestArrived r
+                    ? List.of(
+                        new StartAttempt(r.requestId(), "w0", 0),
+                        new StartAttempt(r.requestId(), "w1", 0))
                     : List.of();
               }
             };
     Deployment once = deployment(1, 2);
     RequestClass charge =
         new RequestClass(
-            "lookup", 500_000, 1, 2_000_000, 1, 0, Repeat.AT_MOST_ONCE, Group.ALL, 0, false);
+            "lookup",
+            500_000,
+            1,
+            2_000_000,
+            1,
+            0,
+            Idempotency.AT_MOST_ONCE,
+            DeduplicationScope.ALL,
+            0,
+            false);
     once =
         new Deployment(
             6,
@@ -159,10 +183,12 @@
             2,
             1);
     assertTrue(run(new Emulation(once, hasty)).verdict().breaches().size() > 5);
-    Function<Gatekeeper.Settings, Gatekeeper> strict =
+    Function<PolicyConfig, GatewayPolicy> strict =
         s ->
             (now, event) ->
-                event instanceof Request r ? List.of(new Refuse(r.id(), 1_000_000)) : List.of();
+                event instanceof RequestArrived r
+                    ? List.of(new RejectRequest(r.requestId(), 1_000_000))
+                    : List.of();
     assertEquals(
         java.util.Set.of(429), run(new Emulation(deployment(1, 2), strict)).statuses().keySet());
   }
@@ -210,9 +236,10 @@
                 demand under class lookup plan seat rate 40 customers 4 remaining 1500ms give-up 3s
                 """;
     Files.writeString(file, base);
-    double calm = run(DeploymentFile.read(file).emulation(Logic::new)).figures().get(figure);
+    double calm =
+        run(DeploymentFile.read(file).emulation(DefaultGatewayPolicy::new)).figures().get(figure);
     Files.writeString(file, base + "trouble " + trouble + "\n");
-    Emulation.Result result = run(DeploymentFile.read(file).emulation(Logic::new));
+    Emulation.Result result = run(DeploymentFile.read(file).emulation(DefaultGatewayPolicy::new));
     double troubled = result.figures().get(figure);
     assertTrue(
         way.equals("more") ? troubled > times * calm : troubled < times * calm,
@@ -235,8 +262,8 @@
                 trouble counter-silent from 5s until 15s
                 """);
     DeploymentFile.Read read = DeploymentFile.read(file);
-    Emulation.Result calm = run(new Emulation(read.deployment(), Logic::new));
-    Emulation troubled = new Emulation(read.deployment(), Logic::new);
+    Emulation.Result calm = run(new Emulation(read.deployment(), DefaultGatewayPolicy::new));
+    Emulation troubled = new Emulation(read.deployment(), DefaultGatewayPolicy::new);
     read.troubles().forEach(trouble -> trouble.accept(troubled));
     assertTrue(run(troubled).statuses().get(200) > calm.statuses().get(200) + 200);
     Files.writeString(
@@ -245,7 +272,7 @@
             + "when rate 21 nonsense\n");
     String told =
         org.junit.jupiter.api.Assertions.assertThrows(
-                fawndock.settings.SettingsException.class, () -> DeploymentFile.read(file))
+                fawndock.settings.ConfigurationException.class, () -> DeploymentFile.read(file))
             .getMessage();
     for (String each :
         List.of(
--- a/src/test/java/fawndock/benchlink/BenchLinkTest.java
+++ b/src/test/java/fawndock/simulatoradapter/BenchLinkTest.java
@@ -1,4 +1,4 @@
-package fawndock.benchlink;
+package fawndock.simulatoradapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
