--- a/src/main/java/fawndock/gateway/AnswerLog.java
+++ b/src/main/java/fawndock/gateway/AnswerLog.java
@@ -5,7 +5,6 @@
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.ResponseRecorder;
 import fawndock.runtime.ServerExchange.RequestAttributes;
-import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,7 +35,7 @@
           kv("plan", a.plan()),
           kv("customer", a.customer()),
           kv("attempts", request.attempts.size()),
-          kv("verdict", verdict.name().toLowerCase(Locale.ROOT)),
+          kv("verdict", word(verdict)),
           kv("reason", reason),
           kv("status", status(request, verdict)),
           kv("took_us", now - a.arrivedAtMicros()),
@@ -44,6 +43,16 @@
     }
   }
 
+  /** The operators' words for how a request ended, as docs/operations.md lists them. */
+  private static String word(RequestOutcome outcome) {
+    return switch (outcome) {
+      case SERVED -> "served";
+      case REJECTED -> "refused";
+      case FAILED -> "failed";
+      case DISCONNECTED -> "gone";
+    };
+  }
+
   private static int status(InFlightRequest request, RequestOutcome verdict) {
     return switch (verdict) {
       case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
--- a/src/main/java/fawndock/gateway/RosterLine.java
+++ b/src/main/java/fawndock/gateway/RosterLine.java
@@ -9,7 +9,6 @@
 import fawndock.settings.Address;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -73,17 +72,19 @@
     if (id.isEmpty() || id.length() > 256) {
       throw new IllegalArgumentException("a server without an id");
     }
-    EndpointState state;
-    try {
-      state = EndpointState.valueOf(entry.path("state").asText().toUpperCase(Locale.ROOT));
-    } catch (IllegalArgumentException e) {
-      throw new IllegalArgumentException(
-          "state of "
-              + id
-              + " is '"
-              + entry.path("state").asText()
-              + "', not running, stopping or deleted");
-    }
+    EndpointState state =
+        switch (entry.path("state").asText()) {
+          case "running" -> EndpointState.RUNNING;
+          case "stopping" -> EndpointState.DRAINING;
+          case "deleted" -> EndpointState.REMOVED;
+          default ->
+              throw new IllegalArgumentException(
+                  "state of "
+                      + id
+                      + " is '"
+                      + entry.path("state").asText()
+                      + "', not running, stopping or deleted");
+        };
     double weight = entry.path("weight").asDouble(1);
     return new Endpoint(
         id,
