--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -1,8 +1,8 @@
 package fawndock.cli;
 
-import fawndock.gateway.Daemon;
+import fawndock.gateway.GatewayServer;
 import fawndock.policy.DefaultGatewayPolicy;
-import fawndock.ratelimit.RateLimitNode;
+import fawndock.ratelimit.RateLimitService;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
@@ -42,11 +42,11 @@
       return 2;
     }
     Logs.to(settings.log());
-    Daemon daemon = new Daemon(settings);
+    GatewayServer daemon = new GatewayServer(settings);
     try {
       if (settings.rateLimit().listen() != null) {
         daemon
-            .beside(new RateLimitNode(settings, DefaultGatewayPolicy::new))
+            .deployBeside(new RateLimitService(settings, DefaultGatewayPolicy::new))
             .toCompletionStage()
             .toCompletableFuture()
             .get(30, TimeUnit.SECONDS);
--- a/src/main/java/fawndock/gateway/AnswerLog.java
+++ b/src/main/java/fawndock/gateway/AccessLog.java
@@ -12,30 +12,30 @@
  * One line for each final answer, under the logger {@code fawndock.answers}; docs/operations.md
  * lists its fields.
  */
-final class AnswerLog implements ResponseRecorder {
+final class AccessLog implements ResponseRecorder {
   private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
-  private final int gatekeeper;
-  private final boolean on;
+  private final int instanceIndex;
+  private final boolean isEnabled;
 
-  AnswerLog(int gatekeeper, boolean on) {
-    this.gatekeeper = gatekeeper;
-    this.on = on;
+  AccessLog(int gatekeeper, boolean on) {
+    this.instanceIndex = gatekeeper;
+    this.isEnabled = on;
   }
 
   @Override
   public void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason) {
-    if (on && LOG.isInfoEnabled()) {
+    if (isEnabled && LOG.isInfoEnabled()) {
       RequestAttributes a = request.exchange.requestAttributes();
       LOG.info(
           "{} {} {} {} {} {} {} {} {} {} {} {}",
           kv("request", request.id),
           kv("label", a.label()),
-          kv("gatekeeper", gatekeeper),
+          kv("gatekeeper", instanceIndex),
           kv("class", a.requestClass().name()),
           kv("plan", a.plan()),
           kv("customer", a.customer()),
           kv("attempts", request.attempts.size()),
-          kv("verdict", word(verdict)),
+          kv("verdict", outcomeWord(verdict)),
           kv("reason", reason),
           kv("status", status(request, verdict)),
           kv("took_us", now - a.arrivedAtMicros()),
@@ -44,7 +44,7 @@
   }
 
   /** The operators' words for how a request ended, as docs/operations.md lists them. */
-  private static String word(RequestOutcome outcome) {
+  private static String outcomeWord(RequestOutcome outcome) {
     return switch (outcome) {
       case SERVED -> "served";
       case REJECTED -> "refused";
@@ -63,12 +63,12 @@
   }
 
   /** A request that was answered without asking the gatekeeper. */
-  void turnedAway(String label, int status, String reason) {
-    if (on && LOG.isInfoEnabled()) {
+  void onUncountedResponse(String label, int status, String reason) {
+    if (isEnabled && LOG.isInfoEnabled()) {
       LOG.info(
           "{} {} {} {} {}",
           kv("label", label),
-          kv("gatekeeper", gatekeeper),
+          kv("gatekeeper", instanceIndex),
           kv("verdict", "turned away"),
           kv("reason", reason),
           kv("status", status));
--- a/src/main/java/fawndock/gateway/WorkerAttempt.java
+++ b/src/main/java/fawndock/gateway/BackendAttempt.java
@@ -15,7 +15,7 @@
  * One attempt at a worker over HTTP: from the pool's connection to the end of the answer. One
  * context.
  */
-final class WorkerAttempt extends InFlightAttempt {
+final class BackendAttempt extends InFlightAttempt {
   /** How far an attempt has come. */
   private enum Stage {
     CONNECTING,
@@ -25,37 +25,38 @@
   }
 
   /** What attempts need of their gateway. */
-  interface Ways {
+  interface Backends {
     /** Where and how to send to a server, or null when nobody has told its address. */
-    RequestOptions target(String server);
+    RequestOptions requestOptions(String server);
 
-    WorkerPools workers();
+    BackendPools backendPools();
 
     /** Bytes of an answer that are kept before it is streamed. */
-    int answerLimit();
+    int maxBufferedResponseBytes();
   }
 
-  private final Ways ways;
+  private final Backends backends;
   private final HttpExchange exchange;
   private Stage stage = Stage.CONNECTING;
   private HttpClientRequest request;
-  private LoadReport.Report report = LoadReport.NONE;
+  private LoadReportParser.Report report = LoadReportParser.NONE;
   private Buffer body = Buffer.buffer();
 
-  WorkerAttempt(PolicyRunner host, InFlightRequest open, int number, String server, Ways ways) {
+  BackendAttempt(
+      PolicyRunner host, InFlightRequest open, int number, String server, Backends ways) {
     super(host, open, number, server);
-    this.ways = ways;
+    this.backends = ways;
     this.exchange = (HttpExchange) open.exchange;
   }
 
   @Override
   protected void begin(long abandonAt) {
-    RequestOptions target = ways.target(endpointId);
+    RequestOptions target = backends.requestOptions(endpointId);
     if (target == null) {
       finish(CallResult.NOT_SENT);
       return;
     }
-    HttpAsked asked = exchange.sent();
+    ForwardedRequest asked = exchange.forwardedRequest();
     // The first attempt takes the fields as they are; another may be on its way with them.
     MultiMap headers =
         number == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
@@ -67,13 +68,14 @@
     }
     headers.set("x-envoy-attempt-count", Integer.toString(number + 1));
     target.setMethod(asked.method()).setURI(asked.uri()).setHeaders(headers);
-    ways.workers()
+    backends
+        .backendPools()
         .request(target)
         .onComplete(
             connected -> {
               if (stage == Stage.ENDED) {
                 if (connected.succeeded()) {
-                  connected.result().reset(Ends.CANCEL);
+                  connected.result().reset(CallResults.CANCEL);
                 }
               } else if (connected.failed()) {
                 finish(CallResult.CONNECT_FAILED);
@@ -86,27 +88,27 @@
   private void send(HttpClientRequest connected) {
     request = connected;
     stage = Stage.SENT;
-    request.exceptionHandler(this::broken);
-    Buffer sent = exchange.sent().body();
+    request.exceptionHandler(this::onStreamFailure);
+    Buffer sent = exchange.forwardedRequest().body();
     (sent.length() == 0 ? request.send() : request.send(sent))
         .onComplete(
             answer -> {
               if (answer.failed()) {
-                broken(answer.cause());
+                onStreamFailure(answer.cause());
               } else {
-                head(answer.result());
+                onResponseHead(answer.result());
               }
             });
   }
 
-  private void head(HttpClientResponse answer) {
+  private void onResponseHead(HttpClientResponse answer) {
     if (stage != Stage.SENT) {
       return;
     }
-    report = LoadReport.parse(answer.getHeader(LoadReport.HEADER));
-    answer.exceptionHandler(this::broken);
-    if (Ends.answered(answer.statusCode()) != CallResult.OK) {
-      finish(Ends.answered(answer.statusCode()));
+    report = LoadReportParser.parse(answer.getHeader(LoadReportParser.HEADER));
+    answer.exceptionHandler(this::onStreamFailure);
+    if (CallResults.ofStatus(answer.statusCode()) != CallResult.OK) {
+      finish(CallResults.ofStatus(answer.statusCode()));
       answer.resume();
     } else if (!open.open()) {
       answer.endHandler(done -> finish(CallResult.OK));
@@ -116,14 +118,14 @@
       answer.handler(
           part -> {
             body.appendBuffer(part);
-            if (stage == Stage.SENT && body.length() > ways.answerLimit()) {
+            if (stage == Stage.SENT && body.length() > backends.maxBufferedResponseBytes()) {
               stream(answer);
             }
           });
       answer.endHandler(
           done -> {
             if (stage == Stage.SENT) {
-              exchange.serving(answer.statusCode());
+              exchange.setStatus(answer.statusCode());
               host.deliver(
                   open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
               finish(CallResult.OK);
@@ -155,10 +157,13 @@
         });
   }
 
-  private void broken(Throwable cause) {
+  private void onStreamFailure(Throwable cause) {
     if (stage == Stage.SENT) {
       finish(
-          Ends.broken(cause, request.streamId(), ways.workers().lastStream(request.connection())));
+          CallResults.ofStreamFailure(
+              cause,
+              request.streamId(),
+              backends.backendPools().lastProcessedStreamId(request.connection())));
     }
   }
 
@@ -168,7 +173,7 @@
       finish(CallResult.CONNECT_FAILED);
     } else if (stage == Stage.SENT) {
       finish(CallResult.TIMEOUT);
-      request.reset(Ends.CANCEL);
+      request.reset(CallResults.CANCEL);
     }
   }
 
@@ -178,7 +183,7 @@
       finish(CallResult.NOT_SENT);
     } else if (stage == Stage.SENT) {
       finish(CallResult.CANCELLED);
-      request.reset(Ends.CANCEL);
+      request.reset(CallResults.CANCEL);
     }
   }
 
@@ -186,7 +191,7 @@
   public void leave() {
     if (stage == Stage.STREAMING) {
       finish(CallResult.CANCELLED);
-      request.reset(Ends.CANCEL);
+      request.reset(CallResults.CANCEL);
     }
   }
 
--- a/src/main/java/fawndock/gateway/WorkerPools.java
+++ b/src/main/java/fawndock/gateway/BackendPools.java
@@ -19,11 +19,11 @@
  * requests. Remembers the last stream that a connection's GOAWAY says may be processed, since that
  * alone proves which attempts never ran.
  */
-final class WorkerPools {
+final class BackendPools {
   private final HttpClient http;
-  private final Map<HttpConnection, Integer> goneAway = new IdentityHashMap<>();
+  private final Map<HttpConnection, Integer> lastStreamIds = new IdentityHashMap<>();
 
-  WorkerPools(Vertx vertx, GatewaySettings settings) {
+  BackendPools(Vertx vertx, GatewaySettings settings) {
     Context context = vertx.getOrCreateContext();
     http =
         vertx
@@ -42,10 +42,10 @@
             .withConnectHandler(
                 connection -> {
                   connection.goAwayHandler(
-                      goAway -> goneAway.put(connection, goAway.getLastStreamId()));
+                      goAway -> lastStreamIds.put(connection, goAway.getLastStreamId()));
                   // Its streams are told of the end before, or in the same turn.
                   connection.closeHandler(
-                      closed -> context.runOnContext(v -> goneAway.remove(connection)));
+                      closed -> context.runOnContext(v -> lastStreamIds.remove(connection)));
                 })
             .build();
   }
@@ -57,8 +57,8 @@
   /**
    * The last stream of a connection that may be processed: all of them while it has not gone away.
    */
-  int lastStream(HttpConnection connection) {
-    return goneAway.getOrDefault(connection, Integer.MAX_VALUE);
+  int lastProcessedStreamId(HttpConnection connection) {
+    return lastStreamIds.getOrDefault(connection, Integer.MAX_VALUE);
   }
 
   Future<Void> close() {
--- a/src/main/java/fawndock/gateway/Ends.java
+++ b/src/main/java/fawndock/gateway/CallResults.java
@@ -8,11 +8,11 @@
  * unprocessed is told as unrun: a stream refused with REFUSED_STREAM (8.7), and one above the last
  * of a GOAWAY (6.8). The table in docs/design/gateway.md has a test for each line.
  */
-final class Ends {
+final class CallResults {
   static final long REFUSED_STREAM = 7;
   static final long CANCEL = 8;
 
-  private Ends() {}
+  private CallResults() {}
 
   /**
    * The end of a stream that broke.
@@ -21,7 +21,7 @@
    * @param lastStreamId the last stream that the connection's GOAWAY says may be processed;
    *     MAX_VALUE without one
    */
-  static CallResult broken(Throwable cause, int streamId, int lastStreamId) {
+  static CallResult ofStreamFailure(Throwable cause, int streamId, int lastStreamId) {
     if (cause instanceof StreamResetException reset) {
       return reset.getCode() == REFUSED_STREAM ? CallResult.SHED : CallResult.RESET;
     }
@@ -32,7 +32,7 @@
    * The end of an answer with this status: what a worker answered itself is served, unless it is an
    * error.
    */
-  static CallResult answered(int status) {
+  static CallResult ofStatus(int status) {
     return status >= 500 ? CallResult.ERROR : CallResult.OK;
   }
 }
--- a/src/main/java/fawndock/gateway/CounterLink.java
+++ b/src/main/java/fawndock/gateway/CounterClient.java
@@ -22,46 +22,46 @@
  * (Lamping and Veach, 2014), both from hash4j: every gatekeeper with the same list of parts picks
  * the same one. Or several nodes that stand in for each other.
  */
-final class CounterLink {
+final class CounterClient {
   private static final Hasher64 HASH = Hashing.xxh3_64();
   private static final ConsistentBucketHasher BUCKETS =
       ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1());
-  private final List<CounterPart> parts = new ArrayList<>();
-  private final CounterNodes nodes;
+  private final List<CounterShardClient> shards = new ArrayList<>();
+  private final CounterClusterClient cluster;
 
-  CounterLink(
+  CounterClient(
       Vertx vertx,
       Context context,
       CounterParts settings,
       MicroClock clock,
       Timers alarms,
       Consumer<CounterReply> told) {
-    nodes =
+    cluster =
         !settings.nodes().isEmpty()
-            ? new CounterNodes(vertx, context, settings, clock, alarms, told)
+            ? new CounterClusterClient(vertx, context, settings, clock, alarms, told)
             : null;
     for (Address address : settings.parts()) {
-      parts.add(new CounterPart(vertx, context, address, settings, clock, alarms, told));
+      shards.add(new CounterShardClient(vertx, context, address, settings, clock, alarms, told));
     }
   }
 
-  void count(AddToCounter count) {
-    if (nodes != null) {
-      nodes.count(count);
+  void add(AddToCounter count) {
+    if (cluster != null) {
+      cluster.add(count);
       return;
     }
-    parts.get(part(count.counterName(), parts.size())).count(count);
+    shards.get(shardOf(count.counterName(), shards.size())).add(count);
   }
 
   /** Which of so many parts has a name; on one thread at a time for all links of a process. */
-  static synchronized int part(String name, int parts) {
+  static synchronized int shardOf(String name, int parts) {
     return parts == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(name), parts);
   }
 
   void close() {
-    parts.forEach(CounterPart::close);
-    if (nodes != null) {
-      nodes.close();
+    shards.forEach(CounterShardClient::close);
+    if (cluster != null) {
+      cluster.close();
     }
   }
 }
--- a/src/main/java/fawndock/gateway/CounterNodes.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -41,9 +41,9 @@
  * keeps the connections and the time, and tells the ends of the calls of a name in the order in
  * which they were made, each once.
  */
-final class CounterNodes {
-  private static final Logger LOG = LoggerFactory.getLogger(CounterNodes.class);
-  private static final long TICK_MICROS = 5_000;
+final class CounterClusterClient {
+  private static final Logger LOG = LoggerFactory.getLogger(CounterClusterClient.class);
+  private static final long TICK_INTERVAL_MICROS = 5_000;
   private static final Command SUM = Command.create("FD.SUM");
   private static final Command NODES = Command.create("FD.NODES");
   private static final Command HERE = Command.create("FD.HERE");
@@ -51,23 +51,23 @@
   private final Vertx vertx;
   private final CounterParts settings;
   private final MicroClock clock;
-  private final Timers alarms;
-  private final CounterReplySequencer order;
+  private final Timers timers;
+  private final CounterReplySequencer sequencer;
   private final Context context;
   private final ReplicaClient client;
 
   /** This start of this gatekeeper; the chance that two have the same is some one in 10^18. */
   private final long origin = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
 
-  private final Map<String, NodeLine> nodes = new LinkedHashMap<>();
+  private final Map<String, NodeLine> connections = new LinkedHashMap<>();
 
   /** Lines to nodes' new addresses, until they are connected. */
-  private final Map<String, NodeLine> moving = new HashMap<>();
+  private final Map<String, NodeLine> replacements = new HashMap<>();
 
-  private final Map<Long, CounterReplySequencer.PendingCall> calls = new HashMap<>();
+  private final Map<Long, CounterReplySequencer.PendingCall> pendingCalls = new HashMap<>();
   private boolean closed;
 
-  CounterNodes(
+  CounterClusterClient(
       Vertx vertx,
       Context context,
       CounterParts settings,
@@ -76,11 +76,11 @@
       Consumer<CounterReply> told) {
     this.settings = settings;
     this.clock = clock;
-    this.alarms = alarms;
-    order = new CounterReplySequencer(told);
+    this.timers = alarms;
+    sequencer = new CounterReplySequencer(told);
     this.context = context;
     this.vertx = vertx;
-    settings.nodes().forEach((id, address) -> nodes.put(id, line(id, address)));
+    settings.nodes().forEach((id, address) -> connections.put(id, connect(id, address)));
     long limit = Math.max(2, settings.timeoutMicros() / 1_000);
     // The next node is asked early: an answer that comes late in a call's time tells the gatekeeper
     // that the counter
@@ -88,12 +88,12 @@
     client =
         new ReplicaClient(
             origin,
-            List.copyOf(nodes.keySet()),
+            List.copyOf(connections.keySet()),
             new ReplicaClient.Times(Math.max(1, limit / 5), limit, limit, limit));
-    alarms.schedule(TICK_MICROS, this::tick);
+    alarms.schedule(TICK_INTERVAL_MICROS, this::tick);
   }
 
-  private NodeLine line(String id, Address address) {
+  private NodeLine connect(String id, Address address) {
     NodeLine[] made = new NodeLine[1];
     made[0] =
         new NodeLine(
@@ -101,7 +101,7 @@
             context,
             address,
             settings.maxCalls(),
-            alarms,
+            timers,
             () -> connected(id, made[0]),
             () -> lost(id, made[0]));
     return made[0];
@@ -111,25 +111,25 @@
    * A node's line to its new address is there: the old one ends when what is out on it has ended.
    */
   private void connected(String id, NodeLine line) {
-    if (moving.remove(id, line)) {
-      NodeLine old = nodes.put(id, line);
+    if (replacements.remove(id, line)) {
+      NodeLine old = connections.put(id, line);
       if (old != null) {
-        alarms.schedule(settings.timeoutMicros(), old::close);
+        timers.schedule(settings.timeoutMicros(), old::close);
       }
     }
   }
 
-  private long now() {
+  private long nowMillis() {
     return clock.now() / 1_000;
   }
 
-  void count(AddToCounter count) {
+  void add(AddToCounter count) {
     CounterReplySequencer.PendingCall waiting =
         new CounterReplySequencer.PendingCall(count.counterName(), clock.now());
-    order.begin(waiting);
+    sequencer.begin(waiting);
     List<Out> out = new ArrayList<>();
     try {
-      if (calls.size() >= settings.maxCalls()) {
+      if (pendingCalls.size() >= settings.maxCalls()) {
         throw new CommandException("too many calls are out");
       }
       DecimalAmount amount =
@@ -139,39 +139,39 @@
               count.counterName(),
               amount,
               Math.max(1, (count.timeToLiveMicros() + 999) / 1_000),
-              now(),
+              nowMillis(),
               out);
-      calls.put(call, waiting);
+      pendingCalls.put(call, waiting);
     } catch (CommandException e) {
       context.runOnContext(
-          later -> end(waiting, CallResult.SHED, 0)); // The gatekeeper is still being asked.
+          later -> complete(waiting, CallResult.SHED, 0)); // The gatekeeper is still being asked.
       return;
     }
     if (out.stream().anyMatch(End.class::isInstance)) {
-      context.runOnContext(later -> carry(out));
+      context.runOnContext(later -> execute(out));
     } else {
-      carry(out);
+      execute(out);
     }
   }
 
-  private void carry(List<Out> out) {
+  private void execute(List<Out> out) {
     for (Out each : out) {
       if (each instanceof Ask ask) {
-        ask(ask);
+        sendSum(ask);
       } else if (each instanceof Here here) {
-        here(here);
+        sendHere(here);
       } else if (each instanceof Fetch fetch) {
-        list(fetch.node(), Request.cmd(NODES));
+        exchangeMembershipList(fetch.node(), Request.cmd(NODES));
       } else if (each instanceof Give give) {
         Request request = Request.cmd(NODES);
         for (String word : give.list().toString().split(" ")) {
           request.arg(word);
         }
-        list(give.node(), request);
+        exchangeMembershipList(give.node(), request);
       } else if (each instanceof End end) {
-        CounterReplySequencer.PendingCall waiting = calls.remove(end.call());
+        CounterReplySequencer.PendingCall waiting = pendingCalls.remove(end.call());
         if (waiting != null) {
-          end(
+          complete(
               waiting,
               switch (end.result()) {
                 case OK -> CallResult.OK;
@@ -185,7 +185,7 @@
     }
   }
 
-  private void here(Here here) {
+  private void sendHere(Here here) {
     send(
         here.node(),
         Request.cmd(HERE).arg(origin).arg(here.stamp()),
@@ -197,7 +197,7 @@
                 answer.result().get(0).toInteger() == 1,
                 answer.result().get(1).toLong(),
                 out);
-            carry(out);
+            execute(out);
           }
         });
   }
@@ -206,7 +206,7 @@
    * Asks a node for its list of nodes, or gives it a newer one; goes by the list that it answers
    * when it is newer.
    */
-  private void list(String node, Request request) {
+  private void exchangeMembershipList(String node, Request request) {
     send(
         node,
         request,
@@ -220,41 +220,41 @@
 
   private void adopt(MembershipList list) {
     List<Out> out = new ArrayList<>();
-    if (!client.adopt(list, now(), out)) {
+    if (!client.adopt(list, nowMillis(), out)) {
       return;
     }
     LOG.info("goes by a new list of counter nodes: {}", list);
-    for (String id : List.copyOf(nodes.keySet())) {
+    for (String id : List.copyOf(connections.keySet())) {
       if (!list.addresses().containsKey(id)) {
-        nodes.remove(id).close();
+        connections.remove(id).close();
       }
     }
-    moving.values().forEach(NodeLine::close);
-    moving.clear();
+    replacements.values().forEach(NodeLine::close);
+    replacements.clear();
     list.addresses()
         .forEach(
             (id, address) -> {
-              NodeLine now = nodes.get(id);
+              NodeLine now = connections.get(id);
               if (now == null) {
-                nodes.put(id, line(id, Address.of(address)));
+                connections.put(id, connect(id, Address.of(address)));
               } else if (!now.address().toString().equals(address)) {
                 // Guards against a moment without any node when all have other addresses. It asks
                 // at the old one until
                 // the new one can be reached.
-                moving.put(id, line(id, Address.of(address)));
+                replacements.put(id, connect(id, Address.of(address)));
               }
             });
-    carry(out);
+    execute(out);
   }
 
   private void send(String node, Request request, Consumer<AsyncResult<Response>> answered) {
-    NodeLine line = nodes.get(node);
+    NodeLine line = connections.get(node);
     if (line != null) {
       line.send(request, answered);
     }
   }
 
-  private void ask(Ask ask) {
+  private void sendSum(Ask ask) {
     ReplicatedSum sum = ask.sum();
     send(
         ask.node(),
@@ -275,38 +275,39 @@
                 text.startsWith("LOADING")
                     || text.startsWith("FENCED")
                     || text.startsWith("MISCONF");
-            client.refused(ask.node(), ask.call(), notReady, now(), out);
+            client.refused(ask.node(), ask.call(), notReady, nowMillis(), out);
           }
-          carry(out);
+          execute(out);
         });
   }
 
   private void lost(String node, NodeLine line) {
-    if (nodes.get(node) != line) {
+    if (connections.get(node) != line) {
       return;
     }
     List<Out> out = new ArrayList<>();
-    client.lost(node, now(), out);
-    carry(out);
+    client.lost(node, nowMillis(), out);
+    execute(out);
   }
 
   private void tick() {
     if (!closed) {
       List<Out> out = new ArrayList<>();
-      client.tick(now(), out);
-      carry(out);
-      alarms.schedule(TICK_MICROS, this::tick);
+      client.tick(nowMillis(), out);
+      execute(out);
+      timers.schedule(TICK_INTERVAL_MICROS, this::tick);
     }
   }
 
-  private void end(CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
-    order.end(waiting, result, total, clock.now());
+  private void complete(
+      CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
+    sequencer.end(waiting, result, total, clock.now());
   }
 
   void close() {
     closed = true;
-    order.close();
-    nodes.values().forEach(NodeLine::close);
-    moving.values().forEach(NodeLine::close);
+    sequencer.close();
+    connections.values().forEach(NodeLine::close);
+    replacements.values().forEach(NodeLine::close);
   }
 }
--- a/src/main/java/fawndock/gateway/CounterPart.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -32,9 +32,9 @@
  * whichever is first. One connection answers in order and a call belongs to the connection that it
  * went out on, so that no total is given to another call.
  */
-final class CounterPart implements CounterConnection.Owner {
-  private static final long LONGEST_PAUSE = 1_000_000;
-  private static final int HALF_OPEN = 20;
+final class CounterShardClient implements CounterConnection.Owner {
+  private static final long MAX_BACKOFF_MICROS = 1_000_000;
+  private static final int HALF_OPEN_TIMEOUTS = 20;
   private static final Command ADD = Command.create("FD.ADD");
   private static final Pattern CLIENT_ERROR =
       Pattern.compile(
@@ -42,33 +42,33 @@
 
   /** A call that is out. */
   private static final class Call extends CounterReplySequencer.PendingCall {
-    final AddToCounter count;
-    Timers.Timer timeOut;
+    final AddToCounter command;
+    Timers.Timer timeoutTimer;
 
     Call(AddToCounter count, long startedAt) {
       super(count.counterName(), startedAt);
-      this.count = count;
+      this.command = count;
     }
   }
 
   private final Context context;
   private final CounterParts settings;
   private final MicroClock clock;
-  private final Timers alarms;
-  private final CounterReplySequencer order;
+  private final Timers timers;
+  private final CounterReplySequencer sequencer;
   private final CounterConnection connection;
 
   /** Calls on the connection. */
-  private final Set<Call> out = new HashSet<>();
+  private final Set<Call> inFlight = new HashSet<>();
 
-  private final List<Call> unsent = new ArrayList<>();
+  private final List<Call> unsentCalls = new ArrayList<>();
 
   /** Commands for each call on this connection. */
-  private int perCall = 2;
+  private int commandsPerCall = 2;
 
-  private int inARow;
+  private int consecutiveTimeouts;
 
-  CounterPart(
+  CounterShardClient(
       Vertx vertx,
       Context context,
       Address address,
@@ -79,49 +79,49 @@
     this.context = context;
     this.settings = settings;
     this.clock = clock;
-    this.alarms = alarms;
-    order = new CounterReplySequencer(told);
+    this.timers = alarms;
+    sequencer = new CounterReplySequencer(told);
     connection =
         new CounterConnection(
             vertx,
             context,
             address,
             alarms,
-            new CounterConnection.Use("counter", 2 * settings.maxCalls() + 16, LONGEST_PAUSE),
+            new CounterConnection.Use("counter", 2 * settings.maxCalls() + 16, MAX_BACKOFF_MICROS),
             this);
     connection.connect();
   }
 
-  void count(AddToCounter count) {
+  void add(AddToCounter count) {
     Call call = new Call(count, clock.now());
-    order.begin(call);
+    sequencer.begin(call);
     boolean none = connection.now() == null;
-    if (none || out.size() >= settings.maxCalls()) {
+    if (none || inFlight.size() >= settings.maxCalls()) {
       // In a later turn: the gatekeeper is still being asked.
       CallResult why = none ? CallResult.CONNECT_FAILED : CallResult.SHED;
-      context.runOnContext(later -> end(call, why, 0));
+      context.runOnContext(later -> complete(call, why, 0));
       return;
     }
-    out.add(call);
-    call.timeOut = alarms.schedule(settings.timeoutMicros(), () -> timeOut(call));
+    inFlight.add(call);
+    call.timeoutTimer = timers.schedule(settings.timeoutMicros(), () -> onTimeout(call));
     // What is called in one turn of the loop goes out in one write.
-    unsent.add(call);
-    if (unsent.size() == 1) {
-      context.runOnContext(later -> send());
+    unsentCalls.add(call);
+    if (unsentCalls.size() == 1) {
+      context.runOnContext(later -> flush());
     }
   }
 
-  private void send() {
-    List<Call> calls = List.copyOf(unsent);
-    unsent.clear();
+  private void flush() {
+    List<Call> calls = List.copyOf(unsentCalls);
+    unsentCalls.clear();
     RedisConnection used = connection.now();
     if (calls.isEmpty()) {
       return; // The connection was lost in the same turn, and they were ended then.
     }
-    List<Request> commands = new ArrayList<>(perCall * calls.size());
-    int each = perCall;
+    List<Request> commands = new ArrayList<>(commandsPerCall * calls.size());
+    int each = commandsPerCall;
     for (Call call : calls) {
-      AddToCounter count = call.count;
+      AddToCounter count = call.command;
       String amount = Double.toString(count.amount());
       long keepMillis = Math.max(1, (count.timeToLiveMicros() + 999) / 1_000);
       if (each == 1) {
@@ -136,10 +136,10 @@
         .onComplete(
             answer -> {
               if (used == connection.now()) {
-                inARow = 0;
+                consecutiveTimeouts = 0;
               }
               for (int i = 0; i < calls.size(); i++) {
-                answered(calls.get(i), each * i, answer);
+                onReply(calls.get(i), each * i, answer);
               }
             });
   }
@@ -148,15 +148,15 @@
    * Tells the end of a call whose first command has this place in its batch, unless it has timed
    * out.
    */
-  private void answered(Call call, int place, AsyncResult<List<Response>> answer) {
+  private void onReply(Call call, int place, AsyncResult<List<Response>> answer) {
     if (answer.succeeded()) {
       try {
-        end(call, CallResult.OK, Double.parseDouble(answer.result().get(place).toString()));
+        complete(call, CallResult.OK, Double.parseDouble(answer.result().get(place).toString()));
       } catch (NumberFormatException | NullPointerException e) {
-        end(call, CallResult.TIMEOUT, 0); // Not a total, and the amount may have been added.
+        complete(call, CallResult.TIMEOUT, 0); // Not a total, and the amount may have been added.
       }
     } else {
-      end(call, refused(answer.cause(), place) ? CallResult.SHED : CallResult.TIMEOUT, 0);
+      complete(call, isRejected(answer.cause(), place) ? CallResult.SHED : CallResult.TIMEOUT, 0);
     }
   }
 
@@ -166,7 +166,7 @@
   // added. It tells a
   // lost connection in the same form, with an error word of its own or the name of an exception's
   // class.
-  private static boolean refused(Throwable cause, int place) {
+  private static boolean isRejected(Throwable cause, int place) {
     String text = cause instanceof ErrorType ? String.valueOf(cause.getMessage()) : "";
     return text.lines()
         .anyMatch(
@@ -174,24 +174,24 @@
                 line.startsWith("ERR [" + place + "] ") && !CLIENT_ERROR.matcher(line).lookingAt());
   }
 
-  private void timeOut(Call call) {
-    end(call, CallResult.TIMEOUT, 0);
-    inARow++;
+  private void onTimeout(Call call) {
+    complete(call, CallResult.TIMEOUT, 0);
+    consecutiveTimeouts++;
     // Guards against a half-open connection, on which nothing would ever be heard again. May drop
     // one that
     // is only slow; its calls have timed out by then anyway.
-    if (inARow >= HALF_OPEN) {
+    if (consecutiveTimeouts >= HALF_OPEN_TIMEOUTS) {
       connection.lost(connection.now(), "silent");
     }
   }
 
-  private void end(Call call, CallResult result, double total) {
+  private void complete(Call call, CallResult result, double total) {
     if (call.ended()) {
       return;
     }
-    alarms.cancel(call.timeOut);
-    out.remove(call);
-    order.end(call, result, total, clock.now());
+    timers.cancel(call.timeoutTimer);
+    inFlight.remove(call);
+    sequencer.end(call, result, total, clock.now());
   }
 
   @Override
@@ -205,20 +205,20 @@
                     : Future.failedFuture(e))
         .onSuccess(
             knowsAdd -> {
-              perCall = knowsAdd ? 1 : 2;
-              inARow = 0;
+              commandsPerCall = knowsAdd ? 1 : 2;
+              consecutiveTimeouts = 0;
             });
   }
 
   @Override
   public void lost() {
-    List<Call> never = List.copyOf(unsent);
-    unsent.clear();
-    never.forEach(call -> end(call, CallResult.CONNECT_FAILED, 0));
+    List<Call> never = List.copyOf(unsentCalls);
+    unsentCalls.clear();
+    never.forEach(call -> complete(call, CallResult.CONNECT_FAILED, 0));
   }
 
   void close() {
-    order.close();
+    sequencer.close();
     connection.close();
   }
 }
--- a/src/main/java/fawndock/gateway/RosterLink.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -30,27 +30,27 @@
  * An empty complete list is told as a failed one, since a roster that has just started knows
  * nobody; servers that are to go are named as going.
  */
-final class RosterLink {
-  private static final Logger LOG = LoggerFactory.getLogger(RosterLink.class);
-  private static final int LONGEST_LINE = 8 << 20;
-  private static final long FIRST_PAUSE = 100_000;
-  private static final long LONGEST_PAUSE = 2_000_000;
-  private final RosterSource source;
-  private final Timers alarms;
-  private final Consumer<EndpointUpdate> told;
+final class EndpointWatch {
+  private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
+  private static final int MAX_LINE_BYTES = 8 << 20;
+  private static final long INITIAL_BACKOFF_MICROS = 100_000;
+  private static final long MAX_BACKOFF_MICROS = 2_000_000;
+  private final RosterSource settings;
+  private final Timers timers;
+  private final Consumer<EndpointUpdate> listener;
   private final HttpClient http;
   private final Map<String, Address> addresses = new HashMap<>();
   private Object connection = new Object();
   private HttpClientRequest stream;
   private boolean wanted;
   private boolean closed;
-  private long pause = FIRST_PAUSE;
-  private Timers.Timer silence;
+  private long backoffMicros = INITIAL_BACKOFF_MICROS;
+  private Timers.Timer idleTimer;
 
-  RosterLink(Vertx vertx, RosterSource source, Timers alarms, Consumer<EndpointUpdate> told) {
-    this.source = source;
-    this.alarms = alarms;
-    this.told = told;
+  EndpointWatch(Vertx vertx, RosterSource source, Timers alarms, Consumer<EndpointUpdate> told) {
+    this.settings = source;
+    this.timers = alarms;
+    this.listener = told;
     this.http =
         vertx.createHttpClient(
             new HttpClientOptions().setKeepAlive(false).setConnectTimeout(2_000));
@@ -60,9 +60,9 @@
    * Tells what the settings list, then follows the roster unless the gatekeeper must ask for it.
    */
   void start() {
-    if (!source.fixed().isEmpty() || source.mustAsk()) {
+    if (!settings.fixed().isEmpty() || settings.mustAsk()) {
       List<Endpoint> fixed = new ArrayList<>();
-      source
+      settings
           .fixed()
           .forEach(
               s -> {
@@ -70,9 +70,9 @@
                 fixed.add(
                     new Endpoint(s.id(), s.zone(), s.cell(), EndpointState.RUNNING, s.weight(), 0));
               });
-      told.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
     }
-    if (!source.mustAsk()) {
+    if (!settings.mustAsk()) {
       watch();
     }
   }
@@ -83,7 +83,7 @@
 
   /** Connects anew; the roster begins with its complete list. */
   void watch() {
-    if (source.address() != null && !closed) {
+    if (settings.address() != null && !closed) {
       wanted = true;
       connect();
     }
@@ -92,14 +92,14 @@
   private void connect() {
     Object mine = new Object();
     connection = mine;
-    leave();
+    resetStream();
     RequestOptions options =
         new RequestOptions()
             .setMethod(HttpMethod.GET)
-            .setHost(source.address().host())
-            .setPort(source.address().port())
+            .setHost(settings.address().host())
+            .setPort(settings.address().port())
             .setURI("/roster");
-    alive(mine);
+    restartIdleTimer(mine);
     http.request(options)
         .compose(request -> request.send())
         .onComplete(
@@ -120,7 +120,7 @@
   private void follow(Object mine, HttpClientResponse answer) {
     stream = answer.request();
     boolean[] begun = {false};
-    RecordParser lines = RecordParser.newDelimited("\n", answer).maxRecordSize(LONGEST_LINE);
+    RecordParser lines = RecordParser.newDelimited("\n", answer).maxRecordSize(MAX_LINE_BYTES);
     lines.exceptionHandler(e -> lost(mine, e.getMessage()));
     lines.endHandler(end -> lost(mine, "closed"));
     lines.handler(
@@ -128,16 +128,16 @@
           if (connection != mine) {
             return;
           }
-          alive(mine);
+          restartIdleTimer(mine);
           if (line.length() > 0) {
             try {
-              RosterLine read = RosterLine.parse(line.toString());
-              if (!begun[0] && read.listing() != EndpointUpdateKind.SNAPSHOT) {
+              EndpointWatchMessage read = EndpointWatchMessage.parse(line.toString());
+              if (!begun[0] && read.kind() != EndpointUpdateKind.SNAPSHOT) {
                 throw new IllegalArgumentException("changes before a complete list");
               }
               begun[0] = true;
-              pause = FIRST_PAUSE;
-              take(read);
+              backoffMicros = INITIAL_BACKOFF_MICROS;
+              onMessage(read);
             } catch (IllegalArgumentException e) {
               lost(mine, e.getMessage());
             }
@@ -145,28 +145,28 @@
         });
   }
 
-  private void take(RosterLine line) {
-    if (line.listing() == EndpointUpdateKind.SNAPSHOT && line.servers().isEmpty()) {
+  private void onMessage(EndpointWatchMessage line) {
+    if (line.kind() == EndpointUpdateKind.SNAPSHOT && line.endpoints().isEmpty()) {
       LOG.warn("the roster lists nobody: kept what was known");
-      told.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
       return;
     }
-    if (!line.twice().isEmpty()) {
-      LOG.warn("the roster names twice: {}", line.twice());
+    if (!line.duplicateIds().isEmpty()) {
+      LOG.warn("the roster names twice: {}", line.duplicateIds());
     }
     addresses.putAll(line.addresses());
-    if (line.listing() == EndpointUpdateKind.SNAPSHOT) {
+    if (line.kind() == EndpointUpdateKind.SNAPSHOT) {
       addresses.keySet().retainAll(line.addresses().keySet());
     }
-    line.servers().stream()
+    line.endpoints().stream()
         .filter(s -> s.state() == EndpointState.REMOVED)
         .forEach(s -> addresses.remove(s.id()));
-    told.accept(new EndpointUpdate(line.listing(), line.servers()));
+    listener.accept(new EndpointUpdate(line.kind(), line.endpoints()));
   }
 
-  private void alive(Object mine) {
-    alarms.cancel(silence);
-    silence = alarms.schedule(source.silenceMicros(), () -> lost(mine, "silent"));
+  private void restartIdleTimer(Object mine) {
+    timers.cancel(idleTimer);
+    idleTimer = timers.schedule(settings.silenceMicros(), () -> lost(mine, "silent"));
   }
 
   private void lost(Object which, String why) {
@@ -174,29 +174,29 @@
       return;
     }
     connection = new Object();
-    alarms.cancel(silence);
-    leave();
+    timers.cancel(idleTimer);
+    resetStream();
     LOG.warn(
         "roster {} lost ({}), trying again in {} ms; the servers known stay",
-        source.address(),
+        settings.address(),
         why,
-        pause / 1_000);
+        backoffMicros / 1_000);
     Object waiting = connection;
-    alarms.schedule(
-        pause,
+    timers.schedule(
+        backoffMicros,
         () -> {
           if (connection == waiting && !closed) {
             connect();
           }
         });
-    pause = Math.min(LONGEST_PAUSE, pause * 2);
-    if (source.mustAsk()) {
-      told.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
+    backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
+    if (settings.mustAsk()) {
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
 
   /** Gives up the stream that was followed, which may be half open or unreadable. */
-  private void leave() {
+  private void resetStream() {
     if (stream != null) {
       stream.reset();
       stream = null;
@@ -205,7 +205,7 @@
 
   void close() {
     closed = true;
-    alarms.cancel(silence);
+    timers.cancel(idleTimer);
     http.close();
   }
 }
--- a/src/main/java/fawndock/gateway/RosterLine.java
+++ b/src/main/java/fawndock/gateway/EndpointWatchMessage.java
@@ -20,18 +20,18 @@
  * named twice counts as the one that is nearer to its end: nothing may go to one that was told to
  * drain.
  */
-record RosterLine(
-    EndpointUpdateKind listing,
-    List<Endpoint> servers,
+record EndpointWatchMessage(
+    EndpointUpdateKind kind,
+    List<Endpoint> endpoints,
     Map<String, Address> addresses,
-    Set<String> twice) {
+    Set<String> duplicateIds) {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int MOST = 100_000;
+  private static final int MAX_ENDPOINTS = 100_000;
 
   /**
    * @throws IllegalArgumentException saying what is wrong with the line
    */
-  static RosterLine parse(String text) {
+  static EndpointWatchMessage parse(String text) {
     JsonNode line;
     try {
       line = JSON.readTree(text);
@@ -47,8 +47,8 @@
                   "list is '" + line.path("list").asText() + "', not complete or changes");
         };
     JsonNode entries = line.path("servers");
-    if (!entries.isArray() || entries.size() > MOST) {
-      throw new IllegalArgumentException("servers is not a list of at most " + MOST);
+    if (!entries.isArray() || entries.size() > MAX_ENDPOINTS) {
+      throw new IllegalArgumentException("servers is not a list of at most " + MAX_ENDPOINTS);
     }
     Map<String, Endpoint> servers = new LinkedHashMap<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
@@ -64,7 +64,7 @@
         addresses.put(server.id(), address(entry));
       }
     }
-    return new RosterLine(listing, List.copyOf(servers.values()), addresses, twice);
+    return new EndpointWatchMessage(listing, List.copyOf(servers.values()), addresses, twice);
   }
 
   private static Endpoint server(JsonNode entry) {
--- a/src/main/java/fawndock/gateway/Headers.java
+++ b/src/main/java/fawndock/gateway/ForwardedHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** Which header fields pass the gateway: all but those of one connection (RFC 9110, 7.6.1). */
-final class Headers {
-  private static final Set<String> OF_ONE_CONNECTION =
+final class ForwardedHeaders {
+  private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
           "keep-alive",
@@ -24,7 +24,7 @@
           "host",
           "expect");
 
-  private Headers() {}
+  private ForwardedHeaders() {}
 
   /**
    * A copy without the fields of one connection, those that {@code Connection} names, and some
@@ -32,19 +32,19 @@
    *
    * @param without in lower case
    */
-  static MultiMap forwarded(MultiMap headers, Set<String> without) {
+  static MultiMap filter(MultiMap headers, Set<String> without) {
     MultiMap forwarded = HttpHeaders.headers();
-    copy(headers, forwarded, without);
+    copyEndToEnd(headers, forwarded, without);
     return forwarded;
   }
 
   /** Adds the same fields to others. */
-  static void copy(MultiMap headers, MultiMap to, Set<String> without) {
+  static void copyEndToEnd(MultiMap headers, MultiMap to, Set<String> without) {
     Set<String> named = Set.of();
     for (String value : headers.getAll("connection")) {
       for (String each : value.split(",")) {
         String name = each.trim().toLowerCase(Locale.ROOT);
-        if (!OF_ONE_CONNECTION.contains(name) && !name.equals("close")) {
+        if (!HOP_BY_HOP.contains(name) && !name.equals("close")) {
           named = named.isEmpty() ? new HashSet<>() : named;
           named.add(name);
         }
@@ -53,7 +53,7 @@
     for (Map.Entry<String, String> field : headers) {
       String name = field.getKey().toLowerCase(Locale.ROOT);
       if (name.charAt(0) != ':'
-          && !OF_ONE_CONNECTION.contains(name)
+          && !HOP_BY_HOP.contains(name)
           && !without.contains(name)
           && !named.contains(name)) {
         to.add(name, field.getValue());
--- a/src/main/java/fawndock/gateway/HttpAsked.java
+++ b/src/main/java/fawndock/gateway/ForwardedRequest.java
@@ -5,4 +5,4 @@
 import io.vertx.core.http.HttpMethod;
 
 /** What of a client's HTTP request goes on to a worker. */
-record HttpAsked(HttpMethod method, String uri, MultiMap headers, Buffer body) {}
+record ForwardedRequest(HttpMethod method, String uri, MultiMap headers, Buffer body) {}
--- a/src/main/java/fawndock/gateway/Daemon.java
+++ b/src/main/java/fawndock/gateway/GatewayServer.java
@@ -16,22 +16,22 @@
 import java.util.function.Function;
 
 /** The gatekeepers of one process, started and stopped together. */
-public final class Daemon {
+public final class GatewayServer {
   private final GatewaySettings settings;
-  private final Function<PolicyConfig, GatewayPolicy> maker;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
   private final Vertx vertx;
-  private final List<GatekeeperNode> nodes = new ArrayList<>();
-  private final AtomicInteger connections = new AtomicInteger();
+  private final List<GatewayVerticle> gateways = new ArrayList<>();
+  private final AtomicInteger openConnections = new AtomicInteger();
   private Future<Void> stopped;
 
   /** A daemon whose requests {@link DefaultGatewayPolicy} decides. */
-  public Daemon(GatewaySettings settings) {
+  public GatewayServer(GatewaySettings settings) {
     this(settings, DefaultGatewayPolicy::new);
   }
 
-  Daemon(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
+  GatewayServer(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
-    this.maker = maker;
+    this.policyFactory = maker;
     this.vertx =
         Vertx.vertx(
             new VertxOptions()
@@ -50,8 +50,9 @@
       started =
           started.compose(
               port -> {
-                GatekeeperNode node = new GatekeeperNode(settings, me, port, connections, maker);
-                nodes.add(node);
+                GatewayVerticle node =
+                    new GatewayVerticle(settings, me, port, openConnections, policyFactory);
+                gateways.add(node);
                 return vertx.deployVerticle(node, new DeploymentOptions()).map(id -> node.port());
               });
     }
@@ -59,7 +60,7 @@
   }
 
   /** Starts something beside the gatekeepers, on an event loop of its own; it ends with them. */
-  public Future<String> beside(VerticleBase other) {
+  public Future<String> deployBeside(VerticleBase other) {
     return vertx.deployVerticle(other, new DeploymentOptions());
   }
 
@@ -70,7 +71,7 @@
   public synchronized Future<Void> stop() {
     if (stopped == null) {
       stopped =
-          Future.join(nodes.stream().map(GatekeeperNode::drain).toList())
+          Future.join(gateways.stream().map(GatewayVerticle::drain).toList())
               .transform(all -> vertx.close());
     }
     return stopped;
--- a/src/main/java/fawndock/gateway/GatekeeperNode.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -29,26 +29,26 @@
 import org.slf4j.LoggerFactory;
 
 /** One gatekeeper with its sockets, on one event loop; a process runs one or several. */
-public final class GatekeeperNode extends VerticleBase
-    implements PolicyRunner.GatewayConnections, WorkerAttempt.Ways {
+public final class GatewayVerticle extends VerticleBase
+    implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
   /**
    * How often a host looks at its gatekeeper's timers: the least gap between two batches of events.
    */
-  private static final long ROUND_MICROS = 5_000;
+  private static final long TIMER_RESOLUTION_MICROS = 5_000;
 
-  private static final Logger LOG = LoggerFactory.getLogger(GatekeeperNode.class);
+  private static final Logger LOG = LoggerFactory.getLogger(GatewayVerticle.class);
   private final GatewaySettings settings;
-  private final int me;
+  private final int instanceIndex;
   private final int port;
-  private final AtomicInteger connections;
-  private final Function<PolicyConfig, GatewayPolicy> maker;
+  private final AtomicInteger openConnections;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
   private HttpServer server;
-  private WorkerPools workers;
-  private Timers alarms;
-  private PolicyRunner host;
-  private CounterLink counter;
-  private PeerLink peers;
-  private RosterLink roster;
+  private BackendPools backendPools;
+  private Timers timers;
+  private PolicyRunner policyRunner;
+  private CounterClient counterClient;
+  private PeerMessenger peerMessenger;
+  private EndpointWatch endpointWatch;
 
   /**
    * A node that is not started yet.
@@ -58,35 +58,35 @@
    * @param connections the connections that the process has open, all nodes together
    * @param maker makes the decisions from the settings
    */
-  GatekeeperNode(
+  GatewayVerticle(
       GatewaySettings settings,
       int me,
       int port,
       AtomicInteger connections,
       Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
-    this.me = me;
+    this.instanceIndex = me;
     this.port = port;
-    this.connections = connections;
-    this.maker = maker;
+    this.openConnections = connections;
+    this.policyFactory = maker;
   }
 
   @Override
   public Future<?> start() {
     MicroClock clock = new MicroClock();
-    alarms = new Timers(vertx);
-    AnswerLog answerLog = new AnswerLog(me, true);
-    workers = new WorkerPools(vertx, settings);
-    host =
+    timers = new Timers(vertx);
+    AccessLog answerLog = new AccessLog(instanceIndex, true);
+    backendPools = new BackendPools(vertx, settings);
+    policyRunner =
         new PolicyRunner(
-            clock, alarms, this, settings.limits().maxAttempts(), clock.now(), answerLog);
-    host.decideBy(
-        maker.apply(
+            clock, timers, this, settings.limits().maxAttempts(), clock.now(), answerLog);
+    policyRunner.decideBy(
+        policyFactory.apply(
             new PolicyConfig(
-                me,
+                instanceIndex,
                 settings.fleet(),
-                settings.seed() + me,
-                ROUND_MICROS,
+                settings.seed() + instanceIndex,
+                TIMER_RESOLUTION_MICROS,
                 settings.zone(),
                 settings.roster().mustAsk(),
                 settings.classes(),
@@ -97,14 +97,16 @@
                     !settings.counter().none(),
                     settings.counter().timeoutMicros(),
                     settings.counter().settled()))));
-    counter = new CounterLink(vertx, context, settings.counter(), clock, alarms, host::onEvent);
-    peers =
+    counterClient =
+        new CounterClient(vertx, context, settings.counter(), clock, timers, policyRunner::onEvent);
+    peerMessenger =
         settings.peers().listen() == null
             ? null
-            : new PeerLink(vertx, settings.peers(), me, clock, host::onEvent);
-    roster = new RosterLink(vertx, settings.roster(), alarms, host::onEvent);
-    roster.start();
-    Front front = new Front(settings, host, answerLog);
+            : new PeerMessenger(
+                vertx, settings.peers(), instanceIndex, clock, policyRunner::onEvent);
+    endpointWatch = new EndpointWatch(vertx, settings.roster(), timers, policyRunner::onEvent);
+    endpointWatch.start();
+    HttpServerListener front = new HttpServerListener(settings, policyRunner, answerLog);
     long longest =
         settings.classes().stream().mapToLong(c -> c.deadlineMicros()).max().orElse(0) / 1_000_000;
     server =
@@ -121,23 +123,23 @@
                     .setHttp2RstFloodWindowDurationTimeUnit(TimeUnit.SECONDS))
             .connectionHandler(
                 connection -> {
-                  if (connections.incrementAndGet() > settings.http().maxConnections()) {
+                  if (openConnections.incrementAndGet() > settings.http().maxConnections()) {
                     connection.close();
                   }
-                  connection.closeHandler(closed -> connections.decrementAndGet());
+                  connection.closeHandler(closed -> openConnections.decrementAndGet());
                 })
             .requestHandler(front::handle);
-    Future<?> heard = peers == null ? Future.succeededFuture() : peers.start();
+    Future<?> heard = peerMessenger == null ? Future.succeededFuture() : peerMessenger.start();
     // Roster and counter connect while it warms up: the first client then meets a gatekeeper that
     // knows both.
     return heard
-        .compose(any -> new WarmUp(vertx, settings, maker).run())
+        .compose(any -> new WarmUp(vertx, settings, policyFactory).run())
         .compose(any -> server.listen(port, settings.listen().host()))
         .onSuccess(
             s ->
                 LOG.info(
                     "gatekeeper {} of {} listens on {}:{}",
-                    me,
+                    instanceIndex,
                     settings.fleet(),
                     settings.listen().host(),
                     s.actualPort()));
@@ -156,9 +158,10 @@
     context.runOnContext(
         v -> {
           long millis = Math.max(1, settings.http().stopMicros() / 1_000);
-          LOG.info("gatekeeper {} stops with {} requests open", me, host.openCount());
+          LOG.info(
+              "gatekeeper {} stops with {} requests open", instanceIndex, policyRunner.openCount());
           Future<Void> closing = server.shutdown(millis, TimeUnit.MILLISECONDS);
-          host.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
+          policyRunner.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
           vertx.setTimer(millis, id -> drained.tryComplete());
         });
     return drained.future();
@@ -166,84 +169,85 @@
 
   @Override
   public Future<?> stop() {
-    counter.close();
-    roster.close();
-    if (peers != null) {
-      peers.close();
+    counterClient.close();
+    endpointWatch.close();
+    if (peerMessenger != null) {
+      peerMessenger.close();
     }
-    alarms.close();
-    return workers.close();
+    timers.close();
+    return backendPools.close();
   }
 
   @Override
   public void addToCounter(AddToCounter count) {
-    counter.count(count);
+    counterClient.add(count);
   }
 
   @Override
   public void sendPeerMessage(SendPeerMessage tell) {
-    if (peers != null) {
-      peers.tell(tell);
+    if (peerMessenger != null) {
+      peerMessenger.send(tell);
     }
   }
 
   @Override
   public void watchEndpoints() {
-    roster.watch();
+    endpointWatch.watch();
   }
 
   @Override
   public void fetchEndpoints() {
-    roster.watch();
+    endpointWatch.watch();
   }
 
   @Override
-  public RequestOptions target(String id) {
-    Address address = roster.address(id);
+  public RequestOptions requestOptions(String id) {
+    Address address = endpointWatch.address(id);
     return address == null
         ? null
         : new RequestOptions().setHost(address.host()).setPort(address.port());
   }
 
   @Override
-  public WorkerPools workers() {
-    return workers;
+  public BackendPools backendPools() {
+    return backendPools;
   }
 
   @Override
-  public int answerLimit() {
+  public int maxBufferedResponseBytes() {
     return settings.http().answerLimit();
   }
 
   @Override
   public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new WorkerAttempt(host, request, number, server, this);
+    return new BackendAttempt(policyRunner, request, number, server, this);
   }
 
   @Override
   public void startHealthCheck(String server) {
-    long startedAt = host.clock().now();
-    RequestOptions target = target(server);
+    long startedAt = policyRunner.clock().now();
+    RequestOptions target = requestOptions(server);
     if (target == null) {
-      host.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+      policyRunner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
       return;
     }
     target.setURI("/healthz").setTimeout(1_000);
-    workers
+    backendPools
         .request(target)
         .compose(r -> r.send())
         .onComplete(
             done ->
-                host.onEvent(
+                policyRunner.onEvent(
                     new HealthCheckCompleted(
                         server,
-                        host.clock().now() - startedAt,
+                        policyRunner.clock().now() - startedAt,
                         done.failed()
                             ? CallResult.TIMEOUT
-                            : Ends.answered(done.result().statusCode()),
+                            : CallResults.ofStatus(done.result().statusCode()),
                         done.failed()
                             ? Map.of()
-                            : LoadReport.parse(done.result().getHeader(LoadReport.HEADER))
+                            : LoadReportParser.parse(
+                                    done.result().getHeader(LoadReportParser.HEADER))
                                 .load())));
   }
 }
--- a/src/main/java/fawndock/gateway/HttpExchange.java
+++ b/src/main/java/fawndock/gateway/HttpExchange.java
@@ -14,26 +14,27 @@
 /** A client's HTTP request. */
 final class HttpExchange implements ServerExchange {
   private final HttpServerRequest request;
-  private final RequestAttributes asked;
-  private final HttpAsked sent;
+  private final RequestAttributes attributes;
+  private final ForwardedRequest forwardedRequest;
   private int status;
   private final Plan plan;
 
-  HttpExchange(HttpServerRequest request, RequestAttributes asked, HttpAsked sent, Plan plan) {
+  HttpExchange(
+      HttpServerRequest request, RequestAttributes asked, ForwardedRequest sent, Plan plan) {
     this.request = request;
-    this.asked = asked;
-    this.sent = sent;
+    this.attributes = asked;
+    this.forwardedRequest = sent;
     this.plan = plan;
   }
 
   @Override
   public RequestAttributes requestAttributes() {
-    return asked;
+    return attributes;
   }
 
   /** What goes on to a worker. */
-  HttpAsked sent() {
-    return sent;
+  ForwardedRequest forwardedRequest() {
+    return forwardedRequest;
   }
 
   /** The status of the whole answer that it got, or 0. */
@@ -42,7 +43,7 @@
   }
 
   /** A worker's whole answer will be served with this status. */
-  void serving(int status) {
+  void setStatus(int status) {
     this.status = status;
   }
 
@@ -53,7 +54,7 @@
       return;
     }
     response.setStatusCode(status);
-    Headers.copy(headers, response.headers(), Set.of());
+    ForwardedHeaders.copyEndToEnd(headers, response.headers(), Set.of());
     if (request.method() == HttpMethod.HEAD || status == 204 || status == 304) {
       response.end();
     } else {
@@ -70,7 +71,7 @@
   void stream(HttpClientResponse answer, Buffer soFar, Consumer<Throwable> ended) {
     HttpServerResponse response = request.response();
     response.setStatusCode(answer.statusCode());
-    Headers.copy(answer.headers(), response.headers(), Set.of());
+    ForwardedHeaders.copyEndToEnd(answer.headers(), response.headers(), Set.of());
     response.setChunked(!response.headers().contains("content-length"));
     if (soFar.length() > 0) {
       response.write(soFar);
@@ -95,23 +96,23 @@
               + Math.max(1, (long) Math.ceil(plan.burstUnits() / plan.unitsPerSecond())));
       response.putHeader("ratelimit", name + ";r=0;t=" + seconds);
     }
-    new Problem(
+    new ProblemDetails(
             429,
             "refused",
             "Refused",
             "Turned away; trying again after " + seconds + " s is harmless.")
-        .answer(request);
+        .respond(request);
   }
 
   @Override
   public void fail(boolean answered, String reason) {
     int status = answered ? 502 : 504;
-    new Problem(
+    new ProblemDetails(
             status,
             "failed",
             status == 504 ? "No answer in time" : "No usable answer",
             "The request may have had its effect: " + reason + ".")
-        .answer(request);
+        .respond(request);
   }
 
   @Override
--- a/src/main/java/fawndock/gateway/Front.java
+++ b/src/main/java/fawndock/gateway/HttpServerListener.java
@@ -26,7 +26,7 @@
  * key gives customer and plan, a header field gives the time that the client has left. What cannot
  * be turned into one is answered here and never counted.
  */
-final class Front {
+final class HttpServerListener {
   private static final Pattern STRUCTURED_STRING =
       Pattern.compile("\"(?:[ !#-\\[\\]-~]|\\\\[\"\\\\]){1,255}\"");
   private static final Pattern DOT_SEGMENT =
@@ -36,14 +36,14 @@
   private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
   private final GatewaySettings settings;
   private final PolicyRunner host;
-  private final AnswerLog answerLog;
+  private final AccessLog answerLog;
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<String, Plan> plans = new HashMap<>();
 
   /** Fields that do not go on to a worker. */
   private final Set<String> kept = new HashSet<>();
 
-  Front(GatewaySettings settings, PolicyRunner host, AnswerLog answerLog) {
+  HttpServerListener(GatewaySettings settings, PolicyRunner host, AccessLog answerLog) {
     this.settings = settings;
     this.host = host;
     this.answerLog = answerLog;
@@ -71,11 +71,11 @@
   /** A request that cannot be given to the gatekeeper. */
   private static final class Unfit extends RuntimeException {
     private static final long serialVersionUID = 1;
-    private final transient Problem problem;
+    private final transient ProblemDetails problem;
 
     Unfit(int status, String type, String title, String detail) {
       super(detail, null, false, false);
-      this.problem = new Problem(status, type, title, detail);
+      this.problem = new ProblemDetails(status, type, title, detail);
     }
   }
 
@@ -113,7 +113,7 @@
                 * 1_000);
     boolean repeat = millis(request, settings.http().attemptHeader(), 1) > 1;
     int spread = holder.spread() == 0 ? settings.fleet() : holder.spread();
-    MultiMap headers = Headers.forwarded(request.headers(), kept);
+    MultiMap headers = ForwardedHeaders.filter(request.headers(), kept);
     headers.add("via", (request.version().alpnName().startsWith("h2") ? "2" : "1.1") + " fawndock");
     String label = request.getHeader("x-request-id");
     RequestAttributes asked =
@@ -129,7 +129,9 @@
             repeat,
             label == null ? "" : label.substring(0, Math.min(64, label.length())));
     collect(
-        request, asked, new HttpAsked(request.method(), request.uri(), headers, Buffer.buffer()));
+        request,
+        asked,
+        new ForwardedRequest(request.method(), request.uri(), headers, Buffer.buffer()));
   }
 
   private void idempotencyKey(HttpServerRequest request, RequestClass type) {
@@ -186,7 +188,7 @@
   }
 
   /** Takes in the body, which a repeat may need again, up to the stated size. */
-  private void collect(HttpServerRequest request, RequestAttributes asked, HttpAsked sent) {
+  private void collect(HttpServerRequest request, RequestAttributes asked, ForwardedRequest sent) {
     int limit = settings.http().bodyLimit();
     String length = request.getHeader("content-length");
     if (length != null && (!LENGTH.matcher(length).matches() || Long.parseLong(length) > limit)) {
@@ -208,7 +210,8 @@
                     ended[0] = true;
                     turnAway(
                         request,
-                        new Problem(408, "slow", "Body came too late", "The time given ran out."));
+                        new ProblemDetails(
+                            408, "slow", "Body came too late", "The time given ran out."));
                   }
                 });
     request.exceptionHandler(
@@ -239,11 +242,12 @@
     return new Unfit(413, "size", "Body too large", "At most " + limit + " bytes are taken.");
   }
 
-  private void enter(HttpServerRequest request, RequestAttributes asked, HttpAsked sent) {
+  private void enter(HttpServerRequest request, RequestAttributes asked, ForwardedRequest sent) {
     if (host.openCount() >= settings.limits().maxInFlight()) {
       request.response().putHeader("retry-after", "1");
       turnAway(
-          request, new Problem(503, "open", "Too many open requests", "Trying again is harmless."));
+          request,
+          new ProblemDetails(503, "open", "Too many open requests", "Trying again is harmless."));
       return;
     }
     long[] id = {-1};
@@ -254,13 +258,13 @@
     id[0] = host.onRequest(new HttpExchange(request, asked, sent, plans.get(asked.plan())));
   }
 
-  private void turnAway(HttpServerRequest request, Problem problem) {
+  private void turnAway(HttpServerRequest request, ProblemDetails problem) {
     String label = request.getHeader("x-request-id");
-    answerLog.turnedAway(label == null ? "" : label, problem.status(), problem.type());
+    answerLog.onUncountedResponse(label == null ? "" : label, problem.status(), problem.type());
     if (problem.status() == 413 || problem.status() == 408) {
       request.response().putHeader("connection", "close");
     }
-    problem.answer(request);
+    problem.respond(request);
     request.handler(null);
   }
 }
--- a/src/main/java/fawndock/gateway/LoadReport.java
+++ b/src/main/java/fawndock/gateway/LoadReportParser.java
@@ -15,7 +15,7 @@
  * {"cpu_utilization":0.3,"named_metrics":{"queue":4}}}. What is not known or not a finite number is
  * skipped; a report that cannot be read is none.
  */
-final class LoadReport {
+final class LoadReportParser {
   static final String HEADER = "endpoint-load-metrics";
   private static final int LONGEST = 4096;
   private static final int MOST = 64;
@@ -39,7 +39,7 @@
 
   static final Report NONE = new Report(Map.of(), 0);
 
-  private LoadReport() {}
+  private LoadReportParser() {}
 
   static Report parse(String header) {
     if (header == null || header.length() > LONGEST) {
--- a/src/main/java/fawndock/gateway/PeerLink.java
+++ b/src/main/java/fawndock/gateway/PeerMessenger.java
@@ -20,24 +20,25 @@
  * Nothing is sent again; what is too long to send, comes from elsewhere, is for somebody else or
  * comes too fast is dropped.
  */
-final class PeerLink {
-  static final int LARGEST = 256;
-  private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
+final class PeerMessenger {
+  static final int MAX_DATAGRAM_BYTES = 256;
+  private static final Logger LOG = LoggerFactory.getLogger(PeerMessenger.class);
   private final Peers peers;
-  private final int me;
+  private final int instanceIndex;
   private final MicroClock clock;
-  private final Consumer<PeerMessageReceived> told;
+  private final Consumer<PeerMessageReceived> listener;
   private final DatagramSocket socket;
-  private double intake;
-  private long intakeAt;
-  private boolean listening;
+  private double receiveTokens;
+  private long refilledAtMicros;
+  private boolean isListening;
 
-  PeerLink(Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<PeerMessageReceived> told) {
+  PeerMessenger(
+      Vertx vertx, Peers peers, int me, MicroClock clock, Consumer<PeerMessageReceived> told) {
     this.peers = peers;
-    this.me = me;
+    this.instanceIndex = me;
     this.clock = clock;
-    this.told = told;
-    this.intake = peers.intake();
+    this.listener = told;
+    this.receiveTokens = peers.intake();
     this.socket = vertx.createDatagramSocket();
   }
 
@@ -47,20 +48,21 @@
         .listen(peers.listen().port(), peers.listen().host())
         .map(
             bound -> {
-              listening = true;
+              isListening = true;
               socket.handler(packet -> receive(packet.data()));
               socket.exceptionHandler(e -> LOG.warn("peer datagram: {}", e.getMessage()));
               return bound.localAddress().port();
             });
   }
 
-  void tell(SendPeerMessage tell) {
+  void send(SendPeerMessage tell) {
     for (Map.Entry<Integer, Address> peer : peers.others().entrySet()) {
-      if (peer.getKey() == me || tell.toInstance() >= 0 && tell.toInstance() != peer.getKey()) {
+      if (peer.getKey() == instanceIndex
+          || tell.toInstance() >= 0 && tell.toInstance() != peer.getKey()) {
         continue;
       }
-      Buffer datagram = encode(peer.getKey(), me, tell.text());
-      if (datagram.length() <= LARGEST && listening) {
+      Buffer datagram = encode(peer.getKey(), instanceIndex, tell.text());
+      if (datagram.length() <= MAX_DATAGRAM_BYTES && isListening) {
         socket.send(datagram, peer.getValue().port(), peer.getValue().host());
       } else {
         LOG.debug("a message of {} bytes was not sent", datagram.length());
@@ -74,23 +76,25 @@
 
   private void receive(Buffer data) {
     long now = clock.now();
-    intake = Math.min(peers.intake(), intake + (now - intakeAt) / 1e6 * peers.intake());
-    intakeAt = now;
-    String[] words = data.length() > LARGEST ? new String[0] : data.toString().split(" ", 4);
+    receiveTokens =
+        Math.min(peers.intake(), receiveTokens + (now - refilledAtMicros) / 1e6 * peers.intake());
+    refilledAtMicros = now;
+    String[] words =
+        data.length() > MAX_DATAGRAM_BYTES ? new String[0] : data.toString().split(" ", 4);
     boolean ours =
         words.length == 4
             && words[0].equals("fd1")
-            && words[1].equals(Integer.toString(me))
+            && words[1].equals(Integer.toString(instanceIndex))
             && words[2].matches("[0-9]{1,4}")
             && peers.others().containsKey(Integer.parseInt(words[2]));
-    if (ours && intake >= 1) {
-      intake--;
-      told.accept(new PeerMessageReceived(Integer.parseInt(words[2]), words[3]));
+    if (ours && receiveTokens >= 1) {
+      receiveTokens--;
+      listener.accept(new PeerMessageReceived(Integer.parseInt(words[2]), words[3]));
     }
   }
 
   void close() {
-    listening = false;
+    isListening = false;
     socket.close();
   }
 }
--- a/src/main/java/fawndock/gateway/Problem.java
+++ b/src/main/java/fawndock/gateway/ProblemDetails.java
@@ -12,8 +12,8 @@
  * @param title what kind of problem it is, the same each time
  * @param detail what it is this time
  */
-record Problem(int status, String type, String title, String detail) {
-  void answer(HttpServerRequest request) {
+record ProblemDetails(int status, String type, String title, String detail) {
+  void respond(HttpServerRequest request) {
     HttpServerResponse response = request.response();
     if (response.ended() || response.closed()) {
       return;
--- a/src/main/java/fawndock/gateway/QuotaHost.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -39,11 +39,11 @@
  * so that no flood of questions takes room from requests that are passed on; the counts are the
  * same, by the same names on the same counter. One context.
  */
-public final class QuotaHost {
+public final class QuotaService {
   /** How a question ended. */
-  public enum Verdict {
+  public enum Decision {
     ALLOWED,
-    REFUSED,
+    REJECTED,
     UNDECIDED
   }
 
@@ -51,26 +51,26 @@
    * Told once, unless the question was left before: the verdict, and for a refusal how long to stay
    * away.
    */
-  public interface Answer {
-    void told(Verdict verdict, long retryAfterMicros);
+  public interface DecisionListener {
+    void onDecision(Decision verdict, long retryAfterMicros);
   }
 
-  private static final Logger LOG = LoggerFactory.getLogger(QuotaHost.class);
-  private static final int CALLERS = 64;
-  private static final long ROUND_MICROS = 5_000;
+  private static final Logger LOG = LoggerFactory.getLogger(QuotaService.class);
+  private static final int CALLER_COUNT = 64;
+  private static final long TIMER_RESOLUTION_MICROS = 5_000;
 
   /**
    * Units that a question which is taken back is settled with: none, as nearly as the decisions can
    * be told.
    */
-  private static final double NOTHING = 1e-9;
+  private static final double REFUNDED_UNITS = 1e-9;
 
   private final MicroClock clock = new MicroClock();
-  private final Timers alarms;
-  private final CounterLink counter;
-  private final PolicyEventQueue decisions;
-  private final int fleet;
-  private final Map<Long, Answer> asked = new HashMap<>();
+  private final Timers timers;
+  private final CounterClient counter;
+  private final PolicyEventQueue eventQueue;
+  private final int instanceCount;
+  private final Map<Long, DecisionListener> undecided = new HashMap<>();
   private final Map<Long, String> allowed = new HashMap<>();
   private long nextId = 1;
 
@@ -79,22 +79,22 @@
    *
    * @param me its number in the fleet
    */
-  public QuotaHost(
+  public QuotaService(
       Vertx vertx,
       Context context,
       GatewaySettings settings,
       int me,
       Function<PolicyConfig, GatewayPolicy> maker) {
-    alarms = new Timers(vertx);
-    fleet = settings.fleet();
-    decisions =
+    timers = new Timers(vertx);
+    instanceCount = settings.fleet();
+    eventQueue =
         new PolicyEventQueue(
             maker.apply(
                 new PolicyConfig(
                     me,
-                    fleet,
+                    instanceCount,
                     settings.seed() + me,
-                    ROUND_MICROS,
+                    TIMER_RESOLUTION_MICROS,
                     "",
                     false,
                     settings.classes(),
@@ -104,14 +104,14 @@
                     new CounterConfig(
                         !settings.counter().none(), settings.counter().timeoutMicros(), true))),
             clock,
-            this::carryOut,
+            this::execute,
             LOG);
-    counter = new CounterLink(vertx, context, settings.counter(), clock, alarms, this::tell);
+    counter = new CounterClient(vertx, context, settings.counter(), clock, timers, this::submit);
     List<Endpoint> callers = new ArrayList<>();
-    for (int i = 0; i < CALLERS; i++) {
+    for (int i = 0; i < CALLER_COUNT; i++) {
       callers.add(new Endpoint("caller-" + i, "", 0, EndpointState.RUNNING, 1, 0));
     }
-    tell(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, callers));
+    submit(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, callers));
   }
 
   /**
@@ -121,81 +121,89 @@
    * @param withinMicros in which the caller wants to know
    * @return the question's number
    */
-  public long ask(
+  public long request(
       String requestClass,
       String plan,
       String customer,
       double units,
       long withinMicros,
-      Answer answer) {
+      DecisionListener answer) {
     long id = nextId++;
-    asked.put(id, answer);
+    undecided.put(id, answer);
     // Guards against decisions that failed to answer: the caller is told in time all the same.
-    alarms.schedule(withinMicros, () -> end(id, Verdict.UNDECIDED, 0));
-    tell(
+    timers.schedule(withinMicros, () -> decide(id, Decision.UNDECIDED, 0));
+    submit(
         new RequestArrived(
-            id, requestClass, plan, customer, clock.now() + withinMicros, units, fleet, 0, false));
+            id,
+            requestClass,
+            plan,
+            customer,
+            clock.now() + withinMicros,
+            units,
+            instanceCount,
+            0,
+            false));
     return id;
   }
 
   /** The caller does not want to know any more. */
-  public void leave(long id) {
-    if (asked.remove(id) != null) {
-      tell(new ClientDisconnected(id));
+  public void cancel(long id) {
+    if (undecided.remove(id) != null) {
+      submit(new ClientDisconnected(id));
     }
-    takeBack(id);
+    refund(id);
   }
 
   /** What was allowed is done. */
-  public void keep(long id, double units) {
+  public void commit(long id, double units) {
     settle(id, units);
   }
 
   /** What was allowed is not done: its units are given back. */
-  public void takeBack(long id) {
-    settle(id, NOTHING);
+  public void refund(long id) {
+    settle(id, REFUNDED_UNITS);
   }
 
   private void settle(long id, double units) {
     String caller = allowed.remove(id);
     if (caller != null) {
-      tell(new AttemptCompleted(id, 0, caller, 1, CallResult.OK, true, units, Map.of()));
+      submit(new AttemptCompleted(id, 0, caller, 1, CallResult.OK, true, units, Map.of()));
     }
   }
 
-  private void end(long id, Verdict verdict, long retryAfter) {
-    Answer answer = asked.remove(id);
+  private void decide(long id, Decision verdict, long retryAfter) {
+    DecisionListener answer = undecided.remove(id);
     if (answer != null) {
-      answer.told(verdict, retryAfter);
+      answer.onDecision(verdict, retryAfter);
     }
   }
 
-  private void tell(PolicyEvent event) {
-    decisions.submit(event);
+  private void submit(PolicyEvent event) {
+    eventQueue.submit(event);
   }
 
-  private void carryOut(PolicyAction action) {
+  private void execute(PolicyAction action) {
     if (action instanceof StartAttempt a) {
       allowed.put(a.requestId(), a.endpointId());
-      if (asked.containsKey(a.requestId())) {
-        end(a.requestId(), Verdict.ALLOWED, 0);
+      if (undecided.containsKey(a.requestId())) {
+        decide(a.requestId(), Decision.ALLOWED, 0);
       } else {
-        takeBack(a.requestId());
+        refund(a.requestId());
       }
     } else if (action instanceof RejectRequest a) {
-      end(a.requestId(), Verdict.REFUSED, a.retryAfterMicros());
+      decide(a.requestId(), Decision.REJECTED, a.retryAfterMicros());
     } else if (action instanceof FailRequest a) {
-      end(a.requestId(), Verdict.UNDECIDED, 0);
+      decide(a.requestId(), Decision.UNDECIDED, 0);
     } else if (action instanceof AddToCounter a) {
-      counter.count(a);
+      counter.add(a);
     } else if (action instanceof ScheduleTimer a) {
-      alarms.schedule(a.delayMicros(), () -> tell(new TimerFired(a.token())));
+      timers.schedule(a.delayMicros(), () -> submit(new TimerFired(a.token())));
     }
   }
 
   /** Closes its connections. */
   public void close() {
     counter.close();
-    alarms.close();
+    timers.close();
   }
 }
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -34,7 +34,7 @@
  * to load while their time runs out: about 350 ms was seen. May delay a start by its time limit; it
  * touches neither roster, counter nor real workers.
  */
-final class WarmUp implements PolicyRunner.GatewayConnections, WorkerAttempt.Ways {
+final class WarmUp implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
   private static final int REQUESTS = 200;
   private static final int AT_ONCE = 10;
   private static final long LIMIT_MILLIS = 3_000;
@@ -43,7 +43,7 @@
   private final GatewaySettings settings;
   private final Function<PolicyConfig, GatewayPolicy> maker;
   private int workerPort;
-  private WorkerPools pools;
+  private BackendPools pools;
   private PolicyRunner host;
 
   WarmUp(Vertx vertx, GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
@@ -75,8 +75,8 @@
             settings.log(),
             settings.rateLimit());
     Timers alarms = new Timers(vertx);
-    pools = new WorkerPools(vertx, own);
-    AnswerLog silent = new AnswerLog(-1, false);
+    pools = new BackendPools(vertx, own);
+    AccessLog silent = new AccessLog(-1, false);
     host = new PolicyRunner(new MicroClock(), alarms, this, 1, 1, silent);
     host.decideBy(
         maker.apply(
@@ -99,10 +99,10 @@
                 request ->
                     request
                         .response()
-                        .putHeader(LoadReport.HEADER, "TEXT cpu_utilization=0")
+                        .putHeader(LoadReportParser.HEADER, "TEXT cpu_utilization=0")
                         .end());
     HttpServer front =
-        vertx.createHttpServer().requestHandler(new Front(own, host, silent)::handle);
+        vertx.createHttpServer().requestHandler(new HttpServerListener(own, host, silent)::handle);
     HttpClient client = vertx.createHttpClient();
     Promise<Void> done = Promise.promise();
     vertx.setTimer(LIMIT_MILLIS, id -> done.tryComplete());
@@ -177,13 +177,13 @@
   }
 
   @Override
-  public RequestOptions target(String server) {
+  public RequestOptions requestOptions(String server) {
     return new RequestOptions().setHost("127.0.0.1").setPort(workerPort);
   }
 
   @Override
   public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new WorkerAttempt(host, request, number, server, this);
+    return new BackendAttempt(host, request, number, server, this);
   }
 
   @Override
@@ -192,12 +192,12 @@
   }
 
   @Override
-  public WorkerPools workers() {
+  public BackendPools backendPools() {
     return pools;
   }
 
   @Override
-  public int answerLimit() {
+  public int maxBufferedResponseBytes() {
     return settings.http().answerLimit();
   }
 }
--- a/src/main/java/fawndock/ratelimit/Mapping.java
+++ b/src/main/java/fawndock/ratelimit/DescriptorMatcher.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /** What descriptors mean, by the first line of the settings that fits. Free of I/O; any thread. */
-public final class Mapping {
+public final class DescriptorMatcher {
   /** Longest value of a descriptor that becomes a customer's name. */
-  static final int LONGEST = 256;
+  static final int MAX_CUSTOMER_CHARACTERS = 256;
 
   private static final String ANY = "*";
 
   /** Who asks for what. */
-  public record Meaning(String customer, String plan, String requestClass, double units) {}
+  public record QuotaRequest(String customer, String plan, String requestClass, double units) {}
 
   private final Map<String, List<Descriptor>> byDomain = new HashMap<>();
 
-  public Mapping(List<Descriptor> descriptors) {
+  public DescriptorMatcher(List<Descriptor> descriptors) {
     descriptors.forEach(
         d -> byDomain.computeIfAbsent(d.domain(), k -> new java.util.ArrayList<>()).add(d));
   }
@@ -30,10 +30,10 @@
    *     description
    * @throws IllegalArgumentException when a value cannot be a customer's name
    */
-  public Meaning of(String domain, List<Map.Entry<String, String>> entries, long hits) {
+  public QuotaRequest match(String domain, List<Map.Entry<String, String>> entries, long hits) {
     for (Descriptor each : byDomain.getOrDefault(domain, List.of())) {
-      if (fits(each, entries)) {
-        return new Meaning(
+      if (matches(each, entries)) {
+        return new QuotaRequest(
             customer(each, entries),
             each.plan(),
             each.requestClass(),
@@ -43,7 +43,7 @@
     return null;
   }
 
-  private static boolean fits(Descriptor line, List<Map.Entry<String, String>> entries) {
+  private static boolean matches(Descriptor line, List<Map.Entry<String, String>> entries) {
     if (line.entries().size() != entries.size()) {
       return false;
     }
@@ -64,14 +64,14 @@
     }
     for (Map.Entry<String, String> each : entries) {
       if (line.customer().equals("{" + each.getKey() + "}")) {
-        if (each.getValue().isEmpty() || each.getValue().length() > LONGEST) {
+        if (each.getValue().isEmpty() || each.getValue().length() > MAX_CUSTOMER_CHARACTERS) {
           throw new IllegalArgumentException(
               "the value of '"
                   + each.getKey()
                   + "' names a customer and has "
                   + each.getValue().length()
                   + " characters, expected 1 to "
-                  + LONGEST);
+                  + MAX_CUSTOMER_CHARACTERS);
         }
         return each.getValue();
       }
--- a/src/main/java/fawndock/ratelimit/Batch.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitCall.java
@@ -1,10 +1,10 @@
 package fawndock.ratelimit;
 
 import com.google.protobuf.Duration;
-import fawndock.gateway.QuotaHost;
-import fawndock.gateway.QuotaHost.Verdict;
+import fawndock.gateway.QuotaService;
+import fawndock.gateway.QuotaService.Decision;
 import fawndock.policy.config.Plan;
-import fawndock.ratelimit.Mapping.Meaning;
+import fawndock.ratelimit.DescriptorMatcher.QuotaRequest;
 import fawndock.ratelimit.proto.HeaderValue;
 import fawndock.ratelimit.proto.RateLimitResponse;
 import fawndock.ratelimit.proto.RateLimitResponse.Code;
@@ -20,95 +20,95 @@
  * and what the others had counted is given back; so it is when the caller leaves. Answered exactly
  * once, or not at all when the caller has left.
  */
-final class Batch {
+final class RateLimitCall {
   private static final double SECOND = 1e6;
-  private final List<Meaning> meanings;
-  private final QuotaHost quotas;
-  private final Consumer<RateLimitResponse> answer;
+  private final List<QuotaRequest> quotaRequests;
+  private final QuotaService quotaService;
+  private final Consumer<RateLimitResponse> responseListener;
   private final Map<String, Plan> plans;
   private final long[] ids;
-  private final Verdict[] verdicts;
+  private final Decision[] verdicts;
   private final long[] retryAfter;
-  private int open;
-  private boolean over;
+  private int undecidedCount;
+  private boolean isEnded;
 
   /**
    * @param answer told once, null when it could not be decided in time
    */
-  Batch(
+  RateLimitCall(
       Map<String, Plan> plans,
-      List<Meaning> meanings,
-      QuotaHost quotas,
+      List<QuotaRequest> meanings,
+      QuotaService quotas,
       Consumer<RateLimitResponse> answer) {
     this.plans = plans;
-    this.meanings = meanings;
-    this.quotas = quotas;
-    this.answer = answer;
+    this.quotaRequests = meanings;
+    this.quotaService = quotas;
+    this.responseListener = answer;
     ids = new long[meanings.size()];
-    verdicts = new Verdict[meanings.size()];
+    verdicts = new Decision[meanings.size()];
     retryAfter = new long[meanings.size()];
-    open = meanings.size();
+    undecidedCount = meanings.size();
   }
 
   /** Asks about each that has a meaning; the others are not limited. */
-  void ask(long withinMicros) {
+  void start(long withinMicros) {
     for (int i = 0; i < ids.length; i++) {
-      Meaning meaning = meanings.get(i);
+      QuotaRequest meaning = quotaRequests.get(i);
       int place = i;
       if (meaning == null) {
-        decided(place, Verdict.ALLOWED, 0);
+        onDecision(place, Decision.ALLOWED, 0);
       } else {
         ids[i] =
-            quotas.ask(
+            quotaService.request(
                 meaning.requestClass(),
                 meaning.plan(),
                 meaning.customer(),
                 meaning.units(),
                 withinMicros,
-                (verdict, wait) -> decided(place, verdict, wait));
+                (verdict, wait) -> onDecision(place, verdict, wait));
       }
     }
   }
 
-  private void decided(int place, Verdict verdict, long wait) {
+  private void onDecision(int place, Decision verdict, long wait) {
     verdicts[place] = verdict;
     retryAfter[place] = wait;
-    if (--open == 0 && !over) {
+    if (--undecidedCount == 0 && !isEnded) {
       // The number of a question is known only when ask has returned: the whole is ended in a later
       // turn of this context.
-      Vertx.currentContext().runOnContext(v -> end());
+      Vertx.currentContext().runOnContext(v -> complete());
     }
   }
 
-  private void end() {
-    if (over) {
+  private void complete() {
+    if (isEnded) {
       return;
     }
-    over = true;
+    isEnded = true;
     boolean undecided = false;
     boolean refused = false;
-    for (Verdict each : verdicts) {
-      undecided |= each == Verdict.UNDECIDED;
-      refused |= each == Verdict.REFUSED;
+    for (Decision each : verdicts) {
+      undecided |= each == Decision.UNDECIDED;
+      refused |= each == Decision.REJECTED;
     }
     for (int i = 0; i < ids.length; i++) {
-      if (meanings.get(i) != null && verdicts[i] == Verdict.ALLOWED) {
+      if (quotaRequests.get(i) != null && verdicts[i] == Decision.ALLOWED) {
         if (refused || undecided) {
-          quotas.takeBack(ids[i]);
+          quotaService.refund(ids[i]);
         } else {
-          quotas.keep(ids[i], meanings.get(i).units());
+          quotaService.commit(ids[i], quotaRequests.get(i).units());
         }
       }
     }
-    answer.accept(undecided && !refused ? null : response(refused));
+    responseListener.accept(undecided && !refused ? null : response(refused));
   }
 
   /** The caller has left: nothing is answered, and nothing counts. */
-  void leave() {
-    if (!over) {
-      over = true;
+  void cancel() {
+    if (!isEnded) {
+      isEnded = true;
       for (long id : ids) {
-        quotas.leave(id);
+        quotaService.cancel(id);
       }
     }
   }
@@ -120,8 +120,8 @@
     for (int i = 0; i < ids.length; i++) {
       DescriptorStatus.Builder one =
           DescriptorStatus.newBuilder()
-              .setCode(verdicts[i] == Verdict.REFUSED ? Code.OVER_LIMIT : Code.OK);
-      Meaning meaning = meanings.get(i);
+              .setCode(verdicts[i] == Decision.REJECTED ? Code.OVER_LIMIT : Code.OK);
+      QuotaRequest meaning = quotaRequests.get(i);
       Plan plan = meaning == null ? null : plans.get(meaning.plan());
       if (plan != null && plan.unitsPerSecond() > 0) {
         one.setCurrentLimit(
@@ -131,7 +131,7 @@
                 .setRequestsPerUnit(
                     (int) Math.min(Integer.MAX_VALUE, Math.round(60 * plan.unitsPerSecond()))));
       }
-      if (verdicts[i] == Verdict.REFUSED) {
+      if (verdicts[i] == Decision.REJECTED) {
         one.setDurationUntilReset(
             Duration.newBuilder().setSeconds((long) Math.ceil(retryAfter[i] / SECOND)));
         longest = Math.max(longest, (long) Math.ceil(retryAfter[i] / SECOND));
--- a/src/main/java/fawndock/ratelimit/RateLimitNode.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitService.java
@@ -1,10 +1,10 @@
 package fawndock.ratelimit;
 
-import fawndock.gateway.QuotaHost;
+import fawndock.gateway.QuotaService;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.PolicyConfig;
-import fawndock.ratelimit.Mapping.Meaning;
+import fawndock.ratelimit.DescriptorMatcher.QuotaRequest;
 import fawndock.ratelimit.proto.RateLimitDescriptor;
 import fawndock.ratelimit.proto.RateLimitRequest;
 import fawndock.ratelimit.proto.RateLimitResponse;
@@ -33,7 +33,7 @@
  * The rate limit service on an event loop of its own, so that its floods do not hold up requests
  * that are passed on.
  */
-public final class RateLimitNode extends VerticleBase {
+public final class RateLimitService extends VerticleBase {
   /** How it is called. */
   public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
       ServiceMethod.server(
@@ -42,32 +42,34 @@
           GrpcMessageEncoder.encoder(),
           GrpcMessageDecoder.decoder(RateLimitRequest.newBuilder()));
 
-  private static final Logger LOG = LoggerFactory.getLogger(RateLimitNode.class);
-  private static final long LARGEST = 64 << 10;
-  private static final int MOST_DESCRIPTORS = 64;
-  private static final long DEFAULT_MILLIS = 1_000;
+  private static final Logger LOG = LoggerFactory.getLogger(RateLimitService.class);
+  private static final long MAX_MESSAGE_BYTES = 64 << 10;
+  private static final int MAX_DESCRIPTORS = 64;
+  private static final long DEFAULT_TIMEOUT_MILLIS = 1_000;
   private final GatewaySettings settings;
-  private final Function<PolicyConfig, GatewayPolicy> maker;
-  private final Mapping mapping;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
+  private final DescriptorMatcher descriptorMatcher;
   private final Map<String, Plan> plans = new HashMap<>();
-  private QuotaHost quotas;
+  private QuotaService quotaService;
   private HttpServer server;
 
   /**
    * @param maker makes the decisions from the settings
    */
-  public RateLimitNode(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
+  public RateLimitService(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
-    this.maker = maker;
-    this.mapping = new Mapping(settings.rateLimit().descriptors());
+    this.policyFactory = maker;
+    this.descriptorMatcher = new DescriptorMatcher(settings.rateLimit().descriptors());
     settings.plans().forEach(p -> plans.put(p.name(), p));
   }
 
   @Override
   public Future<?> start() {
-    quotas = new QuotaHost(vertx, context, settings, settings.first(), maker);
-    GrpcServer grpc = GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(LARGEST));
-    grpc.callHandler(SHOULD_RATE_LIMIT, call -> call.handler(asked -> asked(call, asked)));
+    quotaService = new QuotaService(vertx, context, settings, settings.first(), policyFactory);
+    GrpcServer grpc =
+        GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(MAX_MESSAGE_BYTES));
+    grpc.callHandler(
+        SHOULD_RATE_LIMIT, call -> call.handler(asked -> shouldRateLimit(call, asked)));
     server =
         vertx
             .createHttpServer(
@@ -90,20 +92,20 @@
 
   @Override
   public Future<?> stop() {
-    quotas.close();
+    quotaService.close();
     return server.close();
   }
 
-  private void asked(
+  private void shouldRateLimit(
       GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest asked) {
-    List<Meaning> meanings = new ArrayList<>();
+    List<QuotaRequest> meanings = new ArrayList<>();
     try {
       if (asked.getDomain().isEmpty()
           || asked.getDescriptorsCount() == 0
-          || asked.getDescriptorsCount() > MOST_DESCRIPTORS) {
+          || asked.getDescriptorsCount() > MAX_DESCRIPTORS) {
         throw new IllegalArgumentException(
             "a domain and 1 to "
-                + MOST_DESCRIPTORS
+                + MAX_DESCRIPTORS
                 + " descriptors are expected, there are "
                 + asked.getDescriptorsCount()
                 + " in domain '"
@@ -116,7 +118,7 @@
               "a descriptor overrides its limit; limits are those of the plans");
         }
         meanings.add(
-            mapping.of(
+            descriptorMatcher.match(
                 asked.getDomain(),
                 each.getEntriesList().stream()
                     .map(e -> Map.entry(e.getKey(), e.getValue()))
@@ -127,12 +129,12 @@
       call.response().status(GrpcStatus.INVALID_ARGUMENT).statusMessage(e.getMessage()).end();
       return;
     }
-    long millis = call.timeout() > 0 ? call.timeout() : DEFAULT_MILLIS;
-    Batch batch =
-        new Batch(
+    long millis = call.timeout() > 0 ? call.timeout() : DEFAULT_TIMEOUT_MILLIS;
+    RateLimitCall batch =
+        new RateLimitCall(
             plans,
             meanings,
-            quotas,
+            quotaService,
             answer -> {
               if (answer == null) {
                 call.response()
@@ -143,7 +145,7 @@
                 call.response().end(answer);
               }
             });
-    call.exceptionHandler(e -> batch.leave());
-    batch.ask(Math.max(1, millis) * 1_000);
+    call.exceptionHandler(e -> batch.cancel());
+    batch.start(Math.max(1, millis) * 1_000);
   }
 }
--- a/src/test/java/fawndock/gateway/WorkerEndsTest.java
+++ b/src/test/java/fawndock/gateway/BackendAttemptTest.java
@@ -22,29 +22,30 @@
 import org.junit.jupiter.api.Test;
 
 /** Each line of the table of ends in docs/design/gateway.md, on sockets. */
-class WorkerEndsTest {
+class BackendAttemptTest {
   @Test
   void noConnectionNeverRan() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end())) {
-      Setup.wait(s.worker.close());
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
+      GatewayHarness.await(s.backend.close());
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.CONNECT_FAILED, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.CONNECT_FAILED, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void refusedStreamNeverRan() throws Exception {
-    try (Setup s = new Setup(r -> r.response().reset(Ends.REFUSED_STREAM))) {
+    try (GatewayHarness s =
+        new GatewayHarness(r -> r.response().reset(CallResults.REFUSED_STREAM))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.SHED, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.SHED, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void streamsAboveTheLastOfAGoAwayNeverRanAndThoseBelowGoOn() throws Exception {
     List<HttpServerRequest> held = new ArrayList<>();
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r -> {
               held.add(r);
               if (held.size() == 2) {
@@ -56,7 +57,7 @@
             },
             "pool connections 1")) {
       CompletableFuture<HttpResponse<String>> one = s.send(s.to("/lookup"));
-      s.gatekeeper.await(RequestArrived.class);
+      s.policy.await(RequestArrived.class);
       CompletableFuture<HttpResponse<String>> two = s.send(s.to("/lookup"));
       List<Integer> statuses =
           new ArrayList<>(
@@ -67,7 +68,7 @@
       assertEquals(List.of(200, 502), statuses);
       assertEquals(
           List.of(CallResult.OK, CallResult.SHED),
-          s.gatekeeper.all(AttemptCompleted.class).stream()
+          s.policy.all(AttemptCompleted.class).stream()
               .map(AttemptCompleted::result)
               .sorted()
               .toList());
@@ -76,43 +77,43 @@
 
   @Test
   void streamsBelowTheLastOfAGoAwayMayHaveRunWhenTheConnectionBreaks() throws Exception {
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r -> {
               r.connection().goAway(0, r.streamId());
               r.connection().close();
             })) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void anotherResetMayHaveRun() throws Exception {
-    try (Setup s = new Setup(r -> r.response().reset(2))) {
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().reset(2))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void anAnswerThatBreaksHalfwayMayHaveRunAndIsNotServed() throws Exception {
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r ->
                 r.response()
                     .setChunked(true)
                     .write("half")
                     .onSuccess(v -> r.response().reset(2)))) {
       assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void errorStatusIsAnError() throws Exception {
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r ->
                 r.response()
                     .setStatusCode(503)
@@ -122,7 +123,7 @@
       assertEquals(502, answer.statusCode());
       assertEquals(
           "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
-      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
       assertEquals(CallResult.ERROR, outcome.result());
       assertEquals(0.5, outcome.load().get("utilization"));
     }
@@ -130,13 +131,14 @@
 
   @Test
   void statusesBelowFiveHundredAreServed() throws Exception {
-    try (Setup s =
-        new Setup(r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
+    try (GatewayHarness s =
+        new GatewayHarness(
+            r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
       HttpResponse<String> answer = s.get("/lookup");
       assertEquals(404, answer.statusCode());
       assertEquals("none", answer.body());
       assertEquals("1", answer.headers().firstValue("x-own").orElse(""));
-      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
       assertEquals(CallResult.OK, outcome.result());
       assertTrue(outcome.isFinal());
     }
@@ -147,31 +149,32 @@
   void silenceIsATimeOutAndALaterAnswerIsDropped() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
     CountDownLatch reset = new CountDownLatch(1);
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r -> {
               r.response().exceptionHandler(e -> reset.countDown());
               held.complete(r);
             })) {
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(new StartAttempt(r.requestId(), "w", now + 1_500_000))
-                  : Scripted.sendOnce(now, e));
+                  : ScriptedPolicy.forwardOnce(now, e));
       HttpResponse<String> answer = s.get("/lookup");
       assertEquals(504, answer.statusCode());
-      assertEquals(CallResult.TIMEOUT, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.TIMEOUT, s.policy.await(AttemptCompleted.class).result());
       assertTrue(reset.await(20, TimeUnit.SECONDS), "the worker is told that nobody waits");
       held.get().response().end("late");
-      assertEquals(1, s.gatekeeper.all(AttemptCompleted.class).size());
+      assertEquals(1, s.policy.all(AttemptCompleted.class).size());
     }
   }
 
   @Test
   void cancelMayHaveRunAndItsWorkerIsTold() throws Exception {
     CountDownLatch reset = new CountDownLatch(1);
-    try (Setup s = new Setup(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
-      s.gatekeeper.doing(
+    try (GatewayHarness s =
+        new GatewayHarness(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
+      s.policy.respondWith(
           (now, e) -> {
             if (e instanceof RequestArrived r) {
               return List.of(
@@ -185,7 +188,7 @@
                 : List.of();
           });
       assertEquals(504, s.get("/lookup").statusCode());
-      CallResult result = s.gatekeeper.await(AttemptCompleted.class).result();
+      CallResult result = s.policy.await(AttemptCompleted.class).result();
       // Sent or not by then, it ends once; what was sent may have run.
       assertTrue(
           result == CallResult.CANCELLED && reset.await(20, TimeUnit.SECONDS)
@@ -201,9 +204,9 @@
   void answerAndTimeOutInOneTurnEndTheAttemptOnce() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    try (Setup s = new Setup(held::complete)) {
+    try (GatewayHarness s = new GatewayHarness(held::complete)) {
       long[] due = {0};
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) -> {
             if (e instanceof RequestArrived r) {
               due[0] = System.nanoTime() + 1_500_000_000;
@@ -226,25 +229,26 @@
                 throw new IllegalStateException(interrupted);
               }
             }
-            return Scripted.sendOnce(now, e instanceof TimerFired ? new TimerFired("") : e);
+            return ScriptedPolicy.forwardOnce(
+                now, e instanceof TimerFired ? new TimerFired("") : e);
           });
       HttpResponse<String> answer = s.get("/lookup");
-      AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
+      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
       assertEquals(outcome.result() == CallResult.OK ? 200 : 504, answer.statusCode());
-      assertEquals(1, s.gatekeeper.all(AttemptCompleted.class).size());
+      assertEquals(1, s.policy.all(AttemptCompleted.class).size());
     }
   }
 
   @Test
   void streamedAnswerStartsAndHasNoDeadlineAfterwards() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r -> {
               r.response().setChunked(true).write("first ");
               held.complete(r);
             })) {
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(
@@ -252,20 +256,21 @@
                       new ScheduleTimer(2_100_000, "after"))
                   : List.of());
       CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
-      s.gatekeeper.await(ResponseStarted.class);
-      s.gatekeeper.await(TimerFired.class); // The time of the attempt is over by now.
-      assertEquals(0, s.gatekeeper.all(AttemptCompleted.class).size());
+      s.policy.await(ResponseStarted.class);
+      s.policy.await(TimerFired.class); // The time of the attempt is over by now.
+      assertEquals(0, s.policy.all(AttemptCompleted.class).size());
       held.get().response().end("last");
       assertEquals("first last", answer.get(20, TimeUnit.SECONDS).body());
-      assertEquals(CallResult.OK, s.gatekeeper.await(AttemptCompleted.class).result());
+      assertEquals(CallResult.OK, s.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void anAnswerBeyondTheBufferIsStreamed() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
+    try (GatewayHarness s =
+        new GatewayHarness(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
       assertEquals(100_000, s.get("/lookup").body().length());
-      s.gatekeeper.await(ResponseStarted.class);
+      s.policy.await(ResponseStarted.class);
     }
   }
 }
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -32,12 +32,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import redis.clients.jedis.Jedis;
 
-class CounterLinkTest {
+class CounterClientTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
   private final BlockingQueue<CounterReply> told = new LinkedBlockingQueue<>();
   private FakeCounterServer counter;
-  private CounterLink link;
+  private CounterClient link;
   private int port;
   private Map<String, Address> nodes = Map.of();
 
@@ -50,7 +50,7 @@
   @AfterEach
   void stop() throws Exception {
     link.close();
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
     counter.close();
   }
 
@@ -58,7 +58,7 @@
     context.runOnContext(
         v ->
             link =
-                new CounterLink(
+                new CounterClient(
                     vertx,
                     context,
                     new CounterParts(
@@ -82,7 +82,7 @@
     context.runOnContext(
         v -> {
           for (double amount : amounts) {
-            link.count(new AddToCounter(name, amount, 60_000_000));
+            link.add(new AddToCounter(name, amount, 60_000_000));
           }
         });
   }
@@ -261,7 +261,8 @@
     counter.silent(true);
     long calls = counter.calls();
     count("n", 7);
-    Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
+    GatewayHarness.awaitTrue(
+        () -> counter.calls() > calls); // It has reached the counter, so it is out.
     counter.stop();
     assertEquals(CallResult.TIMEOUT, next().result());
     count("n", 1);
--- a/src/test/java/fawndock/gateway/RosterLinkTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RosterLinkTest {
+class EndpointWatchTest {
   private static String entry(String id, String state) {
     return "{\"id\":\"" + id + "\",\"host\":\"127.0.0.1\",\"port\":1,\"state\":\"" + state + "\"}";
   }
@@ -22,10 +22,11 @@
         List.of(
             entry("w", "stopping") + "," + entry("w", "running"),
             entry("w", "running") + "," + entry("w", "stopping"))) {
-      RosterLine line = RosterLine.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
-      assertEquals(1, line.servers().size());
-      assertEquals(EndpointState.DRAINING, line.servers().get(0).state());
-      assertEquals(1, line.twice().size());
+      EndpointWatchMessage line =
+          EndpointWatchMessage.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
+      assertEquals(1, line.endpoints().size());
+      assertEquals(EndpointState.DRAINING, line.endpoints().get(0).state());
+      assertEquals(1, line.duplicateIds().size());
     }
   }
 
@@ -39,7 +40,7 @@
             "{\"list\":\"complete\"}",
             "{\"list\":\"complete\",\"servers\":[{\"id\":\"w\",\"state\":\"running\"}]}",
             "{\"list\":\"complete\",\"servers\":[" + entry("w", "sleeping") + "]}")) {
-      assertThrows(IllegalArgumentException.class, () -> RosterLine.parse(bad), bad);
+      assertThrows(IllegalArgumentException.class, () -> EndpointWatchMessage.parse(bad), bad);
     }
   }
 
@@ -52,7 +53,7 @@
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
     int[] connections = {0};
     int port =
-        Setup.wait(
+        GatewayHarness.await(
                 vertx
                     .createHttpServer()
                     .requestHandler(
@@ -67,10 +68,11 @@
                                         + "]}\n"))
                     .listen(0, "127.0.0.1"))
             .actualPort();
-    try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
-      assertEquals(EndpointUpdateKind.SNAPSHOT, s.gatekeeper.await(EndpointUpdate.class).kind());
+    try (GatewayHarness s =
+        new GatewayHarness(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
+      assertEquals(EndpointUpdateKind.SNAPSHOT, s.policy.await(EndpointUpdate.class).kind());
     }
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
   }
 
   /**
@@ -83,29 +85,31 @@
     roster.tell(
         new FakeEndpointFeed.Entry("a", 1, "", 0, "running", 0),
         new FakeEndpointFeed.Entry("b", 2, "", 0, "running", 0));
-    int port = Setup.wait(roster.listen(0));
-    try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
-      s.gatekeeper.await(
+    int port = GatewayHarness.await(roster.listen(0));
+    try (GatewayHarness s =
+        new GatewayHarness(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
+      s.policy.await(
           EndpointUpdate.class,
           e -> e.kind() == EndpointUpdateKind.SNAPSHOT && e.endpoints().size() == 2);
       roster.cut(true);
       roster.cut(false);
-      Setup.until(() -> complete(s) >= 2); // It connects again and has the complete list once more.
+      GatewayHarness.awaitTrue(
+          () -> complete(s) >= 2); // It connects again and has the complete list once more.
       roster.raw("{\"list\":\"complete\",\"servers\":[]}");
-      s.gatekeeper.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
+      s.policy.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
       roster.raw("nonsense");
-      Setup.until(() -> complete(s) >= 3);
+      GatewayHarness.awaitTrue(() -> complete(s) >= 3);
       assertEquals(
           0,
-          s.gatekeeper.all(EndpointUpdate.class).stream()
+          s.policy.all(EndpointUpdate.class).stream()
               .filter(e -> e.kind() != EndpointUpdateKind.FAILED && e.endpoints().isEmpty())
               .count());
     }
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
   }
 
-  private static long complete(Setup s) {
-    return s.gatekeeper.all(EndpointUpdate.class).stream()
+  private static long complete(GatewayHarness s) {
+    return s.policy.all(EndpointUpdate.class).stream()
         .filter(e -> e.kind() == EndpointUpdateKind.SNAPSHOT)
         .count();
   }
--- a/src/test/java/fawndock/gateway/Setup.java
+++ b/src/test/java/fawndock/gateway/GatewayHarness.java
@@ -20,23 +20,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A daemon with a scripted gatekeeper and one worker, on free loopback ports. */
-final class Setup implements AutoCloseable {
+final class GatewayHarness implements AutoCloseable {
   final Vertx vertx = Vertx.vertx();
-  final Scripted gatekeeper = new Scripted();
+  final ScriptedPolicy policy = new ScriptedPolicy();
   final HttpClient http = HttpClient.newHttpClient();
-  Daemon daemon;
-  HttpServer worker;
+  GatewayServer server;
+  HttpServer backend;
   int port;
 
-  Setup(Handler<HttpServerRequest> worker, String... lines) throws Exception {
-    this.worker =
+  GatewayHarness(Handler<HttpServerRequest> worker, String... lines) throws Exception {
+    this.backend =
         vertx
             .createHttpServer(
                 new HttpServerOptions()
                     .setHttp2ClearTextEnabled(true)
                     .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(20_000)))
             .requestHandler(worker);
-    int workerPort = wait(this.worker.listen(0, "127.0.0.1")).actualPort();
+    int workerPort = await(this.backend.listen(0, "127.0.0.1")).actualPort();
     Path file = Files.createTempFile("fawndock", ".conf");
     Files.writeString(
         file,
@@ -60,16 +60,18 @@
     GatewaySettings settings = SettingsFile.read(file);
     Files.delete(file);
     AtomicInteger made = new AtomicInteger();
-    daemon = new Daemon(settings, s -> made.getAndIncrement() == 0 ? gatekeeper : new Scripted());
-    port = wait(daemon.start());
+    server =
+        new GatewayServer(
+            settings, s -> made.getAndIncrement() == 0 ? policy : new ScriptedPolicy());
+    port = await(server.start());
   }
 
-  static <T> T wait(Future<T> future) throws Exception {
+  static <T> T await(Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
   /** Waits for something that can only be asked for. */
-  static void until(java.util.function.BooleanSupplier what) {
+  static void awaitTrue(java.util.function.BooleanSupplier what) {
     long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!what.getAsBoolean()) {
       if (System.nanoTime() > limit) {
@@ -95,7 +97,7 @@
 
   @Override
   public void close() throws Exception {
-    daemon.stopAndWait();
-    wait(vertx.close());
+    server.stopAndWait();
+    await(vertx.close());
   }
 }
--- a/src/test/java/fawndock/gateway/PartsTest.java
+++ b/src/test/java/fawndock/gateway/GatewayPartsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The small parts: clock, alarms, load reports, header fields, peer messages. */
-class PartsTest {
+class GatewayPartsTest {
   @Test
   void theClockNeverRunsBackwardsAndStillMoves() {
     long[] wall = {1_000_000};
@@ -64,7 +64,7 @@
         });
     last.get(20, TimeUnit.SECONDS);
     assertEquals(List.of(1, 3, 5, 4), rung);
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
   }
 
   /**
@@ -76,9 +76,9 @@
     int[] names = new int[3];
     for (int i = 0; i < 3_000; i++) {
       String name = "customer-" + i + ":" + i % 7;
-      int part = CounterLink.part(name, 3);
+      int part = CounterClient.shardOf(name, 3);
       names[part]++;
-      int of4 = CounterLink.part(name, 4);
+      int of4 = CounterClient.shardOf(name, 4);
       assertTrue(of4 == part || of4 == 3, name);
     }
     for (int each : names) {
@@ -91,11 +91,11 @@
     Map<String, Double> expected = Map.of("utilization", 0.3, "throughput", 90.0, "queue", 4.0);
     assertEquals(
         expected,
-        LoadReport.parse(
+        LoadReportParser.parse(
                 "TEXT cpu_utilization=0.3, rps_fractional=90,named_metrics.queue=4,other=1,mem=x")
             .load());
-    LoadReport.Report json =
-        LoadReport.parse(
+    LoadReportParser.Report json =
+        LoadReportParser.parse(
             "JSON {\"cpu_utilization\":0.3,\"rps_fractional\":90,"
                 + "\"request_cost\":{\"units\":2.5},\"named_metrics\":{\"queue\":4,\"deep\":{\"queue\":9}}}");
     assertEquals(expected, json.load());
@@ -109,15 +109,15 @@
             "TEXT cpu_utilization=NaN,eps=-1",
             "BIN x",
             "TEXT " + "x".repeat(5_000))) {
-      assertEquals(Map.of(), LoadReport.parse(bad).load(), bad);
+      assertEquals(Map.of(), LoadReportParser.parse(bad).load(), bad);
     }
-    assertEquals(Map.of(), LoadReport.parse(null).load());
+    assertEquals(Map.of(), LoadReportParser.parse(null).load());
   }
 
   @Test
   void fieldsOfOneConnectionStay() {
     MultiMap passed =
-        Headers.forwarded(
+        ForwardedHeaders.filter(
             MultiMap.caseInsensitiveMultiMap()
                 .add("Connection", "X-Hop, close")
                 .add("X-Hop", "1")
@@ -128,7 +128,8 @@
     assertEquals(List.of("a", "b"), passed.getAll("x-kept"));
     assertEquals(1, passed.names().size());
     assertFalse(
-        Headers.forwarded(MultiMap.caseInsensitiveMultiMap().add("X-Key", "s"), Set.of("x-key"))
+        ForwardedHeaders.filter(
+                MultiMap.caseInsensitiveMultiMap().add("X-Key", "s"), Set.of("x-key"))
             .contains("x-key"));
   }
 
@@ -140,7 +141,7 @@
     Address nowhere = new Address("127.0.0.1", 0);
     vertx.runOnContext(
         v ->
-            new PeerLink(
+            new PeerMessenger(
                     vertx,
                     new Peers(nowhere, Map.of(0, nowhere, 1, nowhere), 2),
                     1,
@@ -151,8 +152,8 @@
     Address listener = new Address("127.0.0.1", port.get(20, TimeUnit.SECONDS));
     vertx.runOnContext(
         v -> {
-          PeerLink sender =
-              new PeerLink(
+          PeerMessenger sender =
+              new PeerMessenger(
                   vertx,
                   new Peers(nowhere, Map.of(1, listener), 100),
                   0,
@@ -162,16 +163,16 @@
               .start()
               .onSuccess(
                   p -> {
-                    sender.tell(new SendPeerMessage(-1, "x".repeat(300)));
-                    sender.tell(new SendPeerMessage(7, "for another"));
+                    sender.send(new SendPeerMessage(-1, "x".repeat(300)));
+                    sender.send(new SendPeerMessage(7, "for another"));
                     for (int i = 0; i < 10; i++) {
-                      sender.tell(new SendPeerMessage(-1, "hi " + i));
+                      sender.send(new SendPeerMessage(-1, "hi " + i));
                     }
                   });
         });
     assertEquals(new PeerMessageReceived(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
     assertEquals(new PeerMessageReceived(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
     assertEquals(0, heard.size(), "more than its intake was taken in");
   }
 }
--- a/src/test/java/fawndock/gateway/FrontTest.java
+++ b/src/test/java/fawndock/gateway/HttpServerListenerTest.java
@@ -31,11 +31,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class FrontTest {
+class HttpServerListenerTest {
   @Test
   void theGatekeeperIsToldWhoAsksAndHowLongIsLeft() throws Exception {
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r ->
                 r.response()
                     .end(
@@ -56,7 +56,7 @@
                       .header("x-envoy-attempt-count", "2")
                       .version(HttpClient.Version.HTTP_2))
               .get(20, TimeUnit.SECONDS);
-      RequestArrived r = s.gatekeeper.await(RequestArrived.class);
+      RequestArrived r = s.policy.await(RequestArrived.class);
       assertEquals(
           "ok null \"abc\" HTTP_2 " + r.requestId(),
           answer.body(),
@@ -71,7 +71,7 @@
 
   @Test
   void whatCannotBeReadIsAnsweredAndNeverCounted() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB")) {
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB")) {
       assertEquals(
           401, s.send(s.to("/lookup").setHeader("x-api-key", "nobody's")).get().statusCode());
       assertEquals(404, s.get("/elsewhere").statusCode());
@@ -108,13 +108,13 @@
             new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                 .endsWith(" 400"));
       }
-      assertEquals(0, s.gatekeeper.all(RequestArrived.class).size());
+      assertEquals(0, s.policy.all(RequestArrived.class).size());
     }
   }
 
   @Test
   void aBodyOfUnstatedSizeIsCutOffAtTheLimit() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB");
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB");
         Socket socket = new Socket("127.0.0.1", s.port)) {
       socket.setSoTimeout(20_000);
       socket
@@ -128,14 +128,14 @@
       assertTrue(
           new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
               .endsWith(" 413"));
-      assertEquals(0, s.gatekeeper.all(RequestArrived.class).size());
+      assertEquals(0, s.policy.all(RequestArrived.class).size());
     }
   }
 
   @Test
   void aRefusalSaysWhenToComeAgain() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end())) {
-      s.gatekeeper.doing(
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(new RejectRequest(r.requestId(), 2_400_000))
@@ -154,8 +154,8 @@
    */
   @Test
   void theHostAnswersWhatItsGatekeeperDoesNot() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end())) {
-      s.gatekeeper.doing(
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
+      s.policy.respondWith(
           (now, e) -> {
             if (e instanceof RequestArrived) {
               throw new IllegalStateException("a defect, for a test");
@@ -167,20 +167,20 @@
           s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50"))
               .get()
               .statusCode());
-      s.gatekeeper.await(ClientDisconnected.class);
+      s.policy.await(ClientDisconnected.class);
     }
   }
 
   @Test
   void aClientThatLeavesWhileItsCounterCallIsOutIsGoneAndTheCallIsStillTold() throws Exception {
     try (FakeCounterServer counter = new FakeCounterServer().start()) {
-      try (Setup s =
-          new Setup(
+      try (GatewayHarness s =
+          new GatewayHarness(
               r -> r.response().end(),
               "counter 127.0.0.1:" + counter.port(),
               "counter-limits timeout 20s")) {
         CompletableFuture<Long> asked = new CompletableFuture<>();
-        s.gatekeeper.doing(
+        s.policy.respondWith(
             (now, e) -> {
               if (e instanceof RequestArrived r) {
                 asked.complete(r.requestId());
@@ -197,23 +197,23 @@
                       .getBytes(StandardCharsets.ISO_8859_1));
           asked.get(20, TimeUnit.SECONDS);
         }
-        assertEquals(asked.get(), s.gatekeeper.await(ClientDisconnected.class).requestId());
-        assertEquals("n", s.gatekeeper.await(CounterReply.class).counterName());
-        assertEquals(1, s.gatekeeper.all(CounterReply.class).size());
+        assertEquals(asked.get(), s.policy.await(ClientDisconnected.class).requestId());
+        assertEquals("n", s.policy.await(CounterReply.class).counterName());
+        assertEquals(1, s.policy.all(CounterReply.class).size());
       }
     }
   }
 
   @Test
   void aClientThatResetsItsStreamIsGone() throws Exception {
-    try (Setup s = new Setup(r -> {})) {
+    try (GatewayHarness s = new GatewayHarness(r -> {})) {
       var client =
           s.vertx.createHttpClient(
               new HttpClientOptions()
                   .setProtocolVersion(HttpVersion.HTTP_2)
                   .setHttp2ClearTextUpgrade(false));
       var request =
-          Setup.wait(
+          GatewayHarness.await(
               client.request(
                   new RequestOptions()
                       .setHost("127.0.0.1")
@@ -221,9 +221,9 @@
                       .setURI("/lookup")
                       .putHeader("x-api-key", "k1")));
       request.send();
-      long id = s.gatekeeper.await(RequestArrived.class).requestId();
-      request.reset(Ends.CANCEL);
-      assertEquals(id, s.gatekeeper.await(ClientDisconnected.class).requestId());
+      long id = s.policy.await(RequestArrived.class).requestId();
+      request.reset(CallResults.CANCEL);
+      assertEquals(id, s.policy.await(ClientDisconnected.class).requestId());
     }
   }
 
@@ -231,8 +231,8 @@
   void tenThousandRequestsAreOpenAtOnceAndAllAreAnswered() throws Exception {
     int count = 10_000;
     List<HttpServerRequest> held = new ArrayList<>();
-    try (Setup s =
-        new Setup(
+    try (GatewayHarness s =
+        new GatewayHarness(
             r -> {
               held.add(r);
               if (held.size() == count) {
@@ -241,11 +241,11 @@
             },
             "limits open 10000 attempts 1",
             "pool connections 4 streams 5000")) {
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()))
-                  : Scripted.sendOnce(now, e));
+                  : ScriptedPolicy.forwardOnce(now, e));
       var client =
           s.vertx.createHttpClient(
               new HttpClientOptions()
@@ -266,20 +266,20 @@
                 .compose(r -> r.send())
                 .map(HttpClientResponse::statusCode));
       }
-      Setup.wait(Future.all(answers));
+      GatewayHarness.await(Future.all(answers));
       assertEquals(count, answers.stream().filter(a -> a.result() == 200).count());
-      assertEquals(count, s.gatekeeper.all(AttemptCompleted.class).size());
+      assertEquals(count, s.policy.all(AttemptCompleted.class).size());
     }
   }
 
   @Test
   void beyondTheMostThatMayBeOpenIsTurnedAwayUnasked() throws Exception {
-    try (Setup s = new Setup(r -> {}, "limits open 1")) {
+    try (GatewayHarness s = new GatewayHarness(r -> {}, "limits open 1")) {
       CompletableFuture<HttpResponse<String>> first =
           s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
-      s.gatekeeper.await(RequestArrived.class);
+      s.policy.await(RequestArrived.class);
       assertEquals(503, s.get("/lookup").statusCode());
-      assertEquals(1, s.gatekeeper.all(RequestArrived.class).size());
+      assertEquals(1, s.policy.all(RequestArrived.class).size());
       assertEquals(504, first.get(20, TimeUnit.SECONDS).statusCode());
     }
   }
@@ -287,10 +287,10 @@
   @Test
   void stoppingAnswersWhatIsOpenAndLetsNobodyIn() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    Setup s = new Setup(held::complete, "stop 30s");
+    GatewayHarness s = new GatewayHarness(held::complete, "stop 30s");
     CompletableFuture<HttpResponse<String>> open = s.send(s.to("/lookup"));
     HttpServerRequest request = held.get(20, TimeUnit.SECONDS);
-    var stopped = s.daemon.stop();
+    var stopped = s.server.stop();
     CompletableFuture<Boolean> refused =
         CompletableFuture.supplyAsync(
             () -> {
@@ -306,7 +306,7 @@
     assertTrue(!stopped.isComplete(), "it waits for the open request");
     request.response().end("kept");
     assertEquals("kept", open.get(20, TimeUnit.SECONDS).body());
-    Setup.wait(stopped);
+    GatewayHarness.await(stopped);
     s.close();
   }
 }
--- a/src/test/java/fawndock/gateway/Scripted.java
+++ b/src/test/java/fawndock/gateway/ScriptedPolicy.java
@@ -14,12 +14,13 @@
 import java.util.function.Predicate;
 
 /** A gatekeeper that does what a test says and remembers what it was told. */
-final class Scripted implements GatewayPolicy {
+final class ScriptedPolicy implements GatewayPolicy {
   private final List<PolicyEvent> events = new ArrayList<>();
-  private volatile BiFunction<Long, PolicyEvent, List<PolicyAction>> script = Scripted::sendOnce;
+  private volatile BiFunction<Long, PolicyEvent, List<PolicyAction>> script =
+      ScriptedPolicy::forwardOnce;
 
   /** Sends each request to the server "w" once, and fails it when that did not serve it. */
-  static List<PolicyAction> sendOnce(long now, PolicyEvent event) {
+  static List<PolicyAction> forwardOnce(long now, PolicyEvent event) {
     if (event instanceof RequestArrived r) {
       return List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()));
     }
@@ -29,7 +30,7 @@
     return List.of();
   }
 
-  Scripted doing(BiFunction<Long, PolicyEvent, List<PolicyAction>> what) {
+  ScriptedPolicy respondWith(BiFunction<Long, PolicyEvent, List<PolicyAction>> what) {
     script = what;
     return this;
   }
--- a/src/test/java/fawndock/gateway/WireNamesTest.java
+++ b/src/test/java/fawndock/gateway/WireNamesTest.java
@@ -47,7 +47,7 @@
 
   @Test
   void problemTypesAndHeaderFields_ofUnreadableRequests() throws Exception {
-    try (Setup s = new Setup(r -> r.response().end(), "sizes body 1KiB")) {
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB")) {
       List<HttpRequest.Builder> requests =
           List.of(
               s.to("/lookup/%2e%2E/admin"),
@@ -76,13 +76,13 @@
 
   @Test
   void problemTypesAndHeaderFields_ofDecisions() throws Exception {
-    try (Setup s = new Setup(r -> r.response().reset(2))) {
+    try (GatewayHarness s = new GatewayHarness(r -> r.response().reset(2))) {
       assertEquals("502 urn:fawndock:problem:failed []", problem(s.get("/lookup")));
-      s.gatekeeper.doing((now, e) -> List.of());
+      s.policy.respondWith((now, e) -> List.of());
       assertEquals(
           "504 urn:fawndock:problem:failed []",
           problem(s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50")).get()));
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(new RejectRequest(r.requestId(), 1))
@@ -95,16 +95,16 @@
 
   @Test
   void problemTypeAndHeaderFields_beyondTheRequestsThatMayBeInFlight() throws Exception {
-    try (Setup s = new Setup(r -> {}, "limits open 1")) {
+    try (GatewayHarness s = new GatewayHarness(r -> {}, "limits open 1")) {
       var unused = s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
-      s.gatekeeper.await(RequestArrived.class);
+      s.policy.await(RequestArrived.class);
       assertEquals("503 urn:fawndock:problem:open [retry-after]", problem(s.get("/lookup")));
     }
   }
 
   @Test
   void problemType_ofABodyThatIsTooSlow() throws Exception {
-    try (Setup s = new Setup(r -> {});
+    try (GatewayHarness s = new GatewayHarness(r -> {});
         Socket socket = new Socket("127.0.0.1", s.port)) {
       socket.setSoTimeout(20_000);
       socket
@@ -131,8 +131,8 @@
     for (Map.Entry<String, EndpointUpdateKind> list :
         Map.of("complete", EndpointUpdateKind.SNAPSHOT, "changes", EndpointUpdateKind.CHANGES)
             .entrySet()) {
-      RosterLine line =
-          RosterLine.parse(
+      EndpointWatchMessage line =
+          EndpointWatchMessage.parse(
               "{\"list\":\""
                   + list.getKey()
                   + "\",\"servers\":["
@@ -142,13 +142,13 @@
                       entry.formatted("s", "stopping"),
                       entry.formatted("d", "deleted"))
                   + "]}");
-      assertEquals(list.getValue(), line.listing());
+      assertEquals(list.getValue(), line.kind());
       assertEquals(
           List.of(
               new Endpoint("r", "here", 3, EndpointState.RUNNING, 2.5, 12),
               new Endpoint("s", "here", 3, EndpointState.DRAINING, 2.5, 12),
               new Endpoint("d", "here", 3, EndpointState.REMOVED, 2.5, 12)),
-          line.servers());
+          line.endpoints());
       assertEquals(new Address("10.0.0.1", 9001), line.addresses().get("r"));
     }
   }
@@ -167,7 +167,7 @@
 
     /** Field names of a line, with the values of those whose values are words of the manual. */
     String fields(int line) {
-      Setup.until(() -> lines.list.size() > line);
+      GatewayHarness.awaitTrue(() -> lines.list.size() > line);
       return Arrays.stream(lines.list.get(line).getArgumentArray())
           .map(String::valueOf)
           .map(f -> f.matches("(verdict|reason|status)=.*") ? f : f.replaceAll("=.*", ""))
@@ -190,19 +190,19 @@
   @Test
   void accessLogLine_fieldsAndVerdicts() throws Exception {
     try (LogCapture log = new LogCapture("fawndock.answers");
-        Setup s = new Setup(r -> r.response().end())) {
+        GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
       s.get("/lookup");
       assertEquals(finalAnswer("served", "w", 200), log.fields(0));
       s.get("/elsewhere");
       assertEquals("label gatekeeper verdict=turned away reason=route status=404", log.fields(1));
-      s.gatekeeper.doing(
+      s.policy.respondWith(
           (now, e) ->
               e instanceof RequestArrived r
                   ? List.of(new RejectRequest(r.requestId(), 1))
                   : List.of());
       s.get("/lookup");
       assertEquals(finalAnswer("refused", "not sent", 429), log.fields(2));
-      s.gatekeeper.doing((now, e) -> List.of());
+      s.policy.respondWith((now, e) -> List.of());
       s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50")).get();
       assertEquals(finalAnswer("failed", "not sent", 504), log.fields(3));
       try (Socket socket = new Socket("127.0.0.1", s.port)) {
@@ -211,9 +211,9 @@
             .write(
                 "GET /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\nx-request-id: leaves\r\n\r\n"
                     .getBytes(StandardCharsets.ISO_8859_1));
-        Setup.until(() -> s.gatekeeper.all(RequestArrived.class).size() == 4);
+        GatewayHarness.awaitTrue(() -> s.policy.all(RequestArrived.class).size() == 4);
       }
-      s.gatekeeper.await(ClientDisconnected.class);
+      s.policy.await(ClientDisconnected.class);
       assertEquals(finalAnswer("gone", "client left", 0), log.fields(4));
     }
   }
--- a/src/test/java/fawndock/ratelimit/RateLimitTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
@@ -37,7 +37,7 @@
  * A client made from the public definitions, against two gatekeepers' rate limit services and one
  * counter.
  */
-class RateLimitTest {
+class RateLimitServiceTest {
   private static final ServiceMethod<RateLimitResponse, RateLimitRequest> CALL =
       ServiceMethod.client(
           ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
@@ -47,25 +47,25 @@
   @TempDir private Path directory;
   private final Vertx vertx = Vertx.vertx();
   private final FakeCounterServer counter = new FakeCounterServer();
-  private final List<RateLimitNode> nodes = new ArrayList<>();
+  private final List<RateLimitService> nodes = new ArrayList<>();
   private GrpcClient client;
 
   /**
    * Windows of the plan below are 20 s of the wall clock; a test that met their end would find
    * other totals.
    */
-  private static void awaitAWindowWithRoom() throws InterruptedException {
+  private static void awaitStartOfQuotaWindow() throws InterruptedException {
     long into = System.currentTimeMillis() % 20_000;
     Thread.sleep(into < 14_000 ? 0 : 20_050 - into);
   }
 
   @BeforeEach
   void start() throws Exception {
-    awaitAWindowWithRoom();
+    awaitStartOfQuotaWindow();
     counter.start();
     client = GrpcClient.client(vertx);
     for (int i = 0; i < 2; i++) {
-      RateLimitNode node = new RateLimitNode(settings(i, ""), DefaultGatewayPolicy::new);
+      RateLimitService node = new RateLimitService(settings(i, ""), DefaultGatewayPolicy::new);
       wait(vertx.deployVerticle(node));
       nodes.add(node);
     }
--- a/src/test/java/fawndock/ratelimit/RateLimitWireNamesTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitWireNamesTest.java
@@ -22,9 +22,9 @@
   void serviceAndMethod() {
     assertEquals(
         "envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit",
-        RateLimitNode.SHOULD_RATE_LIMIT.serviceName().fullyQualifiedName()
+        RateLimitService.SHOULD_RATE_LIMIT.serviceName().fullyQualifiedName()
             + "/"
-            + RateLimitNode.SHOULD_RATE_LIMIT.methodName());
+            + RateLimitService.SHOULD_RATE_LIMIT.methodName());
   }
 
   @Test
