--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -2,7 +2,7 @@
 
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -22,7 +22,7 @@
   @Override
   public Integer call() {
     try {
-      GatewaySettings s = SettingsFile.read(file);
+      GatewaySettings s = GatewaySettingsFile.read(file);
       System.out.println(
           file
               + ": no mistakes: "
@@ -30,7 +30,7 @@
               + " classes, "
               + s.plans().size()
               + " plans, "
-              + s.keys().size()
+              + s.apiKeys().size()
               + " keys, "
               + s.routes().size()
               + " routes");
--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/Logs.java
@@ -34,7 +34,7 @@
     ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
     console.setContext(context);
     console.setTarget("System.err");
-    console.setEncoder(log.json() ? json(context) : text(context));
+    console.setEncoder(log.isJson() ? json(context) : text(context));
     console.start();
     AsyncAppender queue = new AsyncAppender();
     queue.setContext(context);
--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -5,7 +5,7 @@
 import fawndock.ratelimit.RateLimitService;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
@@ -36,7 +36,7 @@
   public Integer call() throws Exception {
     GatewaySettings settings;
     try {
-      settings = SettingsFile.read(file);
+      settings = GatewaySettingsFile.read(file);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -69,7 +69,7 @@
   public CounterServer(CounterSettings settings, Storage disk) {
     this.settings = settings;
     this.disk = disk;
-    commit = new GroupCommit(settings.durability(), settings.intervalMillis());
+    commit = new GroupCommit(settings.durability(), settings.syncIntervalMillis());
   }
 
   /**
@@ -93,7 +93,7 @@
         new MonotonicWallClock(found.time(), System.currentTimeMillis(), System.nanoTime());
     engine =
         new Engine(
-            new CounterOperations(table, settings.maxMemory()),
+            new CounterOperations(table, settings.maxMemoryBytes()),
             commit,
             time,
             loop,
@@ -136,7 +136,7 @@
     } catch (Exception e) { // Netty throws what bind threw, undeclared.
       throw new IOException("cannot listen on " + settings.listen() + ": " + e.getMessage(), e);
     }
-    long every = Math.max(1, settings.intervalMillis());
+    long every = Math.max(1, settings.syncIntervalMillis());
     loop.scheduleAtFixedRate(engine::pump, every, every, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
         fleet::tick, Fleet.TICK_MILLIS, Fleet.TICK_MILLIS, TimeUnit.MILLISECONDS);
@@ -172,7 +172,8 @@
 
   private void checkSessions() {
     long now = System.nanoTime();
-    Set.copyOf(sessions).forEach(s -> s.check(now, settings.stallMillis() * 1_000_000));
+    Set.copyOf(sessions)
+        .forEach(s -> s.check(now, settings.stalledClientTimeoutMillis() * 1_000_000));
   }
 
   @Override
@@ -187,7 +188,7 @@
     engine.pump();
     // Not more often than the log outgrows the last one: writing them would take more of the disk
     // than the log.
-    if (appended >= Math.max(settings.snapshotAfter(), snapshots.lastSize())
+    if (appended >= Math.max(settings.snapshotAfterLogBytes(), snapshots.lastSize())
         && !snapshots.active()
         && System.nanoTime() - snapshotNotBefore >= 0
         && !stopping) {
--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -63,20 +63,20 @@
 
   Fleet(CounterSettings settings, Engine engine, EventLoopGroup group) {
     this.engine = engine;
-    CounterSettings.Fleet fleet = settings.fleet();
+    CounterSettings.Cluster fleet = settings.cluster();
     name = fleet.node();
     this.group = group;
     password = settings.password();
     node =
         new ReplicaNode(
             name,
-            List.copyOf(fleet.fellows().keySet()),
+            List.copyOf(fleet.peers().keySet()),
             fleet.epoch(),
             ThreadLocalRandom.current().nextLong(),
-            new ReplicaNode.Times(fleet.missingMillis(), fleet.aloneMillis()),
+            new ReplicaNode.Times(fleet.failureTimeoutMillis(), fleet.startAloneMillis()),
             new ReplicatedSums(engine.counts()),
             engine.now());
-    fleet.fellows().forEach(this::link);
+    fleet.peers().forEach(this::link);
     ready = node.ready();
   }
 
--- a/src/main/java/fawndock/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -46,10 +46,10 @@
                 new Vary(
                     line.words().get(1), List.copyOf(line.words().subList(2, line.words().size())));
             if (Set.copyOf(vary.values()).size() < vary.values().size()) {
-              wrong(line, "a value of " + vary.name() + " is given twice", "each value once");
+              addError(line, "a value of " + vary.name() + " is given twice", "each value once");
             }
             if (varied.stream().anyMatch(v -> v.name().equals(vary.name()))) {
-              wrong(line, vary.name() + " is varied twice", "each name once");
+              addError(line, vary.name() + " is varied twice", "each name once");
             }
             varied.add(vary);
           }
@@ -91,14 +91,14 @@
   private boolean needs(ConfigurationLine line, int least, int most, String form) {
     int has = line.words().size() - 1;
     if (has < least || has > most) {
-      wrong(line, line.keyword() + " has " + has + " arguments", form);
+      addError(line, line.keyword() + " has " + has + " arguments", form);
       return false;
     }
     return true;
   }
 
   private void checkLater(ConfigurationLine line, String name, List<String> values) {
-    check(
+    crossCheck(
         line,
         () ->
             varied.stream().anyMatch(v -> v.name().equals(name) && v.values().containsAll(values)),
@@ -118,7 +118,7 @@
       checkLater(line, words.get(i), all.get(words.get(i)));
     }
     if ((words.size() - from) % 2 == 1) {
-      wrong(line, "'" + words.get(words.size() - 1) + "' has no value", "NAME VALUE|VALUE");
+      addError(line, "'" + words.get(words.size() - 1) + "' has no value", "NAME VALUE|VALUE");
     }
     return all;
   }
@@ -127,7 +127,7 @@
     List<String> words = line.words().subList(1, line.words().size());
     if (words.isEmpty()
         || words.stream().anyMatch(w -> !w.matches("[0-9]{1,9}(\\.\\.[0-9]{1,9})?"))) {
-      wrong(
+      addError(
           line,
           "seeds '" + String.join(" ", words) + "'",
           "whole numbers, or ranges such as 1..20");
@@ -139,7 +139,7 @@
       long from = Long.parseLong(ends[0]);
       long to = Long.parseLong(ends[ends.length - 1]);
       if (to < from || to - from > MOST_RUNS) {
-        wrong(line, "seeds '" + word + "'", "a range that goes up, of at most " + MOST_RUNS);
+        addError(line, "seeds '" + word + "'", "a range that goes up, of at most " + MOST_RUNS);
         return;
       }
       LongStream.rangeClosed(from, to).filter(s -> !all.contains(s)).forEach(all::add);
@@ -163,7 +163,7 @@
     if (Double.isNaN(bound)
         || !words.get(2).matches("at-most|at-least")
         || when && (!words.get(4).equals("when") || words.size() < 7)) {
-      wrong(line, "expect '" + String.join(" ", words.subList(1, words.size())) + "'", form);
+      addError(line, "expect '" + String.join(" ", words.subList(1, words.size())) + "'", form);
       return;
     }
     expected.add(
@@ -187,14 +187,14 @@
   /** The same without a look at the scenario, which may be elsewhere by now. */
   public static Experiment asRun(Path file) throws ConfigurationException {
     ExperimentFile f = new ExperimentFile(file);
-    f.lines(file);
-    f.missing(f.scenario == null, "no scenario", "scenario FILE");
+    f.readLines(file);
+    f.addFileErrorIf(f.scenario == null, "no scenario", "scenario FILE");
     long runs = f.seeds.size();
     for (Vary vary : f.varied) {
       runs = Math.min(Integer.MAX_VALUE, runs * vary.values().size());
     }
-    f.missing(runs > MOST_RUNS, "more than " + MOST_RUNS + " runs", "fewer values or seeds");
-    f.finish();
+    f.addFileErrorIf(runs > MOST_RUNS, "more than " + MOST_RUNS + " runs", "fewer values or seeds");
+    f.throwIfErrors();
     String axis = f.axis.isEmpty() && !f.varied.isEmpty() ? f.varied.get(0).name() : f.axis;
     return new Experiment(
         f.title.isEmpty() ? file.getFileName().toString() : f.title,
--- a/src/main/java/fawndock/gateway/BackendPools.java
+++ b/src/main/java/fawndock/gateway/BackendPools.java
@@ -34,10 +34,11 @@
                     .setHttp2ClearTextUpgrade(false)
                     .setHttp2MultiplexingLimit(settings.http().streamsPerConnection())
                     .setTcpNoDelay(true)
-                    .setConnectTimeout((int) Math.max(1, settings.http().connectMicros() / 1_000)))
+                    .setConnectTimeout(
+                        (int) Math.max(1, settings.http().connectTimeoutMicros() / 1_000)))
             .with(
                 new PoolOptions()
-                    .setHttp2MaxSize(settings.http().connectionsPerServer())
+                    .setHttp2MaxSize(settings.http().connectionsPerEndpoint())
                     .setMaxWaitQueueSize(settings.limits().maxInFlight()))
             .withConnectHandler(
                 connection -> {
--- a/src/main/java/fawndock/gateway/CounterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClient.java
@@ -10,7 +10,7 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterService;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -32,15 +32,15 @@
   CounterClient(
       Vertx vertx,
       Context context,
-      CounterParts settings,
+      CounterService settings,
       MicroClock clock,
       Timers alarms,
       Consumer<CounterReply> told) {
     cluster =
-        !settings.nodes().isEmpty()
+        !settings.clusterNodes().isEmpty()
             ? new CounterClusterClient(vertx, context, settings, clock, alarms, told)
             : null;
-    for (Address address : settings.parts()) {
+    for (Address address : settings.shards()) {
       shards.add(new CounterShardClient(vertx, context, address, settings, clock, alarms, told));
     }
   }
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -18,7 +18,7 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterService;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -49,7 +49,7 @@
   private static final Command HERE = Command.create("FD.HERE");
 
   private final Vertx vertx;
-  private final CounterParts settings;
+  private final CounterService settings;
   private final MicroClock clock;
   private final Timers timers;
   private final CounterReplySequencer sequencer;
@@ -70,7 +70,7 @@
   CounterClusterClient(
       Vertx vertx,
       Context context,
-      CounterParts settings,
+      CounterService settings,
       MicroClock clock,
       Timers alarms,
       Consumer<CounterReply> told) {
@@ -80,7 +80,7 @@
     sequencer = new CounterReplySequencer(told);
     this.context = context;
     this.vertx = vertx;
-    settings.nodes().forEach((id, address) -> connections.put(id, connect(id, address)));
+    settings.clusterNodes().forEach((id, address) -> connections.put(id, connect(id, address)));
     long limit = Math.max(2, settings.timeoutMicros() / 1_000);
     // The next node is asked early: an answer that comes late in a call's time tells the gatekeeper
     // that the counter
@@ -100,7 +100,7 @@
             vertx,
             context,
             address,
-            settings.maxCalls(),
+            settings.maxCallsInFlight(),
             timers,
             () -> connected(id, made[0]),
             () -> lost(id, made[0]));
@@ -129,7 +129,7 @@
     sequencer.begin(waiting);
     List<Out> out = new ArrayList<>();
     try {
-      if (pendingCalls.size() >= settings.maxCalls()) {
+      if (pendingCalls.size() >= settings.maxCallsInFlight()) {
         throw new CommandException("too many calls are out");
       }
       DecimalAmount amount =
--- a/src/main/java/fawndock/gateway/CounterShardClient.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -7,7 +7,7 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterService;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -52,7 +52,7 @@
   }
 
   private final Context context;
-  private final CounterParts settings;
+  private final CounterService settings;
   private final MicroClock clock;
   private final Timers timers;
   private final CounterReplySequencer sequencer;
@@ -72,7 +72,7 @@
       Vertx vertx,
       Context context,
       Address address,
-      CounterParts settings,
+      CounterService settings,
       MicroClock clock,
       Timers alarms,
       Consumer<CounterReply> told) {
@@ -87,7 +87,8 @@
             context,
             address,
             alarms,
-            new CounterConnection.Use("counter", 2 * settings.maxCalls() + 16, MAX_BACKOFF_MICROS),
+            new CounterConnection.Use(
+                "counter", 2 * settings.maxCallsInFlight() + 16, MAX_BACKOFF_MICROS),
             this);
     connection.connect();
   }
@@ -96,7 +97,7 @@
     Call call = new Call(count, clock.now());
     sequencer.begin(call);
     boolean none = connection.now() == null;
-    if (none || inFlight.size() >= settings.maxCalls()) {
+    if (none || inFlight.size() >= settings.maxCallsInFlight()) {
       // In a later turn: the gatekeeper is still being asked.
       CallResult why = none ? CallResult.CONNECT_FAILED : CallResult.SHED;
       context.runOnContext(later -> complete(call, why, 0));
--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -6,7 +6,7 @@
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.GatewaySettings.RosterSource;
+import fawndock.settings.GatewaySettings.EndpointDiscovery;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
@@ -35,7 +35,7 @@
   private static final int MAX_LINE_BYTES = 8 << 20;
   private static final long INITIAL_BACKOFF_MICROS = 100_000;
   private static final long MAX_BACKOFF_MICROS = 2_000_000;
-  private final RosterSource settings;
+  private final EndpointDiscovery settings;
   private final Timers timers;
   private final Consumer<EndpointUpdate> listener;
   private final HttpClient http;
@@ -47,7 +47,8 @@
   private long backoffMicros = INITIAL_BACKOFF_MICROS;
   private Timers.Timer idleTimer;
 
-  EndpointWatch(Vertx vertx, RosterSource source, Timers alarms, Consumer<EndpointUpdate> told) {
+  EndpointWatch(
+      Vertx vertx, EndpointDiscovery source, Timers alarms, Consumer<EndpointUpdate> told) {
     this.settings = source;
     this.timers = alarms;
     this.listener = told;
@@ -60,10 +61,10 @@
    * Tells what the settings list, then follows the roster unless the gatekeeper must ask for it.
    */
   void start() {
-    if (!settings.fixed().isEmpty() || settings.mustAsk()) {
+    if (!settings.staticEndpoints().isEmpty() || settings.isPolicyStarted()) {
       List<Endpoint> fixed = new ArrayList<>();
       settings
-          .fixed()
+          .staticEndpoints()
           .forEach(
               s -> {
                 addresses.put(s.id(), s.address());
@@ -72,7 +73,7 @@
               });
       listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
     }
-    if (!settings.mustAsk()) {
+    if (!settings.isPolicyStarted()) {
       watch();
     }
   }
@@ -166,7 +167,7 @@
 
   private void restartIdleTimer(Object mine) {
     timers.cancel(idleTimer);
-    idleTimer = timers.schedule(settings.silenceMicros(), () -> lost(mine, "silent"));
+    idleTimer = timers.schedule(settings.watchIdleTimeoutMicros(), () -> lost(mine, "silent"));
   }
 
   private void lost(Object which, String why) {
@@ -190,7 +191,7 @@
           }
         });
     backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
-    if (settings.mustAsk()) {
+    if (settings.isPolicyStarted()) {
       listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
--- a/src/main/java/fawndock/gateway/GatewayServer.java
+++ b/src/main/java/fawndock/gateway/GatewayServer.java
@@ -46,7 +46,7 @@
   public synchronized Future<Integer> start() {
     Future<Integer> started = Future.succeededFuture(settings.listen().port());
     for (int i = 0; i < settings.instances(); i++) {
-      int me = settings.first() + i;
+      int me = settings.firstInstance() + i;
       started =
           started.compose(
               port -> {
@@ -83,7 +83,7 @@
       stop()
           .toCompletionStage()
           .toCompletableFuture()
-          .get(settings.http().stopMicros() / 1_000 + 5_000, TimeUnit.MILLISECONDS);
+          .get(settings.http().drainTimeoutMicros() / 1_000 + 5_000, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -84,19 +84,19 @@
         policyFactory.apply(
             new PolicyConfig(
                 instanceIndex,
-                settings.fleet(),
+                settings.fleetSize(),
                 settings.seed() + instanceIndex,
                 TIMER_RESOLUTION_MICROS,
                 settings.zone(),
-                settings.roster().mustAsk(),
+                settings.discovery().isPolicyStarted(),
                 settings.classes(),
                 settings.plans(),
                 settings.limits(),
                 settings.rules(),
                 new CounterConfig(
-                    !settings.counter().none(),
+                    !settings.counter().isAbsent(),
                     settings.counter().timeoutMicros(),
-                    settings.counter().settled()))));
+                    settings.counter().settlesUnits()))));
     counterClient =
         new CounterClient(vertx, context, settings.counter(), clock, timers, policyRunner::onEvent);
     peerMessenger =
@@ -104,7 +104,7 @@
             ? null
             : new PeerMessenger(
                 vertx, settings.peers(), instanceIndex, clock, policyRunner::onEvent);
-    endpointWatch = new EndpointWatch(vertx, settings.roster(), timers, policyRunner::onEvent);
+    endpointWatch = new EndpointWatch(vertx, settings.discovery(), timers, policyRunner::onEvent);
     endpointWatch.start();
     HttpServerListener front = new HttpServerListener(settings, policyRunner, answerLog);
     long longest =
@@ -123,7 +123,7 @@
                     .setHttp2RstFloodWindowDurationTimeUnit(TimeUnit.SECONDS))
             .connectionHandler(
                 connection -> {
-                  if (openConnections.incrementAndGet() > settings.http().maxConnections()) {
+                  if (openConnections.incrementAndGet() > settings.http().maxClientConnections()) {
                     connection.close();
                   }
                   connection.closeHandler(closed -> openConnections.decrementAndGet());
@@ -140,7 +140,7 @@
                 LOG.info(
                     "gatekeeper {} of {} listens on {}:{}",
                     instanceIndex,
-                    settings.fleet(),
+                    settings.fleetSize(),
                     settings.listen().host(),
                     s.actualPort()));
   }
@@ -157,7 +157,7 @@
     Promise<Void> drained = Promise.promise();
     context.runOnContext(
         v -> {
-          long millis = Math.max(1, settings.http().stopMicros() / 1_000);
+          long millis = Math.max(1, settings.http().drainTimeoutMicros() / 1_000);
           LOG.info(
               "gatekeeper {} stops with {} requests open", instanceIndex, policyRunner.openCount());
           Future<Void> closing = server.shutdown(millis, TimeUnit.MILLISECONDS);
@@ -215,7 +215,7 @@
 
   @Override
   public int maxBufferedResponseBytes() {
-    return settings.http().answerLimit();
+    return settings.http().maxBufferedResponseBytes();
   }
 
   @Override
--- a/src/main/java/fawndock/gateway/HttpServerListener.java
+++ b/src/main/java/fawndock/gateway/HttpServerListener.java
@@ -7,7 +7,7 @@
 import fawndock.runtime.ServerExchange.RequestAttributes;
 import fawndock.runtime.Timers;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.GatewaySettings.Key;
+import fawndock.settings.GatewaySettings.ApiKey;
 import fawndock.settings.GatewaySettings.Route;
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
@@ -85,7 +85,7 @@
       throw new Unfit(400, "path", "Path cannot be read", "Send it without dot segments.");
     }
     String key = one(request, settings.http().keyHeader());
-    Key holder = key == null ? null : settings.keys().get(key);
+    ApiKey holder = key == null ? null : settings.apiKeys().get(key);
     if (holder == null) {
       request.response().putHeader("www-authenticate", "ApiKey");
       throw new Unfit(
@@ -112,7 +112,8 @@
             millis(request, settings.http().deadlineHeader(), type.deadlineMicros() / 1_000)
                 * 1_000);
     boolean repeat = millis(request, settings.http().attemptHeader(), 1) > 1;
-    int spread = holder.spread() == 0 ? settings.fleet() : holder.spread();
+    int spread =
+        holder.customerInstanceCount() == 0 ? settings.fleetSize() : holder.customerInstanceCount();
     MultiMap headers = ForwardedHeaders.filter(request.headers(), kept);
     headers.add("via", (request.version().alpnName().startsWith("h2") ? "2" : "1.1") + " fawndock");
     String label = request.getHeader("x-request-id");
@@ -125,7 +126,7 @@
             arrivedAt + left,
             units(request),
             spread,
-            holder.first(),
+            holder.customerFirstInstance(),
             repeat,
             label == null ? "" : label.substring(0, Math.min(64, label.length())));
     collect(
@@ -157,7 +158,7 @@
     }
     if (DECIMAL.matcher(text).matches()) {
       double units = Double.parseDouble(text);
-      if (units > 0 && units <= settings.http().mostUnits()) {
+      if (units > 0 && units <= settings.http().maxUnits()) {
         return units;
       }
     }
@@ -165,7 +166,7 @@
         400,
         "field",
         "A field cannot be read",
-        name + " is a number above 0 and at most " + settings.http().mostUnits() + ".");
+        name + " is a number above 0 and at most " + settings.http().maxUnits() + ".");
   }
 
   private static long millis(HttpServerRequest request, String name, long otherwise) {
@@ -189,7 +190,7 @@
 
   /** Takes in the body, which a repeat may need again, up to the stated size. */
   private void collect(HttpServerRequest request, RequestAttributes asked, ForwardedRequest sent) {
-    int limit = settings.http().bodyLimit();
+    int limit = settings.http().maxRequestBodyBytes();
     String length = request.getHeader("content-length");
     if (length != null && (!LENGTH.matcher(length).matches() || Long.parseLong(length) > limit)) {
       throw tooLarge(limit);
--- a/src/main/java/fawndock/gateway/PeerMessenger.java
+++ b/src/main/java/fawndock/gateway/PeerMessenger.java
@@ -38,7 +38,7 @@
     this.instanceIndex = me;
     this.clock = clock;
     this.listener = told;
-    this.receiveTokens = peers.intake();
+    this.receiveTokens = peers.maxMessagesPerSecond();
     this.socket = vertx.createDatagramSocket();
   }
 
@@ -56,7 +56,7 @@
   }
 
   void send(SendPeerMessage tell) {
-    for (Map.Entry<Integer, Address> peer : peers.others().entrySet()) {
+    for (Map.Entry<Integer, Address> peer : peers.addresses().entrySet()) {
       if (peer.getKey() == instanceIndex
           || tell.toInstance() >= 0 && tell.toInstance() != peer.getKey()) {
         continue;
@@ -77,7 +77,9 @@
   private void receive(Buffer data) {
     long now = clock.now();
     receiveTokens =
-        Math.min(peers.intake(), receiveTokens + (now - refilledAtMicros) / 1e6 * peers.intake());
+        Math.min(
+            peers.maxMessagesPerSecond(),
+            receiveTokens + (now - refilledAtMicros) / 1e6 * peers.maxMessagesPerSecond());
     refilledAtMicros = now;
     String[] words =
         data.length() > MAX_DATAGRAM_BYTES ? new String[0] : data.toString().split(" ", 4);
@@ -86,7 +88,7 @@
             && words[0].equals("fd1")
             && words[1].equals(Integer.toString(instanceIndex))
             && words[2].matches("[0-9]{1,4}")
-            && peers.others().containsKey(Integer.parseInt(words[2]));
+            && peers.addresses().containsKey(Integer.parseInt(words[2]));
     if (ours && receiveTokens >= 1) {
       receiveTokens--;
       listener.accept(new PeerMessageReceived(Integer.parseInt(words[2]), words[3]));
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -86,7 +86,7 @@
       int me,
       Function<PolicyConfig, GatewayPolicy> maker) {
     timers = new Timers(vertx);
-    instanceCount = settings.fleet();
+    instanceCount = settings.fleetSize();
     eventQueue =
         new PolicyEventQueue(
             maker.apply(
@@ -102,7 +102,7 @@
                     settings.limits(),
                     settings.rules(),
                     new CounterConfig(
-                        !settings.counter().none(), settings.counter().timeoutMicros(), true))),
+                        !settings.counter().isAbsent(), settings.counter().timeoutMicros(), true))),
             clock,
             this::execute,
             LOG);
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -64,12 +64,12 @@
             settings.zone(),
             settings.classes(),
             settings.plans(),
-            Map.of(KEY, new GatewaySettings.Key(KEY, KEY, 0, 1)),
+            Map.of(KEY, new GatewaySettings.ApiKey(KEY, KEY, 0, 1)),
             settings.routes(),
             settings.limits(),
             settings.rules(),
             settings.counter(),
-            settings.roster(),
+            settings.discovery(),
             settings.peers(),
             settings.http(),
             settings.log(),
@@ -198,6 +198,6 @@
 
   @Override
   public int maxBufferedResponseBytes() {
-    return settings.http().answerLimit();
+    return settings.http().maxBufferedResponseBytes();
   }
 }
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -34,82 +34,82 @@
     keywords.put(
         "target",
         line -> {
-          LineArguments a = args(line, 1, "target HOST:PORT");
+          LineArguments a = arguments(line, 1, "target HOST:PORT");
           targets.add(a.address(0));
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put(
         "protocol",
         line -> {
-          LineArguments a = args(line, 1, "protocol h1|h2");
-          http2 = a.place(0).equals("h2");
-          if (!a.place(0).matches("h1|h2")) {
-            a.wrong("protocol '" + a.place(0) + "'", "h1 or h2");
+          LineArguments a = arguments(line, 1, "protocol h1|h2");
+          http2 = a.word(0).equals("h2");
+          if (!a.word(0).matches("h1|h2")) {
+            a.addError("protocol '" + a.word(0) + "'", "h1 or h2");
           }
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put("for", line -> seconds = seconds(line, 100 * MILLI));
     keywords.put("interval", line -> interval = seconds(line, 100 * MILLI));
     keywords.put("slack", line -> slack = (long) (seconds(line, MILLI) * SECOND));
-    keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
-    keywords.put("connections", line -> connections = whole(line, 1, 20_000));
-    keywords.put("outstanding", line -> outstanding = whole(line, 1, 1_000_000));
+    keywords.put("seed", line -> seed = readInt(line, 0, 999_999_999));
+    keywords.put("connections", line -> connections = readInt(line, 1, 20_000));
+    keywords.put("outstanding", line -> outstanding = readInt(line, 1, 1_000_000));
     keywords.put("flow", this::flow);
     keywords.put("trace", line -> trace(line, file));
   }
 
   private double seconds(ConfigurationLine line, long least) {
-    LineArguments a = args(line, 1, line.keyword() + " TIME");
-    double time = a.timeOf(line.keyword(), a.place(0), least, DAY, least) / (double) SECOND;
-    a.finish();
+    LineArguments a = arguments(line, 1, line.keyword() + " TIME");
+    double time = a.parseMicros(line.keyword(), a.word(0), least, DAY, least) / (double) SECOND;
+    a.rejectUnknown();
     return time;
   }
 
   private void flow(ConfigurationLine line) {
     LineArguments a =
-        args(line, 3, "flow NAME METHOD PATH rate NUMBER|clients NUMBER [ARGUMENT VALUE ...]");
+        arguments(line, 3, "flow NAME METHOD PATH rate NUMBER|clients NUMBER [ARGUMENT VALUE ...]");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
-    int closed = a.whole("clients", 1, 100_000, 0);
-    if (a.good() && (rate > 0) == (closed > 0)) {
-      a.wrong(
-          "flow " + a.place(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
+    int closed = a.integer("clients", 1, 100_000, 0);
+    if (a.isValid() && (rate > 0) == (closed > 0)) {
+      a.addError(
+          "flow " + a.word(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
           "rate or clients");
     }
     boolean even = Words.word(a, "arrivals", "poisson", "poisson|even").equals("even");
     Shape shape = Words.shape(a);
-    int customers = a.whole("customers", 1, 1_000_000, 1);
+    int customers = a.integer("customers", 1, 1_000_000, 1);
     double skew = a.number("skew", 0, 10, 0);
     flows.add(
-        new Flow(request(a, a.place(1), a.place(2)), rate, shape, even, closed, customers, skew));
-    a.finish();
+        new Flow(request(a, a.word(1), a.word(2)), rate, shape, even, closed, customers, skew));
+    a.rejectUnknown();
   }
 
   private void trace(ConfigurationLine line, Path file) {
-    LineArguments a = args(line, 2, "trace NAME FILE [speed NUMBER] [ARGUMENT VALUE ...]");
+    LineArguments a = arguments(line, 2, "trace NAME FILE [speed NUMBER] [ARGUMENT VALUE ...]");
     double speed = a.number("speed", 0.001, 1_000, 1);
     String method = a.word("method", "GET");
     String path = a.word("path", "/");
-    Path from = file.toAbsolutePath().getParent().resolve(a.place(1));
-    if (a.good() && !java.nio.file.Files.isReadable(from)) {
-      a.wrong("no trace " + from, "a file that can be read");
+    Path from = file.toAbsolutePath().getParent().resolve(a.word(1));
+    if (a.isValid() && !java.nio.file.Files.isReadable(from)) {
+      a.addError("no trace " + from, "a file that can be read");
     }
     traces.add(new Played(request(a, method, path), from, speed));
-    a.finish();
+    a.rejectUnknown();
   }
 
   private static Request request(LineArguments a, String method, String path) {
     if (!method.matches("[A-Z]{1,20}|")) {
-      a.wrong("method '" + method + "'", "letters such as GET");
+      a.addError("method '" + method + "'", "letters such as GET");
     }
     if (!path.matches("/.*|")) {
-      a.wrong("path '" + path + "'", "one that begins with /");
+      a.addError("path '" + path + "'", "one that begins with /");
     }
     return new Request(
-        a.place(0),
+        a.word(0),
         method,
         path,
         a.word("key", ""),
-        a.whole("body", 0, 16 << 20, 0),
+        a.integer("body", 0, 16 << 20, 0),
         Words.manners(a));
   }
 
@@ -120,13 +120,13 @@
    */
   public static LoadPlan read(Path file) throws ConfigurationException {
     LoadFile read = new LoadFile(file);
-    read.lines(file);
-    read.missing(read.targets.isEmpty(), "no target", "target HOST:PORT");
-    read.missing(
+    read.readLines(file);
+    read.addFileErrorIf(read.targets.isEmpty(), "no target", "target HOST:PORT");
+    read.addFileErrorIf(
         read.flows.isEmpty() && read.traces.isEmpty(),
         "no flow and no trace",
         "flow NAME METHOD PATH rate NUMBER");
-    read.finish();
+    read.throwIfErrors();
     return new LoadPlan(
         List.copyOf(read.targets),
         read.http2,
--- a/src/main/java/fawndock/loadgen/Words.java
+++ b/src/main/java/fawndock/loadgen/Words.java
@@ -14,13 +14,13 @@
   /** Reads how a rate goes over time. */
   public static Shape shape(LineArguments a) {
     String shape = word(a, "shape", "constant", "constant|wave|jump|on-off");
-    double from = a.time("from", 0, DAY, 0) / (double) SECOND;
-    long until = a.time("until", 0, DAY, -1);
-    double period = a.time("period", MILLI, DAY, 60 * SECOND) / (double) SECOND;
+    double from = a.micros("from", 0, DAY, 0) / (double) SECOND;
+    long until = a.micros("until", 0, DAY, -1);
+    double period = a.micros("period", MILLI, DAY, 60 * SECOND) / (double) SECOND;
     double depth = a.number("depth", 0, 1, 0.5);
     double times = a.number("times", 0, 1_000, 2);
-    double on = a.time("on", MILLI, DAY, SECOND) / (double) SECOND;
-    double off = a.time("off", MILLI, DAY, SECOND) / (double) SECOND;
+    double on = a.micros("on", MILLI, DAY, SECOND) / (double) SECOND;
+    double off = a.micros("off", MILLI, DAY, SECOND) / (double) SECOND;
     return switch (shape) {
       case "wave" -> new Shape.Wave(period, depth);
       case "jump" -> new Shape.Jump(from, until < 0 ? FOREVER : until / (double) SECOND, times);
@@ -33,10 +33,10 @@
   public static Manners manners(LineArguments a) {
     String retry = word(a, "retry", "none", "none|at-once|after");
     return new Manners(
-        a.time("give-up", MILLI, DAY, 10 * SECOND),
+        a.micros("give-up", MILLI, DAY, 10 * SECOND),
         Manners.Retry.valueOf(retry.replace('-', '_').toUpperCase(java.util.Locale.ROOT)),
-        a.time("wait", MILLI, DAY, SECOND),
-        a.whole("tries", 1, 100, 3),
+        a.micros("wait", MILLI, DAY, SECOND),
+        a.integer("tries", 1, 100, 3),
         a.flag("retry-after", false));
   }
 
@@ -44,7 +44,7 @@
   public static String word(LineArguments a, String name, String otherwise, String of) {
     String word = a.word(name, otherwise);
     if (!word.matches(of)) {
-      a.wrong(name + " '" + word + "'", of.replace("|", " or "));
+      a.addError(name + " '" + word + "'", of.replace("|", " or "));
       return otherwise;
     }
     return word;
--- a/src/main/java/fawndock/platform/PlatformConfig.java
+++ b/src/main/java/fawndock/platform/PlatformConfig.java
@@ -112,7 +112,7 @@
 
   /** HOST:PORT, as the platform writes it. */
   static Address address(String key, String text) {
-    Address address = Address.read(text);
+    Address address = Address.parse(text);
     if (address != null && address.port() > 0) {
       return address;
     }
--- a/src/main/java/fawndock/ratelimit/RateLimitService.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitService.java
@@ -65,7 +65,8 @@
 
   @Override
   public Future<?> start() {
-    quotaService = new QuotaService(vertx, context, settings, settings.first(), policyFactory);
+    quotaService =
+        new QuotaService(vertx, context, settings, settings.firstInstance(), policyFactory);
     GrpcServer grpc =
         GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(MAX_MESSAGE_BYTES));
     grpc.callHandler(
--- a/src/main/java/fawndock/scenario/BadDay.java
+++ b/src/main/java/fawndock/scenario/BadDay.java
@@ -9,7 +9,7 @@
 import fawndock.policy.config.Idempotency;
 import fawndock.policy.config.Plan;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.HashMap;
@@ -217,10 +217,10 @@
 
   /** The figures that the judge uses are those that the gatekeepers were given. */
   static ConformanceLimits figures(Scene scene) throws Exception {
-    GatewaySettings s = SettingsFile.read(scene.folder().resolve("gatekeeper-0.conf"));
+    GatewaySettings s = GatewaySettingsFile.read(scene.folder().resolve("gatekeeper-0.conf"));
     Map<String, Plan> plans = s.plans().stream().collect(Collectors.toMap(Plan::name, p -> p));
     Map<String, Plan> byCustomer = new HashMap<>();
-    s.keys().values().forEach(k -> byCustomer.put(k.customer(), plans.get(k.plan())));
+    s.apiKeys().values().forEach(k -> byCustomer.put(k.customer(), plans.get(k.plan())));
     return new ConformanceLimits(
         s.classes().stream().collect(Collectors.toMap(c -> c.name(), c -> c)),
         s.rules(),
--- a/src/main/java/fawndock/settings/Address.java
+++ b/src/main/java/fawndock/settings/Address.java
@@ -8,7 +8,7 @@
  */
 public record Address(String host, int port) {
   /** The address in a text, or null when that is not HOST:PORT; a port of 0 is one. */
-  public static Address read(String text) {
+  public static Address parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|\\]$", "");
     String port = colon < 0 ? "" : text.substring(colon + 1);
--- a/src/main/java/fawndock/settings/ConfigurationError.java
+++ b/src/main/java/fawndock/settings/ConfigurationError.java
@@ -5,12 +5,12 @@
  *
  * @param file the file as it was named
  * @param line its line, from 1; 0 for the file as a whole
- * @param wrong what is wrong
+ * @param problem what is wrong
  * @param expected what would be right
  */
-public record ConfigurationError(String file, int line, String wrong, String expected) {
+public record ConfigurationError(String file, int line, String problem, String expected) {
   @Override
   public String toString() {
-    return file + ":" + line + ": " + wrong + ", expected " + expected;
+    return file + ":" + line + ": " + problem + ", expected " + expected;
   }
 }
--- a/src/main/java/fawndock/settings/ConfigurationFile.java
+++ b/src/main/java/fawndock/settings/ConfigurationFile.java
@@ -17,42 +17,44 @@
  */
 public abstract class ConfigurationFile {
   protected final Map<String, Consumer<ConfigurationLine>> keywords = new LinkedHashMap<>();
-  private final Set<String> often;
-  private final List<ConfigurationError> mistakes = new ArrayList<>();
-  private final Map<String, ConfigurationLine> seen = new HashMap<>();
+  private final Set<String> repeatableKeywords;
+  private final List<ConfigurationError> errors = new ArrayList<>();
+  private final Map<String, ConfigurationLine> firstLineByKeyword = new HashMap<>();
   private final List<Runnable> crossChecks = new ArrayList<>();
   private Path file;
-  private boolean unread;
+  private boolean isUnreadable;
 
   /**
    * @param often keywords that may stand on more than one line
    */
   protected ConfigurationFile(Set<String> often) {
-    this.often = often;
+    this.repeatableKeywords = often;
   }
 
   /** Reads all lines and makes the cross checks. */
-  protected void lines(Path from) {
+  protected void readLines(Path from) {
     file = from;
-    List<ConfigurationLine> lines = new LineReader(mistakes).read(from);
-    unread = lines.isEmpty() && !mistakes.isEmpty();
+    List<ConfigurationLine> lines = new ConfigurationLineReader(errors).read(from);
+    isUnreadable = lines.isEmpty() && !errors.isEmpty();
     for (ConfigurationLine written : lines) {
-      ConfigurationLine line = prepared(written);
+      ConfigurationLine line = prepare(written);
       if (line == null) {
         continue;
       }
       Consumer<ConfigurationLine> reader = keywords.get(line.keyword());
       ConfigurationLine before =
-          often.contains(line.keyword()) ? null : seen.putIfAbsent(line.keyword(), line);
+          repeatableKeywords.contains(line.keyword())
+              ? null
+              : firstLineByKeyword.putIfAbsent(line.keyword(), line);
       if (reader == null) {
-        mistakes.add(
+        errors.add(
             new ConfigurationError(
                 line.file(),
                 line.number(),
                 "unknown keyword '" + line.keyword() + "'",
                 "one of " + String.join(" ", keywords.keySet()) + " include"));
       } else if (before != null) {
-        mistakes.add(
+        errors.add(
             new ConfigurationError(
                 line.file(),
                 line.number(),
@@ -71,49 +73,49 @@
   }
 
   /** The line as it is to be read, or null for one that is left out. */
-  protected ConfigurationLine prepared(ConfigurationLine line) {
+  protected ConfigurationLine prepare(ConfigurationLine line) {
     return line;
   }
 
   /** Notes what is wrong with a line. */
-  protected void wrong(ConfigurationLine line, String wrong, String expected) {
-    mistakes.add(new ConfigurationError(line.file(), line.number(), wrong, expected));
+  protected void addError(ConfigurationLine line, String wrong, String expected) {
+    errors.add(new ConfigurationError(line.file(), line.number(), wrong, expected));
   }
 
   /** Notes a keyword that must stand somewhere, unless the file could not be read at all. */
-  protected void missing(boolean isMissing, String what, String expected) {
-    if (isMissing && !unread) {
-      mistakes.add(new ConfigurationError(file.toString(), 0, what, expected));
+  protected void addFileErrorIf(boolean isMissing, String what, String expected) {
+    if (isMissing && !isUnreadable) {
+      errors.add(new ConfigurationError(file.toString(), 0, what, expected));
     }
   }
 
   /** Throws all mistakes, in the order of the files and their lines, when there are any. */
-  protected void finish() throws ConfigurationException {
-    if (!mistakes.isEmpty()) {
-      List<String> files = mistakes.stream().map(ConfigurationError::file).distinct().toList();
-      mistakes.sort(
+  protected void throwIfErrors() throws ConfigurationException {
+    if (!errors.isEmpty()) {
+      List<String> files = errors.stream().map(ConfigurationError::file).distinct().toList();
+      errors.sort(
           Comparator.comparingInt((ConfigurationError m) -> files.indexOf(m.file()))
               .thenComparingInt(ConfigurationError::line));
-      throw new ConfigurationException(mistakes);
+      throw new ConfigurationException(errors);
     }
   }
 
-  protected LineArguments args(ConfigurationLine line, int places, String form) {
-    return new LineArguments(line, places, form, mistakes);
+  protected LineArguments arguments(ConfigurationLine line, int places, String form) {
+    return new LineArguments(line, places, form, errors);
   }
 
   /** Checks, when all lines are read, what this line says against the others. */
-  protected void check(LineArguments a, BooleanSupplier holds, String wrong, String expected) {
-    check(holds, () -> a.wrong(wrong, expected));
+  protected void crossCheck(LineArguments a, BooleanSupplier holds, String wrong, String expected) {
+    crossCheck(holds, () -> a.addError(wrong, expected));
   }
 
   /** The same for a line whose arguments are not read by {@link LineArguments}. */
-  protected void check(
+  protected void crossCheck(
       ConfigurationLine line, BooleanSupplier holds, String wrong, String expected) {
-    check(holds, () -> wrong(line, wrong, expected));
+    crossCheck(holds, () -> addError(line, wrong, expected));
   }
 
-  private void check(BooleanSupplier holds, Runnable otherwise) {
+  private void crossCheck(BooleanSupplier holds, Runnable otherwise) {
     crossChecks.add(
         () -> {
           if (!holds.getAsBoolean()) {
@@ -123,24 +125,24 @@
   }
 
   /** Reads a line that is a keyword and a whole number; the least when it is none. */
-  protected int whole(ConfigurationLine line, int least, int most) {
-    LineArguments a = args(line, 1, line.keyword() + " NUMBER");
-    int number = a.wholeOf(line.keyword(), a.place(0), least, most, least);
-    a.finish();
+  protected int readInt(ConfigurationLine line, int least, int most) {
+    LineArguments a = arguments(line, 1, line.keyword() + " NUMBER");
+    int number = a.parseInteger(line.keyword(), a.word(0), least, most, least);
+    a.rejectUnknown();
     return number;
   }
 
   /** Reads {@code log text|json [level …]}. */
-  protected GatewaySettings.Log log(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "log text|json [level error|warn|info|debug]");
-    if (!a.place(0).matches("text|json")) {
-      a.wrong("log form '" + a.place(0) + "'", "text or json");
+  protected GatewaySettings.Log readLog(ConfigurationLine line) {
+    LineArguments a = arguments(line, 1, "log text|json [level error|warn|info|debug]");
+    if (!a.word(0).matches("text|json")) {
+      a.addError("log form '" + a.word(0) + "'", "text or json");
     }
     String level = a.word("level", "info");
     if (!level.matches("error|warn|info|debug")) {
-      a.wrong("log level '" + level + "'", "error, warn, info or debug");
+      a.addError("log level '" + level + "'", "error, warn, info or debug");
     }
-    a.finish();
-    return new GatewaySettings.Log(a.place(0).equals("json"), level);
+    a.rejectUnknown();
+    return new GatewaySettings.Log(a.word(0).equals("json"), level);
   }
 }
--- a/src/main/java/fawndock/settings/LineReader.java
+++ b/src/main/java/fawndock/settings/ConfigurationLineReader.java
@@ -14,15 +14,15 @@
  * begins a comment; {@code include FILE} puts another file's lines in its place, relative to the
  * file that names it.
  */
-final class LineReader {
-  private static final int DEEPEST = 8;
-  private static final int MOST_LINES = 1_000_000;
-  private static final long LARGEST = 64L << 20;
+final class ConfigurationLineReader {
+  private static final int MAX_INCLUDE_DEPTH = 8;
+  private static final int MAX_LINES = 1_000_000;
+  private static final long MAX_FILE_BYTES = 64L << 20;
   private final List<ConfigurationLine> lines = new ArrayList<>();
-  private final List<ConfigurationError> mistakes;
+  private final List<ConfigurationError> errors;
 
-  LineReader(List<ConfigurationError> mistakes) {
-    this.mistakes = mistakes;
+  ConfigurationLineReader(List<ConfigurationError> mistakes) {
+    this.errors = mistakes;
   }
 
   List<ConfigurationLine> read(Path file) {
@@ -31,46 +31,46 @@
   }
 
   private void include(Path file, String namedIn, int line, int depth) {
-    if (depth > DEEPEST) {
-      mistakes.add(
+    if (depth > MAX_INCLUDE_DEPTH) {
+      errors.add(
           new ConfigurationError(
               namedIn,
               line,
-              "includes are nested more than " + DEEPEST + " deep",
+              "includes are nested more than " + MAX_INCLUDE_DEPTH + " deep",
               "a file that does not include itself"));
       return;
     }
     String text;
     try {
-      if (Files.isRegularFile(file) && Files.size(file) > LARGEST) {
-        mistakes.add(
+      if (Files.isRegularFile(file) && Files.size(file) > MAX_FILE_BYTES) {
+        errors.add(
             new ConfigurationError(namedIn, line, file + " is over 64 MiB", "a settings file"));
         return;
       }
       text = new String(Files.readAllBytes(file), StandardCharsets.UTF_8);
     } catch (IOException | SecurityException e) {
-      mistakes.add(
+      errors.add(
           new ConfigurationError(namedIn, line, "cannot read " + file, "a file that can be read"));
       return;
     }
     int number = 0;
     for (String each : text.split("\r?\n", -1)) {
       number++;
-      Optional<List<String>> words = words(each, file.toString(), number);
+      Optional<List<String>> words = splitWords(each, file.toString(), number);
       if (words.isEmpty() || words.get().isEmpty()) {
         continue;
       }
-      if (lines.size() >= MOST_LINES) {
-        mistakes.add(
+      if (lines.size() >= MAX_LINES) {
+        errors.add(
             new ConfigurationError(
-                file.toString(), number, "more than " + MOST_LINES + " lines in all", "fewer"));
+                file.toString(), number, "more than " + MAX_LINES + " lines in all", "fewer"));
         return;
       }
       ConfigurationLine line1 = new ConfigurationLine(file.toString(), number, words.get());
       if (!line1.keyword().equals("include")) {
         lines.add(line1);
       } else if (line1.words().size() != 2) {
-        mistakes.add(
+        errors.add(
             new ConfigurationError(
                 file.toString(),
                 number,
@@ -82,7 +82,7 @@
     }
   }
 
-  private Optional<List<String>> words(String text, String file, int number) {
+  private Optional<List<String>> splitWords(String text, String file, int number) {
     List<String> words = new ArrayList<>();
     int at = 0;
     while (at < text.length()) {
@@ -105,7 +105,7 @@
           }
         }
         if (quoted) {
-          mistakes.add(
+          errors.add(
               new ConfigurationError(
                   file, number, "a quote is not closed", "\" before the line ends"));
           return Optional.empty();
--- a/src/main/java/fawndock/settings/GatewaySettings.java
+++ b/src/main/java/fawndock/settings/GatewaySettings.java
@@ -12,18 +12,18 @@
  *
  * @param listen where clients connect
  * @param instances gatekeepers in this process, from 1
- * @param first the number of the first of them in the fleet, from 0
- * @param fleet gatekeepers in the fleet, from 1
+ * @param firstInstance the number of the first of them in the fleet, from 0
+ * @param fleetSize gatekeepers in the fleet, from 1
  * @param seed of the decisions' random choices
  * @param zone where this process runs
  * @param classes the request classes, in the order given
  * @param plans the plans, in the order given
- * @param keys who holds each key
+ * @param apiKeys who holds each key
  * @param routes method and path to class; the longest matching prefix decides
  * @param limits what a gatekeeper may do
  * @param rules the figures of the rules
  * @param counter the counter service
- * @param roster where the servers are learned from
+ * @param discovery where the servers are learned from
  * @param peers the other gatekeepers
  * @param http how requests are read and passed on
  * @param log how it is logged
@@ -32,18 +32,18 @@
 public record GatewaySettings(
     Address listen,
     int instances,
-    int first,
-    int fleet,
+    int firstInstance,
+    int fleetSize,
     long seed,
     String zone,
     List<RequestClass> classes,
     List<Plan> plans,
-    Map<String, Key> keys,
+    Map<String, ApiKey> apiKeys,
     List<Route> routes,
     GatewayLimits limits,
     ServiceRules rules,
-    CounterParts counter,
-    RosterSource roster,
+    CounterService counter,
+    EndpointDiscovery discovery,
     Peers peers,
     Http http,
     Log log,
@@ -53,7 +53,8 @@
    * Whom a key belongs to, and which instances that customer's requests come through: all when
    * spread is 0.
    */
-  public record Key(String customer, String plan, int first, int spread) {}
+  public record ApiKey(
+      String customer, String plan, int customerFirstInstance, int customerInstanceCount) {}
 
   /**
    * Requests of this method ({@code *} for any) whose path starts with the prefix are of the class.
@@ -74,32 +75,35 @@
    * counts; or nodes that stand in for each other, by names that all gatekeepers share. Both empty
    * is no counter.
    */
-  public record CounterParts(
-      List<Address> parts,
-      Map<String, Address> nodes,
+  public record CounterService(
+      List<Address> shards,
+      Map<String, Address> clusterNodes,
       long timeoutMicros,
-      boolean settled,
-      int maxCalls) {
+      boolean settlesUnits,
+      int maxCallsInFlight) {
     /** Whether there is no counter. */
-    public boolean none() {
-      return parts.isEmpty() && nodes.isEmpty();
+    public boolean isAbsent() {
+      return shards.isEmpty() && clusterNodes.isEmpty();
     }
   }
 
   /**
    * The roster, and the servers known before it is heard; silence for longer than this is a loss.
    */
-  public record RosterSource(
-      Address address, long silenceMicros, boolean mustAsk, List<FixedServer> fixed) {}
+  public record EndpointDiscovery(
+      Address address,
+      long watchIdleTimeoutMicros,
+      boolean isPolicyStarted,
+      List<StaticEndpoint> staticEndpoints) {}
 
   /** A server named in the settings. */
-  public record FixedServer(String id, Address address, String zone, int cell, double weight) {}
+  public record StaticEndpoint(String id, Address address, String zone, int cell, double weight) {}
 
   /**
-   * The fellow gatekeepers by their numbers, and where this process hears them; {@code intake} a
-   * second.
+   * The fellow gatekeepers by their numbers, and where this process hears them; {@code
+   * maxMessagesPerSecond} a second.
    */
-  public record Peers(Address listen, Map<Integer, Address> others, int intake) {}
+  public record Peers(Address listen, Map<Integer, Address> addresses, int maxMessagesPerSecond) {}
 
   /** Names of the header fields, sizes in bytes, and times. */
   public record Http(
@@ -107,17 +111,17 @@
       String deadlineHeader,
       String attemptHeader,
       String unitsHeader,
-      double mostUnits,
-      int bodyLimit,
-      int answerLimit,
-      int connectionsPerServer,
+      double maxUnits,
+      int maxRequestBodyBytes,
+      int maxBufferedResponseBytes,
+      int connectionsPerEndpoint,
       int streamsPerConnection,
-      long connectMicros,
-      long stopMicros,
-      int maxConnections) {}
+      long connectTimeoutMicros,
+      long drainTimeoutMicros,
+      int maxClientConnections) {}
 
   /** Text or JSON lines, and the level: error, warn, info or debug. */
-  public record Log(boolean json, String level) {}
+  public record Log(boolean isJson, String level) {}
 
   /**
    * Where the rate limit service listens, null for none, and what its descriptors mean, the first
--- a/src/main/java/fawndock/settings/SettingsFile.java
+++ b/src/main/java/fawndock/settings/GatewaySettingsFile.java
@@ -4,16 +4,16 @@
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.RequestClass;
 import fawndock.policy.config.ServiceRules;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.ApiKey;
+import fawndock.settings.GatewaySettings.CounterService;
 import fawndock.settings.GatewaySettings.Descriptor;
-import fawndock.settings.GatewaySettings.FixedServer;
+import fawndock.settings.GatewaySettings.EndpointDiscovery;
 import fawndock.settings.GatewaySettings.Http;
-import fawndock.settings.GatewaySettings.Key;
 import fawndock.settings.GatewaySettings.Log;
 import fawndock.settings.GatewaySettings.Peers;
 import fawndock.settings.GatewaySettings.RateLimit;
-import fawndock.settings.GatewaySettings.RosterSource;
 import fawndock.settings.GatewaySettings.Route;
+import fawndock.settings.GatewaySettings.StaticEndpoint;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -27,98 +27,98 @@
  * Reads the daemon's settings. Every keyword that may stand in a file is in {@link #keywords}; what
  * each means is in the operators' manual.
  */
-public final class SettingsFile extends ConfigurationFile {
-  private static final long HOUR = Entries.HOUR;
-  private static final double MANY = Entries.MANY;
-  private static final Set<String> OFTEN =
+public final class GatewaySettingsFile extends ConfigurationFile {
+  private static final long MAX_TIME_MICROS = PolicyConfigReader.MAX_TIME_MICROS;
+  private static final double MAX_AMOUNT = PolicyConfigReader.MAX_AMOUNT;
+  private static final Set<String> REPEATABLE =
       Set.of("descriptor", "class", "plan", "key", "route", "peer", "server", "counter-node");
 
   private Address listen;
   private int instances = 1;
-  private int first;
-  private int fleet = 1;
+  private int firstInstance;
+  private int fleetSize = 1;
   private long seed = 1;
   private String zone = "";
   private final Map<String, RequestClass> classes = new LinkedHashMap<>();
   private final Map<String, Plan> plans = new LinkedHashMap<>();
-  private final Map<String, Key> keys = new LinkedHashMap<>();
+  private final Map<String, ApiKey> apiKeys = new LinkedHashMap<>();
   private final List<Route> routes = new ArrayList<>();
-  private final Map<String, FixedServer> servers = new LinkedHashMap<>();
-  private final Map<Integer, Address> others = new TreeMap<>();
+  private final Map<String, StaticEndpoint> staticEndpoints = new LinkedHashMap<>();
+  private final Map<Integer, Address> peers = new TreeMap<>();
   private Address peerListen;
-  private int peerIntake = 100;
+  private int maxPeerMessagesPerSecond = 100;
   private GatewayLimits limits =
       new GatewayLimits(3, 10_000, 30_000_000, false, true, false, true, true);
   private ServiceRules rules =
       new ServiceRules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000);
-  private CounterParts counter = new CounterParts(List.of(), Map.of(), 50_000, false, 4096);
+  private CounterService counter = new CounterService(List.of(), Map.of(), 50_000, false, 4096);
   private final Map<String, Address> counterNodes = new TreeMap<>();
-  private Address roster;
-  private long rosterSilence = 5_000_000;
-  private boolean rosterAsk;
+  private Address discoveryAddress;
+  private long watchIdleTimeoutMicros = 5_000_000;
+  private boolean isPolicyStarted;
   private String keyHeader = "x-api-key";
   private String deadlineHeader = "x-envoy-expected-rq-timeout-ms";
   private String attemptHeader = "x-envoy-attempt-count";
   private String unitsHeader = "";
-  private double mostUnits = 1;
-  private int bodyLimit = 64 << 10;
-  private int answerLimit = 1 << 20;
-  private int connections = 2;
-  private int streams = 250;
-  private long connectMicros = 1_000_000;
-  private long stopMicros = 30_000_000;
+  private double maxUnits = 1;
+  private int maxRequestBodyBytes = 64 << 10;
+  private int maxBufferedResponseBytes = 1 << 20;
+  private int connectionsPerEndpoint = 2;
+  private int streamsPerConnection = 250;
+  private long connectTimeoutMicros = 1_000_000;
+  private long drainTimeoutMicros = 30_000_000;
   private int maxConnections = 20_000;
   private Log log = new Log(false, "info");
   private Address rateLimit;
   private final List<Descriptor> descriptors = new ArrayList<>();
 
-  private SettingsFile() {
-    super(OFTEN);
+  private GatewaySettingsFile() {
+    super(REPEATABLE);
     keywords.put(
         "listen",
         line -> {
-          LineArguments a = args(line, 1, "listen HOST:PORT");
+          LineArguments a = arguments(line, 1, "listen HOST:PORT");
           listen = a.address(0);
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put(
         "instances",
         line -> {
-          LineArguments a = args(line, 1, "instances NUMBER");
-          instances = a.wholeOf("instances", a.place(0), 1, 64, 1);
-          a.finish();
+          LineArguments a = arguments(line, 1, "instances NUMBER");
+          instances = a.parseInteger("instances", a.word(0), 1, 64, 1);
+          a.rejectUnknown();
         });
     keywords.put(
         "gatekeeper",
         line -> {
-          LineArguments a = args(line, 1, "gatekeeper NUMBER of FLEET");
-          first = a.wholeOf("gatekeeper", a.place(0), 0, 9_999, 0);
-          fleet = a.whole("of", 1, 10_000, 1);
-          a.finish();
-          check(
+          LineArguments a = arguments(line, 1, "gatekeeper NUMBER of FLEET");
+          firstInstance = a.parseInteger("gatekeeper", a.word(0), 0, 9_999, 0);
+          fleetSize = a.integer("of", 1, 10_000, 1);
+          a.rejectUnknown();
+          crossCheck(
               a,
-              () -> first + instances <= fleet,
+              () -> firstInstance + instances <= fleetSize,
               "gatekeepers "
-                  + first
+                  + firstInstance
                   + " to "
-                  + (first + instances - 1)
+                  + (firstInstance + instances - 1)
                   + " are not all below the fleet's "
-                  + fleet,
+                  + fleetSize,
               "NUMBER + instances at most FLEET");
         });
     keywords.put(
         "seed",
         line -> {
-          LineArguments a = args(line, 1, "seed NUMBER");
-          seed = a.wholeOf("seed", a.place(0), 0, 999_999_999, 1);
-          a.finish();
+          LineArguments a = arguments(line, 1, "seed NUMBER");
+          seed = a.parseInteger("seed", a.word(0), 0, 999_999_999, 1);
+          a.rejectUnknown();
         });
     keywords.put(
         "zone",
         line -> {
-          LineArguments a = args(line, 1, "zone NAME");
-          zone = a.place(0);
-          a.finish();
+          LineArguments a = arguments(line, 1, "zone NAME");
+          zone = a.word(0);
+          a.rejectUnknown();
         });
     keywords.put("class", this::requestClass);
     keywords.put("plan", this::plan);
@@ -131,51 +131,51 @@
     keywords.put(
         "counter-node",
         line -> {
-          LineArguments a = args(line, 2, "counter-node NAME HOST:PORT");
+          LineArguments a = arguments(line, 2, "counter-node NAME HOST:PORT");
           Address address = a.address(1);
-          if (counterNodes.putIfAbsent(a.place(0), address) != null) {
-            a.wrong("counter-node " + a.place(0) + " is given twice", "each node once");
+          if (counterNodes.putIfAbsent(a.word(0), address) != null) {
+            a.addError("counter-node " + a.word(0) + " is given twice", "each node once");
           }
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put("counter-limits", this::counterLimits);
     keywords.put(
         "roster",
         line -> {
-          LineArguments a = args(line, 1, "roster HOST:PORT [silence TIME] [must-ask yes|no]");
-          roster = a.good() ? a.addressOf(a.place(0)) : null;
-          rosterSilence = a.time("silence", 100_000, HOUR, 5_000_000);
-          rosterAsk = a.flag("must-ask", false);
-          a.finish();
+          LineArguments a = arguments(line, 1, "roster HOST:PORT [silence TIME] [must-ask yes|no]");
+          discoveryAddress = a.isValid() ? a.parseAddress(a.word(0)) : null;
+          watchIdleTimeoutMicros = a.micros("silence", 100_000, MAX_TIME_MICROS, 5_000_000);
+          isPolicyStarted = a.flag("must-ask", false);
+          a.rejectUnknown();
         });
     keywords.put(
         "peer",
         line -> {
-          LineArguments a = args(line, 2, "peer NUMBER HOST:PORT");
-          int number = a.wholeOf("peer", a.place(0), 0, 9_999, 0);
-          if (a.good() && others.put(number, a.addressOf(a.place(1))) != null) {
-            a.wrong("peer " + number + " is given twice", "each peer once");
+          LineArguments a = arguments(line, 2, "peer NUMBER HOST:PORT");
+          int number = a.parseInteger("peer", a.word(0), 0, 9_999, 0);
+          if (a.isValid() && peers.put(number, a.parseAddress(a.word(1))) != null) {
+            a.addError("peer " + number + " is given twice", "each peer once");
           }
-          a.finish();
-          check(
+          a.rejectUnknown();
+          crossCheck(
               a,
-              () -> number < fleet,
-              "peer " + number + " is not in a fleet of " + fleet,
+              () -> number < fleetSize,
+              "peer " + number + " is not in a fleet of " + fleetSize,
               "a number below the fleet's size");
         });
     keywords.put(
         "peer-listen",
         line -> {
-          LineArguments a = args(line, 1, "peer-listen HOST:PORT [intake MESSAGES-A-SECOND]");
-          peerListen = a.good() ? a.addressOf(a.place(0)) : null;
-          peerIntake = a.whole("intake", 1, 100_000, 100);
-          a.finish();
+          LineArguments a = arguments(line, 1, "peer-listen HOST:PORT [intake MESSAGES-A-SECOND]");
+          peerListen = a.isValid() ? a.parseAddress(a.word(0)) : null;
+          maxPeerMessagesPerSecond = a.integer("intake", 1, 100_000, 100);
+          a.rejectUnknown();
         });
     keywords.put(
         "headers",
         line -> {
           LineArguments a =
-              args(
+              arguments(
                   line,
                   0,
                   "headers [key NAME] [deadline NAME] [attempt NAME] [units NAME most NUMBER]");
@@ -183,48 +183,49 @@
           deadlineHeader = header(a, "deadline", deadlineHeader);
           attemptHeader = header(a, "attempt", attemptHeader);
           unitsHeader = header(a, "units", "");
-          mostUnits = a.number("most", 1e-6, MANY, 1);
-          a.finish();
+          maxUnits = a.number("most", 1e-6, MAX_AMOUNT, 1);
+          a.rejectUnknown();
         });
     keywords.put(
         "sizes",
         line -> {
-          LineArguments a = args(line, 0, "sizes [body SIZE] [answer SIZE]");
-          bodyLimit = (int) a.sizeOf("body", a.word("body", "64KiB"), 64 << 20);
-          answerLimit = (int) a.sizeOf("answer", a.word("answer", "1MiB"), 64 << 20);
-          a.finish();
+          LineArguments a = arguments(line, 0, "sizes [body SIZE] [answer SIZE]");
+          maxRequestBodyBytes = (int) a.parseBytes("body", a.word("body", "64KiB"), 64 << 20);
+          maxBufferedResponseBytes =
+              (int) a.parseBytes("answer", a.word("answer", "1MiB"), 64 << 20);
+          a.rejectUnknown();
         });
     keywords.put(
         "pool",
         line -> {
           LineArguments a =
-              args(line, 0, "pool [connections NUMBER] [streams NUMBER] [connect TIME]");
-          connections = a.whole("connections", 1, 1_000, 2);
-          streams = a.whole("streams", 1, 100_000, 250);
-          connectMicros = a.time("connect", 1_000, 60_000_000, 1_000_000);
-          a.finish();
+              arguments(line, 0, "pool [connections NUMBER] [streams NUMBER] [connect TIME]");
+          connectionsPerEndpoint = a.integer("connections", 1, 1_000, 2);
+          streamsPerConnection = a.integer("streams", 1, 100_000, 250);
+          connectTimeoutMicros = a.micros("connect", 1_000, 60_000_000, 1_000_000);
+          a.rejectUnknown();
         });
     keywords.put(
         "stop",
         line -> {
-          LineArguments a = args(line, 1, "stop TIME");
-          stopMicros = a.timeOf("stop", a.place(0), 0, HOUR, 30_000_000);
-          a.finish();
+          LineArguments a = arguments(line, 1, "stop TIME");
+          drainTimeoutMicros = a.parseMicros("stop", a.word(0), 0, MAX_TIME_MICROS, 30_000_000);
+          a.rejectUnknown();
         });
     keywords.put(
         "max-connections",
         line -> {
-          LineArguments a = args(line, 1, "max-connections NUMBER");
-          maxConnections = a.wholeOf("max-connections", a.place(0), 1, 1_000_000, 20_000);
-          a.finish();
+          LineArguments a = arguments(line, 1, "max-connections NUMBER");
+          maxConnections = a.parseInteger("max-connections", a.word(0), 1, 1_000_000, 20_000);
+          a.rejectUnknown();
         });
-    keywords.put("log", line -> log = log(line));
+    keywords.put("log", line -> log = readLog(line));
     keywords.put(
         "rate-limit",
         line -> {
-          LineArguments a = args(line, 1, "rate-limit HOST:PORT");
-          rateLimit = a.good() ? a.addressOf(a.place(0)) : null;
-          a.finish();
+          LineArguments a = arguments(line, 1, "rate-limit HOST:PORT");
+          rateLimit = a.isValid() ? a.parseAddress(a.word(0)) : null;
+          a.rejectUnknown();
         });
     keywords.put("descriptor", this::descriptor);
   }
@@ -235,54 +236,58 @@
    * @throws ConfigurationException with every mistake when there is any
    */
   public static GatewaySettings read(Path file) throws ConfigurationException {
-    return new SettingsFile().all(file);
+    return new GatewaySettingsFile().all(file);
   }
 
   private GatewaySettings all(Path file) throws ConfigurationException {
-    lines(file);
-    missing(listen == null, "no listen", "listen HOST:PORT");
-    missing(classes.isEmpty(), "no class", "class NAME aim TIME deadline TIME");
-    missing(routes.isEmpty(), "no route", "route METHOD PATH CLASS");
-    missing(
-        roster == null && servers.isEmpty(),
+    readLines(file);
+    addFileErrorIf(listen == null, "no listen", "listen HOST:PORT");
+    addFileErrorIf(classes.isEmpty(), "no class", "class NAME aim TIME deadline TIME");
+    addFileErrorIf(routes.isEmpty(), "no route", "route METHOD PATH CLASS");
+    addFileErrorIf(
+        discoveryAddress == null && staticEndpoints.isEmpty(),
         "no roster and no server",
         "roster HOST:PORT, or server lines");
-    finish();
+    throwIfErrors();
     List<Route> longestFirst = new ArrayList<>(routes);
     longestFirst.sort((a, b) -> b.prefix().length() - a.prefix().length());
     return new GatewaySettings(
         listen,
         instances,
-        first,
-        fleet,
+        firstInstance,
+        fleetSize,
         seed,
         zone,
         List.copyOf(classes.values()),
         List.copyOf(plans.values()),
-        Map.copyOf(keys),
+        Map.copyOf(apiKeys),
         List.copyOf(longestFirst),
         limits,
         rules,
-        new CounterParts(
-            counter.parts(),
+        new CounterService(
+            counter.shards(),
             new TreeMap<>(counterNodes),
             counter.timeoutMicros(),
-            counter.settled(),
-            counter.maxCalls()),
-        new RosterSource(roster, rosterSilence, rosterAsk, List.copyOf(servers.values())),
-        new Peers(peerListen, Map.copyOf(others), peerIntake),
+            counter.settlesUnits(),
+            counter.maxCallsInFlight()),
+        new EndpointDiscovery(
+            discoveryAddress,
+            watchIdleTimeoutMicros,
+            isPolicyStarted,
+            List.copyOf(staticEndpoints.values())),
+        new Peers(peerListen, Map.copyOf(peers), maxPeerMessagesPerSecond),
         new Http(
             keyHeader,
             deadlineHeader,
             attemptHeader,
             unitsHeader,
-            mostUnits,
-            bodyLimit,
-            answerLimit,
-            connections,
-            streams,
-            connectMicros,
-            stopMicros,
+            maxUnits,
+            maxRequestBodyBytes,
+            maxBufferedResponseBytes,
+            connectionsPerEndpoint,
+            streamsPerConnection,
+            connectTimeoutMicros,
+            drainTimeoutMicros,
             maxConnections),
         log,
         new RateLimit(rateLimit, List.copyOf(descriptors)));
@@ -291,83 +296,84 @@
   private String header(LineArguments a, String what, String otherwise) {
     String name = a.word(what, otherwise);
     if (!name.isEmpty() && !name.matches("[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}")) {
-      a.wrong("'" + name + "' cannot be a header field's name", "letters, digits and -");
+      a.addError("'" + name + "' cannot be a header field's name", "letters, digits and -");
     }
     return name;
   }
 
   private void requestClass(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             1,
             "class NAME aim TIME deadline TIME [worth N] [late-worth N] [repeat WORD] "
                 + "[group WORD] [window TIME] [streamed yes|no] [aim-stretch N]");
-    RequestClass c = Entries.requestClass(a);
+    RequestClass c = PolicyConfigReader.readRequestClass(a);
     if (classes.putIfAbsent(c.name(), c) != null) {
-      a.wrong("class " + c.name() + " is given twice", "each class once");
+      a.addError("class " + c.name() + " is given twice", "each class once");
     }
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void plan(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             1,
             "plan NAME [rate N] [store N] [open N] [pays N] [over-worth N] [over-cost N] "
                 + "[ceiling-rate N] [ceiling-burst N] [ceiling-slack N]");
-    Plan p = Entries.plan(a);
+    Plan p = PolicyConfigReader.readPlan(a);
     if (plans.putIfAbsent(p.name(), p) != null) {
-      a.wrong("plan " + p.name() + " is given twice", "each plan once");
+      a.addError("plan " + p.name() + " is given twice", "each plan once");
     }
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void key(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "key KEY customer NAME plan NAME [first NUMBER spread NUMBER]");
-    Key key =
-        new Key(
+    LineArguments a =
+        arguments(line, 1, "key KEY customer NAME plan NAME [first NUMBER spread NUMBER]");
+    ApiKey key =
+        new ApiKey(
             a.word("customer", ""),
             a.word("plan", ""),
-            a.whole("first", 0, 9_999, 0),
-            a.whole("spread", 0, 10_000, 0));
-    if (a.good() && (key.customer().isEmpty() || key.plan().isEmpty())) {
-      a.wrong("a key without customer or plan", "key KEY customer NAME plan NAME");
+            a.integer("first", 0, 9_999, 0),
+            a.integer("spread", 0, 10_000, 0));
+    if (a.isValid() && (key.customer().isEmpty() || key.plan().isEmpty())) {
+      a.addError("a key without customer or plan", "key KEY customer NAME plan NAME");
     }
-    if (keys.putIfAbsent(a.place(0), key) != null) {
-      a.wrong("this key is given twice", "each key once");
+    if (apiKeys.putIfAbsent(a.word(0), key) != null) {
+      a.addError("this key is given twice", "each key once");
     }
-    a.finish();
-    check(
+    a.rejectUnknown();
+    crossCheck(
         a,
         () -> key.plan().isEmpty() || plans.containsKey(key.plan()),
         "there is no plan '" + key.plan() + "'",
         "the name of a plan line");
-    check(
+    crossCheck(
         a,
-        () -> key.spread() <= fleet && key.first() < fleet,
-        "a spread beyond the fleet's " + fleet + " gatekeepers",
+        () -> key.customerInstanceCount() <= fleetSize && key.customerFirstInstance() < fleetSize,
+        "a spread beyond the fleet's " + fleetSize + " gatekeepers",
         "first below it, spread at most it");
   }
 
   private void route(ConfigurationLine line) {
-    LineArguments a = args(line, 3, "route METHOD PATH CLASS");
-    Route route = new Route(a.place(0), a.place(1), a.place(2));
-    if (a.good() && !route.prefix().startsWith("/")) {
-      a.wrong("path '" + route.prefix() + "'", "a path that starts with /");
+    LineArguments a = arguments(line, 3, "route METHOD PATH CLASS");
+    Route route = new Route(a.word(0), a.word(1), a.word(2));
+    if (a.isValid() && !route.prefix().startsWith("/")) {
+      a.addError("path '" + route.prefix() + "'", "a path that starts with /");
     }
-    if (a.good() && !route.method().matches("\\*|[A-Z]+")) {
-      a.wrong("method '" + route.method() + "'", "a method in capitals, or *");
+    if (a.isValid() && !route.method().matches("\\*|[A-Z]+")) {
+      a.addError("method '" + route.method() + "'", "a method in capitals, or *");
     }
     if (routes.stream()
         .anyMatch(r -> r.method().equals(route.method()) && r.prefix().equals(route.prefix()))) {
-      a.wrong(
+      a.addError(
           "route " + route.method() + " " + route.prefix() + " is given twice", "each route once");
     }
     routes.add(route);
-    a.finish();
-    check(
+    a.rejectUnknown();
+    crossCheck(
         a,
         () -> route.requestClass().isEmpty() || classes.containsKey(route.requestClass()),
         "there is no class '" + route.requestClass() + "'",
@@ -376,49 +382,50 @@
 
   private void descriptor(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             2,
             "descriptor DOMAIN KEY=VALUE,KEY=* customer NAME|{KEY} plan NAME class NAME [units N]");
     List<Map.Entry<String, String>> entries = new ArrayList<>();
-    for (String each : a.good() ? a.place(1).split(",") : new String[0]) {
+    for (String each : a.isValid() ? a.word(1).split(",") : new String[0]) {
       int is = each.indexOf('=');
       if (is <= 0 || is == each.length() - 1) {
-        a.wrong("'" + each + "' is no entry of a descriptor", "KEY=VALUE, or KEY=* for any value");
+        a.addError(
+            "'" + each + "' is no entry of a descriptor", "KEY=VALUE, or KEY=* for any value");
       } else {
         entries.add(Map.entry(each.substring(0, is), each.substring(is + 1)));
       }
     }
     Descriptor read =
         new Descriptor(
-            a.place(0),
+            a.word(0),
             List.copyOf(entries),
             a.word("customer", ""),
             a.word("plan", ""),
             a.word("class", ""),
-            a.number("units", 1e-6, MANY, 1));
-    if (a.good()
+            a.number("units", 1e-6, MAX_AMOUNT, 1));
+    if (a.isValid()
         && (read.customer().isEmpty()
             || read.customer().startsWith("{")
                 && entries.stream()
                     .noneMatch(e -> read.customer().equals("{" + e.getKey() + "}")))) {
-      a.wrong(
+      a.addError(
           "customer '" + read.customer() + "'",
           "a name, or the key of one of its entries in braces");
     }
     descriptors.add(read);
-    a.finish();
-    check(
+    a.rejectUnknown();
+    crossCheck(
         a,
         () -> plans.containsKey(read.plan()),
         "there is no plan '" + read.plan() + "'",
         "the name of a plan line");
-    check(
+    crossCheck(
         a,
         () -> classes.containsKey(read.requestClass()),
         "there is no class '" + read.requestClass() + "'",
         "the name of a class line");
-    check(
+    crossCheck(
         a,
         () -> rateLimit != null,
         "descriptors without a rate limit service",
@@ -426,76 +433,78 @@
   }
 
   private void server(ConfigurationLine line) {
-    LineArguments a = args(line, 2, "server ID HOST:PORT [zone NAME] [cell NUMBER] [weight N]");
-    FixedServer s =
-        new FixedServer(
-            a.place(0),
+    LineArguments a =
+        arguments(line, 2, "server ID HOST:PORT [zone NAME] [cell NUMBER] [weight N]");
+    StaticEndpoint s =
+        new StaticEndpoint(
+            a.word(0),
             a.address(1),
             a.word("zone", ""),
-            a.whole("cell", 0, 1_000_000, 0),
-            a.number("weight", 1e-6, MANY, 1));
-    if (servers.putIfAbsent(s.id(), s) != null) {
-      a.wrong("server " + s.id() + " is given twice", "each server once");
+            a.integer("cell", 0, 1_000_000, 0),
+            a.number("weight", 1e-6, MAX_AMOUNT, 1));
+    if (staticEndpoints.putIfAbsent(s.id(), s) != null) {
+      a.addError("server " + s.id() + " is given twice", "each server once");
     }
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void limits(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             0,
             "limits [attempts N] [open N] [retry-after TIME] [duplicates yes|no] "
                 + "[cancel yes|no] [probes yes|no] [peers yes|no]");
-    limits = Entries.limits(a);
-    a.finish();
+    limits = PolicyConfigReader.readLimits(a);
+    a.rejectUnknown();
   }
 
   private void rules(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             0,
             "rules [answer-grace TIME] [drain-grace TIME] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [ask-within TIME]");
-    rules = Entries.rules(a);
-    a.finish();
+    rules = PolicyConfigReader.readRules(a);
+    a.rejectUnknown();
   }
 
   private void counter(ConfigurationLine line) {
     List<Address> parts = new ArrayList<>();
     LineArguments a =
-        args(line, line.words().size() - 1, line.keyword() + " HOST:PORT [HOST:PORT ...]");
+        arguments(line, line.words().size() - 1, line.keyword() + " HOST:PORT [HOST:PORT ...]");
     for (String each : line.words().subList(1, line.words().size())) {
-      Address address = a.addressOf(each);
+      Address address = a.parseAddress(each);
       if (parts.contains(address)) {
-        a.wrong("counter part " + address + " is given twice", "each part once");
+        a.addError("counter part " + address + " is given twice", "each part once");
       }
       parts.add(address);
     }
     if (parts.isEmpty()) {
-      a.wrong(line.keyword() + " names no address", line.keyword() + " HOST:PORT [HOST:PORT ...]");
+      a.addError(
+          line.keyword() + " names no address", line.keyword() + " HOST:PORT [HOST:PORT ...]");
     }
-    check(a, () -> counterNodes.isEmpty(), "counter and counter-node both", "one of them");
+    crossCheck(a, () -> counterNodes.isEmpty(), "counter and counter-node both", "one of them");
     counter =
-        new CounterParts(
+        new CounterService(
             List.copyOf(new LinkedHashSet<>(parts)),
             Map.of(),
             counter.timeoutMicros(),
-            counter.settled(),
-            counter.maxCalls());
+            counter.settlesUnits(),
+            counter.maxCallsInFlight());
   }
 
   private void counterLimits(ConfigurationLine line) {
     LineArguments a =
-        args(line, 0, "counter-limits [timeout TIME] [calls NUMBER] [settled yes|no]");
+        arguments(line, 0, "counter-limits [timeout TIME] [calls NUMBER] [settled yes|no]");
     counter =
-        new CounterParts(
-            counter.parts(),
+        new CounterService(
+            counter.shards(),
             Map.of(),
-            a.time("timeout", 1_000, 60_000_000, 50_000),
+            a.micros("timeout", 1_000, 60_000_000, 50_000),
             a.flag("settled", false),
-            a.whole("calls", 1, 1_000_000, 4096));
-    a.finish();
+            a.integer("calls", 1, 1_000_000, 4096));
+    a.rejectUnknown();
   }
 }
--- a/src/main/java/fawndock/settings/LineArguments.java
+++ b/src/main/java/fawndock/settings/LineArguments.java
@@ -13,10 +13,10 @@
  */
 public final class LineArguments {
   private final ConfigurationLine line;
-  private final List<ConfigurationError> mistakes;
-  private final List<String> placed = new ArrayList<>();
+  private final List<ConfigurationError> errors;
+  private final List<String> positional = new ArrayList<>();
   private final Map<String, String> named = new LinkedHashMap<>();
-  private final int before;
+  private final int errorsBefore;
 
   /**
    * Takes a line whose first {@code places} arguments go by place; {@code form} shows how it is
@@ -25,45 +25,45 @@
   LineArguments(
       ConfigurationLine line, int places, String form, List<ConfigurationError> mistakes) {
     this.line = line;
-    this.mistakes = mistakes;
-    this.before = mistakes.size();
+    this.errors = mistakes;
+    this.errorsBefore = mistakes.size();
     List<String> words = line.words();
     if (words.size() - 1 < places) {
-      wrong(line.keyword() + " has " + (words.size() - 1) + " arguments", form);
+      addError(line.keyword() + " has " + (words.size() - 1) + " arguments", form);
       return;
     }
-    placed.addAll(words.subList(1, 1 + places));
+    positional.addAll(words.subList(1, 1 + places));
     for (int i = 1 + places; i < words.size(); i += 2) {
       if (i + 1 == words.size()) {
-        wrong("'" + words.get(i) + "' has no value", form);
+        addError("'" + words.get(i) + "' has no value", form);
       } else if (named.put(words.get(i), words.get(i + 1)) != null) {
-        wrong("'" + words.get(i) + "' is given twice", "each name once");
+        addError("'" + words.get(i) + "' is given twice", "each name once");
       }
     }
   }
 
   /** Whether this line's arguments are all there and nothing was found wrong with them so far. */
-  public boolean good() {
-    return mistakes.size() == before;
+  public boolean isValid() {
+    return errors.size() == errorsBefore;
   }
 
-  public void wrong(String wrong, String expected) {
-    mistakes.add(new ConfigurationError(line.file(), line.number(), wrong, expected));
+  public void addError(String wrong, String expected) {
+    errors.add(new ConfigurationError(line.file(), line.number(), wrong, expected));
   }
 
-  public String place(int i) {
-    return i < placed.size() ? placed.get(i) : "";
+  public String word(int i) {
+    return i < positional.size() ? positional.get(i) : "";
   }
 
-  public long time(String name, long least, long most, long otherwise) {
+  public long micros(String name, long least, long most, long otherwise) {
     String text = named.remove(name);
-    return text == null ? otherwise : timeOf(name, text, least, most, otherwise);
+    return text == null ? otherwise : parseMicros(name, text, least, most, otherwise);
   }
 
-  public long timeOf(String name, String text, long least, long most, long otherwise) {
-    OptionalLong micros = Units.time(text);
+  public long parseMicros(String name, String text, long least, long most, long otherwise) {
+    OptionalLong micros = UnitParser.parseMicros(text);
     if (micros.isEmpty() || micros.getAsLong() < least || micros.getAsLong() > most) {
-      wrong(
+      addError(
           name + " '" + text + "' is not a time in range",
           "a number and us, ms, s, m or h, from " + least + "us to " + most + "us");
       return otherwise;
@@ -71,10 +71,10 @@
     return micros.getAsLong();
   }
 
-  public long sizeOf(String name, String text, long most) {
-    OptionalLong bytes = Units.size(text);
+  public long parseBytes(String name, String text, long most) {
+    OptionalLong bytes = UnitParser.parseBytes(text);
     if (bytes.isEmpty() || bytes.getAsLong() > most) {
-      wrong(
+      addError(
           name + " '" + text + "' is not a size in range",
           "bytes, or a number and KiB or MiB, at most " + most);
       return 0;
@@ -84,10 +84,10 @@
 
   public double number(String name, double least, double most, double otherwise) {
     String text = named.remove(name);
-    return text == null ? otherwise : numberOf(name, text, least, most, otherwise);
+    return text == null ? otherwise : parseNumber(name, text, least, most, otherwise);
   }
 
-  public double numberOf(String name, String text, double least, double most, double otherwise) {
+  public double parseNumber(String name, String text, double least, double most, double otherwise) {
     try {
       double value = Double.parseDouble(text);
       if (value >= least && value <= most) {
@@ -96,22 +96,23 @@
     } catch (NumberFormatException e) {
       // Told below.
     }
-    wrong(name + " '" + text + "' is not a number in range", "from " + least + " to " + most);
+    addError(name + " '" + text + "' is not a number in range", "from " + least + " to " + most);
     return otherwise;
   }
 
-  public int whole(String name, int least, int most, int otherwise) {
+  public int integer(String name, int least, int most, int otherwise) {
     String text = named.remove(name);
-    return text == null ? otherwise : wholeOf(name, text, least, most, otherwise);
+    return text == null ? otherwise : parseInteger(name, text, least, most, otherwise);
   }
 
-  public int wholeOf(String name, String text, int least, int most, int otherwise) {
+  public int parseInteger(String name, String text, int least, int most, int otherwise) {
     if (text.matches("[0-9]{1,9}")
         && Integer.parseInt(text) >= least
         && Integer.parseInt(text) <= most) {
       return Integer.parseInt(text);
     }
-    wrong(name + " '" + text + "' is not a whole number in range", "from " + least + " to " + most);
+    addError(
+        name + " '" + text + "' is not a whole number in range", "from " + least + " to " + most);
     return otherwise;
   }
 
@@ -120,7 +121,7 @@
     if (text == null || text.equals("yes") || text.equals("no")) {
       return text == null ? otherwise : text.equals("yes");
     }
-    wrong(name + " '" + text + "'", "yes or no");
+    addError(name + " '" + text + "'", "yes or no");
     return otherwise;
   }
 
@@ -129,7 +130,7 @@
     return text == null ? otherwise : text;
   }
 
-  public <T extends Enum<T>> T oneOf(String name, Class<T> type, T otherwise) {
+  public <T extends Enum<T>> T enumConstant(String name, Class<T> type, T otherwise) {
     String text = named.remove(name);
     if (text == null) {
       return otherwise;
@@ -142,31 +143,31 @@
       }
       words.add(word);
     }
-    wrong(name + " '" + text + "'", String.join(" or ", words));
+    addError(name + " '" + text + "'", String.join(" or ", words));
     return otherwise;
   }
 
   /** The address in a place; one of no host when the line is wrong. */
   public Address address(int place) {
-    return good() ? addressOf(place(place)) : new Address("", 0);
+    return isValid() ? parseAddress(word(place)) : new Address("", 0);
   }
 
-  public Address addressOf(String text) {
-    Address address = Address.read(text);
+  public Address parseAddress(String text) {
+    Address address = Address.parse(text);
     if (address == null) {
-      wrong("'" + text + "' is not an address", "HOST:PORT");
+      addError("'" + text + "' is not an address", "HOST:PORT");
       return new Address("", 0);
     }
     return address;
   }
 
   /** Notes the names that nobody asked for. */
-  public void finish() {
+  public void rejectUnknown() {
     named
         .keySet()
         .forEach(
             name ->
-                wrong(
+                addError(
                     "unknown argument '" + name + "' of " + line.keyword(),
                     "an argument that the manual names"));
     named.clear();
--- a/src/main/java/fawndock/settings/Units.java
+++ b/src/main/java/fawndock/settings/UnitParser.java
@@ -7,12 +7,12 @@
 import java.util.regex.Pattern;
 
 /** Times and sizes as people write them. */
-final class Units {
+final class UnitParser {
   private static final Pattern NUMBER_UNIT =
       Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?)([a-zA-Z]*)");
-  private static final Map<String, Long> TIMES =
+  private static final Map<String, Long> MICROS_PER_UNIT =
       Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L);
-  private static final Map<String, Long> SIZES =
+  private static final Map<String, Long> BYTES_PER_UNIT =
       Map.of(
           "",
           1L,
@@ -29,19 +29,19 @@
           "MB",
           1_000_000L);
 
-  private Units() {}
+  private UnitParser() {}
 
   /** Microseconds, or empty when it is not a time with a unit. */
-  static OptionalLong time(String text) {
-    return scaled(text, TIMES);
+  static OptionalLong parseMicros(String text) {
+    return parseScaled(text, MICROS_PER_UNIT);
   }
 
   /** Bytes, or empty when it is not a size. */
-  static OptionalLong size(String text) {
-    return scaled(text, SIZES);
+  static OptionalLong parseBytes(String text) {
+    return parseScaled(text, BYTES_PER_UNIT);
   }
 
-  private static OptionalLong scaled(String text, Map<String, Long> units) {
+  private static OptionalLong parseScaled(String text, Map<String, Long> units) {
     Matcher m = NUMBER_UNIT.matcher(text);
     if (!m.matches() || !units.containsKey(m.group(2))) {
       return OptionalLong.empty();
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -11,8 +11,8 @@
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.ConfigurationFile;
 import fawndock.settings.ConfigurationLine;
-import fawndock.settings.Entries;
 import fawndock.settings.LineArguments;
+import fawndock.settings.PolicyConfigReader;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -108,140 +108,141 @@
     super(Set.of("class", "plan", "demand", "trouble", "let"));
     this.given = given;
     keywords.put("let", this::let);
-    keywords.put("gatekeepers", line -> gatekeepers = whole(line, 1, 10_000));
+    keywords.put("gatekeepers", line -> gatekeepers = readInt(line, 1, 10_000));
     keywords.put("workers", this::workers);
     keywords.put(
         "network",
         line -> {
-          LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+          LineArguments a = arguments(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
           network =
               new Deployment.Network(
-                  a.time("way", 1, SECOND, 200),
-                  a.time("more", 0, SECOND, 100),
+                  a.micros("way", 1, SECOND, 200),
+                  a.micros("more", 0, SECOND, 100),
                   a.number("loss", 0, 1, 0));
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put(
         "counter",
         line -> {
           LineArguments a =
-              args(
+              arguments(
                   line,
                   0,
                   "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
           counter =
               new Deployment.Counter(
                   a.number("rate", 1, 1e9, 20_000),
-                  a.time("wait", 1_000, 10 * SECOND, 50_000),
-                  a.whole("parts", 1, 1_000, 1),
+                  a.micros("wait", 1_000, 10 * SECOND, 50_000),
+                  a.integer("parts", 1, 1_000, 1),
                   a.number("turns-away", 0, 1, 0),
-                  a.time("queue", 0, SECOND, 0));
-          a.finish();
+                  a.micros("queue", 0, SECOND, 0));
+          a.rejectUnknown();
         });
     keywords.put("roster", line -> roster = time(line, HOUR));
     keywords.put("for", line -> seconds = time(line, 24 * HOUR) / (double) SECOND);
-    keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
+    keywords.put("seed", line -> seed = readInt(line, 0, 999_999_999));
     keywords.put(
         "class",
         line -> {
-          LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
-          RequestClass c = Entries.requestClass(a);
+          LineArguments a =
+              arguments(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+          RequestClass c = PolicyConfigReader.readRequestClass(a);
           if (classes.putIfAbsent(c.name(), c) != null) {
-            a.wrong("class " + c.name() + " is given twice", "each class once");
+            a.addError("class " + c.name() + " is given twice", "each class once");
           }
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put(
         "plan",
         line -> {
-          LineArguments a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
-          Plan p = Entries.plan(a);
+          LineArguments a = arguments(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+          Plan p = PolicyConfigReader.readPlan(a);
           if (plans.putIfAbsent(p.name(), p) != null) {
-            a.wrong("plan " + p.name() + " is given twice", "each plan once");
+            a.addError("plan " + p.name() + " is given twice", "each plan once");
           }
-          a.finish();
+          a.rejectUnknown();
         });
     keywords.put(
         "limits",
         line -> {
-          LineArguments a = args(line, 0, "limits [ARGUMENT VALUE ...]");
-          limits = Entries.limits(a);
-          a.finish();
+          LineArguments a = arguments(line, 0, "limits [ARGUMENT VALUE ...]");
+          limits = PolicyConfigReader.readLimits(a);
+          a.rejectUnknown();
         });
     keywords.put(
         "rules",
         line -> {
-          LineArguments a = args(line, 0, "rules [ARGUMENT VALUE ...]");
-          rules = Entries.rules(a);
-          a.finish();
+          LineArguments a = arguments(line, 0, "rules [ARGUMENT VALUE ...]");
+          rules = PolicyConfigReader.readRules(a);
+          a.rejectUnknown();
         });
     keywords.put("demand", this::demand);
     keywords.put("trouble", this::trouble);
   }
 
   private long time(ConfigurationLine line, long most) {
-    LineArguments a = args(line, 1, line.keyword() + " TIME");
-    long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND);
-    a.finish();
+    LineArguments a = arguments(line, 1, line.keyword() + " TIME");
+    long time = a.parseMicros(line.keyword(), a.word(0), 0, most, SECOND);
+    a.rejectUnknown();
     return time;
   }
 
   private void workers(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             1,
             "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-    workers = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
+    workers = a.parseInteger("workers", a.word(0), 1, 10_000, 1);
     build =
         new Build(
-            a.whole("cores", 1, 1_000, 4),
-            a.time("work", 1, HOUR, 20_000),
-            a.whole("queue", 1, 1_000_000, 200),
+            a.integer("cores", 1, 1_000, 4),
+            a.micros("work", 1, HOUR, 20_000),
+            a.integer("queue", 1, 1_000_000, 200),
             a.number("cold-share", 0.01, 1, 0.2),
-            a.time("cold-time", 0, HOUR, 10 * SECOND),
+            a.micros("cold-time", 0, HOUR, 10 * SECOND),
             a.number("fall-multiple", 1, 1_000, 2),
-            a.time("fall-time", 1_000, HOUR, 2 * SECOND));
+            a.micros("fall-time", 1_000, HOUR, 2 * SECOND));
     thrash = a.number("thrash", 0, 10, 0);
-    zones = a.whole("zones", 1, 1_000, 1);
-    a.finish();
+    zones = a.integer("zones", 1, 1_000, 1);
+    a.rejectUnknown();
   }
 
   private void demand(ConfigurationLine line) {
     LineArguments a =
-        args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
+        arguments(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
     String type = a.word("class", "");
     String plan = a.word("plan", "");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
-    if (a.good() && rate == 0) {
-      a.wrong("demand " + a.place(0) + " has no rate", "rate NUMBER");
+    if (a.isValid() && rate == 0) {
+      a.addError("demand " + a.word(0) + " has no rate", "rate NUMBER");
     }
     double each = a.number("each", 0.001, 1_000_000, 0);
-    int customers = a.whole("customers", 1, 1_000_000, 1);
+    int customers = a.integer("customers", 1, 1_000_000, 1);
     if (each > 0) {
       customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / each)));
       rate = customers * each;
     }
     demands.add(
         new Deployment.Demand(
-            a.place(0),
+            a.word(0),
             type,
             plan,
             customers,
             a.number("skew", 0, 10, 0),
-            a.whole("spread", 1, 10_000, 10_000),
+            a.integer("spread", 1, 10_000, 10_000),
             rate,
             Words.shape(a),
-            a.time("remaining", 1_000, HOUR, 2 * SECOND),
+            a.micros("remaining", 1_000, HOUR, 2 * SECOND),
             Words.manners(a)));
-    a.finish();
-    check(
+    a.rejectUnknown();
+    crossCheck(
         a,
         () -> classes.containsKey(type),
         "there is no class '" + type + "'",
         "the name of a class line");
-    check(
+    crossCheck(
         a,
         () -> plans.containsKey(plan),
         "there is no plan '" + plan + "'",
@@ -253,21 +254,21 @@
    * another.
    */
   private void let(ConfigurationLine line) {
-    LineArguments a = args(line, 2, "let NAME VALUE");
-    if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
-      a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
+    LineArguments a = arguments(line, 2, "let NAME VALUE");
+    if (a.isValid() && !a.word(0).matches("[a-z][a-z0-9-]*")) {
+      a.addError("the name '" + a.word(0) + "'", "small letters, digits and -");
     }
-    variables.put(a.place(0), given.getOrDefault(a.place(0), a.place(1)));
-    a.finish();
+    variables.put(a.word(0), given.getOrDefault(a.word(0), a.word(1)));
+    a.rejectUnknown();
   }
 
   @Override
-  protected ConfigurationLine prepared(ConfigurationLine line) {
+  protected ConfigurationLine prepare(ConfigurationLine line) {
     List<String> words = line.words();
     if (line.keyword().equals("when")) {
       String name = words.size() > 3 ? words.get(1) : "";
       if (!variables.containsKey(name)) {
-        wrong(
+        addError(
             line,
             words.size() > 3
                 ? "there is no variable '" + name + "'"
@@ -284,7 +285,7 @@
     for (String word : words) {
       if (word.startsWith("$")) {
         if (!variables.containsKey(word.substring(1))) {
-          wrong(
+          addError(
               line,
               "there is no variable '" + word + "'",
               "let " + word.substring(1) + " VALUE before it");
@@ -302,23 +303,24 @@
   }
 
   private void trouble(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
+    LineArguments a =
+        arguments(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
     TroubleLine read = TroubleLine.read(a);
     int last = read.mark().worker() + read.mark().count() - 1;
-    check(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
-    check(
+    crossCheck(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
+    crossCheck(
         a,
         () -> read.gatekeepers() <= gatekeepers,
         "there are not " + read.gatekeepers() + " gatekeepers",
         "at most " + gatekeepers);
-    check(
+    crossCheck(
         a,
         () -> read.part() < counter.parts(),
         "the counter has no part " + read.part(),
         "a number below " + counter.parts());
-    check(
+    crossCheck(
         a, () -> read.zone() < zones, "there is no zone " + read.zone(), "a number below " + zones);
-    check(
+    crossCheck(
         a,
         () ->
             read.demand().isEmpty()
@@ -327,7 +329,7 @@
         "the name of a demand line");
     troubles.add(read.made());
     marks.add(read.mark());
-    a.finish();
+    a.rejectUnknown();
   }
 
   /**
@@ -346,17 +348,18 @@
    */
   public static Read read(Path file, Map<String, String> given) throws ConfigurationException {
     DeploymentFile f = new DeploymentFile(given);
-    f.lines(file);
+    f.readLines(file);
     given
         .keySet()
         .forEach(
             name ->
-                f.missing(
+                f.addFileErrorIf(
                     !f.variables.containsKey(name),
                     "no variable '" + name + "'",
                     "let " + name + " VALUE"));
-    f.missing(f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
-    f.finish();
+    f.addFileErrorIf(
+        f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
+    f.throwIfErrors();
     return new Read(
         new Deployment(
             f.gatekeepers,
--- a/src/main/java/fawndock/simulation/TroubleLine.java
+++ b/src/main/java/fawndock/simulation/TroubleLine.java
@@ -39,33 +39,33 @@
 
   /** Reads a line; notes what is wrong with it. */
   static TroubleLine read(LineArguments a) {
-    double from = a.time("from", 0, DAY, 0) / SECOND;
-    double until = a.time("until", 0, DAY, (long) (from * SECOND) + 1) / SECOND;
-    int worker = a.whole("worker", 0, 9_999, 0);
-    int count = a.whole("count", 1, 10_000, 1);
-    int some = a.whole("gatekeepers", 0, 10_000, 0);
-    int part = a.whole("part", 0, 999, -1);
-    int zone = a.whole("zone", 0, 999, 0);
+    double from = a.micros("from", 0, DAY, 0) / SECOND;
+    double until = a.micros("until", 0, DAY, (long) (from * SECOND) + 1) / SECOND;
+    int worker = a.integer("worker", 0, 9_999, 0);
+    int count = a.integer("count", 1, 10_000, 1);
+    int some = a.integer("gatekeepers", 0, 10_000, 0);
+    int part = a.integer("part", 0, 999, -1);
+    int zone = a.integer("zone", 0, 999, 0);
     double times = a.number("times", 1, 1_000, 10);
     double share = a.number("share", 0, 1, 0.5);
-    long by = a.time("by", 0, DAY, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
-    int many = a.whole("many", 1, 10_000, 10);
+    long by = a.micros("by", 0, DAY, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
+    int many = a.integer("many", 1, 10_000, 10);
     boolean empty = a.flag("empty", false);
     String demand = a.word("demand", "");
-    if (a.good() && until <= from) {
-      a.wrong("trouble " + a.place(0) + " ends before it begins", "until after from");
+    if (a.isValid() && until <= from) {
+      a.addError("trouble " + a.word(0) + " ends before it begins", "until after from");
     }
     List<String> workers = IntStream.range(worker, worker + count).mapToObj(i -> "w" + i).toList();
     Consumer<Emulation> made =
         made(
-            a.place(0),
+            a.word(0),
             new Named(
                 from, until, workers, some, part, zone, times, share, by, many, empty, demand));
     if (made == null) {
-      a.wrong("trouble '" + a.place(0) + "'", "one of " + String.join(" ", KINDS));
+      a.addError("trouble '" + a.word(0) + "'", "one of " + String.join(" ", KINDS));
     }
     return new TroubleLine(
-        new DeploymentFile.Mark(a.place(0), from, until, worker, count, times, share),
+        new DeploymentFile.Mark(a.word(0), from, until, worker, count, times, share),
         some,
         part,
         zone,
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -40,8 +40,8 @@
 
 /** The running counter, asked by a client library and by hand. */
 class CounterServerTest {
-  private static final CounterSettings.Fleet ALONE =
-      new CounterSettings.Fleet("", 1, 150, 2_000, java.util.Map.of());
+  private static final CounterSettings.Cluster ALONE =
+      new CounterSettings.Cluster("", 1, 150, 2_000, java.util.Map.of());
   @TempDir private Path directory;
   private FileDisk files;
   private TestDisk disk;
--- a/src/test/java/fawndock/counter/FleetTest.java
+++ b/src/test/java/fawndock/counter/FleetTest.java
@@ -67,7 +67,7 @@
                 1 << 20,
                 10_000,
                 new GatewaySettings.Log(false, "error"),
-                new CounterSettings.Fleet("n" + node, epoch, 300, 600, fellows)),
+                new CounterSettings.Cluster("n" + node, epoch, 300, 600, fellows)),
             disks.get(node)));
     servers.get(node).start(b -> {});
   }
--- a/src/test/java/fawndock/gateway/CounterClientTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -15,7 +15,7 @@
 import fawndock.settings.Address;
 import fawndock.settings.CounterSettings;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterService;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.net.ServerSocket;
@@ -61,7 +61,7 @@
                 new CounterClient(
                     vertx,
                     context,
-                    new CounterParts(
+                    new CounterService(
                         nodes.isEmpty() ? List.of(new Address("127.0.0.1", port)) : List.of(),
                         nodes,
                         timeoutMicros,
@@ -105,7 +105,7 @@
   void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
     try (FileDisk disk = new FileDisk(directory, true)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       port = own.start(bytes -> {});
       connect(20_000_000, 4_096);
       count("n", 1, 0.1, -0.1);
@@ -129,7 +129,7 @@
         ServerSocket one = new ServerSocket(0);
         ServerSocket two = new ServerSocket(0)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       nodes =
           Map.of(
               "n0",
@@ -164,13 +164,13 @@
           own(
               old,
               directory.resolve("old"),
-              new CounterSettings.Fleet("n0", 1, 150, 200, Map.of()));
+              new CounterSettings.Cluster("n0", 1, 150, 200, Map.of()));
       int offPort = off.start(bytes -> {});
       CounterServer on =
           own(
               fresh,
               directory.resolve("fresh"),
-              new CounterSettings.Fleet(
+              new CounterSettings.Cluster(
                   "n1", 1, 150, 200, Map.of("n0", new Address("127.0.0.1", offPort))));
       int onPort = on.start(bytes -> {});
       nodes = Map.of("n0", new Address("127.0.0.1", offPort));
@@ -194,7 +194,7 @@
     }
   }
 
-  private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Fleet fleet) {
+  private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Cluster fleet) {
     return new CounterServer(
         new CounterSettings(
             new Address("127.0.0.1", 0),
--- a/src/test/java/fawndock/gateway/GatewayHarness.java
+++ b/src/test/java/fawndock/gateway/GatewayHarness.java
@@ -1,7 +1,7 @@
 package fawndock.gateway;
 
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import io.vertx.core.Future;
 import io.vertx.core.Handler;
 import io.vertx.core.Vertx;
@@ -57,7 +57,7 @@
                 ? ""
                 : "\nserver w 127.0.0.1:" + workerPort)
             + "\n");
-    GatewaySettings settings = SettingsFile.read(file);
+    GatewaySettings settings = GatewaySettingsFile.read(file);
     Files.delete(file);
     AtomicInteger made = new AtomicInteger();
     server =
--- a/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
@@ -13,7 +13,7 @@
 import fawndock.ratelimit.proto.RateLimitResponse.Code;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
 import io.vertx.grpc.client.GrpcClient;
@@ -98,7 +98,7 @@
                 """
                     .formatted(me, counter.port())
                 + more);
-    return SettingsFile.read(file);
+    return GatewaySettingsFile.read(file);
   }
 
   private static <T> T wait(io.vertx.core.Future<T> what) throws Exception {
--- a/src/test/java/fawndock/settings/CounterKeywordsTest.java
+++ b/src/test/java/fawndock/settings/CounterSettingsKeywordsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Golden list of what operators may write in a counter's settings file. */
-class CounterKeywordsTest {
+class CounterSettingsKeywordsTest {
   private static final String KEYWORDS =
       "listen directory durability snapshot password max-connections max-memory stall log fleet"
           + " fellow include";
@@ -81,7 +81,7 @@
             1 << 20,
             12_000,
             new GatewaySettings.Log(true, "warn"),
-            new CounterSettings.Fleet(
+            new CounterSettings.Cluster(
                 "n0", 3, 160, 2_100, Map.of("n1", new Address("127.0.0.1", 6380)))),
         read(
             """
--- a/src/test/java/fawndock/settings/SettingsFileTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SettingsFileTest {
+class GatewaySettingsFileTest {
   private static final String GOOD =
       """
             listen 127.0.0.1:8080      # clients
@@ -28,10 +28,10 @@
     return Files.writeString(folder.resolve(name), text);
   }
 
-  private List<String> mistakes(String text) throws IOException {
+  private List<String> errors(String text) throws IOException {
     Path file = file("bad.conf", text);
-    return assertThrows(ConfigurationException.class, () -> SettingsFile.read(file))
-        .mistakes()
+    return assertThrows(ConfigurationException.class, () -> GatewaySettingsFile.read(file))
+        .errors()
         .stream()
         .map(m -> m.toString().replace(folder + "/", ""))
         .toList();
@@ -42,13 +42,13 @@
     file(
         "more.conf",
         "counter 127.0.0.1:6379 [::1]:6380\ncounter-limits timeout 1.5ms\nsizes body 2KiB\n");
-    GatewaySettings s = SettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
-    assertEquals("one", s.keys().get("a key # with \"blanks\"").customer());
+    GatewaySettings s = GatewaySettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
+    assertEquals("one", s.apiKeys().get("a key # with \"blanks\"").customer());
     assertEquals(500_000, s.classes().get(0).latencyObjectiveMicros());
     assertEquals(1_500, s.counter().timeoutMicros());
     assertEquals(
-        List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().parts());
-    assertEquals(2048, s.http().bodyLimit());
+        List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().shards());
+    assertEquals(2048, s.http().maxRequestBodyBytes());
     assertEquals("/lookup/deep", s.routes().get(0).prefix(), "the longest prefix decides first");
   }
 
@@ -65,7 +65,7 @@
             "bad.conf:6: unknown argument 'colour' of plan, expected an argument that the manual names",
             "bad.conf:7: 'listen' stands already in bad.conf:1, expected it once",
             "bad.conf:8: include names 0 files, expected include FILE"),
-        mistakes(
+        errors(
             """
                         listen nowhere
                         class lookup aim 1ms deadline 2
@@ -80,21 +80,21 @@
 
   @Test
   void unknownKeywordIsAMistake() throws Exception {
-    assertEquals(1, mistakes(GOOD + "lisden 127.0.0.1:1\n").size());
+    assertEquals(1, errors(GOOD + "lisden 127.0.0.1:1\n").size());
   }
 
   @Test
   void keyOfAPlanThatIsNotThereIsAMistake() throws Exception {
     assertEquals(
         List.of("bad.conf:8: there is no plan 'gold', expected the name of a plan line"),
-        mistakes(GOOD + "key k2 customer two plan gold\n"));
+        errors(GOOD + "key k2 customer two plan gold\n"));
   }
 
   @Test
   void aFileThatIncludesItselfOrIsNotThereEndsWithOneMistake() throws Exception {
     assertEquals(
-        1, mistakes("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
+        1, errors("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
     assertEquals(
-        1, mistakes("include gone.conf\n").stream().filter(m -> m.contains("cannot read")).count());
+        1, errors("include gone.conf\n").stream().filter(m -> m.contains("cannot read")).count());
   }
 }
--- a/src/test/java/fawndock/settings/SettingsKeywordsTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsKeywordsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Golden list of what operators may write in a gateway's settings file. */
-class SettingsKeywordsTest {
+class GatewaySettingsKeywordsTest {
   private static final String KEYWORDS =
       "listen instances gatekeeper seed zone class plan key route server limits rules counter"
           + " counter-node counter-limits roster peer peer-listen headers sizes pool stop"
@@ -102,7 +102,7 @@
   @TempDir Path folder;
 
   private GatewaySettings read(String text) throws Exception {
-    return SettingsFile.read(Files.writeString(folder.resolve("golden.conf"), text));
+    return GatewaySettingsFile.read(Files.writeString(folder.resolve("golden.conf"), text));
   }
 
   private String error(String text) {
@@ -142,7 +142,7 @@
     assertEquals(new Address("127.0.0.1", 8080), s.listen());
     assertEquals(
         List.of(2, 1, 4, 7L, "here"),
-        List.of(s.instances(), s.first(), s.fleet(), s.seed(), s.zone()));
+        List.of(s.instances(), s.firstInstance(), s.fleetSize(), s.seed(), s.zone()));
     var c = s.classes().get(0);
     assertEquals(
         List.of("c", 400_000L, 1.5, 2_000_000L, 3.0, 0.5),
@@ -168,7 +168,7 @@
         List.of(s.classes().get(2).idempotency(), s.classes().get(2).deduplicationScope()));
     assertEquals(
         new fawndock.policy.config.Plan("p", 2, 8, 3, 1.5, 0.2, 0.3, 4, 5, 6), s.plans().get(0));
-    assertEquals(new GatewaySettings.Key("one", "p", 1, 2), s.keys().get("k"));
+    assertEquals(new GatewaySettings.ApiKey("one", "p", 1, 2), s.apiKeys().get("k"));
     assertEquals(new GatewaySettings.Route("PUT", "/put", "c"), s.routes().get(0));
     assertEquals(
         new fawndock.policy.config.GatewayLimits(2, 20, 3_000_000, true, false, true, false, true),
@@ -177,7 +177,7 @@
         new fawndock.policy.config.ServiceRules(11_000, 12_000, 0.13, 14_000, 1.5, 16_000, 17_000),
         s.rules());
     assertEquals(
-        new GatewaySettings.CounterParts(
+        new GatewaySettings.CounterService(
             List.of(new Address("127.0.0.1", 2), new Address("127.0.0.1", 3)),
             java.util.Map.of(),
             18_000,
@@ -185,14 +185,14 @@
             19),
         s.counter());
     assertEquals(
-        new GatewaySettings.RosterSource(
+        new GatewaySettings.EndpointDiscovery(
             new Address("127.0.0.1", 4),
             200_000,
             true,
             List.of(
-                new GatewaySettings.FixedServer(
+                new GatewaySettings.StaticEndpoint(
                     "w", new Address("127.0.0.1", 1), "there", 9, 2.5))),
-        s.roster());
+        s.discovery());
     assertEquals(
         new GatewaySettings.Peers(
             new Address("127.0.0.1", 6), java.util.Map.of(3, new Address("127.0.0.1", 5)), 21),
@@ -236,6 +236,6 @@
                 "counter-node n1 127.0.0.1:2\ncounter-node n2 127.0.0.1:3"));
     assertEquals(
         java.util.Map.of("n1", new Address("127.0.0.1", 2), "n2", new Address("127.0.0.1", 3)),
-        s.counter().nodes());
+        s.counter().clusterNodes());
   }
 }
