--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -2,9 +2,9 @@
 
 import fawndock.counter.CounterServer;
 import fawndock.counter.FileDisk;
+import fawndock.counter.config.CounterSettings;
+import fawndock.counter.config.CounterSettingsFile;
 import fawndock.settings.ConfigurationException;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.CounterSettingsFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/Logs.java
@@ -8,7 +8,7 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.Encoder;
-import fawndock.settings.GatewaySettings.Log;
+import fawndock.settings.LogSettings;
 import java.util.TimeZone;
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
@@ -25,10 +25,10 @@
 
   /** Warnings and errors as text, for tools that print their own results. */
   static void quiet() {
-    to(new Log(false, "warn"));
+    to(new LogSettings(false, "warn"));
   }
 
-  static void to(Log log) {
+  static void to(LogSettings log) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -1,5 +1,6 @@
 package fawndock.counter;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.CounterOperations;
 import fawndock.counter.storage.CounterTable;
 import fawndock.counter.storage.GroupCommit;
@@ -7,7 +8,6 @@
 import fawndock.counter.storage.MonotonicWallClock;
 import fawndock.counter.storage.Recovery;
 import fawndock.counter.storage.Storage;
-import fawndock.settings.CounterSettings;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -1,5 +1,6 @@
 package fawndock.counter;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.replication.MembershipList;
 import fawndock.counter.replication.ReplicaNode;
 import fawndock.counter.replication.ReplicaNode.Batch;
@@ -9,7 +10,6 @@
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
 import io.netty.channel.EventLoopGroup;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/fawndock/settings/CounterSettings.java
+++ b/src/main/java/fawndock/counter/config/CounterSettings.java
@@ -1,25 +1,26 @@
-package fawndock.settings;
+package fawndock.counter.config;
 
 import fawndock.counter.storage.GroupCommit.Durability;
-import fawndock.settings.GatewaySettings.Log;
+import fawndock.settings.Address;
+import fawndock.settings.LogSettings;
 import java.nio.file.Path;
 import java.util.Map;
 
 /**
- * All that a counter's settings file says.
+ * The settings of one counter process, as its settings file gives them. Immutable.
  *
  * @param listen where clients connect
- * @param directory of log and snapshots
+ * @param directory of write-ahead log and snapshots
  * @param durability which crash an acknowledged change outlasts
- * @param syncIntervalMillis between syncs when by interval, from 1
+ * @param syncIntervalMillis between syncs when the durability is by interval, from 1
  * @param snapshotAfterLogBytes bytes of log after which a snapshot is taken
  * @param password that clients must give; empty for none
- * @param maxConnections beyond which connections are refused
- * @param maxMemoryBytes bytes for names; new ones beyond it are refused
+ * @param maxConnections of clients; more are closed at once
+ * @param maxMemoryBytes for names; new names beyond it are rejected
  * @param stalledClientTimeoutMillis after which a connection is closed that leaves a command half
  *     sent, or answers unread
  * @param log how it is logged
- * @param cluster the nodes that stand in for each other
+ * @param cluster the replicas, this one among them
  */
 public record CounterSettings(
     Address listen,
@@ -31,16 +32,17 @@
     int maxConnections,
     long maxMemoryBytes,
     long stalledClientTimeoutMillis,
-    Log log,
+    LogSettings log,
     Cluster cluster) {
   /**
-   * The nodes that stand in for each other.
+   * The replicas of the counter.
    *
-   * @param node the name of this one; empty when it is alone
-   * @param epoch of the list of nodes
-   * @param failureTimeoutMillis of silence after which another node counts as cut off or dead
-   * @param startAloneMillis after which a node that reaches no other begins by itself
-   * @param peers the others, by name
+   * @param node the name of this one; empty when it is the only one
+   * @param epoch of the membership list
+   * @param failureTimeoutMillis without a heartbeat after which a peer counts as partitioned or
+   *     dead
+   * @param startAloneMillis after which a node that reaches no peer starts by itself
+   * @param peers the other nodes, by name
    */
   public record Cluster(
       String node,
--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -61,7 +61,7 @@
    * Tells what the settings list, then follows the roster unless the gatekeeper must ask for it.
    */
   void start() {
-    if (!settings.staticEndpoints().isEmpty() || settings.isPolicyStarted()) {
+    if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
       List<Endpoint> fixed = new ArrayList<>();
       settings
           .staticEndpoints()
@@ -73,7 +73,7 @@
               });
       listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
     }
-    if (!settings.isPolicyStarted()) {
+    if (!settings.mustWatchEndpoints()) {
       watch();
     }
   }
@@ -191,7 +191,7 @@
           }
         });
     backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
-    if (settings.isPolicyStarted()) {
+    if (settings.mustWatchEndpoints()) {
       listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -88,7 +88,7 @@
                 settings.seed() + instanceIndex,
                 TIMER_RESOLUTION_MICROS,
                 settings.zone(),
-                settings.discovery().isPolicyStarted(),
+                settings.discovery().mustWatchEndpoints(),
                 settings.classes(),
                 settings.plans(),
                 settings.limits(),
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -42,9 +42,9 @@
         "protocol",
         line -> {
           LineArguments a = arguments(line, 1, "protocol h1|h2");
-          http2 = a.word(0).equals("h2");
-          if (!a.word(0).matches("h1|h2")) {
-            a.addError("protocol '" + a.word(0) + "'", "h1 or h2");
+          http2 = a.positional(0).equals("h2");
+          if (!a.positional(0).matches("h1|h2")) {
+            a.addError("protocol '" + a.positional(0) + "'", "h1 or h2");
           }
           a.rejectUnknown();
         });
@@ -60,7 +60,8 @@
 
   private double seconds(ConfigurationLine line, long least) {
     LineArguments a = arguments(line, 1, line.keyword() + " TIME");
-    double time = a.parseMicros(line.keyword(), a.word(0), least, DAY, least) / (double) SECOND;
+    double time =
+        a.parseMicros(line.keyword(), a.positional(0), least, DAY, least) / (double) SECOND;
     a.rejectUnknown();
     return time;
   }
@@ -72,7 +73,7 @@
     int closed = a.integer("clients", 1, 100_000, 0);
     if (a.isValid() && (rate > 0) == (closed > 0)) {
       a.addError(
-          "flow " + a.word(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
+          "flow " + a.positional(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
           "rate or clients");
     }
     boolean even = Words.word(a, "arrivals", "poisson", "poisson|even").equals("even");
@@ -80,7 +81,14 @@
     int customers = a.integer("customers", 1, 1_000_000, 1);
     double skew = a.number("skew", 0, 10, 0);
     flows.add(
-        new Flow(request(a, a.word(1), a.word(2)), rate, shape, even, closed, customers, skew));
+        new Flow(
+            request(a, a.positional(1), a.positional(2)),
+            rate,
+            shape,
+            even,
+            closed,
+            customers,
+            skew));
     a.rejectUnknown();
   }
 
@@ -89,7 +97,7 @@
     double speed = a.number("speed", 0.001, 1_000, 1);
     String method = a.word("method", "GET");
     String path = a.word("path", "/");
-    Path from = file.toAbsolutePath().getParent().resolve(a.word(1));
+    Path from = file.toAbsolutePath().getParent().resolve(a.positional(1));
     if (a.isValid() && !java.nio.file.Files.isReadable(from)) {
       a.addError("no trace " + from, "a file that can be read");
     }
@@ -105,7 +113,7 @@
       a.addError("path '" + path + "'", "one that begins with /");
     }
     return new Request(
-        a.word(0),
+        a.positional(0),
         method,
         path,
         a.word("key", ""),
--- a/src/main/java/fawndock/settings/Address.java
+++ b/src/main/java/fawndock/settings/Address.java
@@ -1,22 +1,33 @@
 package fawndock.settings;
 
 /**
- * Where something listens.
+ * A host and a TCP or UDP port.
  *
- * @param host a name or an IP address
+ * @param host a name or an IP address, without brackets
  * @param port 0 to 65535; 0 to listen on any free port
  */
 public record Address(String host, int port) {
-  /** The address in a text, or null when that is not HOST:PORT; a port of 0 is one. */
+  private static final int MAX_PORT = 65_535;
+
+  /** The address of a text, or null when that is not HOST:PORT; a port of 0 is one. */
   public static Address parse(String text) {
     int colon = text.lastIndexOf(':');
-    String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|\\]$", "");
-    String port = colon < 0 ? "" : text.substring(colon + 1);
-    boolean is = !host.isEmpty() && port.matches("[0-9]{1,5}") && Integer.parseInt(port) <= 65_535;
-    return is ? new Address(host, Integer.parseInt(port)) : null;
+    if (colon < 0) {
+      return null;
+    }
+    String host = text.substring(0, colon).replaceAll("^\\[|\\]$", "");
+    String port = text.substring(colon + 1);
+    if (host.isEmpty() || !port.matches("[0-9]{1,5}") || Integer.parseInt(port) > MAX_PORT) {
+      return null;
+    }
+    return new Address(host, Integer.parseInt(port));
   }
 
-  /** The address in a text that is known to be HOST:PORT. */
+  /**
+   * The address of a text that is known to be HOST:PORT.
+   *
+   * @throws RuntimeException when it is not
+   */
   public static Address of(String text) {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, colon);
--- a/src/main/java/fawndock/settings/ConfigurationLineReader.java
+++ b/src/main/java/fawndock/settings/ConfigurationLineReader.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 
 /**
- * Splits settings files into lines of words. Words are parted by blanks; {@code "…"} keeps blanks
- * and {@code #} together and knows {@code \"} and {@code \\}; {@code #} at the start of a word
- * begins a comment; {@code include FILE} puts another file's lines in its place, relative to the
- * file that names it.
+ * Splits settings files into lines of words. Words are separated by white space; {@code "…"} keeps
+ * white space and {@code #} in a word and knows {@code \"} and {@code \\}; {@code #} at the start
+ * of a word begins a comment; {@code include FILE} puts another file's lines in its place, relative
+ * to the file that names it.
  */
 final class ConfigurationLineReader {
   private static final int MAX_INCLUDE_DEPTH = 8;
@@ -21,68 +21,74 @@
   private final List<ConfigurationLine> lines = new ArrayList<>();
   private final List<ConfigurationError> errors;
 
-  ConfigurationLineReader(List<ConfigurationError> mistakes) {
-    this.errors = mistakes;
+  /** Errors are added to the list given. */
+  ConfigurationLineReader(List<ConfigurationError> errors) {
+    this.errors = errors;
   }
 
+  /** The lines of a file and of all files that it includes. */
   List<ConfigurationLine> read(Path file) {
     include(file, file.toString(), 0, 0);
     return lines;
   }
 
-  private void include(Path file, String namedIn, int line, int depth) {
+  private void include(Path file, String includedIn, int includeLine, int depth) {
     if (depth > MAX_INCLUDE_DEPTH) {
-      errors.add(
-          new ConfigurationError(
-              namedIn,
-              line,
-              "includes are nested more than " + MAX_INCLUDE_DEPTH + " deep",
-              "a file that does not include itself"));
+      addError(
+          includedIn,
+          includeLine,
+          "includes are nested more than " + MAX_INCLUDE_DEPTH + " deep",
+          "a file that does not include itself");
       return;
     }
-    String text;
-    try {
-      if (Files.isRegularFile(file) && Files.size(file) > MAX_FILE_BYTES) {
-        errors.add(
-            new ConfigurationError(namedIn, line, file + " is over 64 MiB", "a settings file"));
-        return;
-      }
-      text = new String(Files.readAllBytes(file), StandardCharsets.UTF_8);
-    } catch (IOException | SecurityException e) {
-      errors.add(
-          new ConfigurationError(namedIn, line, "cannot read " + file, "a file that can be read"));
+    Optional<String> text = readText(file, includedIn, includeLine);
+    if (text.isEmpty()) {
       return;
     }
     int number = 0;
-    for (String each : text.split("\r?\n", -1)) {
+    for (String each : text.get().split("\r?\n", -1)) {
       number++;
-      Optional<List<String>> words = splitWords(each, file.toString(), number);
-      if (words.isEmpty() || words.get().isEmpty()) {
+      List<String> words = splitWords(each, file.toString(), number);
+      if (words.isEmpty()) {
         continue;
       }
       if (lines.size() >= MAX_LINES) {
-        errors.add(
-            new ConfigurationError(
-                file.toString(), number, "more than " + MAX_LINES + " lines in all", "fewer"));
+        addError(file.toString(), number, "more than " + MAX_LINES + " lines in all", "fewer");
         return;
       }
-      ConfigurationLine line1 = new ConfigurationLine(file.toString(), number, words.get());
-      if (!line1.keyword().equals("include")) {
-        lines.add(line1);
-      } else if (line1.words().size() != 2) {
-        errors.add(
-            new ConfigurationError(
-                file.toString(),
-                number,
-                "include names " + (line1.words().size() - 1) + " files",
-                "include FILE"));
-      } else {
-        include(file.resolveSibling(line1.words().get(1)), file.toString(), number, depth + 1);
+      addLine(file, new ConfigurationLine(file.toString(), number, words), depth);
+    }
+  }
+
+  private Optional<String> readText(Path file, String includedIn, int includeLine) {
+    try {
+      if (Files.isRegularFile(file) && Files.size(file) > MAX_FILE_BYTES) {
+        addError(includedIn, includeLine, file + " is over 64 MiB", "a settings file");
+        return Optional.empty();
       }
+      return Optional.of(new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
+    } catch (IOException | SecurityException e) {
+      addError(includedIn, includeLine, "cannot read " + file, "a file that can be read");
+      return Optional.empty();
+    }
+  }
+
+  private void addLine(Path file, ConfigurationLine line, int depth) {
+    if (!line.keyword().equals("include")) {
+      lines.add(line);
+    } else if (line.words().size() != 2) {
+      addError(
+          line.file(),
+          line.number(),
+          "include names " + (line.words().size() - 1) + " files",
+          "include FILE");
+    } else {
+      include(file.resolveSibling(line.words().get(1)), line.file(), line.number(), depth + 1);
     }
   }
 
-  private Optional<List<String>> splitWords(String text, String file, int number) {
+  /** The words of a line; none for an empty line, a comment, and one whose quote is not closed. */
+  private List<String> splitWords(String text, String file, int number) {
     List<String> words = new ArrayList<>();
     int at = 0;
     while (at < text.length()) {
@@ -93,26 +99,28 @@
         break;
       } else {
         StringBuilder word = new StringBuilder();
-        boolean quoted = false;
-        while (at < text.length() && (quoted || !Character.isWhitespace(text.charAt(at)))) {
+        boolean isQuoted = false;
+        while (at < text.length() && (isQuoted || !Character.isWhitespace(text.charAt(at)))) {
           c = text.charAt(at++);
           if (c == '"') {
-            quoted = !quoted;
-          } else if (c == '\\' && quoted && at < text.length()) {
+            isQuoted = !isQuoted;
+          } else if (c == '\\' && isQuoted && at < text.length()) {
             word.append(text.charAt(at++));
           } else {
             word.append(c);
           }
         }
-        if (quoted) {
-          errors.add(
-              new ConfigurationError(
-                  file, number, "a quote is not closed", "\" before the line ends"));
-          return Optional.empty();
+        if (isQuoted) {
+          addError(file, number, "a quote is not closed", "\" before the line ends");
+          return List.of();
         }
         words.add(word.toString());
       }
     }
-    return Optional.of(words);
+    return words;
+  }
+
+  private void addError(String file, int line, String problem, String expected) {
+    errors.add(new ConfigurationError(file, line, problem, expected));
   }
 }
--- a/src/main/java/fawndock/settings/GatewaySettings.java
+++ b/src/main/java/fawndock/settings/GatewaySettings.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 
 /**
- * All that a settings file says.
+ * The settings of one gateway process, as its settings file gives them. Immutable.
  *
  * @param listen where clients connect
- * @param instances gatekeepers in this process, from 1
- * @param firstInstance the number of the first of them in the fleet, from 0
- * @param fleetSize gatekeepers in the fleet, from 1
- * @param seed of the decisions' random choices
+ * @param instances gateway instances in this process, from 1
+ * @param firstInstance index of the first of them in the fleet, from 0
+ * @param fleetSize instances in the fleet, from 1
+ * @param seed of the policy's random choices
  * @param zone where this process runs
  * @param classes the request classes, in the order given
  * @param plans the plans, in the order given
- * @param apiKeys who holds each key
- * @param routes method and path to class; the longest matching prefix decides
- * @param limits what a gatekeeper may do
- * @param rules the figures of the rules
+ * @param apiKeys the customer of each key
+ * @param routes method and path to class, the longest prefix first
+ * @param limits what an instance may do
+ * @param rules the figures of the service rules
  * @param counter the counter service
- * @param discovery where the servers are learned from
- * @param peers the other gatekeepers
- * @param http how requests are read and passed on
- * @param log how it is logged
+ * @param discovery where endpoints are learned from
+ * @param peers the other instances
+ * @param http how requests are read and forwarded
+ * @param log how the log is written
  * @param rateLimit the gRPC rate limit service
  */
 public record GatewaySettings(
@@ -46,12 +46,14 @@
     EndpointDiscovery discovery,
     Peers peers,
     Http http,
-    Log log,
+    LogSettings log,
     RateLimit rateLimit) {
 
   /**
-   * Whom a key belongs to, and which instances that customer's requests come through: all when
-   * spread is 0.
+   * The customer of an API key.
+   *
+   * @param customerFirstInstance the first instance that the customer's requests arrive at
+   * @param customerInstanceCount how many they arrive at; 0 for all
    */
   public record ApiKey(
       String customer, String plan, int customerFirstInstance, int customerInstanceCount) {}
@@ -71,9 +73,14 @@
   }
 
   /**
-   * The parts of the counter service, in an order that all gatekeepers share, each with its own
-   * counts; or nodes that stand in for each other, by names that all gatekeepers share. Both empty
-   * is no counter.
+   * The counter service: shards, each with counts of its own, or the nodes of one replicated
+   * cluster. Without either there is no counter.
+   *
+   * @param shards in an order that all instances share
+   * @param clusterNodes by names that all instances share
+   * @param timeoutMicros the longest wait for a call
+   * @param settlesUnits whether load reports tell the true units of a request
+   * @param maxCallsInFlight calls beyond it fail at once
    */
   public record CounterService(
       List<Address> shards,
@@ -88,24 +95,40 @@
   }
 
   /**
-   * The roster, and the servers known before it is heard; silence for longer than this is a loss.
+   * Endpoint discovery.
+   *
+   * @param address of the discovery server; null for none
+   * @param watchIdleTimeoutMicros without any line after which the watch is reopened
+   * @param mustWatchEndpoints whether the watch begins only when the policy asks for it
+   * @param staticEndpoints known from the start
    */
   public record EndpointDiscovery(
       Address address,
       long watchIdleTimeoutMicros,
-      boolean isPolicyStarted,
+      boolean mustWatchEndpoints,
       List<StaticEndpoint> staticEndpoints) {}
 
-  /** A server named in the settings. */
+  /** An endpoint named in the settings. */
   public record StaticEndpoint(String id, Address address, String zone, int cell, double weight) {}
 
   /**
-   * The fellow gatekeepers by their numbers, and where this process hears them; {@code
-   * maxMessagesPerSecond} a second.
+   * Peer messages among the instances of the fleet.
+   *
+   * @param listen where this process receives them; null for nowhere
+   * @param addresses of the instances, by index
+   * @param maxMessagesPerSecond received; more are dropped
    */
   public record Peers(Address listen, Map<Integer, Address> addresses, int maxMessagesPerSecond) {}
 
-  /** Names of the header fields, sizes in bytes, and times. */
+  /**
+   * How HTTP requests are read and forwarded.
+   *
+   * @param unitsHeader names the request's units; empty for none
+   * @param maxBufferedResponseBytes larger responses are streamed
+   * @param connectTimeoutMicros for a connection to an endpoint
+   * @param drainTimeoutMicros the longest wait for requests in flight when stopping
+   * @param maxClientConnections of the process; more are closed at once
+   */
   public record Http(
       String keyHeader,
       String deadlineHeader,
@@ -120,12 +143,11 @@
       long drainTimeoutMicros,
       int maxClientConnections) {}
 
-  /** Text or JSON lines, and the level: error, warn, info or debug. */
-  public record Log(boolean isJson, String level) {}
-
   /**
-   * Where the rate limit service listens, null for none, and what its descriptors mean, the first
-   * that fits.
+   * The gRPC rate limit service.
+   *
+   * @param listen null for no service
+   * @param descriptors what each means; the first that matches holds
    */
   public record RateLimit(Address listen, List<Descriptor> descriptors) {}
 
@@ -133,7 +155,8 @@
    * What a descriptor of a domain means.
    *
    * @param entries its keys in order, each with its value, {@code *} for any
-   * @param customer a name, or the value of the entry whose key stands in braces
+   * @param customer a name, or the key in braces of the entry whose value is the name
+   * @param units multiplied by the hits addend
    */
   public record Descriptor(
       String domain,
--- a/src/main/java/fawndock/settings/PolicyConfigReader.java
+++ b/src/main/java/fawndock/settings/PolicyConfigReader.java
@@ -8,8 +8,8 @@
 import fawndock.policy.config.ServiceRules;
 
 /**
- * The entries that a gatekeeper is started with: what a line says, and what in it does not go
- * together.
+ * Reads the lines that configure the policy, which gateways and simulated deployments share:
+ * request classes, plans, limits and service rules. Stateless.
  */
 public final class PolicyConfigReader {
   static final long MAX_TIME_MICROS = 3_600_000_000L;
@@ -17,12 +17,12 @@
 
   private PolicyConfigReader() {}
 
-  /** Reads what a {@code class} line says. */
+  /** Reads the request class of a {@code class} line. */
   public static RequestClass readRequestClass(LineArguments a) {
     long deadline = a.micros("deadline", 1_000, MAX_TIME_MICROS, 1_000_000);
-    RequestClass c =
+    RequestClass requestClass =
         new RequestClass(
-            a.word(0),
+            a.positional(0),
             a.micros("aim", 1_000, MAX_TIME_MICROS, deadline),
             a.number("aim-stretch", 0, MAX_AMOUNT, 0),
             deadline,
@@ -32,20 +32,23 @@
             a.enumConstant("group", DeduplicationScope.class, DeduplicationScope.CELL),
             a.micros("window", 0, MAX_TIME_MICROS, 0),
             a.flag("streamed", false));
-    if (c.latencyObjectiveMicros() > c.deadlineMicros()) {
-      a.addError("the aim of " + c.name() + " is beyond its deadline", "aim at most deadline");
+    if (requestClass.latencyObjectiveMicros() > requestClass.deadlineMicros()) {
+      a.addError(
+          "the aim of " + requestClass.name() + " is beyond its deadline", "aim at most deadline");
     }
-    if (c.idempotency() == Idempotency.DEDUPLICATED && c.deduplicationWindowMicros() == 0) {
-      a.addError("class " + c.name() + " is deduplicated without a window", "window TIME");
+    if (requestClass.idempotency() == Idempotency.DEDUPLICATED
+        && requestClass.deduplicationWindowMicros() == 0) {
+      a.addError(
+          "class " + requestClass.name() + " is deduplicated without a window", "window TIME");
     }
-    return c;
+    return requestClass;
   }
 
-  /** Reads what a {@code plan} line says. */
+  /** Reads the plan of a {@code plan} line. */
   public static Plan readPlan(LineArguments a) {
-    Plan p =
+    Plan plan =
         new Plan(
-            a.word(0),
+            a.positional(0),
             a.number("rate", 0, MAX_AMOUNT, 0),
             a.number("store", 0, MAX_AMOUNT, 0),
             a.integer("open", 0, 1_000_000, 0),
@@ -55,18 +58,18 @@
             a.number("ceiling-rate", 0, MAX_AMOUNT, 0),
             a.number("ceiling-burst", 0, MAX_AMOUNT, 0),
             a.number("ceiling-slack", 0, MAX_AMOUNT, 0));
-    if (p.unitsPerSecond() > 0 && p.burstUnits() <= 0) {
-      a.addError("plan " + p.name() + " has a rate and no store", "store N above 0");
+    if (plan.unitsPerSecond() > 0 && plan.burstUnits() <= 0) {
+      a.addError("plan " + plan.name() + " has a rate and no store", "store N above 0");
     }
-    if (p.ceilingUnitsPerSecond() > 0 && p.ceilingBurstUnits() <= 0) {
+    if (plan.ceilingUnitsPerSecond() > 0 && plan.ceilingBurstUnits() <= 0) {
       a.addError(
-          "plan " + p.name() + " has a ceiling-rate and no ceiling-burst",
+          "plan " + plan.name() + " has a ceiling-rate and no ceiling-burst",
           "ceiling-burst N above 0");
     }
-    return p;
+    return plan;
   }
 
-  /** Reads what a {@code limits} line says. */
+  /** Reads the limits of a {@code limits} line. */
   public static GatewayLimits readLimits(LineArguments a) {
     return new GatewayLimits(
         a.integer("attempts", 1, 100, 3),
@@ -79,7 +82,7 @@
         true);
   }
 
-  /** Reads what a {@code rules} line says. */
+  /** Reads the service rules of a {@code rules} line. */
   public static ServiceRules readRules(LineArguments a) {
     return new ServiceRules(
         a.micros("answer-grace", 0, MAX_TIME_MICROS, 10_000),
--- a/src/main/java/fawndock/settings/UnitParser.java
+++ b/src/main/java/fawndock/settings/UnitParser.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times and sizes as people write them. */
+/** Parses times and sizes that have a unit, such as {@code 1.5ms} and {@code 64KiB}. */
 final class UnitParser {
   private static final Pattern NUMBER_UNIT =
       Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?)([a-zA-Z]*)");
@@ -31,12 +31,12 @@
 
   private UnitParser() {}
 
-  /** Microseconds, or empty when it is not a time with a unit. */
+  /** Microseconds, or empty when the text is not a time with a unit. */
   static OptionalLong parseMicros(String text) {
     return parseScaled(text, MICROS_PER_UNIT);
   }
 
-  /** Bytes, or empty when it is not a size. */
+  /** Bytes, or empty when the text is not a size. */
   static OptionalLong parseBytes(String text) {
     return parseScaled(text, BYTES_PER_UNIT);
   }
--- a/src/main/java/fawndock/settings/package-info.java
+++ b/src/main/java/fawndock/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The settings of the daemon: a line-based format, a keyword and its arguments on a line. Reading
- * finds every mistake before anything starts. Nothing here opens a socket, keeps time or decides
- * about requests.
+ * Settings files: the line format, its errors, and the reader of the gateway's own settings. Every
+ * error of a file is found before anything starts. Opens no socket, reads no clock and depends on
+ * no other package of the program but the policy's configuration.
  */
 package fawndock.settings;
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -182,7 +182,7 @@
 
   private long time(ConfigurationLine line, long most) {
     LineArguments a = arguments(line, 1, line.keyword() + " TIME");
-    long time = a.parseMicros(line.keyword(), a.word(0), 0, most, SECOND);
+    long time = a.parseMicros(line.keyword(), a.positional(0), 0, most, SECOND);
     a.rejectUnknown();
     return time;
   }
@@ -194,7 +194,7 @@
             1,
             "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-    workers = a.parseInteger("workers", a.word(0), 1, 10_000, 1);
+    workers = a.parseInteger("workers", a.positional(0), 1, 10_000, 1);
     build =
         new Build(
             a.integer("cores", 1, 1_000, 4),
@@ -216,7 +216,7 @@
     String plan = a.word("plan", "");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
     if (a.isValid() && rate == 0) {
-      a.addError("demand " + a.word(0) + " has no rate", "rate NUMBER");
+      a.addError("demand " + a.positional(0) + " has no rate", "rate NUMBER");
     }
     double each = a.number("each", 0.001, 1_000_000, 0);
     int customers = a.integer("customers", 1, 1_000_000, 1);
@@ -226,7 +226,7 @@
     }
     demands.add(
         new Deployment.Demand(
-            a.word(0),
+            a.positional(0),
             type,
             plan,
             customers,
@@ -255,10 +255,10 @@
    */
   private void let(ConfigurationLine line) {
     LineArguments a = arguments(line, 2, "let NAME VALUE");
-    if (a.isValid() && !a.word(0).matches("[a-z][a-z0-9-]*")) {
-      a.addError("the name '" + a.word(0) + "'", "small letters, digits and -");
+    if (a.isValid() && !a.positional(0).matches("[a-z][a-z0-9-]*")) {
+      a.addError("the name '" + a.positional(0) + "'", "small letters, digits and -");
     }
-    variables.put(a.word(0), given.getOrDefault(a.word(0), a.word(1)));
+    variables.put(a.positional(0), given.getOrDefault(a.positional(0), a.positional(1)));
     a.rejectUnknown();
   }
 
--- a/src/main/java/fawndock/simulation/TroubleLine.java
+++ b/src/main/java/fawndock/simulation/TroubleLine.java
@@ -53,19 +53,19 @@
     boolean empty = a.flag("empty", false);
     String demand = a.word("demand", "");
     if (a.isValid() && until <= from) {
-      a.addError("trouble " + a.word(0) + " ends before it begins", "until after from");
+      a.addError("trouble " + a.positional(0) + " ends before it begins", "until after from");
     }
     List<String> workers = IntStream.range(worker, worker + count).mapToObj(i -> "w" + i).toList();
     Consumer<Emulation> made =
         made(
-            a.word(0),
+            a.positional(0),
             new Named(
                 from, until, workers, some, part, zone, times, share, by, many, empty, demand));
     if (made == null) {
-      a.addError("trouble '" + a.word(0) + "'", "one of " + String.join(" ", KINDS));
+      a.addError("trouble '" + a.positional(0) + "'", "one of " + String.join(" ", KINDS));
     }
     return new TroubleLine(
-        new DeploymentFile.Mark(a.word(0), from, until, worker, count, times, share),
+        new DeploymentFile.Mark(a.positional(0), from, until, worker, count, times, share),
         some,
         part,
         zone,
--- a/src/test/java/fawndock/ArchitectureTest.java
+++ b/src/test/java/fawndock/ArchitectureTest.java
@@ -156,7 +156,7 @@
   static final ArchRule MAPPING_IS_PURE =
       noClasses()
           .that()
-          .haveSimpleName("Mapping")
+          .haveSimpleName("DescriptorMatcher")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage("io..", "com.google..", "fawndock.gateway..");
@@ -273,6 +273,20 @@
           .dependOnClassesThat()
           .resideInAnyPackage("io..", "java.net..");
 
+  @ArchTest
+  static final ArchRule SETTINGS_KNOW_THE_POLICYS_CONFIGURATION_ALONE =
+      noClasses()
+          .that()
+          .resideInAPackage("fawndock.settings..")
+          .should()
+          .dependOnClassesThat(
+              DescribedPredicate.describe(
+                  "are in another package of the program than policy.config",
+                  c ->
+                      c.getPackageName().matches("fawndock(\\..*)?")
+                          && !c.getPackageName()
+                              .matches("fawndock\\.(settings|policy\\.config)(\\..*)?")));
+
   @ArchTest
   static final ArchRule BENCHLINK_IS_LEAN =
       noClasses()
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.GatewaySettings;
+import fawndock.settings.LogSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -68,7 +68,7 @@
                 1_100,
                 300_000,
                 stallMillis,
-                new GatewaySettings.Log(false, "warn"),
+                new LogSettings(false, "warn"),
                 ALONE),
             disk);
     port = server.start(bytes -> {});
--- a/src/test/java/fawndock/counter/FleetTest.java
+++ b/src/test/java/fawndock/counter/FleetTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.GatewaySettings;
+import fawndock.settings.LogSettings;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -66,7 +66,7 @@
                 100,
                 1 << 20,
                 10_000,
-                new GatewaySettings.Log(false, "error"),
+                new LogSettings(false, "error"),
                 new CounterSettings.Cluster("n" + node, epoch, 300, 600, fellows)),
             disks.get(node)));
     servers.get(node).start(b -> {});
--- a/src/test/java/fawndock/settings/CounterSettingsKeywordsTest.java
+++ b/src/test/java/fawndock/counter/config/CounterSettingsKeywordsTest.java
@@ -1,10 +1,13 @@
-package fawndock.settings;
+package fawndock.counter.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.counter.storage.GroupCommit.Durability;
+import fawndock.settings.Address;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.LogSettings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -80,7 +83,7 @@
             11,
             1 << 20,
             12_000,
-            new GatewaySettings.Log(true, "warn"),
+            new LogSettings(true, "warn"),
             new CounterSettings.Cluster(
                 "n0", 3, 160, 2_100, Map.of("n1", new Address("127.0.0.1", 6380)))),
         read(
--- a/src/test/java/fawndock/gateway/CounterClientTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -5,6 +5,7 @@
 
 import fawndock.counter.CounterServer;
 import fawndock.counter.FileDisk;
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.fake.FakeCounterServer;
 import fawndock.policy.action.AddToCounter;
@@ -13,9 +14,8 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.GatewaySettings;
 import fawndock.settings.GatewaySettings.CounterService;
+import fawndock.settings.LogSettings;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.net.ServerSocket;
@@ -206,7 +206,7 @@
             10,
             1 << 20,
             10_000,
-            new GatewaySettings.Log(false, "warn"),
+            new LogSettings(false, "warn"),
             fleet),
         disk);
   }
--- a/src/test/java/fawndock/settings/GatewaySettingsKeywordsTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsKeywordsTest.java
@@ -212,7 +212,7 @@
             26_000,
             27),
         s.http());
-    assertEquals(new GatewaySettings.Log(true, "debug"), s.log());
+    assertEquals(new LogSettings(true, "debug"), s.log());
     assertEquals(
         new GatewaySettings.RateLimit(
             new Address("127.0.0.1", 7),
