--- a/src/jmh/java/fawndock/jmh/OneTry.java
+++ b/src/jmh/java/fawndock/jmh/OneTry.java
@@ -21,6 +21,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
 import java.util.ArrayDeque;
@@ -58,7 +59,7 @@
   private GatewayPolicy logic;
   private final ArrayDeque<PolicyAction> todo = new ArrayDeque<>();
   private final ArrayDeque<Long> due = new ArrayDeque<>();
-  private final ArrayDeque<String> tokens = new ArrayDeque<>();
+  private final ArrayDeque<PolicyTimer> timers = new ArrayDeque<>();
   private final Map<String, Double> load = Map.of("utilization", 0.5, "queue", 1.0);
   private final Map<String, Double> totals =
       new LinkedHashMap<>() {
@@ -117,7 +118,7 @@
     now += 1_000;
     while (!due.isEmpty() && due.peek() <= now) {
       due.poll();
-      take(logic.onEvent(now, new TimerFired(tokens.poll())));
+      take(logic.onEvent(now, new TimerFired(timers.poll())));
     }
     id++;
     take(
@@ -143,12 +144,13 @@
                 now,
                 new AttemptCompleted(
                     a.requestId(), 0, a.endpointId(), 5_000, CallResult.OK, true, 0, load)));
-      } else if (action instanceof ScheduleTimer w && w.token().startsWith("end:")) {
+      } else if (action instanceof ScheduleTimer w
+          && w.timer() instanceof PolicyTimer.AnswerDeadline) {
         due.add(
             now + w.delayMicros()); // The longest timers; they come due in the order in which they
         // are
         // set.
-        tokens.add(w.token());
+        timers.add(w.timer());
       }
     }
     return done;
--- a/src/main/java/fawndock/conformance/InvariantChecker.java
+++ b/src/main/java/fawndock/conformance/InvariantChecker.java
@@ -258,16 +258,17 @@
           continue;
         }
         window.add(e);
-        while (window.peek().at() < e.at() - rules.collapseWindowMicros()) {
+        while (window.peek().at() < e.at() - rules.slowStartOverloadWindowMicros()) {
           window.poll();
         }
         double warmth =
-            rules.slowStartShare() + (1 - rules.slowStartShare()) * age / rules.slowStartMicros();
+            rules.slowStartInitialRatio()
+                + (1 - rules.slowStartInitialRatio()) * age / rules.slowStartMicros();
         double may =
-            rules.collapseMultiple()
+            rules.slowStartOverloadRatio()
                 * warmth
                 * start.perSecond()
-                * rules.collapseWindowMicros()
+                * rules.slowStartOverloadWindowMicros()
                 / 1e6;
         long knew = window.stream().filter(w -> knewOf(w, start)).count();
         if (window.size() > may + 3 * Math.sqrt(may) && knew * 3 >= window.size() * 2) {
@@ -327,9 +328,11 @@
                     level + (at == 0 ? 0 : (t.at() - at) / 1e6 * plan.ceilingUnitsPerSecond()))
                 - t.units();
         at = t.at();
-        if (level < -plan.ceilingSlack() - 1e-6) {
+        if (level < -plan.ceilingToleranceUnits() - 1e-6) {
           breach(
-              each.getKey() + " passed its ceiling by " + Math.round(-level - plan.ceilingSlack()));
+              each.getKey()
+                  + " passed its ceiling by "
+                  + Math.round(-level - plan.ceilingToleranceUnits()));
           passed++;
         }
       }
--- a/src/main/java/fawndock/gateway/QuotaHost.java
+++ b/src/main/java/fawndock/gateway/QuotaHost.java
@@ -189,7 +189,7 @@
     } else if (action instanceof AddToCounter a) {
       counter.count(a);
     } else if (action instanceof ScheduleTimer a) {
-      alarms.schedule(a.delayMicros(), () -> tell(new TimerFired(a.token())));
+      alarms.schedule(a.delayMicros(), () -> tell(new TimerFired(a.timer())));
     }
   }
 
--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -23,6 +23,7 @@
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
@@ -381,7 +382,7 @@
       outcome(e);
     }
     if (event instanceof TimerFired e) {
-      wake(e.token());
+      wake(e.timer());
     }
     if (event instanceof EndpointUpdate e) {
       list(e);
@@ -427,7 +428,9 @@
     // request whose answer would have come in the last part of its time.
     long rounds = MARGIN_ROUNDS * settings.roundTripMicros();
     double margin = Math.max(rounds, MARGIN_PART * (r.deadlineAtMicros() - now));
-    wakeAt(Math.max(now, r.deadlineAtMicros() - (long) margin), "end:", q);
+    wakeAt(
+        Math.max(now, r.deadlineAtMicros() - (long) margin),
+        new PolicyTimer.AnswerDeadline(r.requestId()));
     ask(q);
   }
 
@@ -468,7 +471,9 @@
       decide(q);
     } else {
       long most = (long) (WAIT_OF_AIM * q.type.info.latencyObjectiveMicros());
-      wakeAt(now + Math.min(settings.counter().timeoutMicros(), most), "ask:", q);
+      wakeAt(
+          now + Math.min(settings.counter().timeoutMicros(), most),
+          new PolicyTimer.CounterWaitTimeout(q.request.requestId()));
     }
   }
 
@@ -766,7 +771,9 @@
     tally.waking = true;
     double share = (tight() ? OWED_DELAY_CROWDED : OWED_DELAY) * (1 + random.nextDouble());
     actions.add(
-        new ScheduleTimer(Math.max(1, (long) (share * tally.pair.window)), "owed:" + tally.name));
+        new ScheduleTimer(
+            Math.max(1, (long) (share * tally.pair.window)),
+            new PolicyTimer.FlushPendingAdds(tally.name)));
   }
 
   private void payOwed(String name) {
@@ -973,7 +980,7 @@
     q.draw = random.nextInt(Integer.MAX_VALUE);
     q.luck = random.nextDouble();
     queue.add(q);
-    wakeAt(q.startBy, "hold:", q);
+    wakeAt(q.startBy, new PolicyTimer.QueueTimeout(q.request.requestId()));
   }
 
   /**
@@ -1107,7 +1114,9 @@
   private void list(EndpointUpdate e) {
     if (e.kind() == EndpointUpdateKind.FAILED) {
       actions.add(
-          new ScheduleTimer(Math.max(1, settings.rules().watchWithinMicros() / 8), "watch:"));
+          new ScheduleTimer(
+              Math.max(1, settings.rules().watchWithinMicros() / 8),
+              new PolicyTimer.RewatchEndpoints()));
       return;
     }
     if (e.kind() != EndpointUpdateKind.CHANGES) {
@@ -1137,8 +1146,8 @@
     if (s.info.startedAtMicros() <= 0 || age >= rules.slowStartMicros()) {
       return 1;
     }
-    return rules.slowStartShare()
-        + (1 - rules.slowStartShare()) * Math.max(0, age) / rules.slowStartMicros();
+    return rules.slowStartInitialRatio()
+        + (1 - rules.slowStartInitialRatio()) * Math.max(0, age) / rules.slowStartMicros();
   }
 
   private void judge(Try t, AttemptCompleted e, ClassState type) {
@@ -1186,7 +1195,9 @@
     s.sentAt.merge(now, 1, Integer::sum);
     actions.add(new StartAttempt(q.request.requestId(), s.info.id(), q.request.deadlineAtMicros()));
     retries = Math.min(RETRY_STORE, retries + RETRY_SHARE);
-    wakeAt(now + q.type.info.latencyObjectiveMicros(), "late:", q);
+    wakeAt(
+        now + q.type.info.latencyObjectiveMicros(),
+        new PolicyTimer.LatencyObjectiveExceeded(q.request.requestId()));
   }
 
   // An attempt that is out for longer than its aim is late or lost: it no longer fills the room,
@@ -1301,45 +1312,42 @@
 
   // ---- deadlines ----
 
-  private void wakeAt(long at, String what, Held q) {
-    actions.add(new ScheduleTimer(Math.max(1, at - now), what + q.request.requestId()));
+  private void wakeAt(long at, PolicyTimer timer) {
+    actions.add(new ScheduleTimer(Math.max(1, at - now), timer));
   }
 
-  private void wake(String token) {
-    int colon = token.indexOf(':');
-    if (token.equals("watch:")) {
+  private void wake(PolicyTimer timer) {
+    if (timer instanceof PolicyTimer.RewatchEndpoints) {
       actions.add(new WatchEndpoints());
-    }
-    if (token.startsWith("owed:")) {
-      payOwed(token.substring(colon + 1));
-    }
-    Held q = colon < 0 ? null : find(token.substring(colon + 1));
-    String what = q == null ? "" : token.substring(0, colon);
-    if (what.equals("late")) {
-      overdue(q);
-    }
-    if (q == null || q.done || q.streaming) {
-      return;
-    }
-    switch (what) {
-      case "ask" -> {
-        if (!q.decided) {
-          decide(q);
-        }
+    } else if (timer instanceof PolicyTimer.FlushPendingAdds t) {
+      payOwed(t.counterName());
+    } else if (timer instanceof PolicyTimer.LatencyObjectiveExceeded t) {
+      Held q = held.get(t.requestId());
+      if (q != null) {
+        overdue(q);
       }
-      case "hold" -> {
-        boolean late = now >= q.startBy && queue.remove(q);
-        if (late && q.out == 0) {
-          refuse(q, (long) q.type.latency);
-        }
+    } else if (timer instanceof PolicyTimer.CounterWaitTimeout t) {
+      Held q = undone(t.requestId());
+      if (q != null && !q.decided) {
+        decide(q);
+      }
+    } else if (timer instanceof PolicyTimer.QueueTimeout t) {
+      Held q = undone(t.requestId());
+      boolean late = q != null && now >= q.startBy && queue.remove(q);
+      if (late && q.out == 0) {
+        refuse(q, (long) q.type.latency);
+      }
+    } else if (timer instanceof PolicyTimer.AnswerDeadline t) {
+      Held q = undone(t.requestId());
+      if (q != null) {
+        end(q);
       }
-      case "end" -> end(q);
     }
   }
 
-  private Held find(String id) {
-    boolean number = !id.isEmpty() && id.charAt(0) <= '9' && id.length() < 19;
-    return number ? held.get(Long.parseLong(id)) : null;
+  private Held undone(long requestId) {
+    Held q = held.get(requestId);
+    return q == null || q.done || q.streaming ? null : q;
   }
 
   private void end(Held q) {
--- a/src/main/java/fawndock/policy/config/Plan.java
+++ b/src/main/java/fawndock/policy/config/Plan.java
@@ -14,4 +14,4 @@
     double overQuotaCost,
     double ceilingUnitsPerSecond,
     double ceilingBurstUnits,
-    double ceilingSlack) {}
+    double ceilingToleranceUnits) {}
--- a/src/main/java/fawndock/policy/config/ServiceRules.java
+++ b/src/main/java/fawndock/policy/config/ServiceRules.java
@@ -4,8 +4,8 @@
 public record ServiceRules(
     long answerGraceMicros,
     long drainGraceMicros,
-    double slowStartShare,
+    double slowStartInitialRatio,
     long slowStartMicros,
-    double collapseMultiple,
-    long collapseWindowMicros,
+    double slowStartOverloadRatio,
+    long slowStartOverloadWindowMicros,
     long watchWithinMicros) {}
--- a/src/main/java/fawndock/policy/event/RequestArrived.java
+++ b/src/main/java/fawndock/policy/event/RequestArrived.java
@@ -9,6 +9,6 @@
     long deadlineAtMicros,
     double units,
     int customerInstanceCount,
-    int customerFirstInstance,
+    int customerFirstInstanceIndex,
     boolean isRetry)
     implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/TimerFired.java
+++ b/src/main/java/fawndock/policy/event/TimerFired.java
@@ -1,4 +1,8 @@
 package fawndock.policy.event;
 
-/** A timer of this gatekeeper's own is due. */
-public record TimerFired(String token) implements PolicyEvent {}
+/**
+ * A timer of this gateway instance is due.
+ *
+ * @param timer the timer as the policy set it
+ */
+public record TimerFired(PolicyTimer timer) implements PolicyEvent {}
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -19,6 +19,7 @@
 import fawndock.policy.event.CounterReply;
 import fawndock.policy.event.HealthCheckCompleted;
 import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
@@ -158,8 +159,8 @@
     } else if (action instanceof AddToCounter a) {
       links.addToCounter(a);
     } else if (action instanceof ScheduleTimer a) {
-      String token = a.token();
-      timers.schedule(a.delayMicros(), () -> onEvent(new TimerFired(token)));
+      PolicyTimer timer = a.timer();
+      timers.schedule(a.delayMicros(), () -> onEvent(new TimerFired(timer)));
     } else if (action instanceof CancelAttempt a) {
       InFlightRequest request = requests.get(a.requestId());
       if (request != null && a.attemptIndex() >= 0 && a.attemptIndex() < request.attempts.size()) {
--- a/src/main/java/fawndock/simulation/EmuGatekeeper.java
+++ b/src/main/java/fawndock/simulation/EmuGatekeeper.java
@@ -141,7 +141,7 @@
             asked.deadlineAtMicros() - in.agenda.now() + clock(),
             asked.units(),
             asked.customerInstanceCount(),
-            asked.customerFirstInstance(),
+            asked.customerFirstInstanceIndex(),
             asked.isRetry());
     requests.put(id, new Open(request, name, key, answer));
     tell(request);
@@ -187,7 +187,7 @@
     } else if (action instanceof AddToCounter a) {
       count(a);
     } else if (action instanceof ScheduleTimer a) {
-      later(a.delayMicros(), () -> tell(new TimerFired(a.token())));
+      later(a.delayMicros(), () -> tell(new TimerFired(a.timer())));
     } else if (action instanceof CancelAttempt a) {
       Open open = requests.get(a.requestId());
       if (open != null) {
--- a/src/main/java/fawndock/simulatoradapter/Reader.java
+++ b/src/main/java/fawndock/simulatoradapter/Reader.java
@@ -62,7 +62,7 @@
               e.numberOr("level", 0),
               e.integerOr("duration-us", 0));
       case "Expired" -> new ClientDisconnected(e.integer("op-id"));
-      case "Timer" -> new TimerFired(e.text("cookie"));
+      case "Timer" -> new TimerFired(TimerCodec.decode(e.text("cookie")));
       case "Mail" -> new PeerMessageReceived((int) e.integer("from"), e.text("body"));
       case "Registry" ->
           new EndpointUpdate(
--- a/src/main/java/fawndock/simulatoradapter/Writer.java
+++ b/src/main/java/fawndock/simulatoradapter/Writer.java
@@ -44,7 +44,7 @@
     } else if (action instanceof ScheduleTimer a) {
       begin("SetAlarm", instance);
       json.writeNumberField("span-us", a.delayMicros());
-      json.writeStringField("cookie", a.token());
+      json.writeStringField("cookie", TimerCodec.encode(a.timer()));
     } else if (action instanceof CancelAttempt a) {
       begin("Cancel", instance);
       json.writeNumberField("op-id", a.requestId());
--- a/src/test/java/fawndock/gateway/WorkerEndsTest.java
+++ b/src/test/java/fawndock/gateway/WorkerEndsTest.java
@@ -9,6 +9,7 @@
 import fawndock.policy.action.StartAttempt;
 import fawndock.policy.event.AttemptCompleted;
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
@@ -176,12 +177,13 @@
             if (e instanceof RequestArrived r) {
               return List.of(
                   new StartAttempt(r.requestId(), "w", 0),
-                  new ScheduleTimer(100_000, "" + r.requestId()));
+                  new ScheduleTimer(100_000, new PolicyTimer.AnswerDeadline(r.requestId())));
             }
             return e instanceof TimerFired w
+                    && w.timer() instanceof PolicyTimer.AnswerDeadline deadline
                 ? List.of(
-                    new CancelAttempt(Long.parseLong(w.token()), 0),
-                    new FailRequest(Long.parseLong(w.token())))
+                    new CancelAttempt(deadline.requestId(), 0),
+                    new FailRequest(deadline.requestId()))
                 : List.of();
           });
       assertEquals(504, s.get("/lookup").statusCode());
@@ -209,10 +211,10 @@
               due[0] = System.nanoTime() + 1_500_000_000;
               return List.of(
                   new StartAttempt(r.requestId(), "w", now + 1_500_000),
-                  new ScheduleTimer(10_000, "hold"));
+                  new ScheduleTimer(10_000, new PolicyTimer.UnknownTimer("hold")));
             }
             if (e instanceof TimerFired && !held.isDone()) {
-              return List.of(new ScheduleTimer(10_000, "hold"));
+              return List.of(new ScheduleTimer(10_000, new PolicyTimer.UnknownTimer("hold")));
             }
             if (e instanceof TimerFired) {
               try {
@@ -226,7 +228,9 @@
                 throw new IllegalStateException(interrupted);
               }
             }
-            return Scripted.sendOnce(now, e instanceof TimerFired ? new TimerFired("") : e);
+            return Scripted.sendOnce(
+                now,
+                e instanceof TimerFired ? new TimerFired(new PolicyTimer.UnknownTimer("")) : e);
           });
       HttpResponse<String> answer = s.get("/lookup");
       AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
@@ -249,7 +253,7 @@
               e instanceof RequestArrived r
                   ? List.of(
                       new StartAttempt(r.requestId(), "w", now + 2_000_000),
-                      new ScheduleTimer(2_100_000, "after"))
+                      new ScheduleTimer(2_100_000, new PolicyTimer.UnknownTimer("after")))
                   : List.of());
       CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
       s.gatekeeper.await(ResponseStarted.class);
--- a/src/test/java/fawndock/policy/ColdFleetTest.java
+++ b/src/test/java/fawndock/policy/ColdFleetTest.java
@@ -153,7 +153,7 @@
     private void take(Due from, List<PolicyAction> actions, long told) {
       for (PolicyAction action : actions) {
         if (action instanceof ScheduleTimer w) {
-          due.add(new Due(from.at + w.delayMicros(), from.to, new TimerFired(w.token())));
+          due.add(new Due(from.at + w.delayMicros(), from.to, new TimerFired(w.timer())));
         } else if (action instanceof StartAttempt a) {
           int number = tries.merge(a.requestId(), 1, Integer::sum) - 1;
           long took = (long) (60_000 + random.nextInt(120_000));
@@ -188,15 +188,21 @@
       long cold = play.begin + 3 * SECOND;
       for (int i = 0; i < play.reached.size(); i++) {
         long from = play.reached.get(i);
-        long to = from + RULES.collapseWindowMicros();
+        long to = from + RULES.slowStartOverloadWindowMicros();
         long sent = play.reached.stream().filter(at -> at >= from && at < to).count();
         double warmth =
             Math.min(
                 1,
-                RULES.slowStartShare()
-                    + (1 - RULES.slowStartShare()) * (from - cold) / RULES.slowStartMicros());
+                RULES.slowStartInitialRatio()
+                    + (1 - RULES.slowStartInitialRatio())
+                        * (from - cold)
+                        / RULES.slowStartMicros());
         double budget =
-            RULES.collapseMultiple() * warmth * CAPACITY * RULES.collapseWindowMicros() / 1e6;
+            RULES.slowStartOverloadRatio()
+                * warmth
+                * CAPACITY
+                * RULES.slowStartOverloadWindowMicros()
+                / 1e6;
         assertTrue(
             sent <= budget + 2 * Math.sqrt(budget) + 2,
             "seed " + seed + ": " + sent + " of " + budget);
--- a/src/test/java/fawndock/policy/FleetTest.java
+++ b/src/test/java/fawndock/policy/FleetTest.java
@@ -14,6 +14,7 @@
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.PolicyEvent;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
 import java.util.ArrayList;
@@ -163,7 +164,7 @@
     assertTrue(id > 1, "no room at all");
     now += Rig.SECOND;
     for (long out = 1; out < id; out++) {
-      on(0, new TimerFired("late:" + out));
+      on(0, new TimerFired(new PolicyTimer.LatencyObjectiveExceeded(out)));
     }
     assertEquals(1, on(0, request(1_000)).size());
   }
--- a/src/test/java/fawndock/policy/QuotaTest.java
+++ b/src/test/java/fawndock/policy/QuotaTest.java
@@ -21,6 +21,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
 import java.util.ArrayList;
@@ -115,7 +116,10 @@
   @Test
   void admitsWhenTheCounterStaysSilent() {
     rig.request(1);
-    assertEquals(1, only(StartAttempt.class, rig.on(new TimerFired("ask:1"))).size());
+    assertEquals(
+        1,
+        only(StartAttempt.class, rig.on(new TimerFired(new PolicyTimer.CounterWaitTimeout(1))))
+            .size());
   }
 
   @Test
@@ -127,7 +131,7 @@
     rig.on(new CounterReply(name, CallResult.TIMEOUT, 0, 50_000));
     assertEquals(
         List.of(),
-        only(AddToCounter.class, rig.on(new TimerFired("owed:" + name))),
+        only(AddToCounter.class, rig.on(new TimerFired(new PolicyTimer.FlushPendingAdds(name)))),
         "it may have been added");
   }
 
@@ -135,7 +139,8 @@
   private AddToCounter owed(String name) {
     for (int i = 0; i < 50; i++) {
       rig.now += 10_000;
-      List<AddToCounter> sent = only(AddToCounter.class, rig.on(new TimerFired("owed:" + name)));
+      List<AddToCounter> sent =
+          only(AddToCounter.class, rig.on(new TimerFired(new PolicyTimer.FlushPendingAdds(name))));
       if (!sent.isEmpty()) {
         return sent.get(0);
       }
@@ -312,7 +317,9 @@
     Rig none = new Rig(Rig.settings(Rig.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false));
     none.request(1);
     none.now += Rig.SECOND / 4;
-    assertEquals(1, only(RejectRequest.class, none.on(new TimerFired("hold:1"))).size());
+    assertEquals(
+        1,
+        only(RejectRequest.class, none.on(new TimerFired(new PolicyTimer.QueueTimeout(1)))).size());
   }
 
   @Test
@@ -347,8 +354,8 @@
     busy.on(unmetered(busy, 100, "cheap"));
     busy.on(request(busy, 101, "greedy"));
     busy.on(request(busy, 102, "calm"));
-    busy.on(new TimerFired("ask:101"));
-    busy.on(new TimerFired("ask:102"));
+    busy.on(new TimerFired(new PolicyTimer.CounterWaitTimeout(101)));
+    busy.on(new TimerFired(new PolicyTimer.CounterWaitTimeout(102)));
     List<Long> order = new ArrayList<>();
     for (long done = 10; done < 14; done++) {
       order.add(
@@ -404,7 +411,7 @@
     Rig out = new Rig(Rig.settings(Rig.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false), "a");
     one(StartAttempt.class, out.request(1));
     out.now += Rig.SECOND;
-    List<PolicyAction> late = out.on(new TimerFired("late:1"));
+    List<PolicyAction> late = out.on(new TimerFired(new PolicyTimer.LatencyObjectiveExceeded(1)));
     assertTrue(
         only(RejectRequest.class, late).isEmpty() && only(FailRequest.class, late).isEmpty());
   }
--- a/src/test/java/fawndock/policy/RulesTest.java
+++ b/src/test/java/fawndock/policy/RulesTest.java
@@ -27,6 +27,7 @@
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.PeerMessageReceived;
+import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
@@ -117,7 +118,7 @@
     List<PolicyAction> after = rig.outcome(1, 0, "a", CallResult.ERROR, false);
     assertTrue(only(StartAttempt.class, after).isEmpty(), "b is in another zone");
     rig.now += Rig.SECOND / 2;
-    one(FailRequest.class, rig.on(new TimerFired("hold:1")));
+    one(FailRequest.class, rig.on(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
   @Test
@@ -233,8 +234,8 @@
     Rig rig = rig(Idempotency.AT_MOST_ONCE, "a");
     rig.request(1);
     rig.now += 3 * Rig.SECOND;
-    one(FailRequest.class, rig.on(new TimerFired("end:1")));
-    assertTrue(rig.on(new TimerFired("end:1")).isEmpty());
+    one(FailRequest.class, rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))));
+    assertTrue(rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
   }
 
   @Test
@@ -243,7 +244,7 @@
     String server = one(StartAttempt.class, rig.request(1)).endpointId();
     rig.on(new ResponseStarted(1, 0, server));
     rig.now += 3 * Rig.SECOND;
-    assertTrue(rig.on(new TimerFired("end:1")).isEmpty());
+    assertTrue(rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
   }
 
   @Test
@@ -251,7 +252,7 @@
     Rig rig = rig(Idempotency.IDEMPOTENT);
     assertTrue(only(RejectRequest.class, rig.request(1)).isEmpty());
     rig.now += Rig.SECOND;
-    one(RejectRequest.class, rig.on(new TimerFired("hold:1")));
+    one(RejectRequest.class, rig.on(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
   @Test
@@ -260,7 +261,7 @@
     one(WatchEndpoints.class, rig.on(new EndpointUpdate(EndpointUpdateKind.CACHED, List.of())));
     ScheduleTimer again =
         one(ScheduleTimer.class, rig.on(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of())));
-    one(WatchEndpoints.class, rig.on(new TimerFired(again.token())));
+    one(WatchEndpoints.class, rig.on(new TimerFired(again.timer())));
   }
 
   @Test
@@ -271,8 +272,8 @@
     assertTrue(rig.outcome(1, 0, server, CallResult.OK, true).isEmpty());
     assertTrue(rig.outcome(1, 7, server, CallResult.OK, true).isEmpty());
     assertTrue(rig.on(new ClientDisconnected(99)).isEmpty());
-    assertTrue(rig.on(new TimerFired("what is this")).isEmpty());
-    assertTrue(rig.on(new TimerFired("end:x")).isEmpty());
+    assertTrue(rig.on(new TimerFired(new PolicyTimer.UnknownTimer("what is this"))).isEmpty());
+    assertTrue(rig.on(new TimerFired(new PolicyTimer.UnknownTimer("end:x"))).isEmpty());
     assertTrue(rig.on(new CounterReply("nothing", CallResult.OK, 1, 1)).isEmpty());
     assertTrue(rig.on(new PeerMessageReceived(3, "hello")).isEmpty());
   }
@@ -300,7 +301,7 @@
     private final Map<Long, List<Integer>> out = new LinkedHashMap<>();
     private final Map<Long, Boolean> mayHaveRun = new LinkedHashMap<>();
     private final List<AddToCounter> counts = new ArrayList<>();
-    private final Map<String, Long> wakes = new LinkedHashMap<>();
+    private final Map<PolicyTimer, Long> wakes = new LinkedHashMap<>();
     private final Set<String> draining = new LinkedHashSet<>();
     private final List<PolicyAction> log = new ArrayList<>();
 
@@ -341,7 +342,7 @@
     }
 
     private void step() {
-      for (String token : List.copyOf(wakes.keySet())) {
+      for (PolicyTimer token : List.copyOf(wakes.keySet())) {
         if (wakes.get(token) <= rig.now) {
           wakes.remove(token);
           take(rig.on(new TimerFired(token)));
@@ -426,7 +427,7 @@
         } else if (action instanceof AddToCounter c) {
           counts.add(c);
         } else if (action instanceof ScheduleTimer w) {
-          wakes.put(w.token(), rig.now + w.delayMicros());
+          wakes.put(w.timer(), rig.now + w.delayMicros());
         } else if (action instanceof CancelAttempt c) {
           assertTrue(c.attemptIndex() < sent.get(c.requestId()).size(), "never made: " + c);
         }
