--- a/src/main/java/fawndock/Main.java
+++ b/src/main/java/fawndock/Main.java
@@ -1,6 +1,6 @@
 package fawndock;
 
-import fawndock.simulatoradapter.BenchLink;
+import fawndock.simulatoradapter.SimulatorAdapter;
 import java.io.IOException;
 
 /**
@@ -13,7 +13,7 @@
   /** Runs the named subcommand. */
   public static void main(String[] args) throws IOException {
     if (args.length == 1 && args[0].equals("benchlink")) {
-      System.exit(new BenchLink().run(System.in, System.out, System.err));
+      System.exit(new SimulatorAdapter().run(System.in, System.out, System.err));
     }
     if (args.length == 1 && args[0].equals("platform")) {
       System.exit(
--- a/src/main/java/fawndock/cli/PlatformCommand.java
+++ b/src/main/java/fawndock/cli/PlatformCommand.java
@@ -1,6 +1,6 @@
 package fawndock.cli;
 
-import fawndock.platform.PlatformDaemon;
+import fawndock.platform.PlatformProcess;
 import fawndock.policy.DefaultGatewayPolicy;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -28,7 +28,7 @@
   /** Serves until it is told to stop; returns the exit code. */
   public static int run() {
     PlainLog.use();
-    PlatformDaemon daemon = new PlatformDaemon(System.getenv());
+    PlatformProcess daemon = new PlatformProcess(System.getenv());
     try {
       return daemon.run(DefaultGatewayPolicy::new);
     } catch (InterruptedException e) {
--- a/src/main/java/fawndock/counter/Session.java
+++ b/src/main/java/fawndock/counter/Session.java
@@ -101,7 +101,8 @@
     engine.pumpSoon();
     // Only a command that is itself incomplete is stalled: one that waits for room here is not the
     // client's fault.
-    boolean incomplete = !full() && many < MOST_A_TURN && (reader.within() || input.isReadable());
+    boolean incomplete =
+        !full() && many < MOST_A_TURN && (reader.isWithinCommand() || input.isReadable());
     stalledSince =
         !incomplete ? 0 : many > 0 || stalledSince == 0 ? System.nanoTime() | 1 : stalledSince;
     context.channel().config().setAutoRead(!full() && !ending);
--- a/src/main/java/fawndock/gateway/AnswerLog.java
+++ b/src/main/java/fawndock/gateway/AnswerLog.java
@@ -48,7 +48,7 @@
     return switch (verdict) {
       case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
       case REJECTED -> 429;
-      case FAILED -> request.streamed() ? 0 : request.answered() ? 502 : 504;
+      case FAILED -> request.wasStreamed() ? 0 : request.hasAttemptFailure() ? 502 : 504;
       case DISCONNECTED -> 0;
     };
   }
--- a/src/main/java/fawndock/gateway/CounterNodes.java
+++ b/src/main/java/fawndock/gateway/CounterNodes.java
@@ -300,7 +300,7 @@
   }
 
   private void end(CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
-    order.end(waiting, result, total, clock.now());
+    order.complete(waiting, result, total, clock.now());
   }
 
   void close() {
--- a/src/main/java/fawndock/gateway/CounterPart.java
+++ b/src/main/java/fawndock/gateway/CounterPart.java
@@ -186,12 +186,12 @@
   }
 
   private void end(Call call, CallResult result, double total) {
-    if (call.ended()) {
+    if (call.isCompleted()) {
       return;
     }
     alarms.cancel(call.timeOut);
     out.remove(call);
-    order.end(call, result, total, clock.now());
+    order.complete(call, result, total, clock.now());
   }
 
   @Override
--- a/src/main/java/fawndock/gateway/GatekeeperNode.java
+++ b/src/main/java/fawndock/gateway/GatekeeperNode.java
@@ -80,7 +80,7 @@
     host =
         new PolicyRunner(
             clock, alarms, this, settings.limits().maxAttempts(), clock.now(), answerLog);
-    host.decideBy(
+    host.setPolicy(
         maker.apply(
             new PolicyConfig(
                 me,
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -78,7 +78,7 @@
     pools = new WorkerPools(vertx, own);
     AnswerLog silent = new AnswerLog(-1, false);
     host = new PolicyRunner(new MicroClock(), alarms, this, 1, 1, silent);
-    host.decideBy(
+    host.setPolicy(
         maker.apply(
             new PolicyConfig(
                 0,
--- a/src/main/java/fawndock/gateway/WorkerAttempt.java
+++ b/src/main/java/fawndock/gateway/WorkerAttempt.java
@@ -38,7 +38,7 @@
   private final Ways ways;
   private final HttpExchange exchange;
   private Stage stage = Stage.CONNECTING;
-  private HttpClientRequest request;
+  private HttpClientRequest httpRequest;
   private LoadReport.Report report = LoadReport.NONE;
   private Buffer body = Buffer.buffer();
 
@@ -49,7 +49,7 @@
   }
 
   @Override
-  protected void begin(long abandonAt) {
+  protected void send(long abandonAt) {
     RequestOptions target = ways.target(endpointId);
     if (target == null) {
       finish(CallResult.NOT_SENT);
@@ -57,15 +57,14 @@
     }
     HttpAsked asked = exchange.sent();
     // The first attempt takes the fields as they are; another may be on its way with them.
-    MultiMap headers =
-        number == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
+    MultiMap headers = index == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
     headers.set(
         "x-envoy-expected-rq-timeout-ms",
-        Long.toString(Math.max(1, (abandonAt - host.clock().now()) / 1_000)));
+        Long.toString(Math.max(1, (abandonAt - runner.clock().now()) / 1_000)));
     if (!headers.contains("x-request-id")) {
-      headers.set("x-request-id", Long.toString(open.id));
+      headers.set("x-request-id", Long.toString(request.id));
     }
-    headers.set("x-envoy-attempt-count", Integer.toString(number + 1));
+    headers.set("x-envoy-attempt-count", Integer.toString(index + 1));
     target.setMethod(asked.method()).setURI(asked.uri()).setHeaders(headers);
     ways.workers()
         .request(target)
@@ -84,11 +83,11 @@
   }
 
   private void send(HttpClientRequest connected) {
-    request = connected;
+    httpRequest = connected;
     stage = Stage.SENT;
-    request.exceptionHandler(this::broken);
+    httpRequest.exceptionHandler(this::broken);
     Buffer sent = exchange.sent().body();
-    (sent.length() == 0 ? request.send() : request.send(sent))
+    (sent.length() == 0 ? httpRequest.send() : httpRequest.send(sent))
         .onComplete(
             answer -> {
               if (answer.failed()) {
@@ -108,7 +107,7 @@
     if (Ends.answered(answer.statusCode()) != CallResult.OK) {
       finish(Ends.answered(answer.statusCode()));
       answer.resume();
-    } else if (!open.open()) {
+    } else if (!request.isOpen()) {
       answer.endHandler(done -> finish(CallResult.OK));
     } else if (exchange.requestAttributes().requestClass().isStreamed()) {
       stream(answer);
@@ -124,8 +123,8 @@
           done -> {
             if (stage == Stage.SENT) {
               exchange.serving(answer.statusCode());
-              host.deliver(
-                  open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
+              runner.deliverResponse(
+                  request, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
               finish(CallResult.OK);
             }
           });
@@ -134,14 +133,14 @@
 
   /** From here on the answer is the client's: neither time-out nor cancel ends it. */
   private void stream(HttpClientResponse answer) {
-    if (!open.open()) {
+    if (!request.isOpen()) {
       answer.handler(null);
       answer.endHandler(done -> finish(CallResult.OK));
       return;
     }
     stage = Stage.STREAMING;
-    keep();
-    host.begin(open, this);
+    cancelDeadline();
+    runner.onStreamStarted(request, this);
     Buffer soFar = body;
     body = Buffer.buffer();
     exchange.stream(
@@ -149,7 +148,7 @@
         soFar,
         broken -> {
           if (stage == Stage.STREAMING) {
-            host.streamed(open, this, broken == null);
+            runner.onStreamEnded(request, this, broken == null);
             finish(broken == null ? CallResult.OK : CallResult.RESET);
           }
         });
@@ -158,17 +157,18 @@
   private void broken(Throwable cause) {
     if (stage == Stage.SENT) {
       finish(
-          Ends.broken(cause, request.streamId(), ways.workers().lastStream(request.connection())));
+          Ends.broken(
+              cause, httpRequest.streamId(), ways.workers().lastStream(httpRequest.connection())));
     }
   }
 
   @Override
-  protected void abandoned() {
+  protected void onDeadlineExceeded() {
     if (stage == Stage.CONNECTING) {
       finish(CallResult.CONNECT_FAILED);
     } else if (stage == Stage.SENT) {
       finish(CallResult.TIMEOUT);
-      request.reset(Ends.CANCEL);
+      httpRequest.reset(Ends.CANCEL);
     }
   }
 
@@ -178,15 +178,15 @@
       finish(CallResult.NOT_SENT);
     } else if (stage == Stage.SENT) {
       finish(CallResult.CANCELLED);
-      request.reset(Ends.CANCEL);
+      httpRequest.reset(Ends.CANCEL);
     }
   }
 
   @Override
-  public void leave() {
+  public void onClientDisconnected() {
     if (stage == Stage.STREAMING) {
       finish(CallResult.CANCELLED);
-      request.reset(Ends.CANCEL);
+      httpRequest.reset(Ends.CANCEL);
     }
   }
 
@@ -194,7 +194,7 @@
     if (stage != Stage.ENDED) {
       stage = Stage.ENDED;
       body = null;
-      end(how, report.load(), report.units());
+      complete(how, report.load(), report.units());
     }
   }
 }
--- a/src/main/java/fawndock/platform/Figures.java
+++ b/src/main/java/fawndock/platform/ActivitySummary.java
@@ -11,7 +11,7 @@
  * What happened since the last line of the log: ends of attempts and of counter calls, and the last
  * error told.
  */
-final class Figures implements ResponseRecorder {
+final class ActivitySummary implements ResponseRecorder {
   private final Map<CallResult, Integer> attempts = new EnumMap<>(CallResult.class);
   private final Map<CallResult, Integer> calls = new EnumMap<>(CallResult.class);
 
@@ -27,7 +27,7 @@
     answers.merge(verdict, 1, Integer::sum);
   }
 
-  void attempt(String worker, CallResult how) {
+  void recordAttempt(String worker, CallResult how) {
     int[] ends = workers.computeIfAbsent(worker, id -> new int[2]);
     ends[0]++;
     ends[1] += how == CallResult.OK || how == CallResult.CANCELLED ? 0 : 1;
@@ -35,18 +35,18 @@
   }
 
   /** A counter call has ended after so long. */
-  void call(CallResult how, long tookMicros) {
+  void recordCounterCall(CallResult how, long tookMicros) {
     calls.merge(how, 1, Integer::sum);
     waitedMicros += tookMicros;
   }
 
   /** A worker told an error, or what it told cannot be read. */
-  void error(String told) {
+  void recordError(String told) {
     lastError = told.length() > 80 ? told.substring(0, 80) : told;
   }
 
   /** Tells what happened and begins anew. */
-  String take() {
+  String summarizeAndReset() {
     int many = calls.values().stream().mapToInt(Integer::intValue).sum();
     String told =
         "answers "
--- a/src/main/java/fawndock/platform/WorkerCall.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -11,35 +11,39 @@
  * the connection, and replies come in order. Whether it can have run goes by the platform's table:
  * never before the last byte is written.
  */
-final class WorkerCall extends InFlightAttempt {
+final class BackendAttempt extends InFlightAttempt {
   /** Connections that may end under it before it is sent. */
   private static final int MOST_AGAIN = 3;
 
-  private final WorkerPools pools;
-  private final PlatformExchange exchange;
-  private WorkerPools.Lease lease;
+  private final BackendConnectionPools pools;
+  private final ClientExchange exchange;
+  private BackendConnectionPools.PooledConnection lease;
   private int again;
   private boolean sent;
   private boolean written;
   private long abandonAt;
 
-  WorkerCall(
-      PolicyRunner host, InFlightRequest open, int number, String server, WorkerPools pools) {
+  BackendAttempt(
+      PolicyRunner host,
+      InFlightRequest open,
+      int number,
+      String server,
+      BackendConnectionPools pools) {
     super(host, open, number, server);
     this.pools = pools;
-    this.exchange = (PlatformExchange) open.exchange;
+    this.exchange = (ClientExchange) open.exchange;
   }
 
   @Override
-  protected void begin(long abandonAtMicros) {
+  protected void send(long abandonAtMicros) {
     abandonAt = abandonAtMicros;
     pools.lease(endpointId, this);
   }
 
   private void finish(CallResult how, Map<String, Double> load, double units) {
     if (result() == null) {
-      pools.figures().attempt(endpointId, how);
-      end(how, load, units);
+      pools.figures().recordAttempt(endpointId, how);
+      complete(how, load, units);
     }
   }
 
@@ -53,7 +57,7 @@
   }
 
   /** There is a connection; returns whether it is wanted. */
-  boolean connected(WorkerPools.Lease ready) {
+  boolean connected(BackendConnectionPools.PooledConnection ready) {
     if (result() != null) {
       return false;
     }
@@ -70,7 +74,7 @@
       return;
     }
     // What is left to the client as it is written, also on a connection that came up late.
-    long left = (abandonAt - host.clock().now()) / 1_000;
+    long left = (abandonAt - runner.clock().now()) / 1_000;
     // A drain that was told between the choice of the worker and now: guards against a turn in
     // which a request was
     // read before the drain that lay there as long. May take a free attempt more; nothing was sent.
@@ -112,9 +116,9 @@
   }
 
   /** Its reply has come. */
-  void replied(WorkerAnswer answer) {
+  void replied(BackendReply answer) {
     if (answer.result() == CallResult.OK && result() == null) {
-      host.deliver(open, this, () -> exchange.serve(answer.value()));
+      runner.deliverResponse(request, this, () -> exchange.serve(answer.value()));
     }
     finish(answer.result(), answer.load(), answer.units());
   }
@@ -140,7 +144,7 @@
   }
 
   @Override
-  protected void abandoned() {
+  protected void onDeadlineExceeded() {
     leave(written ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
   }
 
@@ -154,7 +158,7 @@
    * cancelling.
    */
   @Override
-  public void leave() {
+  public void onClientDisconnected() {
     if (!sent) {
       leave(CallResult.NOT_SENT);
     }
--- a/src/main/java/fawndock/platform/WorkerPools.java
+++ b/src/main/java/fawndock/platform/BackendConnectionPools.java
@@ -16,7 +16,7 @@
  * a time. All of them together are bounded; when they are spent the one that has been idle longest,
  * of any worker, makes room. One context.
  */
-final class WorkerPools {
+final class BackendConnectionPools {
   /**
    * A connection rests so long before it is used again. Guards against a second copy of an answer,
    * some milliseconds behind it, being taken for the next one's; may open a connection more when
@@ -32,7 +32,7 @@
   /** Idle connections of one worker, the longest idle first. */
   private static final class Pool {
     final Address address;
-    final ArrayDeque<Lease> idle = new ArrayDeque<>(4);
+    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>(4);
     boolean draining;
 
     Pool(Address address) {
@@ -41,46 +41,46 @@
   }
 
   /** One connection, leased to an attempt or idle. */
-  final class Lease implements ReplyConnection.Owner {
+  final class PooledConnection implements RespConnection.Listener {
     private final Pool pool;
-    private final ReplyConnection connection;
-    private WorkerCall call;
+    private final RespConnection connection;
+    private BackendAttempt call;
     private long idleSince;
 
-    private Lease(Pool pool, WorkerCall call) {
+    private PooledConnection(Pool pool, BackendAttempt call) {
       this.pool = pool;
       this.call = call;
       open++;
-      connection = new ReplyConnection(sockets, pool.address, connectMicros, READER, this);
+      connection = new RespConnection(sockets, pool.address, connectMicros, READER, this);
     }
 
-    ReplyConnection connection() {
+    RespConnection connection() {
       return connection;
     }
 
     /** What comes while nothing was asked is a late second copy, or noise. */
     @Override
-    public boolean waits() {
+    public boolean expectsReply() {
       return call != null && call.sent();
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
       if (!call.connected(this)) {
         rest(); // Its attempt has ended meanwhile; the connection is as good as any.
       }
     }
 
     @Override
-    public void reply(Reply reply, boolean more) {
-      WorkerCall of = call;
+    public void onReply(Reply reply, boolean more) {
+      BackendAttempt of = call;
       call = null;
       // Before it is told: what is sent on hearing of it may want the connection.
-      WorkerAnswer answer = WorkerAnswer.of(reply);
-      if (reply.isError() || !answer.sound()) {
-        figures.error(reply.type() + reply.text());
+      BackendReply answer = BackendReply.of(reply);
+      if (reply.isError() || !answer.isConnectionReusable()) {
+        figures.recordError(reply.type() + reply.text());
       }
-      if (more || !answer.sound()) {
+      if (more || !answer.isConnectionReusable()) {
         abandon();
       } else {
         rest();
@@ -89,8 +89,8 @@
     }
 
     @Override
-    public void spoilt(String why) {
-      figures.error(why);
+    public void onProtocolError(String why) {
+      figures.recordError(why);
       gone();
       if (call != null) {
         call.spoilt();
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void closed(boolean wasUp) {
+    public void onClosed(boolean wasUp) {
       gone();
       if (call != null && wasUp) {
         call.broken();
@@ -131,9 +131,9 @@
     }
   }
 
-  private final Sockets sockets;
+  private final TcpTransport sockets;
   private final LongSupplier now;
-  private final Figures figures;
+  private final ActivitySummary figures;
   private final int most;
   private final long connectMicros;
   private final long idleMicros;
@@ -147,10 +147,10 @@
    * @param most connections in all
    * @param idleMicros after which an idle one is closed
    */
-  WorkerPools(
-      Sockets sockets,
+  BackendConnectionPools(
+      TcpTransport sockets,
       LongSupplier now,
-      Figures figures,
+      ActivitySummary figures,
       int most,
       long connectMicros,
       long idleMicros) {
@@ -204,15 +204,15 @@
   }
 
   /** Gives a call a connection, now or when one is up, or tells it that there is none. */
-  void lease(String server, WorkerCall call) {
+  void lease(String server, BackendAttempt call) {
     Pool pool = pools.get(server);
     if (pool == null) {
       call.unknown();
       return;
     }
     long rested = now.getAsLong() - REST_MICROS;
-    for (Iterator<Lease> i = pool.idle.descendingIterator(); i.hasNext(); ) {
-      Lease lease = i.next();
+    for (Iterator<PooledConnection> i = pool.idle.descendingIterator(); i.hasNext(); ) {
+      PooledConnection lease = i.next();
       if (lease.idleSince <= rested) {
         i.remove();
         lease.call = call;
@@ -224,18 +224,18 @@
       call.unconnected();
       return;
     }
-    new Lease(pool, call);
+    new PooledConnection(pool, call);
   }
 
   /** Runs something after all that has come in this turn of the loop has been taken in. */
   void later(Runnable what) {
-    sockets.later(what);
+    sockets.runAfterReads(what);
   }
 
   private boolean evict() {
-    Lease oldest = null;
+    PooledConnection oldest = null;
     for (Pool pool : pools.values()) {
-      Lease first = pool.idle.peek();
+      PooledConnection first = pool.idle.peek();
       if (first != null && (oldest == null || first.idleSince < oldest.idleSince)) {
         oldest = first;
       }
@@ -256,7 +256,7 @@
     }
   }
 
-  Figures figures() {
+  ActivitySummary figures() {
     return figures;
   }
 
--- a/src/main/java/fawndock/platform/WorkerAnswer.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -15,41 +15,47 @@
  * @param value what the client is served, or null
  * @param load the load report under the decisions' names
  * @param units the true units, or 0 where nothing is said
- * @param sound whether the connection is of further use
+ * @param isConnectionReusable whether the connection is of further use
  */
-record WorkerAnswer(
-    CallResult result, byte[] value, Map<String, Double> load, double units, boolean sound) {
+record BackendReply(
+    CallResult result,
+    byte[] value,
+    Map<String, Double> load,
+    double units,
+    boolean isConnectionReusable) {
   private static final int PARTS = 3;
   private static final int MOST_FIELDS = 32;
-  private static final WorkerAnswer SPOILT =
-      new WorkerAnswer(CallResult.ERROR, null, Map.of(), 0, false);
+  private static final BackendReply SPOILT =
+      new BackendReply(CallResult.ERROR, null, Map.of(), 0, false);
 
-  static WorkerAnswer of(Reply reply) {
+  static BackendReply of(Reply reply) {
     if (reply.isError()) {
       String text = reply.text();
       Map<String, Double> load =
-          SettingsReader.load(figures(text.substring(text.lastIndexOf(' ') + 1)));
+          SettingsReader.load(parseNumbers(text.substring(text.lastIndexOf(' ') + 1)));
       boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
       // Only the error that the table names is known to leave the connection in order.
       return busy
-          ? new WorkerAnswer(CallResult.SHED, null, load, 0, true)
-          : new WorkerAnswer(CallResult.ERROR, null, load, 0, text.startsWith("ERR "));
+          ? new BackendReply(CallResult.SHED, null, load, 0, true)
+          : new BackendReply(CallResult.ERROR, null, load, 0, text.startsWith("ERR "));
     }
-    if (reply.parts() == null || reply.parts().size() != PARTS || !reply.parts().get(0).isBulk()) {
+    if (reply.elements() == null
+        || reply.elements().size() != PARTS
+        || !reply.elements().get(0).isBulk()) {
       return SPOILT;
     }
-    Map<String, Double> use = figures(reply.parts().get(1).text());
+    Map<String, Double> use = parseNumbers(reply.elements().get(1).text());
     double units = use.getOrDefault("charged", use.getOrDefault("cost", 0.0));
-    return new WorkerAnswer(
+    return new BackendReply(
         CallResult.OK,
-        reply.parts().get(0).bytes(),
-        SettingsReader.load(figures(reply.parts().get(2).text())),
+        reply.elements().get(0).bytes(),
+        SettingsReader.load(parseNumbers(reply.elements().get(2).text())),
         Math.max(0, units),
         true);
   }
 
   /** Names and values that can be read, {@code name=1.5,other=2}; what cannot is left out. */
-  static Map<String, Double> figures(String text) {
+  static Map<String, Double> parseNumbers(String text) {
     Map<String, Double> read = new HashMap<>();
     for (String pair : text.split(",", MOST_FIELDS)) {
       int sign = pair.indexOf('=');
--- a/src/main/java/fawndock/platform/Wire.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -12,7 +12,7 @@
  * The bytes of one connection. What has come and not been used up is kept and given again with what
  * comes next. One event loop.
  */
-abstract class Wire extends ChannelInboundHandlerAdapter {
+abstract class ByteConnection extends ChannelInboundHandlerAdapter {
   /**
    * After a half-close the other side has so long to close, and so many bytes are read from it and
    * dropped.
@@ -63,21 +63,21 @@
 
   private void take(ByteBuf all, boolean copy) {
     kept = Unpooled.EMPTY_BUFFER;
-    bytes(all);
+    onBytes(all);
     if (!over && all.isReadable()) {
       kept = copy ? Unpooled.buffer(all.readableBytes()).writeBytes(all) : all;
     }
   }
 
   /** Gives what was kept once more. */
-  final void again() {
+  final void redeliverBuffered() {
     if (!over && kept.isReadable()) {
       take(kept, false);
     }
   }
 
   /** Whether bytes have come that were not used up. */
-  final boolean holds() {
+  final boolean hasBufferedBytes() {
     return kept.isReadable();
   }
 
@@ -89,16 +89,16 @@
   }
 
   /** Takes what it can use off the bytes. */
-  abstract void bytes(ByteBuf in);
+  abstract void onBytes(ByteBuf in);
 
   /** The other side ended it, or it broke; not told after {@link #close}. */
-  abstract void ended();
+  abstract void onDisconnected();
 
   final ChannelFuture send(ByteBuf bytes) {
     return context.writeAndFlush(bytes);
   }
 
-  final boolean writable() {
+  final boolean isWritable() {
     return context.channel().isWritable();
   }
 
@@ -106,7 +106,7 @@
     if (!over) {
       over = true;
       kept = Unpooled.EMPTY_BUFFER;
-      ended();
+      onDisconnected();
     }
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Ends the waiting for the other side after {@link #halfClose}. */
-  final void lingerEnd() {
+  final void closeNow() {
     context.close();
   }
 
@@ -161,7 +161,7 @@
     }
   }
 
-  final boolean isOver() {
+  final boolean isClosed() {
     return over;
   }
 }
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -34,10 +34,10 @@
     private final double mostUnits;
 
     Terms(PlatformConfig config) {
-      config.settings().requestClasses().forEach(c -> classes.put(c.name(), c));
-      config.settings().plans().forEach(p -> plans.put(p.name(), p));
-      gatekeepers = config.settings().instanceCount();
-      mostUnits = config.mostUnits();
+      config.policy().requestClasses().forEach(c -> classes.put(c.name(), c));
+      config.policy().plans().forEach(p -> plans.put(p.name(), p));
+      gatekeepers = config.policy().instanceCount();
+      mostUnits = config.maxRequestUnits();
     }
   }
 
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -13,7 +13,7 @@
  * One client's connection: commands in, answers out in their order. What cannot be read gets an
  * error line in its turn, and nothing is read after it. One context.
  */
-final class ClientConnection extends Wire {
+final class ClientConnection extends ByteConnection {
   /**
    * Commands that wait for their answers on one connection; more are told to be too many, and it
    * ends.
@@ -26,29 +26,29 @@
   private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
 
   /** One command's place among the answers. */
-  final class Place {
-    private ByteBuf answer;
-    private PlatformExchange exchange;
+  final class ResponseSlot {
+    private ByteBuf respond;
+    private ClientExchange exchange;
     private long host = -1;
 
-    void answer(ByteBuf bytes) {
-      answer = bytes;
+    void respond(ByteBuf bytes) {
+      respond = bytes;
       if (exchange != null) {
-        front.over(exchange);
+        front.release(exchange);
       }
       flush();
     }
 
-    void error(String line) {
+    void respondError(String line) {
       ByteBuf out = Unpooled.buffer(line.length() + 4);
       new ReplyWriter(out).error(line);
-      answer(out);
+      respond(out);
     }
   }
 
-  private final ClientFront front;
+  private final ClientListener front;
   private final CommandReader reader = new CommandReader(LIMITS);
-  private final ArrayDeque<Place> places = new ArrayDeque<>(2);
+  private final ArrayDeque<ResponseSlot> places = new ArrayDeque<>(2);
 
   /** When it was opened, or last had all of its answers. */
   private long quietSince;
@@ -62,22 +62,22 @@
   /** When it was told that it cannot go on; 0 while it can. */
   private long endingSince;
 
-  private boolean spoke;
+  private boolean hasSentCommand;
   private boolean flushing;
   private boolean left;
 
-  ClientConnection(ClientFront front) {
+  ClientConnection(ClientListener front) {
     this.front = front;
     quietSince = front.now();
   }
 
   @Override
   public void channelActive(ChannelHandlerContext handler) {
-    front.accepted(this);
+    front.onAccepted(this);
   }
 
   @Override
-  void bytes(ByteBuf in) {
+  void onBytes(ByteBuf in) {
     boolean any = false;
     flushing = true;
     try {
@@ -101,98 +101,99 @@
     // Bytes are taken also while answers are not read, so that its leaving is seen; commands are
     // not.
     if (fullSince != 0 && in.readableBytes() > MOST_KEPT) {
-      end();
+      closeGracefully();
       return;
     }
-    boolean half = fullSince == 0 && (reader.within() || in.isReadable());
+    boolean half = fullSince == 0 && (reader.isWithinCommand() || in.isReadable());
     halfSince = !half ? 0 : any || halfSince == 0 ? front.now() : halfSince;
     flush();
   }
 
   private byte[][] next(ByteBuf in) throws ProtocolException {
-    return endingSince != 0 || fullSince != 0 || isOver() ? null : reader.next(in);
+    return endingSince != 0 || fullSince != 0 || isClosed() ? null : reader.next(in);
   }
 
   private void command(byte[][] words) {
-    spoke = true;
-    Place place = new Place();
+    hasSentCommand = true;
+    ResponseSlot place = new ResponseSlot();
     places.add(place);
     if (ClientCommand.isOne(words[0])) {
       try {
         ClientCommand command = ClientCommand.read(words, front.now(), front.terms());
-        String unfit = front.unfit(command);
+        String unfit = front.rejection(command);
         if (unfit != null) {
-          place.error(unfit);
+          place.respondError(unfit);
           return;
         }
-        place.exchange = new PlatformExchange(command, place);
-        place.host = front.request(place.exchange);
+        place.exchange = new ClientExchange(command, place);
+        place.host = front.submit(place.exchange);
       } catch (ClientCommand.UnfitException e) {
-        place.error(e.getMessage());
+        place.respondError(e.getMessage());
       }
     } else if (words.length == 1 && ClientCommand.is(words[0], "PING")) {
       ByteBuf out = Unpooled.buffer(8);
       new ReplyWriter(out).simple("PONG");
-      place.answer(out);
+      place.respond(out);
     } else {
-      place.error("ERR unknown command");
+      place.respondError("ERR unknown command");
     }
   }
 
   /** Tells that the connection cannot go on, after the answers before. */
   private void refuse(String line) {
-    Place place = new Place();
+    ResponseSlot place = new ResponseSlot();
     places.add(place);
     endingSince = front.now();
     halfSince = 0;
-    place.error(line);
+    place.respondError(line);
   }
 
   private void flush() {
-    if (flushing || isOver()) {
+    if (flushing || isClosed()) {
       return;
     }
     ByteBuf out = null;
-    while (!places.isEmpty() && places.peek().answer != null) {
-      ByteBuf next = places.poll().answer;
+    while (!places.isEmpty() && places.peek().respond != null) {
+      ByteBuf next = places.poll().respond;
       out = out == null ? next : Unpooled.wrappedBuffer(out, next);
     }
     if (out != null) {
       quietSince = front.now();
       send(out);
-      if (!writable() && fullSince == 0) {
+      if (!isWritable() && fullSince == 0) {
         fullSince = quietSince;
       }
     }
-    if (places.isEmpty() && (endingSince != 0 || front.closing() && halfSince == 0 && !holds())) {
-      end();
+    if (places.isEmpty()
+        && (endingSince != 0 || front.isDraining() && halfSince == 0 && !hasBufferedBytes())) {
+      closeGracefully();
     }
   }
 
   /** Whether nothing is open on it and it has been so for the time given. */
-  boolean quiet(long now, long micros) {
-    return places.isEmpty() && halfSince == 0 && !holds() && now - quietSince >= micros;
+  boolean isIdle(long now, long micros) {
+    return places.isEmpty() && halfSince == 0 && !hasBufferedBytes() && now - quietSince >= micros;
   }
 
-  boolean spoke() {
-    return spoke;
+  boolean hasSentCommand() {
+    return hasSentCommand;
   }
 
-  boolean busy() {
+  boolean hasPendingResponses() {
     return !places.isEmpty();
   }
 
   /**
-   * Ends it when a limit of {@link ClientFront} is passed: silent, half a command, answers not
+   * Ends it when a limit of {@link ClientListener} is passed: silent, half a command, answers not
    * read, told to go.
    */
-  void check(long now) {
-    boolean silent = !spoke && quiet(now, ClientFront.SILENT_MICROS);
-    boolean half = halfSince != 0 && now - halfSince >= ClientFront.SILENT_MICROS;
-    boolean full = fullSince != 0 && now - fullSince >= ClientFront.UNREAD_MICROS;
-    boolean told = endingSince != 0 && now - endingSince >= ClientFront.SILENT_MICROS;
-    if (silent || full || told || quiet(now, front.idleMicros())) {
-      end();
+  void checkLimits(long now) {
+    boolean silent = !hasSentCommand && isIdle(now, ClientListener.SILENT_MICROS);
+    boolean half = halfSince != 0 && now - halfSince >= ClientListener.SILENT_MICROS;
+    boolean full = fullSince != 0 && now - fullSince >= ClientListener.UNREAD_MICROS;
+    boolean told = endingSince != 0 && now - endingSince >= ClientListener.SILENT_MICROS;
+    if (silent || full || told || isIdle(now, front.idleMicros())) {
+      closeGracefully();
     } else if (half && endingSince == 0) {
       halfSince = 0;
       refuse("ERR the command did not end");
@@ -200,49 +201,49 @@
   }
 
   /** Closes it when nothing is open on it, not even half a command. */
-  void endIfQuiet() {
-    if (places.isEmpty() && halfSince == 0 && !holds()) {
-      end();
+  void closeIfIdle() {
+    if (places.isEmpty() && halfSince == 0 && !hasBufferedBytes()) {
+      closeGracefully();
     }
   }
 
   /** Answers what is open as failed. */
-  void failOpen() {
-    for (Place place : List.copyOf(places)) {
-      if (place.answer == null && place.host >= 0) {
-        front.gone(place.host);
-        place.error("ERR stopping");
+  void failInFlight() {
+    for (ResponseSlot place : List.copyOf(places)) {
+      if (place.respond == null && place.host >= 0) {
+        front.onClientDisconnected(place.host);
+        place.respondError("ERR stopping");
       }
     }
   }
 
   /** Closes it after what was written; what comes meanwhile is not read. */
-  void end() {
+  void closeGracefully() {
     halfClose();
-    front.lingers(this);
-    ended();
+    front.onHalfClosed(this);
+    onDisconnected();
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext handler) {
-    if (fullSince != 0 && writable()) {
+    if (fullSince != 0 && isWritable()) {
       fullSince = 0;
-      again();
+      redeliverBuffered();
     }
     handler.fireChannelWritabilityChanged();
   }
 
   @Override
-  void ended() {
+  void onDisconnected() {
     if (left) {
       return;
     }
     left = true;
-    front.left(this);
-    for (Place place : places) {
-      if (place.answer == null && place.host >= 0) {
-        front.over(place.exchange);
-        front.gone(place.host);
+    front.onClosed(this);
+    for (ResponseSlot place : places) {
+      if (place.respond == null && place.host >= 0) {
+        front.release(place.exchange);
+        front.onClientDisconnected(place.host);
       }
     }
     places.clear();
--- a/src/main/java/fawndock/platform/PlatformExchange.java
+++ b/src/main/java/fawndock/platform/ClientExchange.java
@@ -8,11 +8,11 @@
 /**
  * A command of a client's that the host holds, and its place among the answers of its connection.
  */
-final class PlatformExchange implements ServerExchange {
+final class ClientExchange implements ServerExchange {
   private final ClientCommand command;
-  private final ClientConnection.Place place;
+  private final ClientConnection.ResponseSlot place;
 
-  PlatformExchange(ClientCommand command, ClientConnection.Place place) {
+  ClientExchange(ClientCommand command, ClientConnection.ResponseSlot place) {
     this.command = command;
     this.place = place;
   }
@@ -30,16 +30,16 @@
   void serve(byte[] value) {
     ByteBuf out = Unpooled.buffer(value.length + 16);
     new ReplyWriter(out).bulk(value);
-    place.answer(out);
+    place.respond(out);
   }
 
   @Override
   public void reject(long retryAfterMicros) {
-    place.error("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
+    place.respondError("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
   }
 
   @Override
   public void fail(boolean answered, String reason) {
-    place.error(answered ? "ERR failed" : "ERR no answer in time");
+    place.respondError(answered ? "ERR failed" : "ERR no answer in time");
   }
 }
--- a/src/main/java/fawndock/platform/ClientFront.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -15,7 +15,7 @@
  * makes room first, then the one that has had nothing open for longest; one with a request open
  * never does. One context.
  */
-final class ClientFront {
+final class ClientListener {
   /**
    * A connection that says nothing, stops within a command, or was told to go is closed after this.
    */
@@ -34,13 +34,13 @@
   private static final long MAY_CLOSE_MICROS = 2_000_000;
 
   private static final long CHECK_MICROS = 250_000;
-  private final Sockets sockets;
+  private final TcpTransport sockets;
   private final PolicyRunner host;
   private final ClientCommand.Terms terms;
   private final int mostConnections;
   private final int mostOpen;
   private final long mostBytes;
-  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+  private final Set<ClientConnection> connectionCount = new LinkedHashSet<>();
 
   /** Those that are half-closed: nothing of theirs is owed, but each still holds its descriptor. */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
@@ -48,7 +48,7 @@
   private final Set<String> ids = new HashSet<>();
   private Channel server;
   private long bytes;
-  private boolean closing;
+  private boolean isDraining;
   private Runnable whenEmpty;
   private Timers.Timer next;
 
@@ -59,8 +59,8 @@
    * @param mostOpen requests at once
    * @param mostBytes of commands that are open, all together
    */
-  ClientFront(
-      Sockets sockets,
+  ClientListener(
+      TcpTransport sockets,
       PolicyRunner host,
       ClientCommand.Terms terms,
       int mostConnections,
@@ -82,21 +82,21 @@
     return bound;
   }
 
-  void accepted(ClientConnection connection) {
-    while (connections.size() + lingering.size() >= mostConnections && !lingering.isEmpty()) {
+  void onAccepted(ClientConnection connection) {
+    while (connectionCount.size() + lingering.size() >= mostConnections && !lingering.isEmpty()) {
       ClientConnection oldest = lingering.iterator().next();
       lingering.remove(oldest);
-      oldest.lingerEnd();
+      oldest.closeNow();
     }
-    if (connections.size() >= mostConnections && !evict()) {
+    if (connectionCount.size() >= mostConnections && !evictIdle()) {
       connection.close();
     } else {
-      connections.add(connection);
+      connectionCount.add(connection);
     }
   }
 
   /** A connection was half-closed. */
-  void lingers(ClientConnection connection) {
+  void onHalfClosed(ClientConnection connection) {
     if (lingering.add(connection)) {
       connection.whenClosed(
           () -> {
@@ -106,36 +106,36 @@
     }
   }
 
-  private boolean evict() {
+  private boolean evictIdle() {
     ClientConnection idle = null;
-    for (ClientConnection each : connections) {
-      if (!each.spoke() && !each.busy()) {
-        each.end();
+    for (ClientConnection each : connectionCount) {
+      if (!each.hasSentCommand() && !each.hasPendingResponses()) {
+        each.closeGracefully();
         return true;
       }
-      if (idle == null && each.quiet(now(), MAY_CLOSE_MICROS)) {
+      if (idle == null && each.isIdle(now(), MAY_CLOSE_MICROS)) {
         idle = each;
       }
     }
     if (idle != null) {
-      idle.end();
+      idle.closeGracefully();
     }
     return idle != null;
   }
 
   private void check() {
     long now = now();
-    List.copyOf(connections).forEach(c -> c.check(now));
+    List.copyOf(connectionCount).forEach(c -> c.checkLimits(now));
     next = host.timers().schedule(CHECK_MICROS, this::check);
   }
 
   /** How long a connection may have nothing open: shorter as they grow scarce. */
   long idleMicros() {
-    return 2 * connections.size() > mostConnections ? MAY_CLOSE_MICROS : IDLE_MICROS;
+    return 2 * connectionCount.size() > mostConnections ? MAY_CLOSE_MICROS : IDLE_MICROS;
   }
 
   /** Why a command cannot be given to the host, as an error line, or null. */
-  String unfit(ClientCommand command) {
+  String rejection(ClientCommand command) {
     if (ids.contains(command.id())) {
       return "ERR the id is open already";
     }
@@ -143,25 +143,25 @@
   }
 
   /** Gives a request to the host; returns the host's number. */
-  long request(PlatformExchange exchange) {
+  long submit(ClientExchange exchange) {
     ids.add(exchange.command().id());
     bytes += exchange.command().size();
     return host.onRequest(exchange);
   }
 
   /** A request has had its answer, or its client has left. */
-  void over(PlatformExchange exchange) {
+  void release(ClientExchange exchange) {
     if (ids.remove(exchange.command().id())) {
       bytes -= exchange.command().size();
     }
   }
 
-  void gone(long id) {
+  void onClientDisconnected(long id) {
     host.onClientDisconnected(id);
   }
 
-  void left(ClientConnection connection) {
-    connections.remove(connection);
+  void onClosed(ClientConnection connection) {
+    connectionCount.remove(connection);
     checkEmpty();
   }
 
@@ -172,15 +172,15 @@
    * @param empty is run when the last is closed, on both sides: then nothing is owed to anybody
    */
   void drain(Runnable empty) {
-    closing = true;
+    isDraining = true;
     whenEmpty = empty;
     stopListening();
-    List.copyOf(connections).forEach(ClientConnection::endIfQuiet);
+    List.copyOf(connectionCount).forEach(ClientConnection::closeIfIdle);
     checkEmpty();
   }
 
   private void checkEmpty() {
-    if (whenEmpty != null && connections.isEmpty() && lingering.isEmpty()) {
+    if (whenEmpty != null && connectionCount.isEmpty() && lingering.isEmpty()) {
       Runnable what = whenEmpty;
       whenEmpty = null;
       what.run();
@@ -191,15 +191,15 @@
    * Answers all that is open as failed and closes every connection, in this turn: nothing is read
    * after it.
    */
-  void failOpen() {
-    for (ClientConnection each : List.copyOf(connections)) {
-      each.failOpen();
-      each.end();
+  void failInFlight() {
+    for (ClientConnection each : List.copyOf(connectionCount)) {
+      each.failInFlight();
+      each.closeGracefully();
     }
   }
 
-  boolean closing() {
-    return closing;
+  boolean isDraining() {
+    return isDraining;
   }
 
   void stopListening() {
@@ -210,7 +210,7 @@
 
   void close() {
     host.timers().cancel(next);
-    List.copyOf(connections).forEach(ClientConnection::end);
+    List.copyOf(connectionCount).forEach(ClientConnection::closeGracefully);
     stopListening();
   }
 
@@ -222,7 +222,7 @@
     return host.clock().now();
   }
 
-  int connections() {
-    return connections.size();
+  int connectionCount() {
+    return connectionCount.size();
   }
 }
--- a/src/main/java/fawndock/platform/AddGetCounter.java
+++ b/src/main/java/fawndock/platform/CounterClient.java
@@ -26,7 +26,7 @@
  * time-out. One that has timed out keeps its place among the answers of its connection, so that no
  * total is given to another. One context.
  */
-final class AddGetCounter {
+final class CounterClient {
   /** Few: a spoilt answer ends all calls behind it, and each needs a descriptor. */
   private static final int LINES = 4;
 
@@ -60,19 +60,19 @@
   }
 
   /** One connection; calls keep their meaning on it when the line has gone on to another. */
-  private final class Connection implements ReplyConnection.Owner {
+  private final class Connection implements RespConnection.Listener {
     private final Line line;
 
     /** Calls in the order in which they go out, from the first that has no answer. */
     private final ArrayDeque<Call> out = new ArrayDeque<>();
 
-    private final ReplyConnection connection;
+    private final RespConnection connection;
     private long heardAt;
 
     Connection(Line line, Address at) {
       this.line = line;
       heardAt = clock.now();
-      connection = new ReplyConnection(sockets, at, connectMicros, READER, this);
+      connection = new RespConnection(sockets, at, connectMicros, READER, this);
       connections.add(this);
     }
 
@@ -81,7 +81,7 @@
         heardAt = clock.now();
       }
       out.add(call);
-      if (connection.isUp()) {
+      if (connection.isConnected()) {
         send(call);
       }
     }
@@ -98,20 +98,21 @@
     }
 
     @Override
-    public boolean waits() {
+    public boolean expectsReply() {
       return !out.isEmpty();
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
       line.pause = FIRST_PAUSE;
       heardAt = clock.now();
-      out.removeIf(Call::ended); // Timed out before they were sent: nothing of them is to be added.
+      out.removeIf(
+          Call::isCompleted); // Timed out before they were sent: nothing of them is to be added.
       List.copyOf(out).forEach(this::send);
     }
 
     @Override
-    public void reply(Reply reply, boolean more) {
+    public void onReply(Reply reply, boolean more) {
       heardAt = clock.now();
       Call call = out.poll();
       if (call == null) {
@@ -130,12 +131,12 @@
     }
 
     @Override
-    public void spoilt(String why) {
-      closed(true);
+    public void onProtocolError(String why) {
+      onClosed(true);
     }
 
     @Override
-    public void closed(boolean wasUp) {
+    public void onClosed(boolean wasUp) {
       connections.remove(this);
       if (line.wire == this) {
         line.wire = null;
@@ -160,17 +161,17 @@
     /** Closes it; what is out on it ends as if it broke. */
     void abandon() {
       connection.close();
-      closed(true);
+      onClosed(true);
     }
   }
 
-  private final Sockets sockets;
+  private final TcpTransport sockets;
   private final MicroClock clock;
   private final Timers alarms;
   private final long connectMicros;
   private final long waitMicros;
   private final CounterReplySequencer order;
-  private final Figures figures;
+  private final ActivitySummary figures;
   private List<Line> lines = List.of();
 
   /** Connections that are not over, those of addresses before among them. */
@@ -186,12 +187,12 @@
    * @param address null where there is no counter
    * @param waitMicros after which a call has timed out
    */
-  AddGetCounter(
-      Sockets sockets,
+  CounterClient(
+      TcpTransport sockets,
       Address address,
       MicroClock clock,
       Timers alarms,
-      Figures figures,
+      ActivitySummary figures,
       long connectMicros,
       long waitMicros,
       Consumer<CounterReply> told) {
@@ -250,7 +251,7 @@
   }
 
   private void end(Call call, CallResult result, double total) {
-    if (call.ended()) {
+    if (call.isCompleted()) {
       return;
     }
     if (call.timeOut != null) {
@@ -258,8 +259,8 @@
       calls--;
     }
     long now = clock.now();
-    figures.call(result, call.tookMicros(now));
-    order.end(call, result, total, now);
+    figures.recordCounterCall(result, call.elapsedMicros(now));
+    order.complete(call, result, total, now);
   }
 
   private void check() {
--- a/src/main/java/fawndock/platform/CatalogCall.java
+++ b/src/main/java/fawndock/platform/DiscoveryCall.java
@@ -20,20 +20,20 @@
  * HTTP/1.1 codec: Vert.x's own HTTP client alone costs a quarter of the program's start. One
  * context.
  */
-final class CatalogCall extends ChannelInboundHandlerAdapter implements JsonFramer.Found {
+final class DiscoveryCall extends ChannelInboundHandlerAdapter implements JsonFramer.Listener {
   /**
    * Is told what the call brings; {@link #over} once at most, and nothing after it or after {@link
    * CatalogCall#end}.
    */
-  interface Owner {
+  interface Listener {
     /** A list, as text. */
-    void list(CatalogCall call, String text);
+    void onEndpointList(DiscoveryCall call, String text);
 
     /** Something whole has come: it lives. */
-    void alive(CatalogCall call);
+    void onActivity(DiscoveryCall call);
 
     /** It has ended, was refused, or brought what cannot be read. */
-    void over(CatalogCall call, String why, boolean unreadable);
+    void onEnded(DiscoveryCall call, String why, boolean unreadable);
   }
 
   private static final String PATH = "/catalog/members";
@@ -41,34 +41,34 @@
   private static final long CONNECT_MICROS = 1_000_000;
 
   /** Whether it asks for the whole list, rather than for changes. */
-  final boolean whole;
+  final boolean isSnapshotCall;
 
   /** Rings when nothing has come for too long; the owner's. */
-  Timers.Timer silence;
+  Timers.Timer idleTimer;
 
   /** Nothing came for too long: another call is out beside it. */
-  boolean suspected;
+  boolean isSuspected;
 
-  private final Owner owner;
+  private final Listener owner;
   private final String uri;
   private final String host;
   private final JsonFramer framer = new JsonFramer(LONGEST_LIST);
   private ChannelHandlerContext context;
-  private boolean over;
+  private boolean end;
 
   /** Asks at once; with an index below 0 for the whole list, else for the changes after it. */
-  CatalogCall(Sockets sockets, Address address, long index, Owner owner) {
+  DiscoveryCall(TcpTransport sockets, Address address, long index, Listener owner) {
     this.owner = owner;
-    whole = index < 0;
-    uri = whole ? PATH : PATH + "?stream=1&index=" + index;
+    isSnapshotCall = index < 0;
+    uri = isSnapshotCall ? PATH : PATH + "?stream=1&index=" + index;
     host = address.toString();
     sockets
         .connect(address, CONNECT_MICROS, this)
         .addListener(
             made -> {
               if (!made.isSuccess()) {
-                over("no connection", false);
-              } else if (over) {
+                end("no connection", false);
+              } else if (end) {
                 context.close();
               }
             });
@@ -90,30 +90,30 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext handler) {
-    over("closed", false);
+    end("closed", false);
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    over(cause.toString(), false);
+    end(cause.toString(), false);
   }
 
   @Override
   public void channelRead(ChannelHandlerContext handler, Object message) {
     try {
-      if (over) {
+      if (end) {
         return;
       }
       if (((HttpObject) message).decoderResult().isFailure()) {
-        over("an answer that is not HTTP", false);
+        end("an answer that is not HTTP", false);
       } else if (message instanceof HttpResponse head && head.status().code() != 200) {
         if (head.status().code() >= 200) {
-          over("status " + head.status().code(), false);
+          end("status " + head.status().code(), false);
         }
       } else if (message instanceof HttpContent content) {
-        framer.take(content.content(), this);
-        if (message instanceof LastHttpContent && !over) {
-          over("ended", false);
+        framer.read(content.content(), this);
+        if (message instanceof LastHttpContent && !end) {
+          end("ended", false);
         }
       }
     } finally {
@@ -122,31 +122,31 @@
   }
 
   @Override
-  public void object(String text) {
-    owner.alive(this);
-    owner.list(this, text);
+  public void onObject(String text) {
+    owner.onActivity(this);
+    owner.onEndpointList(this, text);
   }
 
   @Override
-  public void lineEnd() {
-    owner.alive(this);
+  public void onLineEnd() {
+    owner.onActivity(this);
   }
 
   @Override
-  public void unreadable(String why) {
-    over(why, true);
+  public void onMalformed(String why) {
+    end(why, true);
   }
 
-  private void over(String why, boolean unreadable) {
-    if (!over) {
-      end();
-      owner.over(this, why, unreadable);
+  private void end(String why, boolean unreadable) {
+    if (!end) {
+      close();
+      owner.onEnded(this, why, unreadable);
     }
   }
 
   /** Ends it; nothing is told any more. */
-  void end() {
-    over = true;
+  void close() {
+    end = true;
     framer.close();
     if (context != null) {
       context.close();
--- a/src/main/java/fawndock/platform/CatalogList.java
+++ b/src/main/java/fawndock/platform/EndpointList.java
@@ -1,7 +1,7 @@
 package fawndock.platform;
 
-import fawndock.platformconfig.Json.Obj;
-import fawndock.platformconfig.WireException;
+import fawndock.platformconfig.Json.JsonObject;
+import fawndock.platformconfig.MalformedMessageException;
 import fawndock.policy.event.Endpoint;
 import fawndock.policy.event.EndpointState;
 import fawndock.settings.Address;
@@ -13,22 +13,22 @@
 /**
  * One list of workers as the catalog gives it.
  *
- * @param index its version
- * @param whole whether it is all there is, rather than what changed
+ * @param version its version
+ * @param isSnapshot whether it is all there is, rather than what changed
  * @param addresses where each worker listens, by id
  */
-record CatalogList(
-    long index, boolean whole, List<Endpoint> servers, Map<String, Address> addresses) {
-  static final CatalogList NONE = new CatalogList(0, true, List.of(), Map.of());
+record EndpointList(
+    long version, boolean isSnapshot, List<Endpoint> endpoints, Map<String, Address> addresses) {
+  static final EndpointList NONE = new EndpointList(0, true, List.of(), Map.of());
 
   /**
    * Reads a list; an entry that cannot be read makes all of it unreadable, so that no drain is lost
    * unseen.
    */
-  static CatalogList of(Obj list) {
+  static EndpointList of(JsonObject list) {
     List<Endpoint> servers = new ArrayList<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
-    for (Obj e : list.objects("endpoints")) {
+    for (JsonObject e : list.objects("endpoints")) {
       String id = e.text("name");
       servers.add(
           new Endpoint(
@@ -42,7 +42,7 @@
         addresses.put(id, PlatformConfig.address("address", e.text("address")));
       }
     }
-    return new CatalogList(list.integer("index"), list.flag("snapshot"), servers, addresses);
+    return new EndpointList(list.integer("index"), list.flag("snapshot"), servers, addresses);
   }
 
   private static EndpointState availability(String status) {
@@ -51,7 +51,7 @@
       case "draining" -> EndpointState.DRAINING;
       case "gone" -> EndpointState.REMOVED;
       default ->
-          throw new WireException(
+          throw new MalformedMessageException(
               "'status' is '" + status + "', ready, draining or gone is expected");
     };
   }
--- a/src/main/java/fawndock/platform/CatalogWatch.java
+++ b/src/main/java/fawndock/platform/EndpointWatch.java
@@ -1,7 +1,7 @@
 package fawndock.platform;
 
 import fawndock.platformconfig.Json;
-import fawndock.platformconfig.WireException;
+import fawndock.platformconfig.MalformedMessageException;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import java.io.IOException;
@@ -18,8 +18,8 @@
  * against hearing nothing between two tries: what an agent that was silent tells at its return, it
  * tells to the calls that wait. One context.
  */
-final class CatalogWatch implements CatalogCall.Owner {
-  private static final Logger LOG = LoggerFactory.getLogger(CatalogWatch.class);
+final class EndpointWatch implements DiscoveryCall.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
 
   /** Empty lines come every 2 s; one missing is a suspected watch. */
   private static final long SILENT_MICROS = 2_600_000;
@@ -37,14 +37,14 @@
   /** Calls that wait at once. */
   private static final int MOST_CALLS = 3;
 
-  private final Sockets sockets;
+  private final TcpTransport sockets;
   private final Timers alarms;
   private final Address address;
   private final SplittableRandom random;
-  private final Consumer<CatalogList> told;
+  private final Consumer<EndpointList> told;
 
   /** Calls that are out, the newest last. */
-  private final ArrayDeque<CatalogCall> calls = new ArrayDeque<>();
+  private final ArrayDeque<DiscoveryCall> calls = new ArrayDeque<>();
 
   private Timers.Timer next;
   private long index = -1;
@@ -56,12 +56,12 @@
    *
    * @param random spreads the calls of a fleet that lost its catalog at once
    */
-  CatalogWatch(
-      Sockets sockets,
+  EndpointWatch(
+      TcpTransport sockets,
       Address address,
       Timers alarms,
       SplittableRandom random,
-      Consumer<CatalogList> told) {
+      Consumer<EndpointList> told) {
     this.sockets = sockets;
     this.alarms = alarms;
     this.address = address;
@@ -84,34 +84,34 @@
     while (calls.size() >= MOST_CALLS) {
       drop(calls.peek());
     }
-    CatalogCall call = new CatalogCall(sockets, address, index, this);
+    DiscoveryCall call = new DiscoveryCall(sockets, address, index, this);
     calls.add(call);
     listen(call);
   }
 
-  private void listen(CatalogCall call) {
-    alarms.cancel(call.silence);
-    call.silence =
+  private void listen(DiscoveryCall call) {
+    alarms.cancel(call.idleTimer);
+    call.idleTimer =
         alarms.schedule(
-            call.whole ? ANSWER_MICROS : SILENT_MICROS,
+            call.isSnapshotCall ? ANSWER_MICROS : SILENT_MICROS,
             () -> {
-              if (!call.suspected) {
+              if (!call.isSuspected) {
                 LOG.info("catalog {}: silent, asking again beside it", address);
-                call.suspected = true;
+                call.isSuspected = true;
                 call();
               }
             });
   }
 
-  private void drop(CatalogCall call) {
-    alarms.cancel(call.silence);
+  private void drop(DiscoveryCall call) {
+    alarms.cancel(call.idleTimer);
     calls.remove(call);
-    call.end();
+    call.close();
   }
 
   @Override
-  public void alive(CatalogCall call) {
-    call.suspected = false;
+  public void onActivity(DiscoveryCall call) {
+    call.isSuspected = false;
     // Those before it are not needed any more; a later one that was opened for its silence may
     // stay.
     while (calls.peek() != call && calls.contains(call)) {
@@ -121,26 +121,26 @@
   }
 
   @Override
-  public void list(CatalogCall call, String text) {
-    CatalogList list;
+  public void onEndpointList(DiscoveryCall call, String text) {
+    EndpointList list;
     try {
-      list = CatalogList.of(Json.parse(text));
-    } catch (IOException | WireException e) {
-      call.end();
-      over(call, e.getMessage(), true);
+      list = EndpointList.of(Json.parse(text));
+    } catch (IOException | MalformedMessageException e) {
+      call.close();
+      onEnded(call, e.getMessage(), true);
       return;
     }
-    if (list.whole() && list.servers().isEmpty()) {
+    if (list.isSnapshot() && list.endpoints().isEmpty()) {
       LOG.warn("catalog {}: an empty list, the last one stays", address);
-    } else if (list.index() >= index || list.whole() && calls.peekLast() == call) {
-      index = Math.max(0, list.index());
+    } else if (list.version() >= index || list.isSnapshot() && calls.peekLast() == call) {
+      index = Math.max(0, list.version());
       pause = FIRST_PAUSE;
       told.accept(list);
     } else {
       LOG.info(
-          "catalog {}: a list of version {} after {} is not taken", address, list.index(), index);
+          "catalog {}: a list of version {} after {} is not taken", address, list.version(), index);
     }
-    if (call.whole && calls.contains(call)) {
+    if (call.isSnapshotCall && calls.contains(call)) {
       drop(call);
       if (index >= 0) {
         call();
@@ -151,14 +151,14 @@
   }
 
   @Override
-  public void over(CatalogCall call, String why, boolean unreadable) {
-    alarms.cancel(call.silence);
+  public void onEnded(DiscoveryCall call, String why, boolean unreadable) {
+    alarms.cancel(call.idleTimer);
     calls.remove(call);
     if (unreadable) {
       LOG.warn("catalog {}: a list that cannot be read: {}", address, why);
       index = -1;
     }
-    if (unreadable || calls.stream().allMatch(c -> c.suspected)) {
+    if (unreadable || calls.stream().allMatch(c -> c.isSuspected)) {
       LOG.info("catalog {}: {}, asking again", address, why);
       again();
     }
--- a/src/main/java/fawndock/platform/MemorySockets.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -18,27 +18,27 @@
  * one side writes comes to the other in a later turn of the loop, as from a network. For {@link
  * WarmUp}.
  */
-final class MemorySockets extends Sockets {
+final class InMemoryTransport extends TcpTransport {
   private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
 
-  MemorySockets(Context context) {
+  InMemoryTransport(Context context) {
     super(context);
   }
 
   /** One side of a connection. */
-  private final class Side extends EmbeddedChannel {
-    private Side other;
+  private final class InMemoryChannel extends EmbeddedChannel {
+    private InMemoryChannel peer;
 
-    Side(ChannelHandler handler) {
+    InMemoryChannel(ChannelHandler handler) {
       super(handler);
     }
 
     @Override
     protected void handleOutboundMessage(Object message) {
-      loop.execute(
+      eventLoop.execute(
           () -> {
-            if (other != null && other.isActive()) {
-              other.writeInbound(message);
+            if (peer != null && peer.isActive()) {
+              peer.writeInbound(message);
             } else {
               ReferenceCountUtil.release(message);
             }
@@ -48,10 +48,10 @@
     @Override
     protected void doClose() throws Exception {
       super.doClose();
-      loop.execute(
+      eventLoop.execute(
           () -> {
-            if (other != null) {
-              other.close();
+            if (peer != null) {
+              peer.close();
             }
           });
     }
@@ -59,18 +59,18 @@
 
   @Override
   ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
-    Side near = new Side(handler);
-    ChannelPromise made = new DefaultChannelPromise(near, loop);
-    loop.execute(
+    InMemoryChannel near = new InMemoryChannel(handler);
+    ChannelPromise made = new DefaultChannelPromise(near, eventLoop);
+    eventLoop.execute(
         () -> {
           Supplier<ChannelHandler> listener = listeners.get(address);
           if (listener == null) {
             made.setFailure(new ConnectException("nobody listens at " + address));
             return;
           }
-          Side far = new Side(listener.get());
-          near.other = far;
-          far.other = near;
+          InMemoryChannel far = new InMemoryChannel(listener.get());
+          near.peer = far;
+          far.peer = near;
           made.setSuccess();
         });
     return made;
@@ -79,9 +79,10 @@
   @Override
   ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
     listeners.put(address, handlers);
-    Side bound = new Side(new io.netty.channel.ChannelInboundHandlerAdapter());
-    ChannelPromise done = new DefaultChannelPromise(bound, loop);
-    loop.execute(done::setSuccess);
+    InMemoryChannel bound =
+        new InMemoryChannel(new io.netty.channel.ChannelInboundHandlerAdapter());
+    ChannelPromise done = new DefaultChannelPromise(bound, eventLoop);
+    eventLoop.execute(done::setSuccess);
     return done;
   }
 }
--- a/src/main/java/fawndock/platform/JsonFramer.java
+++ b/src/main/java/fawndock/platform/JsonFramer.java
@@ -10,17 +10,17 @@
  */
 final class JsonFramer {
   /** Is told in the order of the bytes. */
-  interface Found {
+  interface Listener {
     /** A whole object. */
-    void object(String text);
+    void onObject(String text);
 
     /** A line ended outside of any object. */
-    void lineEnd();
+    void onLineEnd();
 
     /**
      * What stands between objects is none, or one is longer than may be; nothing is told after it.
      */
-    void unreadable(String why);
+    void onMalformed(String why);
   }
 
   private final int longest;
@@ -36,7 +36,7 @@
   }
 
   /** Uses up all of the bytes. */
-  void take(ByteBuf bytes, Found found) {
+  void read(ByteBuf bytes, Listener found) {
     while (bytes.isReadable() && !ended) {
       byte b = bytes.readByte();
       if (depth > 0 || b == '{') {
@@ -45,12 +45,12 @@
         if (depth == 0) {
           String text = object.toString(StandardCharsets.UTF_8);
           object.clear();
-          found.object(text);
+          found.onObject(text);
         } else if (object.readableBytes() > longest) {
           end(found, "an object of more than " + longest + " bytes");
         }
       } else if (b == '\n') {
-        found.lineEnd();
+        found.onLineEnd();
       } else if (b != ' ' && b != '\t' && b != '\r') {
         end(found, "no JSON object");
       }
@@ -71,9 +71,9 @@
     }
   }
 
-  private void end(Found found, String why) {
+  private void end(Listener found, String why) {
     ended = true;
-    found.unreadable(why);
+    found.onMalformed(why);
   }
 
   /** Takes nothing any more. */
--- a/src/main/java/fawndock/platform/PlatformConfig.java
+++ b/src/main/java/fawndock/platform/PlatformConfig.java
@@ -1,9 +1,9 @@
 package fawndock.platform;
 
 import fawndock.platformconfig.Json;
-import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.Json.JsonObject;
+import fawndock.platformconfig.MalformedMessageException;
 import fawndock.platformconfig.SettingsReader;
-import fawndock.platformconfig.WireException;
 import fawndock.policy.config.PolicyConfig;
 import fawndock.settings.Address;
 import java.io.IOException;
@@ -15,25 +15,26 @@
  * What the platform tells a gatekeeper: the file that {@code RELAY_CONFIG} names, with the
  * variables for what the file leaves out.
  *
- * @param known the list of workers as it was last held; may be out of date
+ * @param knownEndpoints the list of workers as it was last held; may be out of date
  * @param counter where the counter listens, or null without one
- * @param sockets descriptors that the process may hold
- * @param connectMicros longest time for a connection to come up
- * @param idleMicros a worker closes a connection that is idle for so long; 0 when it says nothing
- * @param mostUnits the most units of one request
+ * @param maxSockets descriptors that the process may hold
+ * @param connectTimeoutMicros longest time for a connection to come up
+ * @param endpointIdleTimeoutMicros a worker closes a connection that is idle for so long; 0 when it
+ *     says nothing
+ * @param maxRequestUnits the most units of one request
  */
 record PlatformConfig(
     String name,
     Address listen,
     Address discovery,
     Address counter,
-    PolicyConfig settings,
-    CatalogList known,
-    int sockets,
+    PolicyConfig policy,
+    EndpointList knownEndpoints,
+    int maxSockets,
     long memoryBytes,
-    long connectMicros,
-    long idleMicros,
-    double mostUnits) {
+    long connectTimeoutMicros,
+    long endpointIdleTimeoutMicros,
+    double maxRequestUnits) {
   private static final long LONGEST_FILE = 16 << 20;
   private static final int SOCKETS = 256;
   private static final long MEMORY_MB = 96;
@@ -42,49 +43,50 @@
   /**
    * A configuration that cannot be used; the message names the file, the key and what is expected.
    */
-  static final class UnusableException extends Exception {
+  static final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnusableException(String told) {
+    InvalidConfigException(String told) {
       super(told, null, false, false);
     }
   }
 
   /** Reads it whole, or tells what is wrong. */
-  static PlatformConfig read(Map<String, String> variables) throws UnusableException {
+  static PlatformConfig read(Map<String, String> variables) throws InvalidConfigException {
     String file = variables.get("RELAY_CONFIG");
     if (file == null || file.isBlank()) {
-      throw new UnusableException(
+      throw new InvalidConfigException(
           "RELAY_CONFIG is not set: the path of the configuration is expected");
     }
     String text;
     try {
       if (Files.size(Path.of(file)) > LONGEST_FILE) {
-        throw new UnusableException(file + ": larger than " + LONGEST_FILE + " bytes");
+        throw new InvalidConfigException(file + ": larger than " + LONGEST_FILE + " bytes");
       }
       text = Files.readString(Path.of(file));
     } catch (IOException e) {
-      throw new UnusableException(file + ": cannot be read (" + e + "), a JSON file is expected");
+      throw new InvalidConfigException(
+          file + ": cannot be read (" + e + "), a JSON file is expected");
     }
     try {
       return parse(text, variables);
     } catch (IOException e) {
-      throw new UnusableException(
+      throw new InvalidConfigException(
           file + ": not JSON: " + e.getMessage().lines().findFirst().orElse(""));
-    } catch (WireException | IllegalArgumentException e) {
-      throw new UnusableException(file + ": " + e.getMessage());
+    } catch (MalformedMessageException | IllegalArgumentException e) {
+      throw new InvalidConfigException(file + ": " + e.getMessage());
     }
   }
 
   private static PlatformConfig parse(String text, Map<String, String> variables)
       throws IOException {
-    Obj o = Json.parse(text);
-    Obj limits = o.objectOr("limits");
-    Obj settings = o.object("settings");
-    Obj caps = settings.objectOr("caps");
+    JsonObject o = Json.parse(text);
+    JsonObject limits = o.objectOr("limits");
+    JsonObject settings = o.object("settings");
+    JsonObject caps = settings.objectOr("caps");
     PolicyConfig read = SettingsReader.settings(settings, seed(o.textOr("seed", "0")));
     if (read.requestClasses().isEmpty() || read.plans().isEmpty()) {
-      throw new WireException(
+      throw new MalformedMessageException(
           "'settings' names no class or no plan; at least one of each is expected");
     }
     String counter = o.textOr("counter", "");
@@ -94,7 +96,7 @@
         address("discovery", o.textOr("discovery", variables.getOrDefault("RELAY_DISCOVERY", ""))),
         counter.isEmpty() ? null : address("counter", counter),
         read,
-        o.has("known") ? CatalogList.of(o.object("known")) : CatalogList.NONE,
+        o.has("known") ? EndpointList.of(o.object("known")) : EndpointList.NONE,
         (int) limits.integerOr("sockets", SOCKETS),
         limits.integerOr("memory_mb", MEMORY_MB) << 20,
         caps.integerOr("connect-timeout-us", CONNECT_MICROS),
@@ -106,7 +108,8 @@
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (NumberFormatException e) {
-      throw new WireException("'seed' is '" + text + "', up to 16 hexadecimal digits are expected");
+      throw new MalformedMessageException(
+          "'seed' is '" + text + "', up to 16 hexadecimal digits are expected");
     }
   }
 
@@ -116,6 +119,6 @@
     if (address != null && address.port() > 0) {
       return address;
     }
-    throw new WireException("'" + key + "' is '" + text + "', HOST:PORT is expected");
+    throw new MalformedMessageException("'" + key + "' is '" + text + "', HOST:PORT is expected");
   }
 }
--- a/src/main/java/fawndock/platform/PlatformNode.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -28,8 +28,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One gatekeeper on the platform, with its sockets, on one event-loop context. */
-final class PlatformNode implements PolicyRunner.GatewayConnections {
-  private static final Logger LOG = LoggerFactory.getLogger(PlatformNode.class);
+final class PlatformGateway implements PolicyRunner.GatewayConnections {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformGateway.class);
 
   /**
    * Shares of the descriptors; the rest is kept for the counter, the catalog, files and a reserve.
@@ -49,64 +49,67 @@
   private static final double IDLE_PART = 0.5;
 
   private static final long IDLE_MICROS = 20_000_000;
-  private final Sockets sockets;
+  private final TcpTransport sockets;
   private final PlatformConfig config;
   private final MicroClock clock = new MicroClock();
   private final Timers alarms;
-  private final PolicyRunner host;
-  private final Figures figures = new Figures();
-  private final WorkerPools workers;
-  private final AddGetCounter counter;
-  private final ClientFront front;
+  private final PolicyRunner runner;
+  private final ActivitySummary figures = new ActivitySummary();
+  private final BackendConnectionPools workers;
+  private final CounterClient counter;
+  private final ClientListener clientListener;
   private final Promise<Void> listed = Promise.promise();
 
   /** The newest last; those before it until it has spoken. */
-  private final ArrayDeque<CatalogWatch> catalogs = new ArrayDeque<>();
+  private final ArrayDeque<EndpointWatch> catalogs = new ArrayDeque<>();
 
   private final SplittableRandom random;
   private long reportAt;
   private Address discovery;
 
   /** Made on the context that it belongs to. */
-  PlatformNode(
+  PlatformGateway(
       Vertx vertx,
-      Sockets sockets,
+      TcpTransport sockets,
       PlatformConfig config,
       Function<PolicyConfig, GatewayPolicy> maker) {
     this.sockets = sockets;
     this.config = config;
-    PolicyConfig settings = config.settings();
+    PolicyConfig settings = config.policy();
     random =
         new SplittableRandom(
             settings.randomSeed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
     alarms = new Timers(vertx);
-    host = new PolicyRunner(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
-    host.decideBy(maker.apply(settings));
-    long idle = config.idleMicros() <= 0 ? IDLE_MICROS : (long) (IDLE_PART * config.idleMicros());
+    runner = new PolicyRunner(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
+    runner.setPolicy(maker.apply(settings));
+    long idle =
+        config.endpointIdleTimeoutMicros() <= 0
+            ? IDLE_MICROS
+            : (long) (IDLE_PART * config.endpointIdleTimeoutMicros());
     workers =
-        new WorkerPools(
+        new BackendConnectionPools(
             sockets,
             clock::now,
             figures,
-            (int) (WORKERS * config.sockets()),
-            config.connectMicros(),
+            (int) (WORKERS * config.maxSockets()),
+            config.connectTimeoutMicros(),
             idle);
     counter =
-        new AddGetCounter(
+        new CounterClient(
             sockets,
             config.counter(),
             clock,
             alarms,
             figures,
-            config.connectMicros(),
+            config.connectTimeoutMicros(),
             settings.counter().timeoutMicros(),
-            host::onEvent);
-    front =
-        new ClientFront(
+            runner::onEvent);
+    clientListener =
+        new ClientListener(
             sockets,
-            host,
+            runner,
             new ClientCommand.Terms(config),
-            (int) (CLIENTS * config.sockets()),
+            (int) (CLIENTS * config.maxSockets()),
             settings.limits().maxInFlight(),
             config.memoryBytes() / MOST_BYTES_SHARE);
     sweep();
@@ -114,8 +117,8 @@
 
   /** Follows the catalog and listens as soon as the list of workers is known. */
   Future<?> start() {
-    if (!config.known().servers().isEmpty()) {
-      take(config.known(), EndpointUpdateKind.CACHED);
+    if (!config.knownEndpoints().endpoints().isEmpty()) {
+      take(config.knownEndpoints(), EndpointUpdateKind.CACHED);
       alarms.schedule(LIST_WAIT_MICROS, listed::tryComplete);
     }
     follow(config.discovery());
@@ -125,7 +128,7 @@
         .compose(
             v -> {
               Promise<Void> bound = Promise.promise();
-              front
+              clientListener
                   .listen(config.listen())
                   .addListener(
                       done -> {
@@ -142,23 +145,23 @@
                 LOG.info(
                     "{} ({} of {}) listens on {}",
                     config.name(),
-                    config.settings().instanceIndex(),
-                    config.settings().instanceCount(),
+                    config.policy().instanceIndex(),
+                    config.policy().instanceCount(),
                     config.listen()));
   }
 
   /** Listens with this list of workers and follows no catalog: for {@link WarmUp}. */
-  ChannelFuture warmUp(CatalogList list) {
+  ChannelFuture warmUp(EndpointList list) {
     take(list, EndpointUpdateKind.SNAPSHOT);
-    return front.listen(config.listen());
+    return clientListener.listen(config.listen());
   }
 
   private void follow(Address address) {
-    List<CatalogWatch> before = List.copyOf(catalogs);
+    List<EndpointWatch> before = List.copyOf(catalogs);
     discovery = address;
     boolean[] heard = new boolean[1];
-    CatalogWatch catalog =
-        new CatalogWatch(
+    EndpointWatch catalog =
+        new EndpointWatch(
             sockets,
             address,
             alarms,
@@ -167,22 +170,24 @@
               if (!heard[0]) {
                 heard[0] = true;
                 before.forEach(
-                    CatalogWatch
+                    EndpointWatch
                         ::close); // Not sooner: until the new one speaks, what they tell counts.
                 catalogs.removeAll(before);
               }
-              take(list, list.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.CHANGES);
+              take(
+                  list,
+                  list.isSnapshot() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.CHANGES);
               listed.tryComplete();
             });
     catalogs.add(catalog);
     catalog.start();
   }
 
-  private void take(CatalogList list, EndpointUpdateKind listing) {
+  private void take(EndpointList list, EndpointUpdateKind listing) {
     if (listing == EndpointUpdateKind.SNAPSHOT) {
       workers.keep(list.addresses().keySet());
     }
-    list.servers()
+    list.endpoints()
         .forEach(
             s -> {
               if (s.state() == EndpointState.REMOVED) {
@@ -192,7 +197,7 @@
               }
               workers.draining(s.id(), s.state() == EndpointState.DRAINING);
             });
-    host.onEvent(new EndpointUpdate(listing, list.servers()));
+    runner.onEvent(new EndpointUpdate(listing, list.endpoints()));
   }
 
   /** Takes up the addresses of a new configuration; the decisions keep what they know. */
@@ -204,12 +209,12 @@
     LOG.info("new configuration: discovery {}, counter {}", fresh.discovery(), fresh.counter());
   }
 
-  ClientFront front() {
-    return front;
+  ClientListener clientListener() {
+    return clientListener;
   }
 
-  PolicyRunner host() {
-    return host;
+  PolicyRunner runner() {
+    return runner;
   }
 
   /** One line every few seconds, whatever the load. */
@@ -220,11 +225,11 @@
           long late = clock.now() - reportAt - REPORT_MICROS;
           LOG.info(
               "open {}, clients {}, workers {}, loop {} ms late; {}",
-              host.openCount(),
-              front.connections(),
+              runner.openCount(),
+              clientListener.connectionCount(),
               workers.open(),
               late / 1_000,
-              figures.take());
+              figures.summarizeAndReset());
           report();
         });
     reportAt = clock.now();
@@ -236,10 +241,10 @@
   }
 
   void close() {
-    front.close();
+    clientListener.close();
     counter.close();
     workers.close();
-    catalogs.forEach(CatalogWatch::close);
+    catalogs.forEach(EndpointWatch::close);
     alarms.close();
   }
 
@@ -265,11 +270,11 @@
 
   @Override
   public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new WorkerCall(host, request, number, server, workers);
+    return new BackendAttempt(runner, request, number, server, workers);
   }
 
   @Override
   public void startHealthCheck(String server) {
-    host.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+    runner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
   }
 }
--- a/src/main/java/fawndock/platform/PlatformDaemon.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -15,8 +15,8 @@
 import sun.misc.Signal;
 
 /** The process on the platform: start, new configurations on SIGHUP, stop on SIGTERM. */
-public final class PlatformDaemon {
-  private static final Logger LOG = LoggerFactory.getLogger(PlatformDaemon.class);
+public final class PlatformProcess {
+  private static final Logger LOG = LoggerFactory.getLogger(PlatformProcess.class);
 
   /**
    * The platform counts the longest deadline as no more than this when it says how long a stop may
@@ -44,13 +44,13 @@
   private final CountDownLatch ended = new CountDownLatch(1);
   private Vertx vertx;
   private volatile Context context;
-  private PlatformNode node;
+  private PlatformGateway gateway;
   private boolean stopping;
   private long longestMicros;
   private volatile int code;
 
   /** A daemon that is not started; takes the platform's variables. */
-  public PlatformDaemon(Map<String, String> variables) {
+  public PlatformProcess(Map<String, String> variables) {
     this.variables = variables;
   }
 
@@ -62,12 +62,12 @@
     PlatformConfig config;
     try {
       config = PlatformConfig.read(variables);
-    } catch (PlatformConfig.UnusableException e) {
+    } catch (PlatformConfig.InvalidConfigException e) {
       System.err.println(e.getMessage());
       return 2;
     }
     longestMicros =
-        config.settings().requestClasses().stream()
+        config.policy().requestClasses().stream()
             .mapToLong(c -> c.deadlineMicros())
             .max()
             .orElse(0);
@@ -92,8 +92,8 @@
               .run()
               .compose(
                   warm -> {
-                    node = new PlatformNode(vertx, new Sockets(context), config, maker);
-                    return node.start();
+                    gateway = new PlatformGateway(vertx, new TcpTransport(context), config, maker);
+                    return gateway.start();
                   })
               .onSuccess(listens -> ready.countDown())
               .onFailure(
@@ -115,11 +115,11 @@
       PlatformConfig fresh = PlatformConfig.read(variables);
       context.runOnContext(
           v -> {
-            if (node != null) {
-              node.reload(fresh);
+            if (gateway != null) {
+              gateway.reload(fresh);
             }
           });
-    } catch (PlatformConfig.UnusableException e) {
+    } catch (PlatformConfig.InvalidConfigException e) {
       LOG.error("the configuration stays as it was: {}", e.getMessage());
     }
   }
@@ -146,8 +146,8 @@
   }
 
   /** What serves, once it does. */
-  PlatformNode node() {
-    return node;
+  PlatformGateway gateway() {
+    return gateway;
   }
 
   private void drain() {
@@ -155,19 +155,21 @@
       return;
     }
     stopping = true;
-    if (node == null) {
+    if (gateway == null) {
       end(0);
       return;
     }
-    LOG.info("stopping with {} requests open", node.host().openCount());
+    LOG.info("stopping with {} requests open", gateway.runner().openCount());
     long longest = Math.min(LONGEST_MICROS, longestMicros);
     after(
         Math.max(COMING_MICROS, (long) (SERVING * longest)),
-        () -> node.front().drain(() -> end(0)));
+        () -> gateway.clientListener().drain(() -> end(0)));
     after(
         longest + LAST_MICROS,
         () -> {
-          node.front().failOpen(); // Answered as failed by us, rather than cut off by SIGKILL.
+          gateway
+              .clientListener()
+              .failInFlight(); // Answered as failed by us, rather than cut off by SIGKILL.
           after(LEAVE_MICROS, () -> end(0));
         });
   }
@@ -183,8 +185,8 @@
       vertx.setTimer(
           20,
           id -> {
-            if (node != null) {
-              node.close();
+            if (gateway != null) {
+              gateway.close();
             }
             vertx.setTimer(20, again -> ended.countDown());
           });
--- a/src/main/java/fawndock/platform/ReplyConnection.java
+++ b/src/main/java/fawndock/platform/RespConnection.java
@@ -11,47 +11,51 @@
  * One connection on which commands go out and replies come in, to a worker or to the counter. It
  * sends nothing by itself and is never opened again: what was on it ends with it. One context.
  */
-final class ReplyConnection {
+final class RespConnection {
   /** Is told on the context what comes; {@link #closed} exactly once, and nothing after it. */
-  interface Owner {
+  interface Listener {
     /** The connection is up. */
-    void up();
+    void onConnected();
 
     /**
      * Whether a reply is owed by the other side: bytes that come while none is are noise, and end
      * the connection.
      */
-    boolean waits();
+    boolean expectsReply();
 
     /** A reply has come; {@code more} says that bytes stand behind it. */
-    void reply(Reply reply, boolean more);
+    void onReply(Reply reply, boolean more);
 
     /** What came is no reply. The connection has been closed. */
-    void spoilt(String why);
+    void onProtocolError(String why);
 
     /** It did not come up, or it is over; not told after {@link #close} was called. */
-    void closed(boolean wasUp);
+    void onClosed(boolean wasUp);
   }
 
   private final ReplyReader reader;
-  private final Owner owner;
-  private final Wire wire =
-      new Wire() {
+  private final Listener owner;
+  private final ByteConnection wire =
+      new ByteConnection() {
         @Override
-        void bytes(ByteBuf in) {
+        void onBytes(ByteBuf in) {
           read(in);
         }
 
         @Override
-        void ended() {
+        void onDisconnected() {
           over(up);
         }
       };
   private boolean up;
   private boolean closed;
 
-  ReplyConnection(
-      Sockets sockets, Address address, long connectMicros, ReplyReader reader, Owner owner) {
+  RespConnection(
+      TcpTransport sockets,
+      Address address,
+      long connectMicros,
+      ReplyReader reader,
+      Listener owner) {
     this.reader = reader;
     this.owner = owner;
     sockets
@@ -64,12 +68,12 @@
                 wire.close();
               } else {
                 up = true;
-                owner.up();
+                owner.onConnected();
               }
             });
   }
 
-  boolean isUp() {
+  boolean isConnected() {
     return up && !closed;
   }
 
@@ -83,16 +87,16 @@
 
   private void read(ByteBuf in) {
     try {
-      if (!owner.waits()) {
+      if (!owner.expectsReply()) {
         throw new ProtocolException("bytes that nobody asked for");
       }
       for (Reply reply = reader.next(in); reply != null; reply = closed ? null : reader.next(in)) {
-        owner.reply(reply, in.isReadable());
+        owner.onReply(reply, in.isReadable());
       }
     } catch (ProtocolException e) {
       if (!closed) {
         close();
-        owner.spoilt(e.getMessage());
+        owner.onProtocolError(e.getMessage());
       }
     }
   }
@@ -100,7 +104,7 @@
   private void over(boolean wasUp) {
     if (!closed) {
       closed = true;
-      owner.closed(wasUp);
+      owner.onClosed(wasUp);
     }
   }
 
--- a/src/main/java/fawndock/platform/Sockets.java
+++ b/src/main/java/fawndock/platform/TcpTransport.java
@@ -23,29 +23,29 @@
  * connection of its own costs ten times as much. What is accepted here is accepted on the one loop,
  * a few at a time.
  */
-class Sockets {
+class TcpTransport {
   private static final int BACKLOG = 1_024;
 
   /** The loop of all of them. */
-  protected final EventLoop loop;
+  protected final EventLoop eventLoop;
 
   /** On the loop of this context. */
-  Sockets(Context context) {
-    loop = ((ContextInternal) context).nettyEventLoop();
+  TcpTransport(Context context) {
+    eventLoop = ((ContextInternal) context).nettyEventLoop();
   }
 
   /**
    * Runs something after all that has come by now has been taken in: after the reads of the next
    * turn, as a close stands behind the bytes that were read in this one.
    */
-  void later(Runnable what) {
-    loop.execute(() -> loop.schedule(what, 0, TimeUnit.NANOSECONDS));
+  void runAfterReads(Runnable what) {
+    eventLoop.execute(() -> eventLoop.schedule(what, 0, TimeUnit.NANOSECONDS));
   }
 
   /** Connects; the handler takes the bytes. The future ends in a later turn of the loop. */
   ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
     return new Bootstrap()
-        .group(loop)
+        .group(eventLoop)
         .channel(NioSocketChannel.class)
         .handler(handler)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limitMicros / 1_000))
@@ -56,7 +56,7 @@
   /** Listens; a new handler takes the bytes of each connection that is accepted. */
   ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
     return new ServerBootstrap()
-        .group(loop)
+        .group(eventLoop)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -41,7 +41,7 @@
   private final PlatformConfig config;
   private final Function<PolicyConfig, GatewayPolicy> maker;
   private final Promise<Void> done = Promise.promise();
-  private PlatformNode node;
+  private PlatformGateway node;
   private int sent;
   private int answered;
   private int served;
@@ -58,12 +58,12 @@
     try {
       Address back = new Address("worker", 1);
       Address front = new Address("gatekeeper", 1);
-      Sockets sockets = new MemorySockets(vertx.getOrCreateContext());
-      CatalogList list =
-          new CatalogList(
+      TcpTransport sockets = new InMemoryTransport(vertx.getOrCreateContext());
+      EndpointList list =
+          new EndpointList(
               1,
               true,
-              List.of(new Endpoint("w", config.settings().zone(), 0, EndpointState.RUNNING, 1, 0)),
+              List.of(new Endpoint("w", config.policy().zone(), 0, EndpointState.RUNNING, 1, 0)),
               Map.of("w", back));
       PlatformConfig own =
           new PlatformConfig(
@@ -71,14 +71,14 @@
               front,
               back,
               back,
-              config.settings(),
+              config.policy(),
               list,
-              config.sockets(),
+              config.maxSockets(),
               config.memoryBytes(),
-              config.connectMicros(),
-              config.idleMicros(),
-              config.mostUnits());
-      node = new PlatformNode(vertx, sockets, own, maker);
+              config.connectTimeoutMicros(),
+              config.endpointIdleTimeoutMicros(),
+              config.maxRequestUnits());
+      node = new PlatformGateway(vertx, sockets, own, maker);
       sockets.listen(back, Back::new);
       node.warmUp(list)
           .addListener(
@@ -86,7 +86,7 @@
                 for (int i = 0; i < AT_ONCE && bound.isSuccess(); i++) {
                   Client client = new Client();
                   sockets
-                      .connect(front, config.connectMicros(), client)
+                      .connect(front, config.connectTimeoutMicros(), client)
                       .addListener(made -> client.ask());
                 }
               });
@@ -116,8 +116,8 @@
 
   private ByteBuf next() {
     RequestClass type =
-        config.settings().requestClasses().get(sent % config.settings().requestClasses().size());
-    Plan plan = config.settings().plans().get(sent % config.settings().plans().size());
+        config.policy().requestClasses().get(sent % config.policy().requestClasses().size());
+    Plan plan = config.policy().plans().get(sent % config.policy().plans().size());
     sent++;
     String list =
         "c="
@@ -139,7 +139,7 @@
   }
 
   /** One client, a request at a time. */
-  private final class Client extends Wire {
+  private final class Client extends ByteConnection {
     private final ReplyReader reader = new ReplyReader(64 << 10, 1_024, 0);
 
     void ask() {
@@ -147,7 +147,7 @@
     }
 
     @Override
-    void bytes(ByteBuf in) {
+    void onBytes(ByteBuf in) {
       try {
         for (Reply reply = reader.next(in); reply != null; reply = reader.next(in)) {
           answered++;
@@ -165,17 +165,17 @@
     }
 
     @Override
-    void ended() {
+    void onDisconnected() {
       // The others go on.
     }
   }
 
   /** Worker and counter in one. */
-  private static final class Back extends Wire {
+  private static final class Back extends ByteConnection {
     private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
 
     @Override
-    void bytes(ByteBuf in) {
+    void onBytes(ByteBuf in) {
       try {
         for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
           ByteBuf out = Unpooled.buffer(96);
@@ -196,7 +196,7 @@
     }
 
     @Override
-    void ended() {
+    void onDisconnected() {
       // Nothing is kept.
     }
   }
--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -14,7 +14,7 @@
   private static final JsonFactory FACTORY = new JsonFactory();
 
   /** One JSON object. */
-  public record Obj(Map<String, Object> fields) {
+  public record JsonObject(Map<String, Object> fields) {
     public String text(String key) {
       return required(key, String.class);
     }
@@ -39,26 +39,26 @@
       return has(key) && required(key, Boolean.class);
     }
 
-    public Obj object(String key) {
-      return required(key, Obj.class);
+    public JsonObject object(String key) {
+      return required(key, JsonObject.class);
     }
 
-    public Obj objectOr(String key) {
-      return has(key) ? object(key) : new Obj(Map.of());
+    public JsonObject objectOr(String key) {
+      return has(key) ? object(key) : new JsonObject(Map.of());
     }
 
-    public List<Obj> objects(String key) {
-      List<Obj> found = new ArrayList<>();
+    public List<JsonObject> objects(String key) {
+      List<JsonObject> found = new ArrayList<>();
       for (Object each : required(key, List.class)) {
-        if (!(each instanceof Obj obj)) {
-          throw new WireException("'" + key + "' holds something other than an object");
+        if (!(each instanceof JsonObject obj)) {
+          throw new MalformedMessageException("'" + key + "' holds something other than an object");
         }
         found.add(obj);
       }
       return found;
     }
 
-    public List<Obj> objectsOr(String key) {
+    public List<JsonObject> objectsOr(String key) {
       return has(key) ? objects(key) : List.of();
     }
 
@@ -74,10 +74,10 @@
     private <T> T required(String key, Class<T> type) {
       Object value = fields.get(key);
       if (value == null) {
-        throw new WireException("'" + key + "' is missing");
+        throw new MalformedMessageException("'" + key + "' is missing");
       }
       if (!type.isInstance(value)) {
-        throw new WireException("'" + key + "' is not of the right type");
+        throw new MalformedMessageException("'" + key + "' is not of the right type");
       }
       return type.cast(value);
     }
@@ -86,15 +86,15 @@
   private Json() {}
 
   /** Reads a line that holds exactly one object. */
-  public static Obj parse(String line) throws IOException {
+  public static JsonObject parse(String line) throws IOException {
     try (JsonParser parser = FACTORY.createParser(line)) {
       parser.nextToken();
       Object value = value(parser);
-      if (!(value instanceof Obj obj)) {
-        throw new WireException("not a JSON object");
+      if (!(value instanceof JsonObject obj)) {
+        throw new MalformedMessageException("not a JSON object");
       }
       if (parser.nextToken() != null) {
-        throw new WireException("more than one JSON value");
+        throw new MalformedMessageException("more than one JSON value");
       }
       return obj;
     }
@@ -103,7 +103,7 @@
   private static Object value(JsonParser parser) throws IOException {
     JsonToken token = parser.currentToken();
     if (token == null) {
-      throw new WireException("the JSON ends too early");
+      throw new MalformedMessageException("the JSON ends too early");
     }
     return switch (token) {
       case START_OBJECT -> object(parser);
@@ -116,14 +116,14 @@
     };
   }
 
-  private static Obj object(JsonParser parser) throws IOException {
+  private static JsonObject object(JsonParser parser) throws IOException {
     Map<String, Object> fields = new LinkedHashMap<>();
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       parser.nextToken();
       fields.put(name, value(parser));
     }
-    return new Obj(fields);
+    return new JsonObject(fields);
   }
 
   private static List<Object> array(JsonParser parser) throws IOException {
--- a/src/main/java/fawndock/platformconfig/WireException.java
+++ b/src/main/java/fawndock/platformconfig/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package fawndock.platformconfig;
 
 /** What came in is not what the wire allows; the message says what is wrong. */
-public final class WireException extends RuntimeException {
+public final class MalformedMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** What is wrong, for a person. */
-  public WireException(String message) {
+  public MalformedMessageException(String message) {
     super(message);
   }
 }
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -1,6 +1,6 @@
 package fawndock.platformconfig;
 
-import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.Json.JsonObject;
 import fawndock.policy.config.CounterConfig;
 import fawndock.policy.config.DeduplicationScope;
 import fawndock.policy.config.GatewayLimits;
@@ -36,10 +36,10 @@
    *
    * @param seed of random numbers
    */
-  public static PolicyConfig settings(Obj o, long seed) {
-    Obj caps = o.objectOr("caps");
-    Obj rules = o.objectOr("rules");
-    Obj extra = o.objectOr("extra");
+  public static PolicyConfig settings(JsonObject o, long seed) {
+    JsonObject caps = o.objectOr("caps");
+    JsonObject rules = o.objectOr("rules");
+    JsonObject extra = o.objectOr("extra");
     return new PolicyConfig(
         (int) o.integerOr("me", 0),
         (int) o.integerOr("peers-total", 1),
@@ -70,7 +70,7 @@
             extra.flag("counter"), extra.integerOr("count-wait-us", 0), extra.flag("trued-up")));
   }
 
-  private static RequestClass requestClass(Obj c) {
+  private static RequestClass requestClass(JsonObject c) {
     long deadline = c.integer("deadline-us");
     return new RequestClass(
         c.text("name"),
@@ -85,7 +85,7 @@
         c.flag("streaming"));
   }
 
-  private static Plan plan(Obj p) {
+  private static Plan plan(JsonObject p) {
     return new Plan(
         p.text("name"),
         p.numberOr("rate", 0),
@@ -100,7 +100,7 @@
   }
 
   /** A load report under the names that decisions know; what they do not know is left out. */
-  public static Map<String, Double> load(Obj stats) {
+  public static Map<String, Double> load(JsonObject stats) {
     return load(stats.all());
   }
 
@@ -123,6 +123,6 @@
         return each;
       }
     }
-    throw new WireException("unknown word '" + word + "'");
+    throw new MalformedMessageException("unknown word '" + word + "'");
   }
 }
--- a/src/main/java/fawndock/resp/CommandReader.java
+++ b/src/main/java/fawndock/resp/CommandReader.java
@@ -14,11 +14,11 @@
   /**
    * What is taken of one command; more is no command, and the connection cannot go on.
    *
-   * @param longest bytes of all words
-   * @param mostWords words of a command
-   * @param longestInline bytes of a command on one line; 0 where there are none, nor empty arrays
+   * @param maxCommandBytes bytes of all words
+   * @param maxWords words of a command
+   * @param maxInlineBytes bytes of a command on one line; 0 where there are none, nor empty arrays
    */
-  public record Limits(int longest, int mostWords, int longestInline) {
+  public record Limits(int maxCommandBytes, int maxWords, int maxInlineBytes) {
     /** What a server that people type to takes. */
     public static final Limits SERVER = new Limits(512 << 10, 16_384, 64 << 10);
   }
@@ -42,10 +42,10 @@
         return null;
       }
       if (in.getByte(in.readerIndex()) != '*') {
-        if (limits.longestInline == 0) {
+        if (limits.maxInlineBytes == 0) {
           throw new ProtocolException("expected '*'");
         }
-        int end = line(in, limits.longestInline, "too big inline request");
+        int end = line(in, limits.maxInlineBytes, "too big inline request");
         if (end < 0) {
           return null;
         }
@@ -55,11 +55,11 @@
         }
         continue;
       }
-      long many = number(in, "invalid multibulk length", limits.mostWords);
+      long many = number(in, "invalid multibulk length", limits.maxWords);
       if (many == Long.MIN_VALUE) {
         return null;
       }
-      if (many <= 0 && limits.longestInline == 0) {
+      if (many <= 0 && limits.maxInlineBytes == 0) {
         throw new ProtocolException("invalid multibulk length");
       }
       if (many > 0) {
@@ -78,7 +78,7 @@
               "expected '$', got '" + (char) in.getByte(in.readerIndex()) + "'");
         }
         // Guards against a length that would have memory set aside for what never comes.
-        long length = number(in, "invalid bulk length", limits.longest - bytes);
+        long length = number(in, "invalid bulk length", limits.maxCommandBytes - bytes);
         if (length == Long.MIN_VALUE) {
           return null;
         }
@@ -106,7 +106,7 @@
   }
 
   /** Whether a command has begun and not ended. */
-  public boolean within() {
+  public boolean isWithinCommand() {
     return words != null;
   }
 
--- a/src/main/java/fawndock/resp/Reply.java
+++ b/src/main/java/fawndock/resp/Reply.java
@@ -9,9 +9,9 @@
  * @param type {@code +}, {@code -}, {@code :}, {@code $} or {@code *}
  * @param bytes the text of a line or a bulk string; null for a null bulk string, an array and a
  *     null array
- * @param parts an array's elements, or null
+ * @param elements an array's elements, or null
  */
-public record Reply(char type, byte[] bytes, List<Reply> parts) {
+public record Reply(char type, byte[] bytes, List<Reply> elements) {
   /** Its text; empty where there is none. */
   public String text() {
     return bytes == null ? "" : new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/fawndock/resp/ReplyReader.java
+++ b/src/main/java/fawndock/resp/ReplyReader.java
@@ -11,9 +11,9 @@
  */
 public final class ReplyReader {
   private static final int LONGEST_NUMBER = 20;
-  private final int longestBulk;
-  private final int longestLine;
-  private final int mostParts;
+  private final int maxBulkBytes;
+  private final int maxLineBytes;
+  private final int maxElements;
 
   /**
    * A reader within limits.
@@ -23,15 +23,15 @@
    * @param mostParts elements of an array; arrays in arrays are not taken
    */
   public ReplyReader(int longestBulk, int longestLine, int mostParts) {
-    this.longestBulk = longestBulk;
-    this.longestLine = longestLine;
-    this.mostParts = mostParts;
+    this.maxBulkBytes = longestBulk;
+    this.maxLineBytes = longestLine;
+    this.maxElements = mostParts;
   }
 
   /** Bytes that one reply takes at most. */
-  public int most() {
+  public int maxReplyBytes() {
     return LONGEST_NUMBER
-        + Math.max(1, mostParts) * (Math.max(longestBulk + LONGEST_NUMBER, longestLine) + 4);
+        + Math.max(1, maxElements) * (Math.max(maxBulkBytes + LONGEST_NUMBER, maxLineBytes) + 4);
   }
 
   /**
@@ -53,7 +53,7 @@
     char type = (char) in.readByte();
     switch (type) {
       case '+', '-', ':' -> {
-        byte[] line = line(in, longestLine);
+        byte[] line = line(in, maxLineBytes);
         if (line != null && type == ':') {
           number(line, Long.MIN_VALUE, Long.MAX_VALUE);
         }
@@ -77,7 +77,7 @@
     if (line == null) {
       return null;
     }
-    int length = (int) number(line, -1, longestBulk);
+    int length = (int) number(line, -1, maxBulkBytes);
     if (length < 0) {
       return new Reply('$', null, null);
     }
@@ -101,7 +101,7 @@
     if (line == null) {
       return null;
     }
-    int many = (int) number(line, -1, mostParts);
+    int many = (int) number(line, -1, maxElements);
     if (many < 0) {
       return new Reply('*', null, null);
     }
--- a/src/main/java/fawndock/runtime/CounterReplySequencer.java
+++ b/src/main/java/fawndock/runtime/CounterReplySequencer.java
@@ -14,60 +14,62 @@
 public final class CounterReplySequencer {
   /** A call of a name that has its place among the others. */
   public static class PendingCall {
-    private final String name;
-    private final long startedAt;
-    private CounterReply end;
+    private final String counterName;
+    private final long startedAtMicros;
+    private CounterReply reply;
 
     /** A call of this name, made at this time in microseconds. */
     public PendingCall(String name, long startedAt) {
-      this.name = name;
-      this.startedAt = startedAt;
+      this.counterName = name;
+      this.startedAtMicros = startedAt;
     }
 
     /** How long it has been out. */
-    public long tookMicros(long now) {
-      return now - startedAt;
+    public long elapsedMicros(long now) {
+      return now - startedAtMicros;
     }
 
-    public boolean ended() {
-      return end != null;
+    public boolean isCompleted() {
+      return reply != null;
     }
   }
 
-  private final Map<String, ArrayDeque<PendingCall>> lines = new HashMap<>();
-  private final Consumer<CounterReply> told;
-  private boolean closed;
+  private final Map<String, ArrayDeque<PendingCall>> pendingCallsByCounter = new HashMap<>();
+  private final Consumer<CounterReply> replyListener;
+  private boolean isClosed;
 
   /** Ends are told to the consumer given. */
   public CounterReplySequencer(Consumer<CounterReply> told) {
-    this.told = told;
+    this.replyListener = told;
   }
 
   /** A call is made. */
   public void begin(PendingCall place) {
-    lines.computeIfAbsent(place.name, name -> new ArrayDeque<>(2)).add(place);
+    pendingCallsByCounter
+        .computeIfAbsent(place.counterName, name -> new ArrayDeque<>(2))
+        .add(place);
   }
 
   /**
    * A call that ends before an older one of its name, such as one that was never sent, waits for
    * it.
    */
-  public void end(PendingCall place, CallResult result, double total, long now) {
-    place.end = new CounterReply(place.name, result, total, place.tookMicros(now));
-    ArrayDeque<PendingCall> line = lines.get(place.name);
-    while (line != null && !line.isEmpty() && line.peek().ended()) {
-      CounterReply next = line.poll().end;
+  public void complete(PendingCall place, CallResult result, double total, long now) {
+    place.reply = new CounterReply(place.counterName, result, total, place.elapsedMicros(now));
+    ArrayDeque<PendingCall> line = pendingCallsByCounter.get(place.counterName);
+    while (line != null && !line.isEmpty() && line.peek().isCompleted()) {
+      CounterReply next = line.poll().reply;
       if (line.isEmpty()) {
-        lines.remove(place.name);
+        pendingCallsByCounter.remove(place.counterName);
       }
-      if (!closed) {
-        told.accept(next);
+      if (!isClosed) {
+        replyListener.accept(next);
       }
     }
   }
 
   /** Nobody is told any more. */
   public void close() {
-    closed = true;
+    isClosed = true;
   }
 }
--- a/src/main/java/fawndock/runtime/InFlightAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -10,25 +10,25 @@
  * context.
  */
 public abstract class InFlightAttempt {
-  protected final PolicyRunner host;
-  protected final InFlightRequest open;
+  protected final PolicyRunner runner;
+  protected final InFlightRequest request;
 
   /** Its number among the request's attempts, from 0. */
-  public final int number;
+  public final int index;
 
   /** The server's id, as discovery has it. */
   public final String endpointId;
 
-  private final long startedAt;
-  private Timers.Timer abandon;
+  private final long startedAtMicros;
+  private Timers.Timer deadlineTimer;
   private CallResult result;
 
   protected InFlightAttempt(PolicyRunner host, InFlightRequest open, int number, String server) {
-    this.host = host;
-    this.open = open;
-    this.number = number;
+    this.runner = host;
+    this.request = open;
+    this.index = number;
     this.endpointId = server;
-    this.startedAt = host.clock().now();
+    this.startedAtMicros = host.clock().now();
   }
 
   /**
@@ -36,27 +36,28 @@
    * before.
    */
   final void start(long abandonAtMicros) {
-    abandon = host.timers().schedule(abandonAtMicros - startedAt, this::abandoned);
-    begin(abandonAtMicros);
+    deadlineTimer =
+        runner.timers().schedule(abandonAtMicros - startedAtMicros, this::onDeadlineExceeded);
+    send(abandonAtMicros);
   }
 
   /** Connects and sends. An attempt that cannot be sent ends as {@link CallResult#UNUSED}. */
-  protected abstract void begin(long abandonAtMicros);
+  protected abstract void send(long abandonAtMicros);
 
   /** The time to wait for it is up: it is to end. */
-  protected abstract void abandoned();
+  protected abstract void onDeadlineExceeded();
 
   /** The gatekeeper calls it off: it is to end, unless its answer belongs to the client by now. */
   public abstract void cancel();
 
   /** The client has left; a streamed answer is to end. */
-  public void leave() {
+  public void onClientDisconnected() {
     // Nothing is streamed unless a protocol says so.
   }
 
   /** The answer belongs to the client from now on: the time to wait for it no longer counts. */
-  protected final void keep() {
-    host.timers().cancel(abandon);
+  protected final void cancelDeadline() {
+    runner.timers().cancel(deadlineTimer);
   }
 
   /** How it ended, or null while it is out. */
@@ -64,8 +65,8 @@
     return result;
   }
 
-  protected final void end(CallResult how) {
-    end(how, Map.of(), 0);
+  protected final void complete(CallResult how) {
+    complete(how, Map.of(), 0);
   }
 
   /**
@@ -74,12 +75,12 @@
    * @param load the server's load report, by the names of {@link AttemptCompleted}
    * @param units the true units of the request where the server told them, else 0
    */
-  protected final void end(CallResult how, Map<String, Double> load, double units) {
+  protected final void complete(CallResult how, Map<String, Double> load, double units) {
     if (result != null) {
       return;
     }
     result = how;
-    host.timers().cancel(abandon);
-    host.ended(open, this, host.clock().now() - startedAt, load, units);
+    runner.timers().cancel(deadlineTimer);
+    runner.onAttemptCompleted(request, this, runner.clock().now() - startedAtMicros, load, units);
   }
 }
--- a/src/main/java/fawndock/runtime/InFlightRequest.java
+++ b/src/main/java/fawndock/runtime/InFlightRequest.java
@@ -10,16 +10,16 @@
   public enum Stage {
     OPEN,
     STREAMING,
-    OVER
+    COMPLETED
   }
 
   public final long id;
   public final ServerExchange exchange;
   public final List<InFlightAttempt> attempts = new ArrayList<>(1);
   Stage stage = Stage.OPEN;
-  int out;
-  private boolean streamed;
-  Timers.Timer backstop;
+  int activeAttemptCount;
+  private boolean wasStreamed;
+  Timers.Timer deadlineTimer;
 
   InFlightRequest(long id, ServerExchange exchange) {
     this.id = id;
@@ -27,7 +27,7 @@
   }
 
   /** Whether no answer is owed and none has begun. */
-  public boolean open() {
+  public boolean isOpen() {
     return stage == Stage.OPEN;
   }
 
@@ -35,7 +35,7 @@
    * Whether the last attempt ended by what a server or the network said, rather than that time ran
    * out.
    */
-  public boolean answered() {
+  public boolean hasAttemptFailure() {
     CallResult last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).result();
     return last == CallResult.ERROR
         || last == CallResult.RESET
@@ -44,16 +44,16 @@
   }
 
   /** Whether its answer was streamed. */
-  public boolean streamed() {
-    return streamed;
+  public boolean wasStreamed() {
+    return wasStreamed;
   }
 
-  void stream() {
+  void startStreaming() {
     stage = Stage.STREAMING;
-    streamed = true;
+    wasStreamed = true;
   }
 
-  boolean over() {
-    return stage == Stage.OVER;
+  boolean isCompleted() {
+    return stage == Stage.COMPLETED;
   }
 }
--- a/src/main/java/fawndock/runtime/MicroClock.java
+++ b/src/main/java/fawndock/runtime/MicroClock.java
@@ -11,8 +11,8 @@
  */
 public final class MicroClock {
   private final LongSupplier wallMicros;
-  private final LongSupplier nanos;
-  private long last = Long.MIN_VALUE;
+  private final LongSupplier monotonicNanos;
+  private long lastMicros = Long.MIN_VALUE;
   private long lastNanos;
 
   /** The system's clocks. */
@@ -22,22 +22,22 @@
 
   public MicroClock(LongSupplier wallMicros, LongSupplier nanos) {
     this.wallMicros = wallMicros;
-    this.nanos = nanos;
+    this.monotonicNanos = nanos;
   }
 
   /** Microseconds since 1970, never less than what was told before. */
   public long now() {
     long wall = wallMicros.getAsLong();
-    long mono = nanos.getAsLong();
-    if (wall >= last) {
-      last = wall;
+    long mono = monotonicNanos.getAsLong();
+    if (wall >= lastMicros) {
+      lastMicros = wall;
       lastNanos = mono;
     } else {
       long slewed = Math.max(0, (mono - lastNanos) / 2_000);
-      last += slewed;
+      lastMicros += slewed;
       lastNanos += slewed * 2_000;
     }
-    return last;
+    return lastMicros;
   }
 
   /** The system's wall clock in microseconds since 1970, unguarded. */
--- a/src/main/java/fawndock/runtime/PolicyEventQueue.java
+++ b/src/main/java/fawndock/runtime/PolicyEventQueue.java
@@ -12,41 +12,41 @@
  * an action is carried out waits its turn, so the gatekeeper never calls itself. One context.
  */
 public final class PolicyEventQueue {
-  private final GatewayPolicy gatekeeper;
+  private final GatewayPolicy policy;
   private final MicroClock clock;
-  private final Consumer<PolicyAction> carryOut;
+  private final Consumer<PolicyAction> executor;
   private final Logger log;
-  private final ArrayDeque<PolicyEvent> inbox = new ArrayDeque<>();
-  private boolean telling;
+  private final ArrayDeque<PolicyEvent> pendingEvents = new ArrayDeque<>();
+  private boolean isDispatching;
 
   /** Decisions that are carried out by the consumer given. */
   public PolicyEventQueue(
       GatewayPolicy gatekeeper, MicroClock clock, Consumer<PolicyAction> carryOut, Logger log) {
-    this.gatekeeper = gatekeeper;
+    this.policy = gatekeeper;
     this.clock = clock;
-    this.carryOut = carryOut;
+    this.executor = carryOut;
     this.log = log;
   }
 
   /** Tells an event, now or after what is being told. */
   public void submit(PolicyEvent event) {
-    inbox.add(event);
-    if (telling) {
+    pendingEvents.add(event);
+    if (isDispatching) {
       return;
     }
-    telling = true;
+    isDispatching = true;
     try {
-      for (PolicyEvent next = inbox.poll(); next != null; next = inbox.poll()) {
-        decide(next);
+      for (PolicyEvent next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
+        dispatch(next);
       }
     } finally {
-      telling = false;
+      isDispatching = false;
     }
   }
 
-  private void decide(PolicyEvent event) {
+  private void dispatch(PolicyEvent event) {
     try {
-      gatekeeper.onEvent(clock.now(), event).forEach(carryOut);
+      policy.onEvent(clock.now(), event).forEach(executor);
     } catch (RuntimeException | StackOverflowError e) {
       // The requests it concerns are answered by the host's backstop.
       log.error("the decision on {} failed", event, e);
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -62,12 +62,12 @@
 
   private final MicroClock clock;
   private final Timers timers;
-  private final GatewayConnections links;
+  private final GatewayConnections connections;
   private final int maxAttempts;
-  private final ResponseRecorder answers;
-  private final Map<Long, InFlightRequest> requests = new HashMap<>();
-  private PolicyEventQueue decisions;
-  private long nextId;
+  private final ResponseRecorder recorder;
+  private final Map<Long, InFlightRequest> inFlightRequests = new HashMap<>();
+  private PolicyEventQueue eventQueue;
+  private long nextRequestId;
   private int openCount;
   private Runnable whenIdle;
 
@@ -87,28 +87,28 @@
       ResponseRecorder answers) {
     this.clock = clock;
     this.timers = alarms;
-    this.links = links;
+    this.connections = links;
     this.maxAttempts = maxAttempts;
-    this.answers = answers;
-    this.nextId = firstId;
+    this.recorder = answers;
+    this.nextRequestId = firstId;
   }
 
   /** Gives the decisions; to be called before anything is told. */
-  public void decideBy(GatewayPolicy decider) {
-    decisions = new PolicyEventQueue(decider, clock, this::carryOut, LOG);
+  public void setPolicy(GatewayPolicy decider) {
+    eventQueue = new PolicyEventQueue(decider, clock, this::execute, LOG);
   }
 
   /** Takes on a client's request; the exchange is answered exactly once, or the client has left. */
   public long onRequest(ServerExchange exchange) {
     RequestAttributes asked = exchange.requestAttributes();
-    InFlightRequest request = new InFlightRequest(nextId++, exchange);
-    requests.put(request.id, request);
+    InFlightRequest request = new InFlightRequest(nextRequestId++, exchange);
+    inFlightRequests.put(request.id, request);
     openCount++;
     // The gatekeeper answers before the client gives up. Guards against one that failed to; each
     // such answer
     // is logged as an error. May answer late when the event loop itself is late.
-    request.backstop =
-        timers.schedule(asked.deadlineAtMicros() - clock.now(), () -> overdue(request));
+    request.deadlineTimer =
+        timers.schedule(asked.deadlineAtMicros() - clock.now(), () -> onDeadlineExceeded(request));
     onEvent(
         new RequestArrived(
             request.id,
@@ -125,14 +125,14 @@
 
   /** The client of a request has left. */
   public void onClientDisconnected(long id) {
-    InFlightRequest request = requests.get(id);
-    if (request == null || request.over()) {
+    InFlightRequest request = inFlightRequests.get(id);
+    if (request == null || request.isCompleted()) {
       return;
     }
-    over(request, RequestOutcome.DISCONNECTED, "client left");
-    request.attempts.forEach(InFlightAttempt::leave);
+    complete(request, RequestOutcome.DISCONNECTED, "client left");
+    request.attempts.forEach(InFlightAttempt::onClientDisconnected);
     onEvent(new ClientDisconnected(id));
-    forget(request);
+    removeIfFinished(request);
   }
 
   /**
@@ -140,60 +140,61 @@
    * told.
    */
   public void onEvent(PolicyEvent event) {
-    decisions.submit(event);
+    eventQueue.submit(event);
   }
 
-  private void carryOut(PolicyAction action) {
+  private void execute(PolicyAction action) {
     if (action instanceof StartAttempt a) {
-      attempt(a);
+      startAttempt(a);
     } else if (action instanceof RejectRequest a) {
-      InFlightRequest request = requests.get(a.requestId());
+      InFlightRequest request = inFlightRequests.get(a.requestId());
       if (request != null && request.stage == Stage.OPEN) {
-        over(request, RequestOutcome.REJECTED, reason(request));
+        complete(request, RequestOutcome.REJECTED, failureReason(request));
         request.exchange.reject(a.retryAfterMicros());
-        forget(request);
+        removeIfFinished(request);
       }
     } else if (action instanceof FailRequest a) {
-      fail(requests.get(a.requestId()));
+      failRequest(inFlightRequests.get(a.requestId()));
     } else if (action instanceof AddToCounter a) {
-      links.addToCounter(a);
+      connections.addToCounter(a);
     } else if (action instanceof ScheduleTimer a) {
       String token = a.token();
       timers.schedule(a.delayMicros(), () -> onEvent(new TimerFired(token)));
     } else if (action instanceof CancelAttempt a) {
-      InFlightRequest request = requests.get(a.requestId());
+      InFlightRequest request = inFlightRequests.get(a.requestId());
       if (request != null && a.attemptIndex() >= 0 && a.attemptIndex() < request.attempts.size()) {
         request.attempts.get(a.attemptIndex()).cancel();
       }
     } else if (action instanceof StartHealthCheck a) {
-      links.startHealthCheck(a.endpointId());
+      connections.startHealthCheck(a.endpointId());
     } else if (action instanceof SendPeerMessage a) {
-      links.sendPeerMessage(a);
+      connections.sendPeerMessage(a);
     } else if (action instanceof FetchEndpoints) {
-      links.fetchEndpoints();
+      connections.fetchEndpoints();
     } else if (action instanceof WatchEndpoints) {
-      links.watchEndpoints();
+      connections.watchEndpoints();
     } else if (action instanceof LogMessage a) {
       LOG.info("gatekeeper: {}", a.text());
     }
   }
 
-  private void attempt(StartAttempt a) {
-    InFlightRequest request = requests.get(a.requestId());
+  private void startAttempt(StartAttempt a) {
+    InFlightRequest request = inFlightRequests.get(a.requestId());
     if (request == null) {
       LOG.error("attempt for request {}, which is not held", a.requestId());
       return;
     }
-    InFlightAttempt attempt = links.createAttempt(request, request.attempts.size(), a.endpointId());
+    InFlightAttempt attempt =
+        connections.createAttempt(request, request.attempts.size(), a.endpointId());
     request.attempts.add(attempt);
-    request.out++;
+    request.activeAttemptCount++;
     RequestAttributes asked = request.exchange.requestAttributes();
     long abandonAt =
         a.deadlineAtMicros() <= 0
             ? asked.deadlineAtMicros()
             : Math.min(a.deadlineAtMicros(), asked.deadlineAtMicros());
-    if (request.stage != Stage.OPEN || attempt.number >= maxAttempts || abandonAt <= clock.now()) {
-      attempt.end(CallResult.NOT_SENT);
+    if (request.stage != Stage.OPEN || attempt.index >= maxAttempts || abandonAt <= clock.now()) {
+      attempt.complete(CallResult.NOT_SENT);
       return;
     }
     attempt.start(abandonAt);
@@ -203,24 +204,24 @@
    * An attempt's whole answer has come; it is the client's, passed on by what is given, when it is
    * the first.
    */
-  public void deliver(InFlightRequest request, InFlightAttempt attempt, Runnable serve) {
+  public void deliverResponse(InFlightRequest request, InFlightAttempt attempt, Runnable serve) {
     if (request.stage == Stage.OPEN) {
-      over(request, RequestOutcome.SERVED, attempt.endpointId);
+      complete(request, RequestOutcome.SERVED, attempt.endpointId);
       serve.run();
     }
   }
 
   /** A streamed answer begins. */
-  public void begin(InFlightRequest request, InFlightAttempt attempt) {
-    request.stream();
-    timers.cancel(request.backstop);
-    onEvent(new ResponseStarted(request.id, attempt.number, attempt.endpointId));
+  public void onStreamStarted(InFlightRequest request, InFlightAttempt attempt) {
+    request.startStreaming();
+    timers.cancel(request.deadlineTimer);
+    onEvent(new ResponseStarted(request.id, attempt.index, attempt.endpointId));
   }
 
   /** A streamed answer has ended, whole or not. */
-  public void streamed(InFlightRequest request, InFlightAttempt attempt, boolean whole) {
+  public void onStreamEnded(InFlightRequest request, InFlightAttempt attempt, boolean whole) {
     if (request.stage == Stage.STREAMING) {
-      over(
+      complete(
           request,
           whole ? RequestOutcome.SERVED : RequestOutcome.FAILED,
           whole ? attempt.endpointId : "stream broke");
@@ -231,47 +232,47 @@
   }
 
   /** An attempt ended. */
-  void ended(
+  void onAttemptCompleted(
       InFlightRequest request,
       InFlightAttempt attempt,
       long tookMicros,
       Map<String, Double> load,
       double units) {
-    request.out--;
+    request.activeAttemptCount--;
     onEvent(
         new AttemptCompleted(
             request.id,
-            attempt.number,
+            attempt.index,
             attempt.endpointId,
             tookMicros,
             attempt.result(),
-            request.over(),
+            request.isCompleted(),
             attempt.result() == CallResult.OK ? units : 0,
             load));
-    forget(request);
+    removeIfFinished(request);
   }
 
-  private void fail(InFlightRequest request) {
+  private void failRequest(InFlightRequest request) {
     if (request == null || request.stage != Stage.OPEN) {
       return;
     }
-    String reason = reason(request);
-    boolean answered = request.answered();
-    over(request, RequestOutcome.FAILED, reason);
+    String reason = failureReason(request);
+    boolean answered = request.hasAttemptFailure();
+    complete(request, RequestOutcome.FAILED, reason);
     request.exchange.fail(answered, reason);
-    forget(request);
+    removeIfFinished(request);
   }
 
-  private void overdue(InFlightRequest request) {
+  private void onDeadlineExceeded(InFlightRequest request) {
     if (request.stage == Stage.OPEN) {
       LOG.error("request {} had no answer from its gatekeeper in time", request.id);
-      fail(request);
+      failRequest(request);
       onEvent(new ClientDisconnected(request.id));
     }
   }
 
   /** What the host knows of why there is no answer: how the last attempt ended. */
-  private static String reason(InFlightRequest request) {
+  private static String failureReason(InFlightRequest request) {
     if (request.attempts.isEmpty()) {
       return "not sent";
     }
@@ -281,18 +282,18 @@
         : "last attempt " + last.name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  private void over(InFlightRequest request, RequestOutcome verdict, String reason) {
-    request.stage = Stage.OVER;
-    timers.cancel(request.backstop);
+  private void complete(InFlightRequest request, RequestOutcome verdict, String reason) {
+    request.stage = Stage.COMPLETED;
+    timers.cancel(request.deadlineTimer);
     openCount--;
-    answers.onResponse(request, clock.now(), verdict, reason);
+    recorder.onResponse(request, clock.now(), verdict, reason);
   }
 
-  private void forget(InFlightRequest request) {
-    if (request.over()
-        && request.out == 0
-        && requests.remove(request.id) != null
-        && requests.isEmpty()
+  private void removeIfFinished(InFlightRequest request) {
+    if (request.isCompleted()
+        && request.activeAttemptCount == 0
+        && inFlightRequests.remove(request.id) != null
+        && inFlightRequests.isEmpty()
         && whenIdle != null) {
       whenIdle.run();
     }
@@ -306,7 +307,7 @@
   /** Runs something once nothing is held any more: at once when that is so now. */
   public void whenIdle(Runnable what) {
     whenIdle = what;
-    if (requests.isEmpty()) {
+    if (inFlightRequests.isEmpty()) {
       what.run();
     }
   }
--- a/src/main/java/fawndock/runtime/Timers.java
+++ b/src/main/java/fawndock/runtime/Timers.java
@@ -15,27 +15,27 @@
   /** One alarm; it rings once, unless cancelled before. */
   public static final class Timer {
     private final long tick;
-    private Runnable what;
+    private Runnable task;
     private Timer next;
 
     private Timer(long tick, Runnable what) {
       this.tick = tick;
-      this.what = what;
+      this.task = what;
     }
   }
 
   private final Vertx vertx;
-  private final long begin = System.nanoTime();
+  private final long originNanos = System.nanoTime();
   private final Timer[] heads = new Timer[SLOTS];
   private final Timer[] tails = new Timer[SLOTS];
 
   /** All ticks up to this one have rung. */
-  private long rung;
+  private long lastFiredTick;
 
-  private int pending;
-  private long timer = -1;
-  private long armedFor;
-  private boolean ringing;
+  private int pendingCount;
+  private long wakeUpTimerId = -1;
+  private long wakeUpTick;
+  private boolean isFiring;
 
   /** Alarms of the context that this is made on. */
   public Timers(Vertx vertx) {
@@ -47,37 +47,38 @@
    * in order.
    */
   public Timer schedule(long micros, Runnable what) {
-    long due = (System.nanoTime() - begin + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
-    Timer alarm = new Timer(Math.max(due, rung + 1), what);
+    long due =
+        (System.nanoTime() - originNanos + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
+    Timer alarm = new Timer(Math.max(due, lastFiredTick + 1), what);
     append(alarm);
-    pending++;
-    if (!ringing && (timer < 0 || alarm.tick < armedFor)) {
-      arm(alarm.tick);
+    pendingCount++;
+    if (!isFiring && (wakeUpTimerId < 0 || alarm.tick < wakeUpTick)) {
+      scheduleWakeUp(alarm.tick);
     }
     return alarm;
   }
 
   /** An alarm that is cancelled takes its place until its time, but holds nothing else. */
   public void cancel(Timer alarm) {
-    if (alarm != null && alarm.what != null) {
-      alarm.what = null;
-      pending--;
+    if (alarm != null && alarm.task != null) {
+      alarm.task = null;
+      pendingCount--;
     }
   }
 
   /** Alarms that have neither rung nor been cancelled. */
-  public int pending() {
-    return pending;
+  public int pendingCount() {
+    return pendingCount;
   }
 
   /** Forgets all of them. */
   public void close() {
     java.util.Arrays.fill(heads, null);
     java.util.Arrays.fill(tails, null);
-    pending = 0;
-    if (timer >= 0) {
-      vertx.cancelTimer(timer);
-      timer = -1;
+    pendingCount = 0;
+    if (wakeUpTimerId >= 0) {
+      vertx.cancelTimer(wakeUpTimerId);
+      wakeUpTimerId = -1;
     }
   }
 
@@ -91,61 +92,61 @@
     tails[slot] = alarm;
   }
 
-  private void arm(long tick) {
-    if (timer >= 0) {
-      vertx.cancelTimer(timer);
+  private void scheduleWakeUp(long tick) {
+    if (wakeUpTimerId >= 0) {
+      vertx.cancelTimer(wakeUpTimerId);
     }
-    armedFor = tick;
-    long nanos = tick * 1_000_000 - (System.nanoTime() - begin);
-    timer = vertx.setTimer(Math.max(1, (nanos + 999_999) / 1_000_000), id -> ring());
+    wakeUpTick = tick;
+    long nanos = tick * 1_000_000 - (System.nanoTime() - originNanos);
+    wakeUpTimerId = vertx.setTimer(Math.max(1, (nanos + 999_999) / 1_000_000), id -> fire());
   }
 
-  private void ring() {
-    timer = -1;
-    ringing = true;
+  private void fire() {
+    wakeUpTimerId = -1;
+    isFiring = true;
     try {
       // No more than one round: a loop that was held for longer looks at each slot once.
-      long now = (System.nanoTime() - begin) / 1_000_000;
-      long from = rung + 1;
-      rung = now;
+      long now = (System.nanoTime() - originNanos) / 1_000_000;
+      long from = lastFiredTick + 1;
+      lastFiredTick = now;
       for (long tick = from; tick <= now && tick < from + SLOTS; tick++) {
-        ring((int) (tick % SLOTS), now);
+        fire((int) (tick % SLOTS), now);
       }
     } finally {
-      ringing = false;
-      if (pending > 0) {
-        long tick = rung + 1;
-        while (!live((int) (tick % SLOTS)) && tick < rung + SLOTS) {
+      isFiring = false;
+      if (pendingCount > 0) {
+        long tick = lastFiredTick + 1;
+        while (!hasPendingTimer((int) (tick % SLOTS)) && tick < lastFiredTick + SLOTS) {
           tick++;
         }
-        arm(tick);
+        scheduleWakeUp(tick);
       }
     }
   }
 
   /** Whether a slot holds an alarm that is to ring; drops those cancelled that stand before it. */
-  private boolean live(int slot) {
-    while (heads[slot] != null && heads[slot].what == null) {
+  private boolean hasPendingTimer(int slot) {
+    while (heads[slot] != null && heads[slot].task == null) {
       heads[slot] = heads[slot].next;
     }
     return heads[slot] != null;
   }
 
-  private void ring(int slot, long now) {
+  private void fire(int slot, long now) {
     Timer alarm = heads[slot];
     heads[slot] = null;
     tails[slot] = null;
     while (alarm != null) {
       Timer next = alarm.next;
       alarm.next = null;
-      if (alarm.what == null) {
+      if (alarm.task == null) {
         // Cancelled.
       } else if (alarm.tick > now) {
         append(alarm); // Of a later round.
       } else {
-        Runnable what = alarm.what;
-        alarm.what = null;
-        pending--;
+        Runnable what = alarm.task;
+        alarm.task = null;
+        pendingCount--;
         what.run();
       }
       alarm = next;
--- a/src/main/java/fawndock/scenario/PlatformDrill.java
+++ b/src/main/java/fawndock/scenario/PlatformDrill.java
@@ -3,7 +3,7 @@
 import fawndock.fake.FakePlatform;
 import fawndock.fake.FakeRespServer;
 import fawndock.fake.RespClient;
-import fawndock.platform.PlatformDaemon;
+import fawndock.platform.PlatformProcess;
 import fawndock.policy.DefaultGatewayPolicy;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -29,7 +29,7 @@
   public boolean run() throws IOException, InterruptedException {
     try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter());
         FakeRespServer otherCounter = new FakeRespServer(FakeRespServer.counter())) {
-      PlatformDaemon daemon = new PlatformDaemon(world.variables());
+      PlatformProcess daemon = new PlatformProcess(world.variables());
       int[] code = {-1};
       Thread running =
           new Thread(
@@ -54,7 +54,7 @@
     }
   }
 
-  private boolean requests(FakePlatform world, FakeRespServer otherCounter, PlatformDaemon daemon)
+  private boolean requests(FakePlatform world, FakeRespServer otherCounter, PlatformProcess daemon)
       throws IOException {
     RespClient[] clients = new RespClient[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++) {
--- a/src/main/java/fawndock/simulatoradapter/Writer.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorActionWriter.java
@@ -16,10 +16,10 @@
 import java.io.IOException;
 
 /** Translates the interface's actions into the wire's. */
-final class Writer {
+final class SimulatorActionWriter {
   private final JsonGenerator json;
 
-  Writer(JsonGenerator json) {
+  SimulatorActionWriter(JsonGenerator json) {
     this.json = json;
   }
 
--- a/src/main/java/fawndock/simulatoradapter/BenchLink.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import fawndock.platformconfig.Json;
-import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.Json.JsonObject;
+import fawndock.platformconfig.MalformedMessageException;
 import fawndock.platformconfig.SettingsReader;
-import fawndock.platformconfig.WireException;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.action.PolicyAction;
@@ -29,20 +29,20 @@
 /**
  * Hosts many gatekeepers on the simulator's wire: one line of events in, one line of actions out.
  */
-public final class BenchLink {
+public final class SimulatorAdapter {
   private static final int MALFORMED = 1;
   private final JsonFactory factory = new JsonFactory();
-  private final Map<Integer, GatewayPolicy> instances = new TreeMap<>();
-  private final Function<PolicyConfig, GatewayPolicy> maker;
+  private final Map<Integer, GatewayPolicy> policies = new TreeMap<>();
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
 
   /** Hosts the project's own module. */
-  public BenchLink() {
+  public SimulatorAdapter() {
     this(DefaultGatewayPolicy::new);
   }
 
   /** Hosts the gatekeepers that the maker makes. */
-  BenchLink(Function<PolicyConfig, GatewayPolicy> maker) {
-    this.maker = maker;
+  SimulatorAdapter(Function<PolicyConfig, GatewayPolicy> maker) {
+    this.policyFactory = maker;
   }
 
   /** Answers each line until the input ends; returns the exit code. */
@@ -63,7 +63,7 @@
                 + ": malformed JSON: "
                 + e.getOriginalMessage().lines().findFirst().orElse(""));
         return MALFORMED;
-      } catch (WireException e) {
+      } catch (MalformedMessageException e) {
         err.println("line " + number + ": " + e.getMessage());
         return MALFORMED;
       }
@@ -75,14 +75,14 @@
   }
 
   private String reply(String line) throws IOException {
-    Obj batch = Json.parse(line);
+    JsonObject batch = Json.parse(line);
     long now = batch.integer("now-us");
     StringWriter text = new StringWriter();
     try (JsonGenerator json = factory.createGenerator(text)) {
       json.writeStartObject();
       json.writeArrayFieldStart("output");
-      Writer writer = new Writer(json);
-      for (Obj event : batch.objects("happened")) {
+      SimulatorActionWriter writer = new SimulatorActionWriter(json);
+      for (JsonObject event : batch.objects("happened")) {
         answer(now, event, writer);
       }
       json.writeEndArray();
@@ -91,24 +91,24 @@
     return text.toString();
   }
 
-  private void answer(long now, Obj event, Writer writer) throws IOException {
+  private void answer(long now, JsonObject event, SimulatorActionWriter writer) throws IOException {
     String what = event.text("what");
     int instance = (int) event.integer("i");
     if (what.equals("Killed")) {
-      instances.remove(instance);
+      policies.remove(instance);
       return;
     }
     PolicyConfig settings =
         what.equals("Attach")
             ? SettingsReader.settings(event.object("options"), event.integerOr("rng-seed", 0))
             : null;
-    PolicyEvent translated = settings == null ? Reader.event(what, event) : null;
+    PolicyEvent translated = settings == null ? SimulatorEventReader.event(what, event) : null;
     try {
       if (settings != null) {
-        instances.put(instance, maker.apply(settings));
+        policies.put(instance, policyFactory.apply(settings));
         return;
       }
-      GatewayPolicy gatekeeper = instances.get(instance);
+      GatewayPolicy gatekeeper = policies.get(instance);
       if (gatekeeper == null) {
         return;
       }
--- a/src/main/java/fawndock/simulatoradapter/Reader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -1,8 +1,8 @@
 package fawndock.simulatoradapter;
 
-import fawndock.platformconfig.Json.Obj;
+import fawndock.platformconfig.Json.JsonObject;
+import fawndock.platformconfig.MalformedMessageException;
 import fawndock.platformconfig.SettingsReader;
-import fawndock.platformconfig.WireException;
 import fawndock.policy.event.AttemptCompleted;
 import fawndock.policy.event.CallResult;
 import fawndock.policy.event.ClientDisconnected;
@@ -19,12 +19,12 @@
 import fawndock.policy.event.TimerFired;
 
 /** Translates the wire's events into the interface's. */
-final class Reader {
+final class SimulatorEventReader {
   private static final int REPEAT_BIT = 2;
 
-  private Reader() {}
+  private SimulatorEventReader() {}
 
-  static PolicyEvent event(String what, Obj e) {
+  static PolicyEvent event(String what, JsonObject e) {
     return switch (what) {
       case "Call" ->
           new RequestArrived(
@@ -67,12 +67,12 @@
       case "Registry" ->
           new EndpointUpdate(
               listing(e.text("kind")),
-              e.objectsOr("members-list").stream().map(Reader::server).toList());
-      default -> throw new WireException("unknown event '" + what + "'");
+              e.objectsOr("members-list").stream().map(SimulatorEventReader::server).toList());
+      default -> throw new MalformedMessageException("unknown event '" + what + "'");
     };
   }
 
-  private static Endpoint server(Obj s) {
+  private static Endpoint server(JsonObject s) {
     return new Endpoint(
         s.text("worker"),
         s.textOr("site", ""),
@@ -88,7 +88,7 @@
       case "full" -> EndpointUpdateKind.SNAPSHOT;
       case "cached" -> EndpointUpdateKind.CACHED;
       case "failed" -> EndpointUpdateKind.FAILED;
-      default -> throw new WireException("unknown list kind '" + kind + "'");
+      default -> throw new MalformedMessageException("unknown list kind '" + kind + "'");
     };
   }
 
@@ -102,7 +102,7 @@
       case "dropped" -> CallResult.RESET;
       case "revoked" -> CallResult.CANCELLED;
       case "unused" -> CallResult.NOT_SENT;
-      default -> throw new WireException("unknown verdict '" + verdict + "'");
+      default -> throw new MalformedMessageException("unknown verdict '" + verdict + "'");
     };
   }
 }
--- a/src/test/java/fawndock/MainTest.java
+++ b/src/test/java/fawndock/MainTest.java
@@ -50,7 +50,8 @@
     process.getOutputStream().close();
     String loaded = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(0, process.waitFor());
-    assertTrue(loaded.contains("fawndock.simulatoradapter.BenchLink"), "it tells what it loads");
+    assertTrue(
+        loaded.contains("fawndock.simulatoradapter.SimulatorAdapter"), "it tells what it loads");
     assertEquals(
         List.of(),
         loaded
--- a/src/test/java/fawndock/gateway/PartsTest.java
+++ b/src/test/java/fawndock/gateway/PartsTest.java
@@ -55,7 +55,7 @@
             many.add(alarms.schedule(3_600_000_000L, () -> rung.add(9)));
           }
           many.forEach(alarms::cancel);
-          assertEquals(2, alarms.pending());
+          assertEquals(2, alarms.pendingCount());
           alarms.schedule(
               4_200_000,
               () -> rung.add(4)); // Beyond one round of the wheel: its slot comes up early.
--- a/src/test/java/fawndock/platform/OutcomesTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -17,7 +17,7 @@
  * The platform's table of outcomes, row by row, and spoilt answers; each worker answers as its case
  * says.
  */
-class OutcomesTest {
+class AttemptOutcomeTest {
   /** Answers the first attempt of all as given, and the others well. */
   private static FakeRespServer.Behaviour first(FakeRespServer.Behaviour odd) {
     AtomicInteger many = new AtomicInteger();
@@ -36,7 +36,7 @@
    */
   private static Map.Entry<String, Integer> answer(String type, FakeRespServer.Behaviour odd)
       throws Exception {
-    try (Service service = new Service(first(odd), FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(first(odd), FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] words = service.request(type);
       String answer = client.ask(words);
@@ -49,8 +49,8 @@
   @Test
   void servedIsTheValueAndTheCommandIsUnchangedButForTheTime() throws Exception {
     Map<String, String> lists = new ConcurrentHashMap<>();
-    try (Service service =
-            new Service(
+    try (PlatformHarness service =
+            new PlatformHarness(
                 (words, link) -> {
                   lists.put(words.get(2), String.join(" ", words));
                   FakeRespServer.worker().command(words, link);
@@ -95,7 +95,8 @@
 
   @Test
   void noConnectionNeverRan() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       service.world.worker.close();
       assertTrue(client.ask(service.request("pay")).startsWith("-BUSY"));
@@ -113,7 +114,7 @@
                   ? FakeRespServer.served("value of " + words.get(2), "backlog=0")
                   : spoilt);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       int connections = 0;
       for (String spoilt :
@@ -145,7 +146,7 @@
           String answer = FakeRespServer.served("value of " + words.get(2), "queue=x,noise");
           link.send(answer + answer);
         };
-    try (Service service = new Service(twice, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(twice, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 5; i++) {
         String[] words = service.request("pay");
@@ -164,7 +165,7 @@
         (words, link) ->
             link.send(
                 FakeRespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
-    try (Service service = new Service(more, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(more, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
@@ -178,7 +179,8 @@
   /** The worker would close at 3 s; a request that met that would end as a reset. */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("look"));
       assertEquals(1, service.world.worker.open());
@@ -189,8 +191,8 @@
   @Test
   void anAttemptGivenUpEndsItsConnection() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
-    try (Service service =
-        new Service(first((words, link) -> asked.countDown()), FakeRespServer.counter())) {
+    try (PlatformHarness service =
+        new PlatformHarness(first((words, link) -> asked.countDown()), FakeRespServer.counter())) {
       RespClient client = service.client();
       client.send(RespClient.command(service.request("pay")));
       asked.await();
@@ -203,9 +205,9 @@
   void anUnreadableReportCostsNothingButItself() {
     assertEquals(
         Map.of("queue", 2.0),
-        WorkerAnswer.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
-    assertEquals(Map.of(), WorkerAnswer.of(reply("\u0000\u00ff")).load());
-    assertNotEquals(null, WorkerAnswer.of(reply("")).value());
+        BackendReply.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
+    assertEquals(Map.of(), BackendReply.of(reply("\u0000\u00ff")).load());
+    assertNotEquals(null, BackendReply.of(reply("")).value());
   }
 
   private static fawndock.resp.Reply reply(String load) {
--- a/src/test/java/fawndock/platform/AttemptEndsTest.java
+++ b/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
@@ -15,7 +15,7 @@
  * Ends of attempts: late copies, connections that the worker ends, and what a further attempt is
  * told.
  */
-class AttemptEndsTest {
+class BackendConnectionReuseTest {
   private static final long RESTED_MILLIS = 80;
 
   /** A second copy some milliseconds behind an answer is no answer to the next request. */
@@ -31,7 +31,7 @@
             link.send(answer);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 4; i++) {
         String[] words = service.request("pay");
@@ -53,7 +53,7 @@
           links.add(link);
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
@@ -80,7 +80,7 @@
           links.add(link);
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
@@ -107,7 +107,7 @@
             FakeRespServer.worker().command(words, link);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] words = service.request("look");
       assertEquals("value of " + words[2], client.ask(words));
@@ -118,7 +118,8 @@
   /** No attempt begins for a request whose time was up while the loop was held. */
   @Test
   void noAttemptBeginsWithNoTimeLeft() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask(service.request("look"));
       Thread.sleep(RESTED_MILLIS);
--- a/src/test/java/fawndock/platform/ClientsTest.java
+++ b/src/test/java/fawndock/platform/ClientCommandTest.java
@@ -15,7 +15,7 @@
  * Clients, usual and bad ones: a bad one gets an error or a close and takes nothing from the usual
  * ones.
  */
-class ClientsTest {
+class ClientCommandTest {
   @Test
   void answersComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
@@ -26,7 +26,7 @@
           }
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient client = service.client()) {
       String[] slow = service.request("pay");
       String[] quick = service.request("look");
@@ -42,7 +42,8 @@
 
   @Test
   void badInputGetsAnErrorOrACloseAndReachesNobody() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient usual = service.client()) {
       String good = "c=look,t=large,d=900,units=1,spread=1,first=0";
       List<String[]> unfit = new ArrayList<>();
@@ -106,7 +107,8 @@
 
   @Test
   void halfACommandAndSilenceEnd() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient half = service.client();
         RespClient silent = service.client();
         RespClient usual = service.client()) {
@@ -127,7 +129,7 @@
           release.await();
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient usual = service.client();
         RespClient bad = service.client()) {
       String[] words = service.request("pay");
@@ -142,7 +144,8 @@
 
   @Test
   void tooManyCommandsAtOnceEndTheConnectionAfterTheFirst() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient bad = service.client()) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 200; i++) {
@@ -163,7 +166,8 @@
 
   @Test
   void whenConnectionsAreSpentTheSilentOnesGo() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       RespClient usual = service.client();
       usual.ask("PING");
       List<RespClient> silent = new ArrayList<>();
--- a/src/test/java/fawndock/platform/ClientEndsTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -18,11 +18,11 @@
  * Ends of clients' connections, with bytes or requests that cross them: the event loop is held
  * until both have happened.
  */
-class ClientEndsTest {
+class ClientDisconnectTest {
   /** Longer than a connection to a worker rests: it is used again. */
   private static final long RESTED_MILLIS = 80;
 
-  private static Socket socket(Service service) throws Exception {
+  private static Socket socket(PlatformHarness service) throws Exception {
     Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), service.world.port());
     socket.setSoTimeout(10_000);
     return socket;
@@ -43,7 +43,8 @@
 
   @Test
   void aCloseOverUnreadBytesIsNoReset() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         Socket bad = socket(service)) {
       CountDownLatch release = service.hold();
       send(bad, "*x\r\n" + "y".repeat(100_000));
@@ -55,7 +56,8 @@
 
   @Test
   void whatIsReadAfterTheHalfCloseIsNotSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         Socket bad = socket(service);
         RespClient usual = service.client()) {
       send(bad, "*x\r\n");
@@ -74,9 +76,10 @@
    */
   @Test
   void aRequestThatCrossesAnEvictionIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       RespClient silent = service.client();
-      Await.until(() -> service.daemon.node().front().connections() == 1);
+      Await.until(() -> service.daemon.gateway().clientListener().connectionCount() == 1);
       int most = (int) (0.45 * 64);
       CountDownLatch release = service.hold();
       RespClient[] others = new RespClient[most];
@@ -103,7 +106,7 @@
           }
           FakeRespServer.counter().command(words, link);
         };
-    try (Service service = new Service(FakeRespServer.worker(), counter);
+    try (PlatformHarness service = new PlatformHarness(FakeRespServer.worker(), counter);
         RespClient usual = service.client()) {
       usual.ask(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
@@ -138,7 +141,7 @@
             FakeRespServer.worker().command(words, link);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         RespClient usual = service.client();
         FakeRespServer second = new FakeRespServer(worker)) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -182,7 +185,7 @@
           }
           link.send(FakeRespServer.served(large, "backlog=0"));
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter());
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4_096);
       client.connect(new java.net.InetSocketAddress("127.0.0.1", service.world.port()));
@@ -207,12 +210,12 @@
               v ->
                   service
                       .daemon
-                      .node()
-                      .host()
+                      .gateway()
+                      .runner()
                       .timers()
-                      .schedule(ClientFront.UNREAD_MICROS / 2, late::countDown));
+                      .schedule(ClientListener.UNREAD_MICROS / 2, late::countDown));
       client.close();
-      Await.until(() -> service.daemon.node().host().openCount() == 0);
+      Await.until(() -> service.daemon.gateway().runner().openCount() == 0);
       assertEquals(1, late.getCount());
       hang.countDown();
     }
@@ -228,7 +231,7 @@
           }
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter())) {
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter())) {
       Socket resting = socket(service);
       send(resting, "*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", line(resting.getInputStream()));
@@ -254,7 +257,8 @@
   /** A request that comes in the turn in which the stop closes what is quiet. */
   @Test
   void aRequestThatCrossesAStopIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       client.ask("PING");
       service.daemon.stop();
@@ -267,7 +271,7 @@
           .runOnContext(
               v -> {
                 client.sendUnchecked(RespClient.command(words));
-                service.daemon.node().front().drain(drained::countDown);
+                service.daemon.gateway().clientListener().drain(drained::countDown);
               });
       release.countDown();
       String answer = client.answer();
--- a/src/test/java/fawndock/platform/CatalogEndsTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -17,14 +17,14 @@
  * The catalog falls silent, comes back, ends its watches or writes in other forms: no drain is
  * missed.
  */
-class CatalogEndsTest {
-  private static void served(Service service, RespClient client) throws Exception {
+class EndpointDiscoveryTest {
+  private static void served(PlatformHarness service, RespClient client) throws Exception {
     String[] words = service.request("look");
     assertEquals("value of " + words[2], client.ask(words));
   }
 
   /** The first worker drains and the second is ready, as the whole list and as a change. */
-  private static String drained(Service service, FakeRespServer second, boolean whole) {
+  private static String drained(PlatformHarness service, FakeRespServer second, boolean whole) {
     return FakeDiscoveryServer.list(
         20,
         whole,
@@ -36,8 +36,8 @@
         "ready");
   }
 
-  private static void goesToSecond(Service service, RespClient client, FakeRespServer second)
-      throws Exception {
+  private static void goesToSecond(
+      PlatformHarness service, RespClient client, FakeRespServer second) throws Exception {
     Await.until(
         () -> {
           served(service, client);
@@ -52,7 +52,8 @@
 
   @Test
   void aChangeIsReadInAnyFormAndPieces() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -74,7 +75,8 @@
    */
   @Test
   void aCallWaitsAllTheWhileThatTheCatalogIsSilent() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -116,7 +118,7 @@
           counting.get().await();
           FakeRespServer.counter().command(words, link);
         };
-    try (Service service = new Service(FakeRespServer.worker(), counter);
+    try (PlatformHarness service = new PlatformHarness(FakeRespServer.worker(), counter);
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -142,7 +144,8 @@
 
   @Test
   void aWatchThatEndsInsteadOfTellingIsMadeAgain() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       for (int i = 1; i <= 5; i++) {
@@ -158,7 +161,8 @@
 
   @Test
   void anOlderListIsNotTaken() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -176,7 +180,8 @@
    */
   @Test
   void addressesOfBeforeAreLeftWhenTheNewestSpeaks() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker());
         FakeDiscoveryServer mute = new FakeDiscoveryServer(drained(service, second, true));
@@ -203,7 +208,8 @@
 
   @Test
   void aWatchIsMadeAnewWhileClientsFillTheirDescriptors() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
       Await.until(() -> service.world.catalog.watched() == 1);
       CountDownLatch release = service.hold();
       List<RespClient> idle = new ArrayList<>();
--- a/src/test/java/fawndock/platform/TroubleTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -33,8 +33,9 @@
 /**
  * The counter, the catalog, new configurations and stops, each with its trouble, under requests.
  */
-class TroubleTest {
-  private static String ask(Service service, RespClient client, String type) throws Exception {
+class FaultTest {
+  private static String ask(PlatformHarness service, RespClient client, String type)
+      throws Exception {
     String[] words = service.request(type);
     String answer = client.ask(words);
     return answer.equals("value of " + words[2]) ? "served" : answer;
@@ -53,7 +54,7 @@
           (words, link) -> link.send("+OK\r\n"),
           (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")
         }) {
-      try (Service service = new Service(FakeRespServer.worker(), counter);
+      try (PlatformHarness service = new PlatformHarness(FakeRespServer.worker(), counter);
           RespClient client = service.client()) {
         for (int i = 0; i < 3; i++) {
           assertEquals("served", ask(service, client, "look"));
@@ -65,15 +66,16 @@
 
   @Test
   void amountsHaveNoExponent() {
-    assertEquals("-2.5", AddGetCounter.number(-2.5));
-    assertEquals("0", AddGetCounter.number(0));
-    assertEquals("0.00000012", AddGetCounter.number(1.2e-7));
-    assertEquals("3", AddGetCounter.number(3));
+    assertEquals("-2.5", CounterClient.number(-2.5));
+    assertEquals("0", CounterClient.number(0));
+    assertEquals("0.00000012", CounterClient.number(1.2e-7));
+    assertEquals("3", CounterClient.number(3));
   }
 
   @Test
   void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
       Await.until(() -> service.world.catalog.watched() == 1);
@@ -105,7 +107,8 @@
    */
   @Test
   void theWarmUpLeavesNothingBehind() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       assertEquals(0, service.world.worker.accepted());
       assertEquals(0, service.world.counter.accepted());
@@ -147,7 +150,8 @@
   /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
   @Test
   void connectionsToACounterOfBeforeEnd() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), (words, link) -> {});
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), (words, link) -> {});
         RespClient client = service.client();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counter())) {
       assertEquals("served", ask(service, client, "look"));
@@ -161,7 +165,8 @@
   /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
   @Test
   void aSilentWatchIsMadeAgain() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter())) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter())) {
       Await.until(() -> service.world.catalog.watched() >= 2);
       assertEquals("served", ask(service, service.client(), "look"));
     }
@@ -181,16 +186,16 @@
               link.send("$1\r\n" + many.incrementAndGet() + "\r\n");
             })) {
       Context context = vertx.getOrCreateContext();
-      AddGetCounter[] counter = new AddGetCounter[1];
+      CounterClient[] counter = new CounterClient[1];
       context.runOnContext(
           v -> {
             counter[0] =
-                new AddGetCounter(
-                    new Sockets(context),
+                new CounterClient(
+                    new TcpTransport(context),
                     new Address("127.0.0.1", server.port()),
                     new MicroClock(),
                     new Timers(vertx),
-                    new Figures(),
+                    new ActivitySummary(),
                     250_000,
                     50_000,
                     told::add);
@@ -212,7 +217,8 @@
 
   @Test
   void anEmptyListEmptiesNothing() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client()) {
       Await.until(() -> service.world.catalog.watched() == 1);
       service.world.catalog.whole(FakeDiscoveryServer.list(11, true));
@@ -225,7 +231,8 @@
 
   @Test
   void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.worker(), FakeRespServer.counter());
         RespClient client = service.client();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counter());
         FakeDiscoveryServer catalog =
@@ -263,7 +270,7 @@
           }
           FakeRespServer.worker().command(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter())) {
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counter())) {
       RespClient open = service.client();
       String[] words = service.request("pay");
       open.send(RespClient.command(words));
@@ -281,7 +288,8 @@
   void anUnusableConfigurationIsToldInOneLine() throws Exception {
     assertEquals(
         "RELAY_CONFIG is not set: the path of the configuration is expected",
-        assertThrows(PlatformConfig.UnusableException.class, () -> PlatformConfig.read(Map.of()))
+        assertThrows(
+                PlatformConfig.InvalidConfigException.class, () -> PlatformConfig.read(Map.of()))
             .getMessage());
     try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
       String file = world.variables().get("RELAY_CONFIG");
@@ -306,7 +314,7 @@
         world.write(each[0]);
         String line =
             assertThrows(
-                    PlatformConfig.UnusableException.class,
+                    PlatformConfig.InvalidConfigException.class,
                     () -> PlatformConfig.read(world.variables()))
                 .getMessage();
         assertTrue(
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -13,23 +13,23 @@
 
 /** Objects are found however the bytes are cut, indented and spread over lines. */
 class JsonFramerTest {
-  private static final class Heard implements JsonFramer.Found {
+  private static final class Heard implements JsonFramer.Listener {
     final List<String> objects = new ArrayList<>();
     int lines;
     String wrong;
 
     @Override
-    public void object(String text) {
+    public void onObject(String text) {
       objects.add(text);
     }
 
     @Override
-    public void lineEnd() {
+    public void onLineEnd() {
       lines++;
     }
 
     @Override
-    public void unreadable(String why) {
+    public void onMalformed(String why) {
       wrong = why;
     }
   }
@@ -39,7 +39,7 @@
     JsonFramer framer = new JsonFramer(2_000);
     for (String part : parts) {
       ByteBuf bytes = Unpooled.copiedBuffer(part, StandardCharsets.UTF_8);
-      framer.take(bytes, heard);
+      framer.read(bytes, heard);
       assertEquals(0, bytes.readableBytes());
     }
     return heard;
@@ -59,7 +59,7 @@
       assertEquals(4, heard.lines);
     }
     assertEquals(List.of(first, second, indented), take(all.split("")).objects);
-    assertEquals(43, CatalogList.of(Json.parse(indented)).index());
+    assertEquals(43, EndpointList.of(Json.parse(indented)).version());
   }
 
   @Test
--- a/src/test/java/fawndock/platform/Service.java
+++ b/src/test/java/fawndock/platform/PlatformHarness.java
@@ -10,21 +10,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** One gatekeeper of the platform's way in, in service among stand-ins, for one test. */
-final class Service implements AutoCloseable {
+final class PlatformHarness implements AutoCloseable {
   final FakePlatform world;
-  final PlatformDaemon daemon;
+  final PlatformProcess daemon;
   private final Thread thread;
   private final AtomicInteger code = new AtomicInteger(-1);
   private long nextId = 1;
 
-  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter) throws Exception {
+  PlatformHarness(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter)
+      throws Exception {
     this(worker, counter, 256);
   }
 
-  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
+  PlatformHarness(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
       throws Exception {
     world = new FakePlatform(worker, counter, sockets);
-    daemon = new PlatformDaemon(world.variables());
+    daemon = new PlatformProcess(world.variables());
     thread =
         new Thread(
             () -> {
--- a/src/test/java/fawndock/resp/ReplyReaderTest.java
+++ b/src/test/java/fawndock/resp/ReplyReaderTest.java
@@ -32,7 +32,9 @@
   private static String text(Reply reply) {
     return reply.type()
         + reply.text()
-        + (reply.parts() == null ? "" : reply.parts().stream().map(ReplyReaderTest::text).toList());
+        + (reply.elements() == null
+            ? ""
+            : reply.elements().stream().map(ReplyReaderTest::text).toList());
   }
 
   @Property(tries = 200)
@@ -75,7 +77,8 @@
           in.discardReadBytes();
         }
         assertTrue(
-            in.readableBytes() <= reader.most() + noise.length + 1, "kept " + in.readableBytes());
+            in.readableBytes() <= reader.maxReplyBytes() + noise.length + 1,
+            "kept " + in.readableBytes());
       }
     } catch (ProtocolException e) {
       // Told as soon as it was seen.
--- a/src/test/java/fawndock/simulatoradapter/BenchLinkTest.java
+++ b/src/test/java/fawndock/simulatoradapter/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class BenchLinkTest {
+class SimulatorAdapterTest {
   private static final String ATTACH =
       "{\"what\":\"Attach\",\"i\":3,\"rng-seed\":5,\"options\":{\"novel\":1,"
           + "\"classes\":[{\"name\":\"c\",\"aim-us\":500000,\"deadline-us\":900000,"
@@ -29,7 +29,7 @@
     return "{\"now-us\":" + now + ",\"happened\":[" + String.join(",", events) + "]}\n";
   }
 
-  private int run(BenchLink link, String input) throws IOException {
+  private int run(SimulatorAdapter link, String input) throws IOException {
     return link.run(
         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         out,
@@ -40,7 +40,7 @@
   void carriesARequestThere() throws IOException {
     int code =
         run(
-            new BenchLink(),
+            new SimulatorAdapter(),
             batch(900_000)
                 + batch(1_000_000, ATTACH, CALL)
                 + batch(
@@ -65,7 +65,7 @@
   @Test
   void aKilledInstanceForgets() throws IOException {
     run(
-        new BenchLink(),
+        new SimulatorAdapter(),
         batch(1_000_000, ATTACH, CALL, "{\"what\":\"Killed\",\"i\":3}", ATTACH)
             + batch(2_000_000, "{\"what\":\"Timer\",\"i\":3,\"cookie\":\"end:7\"}"));
     assertEquals("{\"output\":[]}", out.toString(StandardCharsets.UTF_8).split("\n")[1]);
@@ -87,7 +87,7 @@
     for (String[] each : bad) {
       out.reset();
       err.reset();
-      int code = run(new BenchLink(), batch(1) + each[0] + "\n");
+      int code = run(new SimulatorAdapter(), batch(1) + each[0] + "\n");
       String message = err.toString(StandardCharsets.UTF_8);
       assertEquals(1, code, each[0]);
       assertTrue(message.startsWith("line 2: ") && message.contains(each[1]), message);
@@ -98,8 +98,8 @@
 
   @Test
   void aThrowInTheModuleBecomesAnException() throws IOException {
-    BenchLink link =
-        new BenchLink(
+    SimulatorAdapter link =
+        new SimulatorAdapter(
             settings ->
                 (now, event) -> {
                   throw new IllegalStateException("broken");
