--- a/src/main/java/fawndock/gateway/BackendAttempt.java
+++ b/src/main/java/fawndock/gateway/BackendAttempt.java
@@ -12,8 +12,8 @@
 import io.vertx.core.http.RequestOptions;
 
 /**
- * One attempt at a worker over HTTP: from the pool's connection to the end of the answer. One
- * context.
+ * One attempt at a backend over HTTP, from the pool's connection to the end of the response. One
+ * context. How each end is classified is in docs/design/gateway.md.
  */
 final class BackendAttempt extends InFlightAttempt {
   /** How far an attempt has come. */
@@ -21,61 +21,58 @@
     CONNECTING,
     SENT,
     STREAMING,
-    ENDED
+    COMPLETED
   }
 
   /** What attempts need of their gateway. */
   interface Backends {
-    /** Where and how to send to a server, or null when nobody has told its address. */
-    RequestOptions requestOptions(String server);
+    /** Where and how to send to an endpoint, or null when its address is unknown. */
+    RequestOptions requestOptions(String endpointId);
 
     BackendPools backendPools();
 
-    /** Bytes of an answer that are kept before it is streamed. */
+    /** Bytes of a response that are buffered before it is streamed. */
     int maxBufferedResponseBytes();
   }
 
   private final Backends backends;
   private final HttpExchange exchange;
   private Stage stage = Stage.CONNECTING;
-  private HttpClientRequest request;
-  private LoadReportParser.Report report = LoadReportParser.NONE;
+  private HttpClientRequest httpRequest;
+  private LoadReportParser.Report loadReport = LoadReportParser.NONE;
   private Buffer body = Buffer.buffer();
 
   BackendAttempt(
-      PolicyRunner host, InFlightRequest open, int number, String server, Backends ways) {
-    super(host, open, number, server);
-    this.backends = ways;
-    this.exchange = (HttpExchange) open.exchange;
+      PolicyRunner runner,
+      InFlightRequest request,
+      int index,
+      String endpointId,
+      Backends backends) {
+    super(runner, request, index, endpointId);
+    this.backends = backends;
+    this.exchange = (HttpExchange) request.exchange;
   }
 
   @Override
-  protected void begin(long abandonAt) {
-    RequestOptions target = backends.requestOptions(endpointId);
-    if (target == null) {
+  protected void send(long deadlineAtMicros) {
+    RequestOptions options = backends.requestOptions(endpointId);
+    if (options == null) {
       finish(CallResult.NOT_SENT);
       return;
     }
-    ForwardedRequest asked = exchange.forwardedRequest();
-    // The first attempt takes the fields as they are; another may be on its way with them.
-    MultiMap headers =
-        number == 0 ? asked.headers() : HttpHeaders.headers().addAll(asked.headers());
-    headers.set(
-        "x-envoy-expected-rq-timeout-ms",
-        Long.toString(Math.max(1, (abandonAt - host.clock().now()) / 1_000)));
-    if (!headers.contains("x-request-id")) {
-      headers.set("x-request-id", Long.toString(open.id));
-    }
-    headers.set("x-envoy-attempt-count", Integer.toString(number + 1));
-    target.setMethod(asked.method()).setURI(asked.uri()).setHeaders(headers);
+    ForwardedRequest forwarded = exchange.forwardedRequest();
+    options
+        .setMethod(forwarded.method())
+        .setURI(forwarded.uri())
+        .setHeaders(headers(forwarded, deadlineAtMicros));
     backends
         .backendPools()
-        .request(target)
+        .request(options)
         .onComplete(
             connected -> {
-              if (stage == Stage.ENDED) {
+              if (stage == Stage.COMPLETED) {
                 if (connected.succeeded()) {
-                  connected.result().reset(CallResults.CANCEL);
+                  resetIgnoringResult(connected.result());
                 }
               } else if (connected.failed()) {
                 finish(CallResult.CONNECT_FAILED);
@@ -85,95 +82,112 @@
             });
   }
 
+  private MultiMap headers(ForwardedRequest forwarded, long deadlineAtMicros) {
+    // The first attempt takes the fields as they are; a later one may be in flight beside it.
+    MultiMap headers =
+        index == 0 ? forwarded.headers() : HttpHeaders.headers().addAll(forwarded.headers());
+    long timeoutMillis = Math.max(1, (deadlineAtMicros - runner.clock().now()) / 1_000);
+    headers.set("x-envoy-expected-rq-timeout-ms", Long.toString(timeoutMillis));
+    if (!headers.contains("x-request-id")) {
+      headers.set("x-request-id", Long.toString(request.id));
+    }
+    headers.set("x-envoy-attempt-count", Integer.toString(index + 1));
+    return headers;
+  }
+
   private void send(HttpClientRequest connected) {
-    request = connected;
+    httpRequest = connected;
     stage = Stage.SENT;
-    request.exceptionHandler(this::onStreamFailure);
-    Buffer sent = exchange.forwardedRequest().body();
-    (sent.length() == 0 ? request.send() : request.send(sent))
+    httpRequest.exceptionHandler(this::onStreamFailure);
+    Buffer requestBody = exchange.forwardedRequest().body();
+    (requestBody.length() == 0 ? httpRequest.send() : httpRequest.send(requestBody))
         .onComplete(
-            answer -> {
-              if (answer.failed()) {
-                onStreamFailure(answer.cause());
+            response -> {
+              if (response.failed()) {
+                onStreamFailure(response.cause());
               } else {
-                onResponseHead(answer.result());
+                onResponseHead(response.result());
               }
             });
   }
 
-  private void onResponseHead(HttpClientResponse answer) {
+  private void onResponseHead(HttpClientResponse response) {
     if (stage != Stage.SENT) {
       return;
     }
-    report = LoadReportParser.parse(answer.getHeader(LoadReportParser.HEADER));
-    answer.exceptionHandler(this::onStreamFailure);
-    if (CallResults.ofStatus(answer.statusCode()) != CallResult.OK) {
-      finish(CallResults.ofStatus(answer.statusCode()));
-      answer.resume();
-    } else if (!open.open()) {
-      answer.endHandler(done -> finish(CallResult.OK));
+    loadReport = LoadReportParser.parse(response.getHeader(LoadReportParser.HEADER));
+    response.exceptionHandler(this::onStreamFailure);
+    CallResult result = CallResults.ofStatus(response.statusCode());
+    if (result != CallResult.OK) {
+      finish(result);
+      response.resume();
+    } else if (!request.isOpen()) {
+      response.endHandler(end -> finish(CallResult.OK));
     } else if (exchange.requestAttributes().requestClass().isStreamed()) {
-      stream(answer);
+      stream(response);
     } else {
-      answer.handler(
-          part -> {
-            body.appendBuffer(part);
-            if (stage == Stage.SENT && body.length() > backends.maxBufferedResponseBytes()) {
-              stream(answer);
-            }
-          });
-      answer.endHandler(
-          done -> {
-            if (stage == Stage.SENT) {
-              exchange.setStatus(answer.statusCode());
-              host.deliver(
-                  open, this, () -> exchange.serve(answer.statusCode(), answer.headers(), body));
-              finish(CallResult.OK);
-            }
-          });
+      bufferBody(response);
     }
   }
 
-  /** From here on the answer is the client's: neither time-out nor cancel ends it. */
-  private void stream(HttpClientResponse answer) {
-    if (!open.open()) {
-      answer.handler(null);
-      answer.endHandler(done -> finish(CallResult.OK));
+  private void bufferBody(HttpClientResponse response) {
+    response.handler(
+        chunk -> {
+          body.appendBuffer(chunk);
+          if (stage == Stage.SENT && body.length() > backends.maxBufferedResponseBytes()) {
+            stream(response);
+          }
+        });
+    response.endHandler(
+        end -> {
+          if (stage == Stage.SENT) {
+            exchange.setStatus(response.statusCode());
+            runner.deliverResponse(
+                request,
+                this,
+                () -> exchange.serve(response.statusCode(), response.headers(), body));
+            finish(CallResult.OK);
+          }
+        });
+  }
+
+  /** From here on the response is the client's: neither deadline nor cancel ends it. */
+  private void stream(HttpClientResponse response) {
+    if (!request.isOpen()) {
+      response.handler(null);
+      response.endHandler(end -> finish(CallResult.OK));
       return;
     }
     stage = Stage.STREAMING;
-    keep();
-    host.begin(open, this);
-    Buffer soFar = body;
+    cancelDeadline();
+    runner.onStreamStarted(request, this);
+    Buffer buffered = body;
     body = Buffer.buffer();
     exchange.stream(
-        answer,
-        soFar,
-        broken -> {
+        response,
+        buffered,
+        failure -> {
           if (stage == Stage.STREAMING) {
-            host.streamed(open, this, broken == null);
-            finish(broken == null ? CallResult.OK : CallResult.RESET);
+            runner.onStreamEnded(request, this, failure == null);
+            finish(failure == null ? CallResult.OK : CallResult.RESET);
           }
         });
   }
 
   private void onStreamFailure(Throwable cause) {
     if (stage == Stage.SENT) {
-      finish(
-          CallResults.ofStreamFailure(
-              cause,
-              request.streamId(),
-              backends.backendPools().lastProcessedStreamId(request.connection())));
+      int lastStreamId = backends.backendPools().lastProcessedStreamId(httpRequest.connection());
+      finish(CallResults.ofStreamFailure(cause, httpRequest.streamId(), lastStreamId));
     }
   }
 
   @Override
-  protected void abandoned() {
+  protected void onDeadlineExceeded() {
     if (stage == Stage.CONNECTING) {
       finish(CallResult.CONNECT_FAILED);
     } else if (stage == Stage.SENT) {
       finish(CallResult.TIMEOUT);
-      request.reset(CallResults.CANCEL);
+      resetIgnoringResult(httpRequest);
     }
   }
 
@@ -183,23 +197,27 @@
       finish(CallResult.NOT_SENT);
     } else if (stage == Stage.SENT) {
       finish(CallResult.CANCELLED);
-      request.reset(CallResults.CANCEL);
+      resetIgnoringResult(httpRequest);
     }
   }
 
   @Override
-  public void leave() {
+  public void onClientDisconnected() {
     if (stage == Stage.STREAMING) {
       finish(CallResult.CANCELLED);
-      request.reset(CallResults.CANCEL);
+      resetIgnoringResult(httpRequest);
     }
   }
 
-  private void finish(CallResult how) {
-    if (stage != Stage.ENDED) {
-      stage = Stage.ENDED;
+  private static void resetIgnoringResult(HttpClientRequest stream) {
+    var unused = stream.reset(CallResults.CANCEL); // The attempt has completed; nobody waits.
+  }
+
+  private void finish(CallResult result) {
+    if (stage != Stage.COMPLETED) {
+      stage = Stage.COMPLETED;
       body = null;
-      end(how, report.load(), report.units());
+      complete(result, loadReport.load(), loadReport.units());
     }
   }
 }
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -301,7 +301,7 @@
 
   private void complete(
       CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
-    sequencer.end(waiting, result, total, clock.now());
+    sequencer.complete(waiting, result, total, clock.now());
   }
 
   void close() {
--- a/src/main/java/fawndock/gateway/CounterShardClient.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -187,12 +187,12 @@
   }
 
   private void complete(Call call, CallResult result, double total) {
-    if (call.ended()) {
+    if (call.isCompleted()) {
       return;
     }
     timers.cancel(call.timeoutTimer);
     inFlight.remove(call);
-    sequencer.end(call, result, total, clock.now());
+    sequencer.complete(call, result, total, clock.now());
   }
 
   @Override
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -80,7 +80,7 @@
     policyRunner =
         new PolicyRunner(
             clock, timers, this, settings.limits().maxAttempts(), clock.now(), answerLog);
-    policyRunner.decideBy(
+    policyRunner.setPolicy(
         policyFactory.apply(
             new PolicyConfig(
                 instanceIndex,
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -197,7 +197,7 @@
     } else if (action instanceof AddToCounter a) {
       counter.add(a);
     } else if (action instanceof ScheduleTimer a) {
-      timers.schedule(a.delayMicros(), () -> submit(new TimerFired(a.token())));
+      timers.schedule(a.delayMicros(), () -> submit(new TimerFired(a.timer())));
     }
   }
 
--- a/src/main/java/fawndock/simulatoradapter/Writer.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorActionWriter.java
@@ -16,10 +16,10 @@
 import java.io.IOException;
 
 /** Translates the interface's actions into the wire's. */
-final class Writer {
+final class SimulatorActionWriter {
   private final JsonGenerator json;
 
-  Writer(JsonGenerator json) {
+  SimulatorActionWriter(JsonGenerator json) {
     this.json = json;
   }
 
@@ -44,7 +44,7 @@
     } else if (action instanceof ScheduleTimer a) {
       begin("SetAlarm", instance);
       json.writeNumberField("span-us", a.delayMicros());
-      json.writeStringField("cookie", a.token());
+      json.writeStringField("cookie", TimerCodec.encode(a.timer()));
     } else if (action instanceof CancelAttempt a) {
       begin("Cancel", instance);
       json.writeNumberField("op-id", a.requestId());
