--- a/src/main/java/fawndock/gateway/CounterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClient.java
@@ -18,47 +18,54 @@
 import java.util.function.Consumer;
 
 /**
- * The counter service in parts. A name's part is XXH3 of the name, then jump consistent hashing
- * (Lamping and Veach, 2014), both from hash4j: every gatekeeper with the same list of parts picks
- * the same one. Or several nodes that stand in for each other.
+ * Client of the counter service: shards, or one replicated cluster. A name's shard is XXH3 of the
+ * name, then jump consistent hashing (Lamping and Veach, 2014), both from hash4j: every gateway
+ * with the same list of shards picks the same one. One context.
  */
-final class CounterClient {
+final class CounterClient implements AutoCloseable {
   private static final Hasher64 HASH = Hashing.xxh3_64();
   private static final ConsistentBucketHasher BUCKETS =
       ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1());
   private final List<CounterShardClient> shards = new ArrayList<>();
+
+  /** Null where the counter is sharded. */
   private final CounterClusterClient cluster;
 
+  /** Connects; replies are given to the listener on the context. */
   CounterClient(
       Vertx vertx,
       Context context,
       CounterService settings,
       MicroClock clock,
-      Timers alarms,
-      Consumer<CounterReply> told) {
+      Timers timers,
+      Consumer<CounterReply> replyListener) {
     cluster =
-        !settings.clusterNodes().isEmpty()
-            ? new CounterClusterClient(vertx, context, settings, clock, alarms, told)
-            : null;
+        settings.clusterNodes().isEmpty()
+            ? null
+            : new CounterClusterClient(vertx, context, settings, clock, timers, replyListener);
     for (Address address : settings.shards()) {
-      shards.add(new CounterShardClient(vertx, context, address, settings, clock, alarms, told));
+      shards.add(
+          new CounterShardClient(vertx, context, address, settings, clock, timers, replyListener));
     }
   }
 
-  void add(AddToCounter count) {
+  /** Adds to a count; exactly one reply is given, in a later turn, in order for each name. */
+  void add(AddToCounter command) {
     if (cluster != null) {
-      cluster.add(count);
-      return;
+      cluster.add(command);
+    } else {
+      shards.get(shardOf(command.counterName(), shards.size())).add(command);
     }
-    shards.get(shardOf(count.counterName(), shards.size())).add(count);
   }
 
-  /** Which of so many parts has a name; on one thread at a time for all links of a process. */
-  static synchronized int shardOf(String name, int parts) {
-    return parts == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(name), parts);
+  /** The shard of a name. Synchronized since the hasher keeps state that all clients share. */
+  static synchronized int shardOf(String counterName, int shardCount) {
+    return shardCount == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(counterName), shardCount);
   }
 
-  void close() {
+  /** Closes all connections; closing it again has no effect. */
+  @Override
+  public void close() {
     shards.forEach(CounterShardClient::close);
     if (cluster != null) {
       cluster.close();
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -21,8 +21,10 @@
 import fawndock.settings.GatewaySettings.CounterService;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
+import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.redis.client.Command;
+import io.vertx.redis.client.RedisConnection;
 import io.vertx.redis.client.Request;
 import io.vertx.redis.client.Response;
 import java.nio.charset.StandardCharsets;
@@ -37,17 +39,59 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counter nodes that stand in for each other. {@link ReplicaClient} decides which is asked; this
- * keeps the connections and the time, and tells the ends of the calls of a name in the order in
- * which they were made, each once.
+ * Client of a replicated counter cluster. {@link ReplicaClient} decides which node is asked; this
+ * keeps the connections and the time, and completes the calls of a name in the order in which they
+ * were made, each once. One context.
  */
-final class CounterClusterClient {
+final class CounterClusterClient implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterClusterClient.class);
   private static final long TICK_INTERVAL_MICROS = 5_000;
+  private static final long MAX_BACKOFF_MICROS = 500_000;
+
+  /** Commands in flight to a node beside those of calls, such as membership lists. */
+  private static final int EXTRA_COMMANDS = 64;
+
+  /** Share of a call's timeout after which the next node is asked as well. */
+  private static final int HEDGE_DIVISOR = 5;
+
   private static final Command SUM = Command.create("FD.SUM");
   private static final Command NODES = Command.create("FD.NODES");
   private static final Command HERE = Command.create("FD.HERE");
 
+  /** The connection to one node, for as long as its address stays. */
+  private final class Node implements CounterConnection.Listener {
+    final String id;
+    final CounterConnection connection;
+
+    Node(String id, Address address) {
+      this.id = id;
+      connection =
+          new CounterConnection(
+              vertx,
+              context,
+              address,
+              timers,
+              new CounterConnection.Options(
+                  "counter node", settings.maxCallsInFlight() + EXTRA_COMMANDS, MAX_BACKOFF_MICROS),
+              this);
+    }
+
+    @Override
+    public Future<?> onConnecting(RedisConnection connecting) {
+      return Future.succeededFuture();
+    }
+
+    @Override
+    public void onConnected() {
+      CounterClusterClient.this.onConnected(this);
+    }
+
+    @Override
+    public void onLost() {
+      CounterClusterClient.this.onLost(this);
+    }
+  }
+
   private final Vertx vertx;
   private final CounterService settings;
   private final MicroClock clock;
@@ -56,106 +100,105 @@
   private final Context context;
   private final ReplicaClient client;
 
-  /** This start of this gatekeeper; the chance that two have the same is some one in 10^18. */
+  /** This start of this instance; two starts have the same with a chance of some one in 10^18. */
   private final long origin = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
 
-  private final Map<String, NodeLine> connections = new LinkedHashMap<>();
+  private final Map<String, Node> nodes = new LinkedHashMap<>();
 
-  /** Lines to nodes' new addresses, until they are connected. */
-  private final Map<String, NodeLine> replacements = new HashMap<>();
+  /** Nodes at a new address that are not connected yet; the old one is used meanwhile. */
+  private final Map<String, Node> replacements = new HashMap<>();
 
   private final Map<Long, CounterReplySequencer.PendingCall> pendingCalls = new HashMap<>();
-  private boolean closed;
+  private boolean isClosed;
 
+  /** Connects to all nodes; replies are given to the listener on the context. */
   CounterClusterClient(
       Vertx vertx,
       Context context,
       CounterService settings,
       MicroClock clock,
-      Timers alarms,
-      Consumer<CounterReply> told) {
+      Timers timers,
+      Consumer<CounterReply> replyListener) {
+    this.vertx = vertx;
+    this.context = context;
     this.settings = settings;
     this.clock = clock;
-    this.timers = alarms;
-    sequencer = new CounterReplySequencer(told);
-    this.context = context;
-    this.vertx = vertx;
-    settings.clusterNodes().forEach((id, address) -> connections.put(id, connect(id, address)));
-    long limit = Math.max(2, settings.timeoutMicros() / 1_000);
-    // The next node is asked early: an answer that comes late in a call's time tells the gatekeeper
-    // that the counter
-    // is crowded, and a second question costs little.
+    this.timers = timers;
+    sequencer = new CounterReplySequencer(replyListener);
+    settings.clusterNodes().forEach((id, address) -> nodes.put(id, connect(id, address)));
+    long timeoutMillis = Math.max(2, settings.timeoutMicros() / 1_000);
+    // The next node is asked early: the policy takes a late reply for a throttled counter, and a
+    // second call costs little.
     client =
         new ReplicaClient(
             origin,
-            List.copyOf(connections.keySet()),
-            new ReplicaClient.Times(Math.max(1, limit / 5), limit, limit, limit));
-    alarms.schedule(TICK_INTERVAL_MICROS, this::tick);
+            List.copyOf(nodes.keySet()),
+            new ReplicaClient.Times(
+                Math.max(1, timeoutMillis / HEDGE_DIVISOR),
+                timeoutMillis,
+                timeoutMillis,
+                timeoutMillis));
+    timers.schedule(TICK_INTERVAL_MICROS, this::tick);
   }
 
-  private NodeLine connect(String id, Address address) {
-    NodeLine[] made = new NodeLine[1];
-    made[0] =
-        new NodeLine(
-            vertx,
-            context,
-            address,
-            settings.maxCallsInFlight(),
-            timers,
-            () -> connected(id, made[0]),
-            () -> lost(id, made[0]));
-    return made[0];
+  private Node connect(String id, Address address) {
+    Node node = new Node(id, address);
+    node.connection.connect();
+    return node;
   }
 
-  /**
-   * A node's line to its new address is there: the old one ends when what is out on it has ended.
-   */
-  private void connected(String id, NodeLine line) {
-    if (replacements.remove(id, line)) {
-      NodeLine old = connections.put(id, line);
+  /** A node at a new address replaces the old one, which may still reply for a call's timeout. */
+  private void onConnected(Node node) {
+    if (replacements.remove(node.id, node)) {
+      Node old = nodes.put(node.id, node);
       if (old != null) {
-        timers.schedule(settings.timeoutMicros(), old::close);
+        timers.schedule(settings.timeoutMicros(), old.connection::close);
       }
     }
   }
 
+  private void onLost(Node node) {
+    if (nodes.get(node.id) != node) {
+      return;
+    }
+    List<Out> actions = new ArrayList<>();
+    client.lost(node.id, nowMillis(), actions);
+    execute(actions);
+  }
+
   private long nowMillis() {
     return clock.now() / 1_000;
   }
 
-  void add(AddToCounter count) {
-    CounterReplySequencer.PendingCall waiting =
-        new CounterReplySequencer.PendingCall(count.counterName(), clock.now());
-    sequencer.begin(waiting);
-    List<Out> out = new ArrayList<>();
+  /** Adds to a count; exactly one reply is given, in a later turn of the context. */
+  void add(AddToCounter command) {
+    CounterReplySequencer.PendingCall call =
+        new CounterReplySequencer.PendingCall(command.counterName(), clock.now());
+    sequencer.begin(call);
+    List<Out> actions = new ArrayList<>();
     try {
       if (pendingCalls.size() >= settings.maxCallsInFlight()) {
-        throw new CommandException("too many calls are out");
+        throw new CommandException("too many calls are in flight");
       }
       DecimalAmount amount =
-          DecimalAmount.of(Double.toString(count.amount()).getBytes(StandardCharsets.US_ASCII));
-      long call =
-          client.call(
-              count.counterName(),
-              amount,
-              Math.max(1, (count.timeToLiveMicros() + 999) / 1_000),
-              nowMillis(),
-              out);
-      pendingCalls.put(call, waiting);
+          DecimalAmount.of(Double.toString(command.amount()).getBytes(StandardCharsets.US_ASCII));
+      long timeToLiveMillis = Math.max(1, (command.timeToLiveMicros() + 999) / 1_000);
+      long id = client.call(command.counterName(), amount, timeToLiveMillis, nowMillis(), actions);
+      pendingCalls.put(id, call);
     } catch (CommandException e) {
-      context.runOnContext(
-          later -> complete(waiting, CallResult.SHED, 0)); // The gatekeeper is still being asked.
+      // In a later turn, since the policy is still handling the event that led to this call.
+      context.runOnContext(later -> complete(call, CallResult.SHED, 0));
       return;
     }
-    if (out.stream().anyMatch(End.class::isInstance)) {
-      context.runOnContext(later -> execute(out));
+    if (actions.stream().anyMatch(End.class::isInstance)) {
+      context.runOnContext(later -> execute(actions));
     } else {
-      execute(out);
+      execute(actions);
     }
   }
 
-  private void execute(List<Out> out) {
-    for (Out each : out) {
+  private void execute(List<Out> actions) {
+    for (Out each : actions) {
       if (each instanceof Ask ask) {
         sendSum(ask);
       } else if (each instanceof Here here) {
@@ -164,54 +207,52 @@
         exchangeMembershipList(fetch.node(), Request.cmd(NODES));
       } else if (each instanceof Give give) {
         Request request = Request.cmd(NODES);
-        for (String word : give.list().toString().split(" ")) {
+        for (String word : give.list().toString().split(" ", 0)) {
           request.arg(word);
         }
         exchangeMembershipList(give.node(), request);
       } else if (each instanceof End end) {
-        CounterReplySequencer.PendingCall waiting = pendingCalls.remove(end.call());
-        if (waiting != null) {
-          complete(
-              waiting,
-              switch (end.result()) {
-                case OK -> CallResult.OK;
-                case TIMEOUT -> CallResult.TIMEOUT;
-                case UNREACHABLE -> CallResult.CONNECT_FAILED;
-                case REFUSED -> CallResult.SHED;
-              },
-              end.total());
+        CounterReplySequencer.PendingCall call = pendingCalls.remove(end.call());
+        if (call != null) {
+          complete(call, callResult(end.result()), end.total());
         }
       }
     }
   }
 
+  private static CallResult callResult(ReplicaClient.Result result) {
+    return switch (result) {
+      case OK -> CallResult.OK;
+      case TIMEOUT -> CallResult.TIMEOUT;
+      case UNREACHABLE -> CallResult.CONNECT_FAILED;
+      case REFUSED -> CallResult.SHED;
+    };
+  }
+
   private void sendHere(Here here) {
     send(
         here.node(),
         Request.cmd(HERE).arg(origin).arg(here.stamp()),
-        answer -> {
-          if (answer.succeeded()) {
-            List<Out> out = new ArrayList<>();
+        reply -> {
+          if (reply.succeeded()) {
+            List<Out> actions = new ArrayList<>();
             client.hereAnswered(
                 here.node(),
-                answer.result().get(0).toInteger() == 1,
-                answer.result().get(1).toLong(),
-                out);
-            execute(out);
+                reply.result().get(0).toInteger() == 1,
+                reply.result().get(1).toLong(),
+                actions);
+            execute(actions);
           }
         });
   }
 
-  /**
-   * Asks a node for its list of nodes, or gives it a newer one; goes by the list that it answers
-   * when it is newer.
-   */
+  /** Asks a node for its membership list, or gives it a newer one; adopts the reply if newer. */
   private void exchangeMembershipList(String node, Request request) {
     send(
         node,
         request,
-        answer -> {
-          String text = answer.succeeded() ? answer.result().toString() : "";
+        reply -> {
+          String text = reply.succeeded() ? reply.result().toString() : "";
           if (!text.isEmpty()) {
             adopt(MembershipList.of(text));
           }
@@ -219,38 +260,37 @@
   }
 
   private void adopt(MembershipList list) {
-    List<Out> out = new ArrayList<>();
-    if (!client.adopt(list, nowMillis(), out)) {
+    List<Out> actions = new ArrayList<>();
+    if (!client.adopt(list, nowMillis(), actions)) {
       return;
     }
-    LOG.info("goes by a new list of counter nodes: {}", list);
-    for (String id : List.copyOf(connections.keySet())) {
+    LOG.info("counter membership list adopted: {}", list);
+    for (String id : List.copyOf(nodes.keySet())) {
       if (!list.addresses().containsKey(id)) {
-        connections.remove(id).close();
+        nodes.remove(id).connection.close();
       }
     }
-    replacements.values().forEach(NodeLine::close);
+    replacements.values().forEach(node -> node.connection.close());
     replacements.clear();
-    list.addresses()
-        .forEach(
-            (id, address) -> {
-              NodeLine now = connections.get(id);
-              if (now == null) {
-                connections.put(id, connect(id, Address.of(address)));
-              } else if (!now.address().toString().equals(address)) {
-                // Guards against a moment without any node when all have other addresses. It asks
-                // at the old one until
-                // the new one can be reached.
-                replacements.put(id, connect(id, Address.of(address)));
-              }
-            });
-    execute(out);
+    list.addresses().forEach(this::connectIfMoved);
+    execute(actions);
+  }
+
+  private void connectIfMoved(String id, String address) {
+    Node current = nodes.get(id);
+    if (current == null) {
+      nodes.put(id, connect(id, Address.of(address)));
+    } else if (!current.connection.address().toString().equals(address)) {
+      // The old address is used until the new one is connected, since otherwise there would be no
+      // node at all for a moment when all have moved.
+      replacements.put(id, connect(id, Address.of(address)));
+    }
   }
 
-  private void send(String node, Request request, Consumer<AsyncResult<Response>> answered) {
-    NodeLine line = connections.get(node);
-    if (line != null) {
-      line.send(request, answered);
+  private void send(String node, Request request, Consumer<AsyncResult<Response>> replyHandler) {
+    Node to = nodes.get(node);
+    if (to != null) {
+      to.connection.send(request, settings.maxCallsInFlight(), replyHandler);
     }
   }
 
@@ -264,50 +304,42 @@
             .arg(sum.plus().toString())
             .arg(sum.minus().toString())
             .arg(sum.keepMillis()),
-        answer -> {
-          List<Out> out = new ArrayList<>();
-          if (answer.succeeded()) {
-            client.answered(
-                ask.node(), ask.call(), Double.parseDouble(answer.result().toString()), out);
-          } else if (CounterConnection.refused(answer.cause())) {
-            String text = String.valueOf(answer.cause().getMessage());
-            boolean notReady =
-                text.startsWith("LOADING")
-                    || text.startsWith("FENCED")
-                    || text.startsWith("MISCONF");
-            client.refused(ask.node(), ask.call(), notReady, nowMillis(), out);
-          }
-          execute(out);
-        });
+        reply -> onSumReply(ask, reply));
   }
 
-  private void lost(String node, NodeLine line) {
-    if (connections.get(node) != line) {
-      return;
+  private void onSumReply(Ask ask, AsyncResult<Response> reply) {
+    List<Out> actions = new ArrayList<>();
+    if (reply.succeeded()) {
+      double total = Double.parseDouble(reply.result().toString());
+      client.answered(ask.node(), ask.call(), total, actions);
+    } else if (CounterConnection.isErrorReply(reply.cause())) {
+      String text = String.valueOf(reply.cause().getMessage());
+      boolean isNotReady =
+          text.startsWith("LOADING") || text.startsWith("FENCED") || text.startsWith("MISCONF");
+      client.refused(ask.node(), ask.call(), isNotReady, nowMillis(), actions);
     }
-    List<Out> out = new ArrayList<>();
-    client.lost(node, nowMillis(), out);
-    execute(out);
+    execute(actions);
   }
 
   private void tick() {
-    if (!closed) {
-      List<Out> out = new ArrayList<>();
-      client.tick(nowMillis(), out);
-      execute(out);
+    if (!isClosed) {
+      List<Out> actions = new ArrayList<>();
+      client.tick(nowMillis(), actions);
+      execute(actions);
       timers.schedule(TICK_INTERVAL_MICROS, this::tick);
     }
   }
 
-  private void complete(
-      CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
-    sequencer.complete(waiting, result, total, clock.now());
+  private void complete(CounterReplySequencer.PendingCall call, CallResult result, double total) {
+    sequencer.complete(call, result, total, clock.now());
   }
 
-  void close() {
-    closed = true;
+  /** Closes all connections; no reply is given any more. Closing it again has no effect. */
+  @Override
+  public void close() {
+    isClosed = true;
     sequencer.close();
-    connections.values().forEach(NodeLine::close);
-    replacements.values().forEach(NodeLine::close);
+    nodes.values().forEach(node -> node.connection.close());
+    replacements.values().forEach(node -> node.connection.close());
   }
 }
--- a/src/main/java/fawndock/gateway/CounterConnection.java
+++ b/src/main/java/fawndock/gateway/CounterConnection.java
@@ -2,6 +2,7 @@
 
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -9,140 +10,185 @@
 import io.vertx.redis.client.Redis;
 import io.vertx.redis.client.RedisConnection;
 import io.vertx.redis.client.RedisOptions;
+import io.vertx.redis.client.Request;
+import io.vertx.redis.client.Response;
 import io.vertx.redis.client.impl.types.ErrorType;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection of the Redis serialization protocol at a time, made again after a growing pause
- * when it is lost.
+ * The connection to one counter server, in the Redis serialization protocol (RESP2). There is one
+ * at a time; a lost one is replaced after an exponential backoff. One context.
  */
-final class CounterConnection {
+final class CounterConnection implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterConnection.class);
-  private static final long FIRST_PAUSE = 50_000;
-  private static final long CONNECT_MICROS = 1_000_000;
+  private static final long INITIAL_BACKOFF_MICROS = 50_000;
+  private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * What a connection is for.
+   * How a connection is used.
    *
-   * @param what its name in the log
-   * @param handlers answers that may be waited for
-   * @param longestPause between tries, in microseconds
+   * @param role its name in the log
+   * @param maxPendingReplies replies that may be pending at once
+   * @param maxBackoffMicros between attempts to connect
    */
-  record Use(String what, int handlers, long longestPause) {}
-
-  /** Is told on the context what becomes of the connection. */
-  interface Owner {
-    /**
-     * Greets a new connection; it is used when that has succeeded, within the time limit of
-     * connecting.
-     */
-    Future<?> greet(RedisConnection made);
-
-    /** The connection is lost; what is out on it fails after this. */
-    void lost();
+  record Options(String role, int maxPendingReplies, long maxBackoffMicros) {}
+
+  /** Receives the connection's changes, on its context. */
+  interface Listener {
+    /** Greets a new connection; it is used when that has succeeded, within the connect timeout. */
+    Future<?> onConnecting(RedisConnection connecting);
+
+    /** The connection can be used, from the next turn of the context on. */
+    default void onConnected() {}
+
+    /** The connection is lost; what is in flight on it fails after this. */
+    void onLost();
   }
 
   private final Vertx vertx;
   private final Context context;
   private final Address address;
-  private final Timers alarms;
-  private final Use use;
-  private final Owner owner;
+  private final Timers timers;
+  private final Options options;
+  private final Listener listener;
   private Redis client;
   private RedisConnection connection;
-  private long pause = FIRST_PAUSE;
-  private boolean closed;
+  private int commandsInFlight;
+  private long backoffMicros = INITIAL_BACKOFF_MICROS;
+  private boolean isClosed;
 
+  /** A connection that {@link #connect} opens. */
   CounterConnection(
-      Vertx vertx, Context context, Address address, Timers alarms, Use use, Owner owner) {
+      Vertx vertx,
+      Context context,
+      Address address,
+      Timers timers,
+      Options options,
+      Listener listener) {
     this.vertx = vertx;
     this.context = context;
     this.address = address;
-    this.alarms = alarms;
-    this.use = use;
-    this.owner = owner;
+    this.timers = timers;
+    this.options = options;
+    this.listener = listener;
+  }
+
+  Address address() {
+    return address;
   }
 
-  /** The connection that there is, or null. */
-  RedisConnection now() {
+  /** The open connection, or null. */
+  RedisConnection current() {
     return connection;
   }
 
-  /** Whether the server answered with an error, rather than not at all. */
-  static boolean refused(Throwable cause) {
-    return cause instanceof ErrorType told && !told.is("CONNECTION_CLOSED");
+  /** Whether the server replied with an error, rather than not at all. */
+  static boolean isErrorReply(Throwable cause) {
+    return cause instanceof ErrorType error && !error.is("CONNECTION_CLOSED");
+  }
+
+  /**
+   * Sends a command. Dropped when there is no connection or too many commands are in flight; the
+   * reply is not given when the connection is lost before.
+   */
+  void send(Request command, int maxInFlight, Consumer<AsyncResult<Response>> replyHandler) {
+    RedisConnection used = connection;
+    if (used == null || commandsInFlight >= maxInFlight) {
+      return;
+    }
+    commandsInFlight++;
+    used.send(command)
+        .onComplete(
+            reply -> {
+              if (used == connection) {
+                commandsInFlight--;
+                replyHandler.accept(reply);
+              }
+            });
   }
 
   void connect() {
-    if (closed) {
+    if (isClosed) {
       return;
     }
-    Redis making =
-        Redis.createClient(
-            vertx,
-            new RedisOptions()
-                .setConnectionString("redis://" + address)
-                .setMaxPoolSize(1)
-                .setMaxPoolWaiting(1)
-                .setMaxWaitingHandlers(use.handlers)
-                .setNetClientOptions(
-                    new NetClientOptions()
-                        .setTcpNoDelay(true)
-                        .setConnectTimeout((int) (CONNECT_MICROS / 1_000))));
-    client = making;
-    // The greeting has no time limit of its own.
-    Timers.Timer limit = alarms.schedule(CONNECT_MICROS, () -> again(making, "no greeting"));
-    making
+    Redis connecting = Redis.createClient(vertx, redisOptions());
+    client = connecting;
+    // The greeting has no timeout of its own.
+    Timers.Timer timeout =
+        timers.schedule(CONNECT_TIMEOUT_MICROS, () -> reconnect(connecting, "no greeting"));
+    connecting
         .connect()
-        .compose(made -> owner.greet(made).map(made))
+        .compose(connected -> listener.onConnecting(connected).map(connected))
         .onComplete(
-            made -> {
-              alarms.cancel(limit);
-              if (client != making || closed) {
-                making.close();
-              } else if (made.failed()) {
-                again(making, made.cause().getMessage());
+            connected -> {
+              timers.cancel(timeout);
+              if (client != connecting || isClosed) {
+                connecting.close();
+              } else if (connected.failed()) {
+                reconnect(connecting, connected.cause().getMessage());
               } else {
-                ready(made.result());
+                onConnected(connected.result());
               }
             });
   }
 
-  private void ready(RedisConnection made) {
-    connection = made;
-    pause = FIRST_PAUSE;
-    made.exceptionHandler(
+  private RedisOptions redisOptions() {
+    return new RedisOptions()
+        .setConnectionString("redis://" + address)
+        .setMaxPoolSize(1)
+        .setMaxPoolWaiting(1)
+        .setMaxWaitingHandlers(options.maxPendingReplies())
+        .setNetClientOptions(
+            new NetClientOptions()
+                .setTcpNoDelay(true)
+                .setConnectTimeout((int) (CONNECT_TIMEOUT_MICROS / 1_000)));
+  }
+
+  private void onConnected(RedisConnection connected) {
+    connection = connected;
+    commandsInFlight = 0;
+    backoffMicros = INITIAL_BACKOFF_MICROS;
+    connected.exceptionHandler(
         e ->
             context.runOnContext(
-                v -> lost(made, e.getMessage() == null ? "closed" : e.getMessage())));
-    made.endHandler(e -> context.runOnContext(v -> lost(made, "closed")));
-    LOG.info("{} {} connected", use.what, address);
+                v -> drop(connected, e.getMessage() == null ? "closed" : e.getMessage())));
+    connected.endHandler(end -> context.runOnContext(v -> drop(connected, "closed")));
+    LOG.info("{} {} connected", options.role(), address);
+    context.runOnContext(v -> listener.onConnected());
   }
 
-  /** Gives up this connection, if it is still the one. */
-  void lost(RedisConnection which, String why) {
-    if (which == connection && which != null) {
-      Redis of = client;
+  /** Gives up a connection, if it is still the current one, and connects again. */
+  void drop(RedisConnection dropped, String reason) {
+    if (dropped == connection && dropped != null) {
+      Redis droppedClient = client;
       connection = null;
-      owner.lost();
-      again(of, why);
+      listener.onLost();
+      reconnect(droppedClient, reason);
     }
   }
 
-  private void again(Redis which, String why) {
-    if (closed || client != which || connection != null) {
+  private void reconnect(Redis lost, String reason) {
+    if (isClosed || client != lost || connection != null) {
       return;
     }
     client = null;
-    which.close(); // Fails the calls that are out.
-    LOG.warn("{} {} lost ({}), trying again in {} ms", use.what, address, why, pause / 1_000);
-    alarms.schedule(pause, this::connect);
-    pause = Math.min(use.longestPause, pause * 2);
+    lost.close(); // Fails the commands in flight.
+    LOG.warn(
+        "{} {} lost ({}), reconnecting in {} ms",
+        options.role(),
+        address,
+        reason,
+        backoffMicros / 1_000);
+    timers.schedule(backoffMicros, this::connect);
+    backoffMicros = Math.min(options.maxBackoffMicros(), backoffMicros * 2);
   }
 
-  void close() {
-    closed = true;
+  /** Closes the connection for good; closing it again has no effect. */
+  @Override
+  public void close() {
+    isClosed = true;
     connection = null;
     if (client != null) {
       client.close();
--- a/src/main/java/fawndock/gateway/CounterShardClient.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -25,29 +25,33 @@
 import java.util.regex.Pattern;
 
 /**
- * One part of the counter service, over one connection of the Redis serialization protocol at a
- * time. A call is {@code FD.ADD name amount ms} where the server knows that, as the project's own
- * does; elsewhere {@code INCRBYFLOAT name amount} and {@code PEXPIRE name ms NX}, pipelined. It is
- * told exactly once, in the order of the calls of its name: by its answer or by its time-out,
- * whichever is first. One connection answers in order and a call belongs to the connection that it
- * went out on, so that no total is given to another call.
+ * Client of one shard of the counter service. A call is {@code FD.ADD name amount ms} where the
+ * server knows it, as the project's own does; elsewhere {@code INCRBYFLOAT name amount} and {@code
+ * PEXPIRE name ms NX}, pipelined. It completes exactly once, by its reply or its timeout, whichever
+ * is first, in the order of the calls of its name. A call belongs to the connection that it was
+ * sent on, which replies in order, so no total is given to another call. One context.
  */
-final class CounterShardClient implements CounterConnection.Owner {
+final class CounterShardClient implements CounterConnection.Listener, AutoCloseable {
   private static final long MAX_BACKOFF_MICROS = 1_000_000;
+
+  /** Timeouts in a row, without any reply, after which the connection counts as half open. */
   private static final int HALF_OPEN_TIMEOUTS = 20;
+
   private static final Command ADD = Command.create("FD.ADD");
+
+  /** An error of the Redis client itself, such as a lost connection, in the form of a reply. */
   private static final Pattern CLIENT_ERROR =
       Pattern.compile(
           "ERR \\[[0-9]+] (CONNECTION_CLOSED|ILLEGAL_STATE|Connection |[a-z]+(\\.[a-z0-9]+)*\\.[A-Z])");
 
-  /** A call that is out. */
+  /** A call in flight. */
   private static final class Call extends CounterReplySequencer.PendingCall {
     final AddToCounter command;
     Timers.Timer timeoutTimer;
 
-    Call(AddToCounter count, long startedAt) {
-      super(count.counterName(), startedAt);
-      this.command = count;
+    Call(AddToCounter command, long startedAtMicros) {
+      super(command.counterName(), startedAtMicros);
+      this.command = command;
     }
   }
 
@@ -57,55 +61,53 @@
   private final Timers timers;
   private final CounterReplySequencer sequencer;
   private final CounterConnection connection;
-
-  /** Calls on the connection. */
   private final Set<Call> inFlight = new HashSet<>();
 
+  /** Calls of this turn of the event loop, which go out in one write. */
   private final List<Call> unsentCalls = new ArrayList<>();
 
-  /** Commands for each call on this connection. */
   private int commandsPerCall = 2;
-
   private int consecutiveTimeouts;
 
+  /** Connects; replies are given to the listener on the context. */
   CounterShardClient(
       Vertx vertx,
       Context context,
       Address address,
       CounterService settings,
       MicroClock clock,
-      Timers alarms,
-      Consumer<CounterReply> told) {
+      Timers timers,
+      Consumer<CounterReply> replyListener) {
     this.context = context;
     this.settings = settings;
     this.clock = clock;
-    this.timers = alarms;
-    sequencer = new CounterReplySequencer(told);
+    this.timers = timers;
+    sequencer = new CounterReplySequencer(replyListener);
     connection =
         new CounterConnection(
             vertx,
             context,
             address,
-            alarms,
-            new CounterConnection.Use(
+            timers,
+            new CounterConnection.Options(
                 "counter", 2 * settings.maxCallsInFlight() + 16, MAX_BACKOFF_MICROS),
             this);
     connection.connect();
   }
 
-  void add(AddToCounter count) {
-    Call call = new Call(count, clock.now());
+  /** Adds to a count; exactly one reply is given, in a later turn of the context. */
+  void add(AddToCounter command) {
+    Call call = new Call(command, clock.now());
     sequencer.begin(call);
-    boolean none = connection.now() == null;
-    if (none || inFlight.size() >= settings.maxCallsInFlight()) {
-      // In a later turn: the gatekeeper is still being asked.
-      CallResult why = none ? CallResult.CONNECT_FAILED : CallResult.SHED;
-      context.runOnContext(later -> complete(call, why, 0));
+    boolean isConnected = connection.current() != null;
+    if (!isConnected || inFlight.size() >= settings.maxCallsInFlight()) {
+      // In a later turn, since the policy is still handling the event that led to this call.
+      CallResult result = isConnected ? CallResult.SHED : CallResult.CONNECT_FAILED;
+      context.runOnContext(later -> complete(call, result, 0));
       return;
     }
     inFlight.add(call);
     call.timeoutTimer = timers.schedule(settings.timeoutMicros(), () -> onTimeout(call));
-    // What is called in one turn of the loop goes out in one write.
     unsentCalls.add(call);
     if (unsentCalls.size() == 1) {
       context.runOnContext(later -> flush());
@@ -115,74 +117,78 @@
   private void flush() {
     List<Call> calls = List.copyOf(unsentCalls);
     unsentCalls.clear();
-    RedisConnection used = connection.now();
+    RedisConnection used = connection.current();
     if (calls.isEmpty()) {
-      return; // The connection was lost in the same turn, and they were ended then.
+      return; // The connection was lost in the same turn, and they were completed then.
     }
-    List<Request> commands = new ArrayList<>(commandsPerCall * calls.size());
-    int each = commandsPerCall;
-    for (Call call : calls) {
-      AddToCounter count = call.command;
-      String amount = Double.toString(count.amount());
-      long keepMillis = Math.max(1, (count.timeToLiveMicros() + 999) / 1_000);
-      if (each == 1) {
-        commands.add(Request.cmd(ADD).arg(count.counterName()).arg(amount).arg(keepMillis));
-      } else {
-        commands.add(Request.cmd(Command.INCRBYFLOAT).arg(count.counterName()).arg(amount));
-        commands.add(
-            Request.cmd(Command.PEXPIRE).arg(count.counterName()).arg(keepMillis).arg("NX"));
-      }
-    }
-    used.batch(commands)
+    int perCall = commandsPerCall;
+    used.batch(requests(calls, perCall))
         .onComplete(
-            answer -> {
-              if (used == connection.now()) {
+            replies -> {
+              if (used == connection.current()) {
                 consecutiveTimeouts = 0;
               }
               for (int i = 0; i < calls.size(); i++) {
-                onReply(calls.get(i), each * i, answer);
+                onReply(calls.get(i), perCall * i, replies);
               }
             });
   }
 
-  /**
-   * Tells the end of a call whose first command has this place in its batch, unless it has timed
-   * out.
-   */
-  private void onReply(Call call, int place, AsyncResult<List<Response>> answer) {
-    if (answer.succeeded()) {
+  private static List<Request> requests(List<Call> calls, int perCall) {
+    List<Request> requests = new ArrayList<>(perCall * calls.size());
+    for (Call call : calls) {
+      AddToCounter command = call.command;
+      String amount = Double.toString(command.amount());
+      long timeToLiveMillis = Math.max(1, (command.timeToLiveMicros() + 999) / 1_000);
+      if (perCall == 1) {
+        requests.add(Request.cmd(ADD).arg(command.counterName()).arg(amount).arg(timeToLiveMillis));
+      } else {
+        requests.add(Request.cmd(Command.INCRBYFLOAT).arg(command.counterName()).arg(amount));
+        requests.add(
+            Request.cmd(Command.PEXPIRE)
+                .arg(command.counterName())
+                .arg(timeToLiveMillis)
+                .arg("NX"));
+      }
+    }
+    return requests;
+  }
+
+  /** Completes the call whose first command has this index in its batch. */
+  private void onReply(Call call, int index, AsyncResult<List<Response>> replies) {
+    if (replies.succeeded()) {
       try {
-        complete(call, CallResult.OK, Double.parseDouble(answer.result().get(place).toString()));
+        complete(call, CallResult.OK, Double.parseDouble(replies.result().get(index).toString()));
       } catch (NumberFormatException | NullPointerException e) {
         complete(call, CallResult.TIMEOUT, 0); // Not a total, and the amount may have been added.
       }
     } else {
-      complete(call, isRejected(answer.cause(), place) ? CallResult.SHED : CallResult.TIMEOUT, 0);
+      boolean isRejected = isRejected(replies.cause(), index);
+      complete(call, isRejected ? CallResult.SHED : CallResult.TIMEOUT, 0);
     }
   }
 
-  // Whether the server answered this command with an error, so that nothing was added. The client
-  // tells all errors
-  // of a batch in one text, a line for each, and no totals beside them: the others may have been
-  // added. It tells a
-  // lost connection in the same form, with an error word of its own or the name of an exception's
-  // class.
-  private static boolean isRejected(Throwable cause, int place) {
+  /**
+   * Whether the server replied to this command with an error, so that nothing was added. The Redis
+   * client gives all errors of a batch in one text, a line for each, and no totals beside them: the
+   * others may have been added. It gives a lost connection in the same form, with an error word of
+   * its own or the name of an exception's class.
+   */
+  private static boolean isRejected(Throwable cause, int index) {
     String text = cause instanceof ErrorType ? String.valueOf(cause.getMessage()) : "";
     return text.lines()
         .anyMatch(
             line ->
-                line.startsWith("ERR [" + place + "] ") && !CLIENT_ERROR.matcher(line).lookingAt());
+                line.startsWith("ERR [" + index + "] ") && !CLIENT_ERROR.matcher(line).lookingAt());
   }
 
   private void onTimeout(Call call) {
     complete(call, CallResult.TIMEOUT, 0);
     consecutiveTimeouts++;
-    // Guards against a half-open connection, on which nothing would ever be heard again. May drop
-    // one that
-    // is only slow; its calls have timed out by then anyway.
+    // A half-open connection would never reply again. This may drop one that is only slow, whose
+    // calls have timed out by then anyway.
     if (consecutiveTimeouts >= HALF_OPEN_TIMEOUTS) {
-      connection.lost(connection.now(), "silent");
+      connection.drop(connection.current(), "silent");
     }
   }
 
@@ -196,12 +202,13 @@
   }
 
   @Override
-  public Future<?> greet(RedisConnection made) {
-    return made.send(Request.cmd(Command.COMMAND).arg("INFO").arg("FD.ADD"))
+  public Future<?> onConnecting(RedisConnection connecting) {
+    return connecting
+        .send(Request.cmd(Command.COMMAND).arg("INFO").arg("FD.ADD"))
         .map(known -> known != null && known.size() == 1 && known.get(0) != null)
         .recover(
             e ->
-                CounterConnection.refused(e)
+                CounterConnection.isErrorReply(e)
                     ? Future.succeededFuture(false)
                     : Future.failedFuture(e))
         .onSuccess(
@@ -212,13 +219,15 @@
   }
 
   @Override
-  public void lost() {
-    List<Call> never = List.copyOf(unsentCalls);
+  public void onLost() {
+    List<Call> neverSent = List.copyOf(unsentCalls);
     unsentCalls.clear();
-    never.forEach(call -> complete(call, CallResult.CONNECT_FAILED, 0));
+    neverSent.forEach(call -> complete(call, CallResult.CONNECT_FAILED, 0));
   }
 
-  void close() {
+  /** Closes the connection; no reply is given any more. Closing it again has no effect. */
+  @Override
+  public void close() {
     sequencer.close();
     connection.close();
   }
