--- a/src/main/java/fawndock/gateway/AccessLog.java
+++ b/src/main/java/fawndock/gateway/AccessLog.java
@@ -9,41 +9,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One line for each final answer, under the logger {@code fawndock.answers}; docs/operations.md
- * lists its fields.
+ * Writes one line for each final answer, under the logger {@code fawndock.answers};
+ * docs/operations.md lists its fields. One context.
  */
 final class AccessLog implements ResponseRecorder {
   private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
   private final int instanceIndex;
   private final boolean isEnabled;
 
-  AccessLog(int gatekeeper, boolean on) {
-    this.instanceIndex = gatekeeper;
-    this.isEnabled = on;
+  AccessLog(int instanceIndex, boolean isEnabled) {
+    this.instanceIndex = instanceIndex;
+    this.isEnabled = isEnabled;
   }
 
   @Override
-  public void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason) {
+  public void onResponse(
+      InFlightRequest request, long nowMicros, RequestOutcome outcome, String reason) {
     if (isEnabled && LOG.isInfoEnabled()) {
-      RequestAttributes a = request.exchange.requestAttributes();
+      RequestAttributes attributes = request.exchange.requestAttributes();
       LOG.info(
           "{} {} {} {} {} {} {} {} {} {} {} {}",
           kv("request", request.id),
-          kv("label", a.label()),
+          kv("label", attributes.label()),
           kv("gatekeeper", instanceIndex),
-          kv("class", a.requestClass().name()),
-          kv("plan", a.plan()),
-          kv("customer", a.customer()),
+          kv("class", attributes.requestClass().name()),
+          kv("plan", attributes.plan()),
+          kv("customer", attributes.customer()),
           kv("attempts", request.attempts.size()),
-          kv("verdict", outcomeWord(verdict)),
+          kv("verdict", outcomeWord(outcome)),
           kv("reason", reason),
-          kv("status", status(request, verdict)),
-          kv("took_us", now - a.arrivedAtMicros()),
-          kv("left_us", a.deadlineAtMicros() - now));
+          kv("status", status(request, outcome)),
+          kv("took_us", nowMicros - attributes.arrivedAtMicros()),
+          kv("left_us", attributes.deadlineAtMicros() - nowMicros));
     }
   }
 
-  /** The operators' words for how a request ended, as docs/operations.md lists them. */
+  /** The operators' word for an outcome, as docs/operations.md lists it. */
   private static String outcomeWord(RequestOutcome outcome) {
     return switch (outcome) {
       case SERVED -> "served";
@@ -53,8 +54,9 @@
     };
   }
 
-  private static int status(InFlightRequest request, RequestOutcome verdict) {
-    return switch (verdict) {
+  /** The status that the client got, 0 for none or one that was streamed. */
+  private static int status(InFlightRequest request, RequestOutcome outcome) {
+    return switch (outcome) {
       case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
       case REJECTED -> 429;
       case FAILED -> request.wasStreamed() ? 0 : request.hasAttemptFailure() ? 502 : 504;
@@ -62,7 +64,7 @@
     };
   }
 
-  /** A request that was answered without asking the gatekeeper. */
+  /** A request that the gateway answered itself, without the policy. */
   void onUncountedResponse(String label, int status, String reason) {
     if (isEnabled && LOG.isInfoEnabled()) {
       LOG.info(
--- a/src/main/java/fawndock/gateway/CallResults.java
+++ b/src/main/java/fawndock/gateway/CallResults.java
@@ -4,18 +4,21 @@
 import io.vertx.core.http.StreamResetException;
 
 /**
- * How the end of an exchange with a worker is told to the gatekeeper. Only what RFC 9113 proves
- * unprocessed is told as unrun: a stream refused with REFUSED_STREAM (8.7), and one above the last
- * of a GOAWAY (6.8). The table in docs/design/gateway.md has a test for each line.
+ * Classifies how an exchange with a backend ended. Only what RFC 9113 proves unprocessed counts as
+ * never run: a stream reset with REFUSED_STREAM (8.7), and one above the last of a GOAWAY (6.8).
+ * The table in docs/design/gateway.md has a test for each line. Stateless.
  */
 final class CallResults {
+  /** HTTP/2 error code: the stream was not processed. */
   static final long REFUSED_STREAM = 7;
+
+  /** HTTP/2 error code: the stream is no longer needed. */
   static final long CANCEL = 8;
 
   private CallResults() {}
 
   /**
-   * The end of a stream that broke.
+   * The result of a stream that failed.
    *
    * @param streamId 0 or less when none was opened
    * @param lastStreamId the last stream that the connection's GOAWAY says may be processed;
@@ -28,10 +31,7 @@
     return streamId > lastStreamId ? CallResult.SHED : CallResult.RESET;
   }
 
-  /**
-   * The end of an answer with this status: what a worker answered itself is served, unless it is an
-   * error.
-   */
+  /** The result of a response: any status below 500 is the backend's own answer. */
   static CallResult ofStatus(int status) {
     return status >= 500 ? CallResult.ERROR : CallResult.OK;
   }
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -264,7 +264,7 @@
     if (!client.adopt(list, nowMillis(), actions)) {
       return;
     }
-    LOG.info("counter membership list adopted: {}", list);
+    LOG.info("counter membership list adopted: list=\"{}\"", list);
     for (String id : List.copyOf(nodes.keySet())) {
       if (!list.addresses().containsKey(id)) {
         nodes.remove(id).connection.close();
--- a/src/main/java/fawndock/gateway/CounterConnection.java
+++ b/src/main/java/fawndock/gateway/CounterConnection.java
@@ -155,7 +155,7 @@
             context.runOnContext(
                 v -> drop(connected, e.getMessage() == null ? "closed" : e.getMessage())));
     connected.endHandler(end -> context.runOnContext(v -> drop(connected, "closed")));
-    LOG.info("{} {} connected", options.role(), address);
+    LOG.info("{} connected: address={}", options.role(), address);
     context.runOnContext(v -> listener.onConnected());
   }
 
@@ -176,7 +176,7 @@
     client = null;
     lost.close(); // Fails the commands in flight.
     LOG.warn(
-        "{} {} lost ({}), reconnecting in {} ms",
+        "{} connection lost, reconnecting: address={} reason=\"{}\" backoff_ms={}",
         options.role(),
         address,
         reason,
--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -7,7 +7,10 @@
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import fawndock.settings.GatewaySettings.EndpointDiscovery;
+import fawndock.settings.GatewaySettings.StaticEndpoint;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.HttpClientRequest;
@@ -24,169 +27,194 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The roster: {@code GET /roster} answers with lines of JSON that never end, first a complete list,
- * then changes and complete lists; an empty line is a sign of life. A connection that is lost,
- * silent or unreadable is made anew, and nothing is told meanwhile: what was listed stays listed.
- * An empty complete list is told as a failed one, since a roster that has just started knows
- * nobody; servers that are to go are named as going.
+ * Watch of the endpoints at the discovery server: {@code GET /roster} answers with lines of JSON
+ * that never end, first a snapshot, then changes and snapshots; an empty line is a heartbeat. A
+ * stream that is lost, idle or unreadable is reopened, and the endpoints known stay meanwhile. An
+ * empty snapshot is reported as a failed update, since a discovery server that has just started
+ * knows no endpoint; endpoints that are to go are listed as draining and removed. One context.
  */
-final class EndpointWatch {
+final class EndpointWatch implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
   private static final int MAX_LINE_BYTES = 8 << 20;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
   private static final long INITIAL_BACKOFF_MICROS = 100_000;
   private static final long MAX_BACKOFF_MICROS = 2_000_000;
+
   private final EndpointDiscovery settings;
   private final Timers timers;
   private final Consumer<EndpointUpdate> listener;
-  private final HttpClient http;
+  private final HttpClient httpClient;
   private final Map<String, Address> addresses = new HashMap<>();
-  private Object connection = new Object();
-  private HttpClientRequest stream;
-  private boolean wanted;
-  private boolean closed;
+
+  /** The stream that counts, or that is to be opened after the backoff; events of others do not. */
+  private WatchStream current = new WatchStream();
+
+  private boolean isStarted;
+  private boolean isClosed;
   private long backoffMicros = INITIAL_BACKOFF_MICROS;
   private Timers.Timer idleTimer;
 
+  /** One stream, from connecting to its end. */
+  private static final class WatchStream {
+    /** Null until the response head is there. */
+    HttpClientRequest request;
+
+    boolean hasSnapshot;
+
+    void reset() {
+      if (request != null) {
+        var unused = request.reset(); // It may be half open or unreadable: nothing is expected.
+        request = null;
+      }
+    }
+  }
+
+  /** A watch that {@link #start} starts; updates are given to the listener on its context. */
   EndpointWatch(
-      Vertx vertx, EndpointDiscovery source, Timers alarms, Consumer<EndpointUpdate> told) {
-    this.settings = source;
-    this.timers = alarms;
-    this.listener = told;
-    this.http =
+      Vertx vertx, EndpointDiscovery settings, Timers timers, Consumer<EndpointUpdate> listener) {
+    this.settings = settings;
+    this.timers = timers;
+    this.listener = listener;
+    this.httpClient =
         vertx.createHttpClient(
-            new HttpClientOptions().setKeepAlive(false).setConnectTimeout(2_000));
+            new HttpClientOptions().setKeepAlive(false).setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
   }
 
-  /**
-   * Tells what the settings list, then follows the roster unless the gatekeeper must ask for it.
-   */
+  /** Reports the settings' own endpoints, then watches unless the policy is to ask for that. */
   void start() {
     if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
-      List<Endpoint> fixed = new ArrayList<>();
-      settings
-          .staticEndpoints()
-          .forEach(
-              s -> {
-                addresses.put(s.id(), s.address());
-                fixed.add(
-                    new Endpoint(s.id(), s.zone(), s.cell(), EndpointState.RUNNING, s.weight(), 0));
-              });
-      listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, fixed));
+      List<Endpoint> endpoints = new ArrayList<>();
+      for (StaticEndpoint each : settings.staticEndpoints()) {
+        addresses.put(each.id(), each.address());
+        endpoints.add(
+            new Endpoint(
+                each.id(), each.zone(), each.cell(), EndpointState.RUNNING, each.weight(), 0));
+      }
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
     }
     if (!settings.mustWatchEndpoints()) {
       watch();
     }
   }
 
-  Address address(String server) {
-    return addresses.get(server);
+  /** The address of an endpoint, or null when it is not known. */
+  Address address(String endpointId) {
+    return addresses.get(endpointId);
   }
 
-  /** Connects anew; the roster begins with its complete list. */
+  /** Opens the stream, or reopens it: the discovery server begins with a snapshot. */
   void watch() {
-    if (settings.address() != null && !closed) {
-      wanted = true;
+    if (settings.address() != null && !isClosed) {
+      isStarted = true;
       connect();
     }
   }
 
   private void connect() {
-    Object mine = new Object();
-    connection = mine;
-    resetStream();
-    RequestOptions options =
-        new RequestOptions()
-            .setMethod(HttpMethod.GET)
-            .setHost(settings.address().host())
-            .setPort(settings.address().port())
-            .setURI("/roster");
-    restartIdleTimer(mine);
-    http.request(options)
+    WatchStream previous = current;
+    WatchStream stream = new WatchStream();
+    current = stream; // First, so that what resetting the previous one causes is ignored.
+    previous.reset();
+    restartIdleTimer(stream);
+    httpClient
+        .request(
+            new RequestOptions()
+                .setMethod(HttpMethod.GET)
+                .setHost(settings.address().host())
+                .setPort(settings.address().port())
+                .setURI("/roster"))
         .compose(request -> request.send())
-        .onComplete(
-            answer -> {
-              if (connection != mine) {
-                answer.map(r -> r.request().reset());
-              } else if (answer.failed()) {
-                lost(mine, answer.cause().getMessage());
-              } else if (answer.result().statusCode() != 200) {
-                answer.result().request().reset();
-                lost(mine, "status " + answer.result().statusCode());
-              } else {
-                follow(mine, answer.result());
-              }
-            });
+        .onComplete(response -> onResponse(stream, response));
   }
 
-  private void follow(Object mine, HttpClientResponse answer) {
-    stream = answer.request();
-    boolean[] begun = {false};
-    RecordParser lines = RecordParser.newDelimited("\n", answer).maxRecordSize(MAX_LINE_BYTES);
-    lines.exceptionHandler(e -> lost(mine, e.getMessage()));
-    lines.endHandler(end -> lost(mine, "closed"));
+  private void onResponse(WatchStream stream, AsyncResult<HttpClientResponse> response) {
+    if (current != stream) {
+      if (response.succeeded()) {
+        var unused = response.result().request().reset(); // Another stream counts by now.
+      }
+    } else if (response.failed()) {
+      onLost(stream, response.cause().getMessage());
+    } else if (response.result().statusCode() != 200) {
+      stream.request = response.result().request();
+      onLost(stream, "status " + response.result().statusCode());
+    } else {
+      stream.request = response.result().request();
+      readLines(stream, response.result());
+    }
+  }
+
+  private void readLines(WatchStream stream, HttpClientResponse response) {
+    RecordParser lines = RecordParser.newDelimited("\n", response).maxRecordSize(MAX_LINE_BYTES);
+    lines.exceptionHandler(e -> onLost(stream, e.getMessage()));
+    lines.endHandler(end -> onLost(stream, "closed"));
     lines.handler(
         line -> {
-          if (connection != mine) {
-            return;
-          }
-          restartIdleTimer(mine);
-          if (line.length() > 0) {
-            try {
-              EndpointWatchMessage read = EndpointWatchMessage.parse(line.toString());
-              if (!begun[0] && read.kind() != EndpointUpdateKind.SNAPSHOT) {
-                throw new IllegalArgumentException("changes before a complete list");
-              }
-              begun[0] = true;
-              backoffMicros = INITIAL_BACKOFF_MICROS;
-              onMessage(read);
-            } catch (IllegalArgumentException e) {
-              lost(mine, e.getMessage());
-            }
+          if (current == stream) {
+            restartIdleTimer(stream);
+            onLine(stream, line);
           }
         });
   }
 
-  private void onMessage(EndpointWatchMessage line) {
-    if (line.kind() == EndpointUpdateKind.SNAPSHOT && line.endpoints().isEmpty()) {
-      LOG.warn("the roster lists nobody: kept what was known");
+  private void onLine(WatchStream stream, Buffer line) {
+    if (line.length() == 0) {
+      return; // A heartbeat.
+    }
+    try {
+      EndpointWatchCodec.Message message = EndpointWatchCodec.decode(line.toString());
+      if (!stream.hasSnapshot && message.kind() != EndpointUpdateKind.SNAPSHOT) {
+        throw new IllegalArgumentException("changes before a complete list");
+      }
+      stream.hasSnapshot = true;
+      backoffMicros = INITIAL_BACKOFF_MICROS;
+      onMessage(message);
+    } catch (IllegalArgumentException e) {
+      onLost(stream, e.getMessage());
+    }
+  }
+
+  private void onMessage(EndpointWatchCodec.Message message) {
+    boolean isSnapshot = message.kind() == EndpointUpdateKind.SNAPSHOT;
+    if (isSnapshot && message.endpoints().isEmpty()) {
+      LOG.warn("empty endpoint list ignored: address={}", settings.address());
       listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
       return;
     }
-    if (!line.duplicateIds().isEmpty()) {
-      LOG.warn("the roster names twice: {}", line.duplicateIds());
+    if (!message.duplicateIds().isEmpty()) {
+      LOG.warn("endpoints listed twice: ids={}", message.duplicateIds());
     }
-    addresses.putAll(line.addresses());
-    if (line.kind() == EndpointUpdateKind.SNAPSHOT) {
-      addresses.keySet().retainAll(line.addresses().keySet());
+    addresses.putAll(message.addresses());
+    if (isSnapshot) {
+      addresses.keySet().retainAll(message.addresses().keySet());
     }
-    line.endpoints().stream()
-        .filter(s -> s.state() == EndpointState.REMOVED)
-        .forEach(s -> addresses.remove(s.id()));
-    listener.accept(new EndpointUpdate(line.kind(), line.endpoints()));
+    message.endpoints().stream()
+        .filter(endpoint -> endpoint.state() == EndpointState.REMOVED)
+        .forEach(endpoint -> addresses.remove(endpoint.id()));
+    listener.accept(new EndpointUpdate(message.kind(), message.endpoints()));
   }
 
-  private void restartIdleTimer(Object mine) {
+  private void restartIdleTimer(WatchStream stream) {
     timers.cancel(idleTimer);
-    idleTimer = timers.schedule(settings.watchIdleTimeoutMicros(), () -> lost(mine, "silent"));
+    idleTimer = timers.schedule(settings.watchIdleTimeoutMicros(), () -> onLost(stream, "silent"));
   }
 
-  private void lost(Object which, String why) {
-    if (connection != which || closed || !wanted) {
+  private void onLost(WatchStream stream, String reason) {
+    if (current != stream || isClosed || !isStarted) {
       return;
     }
-    connection = new Object();
+    WatchStream next = new WatchStream();
+    current = next; // First, so that what resetting the lost one causes is ignored.
     timers.cancel(idleTimer);
-    resetStream();
+    stream.reset();
     LOG.warn(
-        "roster {} lost ({}), trying again in {} ms; the servers known stay",
+        "endpoint watch lost, reconnecting: address={} reason=\"{}\" backoff_ms={}",
         settings.address(),
-        why,
+        reason,
         backoffMicros / 1_000);
-    Object waiting = connection;
     timers.schedule(
         backoffMicros,
         () -> {
-          if (connection == waiting && !closed) {
+          if (current == next && !isClosed) {
             connect();
           }
         });
@@ -196,17 +224,11 @@
     }
   }
 
-  /** Gives up the stream that was followed, which may be half open or unreadable. */
-  private void resetStream() {
-    if (stream != null) {
-      stream.reset();
-      stream = null;
-    }
-  }
-
-  void close() {
-    closed = true;
+  /** Closes the stream and the client; closing it again has no effect. */
+  @Override
+  public void close() {
+    isClosed = true;
     timers.cancel(idleTimer);
-    http.close();
+    var unused = httpClient.close(); // The process or the event loop ends with it.
   }
 }
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -14,35 +14,35 @@
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import fawndock.settings.GatewaySettings;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.VerticleBase;
-import io.vertx.core.http.Http2Settings;
-import io.vertx.core.http.HttpServer;
-import io.vertx.core.http.HttpServerOptions;
+import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.RequestOptions;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One gatekeeper with its sockets, on one event loop; a process runs one or several. */
+/**
+ * One gateway instance on one event loop: the policy, the listener for clients, and the connections
+ * to backends, counter, discovery and peers. A process runs one or several.
+ */
 public final class GatewayVerticle extends VerticleBase
     implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
-  /**
-   * How often a host looks at its gatekeeper's timers: the least gap between two batches of events.
-   */
+  /** How often the policy's timers are looked at: the least gap between two batches of events. */
   private static final long TIMER_RESOLUTION_MICROS = 5_000;
 
+  private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 1_000;
   private static final Logger LOG = LoggerFactory.getLogger(GatewayVerticle.class);
   private final GatewaySettings settings;
   private final int instanceIndex;
-  private final int port;
+  private final int listenPort;
   private final AtomicInteger openConnections;
   private final Function<PolicyConfig, GatewayPolicy> policyFactory;
-  private HttpServer server;
+  private HttpServerListener listener;
   private BackendPools backendPools;
   private Timers timers;
   private PolicyRunner policyRunner;
@@ -51,52 +51,36 @@
   private EndpointWatch endpointWatch;
 
   /**
-   * A node that is not started yet.
+   * An instance that is not started yet.
    *
-   * @param me its number in the fleet
-   * @param port where it listens: that of the settings, or the free one that the first node got
-   * @param connections the connections that the process has open, all nodes together
-   * @param maker makes the decisions from the settings
+   * @param instanceIndex its index in the fleet
+   * @param listenPort that of the settings, or the free one that the first instance got
+   * @param openConnections of the process, all instances together
+   * @param policyFactory makes the policy from its configuration
    */
   GatewayVerticle(
       GatewaySettings settings,
-      int me,
-      int port,
-      AtomicInteger connections,
-      Function<PolicyConfig, GatewayPolicy> maker) {
+      int instanceIndex,
+      int listenPort,
+      AtomicInteger openConnections,
+      Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.settings = settings;
-    this.instanceIndex = me;
-    this.port = port;
-    this.openConnections = connections;
-    this.policyFactory = maker;
+    this.instanceIndex = instanceIndex;
+    this.listenPort = listenPort;
+    this.openConnections = openConnections;
+    this.policyFactory = policyFactory;
   }
 
   @Override
   public Future<?> start() {
     MicroClock clock = new MicroClock();
     timers = new Timers(vertx);
-    AccessLog answerLog = new AccessLog(instanceIndex, true);
+    AccessLog accessLog = new AccessLog(instanceIndex, true);
     backendPools = new BackendPools(vertx, settings);
     policyRunner =
         new PolicyRunner(
-            clock, timers, this, settings.limits().maxAttempts(), clock.now(), answerLog);
-    policyRunner.setPolicy(
-        policyFactory.apply(
-            new PolicyConfig(
-                instanceIndex,
-                settings.fleetSize(),
-                settings.seed() + instanceIndex,
-                TIMER_RESOLUTION_MICROS,
-                settings.zone(),
-                settings.discovery().mustWatchEndpoints(),
-                settings.classes(),
-                settings.plans(),
-                settings.limits(),
-                settings.rules(),
-                new CounterConfig(
-                    !settings.counter().isAbsent(),
-                    settings.counter().timeoutMicros(),
-                    settings.counter().settlesUnits()))));
+            clock, timers, this, settings.limits().maxAttempts(), clock.now(), accessLog);
+    policyRunner.setPolicy(policyFactory.apply(policyConfig()));
     counterClient =
         new CounterClient(vertx, context, settings.counter(), clock, timers, policyRunner::onEvent);
     peerMessenger =
@@ -106,63 +90,67 @@
                 vertx, settings.peers(), instanceIndex, clock, policyRunner::onEvent);
     endpointWatch = new EndpointWatch(vertx, settings.discovery(), timers, policyRunner::onEvent);
     endpointWatch.start();
-    HttpServerListener front = new HttpServerListener(settings, policyRunner, answerLog);
-    long longest =
-        settings.classes().stream().mapToLong(c -> c.deadlineMicros()).max().orElse(0) / 1_000_000;
-    server =
-        vertx
-            .createHttpServer(
-                new HttpServerOptions()
-                    .setHttp2ClearTextEnabled(true)
-                    .setTcpNoDelay(true)
-                    .setHandle100ContinueAutomatically(true)
-                    .setIdleTimeout((int) Math.max(120, 2 * longest))
-                    .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(1_000))
-                    .setHttp2RstFloodMaxRstFramePerWindow(20_000)
-                    .setHttp2RstFloodWindowDuration(60)
-                    .setHttp2RstFloodWindowDurationTimeUnit(TimeUnit.SECONDS))
-            .connectionHandler(
-                connection -> {
-                  if (openConnections.incrementAndGet() > settings.http().maxClientConnections()) {
-                    connection.close();
-                  }
-                  connection.closeHandler(closed -> openConnections.decrementAndGet());
-                })
-            .requestHandler(front::handle);
-    Future<?> heard = peerMessenger == null ? Future.succeededFuture() : peerMessenger.start();
-    // Roster and counter connect while it warms up: the first client then meets a gatekeeper that
-    // knows both.
-    return heard
+    listener =
+        new HttpServerListener(
+            vertx,
+            settings,
+            openConnections,
+            new RequestHandler(settings, policyRunner, accessLog));
+    Future<?> peersListening =
+        peerMessenger == null ? Future.succeededFuture() : peerMessenger.start();
+    // Discovery and counter connect during the warm-up, so that the policy knows both when the
+    // first client connects.
+    return peersListening
         .compose(any -> new WarmUp(vertx, settings, policyFactory).run())
-        .compose(any -> server.listen(port, settings.listen().host()))
+        .compose(any -> listener.listen(listenPort))
         .onSuccess(
-            s ->
+            port ->
                 LOG.info(
-                    "gatekeeper {} of {} listens on {}:{}",
+                    "gateway listening: instance={} fleet_size={} address={}:{}",
                     instanceIndex,
                     settings.fleetSize(),
                     settings.listen().host(),
-                    s.actualPort()));
+                    port));
+  }
+
+  private PolicyConfig policyConfig() {
+    return new PolicyConfig(
+        instanceIndex,
+        settings.fleetSize(),
+        settings.seed() + instanceIndex,
+        TIMER_RESOLUTION_MICROS,
+        settings.zone(),
+        settings.discovery().mustWatchEndpoints(),
+        settings.classes(),
+        settings.plans(),
+        settings.limits(),
+        settings.rules(),
+        new CounterConfig(
+            !settings.counter().isAbsent(),
+            settings.counter().timeoutMicros(),
+            settings.counter().settlesUnits()));
   }
 
   int port() {
-    return server.actualPort();
+    return listener.port();
   }
 
   /**
-   * No new connections; what is open gets its answer; then nothing is left. Completes within the
-   * stop time.
+   * Takes no new connections; completes when the requests in flight have their answers, or after
+   * the settings' drain timeout.
    */
   Future<Void> drain() {
     Promise<Void> drained = Promise.promise();
     context.runOnContext(
         v -> {
-          long millis = Math.max(1, settings.http().drainTimeoutMicros() / 1_000);
+          long timeoutMillis = Math.max(1, settings.http().drainTimeoutMicros() / 1_000);
           LOG.info(
-              "gatekeeper {} stops with {} requests open", instanceIndex, policyRunner.openCount());
-          Future<Void> closing = server.shutdown(millis, TimeUnit.MILLISECONDS);
+              "gateway draining: instance={} in_flight={}",
+              instanceIndex,
+              policyRunner.openCount());
+          Future<Void> closing = listener.shutdown(timeoutMillis);
           policyRunner.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
-          vertx.setTimer(millis, id -> drained.tryComplete());
+          vertx.setTimer(timeoutMillis, id -> drained.tryComplete());
         });
     return drained.future();
   }
@@ -179,14 +167,14 @@
   }
 
   @Override
-  public void addToCounter(AddToCounter count) {
-    counterClient.add(count);
+  public void addToCounter(AddToCounter action) {
+    counterClient.add(action);
   }
 
   @Override
-  public void sendPeerMessage(SendPeerMessage tell) {
+  public void sendPeerMessage(SendPeerMessage action) {
     if (peerMessenger != null) {
-      peerMessenger.send(tell);
+      peerMessenger.send(action);
     }
   }
 
@@ -201,8 +189,8 @@
   }
 
   @Override
-  public RequestOptions requestOptions(String id) {
-    Address address = endpointWatch.address(id);
+  public RequestOptions requestOptions(String endpointId) {
+    Address address = endpointWatch.address(endpointId);
     return address == null
         ? null
         : new RequestOptions().setHost(address.host()).setPort(address.port());
@@ -219,35 +207,38 @@
   }
 
   @Override
-  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new BackendAttempt(policyRunner, request, number, server, this);
+  public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
+    return new BackendAttempt(policyRunner, request, index, endpointId, this);
   }
 
   @Override
-  public void startHealthCheck(String server) {
-    long startedAt = policyRunner.clock().now();
-    RequestOptions target = requestOptions(server);
-    if (target == null) {
-      policyRunner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+  public void startHealthCheck(String endpointId) {
+    long startedAtMicros = policyRunner.clock().now();
+    RequestOptions options = requestOptions(endpointId);
+    if (options == null) {
+      policyRunner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, Map.of()));
       return;
     }
-    target.setURI("/healthz").setTimeout(1_000);
+    options.setURI("/healthz").setTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
     backendPools
-        .request(target)
-        .compose(r -> r.send())
-        .onComplete(
-            done ->
-                policyRunner.onEvent(
-                    new HealthCheckCompleted(
-                        server,
-                        policyRunner.clock().now() - startedAt,
-                        done.failed()
-                            ? CallResult.TIMEOUT
-                            : CallResults.ofStatus(done.result().statusCode()),
-                        done.failed()
-                            ? Map.of()
-                            : LoadReportParser.parse(
-                                    done.result().getHeader(LoadReportParser.HEADER))
-                                .load())));
+        .request(options)
+        .compose(request -> request.send())
+        .onComplete(response -> onHealthCheckResponse(endpointId, startedAtMicros, response));
+  }
+
+  private void onHealthCheckResponse(
+      String endpointId, long startedAtMicros, AsyncResult<HttpClientResponse> response) {
+    long latencyMicros = policyRunner.clock().now() - startedAtMicros;
+    policyRunner.onEvent(
+        new HealthCheckCompleted(
+            endpointId,
+            latencyMicros,
+            response.failed()
+                ? CallResult.TIMEOUT
+                : CallResults.ofStatus(response.result().statusCode()),
+            response.failed()
+                ? Map.of()
+                : LoadReportParser.parse(response.result().getHeader(LoadReportParser.HEADER))
+                    .load()));
   }
 }
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -102,7 +102,7 @@
                         .putHeader(LoadReportParser.HEADER, "TEXT cpu_utilization=0")
                         .end());
     HttpServer front =
-        vertx.createHttpServer().requestHandler(new HttpServerListener(own, host, silent)::handle);
+        vertx.createHttpServer().requestHandler(new RequestHandler(own, host, silent)::handle);
     HttpClient client = vertx.createHttpClient();
     Promise<Void> done = Promise.promise();
     vertx.setTimer(LIMIT_MILLIS, id -> done.tryComplete());
--- a/src/test/java/fawndock/gateway/WireNamesTest.java
+++ b/src/test/java/fawndock/gateway/WireNamesTest.java
@@ -131,8 +131,8 @@
     for (Map.Entry<String, EndpointUpdateKind> list :
         Map.of("complete", EndpointUpdateKind.SNAPSHOT, "changes", EndpointUpdateKind.CHANGES)
             .entrySet()) {
-      EndpointWatchMessage line =
-          EndpointWatchMessage.parse(
+      EndpointWatchCodec.Message line =
+          EndpointWatchCodec.decode(
               "{\"list\":\""
                   + list.getKey()
                   + "\",\"servers\":["
