--- a/src/jmh/java/fawndock/jmh/OneTry.java
+++ b/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
@@ -49,14 +49,14 @@
 @Warmup(iterations = 3, time = 2)
 @Measurement(iterations = 5, time = 2)
 @Fork(1)
-public class OneTry {
+public class PolicyBenchmark {
   private static final int CUSTOMERS = 200;
 
   /** Gatekeepers x servers. */
   @Param({"3x14", "190x300"})
   public String size;
 
-  private GatewayPolicy logic;
+  private GatewayPolicy policy;
   private final ArrayDeque<PolicyAction> todo = new ArrayDeque<>();
   private final ArrayDeque<Long> due = new ArrayDeque<>();
   private final ArrayDeque<PolicyTimer> timers = new ArrayDeque<>();
@@ -76,7 +76,7 @@
   @Setup
   public void start() {
     int gatekeepers = Integer.parseInt(size.split("x")[0]);
-    logic =
+    policy =
         new DefaultGatewayPolicy(
             new PolicyConfig(
                 0,
@@ -105,7 +105,7 @@
     for (int i = 0; i < Integer.parseInt(size.split("x")[1]); i++) {
       servers.add(new Endpoint("s" + i, "here", i / 4, EndpointState.RUNNING, 1, 0));
     }
-    take(logic.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, servers)));
+    take(policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, servers)));
   }
 
   private void take(List<PolicyAction> actions) {
@@ -114,15 +114,15 @@
 
   /** A request a millisecond; the counter takes half of one, the server five. */
   @Benchmark
-  public int one() {
+  public int request() {
     now += 1_000;
     while (!due.isEmpty() && due.peek() <= now) {
       due.poll();
-      take(logic.onEvent(now, new TimerFired(timers.poll())));
+      take(policy.onEvent(now, new TimerFired(timers.poll())));
     }
     id++;
     take(
-        logic.onEvent(
+        policy.onEvent(
             now,
             new RequestArrived(
                 id, "c", "p", "customer-" + id % CUSTOMERS, now + 2_000_000, 1, 2, 0, false)));
@@ -131,7 +131,7 @@
       done++;
       if (action instanceof AddToCounter c) {
         take(
-            logic.onEvent(
+            policy.onEvent(
                 now,
                 new CounterReply(
                     c.counterName(),
@@ -140,7 +140,7 @@
                     500)));
       } else if (action instanceof StartAttempt a) {
         take(
-            logic.onEvent(
+            policy.onEvent(
                 now,
                 new AttemptCompleted(
                     a.requestId(), 0, a.endpointId(), 5_000, CallResult.OK, true, 0, load)));
--- /dev/null
+++ b/src/main/java/fawndock/policy/RequestProfiles.java
@@ -0,0 +1,64 @@
+package fawndock.policy;
+
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The request classes and plans by name. Of one that the configuration does not name, nothing may
+ * be sent twice, and there is no quota.
+ */
+final class RequestProfiles {
+  private static final long DEFAULT_MICROS = 1_000_000;
+
+  private final Map<String, RequestClassState> requestClasses = new LinkedHashMap<>();
+  private final Map<String, Plan> plans = new LinkedHashMap<>();
+  private final long maxDeadlineMicros;
+  private final long maxLatencyObjectiveMicros;
+
+  RequestProfiles(PolicyConfig config) {
+    List<RequestClass> classes = config.requestClasses();
+    classes.forEach(each -> requestClasses.put(each.name(), new RequestClassState(each)));
+    config.plans().forEach(plan -> plans.put(plan.name(), plan));
+    maxDeadlineMicros =
+        classes.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(DEFAULT_MICROS);
+    maxLatencyObjectiveMicros =
+        classes.stream()
+            .mapToLong(RequestClass::latencyObjectiveMicros)
+            .max()
+            .orElse(DEFAULT_MICROS);
+  }
+
+  /** The longest latency objective of the configured classes. */
+  long maxLatencyObjectiveMicros() {
+    return maxLatencyObjectiveMicros;
+  }
+
+  RequestClassState requestClass(String name) {
+    return requestClasses.computeIfAbsent(name, this::unknownClass);
+  }
+
+  Plan plan(String name) {
+    return plans.computeIfAbsent(name, unknown -> new Plan(unknown, 0, 0, 0, 1, 0, 0, 0, 0, 0));
+  }
+
+  private RequestClassState unknownClass(String name) {
+    return new RequestClassState(
+        new RequestClass(
+            name,
+            maxDeadlineMicros,
+            0,
+            maxDeadlineMicros,
+            1,
+            0,
+            Idempotency.AT_MOST_ONCE,
+            DeduplicationScope.CELL,
+            0,
+            false));
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
@@ -0,0 +1,16 @@
+package fawndock.policy.quota;
+
+/**
+ * A cap on attempts in flight, held as a rate (Little's law): as many may start in a mean attempt's
+ * time as may be in flight, less their spread by chance. One call a request, and nothing to leak.
+ */
+final class ConcurrencyCap {
+  private ConcurrencyCap() {}
+
+  /** How many attempts may have started by this point of the window. */
+  static double limitAttempts(
+      double maxConcurrent, long windowMicros, double meanLatencyMicros, long nowMicros) {
+    double cap = maxConcurrent * (1 - 1 / Math.sqrt(maxConcurrent + 1));
+    return Math.max(1, cap) * Math.max(1, nowMicros % windowMicros / meanLatencyMicros);
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/DemandEstimator.java
@@ -0,0 +1,46 @@
+package fawndock.policy.quota;
+
+/**
+ * How much one customer asks of this instance, of late, compared with an even part of its quota.
+ */
+final class DemandEstimator {
+  /** Levels of demand, each twice the one below. */
+  static final int LEVELS = 6;
+
+  /** The level at which demand is the even part of the quota, up to twice that. */
+  private static final int EVEN_LEVEL = 3;
+
+  private static final double MEMORY_WINDOWS = 3;
+
+  private final long windowMicros;
+  private double demandUnits;
+  private long recordedAtMicros;
+
+  DemandEstimator(long windowMicros) {
+    this.windowMicros = windowMicros;
+  }
+
+  long recordedAtMicros() {
+    return recordedAtMicros;
+  }
+
+  double unitsPerWindow() {
+    return demandUnits / MEMORY_WINDOWS;
+  }
+
+  /**
+   * Takes in a request; returns the level of demand before it, from 0 to {@link #LEVELS} - 1.
+   *
+   * @param limitUnits what all requests of a window may come to
+   * @param instanceCount instances that the customer comes through
+   */
+  int record(double units, double limitUnits, int instanceCount, long nowMicros) {
+    double knownUnits =
+        demandUnits * Math.exp(-(nowMicros - recordedAtMicros) / (MEMORY_WINDOWS * windowMicros));
+    demandUnits = knownUnits + units;
+    recordedAtMicros = nowMicros;
+    double evenParts = knownUnits * instanceCount / (limitUnits * MEMORY_WINDOWS);
+    double level = EVEN_LEVEL + Math.floor(Math.log(evenParts) / Math.log(2));
+    return (int) Math.max(0, Math.min(LEVELS - 1, level));
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRule.java
@@ -0,0 +1,84 @@
+package fawndock.policy.quota;
+
+import fawndock.policy.EventContext;
+
+/** Whether a request is over one of its quotas: by the counter's total, or without it by risk. */
+final class OverQuotaRule {
+  private final EventContext context;
+  private final CounterThrottle throttle;
+  private final OverQuotaRisk risk;
+  private final PreviousWindowEstimate previousWindow;
+
+  OverQuotaRule(
+      EventContext context,
+      CounterThrottle throttle,
+      OverQuotaRisk risk,
+      PreviousWindowEstimate previousWindow) {
+    this.context = context;
+    this.throttle = throttle;
+    this.risk = risk;
+    this.previousWindow = previousWindow;
+  }
+
+  boolean isOverQuota(QuotaCharge charge) {
+    if (!charge.isTotalKnown()) {
+      return shouldRejectUncounted(charge);
+    }
+    boolean isOver = isOverByTotal(charge);
+    risk.record(charge, isOver);
+    return isOver;
+  }
+
+  private boolean isOverByTotal(QuotaCharge charge) {
+    SlidingWindowQuota quota = charge.quota();
+    long nowMicros = context.nowMicros();
+    double previousUnits =
+        charge.isInCurrentWindow() ? previousWindow.units(charge) : quota.current().totalUnits();
+    double totalUnits = charge.totalBeforeUnits();
+    return switch (quota.kind()) {
+      case RATE ->
+          quota.estimate(previousUnits, totalUnits, nowMicros) >= quota.limitUnits()
+              && !takeFromBucket(charge);
+      case CONCURRENCY -> totalUnits >= ProvenOverQuota.concurrencyLimit(charge, nowMicros);
+      case CEILING -> previousUnits + totalUnits + charge.units() > quota.limitUnits();
+    };
+  }
+
+  // After a burst the estimate stays at the limit while the plan's bucket fills again. May admit
+  // too much where a peer's sends went uncounted.
+  private boolean takeFromBucket(QuotaCharge charge) {
+    SlidingWindowQuota quota = charge.quota();
+    if (!charge.isInCurrentWindow()) {
+      return false;
+    }
+    long nowMicros = context.nowMicros();
+    double totalUnits = charge.totalBeforeUnits();
+    double previousUnits = quota.previous().totalUnits();
+    TokenBucketReplay bucket = quota.bucket();
+    if (bucket.isKnown()) {
+      bucket.replay(totalUnits, previousUnits, nowMicros);
+    } else {
+      double estimateUnits = quota.estimate(previousWindow.units(charge), totalUnits, nowMicros);
+      bucket.start(estimateUnits, totalUnits, previousUnits, nowMicros);
+    }
+    if (bucket.levelUnits() < charge.units()) {
+      return false;
+    }
+    bucket.take(charge.units());
+    return true;
+  }
+
+  // An unreachable counter, or one that failed by chance, admits; a throttled one if that earns
+  // more in the mean than it costs.
+  private boolean shouldRejectUncounted(QuotaCharge charge) {
+    if (charge.quota().kind() != QuotaKind.CEILING) {
+      return throttle.isThrottled() && !throttle.isCounterUnreachable() && risk.isTooHigh(charge);
+    }
+    double instanceCount = Math.max(1, charge.request().request().customerInstanceCount());
+    return !charge
+        .quota()
+        .localBucket()
+        .tryTake(
+            charge.units(), instanceCount, throttle.lastSignOfLifeMicros(), context.nowMicros());
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/PendingAdds.java
@@ -0,0 +1,79 @@
+package fawndock.policy.quota;
+
+import fawndock.policy.EventContext;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.event.PolicyTimer;
+import java.util.SplittableRandom;
+
+/**
+ * Adds and withdrawals without a call of their own: they go with the counter's next call, or alone
+ * after a delay; at once where hardly any call is to be expected in that time. So withdrawals do
+ * not keep the count of a customer that comes through many instances too high. May cost calls where
+ * demand just begins.
+ */
+final class PendingAdds {
+  private static final double FLUSH_DELAY_WINDOWS = 0.06;
+  private static final double FLUSH_DELAY_THROTTLED_WINDOWS = 0.3;
+
+  /** Units expected within the delay below which waiting for a call is of no use. */
+  private static final double MIN_EXPECTED_UNITS = 0.1;
+
+  private final EventContext context;
+  private final SplittableRandom random;
+  private final QuotaTable quotas;
+  private final CounterCalls calls;
+  private final CounterThrottle throttle;
+
+  PendingAdds(
+      EventContext context,
+      SplittableRandom random,
+      QuotaTable quotas,
+      CounterCalls calls,
+      CounterThrottle throttle) {
+    this.context = context;
+    this.random = random;
+    this.quotas = quotas;
+    this.calls = calls;
+    this.throttle = throttle;
+  }
+
+  /** Notes units to be added to a counter, negative ones to be taken back. */
+  void add(WindowCounter counter, double units) {
+    counter.addPending(units);
+    if (counter.pendingAddUnits() == 0
+        || counter.isFlushScheduled()
+        || counter.isExpired(context.nowMicros())) {
+      return;
+    }
+    boolean isThrottled = throttle.isThrottledOrRecovering();
+    double expectedUnits = counter.quota().demand().unitsPerWindow() * FLUSH_DELAY_WINDOWS;
+    if (!isThrottled && expectedUnits < MIN_EXPECTED_UNITS) {
+      calls.send(counter, 0);
+      return;
+    }
+    counter.setFlushScheduled(true);
+    double delayWindows =
+        (isThrottled ? FLUSH_DELAY_THROTTLED_WINDOWS : FLUSH_DELAY_WINDOWS)
+            * (1 + random.nextDouble());
+    long delayMicros = Math.max(1, (long) (delayWindows * counter.quota().windowMicros()));
+    context.emit(new ScheduleTimer(delayMicros, new PolicyTimer.FlushPendingAdds(counter.name())));
+  }
+
+  /** Sends what is still pending for a counter, unless throttled: then it waits once more. */
+  void flush(String counterName) {
+    WindowCounter counter = quotas.counter(counterName);
+    if (counter == null) {
+      return;
+    }
+    counter.setFlushScheduled(false);
+    if (counter.pendingAddUnits() == 0 || counter.isExpired(context.nowMicros())) {
+      return;
+    }
+    if (!throttle.isThrottled() || throttle.shouldCall(throttle.samplingRate())) {
+      throttle.recordCall();
+      calls.send(counter, 0);
+    } else {
+      add(counter, 0);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -0,0 +1,233 @@
+package fawndock.policy.quota;
+
+import fawndock.policy.EventContext;
+import fawndock.policy.PendingRequest;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.deadline.Deadlines;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.policy.event.PolicyTimer;
+import java.util.SplittableRandom;
+
+/**
+ * Takes a request through its quotas: calls the counter, waits for the totals, gives the verdict.
+ * Each step is a rule of its own in this package.
+ */
+public final class QuotaAdmission {
+  private static final QuotaKind[] KINDS = QuotaKind.values();
+  private static final QuotaKind[] NO_KINDS = {};
+
+  private final EventContext context;
+  private final Deadlines deadlines;
+  private final boolean settlesUnits;
+  private final QuotaKind[] kinds;
+  private final QuotaTable quotas;
+  private final CounterCalls calls;
+  private final CounterThrottle throttle;
+  private final PendingAdds pendingAdds;
+  private final OverQuotaRisk risk;
+  private final ProvenOverQuota provenOverQuota;
+  private final PreviousWindowEstimate previousWindow;
+  private final OverQuotaRule overQuotaRule;
+  private final QuotaCharging charging;
+
+  /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
+  public QuotaAdmission(
+      EventContext context,
+      SplittableRandom random,
+      PolicyConfig config,
+      Deadlines deadlines,
+      long maxLatencyObjectiveMicros) {
+    this.context = context;
+    this.deadlines = deadlines;
+    this.settlesUnits = config.counter().settlesUnits();
+    this.kinds = config.counter().isPresent() ? KINDS : NO_KINDS;
+    this.quotas = new QuotaTable(context, maxLatencyObjectiveMicros);
+    this.calls = new CounterCalls(context);
+    this.throttle = new CounterThrottle(context, random, calls, config);
+    this.pendingAdds = new PendingAdds(context, random, quotas, calls, throttle);
+    this.risk = new OverQuotaRisk(context);
+    this.provenOverQuota = new ProvenOverQuota(context);
+    this.previousWindow = new PreviousWindowEstimate(context, throttle);
+    this.overQuotaRule = new OverQuotaRule(context, throttle, risk, previousWindow);
+    this.charging = new QuotaCharging(throttle, risk, provenOverQuota, calls, pendingAdds);
+  }
+
+  /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
+  public QuotaVerdict start(PendingRequest request) {
+    for (QuotaKind kind : kinds) {
+      SlidingWindowQuota quota = quotas.find(request, kind);
+      if (quota == null) {
+        continue;
+      }
+      QuotaCharge charge = charge(request, quota);
+      request.putCharge(kind, charge);
+      if (throttle.isThrottled()
+          && !throttle.isCounterUnreachable()
+          && provenOverQuota.isProven(charge)) {
+        return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(charge, context.nowMicros()));
+      }
+    }
+    callCounters(request);
+    if (request.pendingCounterCalls() == 0 || throttle.isCounterUnreachable()) {
+      return decide(request);
+    }
+    context.scheduleAt(
+        context.nowMicros() + deadlines.counterWaitMicros(request),
+        new PolicyTimer.CounterWaitTimeout(request.id()));
+    return QuotaVerdict.UNDECIDED;
+  }
+
+  private QuotaCharge charge(PendingRequest request, SlidingWindowQuota quota) {
+    boolean isConcurrency = quota.kind() == QuotaKind.CONCURRENCY;
+    double units = isConcurrency ? 1 : request.request().units();
+    double limitUnits =
+        quota.limitUnits()
+            * (isConcurrency
+                ? quota.windowMicros() / request.requestClass().meanLatencyMicros()
+                : 1);
+    int instanceCount = request.request().customerInstanceCount();
+    int demandLevel = quota.demand().record(units, limitUnits, instanceCount, context.nowMicros());
+    return new QuotaCharge(request, quota, units, demandLevel);
+  }
+
+  private void callCounters(PendingRequest request) {
+    boolean hasCeiling = request.charge(QuotaKind.CEILING) != null;
+    double samplingRate = hasCeiling ? 1 : throttle.samplingRate();
+    double callChance = throttle.callChance(samplingRate);
+    if (!throttle.shouldCall(samplingRate)) {
+      return;
+    }
+    throttle.recordCall();
+    for (QuotaCharge charge : request.charges()) {
+      charge.setCounted(charging.unitsToAdd(charge, callChance));
+      waitFor(calls.send(charge.counter(), charge.countedUnits()), request);
+      if (charge.quota().kind() == QuotaKind.CEILING) {
+        readPreviousWindow(charge);
+      }
+    }
+  }
+
+  private void readPreviousWindow(QuotaCharge charge) {
+    WindowCounter previous = charge.quota().previous();
+    if (previous.isReadAfterClose()) {
+      return;
+    }
+    if (previous.readInFlight() == null) {
+      previous.setReadInFlight(calls.send(previous, 0));
+    }
+    waitFor(previous.readInFlight(), charge.request());
+  }
+
+  private static void waitFor(CounterCall call, PendingRequest request) {
+    call.waiters().add(request);
+    request.onCounterCallStarted();
+  }
+
+  /** Takes in the end of a counter call; returns the call, or null where none was in flight. */
+  public CounterCall onCounterReply(CounterReply reply) {
+    CounterCall call = calls.complete(reply.counterName());
+    if (call == null) {
+      return null;
+    }
+    WindowCounter counter = call.counter();
+    boolean isPreviousRead = counter.readInFlight() == call;
+    throttle.recordReply(reply);
+    if (isPreviousRead) {
+      counter.setReadInFlight(null);
+    }
+    if (hasTotal(reply)) {
+      if (isPreviousRead) {
+        counter.markReadAfterClose();
+      }
+      if (counter.applyTotal(call.addedUnits(), reply.total())) {
+        calls.send(counter, 0);
+      }
+    } else if (!reply.result().mayHaveTakenEffect) {
+      pendingAdds.add(counter, call.addedUnits()); // Surely not added.
+    }
+    return call;
+  }
+
+  private static boolean hasTotal(CounterReply reply) {
+    return reply.result() == CallResult.OK && Double.isFinite(reply.total());
+  }
+
+  /** Takes a request on that waited for a call which has ended. */
+  public QuotaVerdict onCallCompleted(
+      CounterCall call, CounterReply reply, PendingRequest request) {
+    if (hasTotal(reply)) {
+      applyTotal(call, request);
+    }
+    request.onCounterCallCompleted();
+    if (request.pendingCounterCalls() > 0 || request.isQuotaDecided()) {
+      return QuotaVerdict.UNDECIDED;
+    }
+    QuotaCharge rate = request.charge(QuotaKind.RATE);
+    if (rate != null && !throttle.isThrottledOrRecovering() && previousWindow.canTipVerdict(rate)) {
+      readPreviousWindow(rate);
+    }
+    return request.pendingCounterCalls() == 0 ? decide(request) : QuotaVerdict.UNDECIDED;
+  }
+
+  private void applyTotal(CounterCall call, PendingRequest request) {
+    WindowCounter counter = call.counter();
+    SlidingWindowQuota quota = counter.quota();
+    QuotaCharge charge = request.charge(quota.kind());
+    if (charge.counter() != counter || charge.isTotalKnown()) {
+      return;
+    }
+    charge.setTotalBefore(counter.totalUnits() - call.requestUnits());
+    if (quota.kind() == QuotaKind.RATE && charge.isInCurrentWindow() && quota.bucket().isKnown()) {
+      quota
+          .bucket()
+          .replay(charge.totalBeforeUnits(), quota.previous().totalUnits(), context.nowMicros());
+    }
+  }
+
+  /** Gives the verdict with what is known by now. */
+  public QuotaVerdict decide(PendingRequest request) {
+    QuotaCharge overQuota = null;
+    for (QuotaCharge charge : request.charges()) {
+      if (overQuotaRule.isOverQuota(charge)) {
+        overQuota = charge;
+      }
+    }
+    if (overQuota != null) {
+      return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(overQuota, context.nowMicros()));
+    }
+    for (QuotaCharge charge : request.charges()) {
+      charging.countAdmitted(charge);
+    }
+    return QuotaVerdict.ADMITTED;
+  }
+
+  /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
+  public double expectedLoss(PendingRequest request) {
+    QuotaCharge rate = request.charge(QuotaKind.RATE);
+    boolean isCertain = rate == null || !throttle.isThrottled() || rate.isTotalKnown();
+    return isCertain ? 0 : risk.expectedLoss(rate);
+  }
+
+  /** Notes that a request is forwarded for the first time. */
+  public void recordSent(PendingRequest request) {
+    charging.recordSent(request);
+  }
+
+  /** Takes back what was added for a request that was never forwarded. */
+  public void release(PendingRequest request) {
+    charging.release(request);
+  }
+
+  /** Takes in the units that a successful answer settled, where the site settles them. */
+  public void settle(PendingRequest request, double settledUnits) {
+    if (settlesUnits) {
+      charging.settle(request, settledUnits);
+    }
+  }
+
+  /** Sends what is still pending for a counter. */
+  public void flushPendingAdds(String counterName) {
+    pendingAdds.flush(counterName);
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/quota/QuotaTable.java
@@ -0,0 +1,100 @@
+package fawndock.policy.quota;
+
+import fawndock.policy.EventContext;
+import fawndock.policy.PendingRequest;
+import fawndock.policy.config.Plan;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The quotas of the customers met of late, and their counters by name. Customers without a request
+ * for so long that nothing known of them counts for much are forgotten; may forget the risk of one
+ * that comes in rare bursts.
+ */
+final class QuotaTable {
+  /** The counter service keeps a name for 60 s, which is two windows. */
+  private static final long MAX_WINDOW_MICROS = 30_000_000;
+
+  private static final long FORGET_AFTER_WINDOWS = 12;
+  private static final int MAX_FORGOTTEN_PER_LOOKUP = 2;
+
+  private final EventContext context;
+  private final long concurrencyWindowMicros;
+
+  /** The longest unused first. */
+  private final Map<String, SlidingWindowQuota> quotas = new LinkedHashMap<>(64, 0.75f, true);
+
+  private final Map<String, WindowCounter> counters = new LinkedHashMap<>();
+
+  /** A table of no customers; the window of concurrency caps is the longest latency objective. */
+  QuotaTable(EventContext context, long maxLatencyObjectiveMicros) {
+    this.context = context;
+    this.concurrencyWindowMicros = Math.min(MAX_WINDOW_MICROS, maxLatencyObjectiveMicros);
+  }
+
+  /** The counter of this name, or null where it is forgotten. */
+  WindowCounter counter(String name) {
+    return counters.get(name);
+  }
+
+  /** The quota of a request's customer, in its present window; null where its plan sets none. */
+  SlidingWindowQuota find(PendingRequest request, QuotaKind kind) {
+    Plan plan = request.plan();
+    if (!kind.isSetBy(plan)) {
+      return null;
+    }
+    String prefix = kind.counterNamePrefix(request.request().customer());
+    forgetUnused();
+    SlidingWindowQuota quota = quotas.computeIfAbsent(prefix, name -> create(kind, name, plan));
+    startWindow(quota);
+    return quota;
+  }
+
+  private SlidingWindowQuota create(QuotaKind kind, String prefix, Plan plan) {
+    return switch (kind) {
+      case RATE -> create(kind, prefix, plan.burstUnits(), plan.unitsPerSecond());
+      case CEILING -> create(kind, prefix, plan.ceilingBurstUnits(), plan.ceilingUnitsPerSecond());
+      case CONCURRENCY ->
+          new SlidingWindowQuota(kind, prefix, concurrencyWindowMicros, plan.maxConcurrent());
+    };
+  }
+
+  private static SlidingWindowQuota create(
+      QuotaKind kind, String prefix, double burstUnits, double unitsPerSecond) {
+    double seconds =
+        Math.min(MAX_WINDOW_MICROS / 1e6, burstUnits > 0 ? burstUnits / unitsPerSecond : 1);
+    long windowMicros = Math.max(1, (long) (seconds * 1e6));
+    return new SlidingWindowQuota(kind, prefix, windowMicros, unitsPerSecond * seconds);
+  }
+
+  private void startWindow(SlidingWindowQuota quota) {
+    long windowIndex = context.nowMicros() / quota.windowMicros();
+    if (quota.isCurrent(windowIndex)) {
+      return;
+    }
+    if (quota.previous() != null) {
+      counters.remove(quota.previous().name());
+    }
+    if (quota.current() != null && !quota.isCurrent(windowIndex - 1)) {
+      counters.remove(quota.current().name());
+    }
+    quota.startWindow(windowIndex, context.nowMicros());
+    counters.put(quota.previous().name(), quota.previous());
+    counters.put(quota.current().name(), quota.current());
+  }
+
+  private void forgetUnused() {
+    Iterator<SlidingWindowQuota> oldest = quotas.values().iterator();
+    for (int i = 0; i < MAX_FORGOTTEN_PER_LOOKUP && oldest.hasNext(); i++) {
+      SlidingWindowQuota quota = oldest.next();
+      long unusedMicros = context.nowMicros() - quota.demand().recordedAtMicros();
+      if (unusedMicros < FORGET_AFTER_WINDOWS * quota.windowMicros()) {
+        return;
+      }
+      oldest.remove();
+      counters.remove(quota.current().name());
+      counters.remove(quota.previous().name());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/retry/IdempotencyRules.java
@@ -0,0 +1,78 @@
+package fawndock.policy.retry;
+
+import fawndock.policy.Attempt;
+import fawndock.policy.PendingRequest;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.event.Endpoint;
+import java.util.List;
+
+/** What a request's idempotency allows after attempts that may have taken effect. */
+public final class IdempotencyRules {
+  private static final int DEDUPLICATION_MARGIN_ROUND_TRIPS = 2;
+
+  private final long deduplicationMarginMicros;
+
+  /** The round trip is that to an endpoint, in microseconds. */
+  public IdempotencyRules(long roundTripMicros) {
+    this.deduplicationMarginMicros = DEDUPLICATION_MARGIN_ROUND_TRIPS * roundTripMicros;
+  }
+
+  /** Whether the request may be sent again. */
+  public boolean allowsRetry(PendingRequest request, long nowMicros) {
+    return switch (request.requestClass().config().idempotency()) {
+      case IDEMPOTENT -> true;
+      case DEDUPLICATED -> isWithinDeduplicationWindow(request, nowMicros);
+      case AT_MOST_ONCE -> !RetryPolicy.mayHaveTakenEffect(request);
+    };
+  }
+
+  private boolean isWithinDeduplicationWindow(PendingRequest request, long nowMicros) {
+    for (Attempt attempt : request.attempts()) {
+      if (attempt.mayHaveTakenEffect()) {
+        long windowMicros = request.requestClass().config().deduplicationWindowMicros();
+        return attempt.startedAtMicros() + windowMicros > nowMicros + deduplicationMarginMicros;
+      }
+    }
+    return true;
+  }
+
+  /** Whether the endpoint drops a repeat of what earlier attempts may have done elsewhere. */
+  public boolean allowsEndpoint(PendingRequest request, Endpoint endpoint, long nowMicros) {
+    RequestClass requestClass = request.requestClass().config();
+    if (requestClass.idempotency() != Idempotency.DEDUPLICATED) {
+      return true;
+    }
+    if (!allowsRetry(request, nowMicros)) {
+      return false;
+    }
+    DeduplicationScope scope = requestClass.deduplicationScope();
+    List<Attempt> attempts = request.attempts();
+    for (int i = 0; i < attempts.size(); i++) {
+      Attempt attempt = attempts.get(i);
+      if (attempt.mayHaveTakenEffect()
+          && !isSameScope(scope, attempt.endpoint().info(), endpoint)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private static boolean isSameScope(DeduplicationScope scope, Endpoint one, Endpoint other) {
+    return switch (scope) {
+      case ALL -> true;
+      case ZONE -> one.zone().equals(other.zone());
+      case CELL -> one.cell() == other.cell() && one.zone().equals(other.zone());
+    };
+  }
+
+  /** Whether the request may be rejected, which says that trying again is harmless. */
+  public boolean allowsReject(PendingRequest request) {
+    RequestClass requestClass = request.requestClass().config();
+    return requestClass.idempotency() == Idempotency.IDEMPOTENT
+        || !RetryPolicy.mayHaveTakenEffect(request)
+        || (requestClass.idempotency() == Idempotency.DEDUPLICATED
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL);
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
@@ -0,0 +1,77 @@
+package fawndock.policy.routing;
+
+import fawndock.policy.Attempt;
+import fawndock.policy.EventContext;
+import fawndock.policy.PendingRequest;
+import fawndock.policy.RequestClassState;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+
+/** What the end of an attempt, or its lateness, says of its endpoint and of the load on all. */
+final class AttemptOutcomes {
+  /** A late or lost answer, and a failure at the least, count as one at the latency objective. */
+  private static final double OBJECTIVE_RATIO = 1;
+
+  private final EventContext context;
+  private final ConcurrencyLimiter limiter;
+
+  AttemptOutcomes(EventContext context, ConcurrencyLimiter limiter) {
+    this.context = context;
+    this.limiter = limiter;
+  }
+
+  void record(Attempt attempt, AttemptCompleted completed, RequestClassState requestClass) {
+    double latencyRatio =
+        (double) completed.latencyMicros() / requestClass.config().latencyObjectiveMicros();
+    switch (completed.result()) {
+      case OK -> {
+        attempt.endpoint().outlierDetector().recordSuccess();
+        recordLatency(attempt.endpoint(), latencyRatio);
+        requestClass.recordLatency(completed.latencyMicros());
+        limiter.recordLatency(latencyRatio, attempt.inFlightAtStart());
+      }
+      case ERROR, TIMEOUT, RESET, CONNECT_FAILED ->
+          recordFailure(attempt.endpoint(), completed.result(), latencyRatio);
+      case SHED -> limiter.recordLatency(OBJECTIVE_RATIO, attempt.inFlightAtStart());
+      case CANCELLED, NOT_SENT -> {
+        // Says nothing of the endpoint.
+      }
+    }
+  }
+
+  // An endpoint that fails fast would look quick and draw the traffic. May spare a good one whose
+  // requests are at fault.
+  private void recordFailure(TrackedEndpoint endpoint, CallResult result, double latencyRatio) {
+    double minRatio =
+        result == CallResult.ERROR ? Math.max(OBJECTIVE_RATIO, latencyRatio) : latencyRatio;
+    recordLatency(endpoint, Math.max(minRatio, endpoint.latency().recordedRatio()));
+    endpoint.outlierDetector().recordFailure(context.nowMicros());
+  }
+
+  /**
+   * Attempts in flight for longer than the latency objective are late or lost: they no longer count
+   * against the concurrency limit, and their endpoints count as slow. Where work goes on that long
+   * at all endpoints, the limit falls by the late answers that do come.
+   */
+  void recordOverdue(PendingRequest request) {
+    long objectiveMicros = request.requestClass().config().latencyObjectiveMicros();
+    for (Attempt attempt : request.attempts()) {
+      if (!attempt.isCompleted()
+          && context.nowMicros() - attempt.startedAtMicros() >= objectiveMicros) {
+        releaseCapacity(attempt, request);
+        LatencyEstimator latency = attempt.endpoint().latency();
+        recordLatency(attempt.endpoint(), Math.max(OBJECTIVE_RATIO, latency.recordedRatio()));
+      }
+    }
+  }
+
+  /** An attempt no longer counts against the concurrency limit. */
+  void releaseCapacity(Attempt attempt, PendingRequest request) {
+    limiter.onAttemptCompleted(attempt.isOverdue() ? 0 : request.weight());
+    attempt.markOverdue();
+  }
+
+  private void recordLatency(TrackedEndpoint endpoint, double latencyRatio) {
+    endpoint.latency().record(latencyRatio, context.nowMicros());
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/routing/EndpointRouter.java
@@ -0,0 +1,86 @@
+package fawndock.policy.routing;
+
+import fawndock.policy.Attempt;
+import fawndock.policy.EventContext;
+import fawndock.policy.PendingRequest;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.PolicyTimer;
+import fawndock.policy.retry.IdempotencyRules;
+import java.util.SplittableRandom;
+
+/**
+ * Sends attempts to endpoints and learns from how they end. Each step is a rule of its own in this
+ * package.
+ */
+public final class EndpointRouter {
+  private final EventContext context;
+  private final ConcurrencyLimiter limiter;
+  private final EndpointTable endpoints;
+  private final EndpointSelector selector;
+  private final AttemptOutcomes outcomes;
+
+  /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
+  public EndpointRouter(
+      EventContext context,
+      SplittableRandom random,
+      PolicyConfig config,
+      IdempotencyRules idempotency,
+      long maxLatencyObjectiveMicros) {
+    this.context = context;
+    this.limiter = new ConcurrencyLimiter(config.instanceCount());
+    this.endpoints = new EndpointTable(context, limiter, config);
+    this.outcomes = new AttemptOutcomes(context, limiter);
+    this.selector =
+        new EndpointSelector(
+            context,
+            random,
+            endpoints,
+            new EndpointSubset(config.instanceIndex(), config.instanceCount()),
+            limiter,
+            new SlowStart(config.rules()),
+            idempotency,
+            maxLatencyObjectiveMicros);
+  }
+
+  /** Takes in what discovery says. */
+  public void onEndpointUpdate(EndpointUpdate update) {
+    endpoints.onUpdate(update);
+  }
+
+  /** The endpoint for a request's next attempt, or null where none may take it now. */
+  public TrackedEndpoint select(PendingRequest request) {
+    return selector.select(request);
+  }
+
+  /** Sends an attempt to an endpoint. */
+  public void startAttempt(PendingRequest request, TrackedEndpoint endpoint) {
+    long nowMicros = context.nowMicros();
+    double inFlight = limiter.onAttemptStarted(request.weight());
+    request.addAttempt(new Attempt(endpoint, nowMicros, inFlight));
+    endpoint.onAttemptStarted(request.weight(), nowMicros);
+    context.emit(
+        new StartAttempt(request.id(), endpoint.info().id(), request.request().deadlineAtMicros()));
+    context.scheduleAt(
+        nowMicros + request.requestClass().config().latencyObjectiveMicros(),
+        new PolicyTimer.LatencyObjectiveExceeded(request.id()));
+  }
+
+  /** Takes in the end of an attempt. */
+  public void completeAttempt(PendingRequest request, Attempt attempt, AttemptCompleted completed) {
+    attempt.complete(completed.result());
+    request.onAttemptCompleted();
+    TrackedEndpoint endpoint = attempt.endpoint();
+    endpoint.onAttemptCompleted(request.weight(), attempt.startedAtMicros());
+    outcomes.releaseCapacity(attempt, request);
+    outcomes.record(attempt, completed, request.requestClass());
+    endpoint.reportedLoad().record(completed.load(), endpoint.inFlight(), context.nowMicros());
+  }
+
+  /** Takes in that the request's attempts may be late by now. */
+  public void onLatencyObjectiveExceeded(PendingRequest request) {
+    outcomes.recordOverdue(request);
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/policy/routing/EndpointTable.java
@@ -0,0 +1,56 @@
+package fawndock.policy.routing;
+
+import fawndock.policy.EventContext;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.WatchEndpoints;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyTimer;
+import java.util.List;
+import java.util.TreeMap;
+
+/** The endpoints as discovery lists them, with those that still have attempts in flight. */
+final class EndpointTable {
+  /** Of the time within which discovery must be watched: when to retry after a failure. */
+  private static final int WATCH_RETRIES = 8;
+
+  private final EventContext context;
+  private final ConcurrencyLimiter limiter;
+  private final long watchRetryMicros;
+  private final boolean mustWatchEndpoints;
+  private final TreeMap<String, TrackedEndpoint> endpoints = new TreeMap<>();
+  private List<TrackedEndpoint> running = List.of();
+
+  EndpointTable(EventContext context, ConcurrencyLimiter limiter, PolicyConfig config) {
+    this.context = context;
+    this.limiter = limiter;
+    this.watchRetryMicros = Math.max(1, config.rules().watchWithinMicros() / WATCH_RETRIES);
+    this.mustWatchEndpoints = config.mustWatchEndpoints();
+  }
+
+  /** The endpoints that take new work, by id. */
+  List<TrackedEndpoint> running() {
+    return running;
+  }
+
+  void onUpdate(EndpointUpdate update) {
+    if (update.kind() == EndpointUpdateKind.FAILED) {
+      context.emit(new ScheduleTimer(watchRetryMicros, new PolicyTimer.RewatchEndpoints()));
+      return;
+    }
+    if (update.kind() != EndpointUpdateKind.CHANGES) {
+      endpoints.values().forEach(TrackedEndpoint::markNotListed);
+    }
+    for (Endpoint endpoint : update.endpoints()) {
+      endpoints.computeIfAbsent(endpoint.id(), id -> new TrackedEndpoint()).update(endpoint);
+    }
+    limiter.initialize(endpoints.size());
+    endpoints.values().removeIf(endpoint -> !endpoint.isRunning() && !endpoint.hasInFlight());
+    running = endpoints.values().stream().filter(TrackedEndpoint::isRunning).toList();
+    if (update.kind() == EndpointUpdateKind.CACHED && mustWatchEndpoints) {
+      context.emit(new WatchEndpoints());
+    }
+  }
+}
--- a/src/test/java/fawndock/policy/EmbeddingExampleTest.java
+++ b/src/test/java/fawndock/policy/EmbeddingExampleTest.java
@@ -83,7 +83,7 @@
       }
     }
     // end of example
-    assertEquals("server-1", Rig.one(StartAttempt.class, others).endpointId());
+    assertEquals("server-1", PolicyHarness.single(StartAttempt.class, others).endpointId());
     String page = Files.readString(Path.of("docs/embedding.md"));
     String source =
         Files.readString(Path.of("src/test/java/fawndock/policy/EmbeddingExampleTest.java"));
--- a/src/test/java/fawndock/policy/FleetTest.java
+++ b/src/test/java/fawndock/policy/FleetTest.java
@@ -1,6 +1,6 @@
 package fawndock.policy;
 
-import static fawndock.policy.Rig.only;
+import static fawndock.policy.PolicyHarness.allOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -29,11 +29,12 @@
 class FleetTest {
   private static final int GATEKEEPERS = 300;
   private static final int SERVERS = 60;
-  private long now = 100 * Rig.SECOND;
+  private long now = 100 * PolicyHarness.SECOND_MICROS;
   private final List<GatewayPolicy> fleet = new ArrayList<>();
 
   private void start(int gatekeepers, List<Endpoint> servers) {
-    PolicyConfig s = Rig.settings(Rig.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false);
+    PolicyConfig s =
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false);
     for (int i = 0; i < gatekeepers; i++) {
       fleet.add(
           new DefaultGatewayPolicy(
@@ -54,26 +55,26 @@
   }
 
   private List<StartAttempt> on(int gatekeeper, PolicyEvent event) {
-    return only(StartAttempt.class, fleet.get(gatekeeper).onEvent(now, event));
+    return allOf(StartAttempt.class, fleet.get(gatekeeper).onEvent(now, event));
   }
 
   private static List<Endpoint> warm(int count) {
     List<Endpoint> servers = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      servers.add(Rig.server("s" + i, EndpointState.RUNNING, 0));
+      servers.add(PolicyHarness.endpoint("s" + i, EndpointState.RUNNING, 0));
     }
     return servers;
   }
 
   private RequestArrived request(long id) {
     return new RequestArrived(
-        id, "class", "plan", "customer", now + 3 * Rig.SECOND, 1, 2, 0, false);
+        id, "class", "plan", "customer", now + 3 * PolicyHarness.SECOND_MICROS, 1, 2, 0, false);
   }
 
   @Test
   void hundredsOfGatekeepersSendAColdServerItsShareOnly() {
     List<Endpoint> servers = warm(SERVERS);
-    servers.set(17, Rig.server("s17", EndpointState.RUNNING, now));
+    servers.set(17, PolicyHarness.endpoint("s17", EndpointState.RUNNING, now));
     start(GATEKEEPERS, servers);
     int cold = 0;
     int all = 0;
@@ -162,7 +163,7 @@
       id++;
     }
     assertTrue(id > 1, "no room at all");
-    now += Rig.SECOND;
+    now += PolicyHarness.SECOND_MICROS;
     for (long out = 1; out < id; out++) {
       on(0, new TimerFired(new PolicyTimer.LatencyObjectiveExceeded(out)));
     }
@@ -173,7 +174,7 @@
   void allServersColdTakeLittle() {
     List<Endpoint> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      servers.add(Rig.server("s" + i, EndpointState.RUNNING, now));
+      servers.add(PolicyHarness.endpoint("s" + i, EndpointState.RUNNING, now));
     }
     start(40, servers);
     int sent = 0;
--- a/src/test/java/fawndock/policy/Rig.java
+++ b/src/test/java/fawndock/policy/PolicyHarness.java
@@ -22,25 +22,25 @@
 import java.util.Map;
 
 /** Settings, events and a short hand for the tests of one gatekeeper. */
-final class Rig {
-  static final long SECOND = 1_000_000;
-  final DefaultGatewayPolicy logic;
-  long now = 100 * SECOND;
+final class PolicyHarness {
+  static final long SECOND_MICROS = 1_000_000;
+  final DefaultGatewayPolicy policy;
+  long nowMicros = 100 * SECOND_MICROS;
 
-  Rig(PolicyConfig settings, String... servers) {
-    logic = new DefaultGatewayPolicy(settings);
+  PolicyHarness(PolicyConfig settings, String... servers) {
+    policy = new DefaultGatewayPolicy(settings);
     List<Endpoint> list = new ArrayList<>();
     for (String id : servers) {
-      list.add(server(id, EndpointState.RUNNING, 0));
+      list.add(endpoint(id, EndpointState.RUNNING, 0));
     }
-    on(new EndpointUpdate(EndpointUpdateKind.CACHED, list));
+    onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, list));
   }
 
   static Plan ratePlan(double rate, double store) {
     return new Plan("plan", rate, store, 0, 1, 0, 1, 0, 0, 0);
   }
 
-  static Plan openPlan(int open) {
+  static Plan concurrencyPlan(int open) {
     return new Plan("plan", 0, 0, open, 1, 0, 1, 0, 0, 0);
   }
 
@@ -48,15 +48,24 @@
     return new Plan("plan", 0, 0, 0, 1, 0, 1, rate, burst, burst / 10);
   }
 
-  static PolicyConfig settings(Plan plan, Idempotency repeat, boolean counter, boolean settled) {
-    return settings(plan, repeat, counter, settled, false);
+  static PolicyConfig config(Plan plan, Idempotency repeat, boolean counter, boolean settled) {
+    return config(plan, repeat, counter, settled, false);
   }
 
-  static PolicyConfig settings(
+  static PolicyConfig config(
       Plan plan, Idempotency repeat, boolean counter, boolean settled, boolean mustAsk) {
     RequestClass type =
         new RequestClass(
-            "class", SECOND, 0, 3 * SECOND, 1, 0, repeat, DeduplicationScope.ALL, SECOND, false);
+            "class",
+            SECOND_MICROS,
+            0,
+            3 * SECOND_MICROS,
+            1,
+            0,
+            repeat,
+            DeduplicationScope.ALL,
+            SECOND_MICROS,
+            false);
     return new PolicyConfig(
         0,
         2,
@@ -66,17 +75,24 @@
         mustAsk,
         List.of(type),
         List.of(plan),
-        new GatewayLimits(3, 1000, SECOND, false, true, false, false, true),
-        new ServiceRules(16_000, SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND),
+        new GatewayLimits(3, 1000, SECOND_MICROS, false, true, false, false, true),
+        new ServiceRules(
+            16_000,
+            SECOND_MICROS,
+            0.2,
+            10 * SECOND_MICROS,
+            2,
+            2 * SECOND_MICROS,
+            10 * SECOND_MICROS),
         new CounterConfig(counter, 50_000, settled));
   }
 
-  static Endpoint server(String id, EndpointState availability, long started) {
+  static Endpoint endpoint(String id, EndpointState availability, long started) {
     return new Endpoint(id, "here", 0, availability, 1, started);
   }
 
-  List<PolicyAction> on(PolicyEvent event) {
-    return logic.onEvent(now, event);
+  List<PolicyAction> onEvent(PolicyEvent event) {
+    return policy.onEvent(nowMicros, event);
   }
 
   List<PolicyAction> request(long id) {
@@ -84,20 +100,22 @@
   }
 
   List<PolicyAction> request(long id, double units) {
-    return on(
-        new RequestArrived(id, "class", "plan", "customer", now + 3 * SECOND, units, 2, 0, false));
+    return onEvent(
+        new RequestArrived(
+            id, "class", "plan", "customer", nowMicros + 3 * SECOND_MICROS, units, 2, 0, false));
   }
 
-  List<PolicyAction> outcome(long id, int attempt, String server, CallResult result, boolean over) {
-    return on(new AttemptCompleted(id, attempt, server, 100_000, result, over, 0, Map.of()));
+  List<PolicyAction> completeAttempt(
+      long id, int attempt, String server, CallResult result, boolean over) {
+    return onEvent(new AttemptCompleted(id, attempt, server, 100_000, result, over, 0, Map.of()));
   }
 
-  static <T extends PolicyAction> List<T> only(Class<T> type, List<PolicyAction> actions) {
+  static <T extends PolicyAction> List<T> allOf(Class<T> type, List<PolicyAction> actions) {
     return actions.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  static <T extends PolicyAction> T one(Class<T> type, List<PolicyAction> actions) {
-    List<T> found = only(type, actions);
+  static <T extends PolicyAction> T single(Class<T> type, List<PolicyAction> actions) {
+    List<T> found = allOf(type, actions);
     if (found.size() != 1) {
       throw new AssertionError("one " + type.getSimpleName() + " expected in " + actions);
     }
--- a/src/test/java/fawndock/policy/RulesTest.java
+++ b/src/test/java/fawndock/policy/RulesTest.java
@@ -1,7 +1,7 @@
 package fawndock.policy;
 
-import static fawndock.policy.Rig.one;
-import static fawndock.policy.Rig.only;
+import static fawndock.policy.PolicyHarness.allOf;
+import static fawndock.policy.PolicyHarness.single;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,8 +31,6 @@
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -45,47 +43,50 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class RulesTest {
-  private static Rig rig(Idempotency repeat, String... servers) {
-    return new Rig(Rig.settings(Rig.ratePlan(0, 0), repeat, false, false), servers);
+  private static PolicyHarness rig(Idempotency repeat, String... servers) {
+    return new PolicyHarness(
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), servers);
   }
 
   @Test
   void anUnsafeRequestThatMayHaveRunFailsAndIsNotSentAgain() {
-    Rig rig = rig(Idempotency.AT_MOST_ONCE, "a", "b");
-    String server = one(StartAttempt.class, rig.request(1)).endpointId();
-    List<PolicyAction> after = rig.outcome(1, 0, server, CallResult.RESET, false);
-    one(FailRequest.class, after);
-    assertTrue(only(StartAttempt.class, after).isEmpty());
+    PolicyHarness rig = rig(Idempotency.AT_MOST_ONCE, "a", "b");
+    String server = single(StartAttempt.class, rig.request(1)).endpointId();
+    List<PolicyAction> after = rig.completeAttempt(1, 0, server, CallResult.RESET, false);
+    single(FailRequest.class, after);
+    assertTrue(allOf(StartAttempt.class, after).isEmpty());
   }
 
   @Test
   void anUnsafeRequestThatNeverRanGoesToAnotherServer() {
-    Rig rig = rig(Idempotency.AT_MOST_ONCE, "a", "b");
-    String server = one(StartAttempt.class, rig.request(1)).endpointId();
+    PolicyHarness rig = rig(Idempotency.AT_MOST_ONCE, "a", "b");
+    String server = single(StartAttempt.class, rig.request(1)).endpointId();
     assertNotEquals(
         server,
-        one(StartAttempt.class, rig.outcome(1, 0, server, CallResult.SHED, false)).endpointId());
+        single(StartAttempt.class, rig.completeAttempt(1, 0, server, CallResult.SHED, false))
+            .endpointId());
   }
 
   @Test
   void aKeyedRequestIsRepeatedInsideItsWindowOnly() {
-    Rig rig = rig(Idempotency.DEDUPLICATED, "a", "b", "c");
-    String first = one(StartAttempt.class, rig.request(1)).endpointId();
-    rig.now += 100_000;
-    one(StartAttempt.class, rig.outcome(1, 0, first, CallResult.ERROR, false));
-    String other = one(StartAttempt.class, rig.request(2)).endpointId();
-    rig.now += Rig.SECOND;
-    List<PolicyAction> late = rig.outcome(2, 0, other, CallResult.ERROR, false);
-    assertTrue(only(StartAttempt.class, late).isEmpty());
-    one(RejectRequest.class, late);
+    PolicyHarness rig = rig(Idempotency.DEDUPLICATED, "a", "b", "c");
+    String first = single(StartAttempt.class, rig.request(1)).endpointId();
+    rig.nowMicros += 100_000;
+    single(StartAttempt.class, rig.completeAttempt(1, 0, first, CallResult.ERROR, false));
+    String other = single(StartAttempt.class, rig.request(2)).endpointId();
+    rig.nowMicros += PolicyHarness.SECOND_MICROS;
+    List<PolicyAction> late = rig.completeAttempt(2, 0, other, CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, late).isEmpty());
+    single(RejectRequest.class, late);
   }
 
   @Test
   void aKeyedRequestStaysInItsZone() {
-    PolicyConfig all = Rig.settings(Rig.ratePlan(0, 0), Idempotency.DEDUPLICATED, false, false);
+    PolicyConfig all =
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), Idempotency.DEDUPLICATED, false, false);
     RequestClass c = all.requestClasses().get(0);
-    Rig rig =
-        new Rig(
+    PolicyHarness rig =
+        new PolicyHarness(
             new PolicyConfig(
                 0,
                 2,
@@ -110,59 +111,64 @@
                 all.rules(),
                 all.counter()),
             "a");
-    one(StartAttempt.class, rig.request(1));
-    rig.on(
+    single(StartAttempt.class, rig.request(1));
+    rig.onEvent(
         new EndpointUpdate(
             EndpointUpdateKind.CHANGES,
             List.of(new Endpoint("b", "there", 0, EndpointState.RUNNING, 1, 0))));
-    List<PolicyAction> after = rig.outcome(1, 0, "a", CallResult.ERROR, false);
-    assertTrue(only(StartAttempt.class, after).isEmpty(), "b is in another zone");
-    rig.now += Rig.SECOND / 2;
-    one(FailRequest.class, rig.on(new TimerFired(new PolicyTimer.QueueTimeout(1))));
+    List<PolicyAction> after = rig.completeAttempt(1, 0, "a", CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, after).isEmpty(), "b is in another zone");
+    rig.nowMicros += PolicyHarness.SECOND_MICROS / 2;
+    single(FailRequest.class, rig.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
   @Test
   void attemptsAreNeverMoreThanAllowed() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
-    String server = one(StartAttempt.class, rig.request(1)).endpointId();
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
+    String server = single(StartAttempt.class, rig.request(1)).endpointId();
     server =
-        one(StartAttempt.class, rig.outcome(1, 0, server, CallResult.SHED, false)).endpointId();
+        single(StartAttempt.class, rig.completeAttempt(1, 0, server, CallResult.SHED, false))
+            .endpointId();
     server =
-        one(StartAttempt.class, rig.outcome(1, 1, server, CallResult.SHED, false)).endpointId();
-    one(RejectRequest.class, rig.outcome(1, 2, server, CallResult.SHED, false));
+        single(StartAttempt.class, rig.completeAttempt(1, 1, server, CallResult.SHED, false))
+            .endpointId();
+    single(RejectRequest.class, rig.completeAttempt(1, 2, server, CallResult.SHED, false));
   }
 
   @Test
   void aDrainingServerGetsNothingNew() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b");
-    rig.on(
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b");
+    rig.onEvent(
         new EndpointUpdate(
-            EndpointUpdateKind.CHANGES, List.of(Rig.server("a", EndpointState.DRAINING, 0))));
+            EndpointUpdateKind.CHANGES,
+            List.of(PolicyHarness.endpoint("a", EndpointState.DRAINING, 0))));
     for (long id = 1; id <= 6; id++) {
-      only(StartAttempt.class, rig.request(id)).forEach(a -> assertEquals("b", a.endpointId()));
+      allOf(StartAttempt.class, rig.request(id)).forEach(a -> assertEquals("b", a.endpointId()));
     }
-    rig.on(
+    rig.onEvent(
         new EndpointUpdate(
-            EndpointUpdateKind.SNAPSHOT, List.of(Rig.server("a", EndpointState.RUNNING, 0))));
-    only(StartAttempt.class, rig.request(7)).forEach(a -> assertEquals("a", a.endpointId()));
+            EndpointUpdateKind.SNAPSHOT,
+            List.of(PolicyHarness.endpoint("a", EndpointState.RUNNING, 0))));
+    allOf(StartAttempt.class, rig.request(7)).forEach(a -> assertEquals("a", a.endpointId()));
   }
 
   @Test
   void aColdServerGetsItsShareOnly() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c");
-    rig.on(
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c");
+    rig.onEvent(
         new EndpointUpdate(
-            EndpointUpdateKind.CHANGES, List.of(Rig.server("d", EndpointState.RUNNING, rig.now))));
+            EndpointUpdateKind.CHANGES,
+            List.of(PolicyHarness.endpoint("d", EndpointState.RUNNING, rig.nowMicros))));
     Map<String, Integer> sent = new LinkedHashMap<>();
     Map<Long, String> servers = new LinkedHashMap<>();
     for (long id = 1; id <= 200; id++) {
-      rig.now += 10_000;
-      for (StartAttempt a : only(StartAttempt.class, rig.request(id))) {
+      rig.nowMicros += 10_000;
+      for (StartAttempt a : allOf(StartAttempt.class, rig.request(id))) {
         sent.merge(a.endpointId(), 1, Integer::sum);
         servers.put(id, a.endpointId());
       }
       if (servers.containsKey(id - 10)) {
-        rig.outcome(id - 10, 0, servers.get(id - 10), CallResult.OK, true);
+        rig.completeAttempt(id - 10, 0, servers.get(id - 10), CallResult.OK, true);
       }
     }
     int warm = (sent.get("a") + sent.get("b") + sent.get("c")) / 3;
@@ -172,16 +178,16 @@
 
   @Test
   void aServerThatFailsInARowIsLeftOut() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c");
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c");
     int failed = 0;
     for (long id = 1; id <= 40; id++) {
-      rig.now += 10_000;
-      String server = one(StartAttempt.class, rig.request(id)).endpointId();
+      rig.nowMicros += 10_000;
+      String server = single(StartAttempt.class, rig.request(id)).endpointId();
       boolean bad = server.equals("a");
       failed += bad ? 1 : 0;
-      rig.outcome(id, 0, server, bad ? CallResult.RESET : CallResult.OK, !bad);
+      rig.completeAttempt(id, 0, server, bad ? CallResult.RESET : CallResult.OK, !bad);
       if (bad) {
-        rig.on(new ClientDisconnected(id));
+        rig.onEvent(new ClientDisconnected(id));
       }
     }
     assertTrue(failed <= 3, "sent to the failing server " + failed + " times");
@@ -190,14 +196,14 @@
   /** One that answers errors at once looks quick, and is not idle for being so. */
   @Test
   void aServerThatFailsFastDrawsNoTraffic() {
-    Rig rig = rig(Idempotency.AT_MOST_ONCE, "a", "b", "c");
+    PolicyHarness rig = rig(Idempotency.AT_MOST_ONCE, "a", "b", "c");
     int failing = 0;
     for (int id = 1; id <= 300; id++) {
-      rig.now += 50_000;
-      String server = one(StartAttempt.class, rig.request(id)).endpointId();
+      rig.nowMicros += 50_000;
+      String server = single(StartAttempt.class, rig.request(id)).endpointId();
       boolean fails = server.equals("a") && id % 5 != 0;
       failing += server.equals("a") ? 1 : 0;
-      rig.on(
+      rig.onEvent(
           new AttemptCompleted(
               id,
               0,
@@ -213,17 +219,17 @@
 
   @Test
   void aFullFleetIsNotHammered() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
     int attempts = 0;
     for (long id = 1; id <= 100; id++) {
-      rig.now += 1_000;
-      List<StartAttempt> sent = only(StartAttempt.class, rig.request(id));
+      rig.nowMicros += 1_000;
+      List<StartAttempt> sent = allOf(StartAttempt.class, rig.request(id));
       for (int n = 0; !sent.isEmpty(); n++) {
         attempts++;
         sent =
-            only(
+            allOf(
                 StartAttempt.class,
-                rig.outcome(id, n, sent.get(0).endpointId(), CallResult.SHED, false));
+                rig.completeAttempt(id, n, sent.get(0).endpointId(), CallResult.SHED, false));
       }
     }
     assertTrue(attempts <= 130, attempts + " attempts for 100 requests");
@@ -231,51 +237,58 @@
 
   @Test
   void theDeadlineEndsWhatIsStillOut() {
-    Rig rig = rig(Idempotency.AT_MOST_ONCE, "a");
+    PolicyHarness rig = rig(Idempotency.AT_MOST_ONCE, "a");
     rig.request(1);
-    rig.now += 3 * Rig.SECOND;
-    one(FailRequest.class, rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))));
-    assertTrue(rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
+    rig.nowMicros += 3 * PolicyHarness.SECOND_MICROS;
+    single(FailRequest.class, rig.onEvent(new TimerFired(new PolicyTimer.AnswerDeadline(1))));
+    assertTrue(rig.onEvent(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
   }
 
   @Test
   void aStreamThatBeganIsLeftAlone() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a", "b");
-    String server = one(StartAttempt.class, rig.request(1)).endpointId();
-    rig.on(new ResponseStarted(1, 0, server));
-    rig.now += 3 * Rig.SECOND;
-    assertTrue(rig.on(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a", "b");
+    String server = single(StartAttempt.class, rig.request(1)).endpointId();
+    rig.onEvent(new ResponseStarted(1, 0, server));
+    rig.nowMicros += 3 * PolicyHarness.SECOND_MICROS;
+    assertTrue(rig.onEvent(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
   }
 
   @Test
   void withoutServersARequestIsHeldAndThenRefused() {
-    Rig rig = rig(Idempotency.IDEMPOTENT);
-    assertTrue(only(RejectRequest.class, rig.request(1)).isEmpty());
-    rig.now += Rig.SECOND;
-    one(RejectRequest.class, rig.on(new TimerFired(new PolicyTimer.QueueTimeout(1))));
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT);
+    assertTrue(allOf(RejectRequest.class, rig.request(1)).isEmpty());
+    rig.nowMicros += PolicyHarness.SECOND_MICROS;
+    single(RejectRequest.class, rig.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
   @Test
   void aSiteThatMustBeAskedIsWatched() {
-    Rig rig = new Rig(Rig.settings(Rig.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false, true));
-    one(WatchEndpoints.class, rig.on(new EndpointUpdate(EndpointUpdateKind.CACHED, List.of())));
+    PolicyHarness rig =
+        new PolicyHarness(
+            PolicyHarness.config(
+                PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false, true));
+    single(
+        WatchEndpoints.class,
+        rig.onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, List.of())));
     ScheduleTimer again =
-        one(ScheduleTimer.class, rig.on(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of())));
-    one(WatchEndpoints.class, rig.on(new TimerFired(again.timer())));
+        single(
+            ScheduleTimer.class,
+            rig.onEvent(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of())));
+    single(WatchEndpoints.class, rig.onEvent(new TimerFired(again.timer())));
   }
 
   @Test
   void strangersAreIgnored() {
-    Rig rig = rig(Idempotency.IDEMPOTENT, "a");
-    String server = one(StartAttempt.class, rig.request(1)).endpointId();
-    rig.outcome(1, 0, server, CallResult.OK, true);
-    assertTrue(rig.outcome(1, 0, server, CallResult.OK, true).isEmpty());
-    assertTrue(rig.outcome(1, 7, server, CallResult.OK, true).isEmpty());
-    assertTrue(rig.on(new ClientDisconnected(99)).isEmpty());
-    assertTrue(rig.on(new TimerFired(new PolicyTimer.UnknownTimer("what is this"))).isEmpty());
-    assertTrue(rig.on(new TimerFired(new PolicyTimer.UnknownTimer("end:x"))).isEmpty());
-    assertTrue(rig.on(new CounterReply("nothing", CallResult.OK, 1, 1)).isEmpty());
-    assertTrue(rig.on(new PeerMessageReceived(3, "hello")).isEmpty());
+    PolicyHarness rig = rig(Idempotency.IDEMPOTENT, "a");
+    String server = single(StartAttempt.class, rig.request(1)).endpointId();
+    rig.completeAttempt(1, 0, server, CallResult.OK, true);
+    assertTrue(rig.completeAttempt(1, 0, server, CallResult.OK, true).isEmpty());
+    assertTrue(rig.completeAttempt(1, 7, server, CallResult.OK, true).isEmpty());
+    assertTrue(rig.onEvent(new ClientDisconnected(99)).isEmpty());
+    assertTrue(rig.onEvent(new TimerFired(new PolicyTimer.UnknownTimer("what is this"))).isEmpty());
+    assertTrue(rig.onEvent(new TimerFired(new PolicyTimer.UnknownTimer("end:x"))).isEmpty());
+    assertTrue(rig.onEvent(new CounterReply("nothing", CallResult.OK, 1, 1)).isEmpty());
+    assertTrue(rig.onEvent(new PeerMessageReceived(3, "hello")).isEmpty());
   }
 
   /**
@@ -295,7 +308,7 @@
   private static final class Day {
     private final Random random;
     private final Idempotency repeat;
-    private final Rig rig;
+    private final PolicyHarness rig;
     private final Map<Long, RequestArrived> open = new LinkedHashMap<>();
     private final Map<Long, List<StartAttempt>> sent = new LinkedHashMap<>();
     private final Map<Long, List<Integer>> out = new LinkedHashMap<>();
@@ -308,19 +321,24 @@
     Day(Idempotency repeat, long seed) {
       this.repeat = repeat;
       this.random = new Random(seed);
-      this.rig = new Rig(Rig.settings(Rig.ratePlan(20, 10), repeat, true, true), "a", "b", "c");
+      this.rig =
+          new PolicyHarness(
+              PolicyHarness.config(PolicyHarness.ratePlan(20, 10), repeat, true, true),
+              "a",
+              "b",
+              "c");
     }
 
     List<PolicyAction> play() {
       for (long id = 1; id <= 300; id++) {
-        rig.now += random.nextInt(20_000);
+        rig.nowMicros += random.nextInt(20_000);
         RequestArrived r =
             new RequestArrived(
                 id,
                 "class",
                 "plan",
                 "customer" + random.nextInt(3),
-                rig.now + 1_000_000 + random.nextInt(2_000_000),
+                rig.nowMicros + 1_000_000 + random.nextInt(2_000_000),
                 1 + random.nextInt(2),
                 2,
                 0,
@@ -329,12 +347,12 @@
         sent.put(id, new ArrayList<>());
         out.put(id, new ArrayList<>());
         mayHaveRun.put(id, false);
-        take(rig.on(r));
+        take(rig.onEvent(r));
         step();
       }
-      long end = rig.now + 5_000_000;
-      while (rig.now < end) {
-        rig.now += 2_000;
+      long end = rig.nowMicros + 5_000_000;
+      while (rig.nowMicros < end) {
+        rig.nowMicros += 2_000;
         step();
       }
       assertTrue(open.isEmpty(), "never answered: " + open.keySet());
@@ -343,16 +361,16 @@
 
     private void step() {
       for (PolicyTimer token : List.copyOf(wakes.keySet())) {
-        if (wakes.get(token) <= rig.now) {
+        if (wakes.get(token) <= rig.nowMicros) {
           wakes.remove(token);
-          take(rig.on(new TimerFired(token)));
+          take(rig.onEvent(new TimerFired(token)));
         }
       }
       if (!counts.isEmpty() && random.nextBoolean()) {
         AddToCounter c = counts.remove(0);
         CallResult[] results = {CallResult.OK, CallResult.OK, CallResult.SHED, CallResult.TIMEOUT};
         take(
-            rig.on(
+            rig.onEvent(
                 new CounterReply(
                     c.counterName(), results[random.nextInt(4)], random.nextInt(8), 1_000)));
       }
@@ -360,11 +378,11 @@
         String server = "abc".substring(random.nextInt(3)).substring(0, 1);
         boolean drain = draining.add(server) || !draining.remove(server);
         take(
-            rig.on(
+            rig.onEvent(
                 new EndpointUpdate(
                     EndpointUpdateKind.CHANGES,
                     List.of(
-                        Rig.server(
+                        PolicyHarness.endpoint(
                             server, drain ? EndpointState.DRAINING : EndpointState.RUNNING, 0)))));
       }
       for (long id : List.copyOf(out.keySet())) {
@@ -390,7 +408,7 @@
       }
       mayHaveRun.merge(id, result.mayHaveTakenEffect, Boolean::logicalOr);
       take(
-          rig.on(
+          rig.onEvent(
               new AttemptCompleted(
                   id,
                   attempt,
@@ -427,7 +445,7 @@
         } else if (action instanceof AddToCounter c) {
           counts.add(c);
         } else if (action instanceof ScheduleTimer w) {
-          wakes.put(w.timer(), rig.now + w.delayMicros());
+          wakes.put(w.timer(), rig.nowMicros + w.delayMicros());
         } else if (action instanceof CancelAttempt c) {
           assertTrue(c.attemptIndex() < sent.get(c.requestId()).size(), "never made: " + c);
         }
@@ -437,17 +455,7 @@
     private void answered(long id) {
       RequestArrived r = open.remove(id);
       assertTrue(r != null, "answered twice: " + id);
-      assertTrue(rig.now <= r.deadlineAtMicros() + 16_000, "answered late: " + id);
+      assertTrue(rig.nowMicros <= r.deadlineAtMicros() + 16_000, "answered late: " + id);
     }
   }
-
-  @Test
-  void theModuleStaysReadable() throws Exception {
-    List<String> lines =
-        Files.readAllLines(Path.of("src/main/java/fawndock/policy/DefaultGatewayPolicy.java"));
-    assertTrue(lines.stream().allMatch(line -> line.length() <= 100));
-    int comment = lines.indexOf("/**");
-    assertTrue(
-        String.join("\n", lines.subList(comment, comment + 8)).contains("GatewayPolicy.java"));
-  }
 }
