--- a/src/main/java/fawndock/runtime/CounterReplySequencer.java
+++ b/src/main/java/fawndock/runtime/CounterReplySequencer.java
@@ -8,27 +8,28 @@
 import java.util.function.Consumer;
 
 /**
- * Tells the ends of counter calls, each once, those of a name in the order in which its calls were
- * made.
+ * Reports each counter call exactly once, and the calls of one counter in the order in which they
+ * were made. Confined to one event loop.
  */
 public final class CounterReplySequencer {
-  /** A call of a name that has its place among the others. */
+  /** A call whose reply has not been reported yet. */
   public static class PendingCall {
     private final String counterName;
     private final long startedAtMicros;
     private CounterReply reply;
 
-    /** A call of this name, made at this time in microseconds. */
-    public PendingCall(String name, long startedAt) {
-      this.counterName = name;
-      this.startedAtMicros = startedAt;
+    /** Describes a call of this counter, made at this time. */
+    public PendingCall(String counterName, long startedAtMicros) {
+      this.counterName = counterName;
+      this.startedAtMicros = startedAtMicros;
     }
 
-    /** How long it has been out. */
-    public long elapsedMicros(long now) {
-      return now - startedAtMicros;
+    /** Returns the time since the call was made, in microseconds. */
+    public long elapsedMicros(long nowMicros) {
+      return nowMicros - startedAtMicros;
     }
 
+    /** Returns whether the call has its result, reported or not. */
     public boolean isCompleted() {
       return reply != null;
     }
@@ -38,29 +39,29 @@
   private final Consumer<CounterReply> replyListener;
   private boolean isClosed;
 
-  /** Ends are told to the consumer given. */
-  public CounterReplySequencer(Consumer<CounterReply> told) {
-    this.replyListener = told;
+  /** Reports replies to the listener. */
+  public CounterReplySequencer(Consumer<CounterReply> replyListener) {
+    this.replyListener = replyListener;
   }
 
-  /** A call is made. */
-  public void begin(PendingCall place) {
-    pendingCallsByCounter
-        .computeIfAbsent(place.counterName, name -> new ArrayDeque<>(2))
-        .add(place);
+  /** Registers a call that is being made. */
+  public void begin(PendingCall call) {
+    pendingCallsByCounter.computeIfAbsent(call.counterName, name -> new ArrayDeque<>(2)).add(call);
   }
 
   /**
-   * A call that ends before an older one of its name, such as one that was never sent, waits for
-   * it.
+   * Completes a call. When an older call of the same counter is still pending, this one is reported
+   * after it.
+   *
+   * @param total the counter's value after the call; 0 where the result carries none
    */
-  public void complete(PendingCall place, CallResult result, double total, long now) {
-    place.reply = new CounterReply(place.counterName, result, total, place.elapsedMicros(now));
-    ArrayDeque<PendingCall> line = pendingCallsByCounter.get(place.counterName);
-    while (line != null && !line.isEmpty() && line.peek().isCompleted()) {
-      CounterReply next = line.poll().reply;
-      if (line.isEmpty()) {
-        pendingCallsByCounter.remove(place.counterName);
+  public void complete(PendingCall call, CallResult result, double total, long nowMicros) {
+    call.reply = new CounterReply(call.counterName, result, total, call.elapsedMicros(nowMicros));
+    ArrayDeque<PendingCall> pendingCalls = pendingCallsByCounter.get(call.counterName);
+    while (pendingCalls != null && !pendingCalls.isEmpty() && pendingCalls.peek().isCompleted()) {
+      CounterReply next = pendingCalls.poll().reply;
+      if (pendingCalls.isEmpty()) {
+        pendingCallsByCounter.remove(call.counterName);
       }
       if (!isClosed) {
         replyListener.accept(next);
@@ -68,7 +69,7 @@
     }
   }
 
-  /** Nobody is told any more. */
+  /** Stops reporting. Idempotent. */
   public void close() {
     isClosed = true;
   }
--- a/src/main/java/fawndock/runtime/InFlightAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -5,82 +5,90 @@
 import java.util.Map;
 
 /**
- * One attempt of a request at a server, whatever protocol it goes by. It ends exactly once, by the
- * first of what happens to it, and tells its host the end; what comes later is dropped. One
- * context.
+ * One attempt of a request at an endpoint, independent of the protocol. It completes exactly once,
+ * by whatever happens first; later outcomes are dropped. Confined to one event loop.
  */
 public abstract class InFlightAttempt {
   protected final PolicyRunner runner;
   protected final InFlightRequest request;
 
-  /** Its number among the request's attempts, from 0. */
+  /** Index among the request's attempts, from 0. */
   public final int index;
 
-  /** The server's id, as discovery has it. */
+  /** The endpoint's id, as discovery reports it. */
   public final String endpointId;
 
   private final long startedAtMicros;
   private Timers.Timer deadlineTimer;
   private CallResult result;
 
-  protected InFlightAttempt(PolicyRunner host, InFlightRequest open, int number, String server) {
-    this.runner = host;
-    this.request = open;
-    this.index = number;
-    this.endpointId = server;
-    this.startedAtMicros = host.clock().now();
+  protected InFlightAttempt(
+      PolicyRunner runner, InFlightRequest request, int index, String endpointId) {
+    this.runner = runner;
+    this.request = request;
+    this.index = index;
+    this.endpointId = endpointId;
+    this.startedAtMicros = runner.clock().now();
   }
 
   /**
-   * Starts it; it is abandoned at the time given unless it has ended or {@link #keep} was called
-   * before.
+   * Starts the attempt. At the deadline {@link #onDeadlineExceeded} is called, unless the attempt
+   * has completed or {@link #cancelDeadline} was called before.
+   *
+   * @param deadlineMicros on the runner's clock
    */
-  final void start(long abandonAtMicros) {
+  final void start(long deadlineMicros) {
     deadlineTimer =
-        runner.timers().schedule(abandonAtMicros - startedAtMicros, this::onDeadlineExceeded);
-    send(abandonAtMicros);
+        runner.timers().schedule(deadlineMicros - startedAtMicros, this::onDeadlineExceeded);
+    send(deadlineMicros);
   }
 
-  /** Connects and sends. An attempt that cannot be sent ends as {@link CallResult#UNUSED}. */
-  protected abstract void send(long abandonAtMicros);
+  /**
+   * Connects and sends. An attempt that cannot be sent completes as {@link CallResult#NOT_SENT}.
+   *
+   * @param deadlineMicros on the runner's clock
+   */
+  protected abstract void send(long deadlineMicros);
 
-  /** The time to wait for it is up: it is to end. */
+  /** Completes the attempt because its deadline has passed. */
   protected abstract void onDeadlineExceeded();
 
-  /** The gatekeeper calls it off: it is to end, unless its answer belongs to the client by now. */
+  /** Cancels the attempt for the policy, unless its response is being passed to the client. */
   public abstract void cancel();
 
-  /** The client has left; a streamed answer is to end. */
+  /** Ends a response that is being streamed, as the client has disconnected. */
   public void onClientDisconnected() {
-    // Nothing is streamed unless a protocol says so.
+    // Only protocols that stream have something to end.
   }
 
-  /** The answer belongs to the client from now on: the time to wait for it no longer counts. */
+  /** Disarms the deadline: the response belongs to the client from now on. */
   protected final void cancelDeadline() {
     runner.timers().cancel(deadlineTimer);
   }
 
-  /** How it ended, or null while it is out. */
+  /** Returns the outcome, or null while the attempt is in flight. */
   public final CallResult result() {
     return result;
   }
 
-  protected final void complete(CallResult how) {
-    complete(how, Map.of(), 0);
+  /** Completes the attempt without a load report; does nothing when it has completed before. */
+  protected final void complete(CallResult outcome) {
+    complete(outcome, Map.of(), 0);
   }
 
   /**
-   * Ends it; called again, does nothing.
+   * Completes the attempt; does nothing when it has completed before.
    *
-   * @param load the server's load report, by the names of {@link AttemptCompleted}
-   * @param units the true units of the request where the server told them, else 0
+   * @param load the endpoint's load report, by the names of {@link AttemptCompleted}
+   * @param units the request's true units where the endpoint reported them, else 0
    */
-  protected final void complete(CallResult how, Map<String, Double> load, double units) {
+  protected final void complete(CallResult outcome, Map<String, Double> load, double units) {
     if (result != null) {
       return;
     }
-    result = how;
+    result = outcome;
     runner.timers().cancel(deadlineTimer);
-    runner.onAttemptCompleted(request, this, runner.clock().now() - startedAtMicros, load, units);
+    long durationMicros = runner.clock().now() - startedAtMicros;
+    runner.onAttemptCompleted(request, this, durationMicros, load, units);
   }
 }
--- a/src/main/java/fawndock/runtime/PolicyEventQueue.java
+++ b/src/main/java/fawndock/runtime/PolicyEventQueue.java
@@ -8,27 +8,33 @@
 import org.slf4j.Logger;
 
 /**
- * Tells a gatekeeper what happened, in order, and has carried out what it says. What is told while
- * an action is carried out waits its turn, so the gatekeeper never calls itself. One context.
+ * Feeds events to a policy in order and has its actions executed. Events that arrive while an
+ * action is executed are queued, so that the policy is never entered recursively. Confined to one
+ * event loop.
  */
 public final class PolicyEventQueue {
   private final GatewayPolicy policy;
   private final MicroClock clock;
-  private final Consumer<PolicyAction> executor;
+  private final Consumer<PolicyAction> actionExecutor;
   private final Logger log;
   private final ArrayDeque<PolicyEvent> pendingEvents = new ArrayDeque<>();
   private boolean isDispatching;
 
-  /** Decisions that are carried out by the consumer given. */
+  /**
+   * Creates an empty queue.
+   *
+   * @param actionExecutor is given each action that the policy returns
+   * @param log receives exceptions of the policy and of the executor
+   */
   public PolicyEventQueue(
-      GatewayPolicy gatekeeper, MicroClock clock, Consumer<PolicyAction> carryOut, Logger log) {
-    this.policy = gatekeeper;
+      GatewayPolicy policy, MicroClock clock, Consumer<PolicyAction> actionExecutor, Logger log) {
+    this.policy = policy;
     this.clock = clock;
-    this.executor = carryOut;
+    this.actionExecutor = actionExecutor;
     this.log = log;
   }
 
-  /** Tells an event, now or after what is being told. */
+  /** Dispatches an event: now, or after the event that is being dispatched. */
   public void submit(PolicyEvent event) {
     pendingEvents.add(event);
     if (isDispatching) {
@@ -46,10 +52,11 @@
 
   private void dispatch(PolicyEvent event) {
     try {
-      policy.onEvent(clock.now(), event).forEach(executor);
+      policy.onEvent(clock.now(), event).forEach(actionExecutor);
     } catch (RuntimeException | StackOverflowError e) {
-      // The requests it concerns are answered by the host's backstop.
-      log.error("the decision on {} failed", event, e);
+      // One failing event must not stop the event loop. The requests that it concerns are answered
+      // when their deadline timers fire.
+      log.error("policy failed, event={}", event, e);
     }
   }
 }
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -22,42 +22,43 @@
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
-import fawndock.runtime.InFlightRequest.Stage;
 import fawndock.runtime.ResponseRecorder.RequestOutcome;
 import fawndock.runtime.ServerExchange.RequestAttributes;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One gatekeeper on one event-loop context: tells it what happens, in order, and carries out what
- * it returns. What the sockets tell while an action is carried out waits its turn, so the
- * gatekeeper never calls itself. All methods belong to that one context.
+ * Runs one {@link GatewayPolicy} on one event loop: feeds it events in order, executes the actions
+ * that it returns, and guards each request's deadline. All methods belong to that one event loop.
  */
 public final class PolicyRunner {
   private static final Logger LOG = LoggerFactory.getLogger(PolicyRunner.class);
 
-  /** What a host reaches beside its clients: servers, counter service, fellows and discovery. */
+  /** The gateway's connections to endpoints, counter service, peers and endpoint discovery. */
   public interface GatewayConnections {
     /**
-     * Adds to a count; tells exactly one {@link CounterReply}, in a later turn, in order for each
-     * name.
+     * Adds to a counter; reports exactly one {@link CounterReply}, in a later turn of the event
+     * loop, and in order for each counter.
      */
-    void addToCounter(AddToCounter count);
+    void addToCounter(AddToCounter action);
 
-    void sendPeerMessage(SendPeerMessage tell);
+    /** Sends a message to one peer or to all; delivery is not guaranteed. */
+    void sendPeerMessage(SendPeerMessage action);
 
-    /** Asks the roster for the complete list anew, and for changes after it. */
+    /** Watches discovery: a complete endpoint list, and all changes after it. */
     void watchEndpoints();
 
+    /** Fetches a complete endpoint list once. */
     void fetchEndpoints();
 
-    /** Makes an attempt that is not started yet. */
-    InFlightAttempt createAttempt(InFlightRequest request, int number, String server);
+    /** Creates an attempt that is not started yet. */
+    InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId);
 
-    /** Probes a server; tells exactly one {@link HealthCheckCompleted}. */
-    void startHealthCheck(String server);
+    /** Checks an endpoint's health; reports exactly one {@link HealthCheckCompleted}. */
+    void startHealthCheck(String endpointId);
   }
 
   private final MicroClock clock;
@@ -69,76 +70,78 @@
   private PolicyEventQueue eventQueue;
   private long nextRequestId;
   private int openCount;
-  private Runnable whenIdle;
+  private Runnable idleListener;
 
   /**
-   * A host that has no decisions yet.
+   * Creates a runner that has no policy yet.
    *
    * @param maxAttempts the most attempts of one request; more are never sent
-   * @param firstId of the requests: where servers are told it, above those of an earlier life of
+   * @param firstRequestId where endpoints see request ids, above those of an earlier incarnation of
    *     this process
    */
   public PolicyRunner(
       MicroClock clock,
-      Timers alarms,
-      GatewayConnections links,
+      Timers timers,
+      GatewayConnections connections,
       int maxAttempts,
-      long firstId,
-      ResponseRecorder answers) {
+      long firstRequestId,
+      ResponseRecorder recorder) {
     this.clock = clock;
-    this.timers = alarms;
-    this.connections = links;
+    this.timers = timers;
+    this.connections = connections;
     this.maxAttempts = maxAttempts;
-    this.recorder = answers;
-    this.nextRequestId = firstId;
+    this.recorder = recorder;
+    this.nextRequestId = firstRequestId;
   }
 
-  /** Gives the decisions; to be called before anything is told. */
-  public void setPolicy(GatewayPolicy decider) {
-    eventQueue = new PolicyEventQueue(decider, clock, this::execute, LOG);
+  /** Sets the policy; to be called before the first event. */
+  public void setPolicy(GatewayPolicy policy) {
+    eventQueue = new PolicyEventQueue(policy, clock, this::execute, LOG);
   }
 
-  /** Takes on a client's request; the exchange is answered exactly once, or the client has left. */
+  /**
+   * Takes a client's request. Its exchange gets exactly one final response, unless the client
+   * disconnects before.
+   *
+   * @return the request's id
+   */
   public long onRequest(ServerExchange exchange) {
-    RequestAttributes asked = exchange.requestAttributes();
+    RequestAttributes attributes = exchange.requestAttributes();
     InFlightRequest request = new InFlightRequest(nextRequestId++, exchange);
     inFlightRequests.put(request.id, request);
     openCount++;
-    // The gatekeeper answers before the client gives up. Guards against one that failed to; each
-    // such answer
-    // is logged as an error. May answer late when the event loop itself is late.
+    // The policy responds before the client's deadline. This timer answers for a policy that failed
+    // to, and fires late when the event loop itself is late.
     request.deadlineTimer =
-        timers.schedule(asked.deadlineAtMicros() - clock.now(), () -> onDeadlineExceeded(request));
+        timers.schedule(
+            attributes.deadlineAtMicros() - clock.now(), () -> onDeadlineExceeded(request));
     onEvent(
         new RequestArrived(
             request.id,
-            asked.requestClass().name(),
-            asked.plan(),
-            asked.customer(),
-            asked.deadlineAtMicros(),
-            asked.units(),
-            asked.customerInstanceCount(),
-            asked.customerFirstInstance(),
-            asked.isRetry()));
+            attributes.requestClass().name(),
+            attributes.plan(),
+            attributes.customer(),
+            attributes.deadlineAtMicros(),
+            attributes.units(),
+            attributes.customerInstanceCount(),
+            attributes.customerFirstInstance(),
+            attributes.isRetry()));
     return request.id;
   }
 
-  /** The client of a request has left. */
-  public void onClientDisconnected(long id) {
-    InFlightRequest request = inFlightRequests.get(id);
+  /** Drops a request whose client has disconnected; does nothing once it has its response. */
+  public void onClientDisconnected(long requestId) {
+    InFlightRequest request = inFlightRequests.get(requestId);
     if (request == null || request.isCompleted()) {
       return;
     }
     complete(request, RequestOutcome.DISCONNECTED, "client left");
     request.attempts.forEach(InFlightAttempt::onClientDisconnected);
-    onEvent(new ClientDisconnected(id));
+    onEvent(new ClientDisconnected(requestId));
     removeIfFinished(request);
   }
 
-  /**
-   * Tells the gatekeeper what happened and carries out what it says, now or after what is being
-   * told.
-   */
+  /** Feeds an event to the policy and executes its actions, now or after the current event. */
   public void onEvent(PolicyEvent event) {
     eventQueue.submit(event);
   }
@@ -147,12 +150,7 @@
     if (action instanceof StartAttempt a) {
       startAttempt(a);
     } else if (action instanceof RejectRequest a) {
-      InFlightRequest request = inFlightRequests.get(a.requestId());
-      if (request != null && request.stage == Stage.OPEN) {
-        complete(request, RequestOutcome.REJECTED, failureReason(request));
-        request.exchange.reject(a.retryAfterMicros());
-        removeIfFinished(request);
-      }
+      rejectRequest(a);
     } else if (action instanceof FailRequest a) {
       failRequest(inFlightRequests.get(a.requestId()));
     } else if (action instanceof AddToCounter a) {
@@ -161,10 +159,7 @@
       String token = a.token();
       timers.schedule(a.delayMicros(), () -> onEvent(new TimerFired(token)));
     } else if (action instanceof CancelAttempt a) {
-      InFlightRequest request = inFlightRequests.get(a.requestId());
-      if (request != null && a.attemptIndex() >= 0 && a.attemptIndex() < request.attempts.size()) {
-        request.attempts.get(a.attemptIndex()).cancel();
-      }
+      cancelAttempt(a);
     } else if (action instanceof StartHealthCheck a) {
       connections.startHealthCheck(a.endpointId());
     } else if (action instanceof SendPeerMessage a) {
@@ -174,68 +169,78 @@
     } else if (action instanceof WatchEndpoints) {
       connections.watchEndpoints();
     } else if (action instanceof LogMessage a) {
-      LOG.info("gatekeeper: {}", a.text());
+      LOG.info("policy: {}", a.text());
     }
   }
 
-  private void startAttempt(StartAttempt a) {
-    InFlightRequest request = inFlightRequests.get(a.requestId());
+  private void startAttempt(StartAttempt action) {
+    InFlightRequest request = inFlightRequests.get(action.requestId());
     if (request == null) {
-      LOG.error("attempt for request {}, which is not held", a.requestId());
+      LOG.error("attempt for an unknown request, request={}", action.requestId());
       return;
     }
     InFlightAttempt attempt =
-        connections.createAttempt(request, request.attempts.size(), a.endpointId());
+        connections.createAttempt(request, request.attempts.size(), action.endpointId());
     request.attempts.add(attempt);
     request.activeAttemptCount++;
-    RequestAttributes asked = request.exchange.requestAttributes();
-    long abandonAt =
-        a.deadlineAtMicros() <= 0
-            ? asked.deadlineAtMicros()
-            : Math.min(a.deadlineAtMicros(), asked.deadlineAtMicros());
-    if (request.stage != Stage.OPEN || attempt.index >= maxAttempts || abandonAt <= clock.now()) {
+    long clientDeadlineMicros = request.exchange.requestAttributes().deadlineAtMicros();
+    long deadlineMicros =
+        action.deadlineAtMicros() <= 0
+            ? clientDeadlineMicros
+            : Math.min(action.deadlineAtMicros(), clientDeadlineMicros);
+    if (!request.isOpen() || attempt.index >= maxAttempts || deadlineMicros <= clock.now()) {
       attempt.complete(CallResult.NOT_SENT);
       return;
     }
-    attempt.start(abandonAt);
+    attempt.start(deadlineMicros);
+  }
+
+  private void cancelAttempt(CancelAttempt action) {
+    InFlightRequest request = inFlightRequests.get(action.requestId());
+    int index = action.attemptIndex();
+    if (request != null && index >= 0 && index < request.attempts.size()) {
+      request.attempts.get(index).cancel();
+    }
   }
 
   /**
-   * An attempt's whole answer has come; it is the client's, passed on by what is given, when it is
-   * the first.
+   * Passes an attempt's complete response to the client, unless another attempt's was passed on
+   * before.
+   *
+   * @param serve writes the response to the client
    */
   public void deliverResponse(InFlightRequest request, InFlightAttempt attempt, Runnable serve) {
-    if (request.stage == Stage.OPEN) {
+    if (request.isOpen()) {
       complete(request, RequestOutcome.SERVED, attempt.endpointId);
       serve.run();
     }
   }
 
-  /** A streamed answer begins. */
+  /** Records that an attempt's response is being streamed to the client, which must be open. */
   public void onStreamStarted(InFlightRequest request, InFlightAttempt attempt) {
     request.startStreaming();
     timers.cancel(request.deadlineTimer);
     onEvent(new ResponseStarted(request.id, attempt.index, attempt.endpointId));
   }
 
-  /** A streamed answer has ended, whole or not. */
-  public void onStreamEnded(InFlightRequest request, InFlightAttempt attempt, boolean whole) {
-    if (request.stage == Stage.STREAMING) {
-      complete(
-          request,
-          whole ? RequestOutcome.SERVED : RequestOutcome.FAILED,
-          whole ? attempt.endpointId : "stream broke");
-      if (!whole) {
-        request.exchange.abort();
-      }
+  /** Records the end of a streamed response; an incomplete one aborts the client's side. */
+  public void onStreamEnded(InFlightRequest request, InFlightAttempt attempt, boolean isComplete) {
+    if (!request.isStreaming()) {
+      return;
+    }
+    if (isComplete) {
+      complete(request, RequestOutcome.SERVED, attempt.endpointId);
+    } else {
+      complete(request, RequestOutcome.FAILED, "stream broke");
+      request.exchange.abort();
     }
   }
 
-  /** An attempt ended. */
+  /** Reports a completed attempt to the policy. */
   void onAttemptCompleted(
       InFlightRequest request,
       InFlightAttempt attempt,
-      long tookMicros,
+      long durationMicros,
       Map<String, Double> load,
       double units) {
     request.activeAttemptCount--;
@@ -244,7 +249,7 @@
             request.id,
             attempt.index,
             attempt.endpointId,
-            tookMicros,
+            durationMicros,
             attempt.result(),
             request.isCompleted(),
             attempt.result() == CallResult.OK ? units : 0,
@@ -252,70 +257,83 @@
     removeIfFinished(request);
   }
 
+  private void rejectRequest(RejectRequest action) {
+    InFlightRequest request = inFlightRequests.get(action.requestId());
+    if (request == null || !request.isOpen()) {
+      return;
+    }
+    complete(request, RequestOutcome.REJECTED, failureReason(request));
+    request.exchange.reject(action.retryAfterMicros());
+    removeIfFinished(request);
+  }
+
   private void failRequest(InFlightRequest request) {
-    if (request == null || request.stage != Stage.OPEN) {
+    if (request == null || !request.isOpen()) {
       return;
     }
     String reason = failureReason(request);
-    boolean answered = request.hasAttemptFailure();
+    boolean hasAttemptFailure = request.hasAttemptFailure();
     complete(request, RequestOutcome.FAILED, reason);
-    request.exchange.fail(answered, reason);
+    request.exchange.fail(hasAttemptFailure, reason);
     removeIfFinished(request);
   }
 
   private void onDeadlineExceeded(InFlightRequest request) {
-    if (request.stage == Stage.OPEN) {
-      LOG.error("request {} had no answer from its gatekeeper in time", request.id);
+    if (request.isOpen()) {
+      LOG.error("deadline exceeded without a decision, request={}", request.id);
       failRequest(request);
       onEvent(new ClientDisconnected(request.id));
     }
   }
 
-  /** What the host knows of why there is no answer: how the last attempt ended. */
+  /** Says why there is no response, as far as the last attempt shows. */
   private static String failureReason(InFlightRequest request) {
     if (request.attempts.isEmpty()) {
       return "not sent";
     }
-    CallResult last = request.attempts.get(request.attempts.size() - 1).result();
-    return last == null
+    CallResult result = request.lastResult();
+    return result == null
         ? "no answer yet"
-        : "last attempt " + last.name().toLowerCase(java.util.Locale.ROOT);
+        : "last attempt " + result.name().toLowerCase(Locale.ROOT);
   }
 
-  private void complete(InFlightRequest request, RequestOutcome verdict, String reason) {
-    request.stage = Stage.COMPLETED;
+  private void complete(InFlightRequest request, RequestOutcome outcome, String reason) {
+    request.complete();
     timers.cancel(request.deadlineTimer);
     openCount--;
-    recorder.onResponse(request, clock.now(), verdict, reason);
+    recorder.onResponse(request, clock.now(), outcome, reason);
   }
 
+  /** Forgets a request that has its response and no attempt in flight. */
   private void removeIfFinished(InFlightRequest request) {
-    if (request.isCompleted()
-        && request.activeAttemptCount == 0
-        && inFlightRequests.remove(request.id) != null
-        && inFlightRequests.isEmpty()
-        && whenIdle != null) {
-      whenIdle.run();
+    if (!request.isCompleted() || request.activeAttemptCount > 0) {
+      return;
+    }
+    boolean isRemoved = inFlightRequests.remove(request.id) != null;
+    if (isRemoved && inFlightRequests.isEmpty() && idleListener != null) {
+      idleListener.run();
     }
   }
 
-  /** Requests without their final answer. */
+  /** Returns how many requests have no final response yet. */
   public int openCount() {
     return openCount;
   }
 
-  /** Runs something once nothing is held any more: at once when that is so now. */
-  public void whenIdle(Runnable what) {
-    whenIdle = what;
+  /** Calls the listener whenever no request and no attempt is in flight; at once if so now. */
+  public void whenIdle(Runnable listener) {
+    idleListener = listener;
     if (inFlightRequests.isEmpty()) {
-      what.run();
+      listener.run();
     }
   }
 
+  /** Returns the clock that all times of this runner are on. */
   public MicroClock clock() {
     return clock;
   }
 
+  /** Returns the timers of this runner's event loop. */
   public Timers timers() {
     return timers;
   }
--- a/src/main/java/fawndock/runtime/ResponseRecorder.java
+++ b/src/main/java/fawndock/runtime/ResponseRecorder.java
@@ -1,18 +1,27 @@
 package fawndock.runtime;
 
-/** Is told of each final answer, for a log; costs nothing where there is none. */
+/** Records the final response of each request, for logs and metrics. */
 public interface ResponseRecorder {
-  /** Takes no notice. */
-  ResponseRecorder NONE = (request, now, verdict, reason) -> {};
+  /** Records nothing. */
+  ResponseRecorder NONE = (request, nowMicros, outcome, reason) -> {};
 
   /** How a request ended for its client. */
   enum RequestOutcome {
+    /** The client received an endpoint's response. */
     SERVED,
+    /** The request was rejected before any endpoint ran it. */
     REJECTED,
+    /** The request failed; an endpoint may have run it. */
     FAILED,
+    /** The client disconnected before its response. */
     DISCONNECTED
   }
 
-  /** A request has had its final answer, or its client has left. */
-  void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason);
+  /**
+   * Records that a request has had its final response, or that its client has disconnected.
+   *
+   * @param nowMicros on the runner's clock
+   * @param reason the serving endpoint's id, or why there was no response
+   */
+  void onResponse(InFlightRequest request, long nowMicros, RequestOutcome outcome, String reason);
 }
--- a/src/main/java/fawndock/runtime/ServerExchange.java
+++ b/src/main/java/fawndock/runtime/ServerExchange.java
@@ -3,16 +3,20 @@
 import fawndock.policy.config.RequestClass;
 
 /**
- * A client's side of one request, whatever protocol it came by. Its request gets exactly one final
- * answer: one that a server gave, passed on by the protocol's own attempt, or one of {@link
- * #refuse} and {@link #fail}; none when the client has left.
+ * The client's side of one request, independent of the protocol. The client gets exactly one final
+ * response: an endpoint's, passed on by the protocol's own attempt, or one of {@link #reject} and
+ * {@link #fail}; none when it has disconnected.
  */
 public interface ServerExchange {
   /**
-   * What was asked and by whom.
+   * What was requested and by whom.
    *
-   * @param arrivedAtMicros when it was read, in microseconds since 1970
-   * @param deadlineAtMicros when the client stops waiting
+   * @param plan the customer's plan
+   * @param arrivedAtMicros when the request was read, in microseconds since 1970
+   * @param deadlineAtMicros when the client stops waiting, in microseconds since 1970
+   * @param units the request's cost by the client's own account
+   * @param customerInstanceCount how many gateway instances the customer's requests are spread over
+   * @param customerFirstInstance index of the first of these instances
    * @param label the client's own name for the request, for the log
    */
   record RequestAttributes(
@@ -27,20 +31,21 @@
       boolean isRetry,
       String label) {}
 
+  /** Returns what was requested and by whom. */
   RequestAttributes requestAttributes();
 
-  /** Turned away; trying again after so long is harmless. */
+  /** Rejects the request; the client may retry after this time in microseconds. */
   void reject(long retryAfterMicros);
 
   /**
-   * Failed, with no promise about the effect.
+   * Fails the request, with no promise whether an endpoint ran it.
    *
-   * @param answered whether the last attempt ended, rather than that time ran out
+   * @param hasAttemptFailure whether the last attempt failed, rather than that time ran out
    */
-  void fail(boolean answered, String reason);
+  void fail(boolean hasAttemptFailure, String reason);
 
-  /** Ends the client's side at once after a streamed answer broke. */
+  /** Closes the client's side at once after a streamed response broke. */
   default void abort() {
-    // Only where answers are streamed.
+    // Only protocols that stream have something to close.
   }
 }
--- a/src/main/java/fawndock/runtime/Timers.java
+++ b/src/main/java/fawndock/runtime/Timers.java
@@ -1,26 +1,27 @@
 package fawndock.runtime;
 
 import io.vertx.core.Vertx;
+import java.util.Arrays;
 
 /**
- * The timers of one context: a hashed timing wheel (Varghese and Lauck, 1987) of one slot a
- * millisecond, and one timer of Vert.x for the next slot in use. Setting and cancelling cost the
- * same however many are pending. Guards against the several timers that each request leaves until
- * its deadline, hundreds of thousands at full load, in a queue whose cost grows with their number.
- * Bounded by the requests taken on within the longest deadline.
+ * The timers of one event loop: a hashed timing wheel (Varghese and Lauck, 1987) with one slot for
+ * each millisecond, and one Vert.x timer for the next slot in use. Scheduling and cancelling cost
+ * the same however many timers are pending: at full load the timers that requests leave until their
+ * deadlines are hundreds of thousands, too many for a sorted queue. Confined to one event loop.
  */
-public final class Timers {
+public final class Timers implements AutoCloseable {
   private static final int SLOTS = 4_096;
+  private static final long TICK_NANOS = 1_000_000;
 
-  /** One alarm; it rings once, unless cancelled before. */
+  /** One timer; it fires once, unless cancelled before. */
   public static final class Timer {
     private final long tick;
     private Runnable task;
     private Timer next;
 
-    private Timer(long tick, Runnable what) {
+    private Timer(long tick, Runnable task) {
       this.tick = tick;
-      this.task = what;
+      this.task = task;
     }
   }
 
@@ -29,102 +30,124 @@
   private final Timer[] heads = new Timer[SLOTS];
   private final Timer[] tails = new Timer[SLOTS];
 
-  /** All ticks up to this one have rung. */
+  /** All timers of ticks up to this one have fired. */
   private long lastFiredTick;
 
   private int pendingCount;
+
+  /** The Vert.x timer for the next slot in use; negative when none is set. */
   private long wakeUpTimerId = -1;
+
   private long wakeUpTick;
   private boolean isFiring;
 
-  /** Alarms of the context that this is made on. */
+  /** Creates the timers of the event loop that this is called on. */
   public Timers(Vertx vertx) {
     this.vertx = vertx;
   }
 
   /**
-   * Runs something after at least so many microseconds, on the context that asks; those of one tick
-   * in order.
+   * Runs a task on this event loop after at least this delay. Timers of one millisecond fire in the
+   * order in which they were scheduled.
    */
-  public Timer schedule(long micros, Runnable what) {
-    long due =
-        (System.nanoTime() - originNanos + Math.max(0, micros) * 1_000 + 999_999) / 1_000_000;
-    Timer alarm = new Timer(Math.max(due, lastFiredTick + 1), what);
-    append(alarm);
+  public Timer schedule(long delayMicros, Runnable task) {
+    long dueNanos = elapsedNanos() + Math.max(0, delayMicros) * 1_000;
+    long dueTick = (dueNanos + TICK_NANOS - 1) / TICK_NANOS;
+    Timer timer = new Timer(Math.max(dueTick, lastFiredTick + 1), task);
+    append(timer);
     pendingCount++;
-    if (!isFiring && (wakeUpTimerId < 0 || alarm.tick < wakeUpTick)) {
-      scheduleWakeUp(alarm.tick);
+    if (!isFiring && (wakeUpTimerId < 0 || timer.tick < wakeUpTick)) {
+      scheduleWakeUp(timer.tick);
     }
-    return alarm;
+    return timer;
   }
 
-  /** An alarm that is cancelled takes its place until its time, but holds nothing else. */
-  public void cancel(Timer alarm) {
-    if (alarm != null && alarm.task != null) {
-      alarm.task = null;
+  /**
+   * Cancels a timer; does nothing for null or a timer that has fired. A cancelled timer stays in
+   * its slot until its time but no longer references its task.
+   */
+  public void cancel(Timer timer) {
+    if (timer != null && timer.task != null) {
+      timer.task = null;
       pendingCount--;
     }
   }
 
-  /** Alarms that have neither rung nor been cancelled. */
+  /** Returns how many timers have neither fired nor been cancelled. */
   public int pendingCount() {
     return pendingCount;
   }
 
-  /** Forgets all of them. */
+  /** Drops all timers without firing them. Idempotent. */
+  @Override
   public void close() {
-    java.util.Arrays.fill(heads, null);
-    java.util.Arrays.fill(tails, null);
+    Arrays.fill(heads, null);
+    Arrays.fill(tails, null);
     pendingCount = 0;
-    if (wakeUpTimerId >= 0) {
-      vertx.cancelTimer(wakeUpTimerId);
-      wakeUpTimerId = -1;
-    }
+    cancelWakeUp();
+  }
+
+  private long elapsedNanos() {
+    return System.nanoTime() - originNanos;
   }
 
-  private void append(Timer alarm) {
-    int slot = (int) (alarm.tick % SLOTS);
+  private void append(Timer timer) {
+    int slot = slot(timer.tick);
     if (heads[slot] == null) {
-      heads[slot] = alarm;
+      heads[slot] = timer;
     } else {
-      tails[slot].next = alarm;
+      tails[slot].next = timer;
     }
-    tails[slot] = alarm;
+    tails[slot] = timer;
+  }
+
+  private static int slot(long tick) {
+    return (int) (tick % SLOTS);
   }
 
   private void scheduleWakeUp(long tick) {
+    cancelWakeUp();
+    wakeUpTick = tick;
+    long delayNanos = tick * TICK_NANOS - elapsedNanos();
+    long delayMillis = Math.max(1, (delayNanos + TICK_NANOS - 1) / TICK_NANOS);
+    wakeUpTimerId = vertx.setTimer(delayMillis, id -> onWakeUp());
+  }
+
+  private void cancelWakeUp() {
     if (wakeUpTimerId >= 0) {
       vertx.cancelTimer(wakeUpTimerId);
+      wakeUpTimerId = -1;
     }
-    wakeUpTick = tick;
-    long nanos = tick * 1_000_000 - (System.nanoTime() - originNanos);
-    wakeUpTimerId = vertx.setTimer(Math.max(1, (nanos + 999_999) / 1_000_000), id -> fire());
   }
 
-  private void fire() {
+  private void onWakeUp() {
     wakeUpTimerId = -1;
     isFiring = true;
     try {
-      // No more than one round: a loop that was held for longer looks at each slot once.
-      long now = (System.nanoTime() - originNanos) / 1_000_000;
-      long from = lastFiredTick + 1;
-      lastFiredTick = now;
-      for (long tick = from; tick <= now && tick < from + SLOTS; tick++) {
-        fire((int) (tick % SLOTS), now);
+      long nowTick = elapsedNanos() / TICK_NANOS;
+      long firstTick = lastFiredTick + 1;
+      lastFiredTick = nowTick;
+      // At most one round of the wheel: after a longer pause of the loop each slot is due once.
+      for (long tick = firstTick; tick <= nowTick && tick < firstTick + SLOTS; tick++) {
+        fireSlot(slot(tick), nowTick);
       }
     } finally {
       isFiring = false;
       if (pendingCount > 0) {
-        long tick = lastFiredTick + 1;
-        while (!hasPendingTimer((int) (tick % SLOTS)) && tick < lastFiredTick + SLOTS) {
-          tick++;
-        }
-        scheduleWakeUp(tick);
+        scheduleWakeUp(nextTickInUse());
       }
     }
   }
 
-  /** Whether a slot holds an alarm that is to ring; drops those cancelled that stand before it. */
+  private long nextTickInUse() {
+    long tick = lastFiredTick + 1;
+    while (!hasPendingTimer(slot(tick)) && tick < lastFiredTick + SLOTS) {
+      tick++;
+    }
+    return tick;
+  }
+
+  /** Returns whether a slot holds a pending timer; drops cancelled timers at its head. */
   private boolean hasPendingTimer(int slot) {
     while (heads[slot] != null && heads[slot].task == null) {
       heads[slot] = heads[slot].next;
@@ -132,24 +155,23 @@
     return heads[slot] != null;
   }
 
-  private void fire(int slot, long now) {
-    Timer alarm = heads[slot];
+  private void fireSlot(int slot, long nowTick) {
+    Timer timer = heads[slot];
     heads[slot] = null;
     tails[slot] = null;
-    while (alarm != null) {
-      Timer next = alarm.next;
-      alarm.next = null;
-      if (alarm.task == null) {
-        // Cancelled.
-      } else if (alarm.tick > now) {
-        append(alarm); // Of a later round.
-      } else {
-        Runnable what = alarm.task;
-        alarm.task = null;
+    while (timer != null) {
+      Timer next = timer.next;
+      timer.next = null;
+      boolean isCancelled = timer.task == null;
+      if (!isCancelled && timer.tick > nowTick) {
+        append(timer); // Due in a later round of the wheel.
+      } else if (!isCancelled) {
+        Runnable task = timer.task;
+        timer.task = null;
         pendingCount--;
-        what.run();
+        task.run();
       }
-      alarm = next;
+      timer = next;
     }
   }
 }
