--- a/src/main/java/fawndock/benchmark/CounterBench.java
+++ b/src/main/java/fawndock/benchmark/CounterBench.java
@@ -1,6 +1,6 @@
 package fawndock.benchmark;
 
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.counter.storage.Storage;
 import fawndock.scenario.CounterCaller;
 import fawndock.scenario.CounterProcess;
@@ -220,7 +220,7 @@
   private double[] bare(Path folder, int bytes) throws IOException {
     Path directory = Files.createDirectories(folder.resolve("bare"));
     Histogram micros = new Histogram(60_000_000L, 3);
-    try (FileDisk disk = new FileDisk(directory, true);
+    try (FileStorage disk = new FileStorage(directory, true);
         Storage.File file = disk.create("bare")) {
       ByteBuffer record = ByteBuffer.allocateDirect(bytes);
       long begun = System.nanoTime();
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
 import fawndock.counter.CounterServer;
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.CounterSettings;
 import fawndock.settings.CounterSettingsFile;
@@ -53,7 +53,7 @@
     }
     Logs.to(settings.log());
     try {
-      FileDisk disk = new FileDisk(settings.directory(), true);
+      FileStorage disk = new FileStorage(settings.directory(), true);
       CounterServer server = new CounterServer(settings, disk);
       ProgressBar bar = new ProgressBar("recovering", size(settings.directory()), System.err);
       int port = server.start(bar::at);
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -1,11 +1,11 @@
 package fawndock.cli;
 
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.counter.storage.ChangeRecord;
 import fawndock.counter.storage.DecimalAmount;
 import fawndock.counter.storage.LogVerifier;
-import fawndock.counter.storage.LogVerifier.State;
-import fawndock.counter.storage.LogVerifier.Verdict;
+import fawndock.counter.storage.LogVerifier.FileReport;
+import fawndock.counter.storage.LogVerifier.FileState;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -52,9 +52,9 @@
       if (!isDirectory(directory)) {
         return 2;
       }
-      List<Verdict> all = LogVerifier.verify(new FileDisk(directory, false));
-      all.forEach(v -> System.out.println(v.line()));
-      boolean damaged = all.stream().anyMatch(v -> v.state() == State.DAMAGED);
+      List<FileReport> all = LogVerifier.verify(new FileStorage(directory, false));
+      all.forEach(v -> System.out.println(v.describe()));
+      boolean damaged = all.stream().anyMatch(v -> v.state() == FileState.DAMAGED);
       System.out.println(
           damaged
               ? "damaged: a counter does not start on it; see counter-log truncate"
@@ -88,7 +88,7 @@
       Path directory = file.toAbsolutePath().getParent();
       String bad =
           LogVerifier.dump(
-              new FileDisk(directory, false),
+              new FileStorage(directory, false),
               file.getFileName().toString(),
               from,
               (record, time) ->
@@ -101,9 +101,9 @@
     }
   }
 
-  private static final class Printer implements ChangeRecord.Reader {
+  private static final class Printer implements ChangeRecord.Visitor {
     @Override
-    public void set(byte[] name, DecimalAmount amount, long expiry) {
+    public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
       System.out.println(
           "  set "
               + text(name)
@@ -113,12 +113,12 @@
     }
 
     @Override
-    public void deleted(byte[] name) {
+    public void onDeleted(byte[] name) {
       System.out.println("  delete " + text(name));
     }
 
     @Override
-    public void end(long names) {
+    public void onSnapshotEnd(long names) {
       System.out.println("  end of a snapshot of " + names + " names");
     }
 
@@ -148,7 +148,7 @@
       if (!isDirectory(directory)) {
         return 2;
       }
-      try (FileDisk disk = new FileDisk(directory, true)) {
+      try (FileStorage disk = new FileStorage(directory, true)) {
         List<String> steps = LogVerifier.truncate(disk, yes);
         steps.forEach(System.out::println);
         System.out.println(
--- a/src/main/java/fawndock/cli/NodesCommand.java
+++ b/src/main/java/fawndock/cli/NodesCommand.java
@@ -57,7 +57,7 @@
         throw new IOException("says '" + status + "', expected a node that is ready");
       }
       String epoch = status.replaceFirst(".* epoch ([0-9]+) .*", "$1");
-      list = MembershipList.of((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
+      list = MembershipList.parse((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
       List<String> words = new ArrayList<>(List.of("FD.NODES"));
       words.addAll(List.of(list.toString().split(" ")));
       String taken = text(caller.call(words.toArray(String[]::new)));
--- a/src/main/java/fawndock/counter/Session.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -14,35 +14,35 @@
  * group to be durable, and the answers after it wait with it. When answers wait or are not read, no
  * more is taken from the socket.
  */
-final class Session extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter {
   /** Bytes of waiting answers beyond which nothing more is read. */
-  static final int MOST_HELD = 256 << 10;
+  static final int MAX_PENDING_REPLY_BYTES = 256 << 10;
 
   /** Commands done in one turn, so that a deep pipeline does not keep the others waiting. */
-  private static final int MOST_A_TURN = 1_024;
+  private static final int MAX_COMMANDS_PER_TURN = 1_024;
 
-  private record Held(long group, ByteBuf answers) {}
+  private record PendingReplies(long group, ByteBuf answers) {}
 
   final long id;
-  final Engine engine;
+  final CommandExecutor engine;
   private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
+  private final ArrayDeque<PendingReplies> pendingReplies = new ArrayDeque<>();
   private ChannelHandlerContext context;
   private ByteBuf input;
   private ByteBuf scratch;
   private ReplyWriter reply;
-  private long heldBytes;
-  private boolean ending;
-  private boolean later;
-  private long stalledSince;
-  boolean known;
+  private long pendingReplyBytes;
+  private boolean isClosing;
+  private boolean isTurnScheduled;
+  private long stalledSinceNanos;
+  boolean isAuthenticated;
   String name = "";
   Transaction transaction;
 
-  Session(Engine engine, long id) {
+  ClientConnection(CommandExecutor engine, long id) {
     this.engine = engine;
     this.id = id;
-    known = engine.open();
+    isAuthenticated = engine.open();
   }
 
   @Override
@@ -56,7 +56,7 @@
   @Override
   public void channelRead(ChannelHandlerContext handler, Object message) {
     ByteBuf bytes = (ByteBuf) message;
-    if (ending) {
+    if (isClosing) {
       bytes.release();
       return;
     }
@@ -65,8 +65,8 @@
     process();
   }
 
-  private boolean full() {
-    return heldBytes > MOST_HELD || !context.channel().isWritable();
+  private boolean isBackpressured() {
+    return pendingReplyBytes > MAX_PENDING_REPLY_BYTES || !context.channel().isWritable();
   }
 
   private void process() {
@@ -74,7 +74,7 @@
     ByteBuf direct = null;
     int many = 0;
     try {
-      while (!ending && !full() && many < MOST_A_TURN) {
+      while (!isClosing && !isBackpressured() && many < MAX_COMMANDS_PER_TURN) {
         byte[][] words = reader.next(input);
         if (words == null) {
           break;
@@ -82,8 +82,8 @@
         many++;
         scratch.clear();
         long group = engine.run(words, reply, this, now);
-        direct = answer(group, direct);
-        if (direct != null && direct.readableBytes() > MOST_HELD) {
+        direct = routeReply(group, direct);
+        if (direct != null && direct.readableBytes() > MAX_PENDING_REPLY_BYTES) {
           context.write(direct);
           direct = null;
         }
@@ -91,8 +91,8 @@
     } catch (ProtocolException e) {
       scratch.clear();
       reply.error(e.getMessage());
-      direct = answer(0, direct);
-      ending = true;
+      direct = routeReply(0, direct);
+      isClosing = true;
     }
     if (direct != null) {
       context.write(direct);
@@ -101,66 +101,71 @@
     engine.pumpSoon();
     // Only a command that is itself incomplete is stalled: one that waits for room here is not the
     // client's fault.
-    boolean incomplete = !full() && many < MOST_A_TURN && (reader.within() || input.isReadable());
-    stalledSince =
-        !incomplete ? 0 : many > 0 || stalledSince == 0 ? System.nanoTime() | 1 : stalledSince;
-    context.channel().config().setAutoRead(!full() && !ending);
-    if (many == MOST_A_TURN && !later) {
-      later = true;
+    boolean incomplete =
+        !isBackpressured()
+            && many < MAX_COMMANDS_PER_TURN
+            && (reader.within() || input.isReadable());
+    stalledSinceNanos =
+        !incomplete
+            ? 0
+            : many > 0 || stalledSinceNanos == 0 ? System.nanoTime() | 1 : stalledSinceNanos;
+    context.channel().config().setAutoRead(!isBackpressured() && !isClosing);
+    if (many == MAX_COMMANDS_PER_TURN && !isTurnScheduled) {
+      isTurnScheduled = true;
       context
           .executor()
           .execute(
               () -> {
-                later = false;
+                isTurnScheduled = false;
                 if (context.channel().isActive()) {
                   process();
                 }
               });
     }
-    endIfDone();
+    closeIfDone();
   }
 
   /**
    * Takes the answer in scratch: to what goes out at once, or to what waits for the group; returns
    * the former.
    */
-  private ByteBuf answer(long group, ByteBuf direct) {
-    if (group != 0 || !held.isEmpty()) {
-      hold(group);
+  private ByteBuf routeReply(long group, ByteBuf direct) {
+    if (group != 0 || !pendingReplies.isEmpty()) {
+      addPending(group);
       return direct;
     }
     return (direct == null ? context.alloc().buffer(1_024) : direct).writeBytes(scratch);
   }
 
   /** Keeps the answer in scratch until its group is durable. */
-  private void hold(long group) {
-    long last = held.isEmpty() ? 0 : held.peekLast().group;
-    if (held.isEmpty() || group > last) {
-      held.add(new Held(Math.max(group, last), context.alloc().buffer(1_024)));
+  private void addPending(long group) {
+    long last = pendingReplies.isEmpty() ? 0 : pendingReplies.peekLast().group;
+    if (pendingReplies.isEmpty() || group > last) {
+      pendingReplies.add(new PendingReplies(Math.max(group, last), context.alloc().buffer(1_024)));
       engine.waits(this);
     }
-    held.peekLast().answers.writeBytes(scratch);
-    heldBytes += scratch.readableBytes();
+    pendingReplies.peekLast().answers.writeBytes(scratch);
+    pendingReplyBytes += scratch.readableBytes();
   }
 
   /** Sends what waited for groups up to this one; whether more waits. */
-  boolean release(long group) {
-    boolean was = full();
+  boolean releaseUpTo(long group) {
+    boolean was = isBackpressured();
     boolean any = false;
-    while (!held.isEmpty() && held.peek().group <= group) {
-      ByteBuf answers = held.poll().answers;
-      heldBytes -= answers.readableBytes();
+    while (!pendingReplies.isEmpty() && pendingReplies.peek().group <= group) {
+      ByteBuf answers = pendingReplies.poll().answers;
+      pendingReplyBytes -= answers.readableBytes();
       context.write(answers);
       any = true;
     }
     if (any) {
       context.flush();
     }
-    if (was && !full()) {
+    if (was && !isBackpressured()) {
       process();
     }
-    endIfDone();
-    return !held.isEmpty();
+    closeIfDone();
+    return !pendingReplies.isEmpty();
   }
 
   @Override
@@ -171,12 +176,12 @@
   }
 
   /** Takes no more commands and closes when the last answer has gone. */
-  void endAfterAnswers() {
-    ending = true;
+  void closeAfterReplies() {
+    isClosing = true;
   }
 
-  private void endIfDone() {
-    if (ending && held.isEmpty() && context.channel().isActive()) {
+  private void closeIfDone() {
+    if (isClosing && pendingReplies.isEmpty() && context.channel().isActive()) {
       context
           .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
           .addListener(ChannelFutureListener.CLOSE);
@@ -184,21 +189,21 @@
   }
 
   /** Closes when a command has been half here, or answers unread, for longer than this. */
-  void check(long now, long limitNanos) {
+  void closeIfStalled(long now, long limitNanos) {
     if (!context.channel().isWritable()) {
-      stalledSince = stalledSince == 0 ? now | 1 : stalledSince;
+      stalledSinceNanos = stalledSinceNanos == 0 ? now | 1 : stalledSinceNanos;
     }
-    if (stalledSince != 0 && now - stalledSince > limitNanos) {
+    if (stalledSinceNanos != 0 && now - stalledSinceNanos > limitNanos) {
       context.close();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext handler) {
-    ending = true;
+    isClosing = true;
     engine.gone(this);
-    held.forEach(h -> h.answers.release());
-    held.clear();
+    pendingReplies.forEach(h -> h.answers.release());
+    pendingReplies.clear();
     input.release();
     scratch.release();
   }
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -7,25 +7,31 @@
  *
  * @param name in capitals
  * @param arity words with the name itself; below 0 for at least so many
- * @param writes whether it may change counts
- * @param first place of the first name of a count among the words, 0 for none
- * @param last place of the last, -1 for the last word
- * @param changes for each word that may be noted, from 1
+ * @param isWrite whether it may change counts
+ * @param firstName place of the first name of a count among the words, 0 for none
+ * @param lastName place of the last, -1 for the last word
+ * @param changesPerWord for each word that may be noted, from 1
  * @param action what it does
  */
 record Command(
-    String name, int arity, boolean writes, int first, int last, int changes, Action action) {
-  Command(String name, int arity, boolean writes, int first, int last, Action action) {
-    this(name, arity, writes, first, last, 1, action);
+    String name,
+    int arity,
+    boolean isWrite,
+    int firstName,
+    int lastName,
+    int changesPerWord,
+    Action action) {
+  Command(String name, int arity, boolean isWrite, int firstName, int lastName, Action action) {
+    this(name, arity, isWrite, firstName, lastName, 1, action);
   }
 
   /** Writes exactly one answer, or throws and has changed and answered nothing. */
   @FunctionalInterface
   interface Action {
-    void run(Call call) throws CommandException;
+    void run(CommandInvocation call) throws CommandException;
   }
 
-  boolean takes(int words) {
+  boolean acceptsWordCount(int words) {
     return arity < 0 ? words >= -arity : words == arity;
   }
 }
--- a/src/main/java/fawndock/counter/Engine.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -18,7 +18,7 @@
  * The counts, the commands on them and the answers that wait for the log; all of it on one event
  * loop.
  */
-final class Engine {
+final class CommandExecutor {
   static final String VERSION = "0.2.0";
 
   /** Sets a node's clock off in a drill. */
@@ -30,11 +30,11 @@
   private final MonotonicWallClock time;
   private final Executor loop;
   private final Map<String, Command> commands = new LinkedHashMap<>();
-  private final SessionCommands sessionCommands;
-  private final Set<Session> waiting = new LinkedHashSet<>();
+  private final ConnectionCommands sessionCommands;
+  private final Set<ClientConnection> waiting = new LinkedHashSet<>();
   private final long startedAt = System.nanoTime();
   private final long runId = ThreadLocalRandom.current().nextLong();
-  private LogThread log;
+  private WriteAheadLogThread log;
   private boolean pumping;
   private long durable;
   private long done;
@@ -43,7 +43,7 @@
   int sessions;
   String durability = "";
 
-  Engine(
+  CommandExecutor(
       CounterOperations counts,
       GroupCommit commit,
       MonotonicWallClock time,
@@ -53,16 +53,16 @@
     this.commit = commit;
     this.time = time;
     this.loop = loop;
-    sessionCommands = new SessionCommands(this, password);
-    CountCommands.all().forEach(c -> commands.put(c.name(), c));
-    KeyCommands.all().forEach(c -> commands.put(c.name(), c));
+    sessionCommands = new ConnectionCommands(this, password);
+    AmountCommands.all().forEach(c -> commands.put(c.name(), c));
+    NameCommands.all().forEach(c -> commands.put(c.name(), c));
     sessionCommands.all().forEach(c -> commands.put(c.name(), c));
     for (String name : new String[] {"MULTI", "EXEC", "DISCARD"}) {
       commands.put(name, new Command(name, 1, false, 0, 0, null));
     }
   }
 
-  void log(LogThread logThread) {
+  void log(WriteAheadLogThread logThread) {
     log = logThread;
   }
 
@@ -76,11 +76,11 @@
   }
 
   boolean open() {
-    return sessionCommands.open();
+    return sessionCommands.isPasswordless();
   }
 
   long now() {
-    return time.now(System.currentTimeMillis() + CLOCK_OFFSET, System.nanoTime());
+    return time.nowMillis(System.currentTimeMillis() + CLOCK_OFFSET, System.nanoTime());
   }
 
   /**
@@ -88,12 +88,12 @@
    *
    * @return the group that the answer must wait for, or 0
    */
-  long run(byte[][] words, ReplyWriter reply, Session session, long now) {
+  long run(byte[][] words, ReplyWriter reply, ClientConnection session, long now) {
     openGroup();
-    long before = commit.pending();
+    long before = commit.pendingBytes();
     try {
       Command command = find(words);
-      if (!session.known && !SessionCommands.free(command)) {
+      if (!session.isAuthenticated && !ConnectionCommands.isAllowedUnauthenticated(command)) {
         throw new CommandException("NOAUTH Authentication required.");
       }
       if (command.action() == null) {
@@ -105,11 +105,11 @@
       }
     } catch (CommandException e) {
       if (session.transaction != null) {
-        session.transaction.spoil();
+        session.transaction.markFailed();
       }
       reply.error(e.getMessage());
     }
-    return commit.pending() != before ? commit.awaited() : 0;
+    return commit.pendingBytes() != before ? commit.awaitedGroup() : 0;
   }
 
   private Command find(byte[][] words) throws CommandException {
@@ -136,23 +136,23 @@
       throw new CommandException(
           "ERR unknown command '" + name + "', with args beginning with: " + begin);
     }
-    if (!command.takes(words.length)) {
-      throw SessionCommands.arity(command.name());
+    if (!command.acceptsWordCount(words.length)) {
+      throw ConnectionCommands.wrongArity(command.name());
     }
     return command;
   }
 
   private void perform(
-      Command command, byte[][] words, ReplyWriter reply, Session session, long now)
+      Command command, byte[][] words, ReplyWriter reply, ClientConnection session, long now)
       throws CommandException {
-    ChangeRecord changes = command.writes() ? room(bytes(command, words)) : null;
+    ChangeRecord changes = command.isWrite() ? room(bytes(command, words)) : null;
     done++;
-    command.action().run(new Call(words, reply, session, counts, now, changes));
+    command.action().run(new CommandInvocation(words, reply, session, counts, now, changes));
   }
 
   private ChangeRecord room(long bytes) throws CommandException {
     try {
-      return commit.room(bytes);
+      return commit.reserve(bytes);
     } catch (CommandException e) {
       refused++;
       throw e;
@@ -163,12 +163,12 @@
   private static long bytes(Command command, byte[][] words) {
     long bytes = 0;
     for (byte[] word : words) {
-      bytes += CounterOperations.bytes(word);
+      bytes += CounterOperations.maxChangeBytes(word);
     }
-    return command.changes() * bytes;
+    return command.changesPerWord() * bytes;
   }
 
-  private void queue(byte[][] words, Command command, ReplyWriter reply, Session session)
+  private void queue(byte[][] words, Command command, ReplyWriter reply, ClientConnection session)
       throws CommandException {
     if (command.name().equals("QUIT")) {
       session.transaction = null;
@@ -177,11 +177,11 @@
       reply.simple("QUEUED");
     } else {
       throw new CommandException(
-          "ERR a transaction has at most " + Transaction.MOST + " commands and 256 KiB");
+          "ERR a transaction has at most " + Transaction.MAX_COMMANDS + " commands and 256 KiB");
     }
   }
 
-  private void transaction(String name, ReplyWriter reply, Session session, long now)
+  private void transaction(String name, ReplyWriter reply, ClientConnection session, long now)
       throws CommandException {
     Transaction ending = session.transaction;
     if (name.equals("MULTI")) {
@@ -200,13 +200,13 @@
       reply.ok();
       return;
     }
-    if (ending.spoilt()) {
+    if (ending.isFailed()) {
       throw new CommandException("EXECABORT Transaction discarded because of previous errors.");
     }
     long bytes = 0;
     for (byte[][] words : ending.commands()) {
       Command command = find(words);
-      bytes += command.writes() ? bytes(command, words) : 0;
+      bytes += command.isWrite() ? bytes(command, words) : 0;
     }
     if (bytes > 0) {
       room(bytes); // For all of them, or none is done.
@@ -236,10 +236,10 @@
   void pump() {
     openGroup();
     long now = now();
-    GroupCommit.Work work = commit.next(now);
+    GroupCommit.LogWork work = commit.nextWork(now);
     if (work != null) {
       log.perform(work);
-    } else if ((work = commit.offer(now)) != null) {
+    } else if ((work = commit.offerOpenGroup(now)) != null) {
       log.offer(work);
     }
   }
@@ -251,27 +251,27 @@
   void openGroup() {
     if (commit.offered()) {
       if (log.withdraw()) {
-        commit.withdrawn();
+        commit.onOfferWithdrawn();
       } else {
-        commit.taken();
+        commit.onOfferTaken();
       }
     }
   }
 
   /** A session has an answer that waits. */
-  void waits(Session session) {
+  void waits(ClientConnection session) {
     waiting.add(session);
   }
 
-  void gone(Session session) {
+  void gone(ClientConnection session) {
     waiting.remove(session);
   }
 
   /** All groups up to this one are durable. */
   void release(long number) {
     durable = Math.max(durable, number);
-    for (Session session : Set.copyOf(waiting)) {
-      if (!session.release(durable)) {
+    for (ClientConnection session : Set.copyOf(waiting)) {
+      if (!session.releaseUpTo(durable)) {
         waiting.remove(session);
       }
     }
@@ -283,12 +283,12 @@
 
   /** Forgets some names that have expired. */
   void sweep() {
-    expired += counts.table().sweep(now(), SWEEP_SLOTS);
+    expired += counts.table().sweepExpired(now(), SWEEP_SLOTS);
   }
 
   String info() {
     Runtime runtime = Runtime.getRuntime();
-    String refusal = commit.refusal();
+    String refusal = commit.rejection();
     return "# Server\r\nredis_version:7.2.0\r\nredis_mode:standalone\r\nfawndock_version:"
         + VERSION
         + "\r\nprocess_id:"
@@ -306,11 +306,11 @@
         + "\r\n\r\n# Persistence\r\ndurability:"
         + durability
         + "\r\nlast_group:"
-        + (commit.open() - 1)
+        + (commit.openGroup() - 1)
         + "\r\ndurable_group:"
         + durable
         + "\r\nwaiting_bytes:"
-        + commit.pending()
+        + commit.pendingBytes()
         + "\r\nrefusing:"
         + (refusal == null ? "" : refusal)
         + "\r\n\r\n# Stats\r\ntotal_commands_processed:"
--- a/src/main/java/fawndock/counter/Call.java
+++ b/src/main/java/fawndock/counter/CommandInvocation.java
@@ -13,17 +13,17 @@
  *
  * @param words the command's name and arguments
  * @param reply where its answer goes
- * @param session whose it is
- * @param counts what it is done to
- * @param now milliseconds since 1970
+ * @param connection whose it is
+ * @param operations what it is done to
+ * @param nowMillis milliseconds since 1970
  * @param changes where changes are noted; null for a command that makes none
  */
-record Call(
+record CommandInvocation(
     byte[][] words,
     ReplyWriter reply,
-    Session session,
-    CounterOperations counts,
-    long now,
+    ClientConnection connection,
+    CounterOperations operations,
+    long nowMillis,
     ChangeRecord changes) {
   byte[] word(int place) {
     return words[place];
@@ -38,20 +38,20 @@
     return text(place).toUpperCase(Locale.ROOT);
   }
 
-  long whole(int place) throws CommandException {
-    return DecimalAmount.whole(words[place]);
+  long integer(int place) throws CommandException {
+    return DecimalAmount.parseLong(words[place]);
   }
 
   /** The name of a count. */
-  byte[] name(int place) throws CommandException {
-    if (words[place].length > ChangeRecord.LONGEST_NAME) {
-      throw new CommandException("ERR a name is at most " + ChangeRecord.LONGEST_NAME + " bytes");
+  byte[] requireName(int place) throws CommandException {
+    if (words[place].length > ChangeRecord.MAX_NAME_BYTES) {
+      throw new CommandException("ERR a name is at most " + ChangeRecord.MAX_NAME_BYTES + " bytes");
     }
     return words[place];
   }
 
   /** Ends a command whose words do not go together. */
-  static CommandException syntax() {
+  static CommandException syntaxError() {
     return new CommandException(CommandException.SYNTAX);
   }
 }
--- a/src/main/java/fawndock/counter/SessionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 
 /** Commands on the connection and on the service itself. */
-final class SessionCommands {
-  private final Engine engine;
+final class ConnectionCommands {
+  private final CommandExecutor engine;
   private final byte[] password;
 
   /**
    * @param password that a connection must give first; empty for none
    */
-  SessionCommands(Engine engine, String password) {
+  ConnectionCommands(CommandExecutor engine, String password) {
     this.engine = engine;
     this.password = password.getBytes(StandardCharsets.UTF_8);
   }
 
   List<Command> all() {
     return List.of(
-        new Command("PING", -1, false, 0, 0, SessionCommands::ping),
+        new Command("PING", -1, false, 0, 0, ConnectionCommands::ping),
         new Command("ECHO", 2, false, 0, 0, c -> c.reply().bulk(c.word(1))),
         new Command("HELLO", -1, false, 0, 0, this::hello),
         new Command("AUTH", -2, false, 0, 0, this::auth),
-        new Command("SELECT", 2, false, 0, 0, SessionCommands::select),
+        new Command("SELECT", 2, false, 0, 0, ConnectionCommands::select),
         new Command(
             "QUIT",
             -1,
@@ -36,25 +36,25 @@
             0,
             c -> {
               c.reply().ok();
-              c.session().endAfterAnswers();
+              c.connection().closeAfterReplies();
             }),
-        new Command("CLIENT", -2, false, 0, 0, SessionCommands::client),
+        new Command("CLIENT", -2, false, 0, 0, ConnectionCommands::client),
         new Command("COMMAND", -1, false, 0, 0, this::command),
         new Command("INFO", -1, false, 0, 0, c -> c.reply().bulk(engine.info())));
   }
 
   /** Whether a connection may ask before it has given the password. */
-  static boolean free(Command command) {
+  static boolean isAllowedUnauthenticated(Command command) {
     return List.of("AUTH", "HELLO", "QUIT").contains(command.name());
   }
 
-  boolean open() {
+  boolean isPasswordless() {
     return password.length == 0;
   }
 
-  private static void ping(Call c) throws CommandException {
+  private static void ping(CommandInvocation c) throws CommandException {
     if (c.words().length > 2) {
-      throw arity("ping");
+      throw wrongArity("ping");
     }
     if (c.words().length == 2) {
       c.reply().bulk(c.word(1));
@@ -63,24 +63,24 @@
     }
   }
 
-  static CommandException arity(String command) {
+  static CommandException wrongArity(String command) {
     return new CommandException(
         "ERR wrong number of arguments for '" + command.toLowerCase(Locale.ROOT) + "' command");
   }
 
-  private void check(Call c, int user, int word) throws CommandException {
+  private void check(CommandInvocation c, int user, int word) throws CommandException {
     boolean right = MessageDigest.isEqual(password, c.word(word));
     if (!right || user > 0 && !c.text(user).equals("default")) {
       throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
     }
-    c.session().known = true;
+    c.connection().isAuthenticated = true;
   }
 
-  private void auth(Call c) throws CommandException {
+  private void auth(CommandInvocation c) throws CommandException {
     if (c.words().length > 3) {
-      throw Call.syntax();
+      throw CommandInvocation.syntaxError();
     }
-    if (open()) {
+    if (isPasswordless()) {
       throw new CommandException(
           "ERR AUTH <password> called without any password configured for the default "
               + "user. Are you sure your configuration is correct?");
@@ -89,7 +89,7 @@
     c.reply().ok();
   }
 
-  private void hello(Call c) throws CommandException {
+  private void hello(CommandInvocation c) throws CommandException {
     int version = c.reply().version;
     if (c.words().length > 1) {
       String told = c.text(1);
@@ -103,18 +103,18 @@
     }
     for (int i = 2; i < c.words().length; ) {
       if (c.option(i).equals("AUTH") && i + 2 < c.words().length) {
-        if (!open()) {
+        if (!isPasswordless()) {
           check(c, i + 1, i + 2);
         }
         i += 3;
       } else if (c.option(i).equals("SETNAME") && i + 1 < c.words().length) {
-        c.session().name = c.text(i + 1);
+        c.connection().name = c.text(i + 1);
         i += 2;
       } else {
         throw new CommandException("ERR Syntax error in HELLO option '" + c.text(i) + "'");
       }
     }
-    if (!c.session().known) {
+    if (!c.connection().isAuthenticated) {
       throw new CommandException(
           "NOAUTH HELLO must be called with the client already authenticated, otherwise the "
               + "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the "
@@ -122,39 +122,39 @@
     }
     c.reply().version = version;
     c.reply().map(7);
-    for (String each : List.of("server", "fawndock", "version", Engine.VERSION)) {
+    for (String each : List.of("server", "fawndock", "version", CommandExecutor.VERSION)) {
       c.reply().bulk(each);
     }
     c.reply().bulk("proto");
     c.reply().integer(version);
     c.reply().bulk("id");
-    c.reply().integer(c.session().id);
+    c.reply().integer(c.connection().id);
     for (String each : List.of("mode", "standalone", "role", "master", "modules")) {
       c.reply().bulk(each);
     }
     c.reply().array(0);
   }
 
-  private static void select(Call c) throws CommandException {
-    if (c.whole(1) != 0) {
+  private static void select(CommandInvocation c) throws CommandException {
+    if (c.integer(1) != 0) {
       throw new CommandException("ERR DB index is out of range");
     }
     c.reply().ok();
   }
 
-  private static void client(Call c) throws CommandException {
+  private static void client(CommandInvocation c) throws CommandException {
     String what = c.option(1);
     switch (what + " " + c.words().length) {
-      case "ID 2" -> c.reply().integer(c.session().id);
+      case "ID 2" -> c.reply().integer(c.connection().id);
       case "GETNAME 2" -> {
-        if (c.session().name.isEmpty()) {
+        if (c.connection().name.isEmpty()) {
           c.reply().nil();
         } else {
-          c.reply().bulk(c.session().name);
+          c.reply().bulk(c.connection().name);
         }
       }
       case "SETNAME 3" -> {
-        c.session().name = c.text(2);
+        c.connection().name = c.text(2);
         c.reply().ok();
       }
       case "SETINFO 4", "NO-EVICT 3", "NO-TOUCH 3" -> c.reply().ok();
@@ -166,7 +166,7 @@
     }
   }
 
-  private void command(Call c) throws CommandException {
+  private void command(CommandInvocation c) throws CommandException {
     Map<String, Command> all = engine.commands();
     String what = c.words().length == 1 ? "" : c.option(1);
     switch (what) {
@@ -194,19 +194,19 @@
     }
   }
 
-  private static void described(Call c, Collection<Command> commands) {
+  private static void described(CommandInvocation c, Collection<Command> commands) {
     c.reply().array(commands.size());
     commands.forEach(each -> describe(c, each));
   }
 
-  private static void describe(Call c, Command command) {
+  private static void describe(CommandInvocation c, Command command) {
     c.reply().array(6);
     c.reply().bulk(command.name().toLowerCase(Locale.ROOT));
     c.reply().integer(command.arity());
     c.reply().array(1);
-    c.reply().simple(command.writes() ? "write" : "readonly");
-    c.reply().integer(command.first());
-    c.reply().integer(command.last());
-    c.reply().integer(command.first() == 0 ? 0 : 1);
+    c.reply().simple(command.isWrite() ? "write" : "readonly");
+    c.reply().integer(command.firstName());
+    c.reply().integer(command.lastName());
+    c.reply().integer(command.firstName() == 0 ? 0 : 1);
   }
 }
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -3,7 +3,7 @@
 import fawndock.counter.storage.CounterOperations;
 import fawndock.counter.storage.CounterTable;
 import fawndock.counter.storage.GroupCommit;
-import fawndock.counter.storage.GroupCommit.Work;
+import fawndock.counter.storage.GroupCommit.LogWork;
 import fawndock.counter.storage.MonotonicWallClock;
 import fawndock.counter.storage.Recovery;
 import fawndock.counter.storage.Storage;
@@ -37,7 +37,7 @@
  * The running counter service: recovery, the listening socket, the log, snapshots and the way back
  * from a bad disk.
  */
-public final class CounterServer implements LogThread.Told {
+public final class CounterServer implements WriteAheadLogThread.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(CounterServer.class);
   private static final long STOP_MILLIS = 5_000;
   private static final long START_SECONDS = 600;
@@ -50,11 +50,11 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventExecutor loop = group.next();
   private final GroupCommit commit;
-  private final Set<Session> sessions = new HashSet<>();
+  private final Set<ClientConnection> sessions = new HashSet<>();
   private final CompletableFuture<Void> tried = new CompletableFuture<>();
-  private Engine engine;
-  private LogThread log;
-  private Snapshots snapshots;
+  private CommandExecutor engine;
+  private WriteAheadLogThread log;
+  private SnapshotTask snapshots;
   private Fleet fleet;
   private Channel listener;
   private long nextId = 1;
@@ -81,30 +81,31 @@
   public int start(LongConsumer progress) throws IOException {
     CounterTable table = new CounterTable(ThreadLocalRandom.current().nextLong());
     long begun = System.nanoTime();
-    Recovery.Found found = Recovery.recover(disk, table, progress);
-    found.reports().forEach(LOG::warn);
+    Recovery.Result found = Recovery.recover(disk, table, progress);
+    found.warnings().forEach(LOG::warn);
     LOG.info(
         "recovered {} names from {} bytes, up to record {}, in {} ms",
         table.size(),
-        found.bytes(),
-        found.sequence(),
+        found.bytesRead(),
+        found.lastSequence(),
         (System.nanoTime() - begun) / 1_000_000);
     MonotonicWallClock time =
-        new MonotonicWallClock(found.time(), System.currentTimeMillis(), System.nanoTime());
+        new MonotonicWallClock(
+            found.latestTimeMillis(), System.currentTimeMillis(), System.nanoTime());
     engine =
-        new Engine(
+        new CommandExecutor(
             new CounterOperations(table, settings.maxMemory()),
             commit,
             time,
             loop,
             settings.password());
     engine.durability = settings.durability().name().toLowerCase(java.util.Locale.ROOT);
-    log = new LogThread(disk, loop, this);
+    log = new WriteAheadLogThread(disk, loop, this);
     engine.log(log);
-    snapshots = new Snapshots(disk, loop, engine);
+    snapshots = new SnapshotTask(disk, loop, engine);
     fleet = new Fleet(settings, engine, group);
     engine.add(fleet.commands());
-    loop.execute(() -> anew(null, found.sequence()));
+    loop.execute(() -> anew(null, found.lastSequence()));
     try {
       tried.get(START_SECONDS, TimeUnit.SECONDS);
       listener =
@@ -117,7 +118,9 @@
               .childOption(ChannelOption.SO_KEEPALIVE, true)
               .childOption(
                   ChannelOption.WRITE_BUFFER_WATER_MARK,
-                  new WriteBufferWaterMark(Session.MOST_HELD / 2, Session.MOST_HELD))
+                  new WriteBufferWaterMark(
+                      ClientConnection.MAX_PENDING_REPLY_BYTES / 2,
+                      ClientConnection.MAX_PENDING_REPLY_BYTES))
               .childHandler(
                   new ChannelInitializer<Channel>() {
                     @Override
@@ -157,7 +160,7 @@
           .addListener(ChannelFutureListener.CLOSE);
       return;
     }
-    Session session = new Session(engine, nextId++);
+    ClientConnection session = new ClientConnection(engine, nextId++);
     sessions.add(session);
     engine.sessions = sessions.size();
     channel
@@ -172,18 +175,18 @@
 
   private void checkSessions() {
     long now = System.nanoTime();
-    Set.copyOf(sessions).forEach(s -> s.check(now, settings.stallMillis() * 1_000_000));
+    Set.copyOf(sessions).forEach(s -> s.closeIfStalled(now, settings.stallMillis() * 1_000_000));
   }
 
   @Override
-  public void done(Work work, long appended) {
+  public void onWorkDone(LogWork work, long appended) {
     if (stalled) {
       stalled = false;
       LOG.info("the log is written again");
     }
-    commit.done(work.number());
-    appendedGroup = work.number();
-    engine.release(work.number());
+    commit.onWorkDone(work.groupNumber());
+    appendedGroup = work.groupNumber();
+    engine.release(work.groupNumber());
     engine.pump();
     // Not more often than the log outgrows the last one: writing them would take more of the disk
     // than the log.
@@ -200,7 +203,7 @@
     snapshotNotBefore = System.nanoTime() + SNAPSHOT_PAUSE_NANOS;
     log.roll(
         covered -> {
-          if (covered < 0 || snapshots.active() || commit.refusal() != null) {
+          if (covered < 0 || snapshots.active() || commit.rejection() != null) {
             return;
           }
           long begun = System.nanoTime();
@@ -224,34 +227,34 @@
 
   /** Goes on when every change made so far is durable in the log. */
   private void settle(Runnable then) {
-    long last = commit.pending() > 0 ? commit.open() : commit.open() - 1;
+    long last = commit.pendingBytes() > 0 ? commit.openGroup() : commit.openGroup() - 1;
     settle(last, then);
   }
 
   private void settle(long last, Runnable then) {
     if (appendedGroup >= last) {
-      log.settle(then);
+      log.syncThen(then);
     } else {
       loop.schedule(() -> settle(last, then), 2, TimeUnit.MILLISECONDS);
     }
   }
 
   @Override
-  public void stalled(String why) {
+  public void onStalled(String why) {
     if (!stalled) {
       stalled = true;
       LOG.error("the log cannot be written: {}; changes are refused until it can", why);
     }
-    commit.stalled(why);
+    commit.onStalled(why);
   }
 
   @Override
-  public void broken(Work work, long sequence, String why) {
+  public void onSegmentAbandoned(LogWork work, long sequence, String why) {
     LOG.error(
         "a sync of the log failed: {}; its file is given up, changes are refused until a new one is begun",
         why);
     engine.openGroup();
-    commit.stalled(why);
+    commit.onStalled(why);
     snapshots.abandon();
     anew(work, sequence);
   }
@@ -259,7 +262,7 @@
   /**
    * All that is in memory into a snapshot, and a new segment after it; tried until it can be done.
    */
-  private void anew(Work work, long sequence) {
+  private void anew(LogWork work, long sequence) {
     if (stopping) {
       return;
     }
@@ -271,7 +274,7 @@
             againLater(work, sequence, failure);
             return;
           }
-          log.anew(
+          log.startNewSegment(
               sequence,
               unready -> {
                 if (unready != null) {
@@ -279,26 +282,26 @@
                   return;
                 }
                 stalled = false;
-                commit.resumed();
+                commit.onResumed();
                 tried.complete(null);
                 if (work != null) {
                   LOG.info("a new segment is begun after record {}", sequence);
-                  appendedGroup = work.number();
-                  engine.release(work.number());
+                  appendedGroup = work.groupNumber();
+                  engine.release(work.groupNumber());
                 }
                 engine.pump();
               });
         });
   }
 
-  private void againLater(Work work, long sequence, IOException failure) {
+  private void againLater(LogWork work, long sequence, IOException failure) {
     if (!stalled) {
       LOG.error(
           "no new segment could be begun: {}; changes are refused until it can",
           failure.getMessage());
     }
     stalled = true;
-    commit.stalled(String.valueOf(failure.getMessage()));
+    commit.onStalled(String.valueOf(failure.getMessage()));
     tried.complete(null);
     loop.schedule(() -> anew(work, sequence), ANEW_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -313,7 +316,7 @@
         loop.execute(
             () -> {
               stopping = true;
-              sessions.forEach(Session::endAfterAnswers);
+              sessions.forEach(ClientConnection::closeAfterReplies);
               awaitIdle(idle, limit);
             });
         idle.get(STOP_MILLIS + 1_000, TimeUnit.MILLISECONDS);
@@ -331,7 +334,7 @@
   }
 
   private void awaitIdle(CompletableFuture<Void> idle, long limit) {
-    if (commit.idle() || System.nanoTime() - limit >= 0) {
+    if (commit.isIdle() || System.nanoTime() - limit >= 0) {
       idle.complete(null);
       return;
     }
--- a/src/main/java/fawndock/counter/FileDisk.java
+++ b/src/main/java/fawndock/counter/FileStorage.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /** A directory of the file system. */
-public final class FileDisk implements Storage, AutoCloseable {
+public final class FileStorage implements Storage, AutoCloseable {
   private final Path directory;
   private final FileChannel lockFile;
 
@@ -24,7 +24,7 @@
    * @param locked whether to take the lock; without it, only read
    * @throws IOException also when another process has the lock
    */
-  public FileDisk(Path directory, boolean locked) throws IOException {
+  public FileStorage(Path directory, boolean locked) throws IOException {
     this.directory = directory;
     if (!locked) {
       lockFile = null;
--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -2,8 +2,8 @@
 
 import fawndock.counter.replication.MembershipList;
 import fawndock.counter.replication.ReplicaNode;
-import fawndock.counter.replication.ReplicaNode.Batch;
-import fawndock.counter.replication.ReplicaNode.Beat;
+import fawndock.counter.replication.ReplicaNode.DeltaBatch;
+import fawndock.counter.replication.ReplicaNode.Heartbeat;
 import fawndock.counter.replication.ReplicatedSum;
 import fawndock.counter.replication.ReplicatedSums;
 import fawndock.counter.storage.CommandException;
@@ -45,11 +45,11 @@
   private static final int SUM_WORDS = 5;
   private static final int CHANGES_A_SUM = 3;
   private final ReplicaNode node;
-  private final Engine engine;
+  private final CommandExecutor engine;
   private final String name;
   private final EventLoopGroup group;
   private final String password;
-  private final Map<String, FellowLink> links = new TreeMap<>();
+  private final Map<String, PeerConnection> links = new TreeMap<>();
   private final Map<String, Boolean> heard = new HashMap<>();
 
   /**
@@ -61,7 +61,7 @@
   private final Set<String> out = new HashSet<>();
   private boolean ready;
 
-  Fleet(CounterSettings settings, Engine engine, EventLoopGroup group) {
+  Fleet(CounterSettings settings, CommandExecutor engine, EventLoopGroup group) {
     this.engine = engine;
     CounterSettings.Fleet fleet = settings.fleet();
     name = fleet.node();
@@ -73,17 +73,17 @@
             List.copyOf(fleet.fellows().keySet()),
             fleet.epoch(),
             ThreadLocalRandom.current().nextLong(),
-            new ReplicaNode.Times(fleet.missingMillis(), fleet.aloneMillis()),
+            new ReplicaNode.FailureDetectorTimeouts(fleet.missingMillis(), fleet.aloneMillis()),
             new ReplicatedSums(engine.counts()),
             engine.now());
     fleet.fellows().forEach(this::link);
-    ready = node.ready();
+    ready = node.isReady();
   }
 
   private void link(String id, Address address) {
     links.put(
         id,
-        new FellowLink(
+        new PeerConnection(
             group,
             address,
             password,
@@ -95,9 +95,9 @@
   /** Another node has answered a beat. */
   private void beaten(String id, String answer) {
     if (answer.startsWith("+" + LIST)) {
-      adopt(MembershipList.of(answer.substring(1 + LIST.length())));
-    } else if (answer.startsWith("-" + STRANGER) && node.others().contains(id)) {
-      node.strange(id, engine.now());
+      adopt(MembershipList.parse(answer.substring(1 + LIST.length())));
+    } else if (answer.startsWith("-" + STRANGER) && node.peers().contains(id)) {
+      node.onUnknownToPeer(id, engine.now());
     }
   }
 
@@ -106,7 +106,7 @@
    * address.
    */
   private void adopt(MembershipList list) {
-    if (!node.adopt(list, engine.now())) {
+    if (!node.adoptMembership(list, engine.now())) {
       return;
     }
     LOG.info("goes by a new list of nodes: {}", list);
@@ -135,7 +135,9 @@
             1,
             1,
             CHANGES_A_SUM,
-            c -> c.reply().bulk(node.ask(sum(c, 1), c.now(), c.changes()).toString())),
+            c ->
+                c.reply()
+                    .bulk(node.mergeAndTotal(sum(c, 1), c.nowMillis(), c.changes()).toString())),
         new Command(
             "FD.HERE",
             3,
@@ -143,10 +145,10 @@
             0,
             0,
             c -> {
-              node.here(c.whole(1), c.whole(2), c.now());
+              node.onOriginStamp(c.integer(1), c.integer(2), c.nowMillis());
               c.reply().array(2);
-              c.reply().flag(node.ready());
-              c.reply().integer(node.version());
+              c.reply().flag(node.isReady());
+              c.reply().integer(node.membershipVersion());
             }),
         new Command("FD.NODES", -1, false, 0, 0, this::nodes),
         new Command("FD.BEAT", -5, false, 0, 0, this::beat),
@@ -158,24 +160,24 @@
    * The sum whose words begin at a place: name, gatekeeper, added, taken back, milliseconds that it
    * is kept.
    */
-  private static ReplicatedSum sum(Call c, int at) throws CommandException {
-    DecimalAmount plus = DecimalAmount.of(c.word(at + 2));
-    DecimalAmount minus = DecimalAmount.of(c.word(at + 3));
-    long keep = c.whole(at + 4);
+  private static ReplicatedSum sum(CommandInvocation c, int at) throws CommandException {
+    DecimalAmount plus = DecimalAmount.parse(c.word(at + 2));
+    DecimalAmount minus = DecimalAmount.parse(c.word(at + 3));
+    long keep = c.integer(at + 4);
     if (plus.digits() < 0 || minus.digits() < 0) {
       throw new CommandException("ERR a sum is not negative");
     }
     if (keep <= 0 || keep > Integer.MAX_VALUE) {
       throw new CommandException("ERR invalid expire time in 'fd.sum' command");
     }
-    return new ReplicatedSum(c.text(at), c.whole(at + 1), plus, minus, keep);
+    return new ReplicatedSum(c.text(at), c.integer(at + 1), plus, minus, keep);
   }
 
   /**
    * FD.NODES [epoch name=host:port ...], which gives a list when there are words: the list that it
    * goes by.
    */
-  private void nodes(Call c) throws CommandException {
+  private void nodes(CommandInvocation c) throws CommandException {
     if (name.isEmpty()) {
       throw new CommandException(
           "ERR this counter is alone, expected 'fleet NAME' in its settings");
@@ -186,12 +188,12 @@
         words.add(c.text(i));
       }
       try {
-        adopt(MembershipList.of(String.join(" ", words)));
+        adopt(MembershipList.parse(String.join(" ", words)));
       } catch (IllegalArgumentException e) {
         throw new CommandException("ERR " + e.getMessage());
       }
     }
-    c.reply().bulk(node.given() == null ? "" : node.given().toString());
+    c.reply().bulk(node.adoptedMembership() == null ? "" : node.adoptedMembership().toString());
   }
 
   private void known(String other) throws CommandException {
@@ -201,20 +203,20 @@
   }
 
   /** FD.BEAT node version start ready [gatekeeper stamp ...] */
-  private void beat(Call c) throws CommandException {
+  private void beat(CommandInvocation c) throws CommandException {
     if (c.words().length % 2 == 0) {
-      throw Call.syntax();
+      throw CommandInvocation.syntaxError();
     }
     Map<Long, Long> stamps = new HashMap<>();
     for (int i = 5; i < c.words().length; i += 2) {
-      stamps.put(c.whole(i), c.whole(i + 1));
+      stamps.put(c.integer(i), c.integer(i + 1));
     }
-    Beat beat = new Beat(c.whole(2), c.whole(3), c.whole(4) == 1, stamps);
-    MembershipList newer = node.newerThan(beat.version());
-    if (newer == null && beat.version() <= node.version()) {
+    Heartbeat beat = new Heartbeat(c.integer(2), c.integer(3), c.integer(4) == 1, stamps);
+    MembershipList newer = node.membershipNewerThan(beat.membershipVersion());
+    if (newer == null && beat.membershipVersion() <= node.membershipVersion()) {
       known(c.text(1));
     }
-    node.beat(c.text(1), beat, c.now());
+    node.onHeartbeat(c.text(1), beat, c.nowMillis());
     if (newer == null) {
       c.reply().ok();
     } else {
@@ -223,37 +225,37 @@
   }
 
   /** FD.TOLD node all [name gatekeeper added taken-back milliseconds ...] */
-  private void told(Call c) throws CommandException {
+  private void told(CommandInvocation c) throws CommandException {
     known(c.text(1));
     if ((c.words().length - 3) % SUM_WORDS != 0) {
-      throw Call.syntax();
+      throw CommandInvocation.syntaxError();
     }
     List<ReplicatedSum> sums = new ArrayList<>();
     for (int at = 3; at < c.words().length; at += SUM_WORDS) {
       sums.add(sum(c, at));
     }
     for (ReplicatedSum each : sums) {
-      node.told(c.text(1), each, c.now(), c.changes());
+      node.mergeFromPeer(c.text(1), each, c.nowMillis(), c.changes());
     }
-    if (c.whole(2) == 1) {
-      node.gaveAll(c.text(1), c.now());
+    if (c.integer(2) == 1) {
+      node.onFullStateReceived(c.text(1), c.nowMillis());
     }
     c.reply().ok();
   }
 
-  private void status(Call c) {
+  private void status(CommandInvocation c) {
     List<String> lines = new ArrayList<>();
     lines.add(
         (name.isEmpty() ? "alone" : name)
             + " epoch "
-            + MembershipList.epoch(node.version())
-            + (node.fenced() ? " fenced" : node.ready() ? " ready" : " catching-up"));
-    for (String other : node.others()) {
-      int lag = node.lag(other);
+            + MembershipList.epoch(node.membershipVersion())
+            + (node.isFenced() ? " fenced" : node.isReady() ? " ready" : " catching-up"));
+    for (String other : node.peers()) {
+      int lag = node.replicationLag(other);
       lines.add(
           "  "
               + other
-              + (node.hears(other, c.now()) ? " heard" : " missing")
+              + (node.isPeerAlive(other, c.nowMillis()) ? " heard" : " missing")
               + " lag "
               + (lag < 0 ? "everything" : Integer.toString(lag)));
     }
@@ -267,10 +269,10 @@
   void tick() {
     long now = engine.now();
     node.tick(now);
-    Beat beat = node.beat(now);
+    Heartbeat beat = node.nextHeartbeat(now);
     links.forEach(
         (id, link) -> {
-          boolean hears = node.hears(id, now);
+          boolean hears = node.isPeerAlive(id, now);
           if (!Objects.equals(heard.put(id, hears), hears)) {
             LOG.warn("node {} is {}", id, hears ? "heard" : "missing");
           }
@@ -282,10 +284,10 @@
                   List.of(
                       "FD.BEAT",
                       name,
-                      Long.toString(beat.version()),
-                      Long.toString(beat.start()),
-                      beat.ready() ? "1" : "0"));
-          beat.stamps()
+                      Long.toString(beat.membershipVersion()),
+                      Long.toString(beat.incarnation()),
+                      beat.isReady() ? "1" : "0"));
+          beat.originStamps()
               .forEach(
                   (origin, stamp) -> {
                     words.add(Long.toString(origin));
@@ -294,8 +296,8 @@
           link.send(words, false);
           tell(id, link, now);
         });
-    if (ready != node.ready()) {
-      ready = node.ready();
+    if (ready != node.isReady()) {
+      ready = node.isReady();
       LOG.info(ready ? "caught up: answers gatekeepers" : "answers gatekeepers no more");
     }
   }
@@ -303,10 +305,10 @@
   /**
    * Tells the first part that is left, of the next batch when none is; nothing while one is out.
    */
-  private void tell(String id, FellowLink link, long now) {
+  private void tell(String id, PeerConnection link, long now) {
     ArrayDeque<List<String>> left = parts.computeIfAbsent(id, n -> new ArrayDeque<>());
     if (left.isEmpty()) {
-      split(node.next(id, SUMS, now), left);
+      split(node.nextBatch(id, SUMS, now), left);
     }
     if (!left.isEmpty() && out.add(id)) {
       link.send(left.peek(), true);
@@ -314,22 +316,22 @@
   }
 
   /** A shard of everything may be more than goes into one group of the other's log. */
-  private void split(Batch batch, ArrayDeque<List<String>> into) {
+  private void split(DeltaBatch batch, ArrayDeque<List<String>> into) {
     for (int from = 0;
         !batch.isEmpty() && (from == 0 || from < batch.sums().size());
         from += SUMS) {
       boolean last = from + SUMS >= batch.sums().size();
       List<String> words =
-          new ArrayList<>(List.of("FD.TOLD", name, batch.all() && last ? "1" : "0"));
+          new ArrayList<>(List.of("FD.TOLD", name, batch.completesFullState() && last ? "1" : "0"));
       for (ReplicatedSum each :
           batch.sums().subList(from, Math.min(batch.sums().size(), from + SUMS))) {
         words.addAll(
             List.of(
                 each.name(),
                 Long.toString(each.origin()),
-                each.plus().toString(),
-                each.minus().toString(),
-                Long.toString(each.keepMillis())));
+                each.added().toString(),
+                each.withdrawn().toString(),
+                Long.toString(each.timeToLiveMillis())));
       }
       into.add(words);
     }
@@ -340,14 +342,14 @@
     if (!links.containsKey(id)) {
       return;
     }
-    node.arriving(id, engine.now());
+    node.onBatchProgress(id, engine.now());
     if (!ok) {
       return; // Its log is behind: the same part again at the next tick.
     }
     ArrayDeque<List<String>> left = parts.get(id);
     left.poll();
     if (left.isEmpty()) {
-      node.arrived(id);
+      node.onBatchAcknowledged(id);
     }
     if (links.get(id).usable()) {
       tell(id, links.get(id), engine.now());
@@ -357,8 +359,8 @@
   private void lost(String id) {
     out.remove(id);
     parts.remove(id);
-    if (node.others().contains(id)) {
-      node.lost(id);
+    if (node.peers().contains(id)) {
+      node.restartFullTransfer(id);
     }
   }
 }
--- a/src/main/java/fawndock/counter/Glob.java
+++ b/src/main/java/fawndock/counter/GlobPattern.java
@@ -1,8 +1,8 @@
 package fawndock.counter;
 
 /** Patterns of names: * ? [a-z] [^a-z] and \ before a character that stands for itself. */
-final class Glob {
-  private Glob() {}
+final class GlobPattern {
+  private GlobPattern() {}
 
   /** Whether the whole name is of the pattern; takes at most the product of their lengths. */
   static boolean matches(byte[] pattern, byte[] name) {
--- a/src/main/java/fawndock/counter/KeyCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -2,7 +2,7 @@
 
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
-import fawndock.counter.storage.CounterOperations.When;
+import fawndock.counter.storage.CounterOperations.ExpiryCondition;
 import fawndock.counter.storage.CounterTable;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /** Commands on the names: whether they are there, and for how long. */
-final class KeyCommands {
-  private KeyCommands() {}
+final class NameCommands {
+  private NameCommands() {}
 
   static List<Command> all() {
     return List.of(
-        new Command("DEL", -2, true, 1, -1, KeyCommands::del),
-        new Command("EXISTS", -2, false, 1, -1, KeyCommands::exists),
+        new Command("DEL", -2, true, 1, -1, NameCommands::del),
+        new Command("EXISTS", -2, false, 1, -1, NameCommands::exists),
         new Command("EXPIRE", -3, true, 1, 1, c -> expire(c, 1_000)),
         new Command("PEXPIRE", -3, true, 1, 1, c -> expire(c, 1)),
         new Command("TTL", 2, false, 1, 1, c -> ttl(c, 1_000)),
@@ -28,7 +28,7 @@
             true,
             1,
             1,
-            c -> c.reply().flag(c.counts().persist(c.word(1), c.now(), c.changes()))),
+            c -> c.reply().flag(c.operations().persist(c.word(1), c.nowMillis(), c.changes()))),
         new Command(
             "TYPE",
             2,
@@ -38,40 +38,44 @@
             c ->
                 c.reply()
                     .simple(
-                        c.counts().table().get(c.word(1), c.now()) == null ? "none" : "string")),
-        new Command("DBSIZE", 1, false, 0, 0, c -> c.reply().integer(c.counts().table().size())),
-        new Command("SCAN", -2, false, 0, 0, KeyCommands::scan));
+                        c.operations().table().get(c.word(1), c.nowMillis()) == null
+                            ? "none"
+                            : "string")),
+        new Command(
+            "DBSIZE", 1, false, 0, 0, c -> c.reply().integer(c.operations().table().size())),
+        new Command("SCAN", -2, false, 0, 0, NameCommands::scan));
   }
 
-  private static void del(Call c) {
+  private static void del(CommandInvocation c) {
     int many = 0;
     for (int i = 1; i < c.words().length; i++) {
-      many += c.counts().delete(c.word(i), c.now(), c.changes()) ? 1 : 0;
+      many += c.operations().delete(c.word(i), c.nowMillis(), c.changes()) ? 1 : 0;
     }
     c.reply().integer(many);
   }
 
-  private static void exists(Call c) {
+  private static void exists(CommandInvocation c) {
     int many = 0;
     for (int i = 1; i < c.words().length; i++) {
-      many += c.counts().table().get(c.word(i), c.now()) != null ? 1 : 0;
+      many += c.operations().table().get(c.word(i), c.nowMillis()) != null ? 1 : 0;
     }
     c.reply().integer(many);
   }
 
   /** The moment that a word tells in some unit of milliseconds from a start. */
-  static long time(Call c, int place, long unit, long start, String command)
+  static long time(CommandInvocation c, int place, long unit, long start, String command)
       throws CommandException {
-    long told = c.whole(place);
-    if (Math.abs(told) > CounterOperations.LATEST / unit - start || told == Long.MIN_VALUE) {
+    long told = c.integer(place);
+    if (Math.abs(told) > CounterOperations.MAX_EXPIRY_MILLIS / unit - start
+        || told == Long.MIN_VALUE) {
       throw new CommandException("ERR invalid expire time in '" + command + "' command");
     }
     return start + told * unit;
   }
 
-  private static void expire(Call c, long unit) throws CommandException {
-    byte[] name = c.name(1);
-    long at = time(c, 2, unit, c.now(), c.text(0).toLowerCase(Locale.ROOT));
+  private static void expire(CommandInvocation c, long unit) throws CommandException {
+    byte[] name = c.requireName(1);
+    long at = time(c, 2, unit, c.nowMillis(), c.text(0).toLowerCase(Locale.ROOT));
     Set<String> options = new HashSet<>();
     for (int i = 3; i < c.words().length; i++) {
       if (!Set.of("NX", "XX", "GT", "LT").contains(c.option(i))) {
@@ -87,25 +91,27 @@
       throw new CommandException("ERR GT and LT options at the same time are not compatible");
     }
     boolean must = options.remove("XX");
-    When when =
-        options.isEmpty() ? must ? When.XX : When.ALWAYS : When.valueOf(options.iterator().next());
-    boolean may = !must || c.counts().table().expiry(name, c.now()) > 0;
-    c.reply().flag(may && c.counts().expire(name, at, when, c.now(), c.changes()));
+    ExpiryCondition when =
+        options.isEmpty()
+            ? must ? ExpiryCondition.XX : ExpiryCondition.ALWAYS
+            : ExpiryCondition.valueOf(options.iterator().next());
+    boolean may = !must || c.operations().table().expiryMillis(name, c.nowMillis()) > 0;
+    c.reply().flag(may && c.operations().expire(name, at, when, c.nowMillis(), c.changes()));
   }
 
-  private static void ttl(Call c, long unit) {
-    long at = c.counts().table().expiry(c.word(1), c.now());
-    c.reply().integer(at < 0 ? -2 : at == 0 ? -1 : (at - c.now() + unit / 2) / unit);
+  private static void ttl(CommandInvocation c, long unit) {
+    long at = c.operations().table().expiryMillis(c.word(1), c.nowMillis());
+    c.reply().integer(at < 0 ? -2 : at == 0 ? -1 : (at - c.nowMillis() + unit / 2) / unit);
   }
 
   /**
    * Whole shards until there are enough names; what stays throughout a scan is seen exactly once.
    */
-  private static void scan(Call c) throws CommandException {
-    CounterTable table = c.counts().table();
+  private static void scan(CommandInvocation c) throws CommandException {
+    CounterTable table = c.operations().table();
     long shard;
     try {
-      shard = c.whole(1);
+      shard = c.integer(1);
     } catch (CommandException e) {
       throw new CommandException("ERR invalid cursor");
     }
@@ -114,17 +120,17 @@
     boolean none = false;
     for (int i = 2; i < c.words().length; i += 2) {
       if (i + 1 == c.words().length) {
-        throw Call.syntax();
+        throw CommandInvocation.syntaxError();
       }
       switch (c.option(i)) {
         case "MATCH" -> pattern = c.word(i + 1);
-        case "COUNT" -> wanted = c.whole(i + 1);
+        case "COUNT" -> wanted = c.integer(i + 1);
         case "TYPE" -> none = !c.option(i + 1).equals("STRING");
-        default -> throw Call.syntax();
+        default -> throw CommandInvocation.syntaxError();
       }
     }
     if (wanted < 1) {
-      throw Call.syntax();
+      throw CommandInvocation.syntaxError();
     }
     List<byte[]> names = new ArrayList<>();
     byte[] wantedNames = pattern;
@@ -132,12 +138,12 @@
     while (shard >= 0 && shard < table.shards() && seen < wanted) {
       int before = names.size();
       long[] all = {0};
-      table.visit(
+      table.visitShard(
           (int) shard++,
-          c.now(),
+          c.nowMillis(),
           (name, amount, expiry) -> {
             all[0]++;
-            if (wantedNames == null || Glob.matches(wantedNames, name)) {
+            if (wantedNames == null || GlobPattern.matches(wantedNames, name)) {
               names.add(name);
             }
           });
--- a/src/main/java/fawndock/counter/FellowLink.java
+++ b/src/main/java/fawndock/counter/PeerConnection.java
@@ -20,7 +20,7 @@
  * The connection to another node, on the event loop; made again when it is lost. Answers are single
  * lines.
  */
-final class FellowLink {
+final class PeerConnection {
   private static final int CONNECT_MILLIS = 1_000;
   private static final long PAUSE_NANOS = 100_000_000;
   private static final int LONGEST_LINE = 4_096;
@@ -48,7 +48,7 @@
    * @param beaten told the answer to what was not to be confirmed
    * @param lost told when the connection is lost
    */
-  FellowLink(
+  PeerConnection(
       EventLoopGroup group,
       Address address,
       String password,
--- a/src/main/java/fawndock/counter/Snapshots.java
+++ b/src/main/java/fawndock/counter/SnapshotTask.java
@@ -1,7 +1,7 @@
 package fawndock.counter;
 
 import fawndock.counter.storage.SnapshotIterator;
-import fawndock.counter.storage.SnapshotIterator.Part;
+import fawndock.counter.storage.SnapshotIterator.SnapshotPart;
 import fawndock.counter.storage.SnapshotWriter;
 import fawndock.counter.storage.Storage;
 import java.io.IOException;
@@ -16,24 +16,24 @@
  * and only then the next is taken. So one piece is in memory, and calls between the pieces wait for
  * none.
  */
-final class Snapshots {
+final class SnapshotTask {
   private final Storage disk;
   private final Executor loop;
-  private final Engine engine;
+  private final CommandExecutor engine;
   private final ExecutorService thread =
-      Executors.newSingleThreadExecutor(r -> LogThread.daemon(r, "snapshot"));
+      Executors.newSingleThreadExecutor(r -> WriteAheadLogThread.daemon(r, "snapshot"));
   private Run current;
   private Run last;
   private volatile long lastSize;
 
-  Snapshots(Storage disk, Executor loop, Engine engine) {
+  SnapshotTask(Storage disk, Executor loop, CommandExecutor engine) {
     this.disk = disk;
     this.loop = loop;
     this.engine = engine;
   }
 
   private void post(Runnable what) {
-    LogThread.post(loop, what);
+    WriteAheadLogThread.post(loop, what);
   }
 
   /** Bytes of the last whole one. */
@@ -87,14 +87,14 @@
     }
 
     /** Writes these parts, then takes the next. */
-    private void next(List<Part> parts) {
+    private void next(List<SnapshotPart> parts) {
       long time = engine.now();
       thread.execute(
           () -> {
             try {
               writer = writer == null ? new SnapshotWriter(disk, covered) : writer;
-              for (Part part : parts) {
-                writer.write(part.changes(), part.names(), time);
+              for (SnapshotPart part : parts) {
+                writer.write(part.changes(), part.nameCount(), time);
               }
               post(this::written);
             } catch (IOException e) {
@@ -107,7 +107,7 @@
       if (current != this) {
         return;
       }
-      List<Part> parts = walk.next(engine.now());
+      List<SnapshotPart> parts = walk.next(engine.now());
       if (parts.isEmpty()) {
         settle.accept(() -> finish(engine.now()));
       } else {
@@ -130,9 +130,9 @@
           () -> {
             try {
               writer.finish(time);
-              lastSize = writer.size();
+              lastSize = writer.sizeBytes();
               writer = null;
-              SnapshotWriter.clean(disk, covered);
+              SnapshotWriter.deleteObsoleteFiles(disk, covered);
               post(() -> end(null));
             } catch (IOException e) {
               failed(e);
--- a/src/main/java/fawndock/counter/Transaction.java
+++ b/src/main/java/fawndock/counter/Transaction.java
@@ -5,11 +5,11 @@
 
 /** Commands that wait for EXEC; they are done in one turn and are in one record of the log. */
 final class Transaction {
-  static final int MOST = 1_024;
-  private static final int MOST_BYTES = 256 << 10;
+  static final int MAX_COMMANDS = 1_024;
+  private static final int MAX_BYTES = 256 << 10;
   private final List<byte[][]> queued = new ArrayList<>();
   private int bytes;
-  private boolean spoilt;
+  private boolean isFailed;
 
   /**
    * Queues a command; false when there is no room, and the transaction can then only be discarded.
@@ -19,8 +19,8 @@
       bytes += word.length + 16;
     }
     // Guards against memory that a client fills without ever ending its transaction.
-    if (queued.size() == MOST || bytes > MOST_BYTES) {
-      spoilt = true;
+    if (queued.size() == MAX_COMMANDS || bytes > MAX_BYTES) {
+      isFailed = true;
       queued.clear();
       return false;
     }
@@ -29,12 +29,12 @@
   }
 
   /** A command of it was refused when it was queued. */
-  void spoil() {
-    spoilt = true;
+  void markFailed() {
+    isFailed = true;
   }
 
-  boolean spoilt() {
-    return spoilt;
+  boolean isFailed() {
+    return isFailed;
   }
 
   List<byte[][]> commands() {
--- a/src/main/java/fawndock/counter/LogThread.java
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -1,6 +1,6 @@
 package fawndock.counter;
 
-import fawndock.counter.storage.GroupCommit.Work;
+import fawndock.counter.storage.GroupCommit.LogWork;
 import fawndock.counter.storage.LogWriter;
 import fawndock.counter.storage.SnapshotWriter;
 import fawndock.counter.storage.Storage;
@@ -14,35 +14,35 @@
  * The thread that writes the log: one piece of work at a time, each told about on the event loop.
  * Work that the disk has no room for is tried again until it has.
  */
-final class LogThread {
+final class WriteAheadLogThread {
   private static final long RETRY_MILLIS = 200;
-  private static final int MOST_TASKS = 16;
+  private static final int MAX_TASKS = 16;
 
   /** Is told on the event loop what became of the work. */
-  interface Told {
-    void done(Work work, long appended);
+  interface Listener {
+    void onWorkDone(LogWork work, long appended);
 
     /** Not done yet, and being tried again. */
-    void stalled(String why);
+    void onStalled(String why);
 
     /** The file is given up; the work is in memory only, as all that came since. */
-    void broken(Work work, long sequence, String why);
+    void onSegmentAbandoned(LogWork work, long sequence, String why);
   }
 
   private final Storage disk;
-  private final AtomicReference<Work> offered = new AtomicReference<>();
-  private final ThreadPoolExecutor thread =
+  private final AtomicReference<LogWork> offered = new AtomicReference<>();
+  private final ThreadPoolExecutor executor =
       new ThreadPoolExecutor(
-          1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_TASKS), r -> daemon(r, "log"));
+          1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_TASKS), r -> daemon(r, "log"));
   private final java.util.concurrent.Executor loop;
-  private final Told told;
+  private final Listener listener;
   private LogWriter writer;
-  private volatile boolean closing;
+  private volatile boolean isClosing;
 
-  LogThread(Storage disk, java.util.concurrent.Executor loop, Told told) {
+  WriteAheadLogThread(Storage disk, java.util.concurrent.Executor loop, Listener told) {
     this.disk = disk;
     this.loop = loop;
-    this.told = told;
+    this.listener = told;
   }
 
   static Thread daemon(Runnable what, String name) {
@@ -65,12 +65,12 @@
   }
 
   /** Does the work, then what was offered meanwhile, one after the other. */
-  void perform(Work work) {
-    thread.execute(
+  void perform(LogWork work) {
+    executor.execute(
         () -> {
-          Work next = work;
+          LogWork next = work;
           while (next != null) {
-            next = one(next);
+            next = performOne(next);
           }
         });
   }
@@ -79,7 +79,7 @@
    * Has a group taken as soon as the one before is done, which spares two threads waking each
    * other.
    */
-  void offer(Work work) {
+  void offer(LogWork work) {
     offered.set(work);
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Does one piece of work; returns what is to be done after it, or null. */
-  private Work one(Work work) {
+  private LogWork performOne(LogWork work) {
     boolean appended = work.record() == null;
     while (true) {
       try {
@@ -97,31 +97,31 @@
           writer.append(work.record());
           appended = true;
         }
-        if (work.sync()) {
+        if (work.shouldSync()) {
           writer.sync();
         }
-        long bytes = writer.appended();
+        long bytes = writer.appendedBytes();
         // Others that wait, such as to begin a segment, go first: what was offered is then handed
         // on by the loop.
-        Work next = thread.getQueue().isEmpty() ? offered.getAndSet(null) : null;
-        post(() -> told.done(work, bytes));
+        LogWork next = executor.getQueue().isEmpty() ? offered.getAndSet(null) : null;
+        post(() -> listener.onWorkDone(work, bytes));
         return next;
       } catch (IOException e) {
         String why = String.valueOf(e.getMessage());
-        if (writer.failed()) {
-          long sequence = writer.sequence();
-          post(() -> told.broken(work, sequence, why));
+        if (writer.isAbandoned()) {
+          long sequence = writer.lastSequence();
+          post(() -> listener.onSegmentAbandoned(work, sequence, why));
           return null;
         }
-        post(() -> told.stalled(why));
+        post(() -> listener.onStalled(why));
       }
-      if (closing || !pause()) {
+      if (isClosing || !sleepBeforeRetry()) {
         return null;
       }
     }
   }
 
-  private static boolean pause() {
+  private static boolean sleepBeforeRetry() {
     try {
       Thread.sleep(RETRY_MILLIS);
       return true;
@@ -136,7 +136,7 @@
    * be.
    */
   void roll(java.util.function.LongConsumer then) {
-    thread.execute(
+    executor.execute(
         () -> {
           long sequence = -1;
           try {
@@ -150,8 +150,8 @@
   }
 
   /** Syncs what was appended, then goes on, on the event loop; does not when it cannot. */
-  void settle(Runnable then) {
-    thread.execute(
+  void syncThen(Runnable then) {
+    executor.execute(
         () -> {
           try {
             writer.sync();
@@ -166,8 +166,8 @@
    * Goes on in a new file after a snapshot that covers all up to a sequence; tells whether it
    * could.
    */
-  void anew(long covered, java.util.function.Consumer<IOException> then) {
-    thread.execute(
+  void startNewSegment(long covered, java.util.function.Consumer<IOException> then) {
+    executor.execute(
         () -> {
           IOException failure = null;
           try {
@@ -175,7 +175,7 @@
               writer.close();
             }
             writer = new LogWriter(disk, covered);
-            SnapshotWriter.clean(disk, covered);
+            SnapshotWriter.deleteObsoleteFiles(disk, covered);
           } catch (IOException e) {
             failure = e;
           }
@@ -186,11 +186,11 @@
 
   /** Ends after what was asked; syncs what is not yet. */
   void close(long millis) {
-    closing = true;
-    thread.execute(
+    isClosing = true;
+    executor.execute(
         () -> {
           try {
-            if (writer != null && !writer.failed()) {
+            if (writer != null && !writer.isAbandoned()) {
               writer.sync();
             }
             if (writer != null) {
@@ -200,13 +200,13 @@
             // What was acknowledged under `always` is synced by now.
           }
         });
-    thread.shutdown();
+    executor.shutdown();
     try {
-      if (!thread.awaitTermination(millis, TimeUnit.MILLISECONDS)) {
-        thread.shutdownNow();
+      if (!executor.awaitTermination(millis, TimeUnit.MILLISECONDS)) {
+        executor.shutdownNow();
       }
     } catch (InterruptedException e) {
-      thread.shutdownNow();
+      executor.shutdownNow();
       Thread.currentThread().interrupt();
     }
   }
--- a/src/main/java/fawndock/counter/replication/MembershipList.java
+++ b/src/main/java/fawndock/counter/replication/MembershipList.java
@@ -15,9 +15,9 @@
  */
 public record MembershipList(long epoch, Map<String, String> addresses) {
   /** Nodes on a list. */
-  public static final int MOST = 16;
+  public static final int MAX_NODES = 16;
 
-  public static final long HIGHEST_EPOCH = 999_999_999;
+  public static final long MAX_EPOCH = 999_999_999;
   private static final int HASH_BITS = 20;
   private static final Pattern NODE =
       Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
@@ -32,14 +32,13 @@
    *
    * @throws IllegalArgumentException that says what is wrong with the text
    */
-  public static MembershipList of(String text) {
+  public static MembershipList parse(String text) {
     String[] words = text.trim().split(" +");
     if (!words[0].matches("[0-9]{1,9}") || Long.parseLong(words[0]) < 1) {
-      throw new IllegalArgumentException(
-          "epoch '" + words[0] + "', expected 1 to " + HIGHEST_EPOCH);
+      throw new IllegalArgumentException("epoch '" + words[0] + "', expected 1 to " + MAX_EPOCH);
     }
-    if (words.length < 2 || words.length > 1 + MOST) {
-      throw new IllegalArgumentException((words.length - 1) + " nodes, expected 1 to " + MOST);
+    if (words.length < 2 || words.length > 1 + MAX_NODES) {
+      throw new IllegalArgumentException((words.length - 1) + " nodes, expected 1 to " + MAX_NODES);
     }
     Map<String, String> addresses = new TreeMap<>();
     for (int i = 1; i < words.length; i++) {
--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -18,101 +18,107 @@
  */
 public final class ReplicaClient {
   /** How a call ended. */
-  public enum Result {
+  public enum CallOutcome {
     OK,
     TIMEOUT,
     UNREACHABLE,
-    REFUSED
+    REJECTED
   }
 
   /** What the client wants done. */
-  public sealed interface Out permits Ask, Here, End, Fetch, Give {}
+  public sealed interface ClientAction
+      permits SendSum, SendHeartbeat, CallEnded, FetchMembership, PushMembership {}
 
   /**
    * Sends sums to a node and asks for the total; call 0 only tells, and nothing waits for its
    * answer.
    */
-  public record Ask(String node, long call, ReplicatedSum sum) implements Out {}
+  public record SendSum(String node, long callId, ReplicatedSum sum) implements ClientAction {}
 
   /**
    * Shows a node that this gatekeeper is there, and asks whether the node is ready; the stamp is a
    * new one each time.
    */
-  public record Here(String node, long stamp) implements Out {}
+  public record SendHeartbeat(String node, long stamp) implements ClientAction {}
 
   /** Asks a node for the list of nodes that it goes by. */
-  public record Fetch(String node) implements Out {}
+  public record FetchMembership(String node) implements ClientAction {}
 
   /** Gives a node a newer list than it has; it may have lost it with all that it had. */
-  public record Give(String node, MembershipList list) implements Out {}
+  public record PushMembership(String node, MembershipList list) implements ClientAction {}
 
   /** A call has ended; the total counts only when it is OK. */
-  public record End(long call, String name, Result result, double total) implements Out {}
+  public record CallEnded(long callId, String name, CallOutcome outcome, double total)
+      implements ClientAction {}
 
   /**
    * Times, in milliseconds.
    *
-   * @param next after which the next node is asked as well
-   * @param limit after which a call has ended
-   * @param missing of silence after which a node is not asked first any more
-   * @param here between showing that it is there
+   * @param hedgeDelayMillis after which the next node is asked as well
+   * @param callTimeoutMillis after which a call has ended
+   * @param nodeTimeoutMillis of silence after which a node is not asked first any more
+   * @param heartbeatIntervalMillis between showing that it is there
    */
-  public record Times(long next, long limit, long missing, long here) {}
-
-  private static final int TOLD_A_TICK = 200;
-  private static final int MOST_NAMES = 200_000;
-
-  private static final class Own {
-    DecimalAmount plus = DecimalAmount.ZERO;
-    DecimalAmount minus = DecimalAmount.ZERO;
-    long until;
+  public record ClientTimeouts(
+      long hedgeDelayMillis,
+      long callTimeoutMillis,
+      long nodeTimeoutMillis,
+      long heartbeatIntervalMillis) {}
+
+  private static final int MAX_RESENDS_PER_TICK = 200;
+  private static final int MAX_NAMES = 200_000;
+
+  private static final class OwnSum {
+    DecimalAmount added = DecimalAmount.ZERO;
+    DecimalAmount withdrawn = DecimalAmount.ZERO;
+    long expiryMillis;
   }
 
-  private static final class Node {
-    boolean well = true;
+  private static final class NodeHealth {
+    boolean isHealthy = true;
 
     /** When something was sent that has had no answer since, or -1. */
-    long waitsSince = -1;
+    long unansweredSinceMillis = -1;
 
-    long hereAt = Long.MIN_VALUE / 2;
+    long lastHeartbeatMillis = Long.MIN_VALUE / 2;
   }
 
-  private static final class Call {
+  private static final class InFlightCall {
     final long id;
     final String name;
     final DecimalAmount amount;
-    final long at;
-    final Set<String> asked = new HashSet<>();
-    long askedAt;
+    final long startedMillis;
+    final Set<String> triedNodes = new HashSet<>();
+    long lastSentMillis;
 
-    Call(long id, String name, DecimalAmount amount, long at) {
+    InFlightCall(long id, String name, DecimalAmount amount, long at) {
       this.id = id;
       this.name = name;
       this.amount = amount;
-      this.at = at;
+      this.startedMillis = at;
     }
   }
 
   private final long origin;
-  private final Times times;
-  private final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final Map<String, Own> own = new LinkedHashMap<>();
-  private final Map<Long, Call> calls = new LinkedHashMap<>();
-  private final ArrayDeque<String> toTell = new ArrayDeque<>();
-  private final Map<String, List<String>> orders = new HashMap<>();
+  private final ClientTimeouts timeouts;
+  private final Map<String, NodeHealth> nodes = new LinkedHashMap<>();
+  private final Map<String, OwnSum> ownSums = new LinkedHashMap<>();
+  private final Map<Long, InFlightCall> inFlightCalls = new LinkedHashMap<>();
+  private final ArrayDeque<String> resendQueue = new ArrayDeque<>();
+  private final Map<String, List<String>> nodeOrders = new HashMap<>();
   private long nextCall = 1;
   private long stamp;
-  private MembershipList given;
+  private MembershipList adoptedMembership;
 
   /**
    * A client that takes every node for well until it hears otherwise.
    *
    * @param origin this start of this gatekeeper; no other has it
    */
-  public ReplicaClient(long origin, List<String> nodes, Times times) {
+  public ReplicaClient(long origin, List<String> nodes, ClientTimeouts times) {
     this.origin = origin;
-    this.times = times;
-    nodes.forEach(each -> this.nodes.put(each, new Node()));
+    this.timeouts = times;
+    nodes.forEach(each -> this.nodes.put(each, new NodeHealth()));
   }
 
   /**
@@ -121,100 +127,103 @@
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adopt(MembershipList list, long now, List<Out> out) {
-    if (given != null && list.version() <= given.version()) {
+  public boolean adoptMembership(MembershipList list, long now, List<ClientAction> out) {
+    if (adoptedMembership != null && list.version() <= adoptedMembership.version()) {
       return false;
     }
-    given = list;
+    adoptedMembership = list;
     nodes.keySet().retainAll(list.addresses().keySet());
     for (String each : list.addresses().keySet()) {
       nodes.computeIfAbsent(
           each,
           id -> {
-            Node node = new Node();
-            node.well = false; // Until it says that it has caught up.
+            NodeHealth node = new NodeHealth();
+            node.isHealthy = false; // Until it says that it has caught up.
             return node;
           });
     }
-    orders.clear();
-    tellAll();
-    for (Call call : List.copyOf(calls.values())) {
-      ask(call, now, out); // The one that was asked may be off the list.
+    nodeOrders.clear();
+    resendAll();
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      sendToNextNode(call, now, out); // The one that was asked may be off the list.
     }
     return true;
   }
 
   /** The newest list that it was told, or null while it goes by the one in its settings. */
-  public MembershipList given() {
-    return given;
+  public MembershipList adoptedMembership() {
+    return adoptedMembership;
   }
 
   /** Adds to a name, or takes back with a negative amount; returns the call's number. */
-  public long call(String name, DecimalAmount amount, long keepMillis, long now, List<Out> out)
+  public long add(
+      String name, DecimalAmount amount, long keepMillis, long now, List<ClientAction> out)
       throws CommandException {
-    Own mine = own.get(name);
-    if (mine == null || mine.until <= now) {
-      if (own.size() >= MOST_NAMES) {
-        own.values().removeIf(o -> o.until <= now);
-        if (own.size() >= MOST_NAMES) {
+    OwnSum mine = ownSums.get(name);
+    if (mine == null || mine.expiryMillis <= now) {
+      if (ownSums.size() >= MAX_NAMES) {
+        ownSums.values().removeIf(o -> o.expiryMillis <= now);
+        if (ownSums.size() >= MAX_NAMES) {
           throw new CommandException("OOM too many names");
         }
       }
-      mine = new Own();
-      mine.until = now + keepMillis;
-      own.put(name, mine);
+      mine = new OwnSum();
+      mine.expiryMillis = now + keepMillis;
+      ownSums.put(name, mine);
     }
-    add(mine, amount);
-    Call call = new Call(nextCall++, name, amount, now);
-    calls.put(call.id, call);
-    if (!ask(call, now, out)) {
-      end(call, Result.UNREACHABLE, 0, out);
+    addToOwnSum(mine, amount);
+    InFlightCall call = new InFlightCall(nextCall++, name, amount, now);
+    inFlightCalls.put(call.id, call);
+    if (!sendToNextNode(call, now, out)) {
+      endCall(call, CallOutcome.UNREACHABLE, 0, out);
     }
     return call.id;
   }
 
-  private static void add(Own mine, DecimalAmount amount) throws CommandException {
+  private static void addToOwnSum(OwnSum mine, DecimalAmount amount) throws CommandException {
     if (amount.digits() >= 0) {
-      mine.plus = mine.plus.plus(amount);
+      mine.added = mine.added.plus(amount);
     } else {
-      mine.minus = mine.minus.plus(amount.negated());
+      mine.withdrawn = mine.withdrawn.plus(amount.negated());
     }
   }
 
   /** Asks the first node that is well and was not asked for this call; false when there is none. */
-  private boolean ask(Call call, long now, List<Out> out) {
-    for (String id : order(call.name)) {
-      if (nodes.get(id).well && call.asked.add(id)) {
-        call.askedAt = now;
-        send(id, call.id, call.name, now, out);
+  private boolean sendToNextNode(InFlightCall call, long now, List<ClientAction> out) {
+    for (String id : nodesFor(call.name)) {
+      if (nodes.get(id).isHealthy && call.triedNodes.add(id)) {
+        call.lastSentMillis = now;
+        sendOwnSum(id, call.id, call.name, now, out);
         return true;
       }
     }
     return false;
   }
 
-  private void send(String id, long call, String name, long now, List<Out> out) {
-    Own mine = own.get(name);
-    if (mine == null || mine.until <= now) {
+  private void sendOwnSum(String id, long call, String name, long now, List<ClientAction> out) {
+    OwnSum mine = ownSums.get(name);
+    if (mine == null || mine.expiryMillis <= now) {
       return;
     }
-    Node node = nodes.get(id);
-    node.waitsSince = node.waitsSince < 0 ? now : node.waitsSince;
+    NodeHealth node = nodes.get(id);
+    node.unansweredSinceMillis = node.unansweredSinceMillis < 0 ? now : node.unansweredSinceMillis;
     out.add(
-        new Ask(
-            id, call, new ReplicatedSum(name, origin, mine.plus, mine.minus, mine.until - now)));
+        new SendSum(
+            id,
+            call,
+            new ReplicatedSum(name, origin, mine.added, mine.withdrawn, mine.expiryMillis - now)));
   }
 
   /**
    * The nodes of a name, by rendezvous hashing: one that goes moves only the names that were its
    * own.
    */
-  private List<String> order(String name) {
+  private List<String> nodesFor(String name) {
     String series = ReplicatedSum.series(name);
-    if (orders.size() > MOST_NAMES) {
-      orders.clear();
+    if (nodeOrders.size() > MAX_NAMES) {
+      nodeOrders.clear();
     }
-    return orders.computeIfAbsent(
+    return nodeOrders.computeIfAbsent(
         series,
         s -> {
           List<String> order = new ArrayList<>(nodes.keySet());
@@ -233,131 +242,134 @@
   }
 
   /** A node answered a call, or a telling, with the total. */
-  public void answered(String node, long id, double total, List<Out> out) {
-    known(node).waitsSince = -1;
-    Call call = calls.get(id);
+  public void onTotal(String node, long id, double total, List<ClientAction> out) {
+    healthOf(node).unansweredSinceMillis = -1;
+    InFlightCall call = inFlightCalls.get(id);
     if (call != null) {
-      end(call, Result.OK, total, out);
+      endCall(call, CallOutcome.OK, total, out);
     }
   }
 
   /** A node refused a call, such as one that has not caught up; it has kept nothing of it. */
-  public void refused(String node, long id, boolean notReady, long now, List<Out> out) {
-    Node of = known(node);
-    of.waitsSince = -1;
+  public void onRejected(String node, long id, boolean notReady, long now, List<ClientAction> out) {
+    NodeHealth of = healthOf(node);
+    of.unansweredSinceMillis = -1;
     if (notReady) {
-      unwell(of);
+      markUnhealthy(of);
     }
-    Call call = calls.get(id);
-    if (call != null && !ask(call, now, out)) {
-      end(call, Result.REFUSED, 0, out);
+    InFlightCall call = inFlightCalls.get(id);
+    if (call != null && !sendToNextNode(call, now, out)) {
+      endCall(call, CallOutcome.REJECTED, 0, out);
     }
   }
 
   /** A node that is off the list by now has its answers taken, and nothing else of it matters. */
-  private Node known(String node) {
-    return nodes.getOrDefault(node, new Node());
+  private NodeHealth healthOf(String node) {
+    return nodes.getOrDefault(node, new NodeHealth());
   }
 
   /**
    * A node answered that it hears, whether it is ready, and by which version of the list of nodes
    * it goes.
    */
-  public void hereAnswered(String node, boolean ready, long version, List<Out> out) {
+  public void onHeartbeatReply(String node, boolean ready, long version, List<ClientAction> out) {
     long mine =
-        given == null
+        adoptedMembership == null
             ? MembershipList.settingsVersion(MembershipList.epoch(version))
-            : given.version();
+            : adoptedMembership.version();
     if (version > mine) {
-      out.add(new Fetch(node));
+      out.add(new FetchMembership(node));
     } else if (version < mine) {
-      out.add(new Give(node, given));
+      out.add(new PushMembership(node, adoptedMembership));
     }
-    Node of = known(node);
-    of.waitsSince = -1;
-    if (ready && !of.well) {
-      of.well = true;
-      tellAll(); // It may have come back with less than others have, or with nothing.
+    NodeHealth of = healthOf(node);
+    of.unansweredSinceMillis = -1;
+    if (ready && !of.isHealthy) {
+      of.isHealthy = true;
+      resendAll(); // It may have come back with less than others have, or with nothing.
     } else if (!ready) {
-      unwell(of);
+      markUnhealthy(of);
     }
   }
 
   /** The connection to a node is lost. */
-  public void lost(String node, long now, List<Out> out) {
-    Node of = known(node);
-    of.waitsSince = -1;
-    unwell(of);
-    for (Call call : List.copyOf(calls.values())) {
-      if (call.asked.contains(node)) {
-        ask(call, now, out);
+  public void onConnectionLost(String node, long now, List<ClientAction> out) {
+    NodeHealth of = healthOf(node);
+    of.unansweredSinceMillis = -1;
+    markUnhealthy(of);
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      if (call.triedNodes.contains(node)) {
+        sendToNextNode(call, now, out);
       }
     }
   }
 
   // What only the lost node had heard from this gatekeeper is told to those that stand in for it.
-  private void unwell(Node node) {
-    if (node.well) {
-      node.well = false;
-      tellAll();
+  private void markUnhealthy(NodeHealth node) {
+    if (node.isHealthy) {
+      node.isHealthy = false;
+      resendAll();
     }
   }
 
-  private void tellAll() {
-    toTell.clear();
-    toTell.addAll(own.keySet());
+  private void resendAll() {
+    resendQueue.clear();
+    resendQueue.addAll(ownSums.keySet());
   }
 
   /** Time goes by. */
-  public void tick(long now, List<Out> out) {
+  public void tick(long now, List<ClientAction> out) {
     nodes.forEach(
         (id, node) -> {
-          if (node.waitsSince >= 0 && now - node.waitsSince > times.missing) {
-            unwell(node);
+          if (node.unansweredSinceMillis >= 0
+              && now - node.unansweredSinceMillis > timeouts.nodeTimeoutMillis) {
+            markUnhealthy(node);
           }
-          if (now - node.hereAt >= times.here) {
-            node.hereAt = now;
-            node.waitsSince = node.waitsSince < 0 ? now : node.waitsSince;
-            out.add(new Here(id, ++stamp));
+          if (now - node.lastHeartbeatMillis >= timeouts.heartbeatIntervalMillis) {
+            node.lastHeartbeatMillis = now;
+            node.unansweredSinceMillis =
+                node.unansweredSinceMillis < 0 ? now : node.unansweredSinceMillis;
+            out.add(new SendHeartbeat(id, ++stamp));
           }
         });
-    for (Call call : List.copyOf(calls.values())) {
-      if (now - call.at >= times.limit) {
-        end(call, Result.TIMEOUT, 0, out);
-      } else if (now - call.askedAt >= times.next) {
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      if (now - call.startedMillis >= timeouts.callTimeoutMillis) {
+        endCall(call, CallOutcome.TIMEOUT, 0, out);
+      } else if (now - call.lastSentMillis >= timeouts.hedgeDelayMillis) {
         // Guards against the wait for a node that has stalled. It may ask a second one for nothing
         // when the
         // first is only slow; nothing is counted twice by that.
-        ask(call, now, out);
+        sendToNextNode(call, now, out);
       }
     }
-    for (int i = 0; i < TOLD_A_TICK && !toTell.isEmpty(); i++) {
-      String name = toTell.poll();
-      for (String id : order(name)) {
-        if (nodes.get(id).well) {
-          send(id, 0, name, now, out);
+    for (int i = 0; i < MAX_RESENDS_PER_TICK && !resendQueue.isEmpty(); i++) {
+      String name = resendQueue.poll();
+      for (String id : nodesFor(name)) {
+        if (nodes.get(id).isHealthy) {
+          sendOwnSum(id, 0, name, now, out);
           break;
         }
       }
     }
   }
 
-  private void end(Call call, Result result, double total, List<Out> out) {
-    calls.remove(call.id);
-    if (result == Result.UNREACHABLE || result == Result.REFUSED) {
+  private void endCall(
+      InFlightCall call, CallOutcome result, double total, List<ClientAction> out) {
+    inFlightCalls.remove(call.id);
+    if (result == CallOutcome.UNREACHABLE || result == CallOutcome.REJECTED) {
       // The caller takes it for not added; it may have gone out with another call of the name
       // meanwhile.
       try {
-        add(own.get(call.name), call.amount.negated());
+        addToOwnSum(ownSums.get(call.name), call.amount.negated());
       } catch (CommandException e) {
         throw new IllegalStateException("a sum beyond all bounds", e);
       }
     }
-    out.add(new End(call.id, call.name, result, total));
+    out.add(new CallEnded(call.id, call.name, result, total));
   }
 
   /** Whether a node is asked first for its names. */
-  public boolean well(String node) {
-    return known(node).well;
+  public boolean isHealthy(String node) {
+    return healthOf(node).isHealthy;
   }
 }
--- a/src/main/java/fawndock/counter/replication/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -17,53 +17,56 @@
   /**
    * What nodes tell each other all the time.
    *
-   * @param version of the list of nodes that it goes by
-   * @param start of the node; another one than before tells that it has started again
-   * @param ready whether it answers
-   * @param stamps of each gatekeeper that was heard of late, by it or others, the highest stamp
+   * @param membershipVersion of the list of nodes that it goes by
+   * @param incarnation of the node; another one than before tells that it has started again
+   * @param isReady whether it answers
+   * @param originStamps of each gatekeeper that was heard of late, by it or others, the highest
+   *     stamp
    */
-  public record Beat(long version, long start, boolean ready, Map<Long, Long> stamps) {}
+  public record Heartbeat(
+      long membershipVersion, long incarnation, boolean isReady, Map<Long, Long> originStamps) {}
 
   /**
    * Sums for another node.
    *
-   * @param all whether with these it has been told everything
+   * @param completesFullState whether with these it has been told everything
    */
-  public record Batch(List<ReplicatedSum> sums, boolean all) {
+  public record DeltaBatch(List<ReplicatedSum> sums, boolean completesFullState) {
     /** Whether there is nothing to send. */
     public boolean isEmpty() {
-      return sums.isEmpty() && !all;
+      return sums.isEmpty() && !completesFullState;
     }
   }
 
   /**
    * Times, in milliseconds.
    *
-   * @param missing after which a silent node counts as cut off or dead
-   * @param alone after which a node that reaches no other answers by itself; at least missing
+   * @param peerTimeoutMillis after which a silent node counts as cut off or dead
+   * @param soloStartTimeoutMillis after which a node that reaches no other answers by itself; at
+   *     least missing
    */
-  public record Times(long missing, long alone) {}
+  public record FailureDetectorTimeouts(long peerTimeoutMillis, long soloStartTimeoutMillis) {}
 
   /** Changed sums that wait for a node; beyond it everything is told again. */
-  private static final int MOST_CHANGED = 100_000;
+  private static final int MAX_CHANGED_SUMS = 100_000;
 
-  private static final int MOST_ORIGINS = 4_096;
+  private static final int MAX_ORIGINS = 4_096;
 
   /**
    * Of silence after which a gatekeeper is no more told of, and much later forgotten, in
    * milliseconds.
    */
-  private static final long ORIGIN_TOLD = 30_000;
+  private static final long ORIGIN_ANNOUNCED_MILLIS = 30_000;
 
-  private static final long ORIGIN_FORGOTTEN = 3_600_000;
+  private static final long ORIGIN_RETENTION_MILLIS = 3_600_000;
 
   /** The highest stamp of a gatekeeper, and when it was first heard here. */
-  private record Heard(long stamp, long at) {}
+  private record OriginState(long stamp, long at) {}
 
-  private record Part(String name, long origin) {}
+  private record SumKey(String name, long origin) {}
 
   /** What is known of another node, and what it has yet to be told. */
-  private static final class Other {
+  private static final class PeerState {
     long heardAt;
 
     /** Which start of it was heard, or null. */
@@ -75,7 +78,7 @@
     /** When it last answered that this node is not on its list. */
     long strangeAt = Long.MIN_VALUE / 2;
 
-    Set<Part> changed = new LinkedHashSet<>();
+    Set<SumKey> changed = new LinkedHashSet<>();
 
     /** Next shard of everything to be told, or -1 when that is done. */
     int shard;
@@ -85,20 +88,20 @@
   }
 
   private final ReplicatedSums sums;
-  private final Times times;
+  private final FailureDetectorTimeouts timeouts;
   private final String id;
-  private final long start;
-  private final Map<String, Other> others = new TreeMap<>();
-  private final Map<Long, Heard> origins = new HashMap<>();
+  private final long incarnation;
+  private final Map<String, PeerState> peers = new TreeMap<>();
+  private final Map<Long, OriginState> origins = new HashMap<>();
   private final AddRateEstimator rates = new AddRateEstimator();
-  private final long startedAt;
-  private long toldAt;
-  private boolean ready;
-  private long version;
-  private long highestHeard;
+  private final long startedMillis;
+  private long lastPeerSumMillis;
+  private boolean isReady;
+  private long membershipVersion;
+  private long highestPeerVersion;
 
   /** The list that was given while it ran, or null while it goes by the one in its settings. */
-  private MembershipList given;
+  private MembershipList adoptedMembership;
 
   /**
    * A node that has just started, by the list in its settings.
@@ -113,23 +116,23 @@
       List<String> others,
       long epoch,
       long start,
-      Times times,
+      FailureDetectorTimeouts times,
       ReplicatedSums sums,
       long now) {
     this.id = id;
     this.sums = sums;
-    this.times = times;
-    this.start = start;
-    this.startedAt = now;
-    version = MembershipList.settingsVersion(epoch);
-    ready = others.isEmpty();
-    others.forEach(each -> join(each, now));
+    this.timeouts = times;
+    this.incarnation = start;
+    this.startedMillis = now;
+    membershipVersion = MembershipList.settingsVersion(epoch);
+    isReady = others.isEmpty();
+    others.forEach(each -> addPeer(each, now));
   }
 
-  private void join(String each, long now) {
-    Other other = new Other();
-    other.heardAt = now - times.missing - 1; // Not heard yet.
-    others.put(each, other);
+  private void addPeer(String each, long now) {
+    PeerState other = new PeerState();
+    other.heardAt = now - timeouts.peerTimeoutMillis - 1; // Not heard yet.
+    peers.put(each, other);
   }
 
   /**
@@ -138,62 +141,65 @@
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adopt(MembershipList list, long now) {
-    if (list.version() <= version) {
+  public boolean adoptMembership(MembershipList list, long now) {
+    if (list.version() <= membershipVersion) {
       return false;
     }
-    version = list.version();
-    given = list;
-    others.keySet().retainAll(list.addresses().keySet());
+    membershipVersion = list.version();
+    adoptedMembership = list;
+    peers.keySet().retainAll(list.addresses().keySet());
     for (String each : list.addresses().keySet()) {
-      if (!each.equals(id) && !others.containsKey(each)) {
-        join(each, now);
+      if (!each.equals(id) && !peers.containsKey(each)) {
+        addPeer(each, now);
       }
     }
     return true;
   }
 
   /** The list that was given while it ran, or null. */
-  public MembershipList given() {
-    return given;
+  public MembershipList adoptedMembership() {
+    return adoptedMembership;
   }
 
   /** What to answer one that goes by an older list; null when there is nothing to tell. */
-  public MembershipList newerThan(long theirs) {
-    return given != null && given.version() > theirs ? given : null;
+  public MembershipList membershipNewerThan(long theirs) {
+    return adoptedMembership != null && adoptedMembership.version() > theirs
+        ? adoptedMembership
+        : null;
   }
 
   /** Whether it may answer gatekeepers. */
-  public boolean ready() {
-    return ready && !fenced();
+  public boolean isReady() {
+    return isReady && !isFenced();
   }
 
   /**
    * Whether it was taken off the list, or its list is out of date: its totals may lack what others
    * count.
    */
-  public boolean fenced() {
-    return highestHeard > version || given != null && !given.addresses().containsKey(id);
+  public boolean isFenced() {
+    return highestPeerVersion > membershipVersion
+        || adoptedMembership != null && !adoptedMembership.addresses().containsKey(id);
   }
 
   /** The version of the list that it goes by. */
-  public long version() {
-    return version;
+  public long membershipVersion() {
+    return membershipVersion;
   }
 
   /** The other nodes on the list. */
-  public Set<String> others() {
-    return others.keySet();
+  public Set<String> peers() {
+    return peers.keySet();
   }
 
   /** Whether another node was heard of late. */
-  public boolean hears(String other, long now) {
-    return now - others.get(other).heardAt <= times.missing;
+  public boolean isPeerAlive(String other, long now) {
+    return now - peers.get(other).heardAt <= timeouts.peerTimeoutMillis;
   }
 
   /** Sums that another node has yet to be told; -1 for everything. */
-  public int lag(String other) {
-    Other of = others.get(other);
+  public int replicationLag(String other) {
+    PeerState of = peers.get(other);
     return of.shard >= 0 ? -1 : of.changed.size();
   }
 
@@ -202,39 +208,40 @@
    *
    * @throws CommandException when this node may not answer, or cannot take the sums
    */
-  public DecimalAmount ask(ReplicatedSum sum, long now, ChangeRecord to) throws CommandException {
-    if (fenced()) {
+  public DecimalAmount mergeAndTotal(ReplicatedSum sum, long now, ChangeRecord to)
+      throws CommandException {
+    if (isFenced()) {
       throw new CommandException("FENCED a newer list of nodes is in use, nothing was added");
     }
-    if (!ready) {
+    if (!isReady) {
       throw new CommandException(
           "LOADING this node has not caught up with the others, nothing was added");
     }
-    take(sum, "", now, to);
-    rates.seen(sum.name(), now);
-    return withUnheard(sum.name(), now);
+    merge(sum, "", now, to);
+    rates.recordUse(sum.name(), now);
+    return totalWithEstimate(sum.name(), now);
   }
 
   /** Another node tells a gatekeeper's sums. */
-  public void told(String from, ReplicatedSum sum, long now, ChangeRecord to)
+  public void mergeFromPeer(String from, ReplicatedSum sum, long now, ChangeRecord to)
       throws CommandException {
-    toldAt = now;
-    take(sum, from, now, to);
+    lastPeerSumMillis = now;
+    merge(sum, from, now, to);
   }
 
-  private void take(ReplicatedSum sum, String from, long now, ChangeRecord to)
+  private void merge(ReplicatedSum sum, String from, long now, ChangeRecord to)
       throws CommandException {
     DecimalAmount grown = sums.merge(sum, now, to);
     if (grown == null) {
       return;
     }
-    rates.grew(sum.name(), sum.origin(), Double.parseDouble(grown.toString()), now);
-    others.forEach(
+    rates.recordGrowth(sum.name(), sum.origin(), Double.parseDouble(grown.toString()), now);
+    peers.forEach(
         (id, other) -> {
           // Also to others that the teller can reach: between those two the line may be cut.
           if (!id.equals(from)) {
-            other.changed.add(new Part(sum.name(), sum.origin()));
-            if (other.changed.size() > MOST_CHANGED) {
+            other.changed.add(new SumKey(sum.name(), sum.origin()));
+            if (other.changed.size() > MAX_CHANGED_SUMS) {
               other.changed.clear();
               other.shard = 0;
             }
@@ -249,93 +256,95 @@
    *
    * @param stamp of the gatekeeper's own, that grows each time
    */
-  public void here(long origin, long stamp, long now) {
-    Heard last = origins.get(origin);
-    if (last == null ? origins.size() < MOST_ORIGINS : stamp > last.stamp) {
-      origins.put(origin, new Heard(stamp, now));
+  public void onOriginStamp(long origin, long stamp, long now) {
+    OriginState last = origins.get(origin);
+    if (last == null ? origins.size() < MAX_ORIGINS : stamp > last.stamp) {
+      origins.put(origin, new OriginState(stamp, now));
     }
   }
 
-  private DecimalAmount withUnheard(String name, long now) throws CommandException {
+  private DecimalAmount totalWithEstimate(String name, long now) throws CommandException {
     DecimalAmount total = sums.total(name, now);
-    boolean allHeard = others.values().stream().allMatch(o -> now - o.heardAt <= times.missing);
+    boolean allHeard =
+        peers.values().stream().allMatch(o -> now - o.heardAt <= timeouts.peerTimeoutMillis);
     if (allHeard) {
       return total; // A gatekeeper that no node hears counts nowhere.
     }
     double unheard = 0;
-    for (Map.Entry<Long, Heard> each : origins.entrySet()) {
-      if (now - each.getValue().at > times.missing) {
-        unheard += rates.unheard(name, each.getKey(), each.getValue().at, now);
+    for (Map.Entry<Long, OriginState> each : origins.entrySet()) {
+      if (now - each.getValue().at > timeouts.peerTimeoutMillis) {
+        unheard += rates.estimateSince(name, each.getKey(), each.getValue().at, now);
       }
     }
     return unheard <= 0
         ? total
         : total.plus(
-            DecimalAmount.of(
+            DecimalAmount.parse(
                 Long.toString(Math.round(unheard))
                     .getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
   }
 
   /** What to tell the others of, again and again. */
-  public Beat beat(long now) {
+  public Heartbeat nextHeartbeat(long now) {
     Map<Long, Long> stamps = new HashMap<>();
-    origins.values().removeIf(heard -> now - heard.at > ORIGIN_FORGOTTEN);
+    origins.values().removeIf(heard -> now - heard.at > ORIGIN_RETENTION_MILLIS);
     origins.forEach(
         (origin, heard) -> {
-          if (now - heard.at <= ORIGIN_TOLD) {
+          if (now - heard.at <= ORIGIN_ANNOUNCED_MILLIS) {
             stamps.put(origin, heard.stamp);
           }
         });
-    return new Beat(version, start, ready(), stamps);
+    return new Heartbeat(membershipVersion, incarnation, isReady(), stamps);
   }
 
   /** Another node's beat. */
-  public void beat(String from, Beat beat, long now) {
-    Other other = others.get(from);
-    highestHeard = Math.max(highestHeard, beat.version);
-    if (other == null || beat.version < version) {
+  public void onHeartbeat(String from, Heartbeat beat, long now) {
+    PeerState other = peers.get(from);
+    highestPeerVersion = Math.max(highestPeerVersion, beat.membershipVersion);
+    if (other == null || beat.membershipVersion < membershipVersion) {
       return;
     }
-    boolean was = now - other.heardAt <= times.missing;
-    boolean again = other.start != null && other.start != beat.start;
+    boolean was = now - other.heardAt <= timeouts.peerTimeoutMillis;
+    boolean again = other.start != null && other.start != beat.incarnation;
     if (!was || again) {
-      lost(from); // What it missed while it was away, or forgot, is not known: everything.
+      restartFullTransfer(
+          from); // What it missed while it was away, or forgot, is not known: everything.
       other.gaveAll &= !again;
     }
-    other.start = beat.start;
+    other.start = beat.incarnation;
     other.heardAt = now;
-    other.ready = beat.ready;
-    catchUp(now);
-    beat.stamps.forEach((origin, stamp) -> here(origin, stamp, now));
+    other.ready = beat.isReady;
+    updateReadiness(now);
+    beat.originStamps.forEach((origin, stamp) -> onOriginStamp(origin, stamp, now));
   }
 
   /** Another node answers that this one is not on its list. */
-  public void strange(String from, long now) {
-    others.get(from).strangeAt = now;
+  public void onUnknownToPeer(String from, long now) {
+    peers.get(from).strangeAt = now;
   }
 
   /** Another node has told everything that it had when it began to. */
-  public void gaveAll(String from, long now) {
-    Other other = others.get(from);
+  public void onFullStateReceived(String from, long now) {
+    PeerState other = peers.get(from);
     if (other != null) {
       other.gaveAll = true;
-      catchUp(now);
+      updateReadiness(now);
     }
   }
 
   // Each that is heard and ready must have told everything: one of them may itself lag behind
   // another.
-  private void catchUp(long now) {
+  private void updateReadiness(long now) {
     boolean any = false;
-    for (Other other : others.values()) {
-      if (other.ready && now - other.heardAt <= times.missing) {
+    for (PeerState other : peers.values()) {
+      if (other.ready && now - other.heardAt <= timeouts.peerTimeoutMillis) {
         if (!other.gaveAll) {
           return;
         }
         any = true;
       }
     }
-    ready |= any;
+    isReady |= any;
   }
 
   /**
@@ -343,32 +352,38 @@
    * itself.
    */
   public void tick(long now) {
-    others
+    peers
         .keySet()
         .forEach(
             id -> {
-              Other other = others.get(id);
-              if (other.sentAt >= 0 && now - other.sentAt > times.missing) {
-                lost(id);
+              PeerState other = peers.get(id);
+              if (other.sentAt >= 0 && now - other.sentAt > timeouts.peerTimeoutMillis) {
+                restartFullTransfer(id);
               }
             });
-    catchUp(now);
+    updateReadiness(now);
     // Guards against a node that begins with nothing beside others that do not know of it yet: it
     // waits for a list of
     // nodes with both.
-    boolean strange = others.values().stream().anyMatch(o -> now - o.strangeAt <= times.alone);
-    if (ready || strange) {
+    boolean strange =
+        peers.values().stream().anyMatch(o -> now - o.strangeAt <= timeouts.soloStartTimeoutMillis);
+    if (isReady || strange) {
       return;
     }
     boolean all =
-        others.values().stream()
-            .allMatch(o -> o.gaveAll || now - Math.max(startedAt, o.heardAt) >= times.alone);
+        peers.values().stream()
+            .allMatch(
+                o ->
+                    o.gaveAll
+                        || now - Math.max(startedMillis, o.heardAt)
+                            >= timeouts.soloStartTimeoutMillis);
     // Guards against a fleet in which each waits for another. It may answer with less than a node
     // that cannot be
     // reached has; the estimate does not know of that either.
-    ready =
-        all && now - startedAt >= times.alone
-            || now - Math.max(startedAt, toldAt) >= 10 * times.alone;
+    isReady =
+        all && now - startedMillis >= timeouts.soloStartTimeoutMillis
+            || now - Math.max(startedMillis, lastPeerSumMillis)
+                >= 10 * timeouts.soloStartTimeoutMillis;
   }
 
   /**
@@ -377,46 +392,46 @@
    *
    * @param most sums; a shard of everything may be more
    */
-  public Batch next(String to, int most, long now) {
-    Other other = others.get(to);
+  public DeltaBatch nextBatch(String to, int most, long now) {
+    PeerState other = peers.get(to);
     List<ReplicatedSum> next = new ArrayList<>();
-    if (other.sentAt >= 0 || now - other.heardAt > times.missing) {
-      return new Batch(next, false);
+    if (other.sentAt >= 0 || now - other.heardAt > timeouts.peerTimeoutMillis) {
+      return new DeltaBatch(next, false);
     }
     boolean all = false;
     while (other.shard >= 0 && next.size() < most) {
-      sums.visit(other.shard++, now, next::add);
-      if (other.shard == sums.shards()) {
+      sums.visitShard(other.shard++, now, next::add);
+      if (other.shard == sums.shardCount()) {
         other.shard = -1;
         all = true;
       }
     }
-    Iterator<Part> changed = other.changed.iterator();
+    Iterator<SumKey> changed = other.changed.iterator();
     while (next.size() < most && changed.hasNext()) {
-      Part part = changed.next();
+      SumKey part = changed.next();
       changed.remove();
-      ReplicatedSum sum = sums.of(part.name, part.origin, now);
+      ReplicatedSum sum = sums.sumOf(part.name, part.origin, now);
       if (sum != null) {
         next.add(sum);
       }
     }
     other.sentAt = next.isEmpty() && !all ? -1 : now;
-    return new Batch(next, all);
+    return new DeltaBatch(next, all);
   }
 
   /** A part of what was taken last has arrived, or was answered: the rest is on its way. */
-  public void arriving(String to, long now) {
-    others.get(to).sentAt = now;
+  public void onBatchProgress(String to, long now) {
+    peers.get(to).sentAt = now;
   }
 
   /** What was taken last for another node has arrived. */
-  public void arrived(String to) {
-    others.get(to).sentAt = -1;
+  public void onBatchAcknowledged(String to) {
+    peers.get(to).sentAt = -1;
   }
 
   /** What was taken did not arrive, or may not have: everything is told again. */
-  public void lost(String to) {
-    Other other = others.get(to);
+  public void restartFullTransfer(String to) {
+    PeerState other = peers.get(to);
     other.shard = 0;
     other.sentAt = -1;
     other.changed.clear();
--- a/src/main/java/fawndock/counter/replication/ReplicatedSum.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSum.java
@@ -8,12 +8,12 @@
  *
  * @param name of the count
  * @param origin the gatekeeper, in this start of it
- * @param plus what it added
- * @param minus what it took back, as a positive number
- * @param keepMillis how much longer the name is kept
+ * @param added what it added
+ * @param withdrawn what it took back, as a positive number
+ * @param timeToLiveMillis how much longer the name is kept
  */
 public record ReplicatedSum(
-    String name, long origin, DecimalAmount plus, DecimalAmount minus, long keepMillis) {
+    String name, long origin, DecimalAmount added, DecimalAmount withdrawn, long timeToLiveMillis) {
   /** What the name's windows have in common: what stands before its last point. */
   public static String series(String name) {
     int point = name.lastIndexOf('.');
--- a/src/main/java/fawndock/counter/replication/ReplicatedSums.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSums.java
@@ -16,11 +16,11 @@
  */
 public final class ReplicatedSums {
   /** Between a name and an origin; names must not have it. */
-  private static final char PART = '\0';
+  private static final char ORIGIN_SEPARATOR = '\0';
 
-  private static final int SUFFIX = 1 + Long.BYTES + 1;
-  private static final byte PLUS = '+';
-  private static final byte MINUS = '-';
+  private static final int KEY_SUFFIX_BYTES = 1 + Long.BYTES + 1;
+  private static final byte ADDED = '+';
+  private static final byte WITHDRAWN = '-';
   private final CounterOperations counts;
 
   public ReplicatedSums(CounterOperations counts) {
@@ -28,8 +28,8 @@
   }
 
   /** Most bytes that a merge notes. */
-  public static long bytes(String name) {
-    return 3 * (19 + 4L * name.length() + SUFFIX);
+  public static long maxMergeBytes(String name) {
+    return 3 * (19 + 4L * name.length() + KEY_SUFFIX_BYTES);
   }
 
   /**
@@ -38,16 +38,16 @@
    * @return the growth of the origin's net sum, or null when nothing grew
    */
   public DecimalAmount merge(ReplicatedSum sum, long now, ChangeRecord to) throws CommandException {
-    if (sum.name().indexOf(PART) >= 0 || sum.name().isEmpty()) {
+    if (sum.name().indexOf(ORIGIN_SEPARATOR) >= 0 || sum.name().isEmpty()) {
       throw new CommandException("ERR a name has at least one character, and no zero byte");
     }
     byte[] name = sum.name().getBytes(StandardCharsets.UTF_8);
-    if (name.length > ChangeRecord.LONGEST_NAME - SUFFIX) {
+    if (name.length > ChangeRecord.MAX_NAME_BYTES - KEY_SUFFIX_BYTES) {
       throw new CommandException(
-          "ERR a name is at most " + (ChangeRecord.LONGEST_NAME - SUFFIX) + " bytes");
+          "ERR a name is at most " + (ChangeRecord.MAX_NAME_BYTES - KEY_SUFFIX_BYTES) + " bytes");
     }
-    DecimalAmount plus = growth(key(name, sum.origin(), PLUS), sum.plus(), now);
-    DecimalAmount minus = growth(key(name, sum.origin(), MINUS), sum.minus(), now);
+    DecimalAmount plus = growth(key(name, sum.origin(), ADDED), sum.added(), now);
+    DecimalAmount minus = growth(key(name, sum.origin(), WITHDRAWN), sum.withdrawn(), now);
     if (plus.digits() == 0 && minus.digits() == 0) {
       return null;
     }
@@ -55,16 +55,17 @@
     DecimalAmount was = counts.table().get(name, now);
     // All parts of a name expire at once: else one that was forgotten before the total would be
     // added to it again.
-    long expiry = was == null ? now + sum.keepMillis() : counts.table().expiry(name, now);
+    long expiry =
+        was == null ? now + sum.timeToLiveMillis() : counts.table().expiryMillis(name, now);
     if (was == null) {
-      counts.roomForName(name);
+      counts.requireMemoryFor(name);
     }
     counts.put(name, was == null ? net : was.plus(net), expiry, to);
     if (plus.digits() > 0) {
-      counts.put(key(name, sum.origin(), PLUS), sum.plus(), expiry, to);
+      counts.put(key(name, sum.origin(), ADDED), sum.added(), expiry, to);
     }
     if (minus.digits() > 0) {
-      counts.put(key(name, sum.origin(), MINUS), sum.minus(), expiry, to);
+      counts.put(key(name, sum.origin(), WITHDRAWN), sum.withdrawn(), expiry, to);
     }
     return net;
   }
@@ -84,17 +85,17 @@
   /**
    * One origin's sums on a name, as they would be told to another node; null when there are none.
    */
-  public ReplicatedSum of(String name, long origin, long now) {
+  public ReplicatedSum sumOf(String name, long origin, long now) {
     byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-    DecimalAmount plus = counts.table().get(key(bytes, origin, PLUS), now);
-    DecimalAmount minus = counts.table().get(key(bytes, origin, MINUS), now);
+    DecimalAmount plus = counts.table().get(key(bytes, origin, ADDED), now);
+    DecimalAmount minus = counts.table().get(key(bytes, origin, WITHDRAWN), now);
     if (plus == null && minus == null) {
       return null;
     }
     long expiry =
         Math.max(
-            counts.table().expiry(key(bytes, origin, PLUS), now),
-            counts.table().expiry(key(bytes, origin, MINUS), now));
+            counts.table().expiryMillis(key(bytes, origin, ADDED), now),
+            counts.table().expiryMillis(key(bytes, origin, WITHDRAWN), now));
     return new ReplicatedSum(
         name,
         origin,
@@ -104,14 +105,14 @@
   }
 
   /** Tells all sums of a shard, a call for each name and origin. */
-  public void visit(int shard, long now, Consumer<ReplicatedSum> each) {
+  public void visitShard(int shard, long now, Consumer<ReplicatedSum> each) {
     CounterTable table = counts.table();
-    table.visit(
+    table.visitShard(
         shard,
         now,
         (key, amount, expiry) -> {
-          int at = key.length - SUFFIX;
-          if (at <= 0 || key[at] != PART) {
+          int at = key.length - KEY_SUFFIX_BYTES;
+          if (at <= 0 || key[at] != ORIGIN_SEPARATOR) {
             return;
           }
           String name = new String(key, 0, at, StandardCharsets.UTF_8);
@@ -122,21 +123,21 @@
               new ReplicatedSum(
                   name,
                   origin,
-                  sign == PLUS ? amount : DecimalAmount.ZERO,
-                  sign == MINUS ? amount : DecimalAmount.ZERO,
+                  sign == ADDED ? amount : DecimalAmount.ZERO,
+                  sign == WITHDRAWN ? amount : DecimalAmount.ZERO,
                   Math.max(1, expiry - now)));
         });
   }
 
   /** Shards to visit. */
-  public int shards() {
+  public int shardCount() {
     return counts.table().shards();
   }
 
   private static byte[] key(byte[] name, long origin, byte sign) {
-    return ByteBuffer.allocate(name.length + SUFFIX)
+    return ByteBuffer.allocate(name.length + KEY_SUFFIX_BYTES)
         .put(name)
-        .put((byte) PART)
+        .put((byte) ORIGIN_SEPARATOR)
         .putLong(origin)
         .put(sign)
         .array();
--- a/src/main/java/fawndock/counter/storage/ChangeRecord.java
+++ b/src/main/java/fawndock/counter/storage/ChangeRecord.java
@@ -9,79 +9,79 @@
  */
 public final class ChangeRecord {
   /** Longest name, in bytes. */
-  public static final int LONGEST_NAME = 1_024;
+  public static final int MAX_NAME_BYTES = 1_024;
 
   /** Most bytes that one change takes. */
-  public static final int LONGEST = 19 + LONGEST_NAME;
+  public static final int MAX_CHANGE_BYTES = 19 + MAX_NAME_BYTES;
 
-  private static final byte WHOLE = 1;
-  private static final byte FRACTION = 2;
-  private static final byte DELETED = 3;
-  private static final byte END = 4;
-  private static final int START = LogFormat.RECORD_HEADER + LogFormat.TIME;
+  private static final byte KIND_WHOLE = 1;
+  private static final byte KIND_FRACTION = 2;
+  private static final byte KIND_DELETED = 3;
+  private static final byte KIND_SNAPSHOT_END = 4;
+  private static final int CHANGES_OFFSET = LogFormat.RECORD_HEADER_BYTES + LogFormat.TIME_BYTES;
 
   /** Is told the changes of a record, in their order. */
-  public interface Reader {
-    void set(byte[] name, DecimalAmount amount, long expiry);
+  public interface Visitor {
+    void onAmount(byte[] name, DecimalAmount amount, long expiry);
 
-    void deleted(byte[] name);
+    void onDeleted(byte[] name);
 
     /** The end of a snapshot that has so many names. */
-    void end(long names);
+    void onSnapshotEnd(long names);
   }
 
-  private ByteBuffer bytes;
-  private int many;
+  private ByteBuffer buffer;
+  private int changeCount;
 
   /**
    * @param size bytes to begin with; it grows up to a record's longest body
    */
   public ChangeRecord(int size) {
-    bytes = ByteBuffer.allocate(START + size).position(START);
+    buffer = ByteBuffer.allocate(CHANGES_OFFSET + size).position(CHANGES_OFFSET);
   }
 
   /** Whether so many more bytes of changes fit in one record. */
-  public boolean room(long more) {
-    return bytes.position() - LogFormat.RECORD_HEADER + more <= LogFormat.LONGEST_BODY;
+  public boolean hasCapacityFor(long more) {
+    return buffer.position() - LogFormat.RECORD_HEADER_BYTES + more <= LogFormat.MAX_BODY_BYTES;
   }
 
   public boolean isEmpty() {
-    return many == 0;
+    return changeCount == 0;
   }
 
   /** Bytes of the changes. */
-  public int size() {
-    return bytes.position() - START;
+  public int sizeBytes() {
+    return buffer.position() - CHANGES_OFFSET;
   }
 
-  public void set(byte[] name, DecimalAmount amount, long expiry) {
-    need(19 + name.length);
-    bytes
-        .put(amount.fraction() ? FRACTION : WHOLE)
+  public void putAmount(byte[] name, DecimalAmount amount, long expiry) {
+    ensureCapacity(19 + name.length);
+    buffer
+        .put(amount.isFraction() ? KIND_FRACTION : KIND_WHOLE)
         .putShort((short) name.length)
         .put(name)
         .putLong(amount.digits())
         .putLong(expiry);
-    many++;
+    changeCount++;
   }
 
-  public void deleted(byte[] name) {
-    need(3 + name.length);
-    bytes.put(DELETED).putShort((short) name.length).put(name);
-    many++;
+  public void putDeleted(byte[] name) {
+    ensureCapacity(3 + name.length);
+    buffer.put(KIND_DELETED).putShort((short) name.length).put(name);
+    changeCount++;
   }
 
-  void end(long names) {
-    need(9);
-    bytes.put(END).putLong(names);
-    many++;
+  void putSnapshotEnd(long names) {
+    ensureCapacity(9);
+    buffer.put(KIND_SNAPSHOT_END).putLong(names);
+    changeCount++;
   }
 
-  private void need(int more) {
-    if (bytes.remaining() < more) {
+  private void ensureCapacity(int more) {
+    if (buffer.remaining() < more) {
       ByteBuffer larger =
-          ByteBuffer.allocate(Math.max(bytes.capacity() * 2, bytes.position() + more));
-      bytes = larger.put(bytes.flip());
+          ByteBuffer.allocate(Math.max(buffer.capacity() * 2, buffer.position() + more));
+      buffer = larger.put(buffer.flip());
     }
   }
 
@@ -89,13 +89,13 @@
    * The record, all but its sealing, with the time at which it was made, in milliseconds since
    * 1970.
    */
-  public ByteBuffer record(long time) {
-    return bytes.duplicate().flip().putLong(LogFormat.RECORD_HEADER, time);
+  public ByteBuffer toRecord(long time) {
+    return buffer.duplicate().flip().putLong(LogFormat.RECORD_HEADER_BYTES, time);
   }
 
   public void clear() {
-    bytes.position(START);
-    many = 0;
+    buffer.position(CHANGES_OFFSET);
+    changeCount = 0;
   }
 
   /**
@@ -103,18 +103,19 @@
    *
    * @throws IllegalArgumentException when a change is none; some may have been told by then
    */
-  public static long read(ByteBuffer body, Reader to) {
+  public static long visitBody(ByteBuffer body, Visitor to) {
     try {
       long time = body.getLong();
       while (body.hasRemaining()) {
         byte kind = body.get();
         switch (kind) {
-          case WHOLE, FRACTION -> {
-            byte[] name = name(body);
-            to.set(name, new DecimalAmount(body.getLong(), kind == FRACTION), body.getLong());
+          case KIND_WHOLE, KIND_FRACTION -> {
+            byte[] name = readName(body);
+            to.onAmount(
+                name, new DecimalAmount(body.getLong(), kind == KIND_FRACTION), body.getLong());
           }
-          case DELETED -> to.deleted(name(body));
-          case END -> to.end(body.getLong());
+          case KIND_DELETED -> to.onDeleted(readName(body));
+          case KIND_SNAPSHOT_END -> to.onSnapshotEnd(body.getLong());
           default -> throw new IllegalArgumentException("a change of kind " + kind);
         }
       }
@@ -124,7 +125,7 @@
     }
   }
 
-  private static byte[] name(ByteBuffer body) {
+  private static byte[] readName(ByteBuffer body) {
     int length = body.getShort() & 0xFFFF;
     if (length > body.remaining()) {
       throw new BufferUnderflowException();
--- a/src/main/java/fawndock/counter/storage/CommandException.java
+++ b/src/main/java/fawndock/counter/storage/CommandException.java
@@ -10,7 +10,8 @@
   public static final String NOT_INTEGER = "ERR value is not an integer or out of range";
   public static final String NOT_FLOAT = "ERR value is not a valid float";
   public static final String OVERFLOW = "ERR increment or decrement would overflow";
-  public static final String MEMORY = "OOM command not allowed when used memory > 'maxmemory'.";
+  public static final String OUT_OF_MEMORY =
+      "OOM command not allowed when used memory > 'maxmemory'.";
   public static final String SYNTAX = "ERR syntax error";
 
   public CommandException(String told) {
--- a/src/main/java/fawndock/counter/storage/CounterOperations.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -10,7 +10,7 @@
    * When an expiry is set: always, when there is none, when there is one, only to a later, only to
    * an earlier one.
    */
-  public enum When {
+  public enum ExpiryCondition {
     ALWAYS,
     NX,
     XX,
@@ -19,17 +19,17 @@
   }
 
   /** Latest expiry, in milliseconds since 1970. */
-  public static final long LATEST = Long.MAX_VALUE >> 2;
+  public static final long MAX_EXPIRY_MILLIS = Long.MAX_VALUE >> 2;
 
   private final CounterTable table;
-  private final long mostBytes;
+  private final long maxMemoryBytes;
 
   /**
    * @param mostBytes of memory for names; a new name beyond it is refused
    */
   public CounterOperations(CounterTable table, long mostBytes) {
     this.table = table;
-    this.mostBytes = mostBytes;
+    this.maxMemoryBytes = mostBytes;
   }
 
   public CounterTable table() {
@@ -37,7 +37,7 @@
   }
 
   /** Most bytes of changes that a command on such a name notes. */
-  public static long bytes(byte[] name) {
+  public static long maxChangeBytes(byte[] name) {
     return 19L + name.length;
   }
 
@@ -50,10 +50,10 @@
   public DecimalAmount add(byte[] name, DecimalAmount by, long keep, long now, ChangeRecord to)
       throws CommandException {
     DecimalAmount was = table.get(name, now);
-    long expiry = was == null ? 0 : table.expiry(name, now);
+    long expiry = was == null ? 0 : table.expiryMillis(name, now);
     DecimalAmount sum = was == null ? by : was.plus(by);
     if (was == null) {
-      roomForName(name);
+      requireMemoryFor(name);
     }
     put(name, sum, expiry == 0 && keep > 0 ? now + keep : expiry, to);
     return sum;
@@ -65,16 +65,16 @@
    *
    * @throws CommandException when there is no room for one more name
    */
-  public void roomForName(byte[] name) throws CommandException {
-    if (table.bytes() + name.length + CounterTable.NAME_COST > mostBytes) {
-      throw new CommandException(CommandException.MEMORY);
+  public void requireMemoryFor(byte[] name) throws CommandException {
+    if (table.memoryBytes() + name.length + CounterTable.NAME_OVERHEAD_BYTES > maxMemoryBytes) {
+      throw new CommandException(CommandException.OUT_OF_MEMORY);
     }
   }
 
   /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
   public void put(byte[] name, DecimalAmount amount, long expiry, ChangeRecord to) {
     table.put(name, amount, expiry);
-    to.set(name, amount, expiry);
+    to.putAmount(name, amount, expiry);
   }
 
   /** Forgets a name; returns whether it was there. */
@@ -83,17 +83,17 @@
       return false;
     }
     table.remove(name);
-    to.deleted(name);
+    to.putDeleted(name);
     return true;
   }
 
   /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
-  public boolean expire(byte[] name, long at, When when, long now, ChangeRecord to) {
+  public boolean expire(byte[] name, long at, ExpiryCondition when, long now, ChangeRecord to) {
     DecimalAmount amount = table.get(name, now);
     if (amount == null) {
       return false;
     }
-    long has = table.expiry(name, now);
+    long has = table.expiryMillis(name, now);
     boolean does =
         switch (when) {
           case ALWAYS -> true;
@@ -112,7 +112,7 @@
 
   /** Lets a name stay for good; returns whether it had an expiry. */
   public boolean persist(byte[] name, long now, ChangeRecord to) {
-    boolean had = table.expiry(name, now) > 0;
+    boolean had = table.expiryMillis(name, now) > 0;
     if (had) {
       put(name, table.get(name, now), 0, to);
     }
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -11,23 +11,23 @@
  */
 public final class CounterTable {
   /** Bytes of memory that a name takes besides its own, on average over how full the shards are. */
-  public static final int NAME_COST = 72;
+  public static final int NAME_OVERHEAD_BYTES = 72;
 
-  private static final int USUAL = 1_024;
-  private static final int SMALLEST = 4;
+  private static final int DEFAULT_SHARDS = 1_024;
+  private static final int MIN_SLOTS = 4;
 
   /** Is shown names one by one; must not change the table. */
   @FunctionalInterface
   public interface Visitor {
-    void name(byte[] name, DecimalAmount amount, long expiry);
+    void onName(byte[] name, DecimalAmount amount, long expiry);
   }
 
   private static final class Shard {
-    byte[][] names = new byte[SMALLEST][];
-    long[] digits = new long[SMALLEST];
+    byte[][] names = new byte[MIN_SLOTS][];
+    long[] digits = new long[MIN_SLOTS];
 
     /** Twice the expiry, and one more for a fraction. */
-    long[] marks = new long[SMALLEST];
+    long[] expiryMarks = new long[MIN_SLOTS];
 
     int size;
   }
@@ -45,7 +45,7 @@
    *     be slow
    */
   public CounterTable(long seed) {
-    this(seed, USUAL);
+    this(seed, DEFAULT_SHARDS);
   }
 
   /**
@@ -75,8 +75,8 @@
   }
 
   /** About the bytes of memory that the names take: their own and {@link #NAME_COST} each. */
-  public long bytes() {
-    return nameBytes + size * NAME_COST;
+  public long memoryBytes() {
+    return nameBytes + size * NAME_OVERHEAD_BYTES;
   }
 
   private Shard shardOf(long hash) {
@@ -84,7 +84,7 @@
   }
 
   /** The slot that has the name, or ~ of the free one where it belongs. */
-  private static int find(Shard shard, byte[] name, long hash) {
+  private static int findSlot(Shard shard, byte[] name, long hash) {
     int mask = shard.names.length - 1;
     int slot = (int) hash & mask;
     while (shard.names[slot] != null) {
@@ -100,24 +100,24 @@
   public DecimalAmount get(byte[] name, long now) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
-    int slot = find(shard, name, hash);
-    return slot < 0 || expired(shard.marks[slot], now)
+    int slot = findSlot(shard, name, hash);
+    return slot < 0 || isExpired(shard.expiryMarks[slot], now)
         ? null
-        : new DecimalAmount(shard.digits[slot], (shard.marks[slot] & 1) != 0);
+        : new DecimalAmount(shard.digits[slot], (shard.expiryMarks[slot] & 1) != 0);
   }
 
   /**
    * Milliseconds since 1970 at which the name expires, 0 for never, -1 when it is not there or has
    * expired.
    */
-  public long expiry(byte[] name, long now) {
+  public long expiryMillis(byte[] name, long now) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
-    int slot = find(shard, name, hash);
-    return slot < 0 || expired(shard.marks[slot], now) ? -1 : shard.marks[slot] >> 1;
+    int slot = findSlot(shard, name, hash);
+    return slot < 0 || isExpired(shard.expiryMarks[slot], now) ? -1 : shard.expiryMarks[slot] >> 1;
   }
 
-  private static boolean expired(long mark, long now) {
+  private static boolean isExpired(long mark, long now) {
     return mark >> 1 != 0 && mark >> 1 <= now;
   }
 
@@ -125,7 +125,7 @@
   public void put(byte[] name, DecimalAmount amount, long expiry) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
-    int slot = find(shard, name, hash);
+    int slot = findSlot(shard, name, hash);
     if (slot < 0) {
       slot = ~slot;
       shard.names[slot] = name;
@@ -134,7 +134,7 @@
       nameBytes += name.length;
     }
     shard.digits[slot] = amount.digits();
-    shard.marks[slot] = expiry << 1 | (amount.fraction() ? 1 : 0);
+    shard.expiryMarks[slot] = expiry << 1 | (amount.isFraction() ? 1 : 0);
     if (shard.size * 4 > shard.names.length * 3) {
       resize(shard, shard.names.length * 2);
     }
@@ -144,19 +144,19 @@
   public boolean remove(byte[] name) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
-    int slot = find(shard, name, hash);
+    int slot = findSlot(shard, name, hash);
     if (slot < 0) {
       return false;
     }
-    free(shard, slot);
-    if (shard.size * 5 < shard.names.length && shard.names.length > SMALLEST) {
+    removeSlot(shard, slot);
+    if (shard.size * 5 < shard.names.length && shard.names.length > MIN_SLOTS) {
       resize(shard, shard.names.length / 2);
     }
     return true;
   }
 
   /** Empties a slot and moves up those after it that would not be found past the gap. */
-  private void free(Shard shard, int slot) {
+  private void removeSlot(Shard shard, int slot) {
     int mask = shard.names.length - 1;
     shard.size--;
     size--;
@@ -167,7 +167,7 @@
       if ((i - home & mask) >= (i - gap & mask)) {
         shard.names[gap] = shard.names[i];
         shard.digits[gap] = shard.digits[i];
-        shard.marks[gap] = shard.marks[i];
+        shard.expiryMarks[gap] = shard.expiryMarks[i];
         gap = i;
       }
     }
@@ -177,27 +177,29 @@
   private void resize(Shard shard, int length) {
     byte[][] names = shard.names;
     long[] digits = shard.digits;
-    long[] marks = shard.marks;
+    long[] marks = shard.expiryMarks;
     shard.names = new byte[length][];
     shard.digits = new long[length];
-    shard.marks = new long[length];
+    shard.expiryMarks = new long[length];
     for (int i = 0; i < names.length; i++) {
       if (names[i] != null) {
-        int slot = ~find(shard, names[i], hasher.hashBytesToLong(names[i]));
+        int slot = ~findSlot(shard, names[i], hasher.hashBytesToLong(names[i]));
         shard.names[slot] = names[i];
         shard.digits[slot] = digits[i];
-        shard.marks[slot] = marks[i];
+        shard.expiryMarks[slot] = marks[i];
       }
     }
   }
 
   /** Shows the names of a shard that have not expired. */
-  public void visit(int shard, long now, Visitor visitor) {
+  public void visitShard(int shard, long now, Visitor visitor) {
     Shard s = shards[shard];
     for (int i = 0; i < s.names.length; i++) {
-      if (s.names[i] != null && !expired(s.marks[i], now)) {
-        visitor.name(
-            s.names[i], new DecimalAmount(s.digits[i], (s.marks[i] & 1) != 0), s.marks[i] >> 1);
+      if (s.names[i] != null && !isExpired(s.expiryMarks[i], now)) {
+        visitor.onName(
+            s.names[i],
+            new DecimalAmount(s.digits[i], (s.expiryMarks[i] & 1) != 0),
+            s.expiryMarks[i] >> 1);
       }
     }
   }
@@ -206,18 +208,19 @@
    * Looks at the next so many slots in turn and forgets the names there that have expired; returns
    * how many.
    */
-  public int sweep(long now, int slots) {
+  public int sweepExpired(long now, int slots) {
     int forgotten = 0;
     for (int i = 0; i < slots; i++) {
       Shard shard = shards[sweepShard];
       if (sweepSlot >= shard.names.length) {
         sweepSlot = 0;
         sweepShard = (sweepShard + 1) % shards.length;
-        if (shard.size * 5 < shard.names.length && shard.names.length > SMALLEST) {
+        if (shard.size * 5 < shard.names.length && shard.names.length > MIN_SLOTS) {
           resize(shard, shard.names.length / 2);
         }
-      } else if (shard.names[sweepSlot] != null && expired(shard.marks[sweepSlot], now)) {
-        free(shard, sweepSlot); // Another may have moved up to this slot: it is looked at next.
+      } else if (shard.names[sweepSlot] != null && isExpired(shard.expiryMarks[sweepSlot], now)) {
+        removeSlot(
+            shard, sweepSlot); // Another may have moved up to this slot: it is looked at next.
         forgotten++;
       } else {
         sweepSlot++;
--- a/src/main/java/fawndock/counter/storage/DecimalAmount.java
+++ b/src/main/java/fawndock/counter/storage/DecimalAmount.java
@@ -10,13 +10,13 @@
  * whole, so that equal numbers are equal records.
  *
  * @param digits the number itself, or its multiple of 10^-9
- * @param fraction whether the digits are in units of 10^-9
+ * @param isFraction whether the digits are in units of 10^-9
  */
-public record DecimalAmount(long digits, boolean fraction) {
+public record DecimalAmount(long digits, boolean isFraction) {
   public static final DecimalAmount ZERO = new DecimalAmount(0, false);
-  private static final long UNIT = 1_000_000_000L;
-  private static final int PLACES = 9;
-  private static final int LONGEST = 64;
+  private static final long UNITS_PER_ONE = 1_000_000_000L;
+  private static final int MAX_PLACES = 9;
+  private static final int MAX_TEXT_BYTES = 64;
 
   /**
    * Reads a decimal number, also one with an exponent. What lies below 10^-9 is rounded half to
@@ -25,16 +25,16 @@
    * @throws CommandException when it is none, or beyond a whole 64-bit number, or a fraction beyond
    *     9.2e9
    */
-  public static DecimalAmount of(byte[] text) throws CommandException {
-    if (text.length > LONGEST || text.length == 0) {
+  public static DecimalAmount parse(byte[] text) throws CommandException {
+    if (text.length > MAX_TEXT_BYTES || text.length == 0) {
       throw new CommandException(CommandException.NOT_FLOAT);
     }
-    DecimalAmount plain = plain(text);
-    return plain != null ? plain : exponent(text);
+    DecimalAmount plain = parsePlain(text);
+    return plain != null ? plain : parseWithExponent(text);
   }
 
   /** Digits with at most nine places after a point, or null when it is anything else. */
-  private static DecimalAmount plain(byte[] text) {
+  private static DecimalAmount parsePlain(byte[] text) {
     int i = text[0] == '-' || text[0] == '+' ? 1 : 0;
     long digits = 0;
     int places = -1;
@@ -51,14 +51,14 @@
         return null;
       }
     }
-    if (many == 0 || places > PLACES) {
+    if (many == 0 || places > MAX_PLACES) {
       return null;
     }
     long signed = text[0] == '-' ? -digits : digits;
     if (places <= 0) {
       return new DecimalAmount(signed, false);
     }
-    for (int p = places; p < PLACES; p++) {
+    for (int p = places; p < MAX_PLACES; p++) {
       if (Math.abs(signed) > Long.MAX_VALUE / 10) {
         return null;
       }
@@ -67,17 +67,17 @@
     return ofUnits(signed);
   }
 
-  private static DecimalAmount exponent(byte[] text) throws CommandException {
+  private static DecimalAmount parseWithExponent(byte[] text) throws CommandException {
     try {
       BigDecimal number = new BigDecimal(new String(text, StandardCharsets.ISO_8859_1));
       // Guards against numbers such as 1e999999999, which would be written out digit by digit.
-      if (Math.abs((long) number.precision() - number.scale()) > LONGEST) {
+      if (Math.abs((long) number.precision() - number.scale()) > MAX_TEXT_BYTES) {
         if (number.signum() != 0 && number.precision() - (long) number.scale() > 0) {
           throw new CommandException(CommandException.OVERFLOW);
         }
         return ZERO;
       }
-      BigDecimal rounded = number.setScale(PLACES, RoundingMode.HALF_EVEN);
+      BigDecimal rounded = number.setScale(MAX_PLACES, RoundingMode.HALF_EVEN);
       try {
         return new DecimalAmount(rounded.longValueExact(), false);
       } catch (ArithmeticException e) {
@@ -91,7 +91,7 @@
   }
 
   /** Reads a whole 64-bit number, written as one would print it. */
-  public static long whole(byte[] text) throws CommandException {
+  public static long parseLong(byte[] text) throws CommandException {
     if (text.length > 0 && text.length <= 20) {
       String word = new String(text, StandardCharsets.ISO_8859_1);
       try {
@@ -107,8 +107,8 @@
   }
 
   private static DecimalAmount ofUnits(long units) {
-    return units % UNIT == 0
-        ? new DecimalAmount(units / UNIT, false)
+    return units % UNITS_PER_ONE == 0
+        ? new DecimalAmount(units / UNITS_PER_ONE, false)
         : new DecimalAmount(units, true);
   }
 
@@ -119,7 +119,7 @@
    */
   public DecimalAmount plus(DecimalAmount other) throws CommandException {
     try {
-      if (!fraction && !other.fraction) {
+      if (!isFraction && !other.isFraction) {
         return new DecimalAmount(Math.addExact(digits, other.digits), false);
       }
       return ofUnits(Math.addExact(units(), other.units()));
@@ -130,18 +130,18 @@
 
   /** Its opposite; the least whole number has none and becomes the greatest. */
   public DecimalAmount negated() {
-    return new DecimalAmount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, fraction);
+    return new DecimalAmount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, isFraction);
   }
 
   private long units() {
-    return fraction ? digits : Math.multiplyExact(digits, UNIT);
+    return isFraction ? digits : Math.multiplyExact(digits, UNITS_PER_ONE);
   }
 
   /** The shortest decimal form, without exponent. */
   @Override
   public String toString() {
-    return fraction
-        ? BigDecimal.valueOf(digits, PLACES).stripTrailingZeros().toPlainString()
+    return isFraction
+        ? BigDecimal.valueOf(digits, MAX_PLACES).stripTrailingZeros().toPlainString()
         : Long.toString(digits);
   }
 }
--- a/src/main/java/fawndock/counter/storage/GroupCommit.java
+++ b/src/main/java/fawndock/counter/storage/GroupCommit.java
@@ -28,25 +28,25 @@
    * What is to be done with the log.
    *
    * @param record to append, or null
-   * @param sync whether to sync then
-   * @param number of the group, which answers wait for
+   * @param shouldSync whether to sync then
+   * @param groupNumber of the group, which answers wait for
    */
-  public record Work(ByteBuffer record, boolean sync, long number) {}
+  public record LogWork(ByteBuffer record, boolean shouldSync, long groupNumber) {}
 
-  private static final int FIRST_SIZE = 1 << 16;
+  private static final int INITIAL_BYTES = 1 << 16;
   private final Durability durability;
   private final long intervalMillis;
 
-  private record Leaving(ChangeRecord changes, boolean sync) {}
+  private record InFlightGroup(ChangeRecord changes, boolean sync) {}
 
-  private final ArrayDeque<ChangeRecord> spare = new ArrayDeque<>();
-  private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
-  private ChangeRecord open = new ChangeRecord(FIRST_SIZE);
-  private long number = 1;
-  private Leaving offered;
-  private boolean unsynced;
-  private long syncedAt;
-  private String refusal = "LOADING the counter is starting, nothing was added";
+  private final ArrayDeque<ChangeRecord> spareRecords = new ArrayDeque<>();
+  private final ArrayDeque<InFlightGroup> inFlight = new ArrayDeque<>();
+  private ChangeRecord openGroup = new ChangeRecord(INITIAL_BYTES);
+  private long openGroupNumber = 1;
+  private InFlightGroup offered;
+  private boolean hasUnsyncedRecords;
+  private long lastSyncMillis;
+  private String rejection = "LOADING the counter is starting, nothing was added";
 
   /**
    * Nothing to be committed; refuses changes until {@link #resumed}.
@@ -63,51 +63,51 @@
    *
    * @throws CommandException when they may not: nothing must be changed then
    */
-  public ChangeRecord room(long bytes) throws CommandException {
-    if (refusal != null) {
-      throw new CommandException(refusal);
+  public ChangeRecord reserve(long bytes) throws CommandException {
+    if (rejection != null) {
+      throw new CommandException(rejection);
     }
-    if (!open.room(bytes)) {
+    if (!openGroup.hasCapacityFor(bytes)) {
       // Guards against waits that grow with the load. May turn away a burst that the disk would
       // have taken.
       throw new CommandException("BUSY the log is behind, nothing was added");
     }
-    return open;
+    return openGroup;
   }
 
   /** The group that an answer to a change made just now waits for, or 0 when it need not wait. */
-  public long awaited() {
-    return durability == Durability.ALWAYS ? number : 0;
+  public long awaitedGroup() {
+    return durability == Durability.ALWAYS ? openGroupNumber : 0;
   }
 
   /** The number of the open group; all changes made so far are in it or in earlier ones. */
-  public long open() {
-    return number;
+  public long openGroup() {
+    return openGroupNumber;
   }
 
-  private boolean due(long now) {
+  private boolean isSyncDue(long now) {
     return durability == Durability.ALWAYS
-        || durability == Durability.INTERVAL && now - syncedAt >= intervalMillis;
+        || durability == Durability.INTERVAL && now - lastSyncMillis >= intervalMillis;
   }
 
   /** What to do next, or null when something is being done or offered, or nothing is to be done. */
-  public Work next(long now) {
-    if (!leaving.isEmpty() || offered != null || refusal != null) {
+  public LogWork nextWork(long now) {
+    if (!inFlight.isEmpty() || offered != null || rejection != null) {
       return null;
     }
-    boolean due = due(now);
-    if (open.isEmpty()) {
-      if (!due || !unsynced) {
+    boolean due = isSyncDue(now);
+    if (openGroup.isEmpty()) {
+      if (!due || !hasUnsyncedRecords) {
         return null;
       }
-      syncedAt = now;
-      leaving.add(new Leaving(null, true));
-      return new Work(null, true, number - 1);
+      lastSyncMillis = now;
+      inFlight.add(new InFlightGroup(null, true));
+      return new LogWork(null, true, openGroupNumber - 1);
     }
-    offered = new Leaving(open, due);
-    Work work = new Work(open.record(now), due, number);
-    taken();
-    syncedAt = due ? now : syncedAt;
+    offered = new InFlightGroup(openGroup, due);
+    LogWork work = new LogWork(openGroup.toRecord(now), due, openGroupNumber);
+    onOfferTaken();
+    lastSyncMillis = due ? now : lastSyncMillis;
     return work;
   }
 
@@ -115,12 +115,12 @@
    * The open group, for the writer to take when it is done with what it has; null when there is
    * none to offer.
    */
-  public Work offer(long now) {
-    if (leaving.isEmpty() || offered != null || refusal != null || open.isEmpty()) {
+  public LogWork offerOpenGroup(long now) {
+    if (inFlight.isEmpty() || offered != null || rejection != null || openGroup.isEmpty()) {
       return null;
     }
-    offered = new Leaving(open, due(now));
-    return new Work(open.record(now), offered.sync, number);
+    offered = new InFlightGroup(openGroup, isSyncDue(now));
+    return new LogWork(openGroup.toRecord(now), offered.sync, openGroupNumber);
   }
 
   /**
@@ -132,34 +132,34 @@
   }
 
   /** What was offered was not taken and is open again. */
-  public void withdrawn() {
+  public void onOfferWithdrawn() {
     offered = null;
   }
 
   /** What was offered is on its way. */
-  public void taken() {
-    leaving.add(offered);
-    unsynced = true;
+  public void onOfferTaken() {
+    inFlight.add(offered);
+    hasUnsyncedRecords = true;
     offered = null;
-    number++;
-    open = spare.isEmpty() ? new ChangeRecord(FIRST_SIZE) : spare.poll();
+    openGroupNumber++;
+    openGroup = spareRecords.isEmpty() ? new ChangeRecord(INITIAL_BYTES) : spareRecords.poll();
   }
 
   /** The work with this number is done. */
-  public void done(long which) {
-    if (offered != null && which == number) {
-      taken();
+  public void onWorkDone(long which) {
+    if (offered != null && which == openGroupNumber) {
+      onOfferTaken();
     }
-    Leaving done = leaving.poll();
-    unsynced &= !done.sync || !leaving.isEmpty();
-    free(done);
-    refusal = null;
+    InFlightGroup done = inFlight.poll();
+    hasUnsyncedRecords &= !done.sync || !inFlight.isEmpty();
+    recycle(done);
+    rejection = null;
   }
 
-  private void free(Leaving done) {
+  private void recycle(InFlightGroup done) {
     if (done.changes != null) {
       done.changes.clear();
-      spare.add(done.changes);
+      spareRecords.add(done.changes);
     }
   }
 
@@ -167,30 +167,30 @@
    * The work is not done: it is tried again, or its file is given up. No changes until it is done
    * or resumed.
    */
-  public void stalled(String why) {
-    refusal = "MISCONF the log cannot be written (" + why + "), nothing was added";
+  public void onStalled(String why) {
+    rejection = "MISCONF the log cannot be written (" + why + "), nothing was added";
   }
 
   /** A new file holds all that is in memory; nothing may be offered. */
-  public void resumed() {
-    leaving.forEach(this::free);
-    leaving.clear();
-    unsynced = false;
-    refusal = null;
+  public void onResumed() {
+    inFlight.forEach(this::recycle);
+    inFlight.clear();
+    hasUnsyncedRecords = false;
+    rejection = null;
   }
 
   /** Bytes of changes in the open group. */
-  public int pending() {
-    return open.size();
+  public int pendingBytes() {
+    return openGroup.sizeBytes();
   }
 
   /** Whether nothing is left to be done. */
-  public boolean idle() {
-    return leaving.isEmpty() && open.isEmpty();
+  public boolean isIdle() {
+    return inFlight.isEmpty() && openGroup.isEmpty();
   }
 
   /** Why changes are refused, or null. */
-  public String refusal() {
-    return refusal;
+  public String rejection() {
+    return rejection;
   }
 }
--- a/src/main/java/fawndock/counter/storage/LogFormat.java
+++ b/src/main/java/fawndock/counter/storage/LogFormat.java
@@ -9,16 +9,16 @@
  */
 public final class LogFormat {
   /** Bytes before the first record of a file. */
-  public static final int FILE_HEADER = 16;
+  public static final int FILE_HEADER_BYTES = 16;
 
   /** Bytes of a record before its body: length, checksum, sequence. */
-  public static final int RECORD_HEADER = 16;
+  public static final int RECORD_HEADER_BYTES = 16;
 
   /** Longest body of a record. */
-  public static final int LONGEST_BODY = 1 << 20;
+  public static final int MAX_BODY_BYTES = 1 << 20;
 
   /** Bytes of a body before its changes: the time in milliseconds since 1970. */
-  public static final int TIME = 8;
+  public static final int TIME_BYTES = 8;
 
   private static final int VERSION = 1;
   private static final String DIGITS = "%020d";
@@ -26,7 +26,7 @@
   private LogFormat() {}
 
   /** What a file is, told by its first bytes. */
-  public enum Kind {
+  public enum FileKind {
     SEGMENT(0x4644434C, "segment-", ".log"),
     SNAPSHOT(0x46444353, "snapshot-", ".snap");
 
@@ -34,19 +34,19 @@
     private final String prefix;
     private final String suffix;
 
-    Kind(int magic, String prefix, String suffix) {
+    FileKind(int magic, String prefix, String suffix) {
       this.magic = magic;
       this.prefix = prefix;
       this.suffix = suffix;
     }
 
     /** The name of the file with this sequence. */
-    public String file(long sequence) {
+    public String fileName(long sequence) {
       return prefix + String.format(DIGITS, sequence) + suffix;
     }
 
     /** The sequence in a file's name, or -1 when it is not one of this kind. */
-    public long sequence(String file) {
+    public long sequenceOf(String file) {
       int most = prefix.length() + 20;
       if (!file.startsWith(prefix)
           || !file.endsWith(suffix)
@@ -59,7 +59,7 @@
 
     /** The first bytes of a file. */
     public ByteBuffer header(long sequence) {
-      return ByteBuffer.allocate(FILE_HEADER)
+      return ByteBuffer.allocate(FILE_HEADER_BYTES)
           .putInt(magic)
           .putInt(VERSION)
           .putLong(sequence)
@@ -67,8 +67,8 @@
     }
 
     /** Whether these are the first bytes of this kind's file with this sequence. */
-    public boolean begins(ByteBuffer header, long sequence) {
-      return header.remaining() >= FILE_HEADER
+    public boolean matchesHeader(ByteBuffer header, long sequence) {
+      return header.remaining() >= FILE_HEADER_BYTES
           && header.getInt(0) == magic
           && header.getInt(4) == VERSION
           && header.getLong(8) == sequence;
@@ -80,7 +80,7 @@
    * record.
    */
   public static void seal(ByteBuffer record, long sequence) {
-    int length = record.limit() - RECORD_HEADER;
+    int length = record.limit() - RECORD_HEADER_BYTES;
     record.putInt(0, length).putLong(8, sequence).putInt(4, checksum(record, 0, length));
   }
 
@@ -88,7 +88,7 @@
   static int checksum(ByteBuffer bytes, int at, int length) {
     CRC32C crc = new CRC32C();
     crc.update(bytes.duplicate().limit(at + 4).position(at));
-    crc.update(bytes.duplicate().limit(at + RECORD_HEADER + length).position(at + 8));
+    crc.update(bytes.duplicate().limit(at + RECORD_HEADER_BYTES + length).position(at + 8));
     return (int) crc.getValue();
   }
 }
--- a/src/main/java/fawndock/counter/storage/LogVerifier.java
+++ b/src/main/java/fawndock/counter/storage/LogVerifier.java
@@ -10,7 +10,7 @@
 /** Looks through a log without starting on it, and cuts a damaged one on the operator's word. */
 public final class LogVerifier {
   /** How a file is. */
-  public enum State {
+  public enum FileState {
     WHOLE,
     TORN,
     DAMAGED,
@@ -21,30 +21,38 @@
   /**
    * What was found of one file.
    *
-   * @param first its first record, 0 for none
-   * @param last its last whole record
-   * @param offset where the first bytes are that are not whole, or its size
-   * @param why what is wrong, empty when nothing is
+   * @param firstRecord its first record, 0 for none
+   * @param lastRecord its last whole record
+   * @param wholeBytes where the first bytes are that are not whole, or its size
+   * @param problem what is wrong, empty when nothing is
    */
-  public record Verdict(
-      String file, State state, long first, long last, long offset, long size, String why) {
+  public record FileReport(
+      String file,
+      FileState state,
+      long firstRecord,
+      long lastRecord,
+      long wholeBytes,
+      long sizeBytes,
+      String problem) {
     /** The verdict as a line. */
-    public String line() {
+    public String describe() {
       return file
           + ": "
           + state.name().toLowerCase(java.util.Locale.ROOT)
           + ", "
-          + (last < first ? "no records" : "records " + first + " to " + last)
+          + (lastRecord < firstRecord
+              ? "no records"
+              : "records " + firstRecord + " to " + lastRecord)
           + ", "
-          + size
+          + sizeBytes
           + " bytes"
-          + (why.isEmpty() ? "" : ", " + why + " at offset " + offset);
+          + (problem.isEmpty() ? "" : ", " + problem + " at offset " + wholeBytes);
     }
   }
 
   /** Is told of each record before its changes. */
-  public interface Records {
-    void record(long sequence, long time);
+  public interface RecordListener {
+    void onRecord(long sequence, long time);
   }
 
   private static final int PIECE = 1 << 20;
@@ -52,23 +60,25 @@
   private LogVerifier() {}
 
   /** All files, snapshots first, each in the order of their sequences. */
-  public static List<Verdict> verify(Storage disk) throws IOException {
-    List<Verdict> all = new ArrayList<>();
+  public static List<FileReport> verify(Storage disk) throws IOException {
+    List<FileReport> all = new ArrayList<>();
     long base = 0;
-    for (Map.Entry<Long, String> each : Recovery.files(disk, LogFormat.Kind.SNAPSHOT).entrySet()) {
-      Verdict v = one(disk, each.getValue(), LogFormat.Kind.SNAPSHOT, each.getKey(), 1);
-      boolean ended = v.state == State.WHOLE && ends(disk, each.getValue());
+    for (Map.Entry<Long, String> each :
+        Recovery.files(disk, LogFormat.FileKind.SNAPSHOT).entrySet()) {
+      FileReport v =
+          verifyFile(disk, each.getValue(), LogFormat.FileKind.SNAPSHOT, each.getKey(), 1);
+      boolean ended = v.state == FileState.WHOLE && hasMatchingEnd(disk, each.getValue());
       all.add(
           ended
               ? v
-              : new Verdict(
+              : new FileReport(
                   v.file,
-                  State.DAMAGED,
-                  v.first,
-                  v.last,
-                  v.offset,
-                  v.size,
-                  v.why.isEmpty() ? "no end" : v.why));
+                  FileState.DAMAGED,
+                  v.firstRecord,
+                  v.lastRecord,
+                  v.wholeBytes,
+                  v.sizeBytes,
+                  v.problem.isEmpty() ? "no end" : v.problem));
       base = ended ? each.getKey() : base;
     }
     // An older whole snapshot makes up for a damaged one as long as its segments are there.
@@ -76,95 +86,132 @@
       long whole = base;
       all.replaceAll(
           v ->
-              v.state == State.DAMAGED && LogFormat.Kind.SNAPSHOT.sequence(v.file) < whole
-                  ? new Verdict(v.file, State.COVERED, v.first, v.last, v.offset, v.size, v.why)
+              v.state == FileState.DAMAGED && LogFormat.FileKind.SNAPSHOT.sequenceOf(v.file) < whole
+                  ? new FileReport(
+                      v.file,
+                      FileState.COVERED,
+                      v.firstRecord,
+                      v.lastRecord,
+                      v.wholeBytes,
+                      v.sizeBytes,
+                      v.problem)
                   : v);
     }
-    TreeMap<Long, String> segments = Recovery.files(disk, LogFormat.Kind.SEGMENT);
+    TreeMap<Long, String> segments = Recovery.files(disk, LogFormat.FileKind.SEGMENT);
     Long from = segments.floorKey(base + 1);
     long expected = from == null ? base + 1 : from;
     for (Map.Entry<Long, String> each : segments.entrySet()) {
-      Verdict v = one(disk, each.getValue(), LogFormat.Kind.SEGMENT, each.getKey(), each.getKey());
+      FileReport v =
+          verifyFile(
+              disk, each.getValue(), LogFormat.FileKind.SEGMENT, each.getKey(), each.getKey());
       if (from != null && each.getKey() < from) {
-        v = new Verdict(v.file, State.COVERED, v.first, v.last, v.offset, v.size, v.why);
+        v =
+            new FileReport(
+                v.file,
+                FileState.COVERED,
+                v.firstRecord,
+                v.lastRecord,
+                v.wholeBytes,
+                v.sizeBytes,
+                v.problem);
       } else if (each.getKey() != expected) {
         v =
-            new Verdict(
+            new FileReport(
                 v.file,
-                State.DAMAGED,
-                v.first,
-                v.last,
+                FileState.DAMAGED,
+                v.firstRecord,
+                v.lastRecord,
                 0,
-                v.size,
+                v.sizeBytes,
                 "records " + expected + " to " + (each.getKey() - 1) + " are missing before it,");
-      } else if (v.state == State.TORN && !each.getKey().equals(segments.lastKey())) {
-        v = new Verdict(v.file, State.DAMAGED, v.first, v.last, v.offset, v.size, v.why);
+      } else if (v.state == FileState.TORN && !each.getKey().equals(segments.lastKey())) {
+        v =
+            new FileReport(
+                v.file,
+                FileState.DAMAGED,
+                v.firstRecord,
+                v.lastRecord,
+                v.wholeBytes,
+                v.sizeBytes,
+                v.problem);
       }
-      expected = v.state == State.COVERED ? expected : v.last + 1;
+      expected = v.state == FileState.COVERED ? expected : v.lastRecord + 1;
       all.add(v);
     }
-    if (disk.list().contains(SnapshotWriter.UNFINISHED)) {
-      try (Storage.File file = disk.open(SnapshotWriter.UNFINISHED)) {
+    if (disk.list().contains(SnapshotWriter.UNFINISHED_FILE)) {
+      try (Storage.File file = disk.open(SnapshotWriter.UNFINISHED_FILE)) {
         all.add(
-            new Verdict(
-                SnapshotWriter.UNFINISHED, State.UNFINISHED, 1, 0, file.size(), file.size(), ""));
+            new FileReport(
+                SnapshotWriter.UNFINISHED_FILE,
+                FileState.UNFINISHED,
+                1,
+                0,
+                file.size(),
+                file.size(),
+                ""));
       }
     }
     return all;
   }
 
-  private static Verdict one(
-      Storage disk, String name, LogFormat.Kind kind, long sequence, long first)
+  private static FileReport verifyFile(
+      Storage disk, String name, LogFormat.FileKind kind, long sequence, long first)
       throws IOException {
     try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, first);
-      if (!reader.begins(kind, sequence)) {
-        return new Verdict(
+      if (!reader.matchesHeader(kind, sequence)) {
+        return new FileReport(
             name,
-            reader.wholeLater() ? State.DAMAGED : State.TORN,
+            reader.hasLaterWholeRecord() ? FileState.DAMAGED : FileState.TORN,
             first,
             first - 1,
             0,
-            reader.size(),
+            reader.sizeBytes(),
             "no file header");
       }
       while (reader.next()) {
         // Goes to the end, or to what is not whole.
       }
-      if (reader.offset() == reader.size()) {
-        return new Verdict(
-            name, State.WHOLE, first, reader.sequence(), reader.size(), reader.size(), "");
+      if (reader.offset() == reader.sizeBytes()) {
+        return new FileReport(
+            name,
+            FileState.WHOLE,
+            first,
+            reader.sequence(),
+            reader.sizeBytes(),
+            reader.sizeBytes(),
+            "");
       }
-      boolean damaged = reader.wholeLater();
-      return new Verdict(
+      boolean damaged = reader.hasLaterWholeRecord();
+      return new FileReport(
           name,
-          damaged ? State.DAMAGED : State.TORN,
+          damaged ? FileState.DAMAGED : FileState.TORN,
           first,
           reader.sequence(),
           reader.offset(),
-          reader.size(),
+          reader.sizeBytes(),
           (damaged ? "damaged" : "torn") + " record " + (reader.sequence() + 1));
     }
   }
 
-  private static boolean ends(Storage disk, String name) throws IOException {
+  private static boolean hasMatchingEnd(Storage disk, String name) throws IOException {
     long[] names = {0, -1};
     dump(
         disk,
         name,
         0,
         (record, time) -> {},
-        new ChangeRecord.Reader() {
+        new ChangeRecord.Visitor() {
           @Override
-          public void set(byte[] each, DecimalAmount amount, long expiry) {
+          public void onAmount(byte[] each, DecimalAmount amount, long expiry) {
             names[0]++;
           }
 
           @Override
-          public void deleted(byte[] each) {}
+          public void onDeleted(byte[] each) {}
 
           @Override
-          public void end(long many) {
+          public void onSnapshotEnd(long many) {
             names[1] = many;
           }
         });
@@ -173,30 +220,30 @@
 
   /** Tells the records of one file; returns what is wrong after the last whole one, or nothing. */
   public static String dump(
-      Storage disk, String name, long from, Records records, ChangeRecord.Reader changes)
+      Storage disk, String name, long from, RecordListener records, ChangeRecord.Visitor changes)
       throws IOException {
-    boolean snapshot = LogFormat.Kind.SNAPSHOT.sequence(name) >= 0;
-    LogFormat.Kind kind = snapshot ? LogFormat.Kind.SNAPSHOT : LogFormat.Kind.SEGMENT;
-    long sequence = kind.sequence(name);
+    boolean snapshot = LogFormat.FileKind.SNAPSHOT.sequenceOf(name) >= 0;
+    LogFormat.FileKind kind = snapshot ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
+    long sequence = kind.sequenceOf(name);
     if (sequence < 0) {
       return "expected a segment or a snapshot by its name";
     }
     try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, snapshot ? 1 : sequence);
-      if (!reader.begins(kind, sequence)) {
+      if (!reader.matchesHeader(kind, sequence)) {
         return "no file header";
       }
       while (reader.next()) {
         if (reader.sequence() >= from) {
-          records.record(reader.sequence(), reader.body().getLong());
+          records.onRecord(reader.sequence(), reader.body().getLong());
           try {
-            ChangeRecord.read(reader.body(), changes);
+            ChangeRecord.visitBody(reader.body(), changes);
           } catch (IllegalArgumentException e) {
             return e.getMessage() + " in record " + reader.sequence();
           }
         }
       }
-      return reader.offset() == reader.size()
+      return reader.offset() == reader.sizeBytes()
           ? ""
           : "record " + (reader.sequence() + 1) + " is not whole, at offset " + reader.offset();
     }
@@ -209,14 +256,20 @@
   public static List<String> truncate(Storage disk, boolean really) throws IOException {
     List<String> steps = new ArrayList<>();
     boolean cut = false;
-    for (Verdict v : verify(disk)) {
-      boolean segment = LogFormat.Kind.SEGMENT.sequence(v.file) >= 0;
-      if (v.state != State.DAMAGED && !(cut && segment)) {
+    for (FileReport v : verify(disk)) {
+      boolean segment = LogFormat.FileKind.SEGMENT.sequenceOf(v.file) >= 0;
+      if (v.state != FileState.DAMAGED && !(cut && segment)) {
         continue;
       }
-      if (segment && !cut && v.offset > 0) {
+      if (segment && !cut && v.wholeBytes > 0) {
         steps.add(
-            v.file + ": cut from " + v.size + " to " + v.offset + " bytes, after record " + v.last);
+            v.file
+                + ": cut from "
+                + v.sizeBytes
+                + " to "
+                + v.wholeBytes
+                + " bytes, after record "
+                + v.lastRecord);
         if (really) {
           cutOff(disk, v);
         }
@@ -224,7 +277,9 @@
         steps.add(
             v.file
                 + ": set aside, "
-                + (v.last < v.first ? "no records" : "records " + v.first + " to " + v.last));
+                + (v.lastRecord < v.firstRecord
+                    ? "no records"
+                    : "records " + v.firstRecord + " to " + v.lastRecord));
         if (really) {
           disk.rename(v.file, v.file + ".cut");
         }
@@ -238,17 +293,17 @@
   }
 
   /** Copies what is after the offset to a file beside it, then cuts it. */
-  private static void cutOff(Storage disk, Verdict v) throws IOException {
+  private static void cutOff(Storage disk, FileReport v) throws IOException {
     try (Storage.File file = disk.open(v.file);
         Storage.File rest = disk.create(v.file + ".cut")) {
       ByteBuffer piece = ByteBuffer.allocate(PIECE);
-      for (long at = v.offset; at < v.size; at += piece.limit()) {
+      for (long at = v.wholeBytes; at < v.sizeBytes; at += piece.limit()) {
         file.read(piece.clear(), at);
-        rest.write(piece.flip(), at - v.offset);
+        rest.write(piece.flip(), at - v.wholeBytes);
       }
       rest.sync();
       disk.sync();
-      file.truncate(v.offset);
+      file.truncate(v.wholeBytes);
       file.sync();
     }
   }
--- a/src/main/java/fawndock/counter/storage/LogWriter.java
+++ b/src/main/java/fawndock/counter/storage/LogWriter.java
@@ -12,11 +12,11 @@
 public final class LogWriter {
   private final Storage disk;
   private Storage.File file;
-  private long at;
-  private long sequence;
-  private long appended;
-  private boolean dirty;
-  private boolean failed;
+  private long position;
+  private long lastSequence;
+  private long appendedBytes;
+  private boolean hasUnsyncedRecords;
+  private boolean isAbandoned;
 
   /**
    * Begins a segment.
@@ -25,15 +25,15 @@
    */
   public LogWriter(Storage disk, long sequence) throws IOException {
     this.disk = disk;
-    this.sequence = sequence;
-    file = begin(sequence + 1);
-    at = LogFormat.FILE_HEADER;
+    this.lastSequence = sequence;
+    file = createSegment(sequence + 1);
+    position = LogFormat.FILE_HEADER_BYTES;
   }
 
-  private Storage.File begin(long first) throws IOException {
-    Storage.File made = disk.create(LogFormat.Kind.SEGMENT.file(first));
+  private Storage.File createSegment(long first) throws IOException {
+    Storage.File made = disk.create(LogFormat.FileKind.SEGMENT.fileName(first));
     try {
-      made.write(LogFormat.Kind.SEGMENT.header(first), 0);
+      made.write(LogFormat.FileKind.SEGMENT.header(first), 0);
       disk.sync(); // Else records in it could be acknowledged, and the file itself be lost.
       return made;
     } catch (IOException e) {
@@ -49,29 +49,29 @@
    *     {@link #failed}
    */
   public void append(ByteBuffer record) throws IOException {
-    check();
-    LogFormat.seal(record, sequence + 1);
+    requireUsable();
+    LogFormat.seal(record, lastSequence + 1);
     int length = record.limit();
-    file.write(record.duplicate().position(0), at);
-    at += length;
-    sequence++;
-    appended += length;
-    dirty = true;
+    file.write(record.duplicate().position(0), position);
+    position += length;
+    lastSequence++;
+    appendedBytes += length;
+    hasUnsyncedRecords = true;
   }
 
   /** Makes all that was appended outlast a crash. After an error the file is given up. */
   public void sync() throws IOException {
-    check();
-    if (!dirty) {
+    requireUsable();
+    if (!hasUnsyncedRecords) {
       return;
     }
     try {
       file.sync();
     } catch (IOException e) {
-      failed = true;
+      isAbandoned = true;
       throw e;
     }
-    dirty = false;
+    hasUnsyncedRecords = false;
   }
 
   /**
@@ -80,52 +80,52 @@
    */
   public long roll() throws IOException {
     sync();
-    if (at > LogFormat.FILE_HEADER) {
-      Storage.File next = next();
+    if (position > LogFormat.FILE_HEADER_BYTES) {
+      Storage.File next = createNextSegment();
       Storage.File full = file;
       file = next;
-      at = LogFormat.FILE_HEADER;
+      position = LogFormat.FILE_HEADER_BYTES;
       full.close();
     }
-    appended = 0;
-    return sequence;
+    appendedBytes = 0;
+    return lastSequence;
   }
 
   // Guards against a segment that was made in vain and stays, while this one goes on past its first
   // sequence: which
   // of the two has those records could not be told. When it cannot be removed for good, this one is
   // given up.
-  private Storage.File next() throws IOException {
+  private Storage.File createNextSegment() throws IOException {
     try {
-      return begin(sequence + 1);
+      return createSegment(lastSequence + 1);
     } catch (IOException e) {
-      failed = true;
-      disk.delete(LogFormat.Kind.SEGMENT.file(sequence + 1));
+      isAbandoned = true;
+      disk.delete(LogFormat.FileKind.SEGMENT.fileName(lastSequence + 1));
       disk.sync();
-      failed = false;
+      isAbandoned = false;
       throw e;
     }
   }
 
-  private void check() throws IOException {
-    if (failed) {
+  private void requireUsable() throws IOException {
+    if (isAbandoned) {
       throw new IOException("this segment is given up: a sync of it failed");
     }
   }
 
   /** Whether the file is given up. */
-  public boolean failed() {
-    return failed;
+  public boolean isAbandoned() {
+    return isAbandoned;
   }
 
   /** Sequence of the last record appended. */
-  public long sequence() {
-    return sequence;
+  public long lastSequence() {
+    return lastSequence;
   }
 
   /** Bytes appended since the last roll. */
-  public long appended() {
-    return appended;
+  public long appendedBytes() {
+    return appendedBytes;
   }
 
   /** Closes without syncing. */
--- a/src/main/java/fawndock/counter/storage/MonotonicWallClock.java
+++ b/src/main/java/fawndock/counter/storage/MonotonicWallClock.java
@@ -7,7 +7,7 @@
  * wall clock set forward is believed: names may expire early then.
  */
 public final class MonotonicWallClock {
-  private long now;
+  private long nowMillis;
   private long nanos;
 
   /**
@@ -18,15 +18,15 @@
    * @param monotonic the monotonic clock, in nanoseconds
    */
   public MonotonicWallClock(long atLeast, long wall, long monotonic) {
-    now = Math.max(atLeast, wall);
+    nowMillis = Math.max(atLeast, wall);
     nanos = monotonic;
   }
 
   /** Milliseconds since 1970, given what the two clocks show. */
-  public long now(long wall, long monotonic) {
+  public long nowMillis(long wall, long monotonic) {
     long passed = Math.max(0, monotonic - nanos) / 1_000_000;
-    now = Math.max(now + passed, wall);
+    nowMillis = Math.max(nowMillis + passed, wall);
     nanos += passed * 1_000_000;
-    return now;
+    return nowMillis;
   }
 }
--- a/src/main/java/fawndock/counter/storage/RecordReader.java
+++ b/src/main/java/fawndock/counter/storage/RecordReader.java
@@ -8,12 +8,12 @@
  * a time.
  */
 public final class RecordReader {
-  private static final int PIECE = LogFormat.LONGEST_BODY + LogFormat.RECORD_HEADER;
+  private static final int WINDOW_BYTES = LogFormat.MAX_BODY_BYTES + LogFormat.RECORD_HEADER_BYTES;
   private final Storage.File file;
-  private final long size;
-  private final ByteBuffer piece;
-  private long pieceAt;
-  private long at = LogFormat.FILE_HEADER;
+  private final long sizeBytes;
+  private final ByteBuffer window;
+  private long windowOffset;
+  private long offset = LogFormat.FILE_HEADER_BYTES;
   private long sequence;
   private ByteBuffer body;
 
@@ -22,15 +22,15 @@
    */
   public RecordReader(Storage.File file, long sequence) throws IOException {
     this.file = file;
-    this.size = file.size();
+    this.sizeBytes = file.size();
     this.sequence = sequence - 1;
-    piece = ByteBuffer.allocate((int) Math.min(2 * PIECE, size)).limit(0);
+    window = ByteBuffer.allocate((int) Math.min(2 * WINDOW_BYTES, sizeBytes)).limit(0);
   }
 
   /** Whether the file begins as such a file must. */
-  public boolean begins(LogFormat.Kind kind, long first) throws IOException {
-    load(0, LogFormat.FILE_HEADER);
-    return kind.begins(piece.duplicate().position(0).slice(), first);
+  public boolean matchesHeader(LogFormat.FileKind kind, long first) throws IOException {
+    load(0, LogFormat.FILE_HEADER_BYTES);
+    return kind.matchesHeader(window.duplicate().position(0).slice(), first);
   }
 
   /**
@@ -38,57 +38,60 @@
    * of sequence. Then {@link #offset} is where that is.
    */
   public boolean next() throws IOException {
-    int length = whole(at, sequence + 1, sequence + 1);
+    int length = wholeRecordLength(offset, sequence + 1, sequence + 1);
     if (length < 0) {
       return false;
     }
-    int place = (int) (at - pieceAt) + LogFormat.RECORD_HEADER;
-    body = piece.duplicate().limit(place + length).position(place);
+    int place = (int) (offset - windowOffset) + LogFormat.RECORD_HEADER_BYTES;
+    body = window.duplicate().limit(place + length).position(place);
     sequence++;
-    at += LogFormat.RECORD_HEADER + length;
+    offset += LogFormat.RECORD_HEADER_BYTES + length;
     return true;
   }
 
   /** The length of the whole record at an offset whose sequence is in a range, or -1. */
-  private int whole(long offset, long least, long most) throws IOException {
-    if (size - offset <= LogFormat.RECORD_HEADER) {
+  private int wholeRecordLength(long recordOffset, long least, long most) throws IOException {
+    if (sizeBytes - recordOffset <= LogFormat.RECORD_HEADER_BYTES) {
       return -1;
     }
-    load(offset, PIECE);
-    int place = (int) (offset - pieceAt);
-    int length = piece.getInt(place);
-    long found = piece.getLong(place + 8);
-    if (length < LogFormat.TIME
-        || length > LogFormat.LONGEST_BODY
+    load(recordOffset, WINDOW_BYTES);
+    int place = (int) (recordOffset - windowOffset);
+    int length = window.getInt(place);
+    long found = window.getLong(place + 8);
+    if (length < LogFormat.TIME_BYTES
+        || length > LogFormat.MAX_BODY_BYTES
         || found < least
         || found > most
-        || length > size - offset - LogFormat.RECORD_HEADER) {
+        || length > sizeBytes - recordOffset - LogFormat.RECORD_HEADER_BYTES) {
       return -1;
     }
-    return LogFormat.checksum(piece, place, length) == piece.getInt(place + 4) ? length : -1;
+    return LogFormat.checksum(window, place, length) == window.getInt(place + 4) ? length : -1;
   }
 
-  private void load(long offset, int bytes) throws IOException {
-    if (offset >= pieceAt && Math.min(size, offset + bytes) <= pieceAt + piece.limit()) {
+  private void load(long recordOffset, int bytes) throws IOException {
+    if (recordOffset >= windowOffset
+        && Math.min(sizeBytes, recordOffset + bytes) <= windowOffset + window.limit()) {
       return;
     }
-    piece.clear();
-    file.read(piece, offset);
-    piece.flip();
-    pieceAt = offset;
-    if (piece.limit() < Math.min(bytes, size - offset)) {
+    window.clear();
+    file.read(window, recordOffset);
+    window.flip();
+    windowOffset = recordOffset;
+    if (window.limit() < Math.min(bytes, sizeBytes - recordOffset)) {
       throw new IOException(
-          "the file ended at " + (offset + piece.limit()) + " instead of " + size);
+          "the file ended at " + (recordOffset + window.limit()) + " instead of " + sizeBytes);
     }
   }
 
   /**
    * Whether any whole record with a later sequence begins after the offset at which reading ended.
    */
-  public boolean wholeLater() throws IOException {
-    long most = sequence + 1 + (size - at) / LogFormat.RECORD_HEADER;
-    for (long offset = at + 1; offset < size - LogFormat.RECORD_HEADER; offset++) {
-      if (whole(offset, sequence + 1, most) >= 0) {
+  public boolean hasLaterWholeRecord() throws IOException {
+    long most = sequence + 1 + (sizeBytes - offset) / LogFormat.RECORD_HEADER_BYTES;
+    for (long candidate = offset + 1;
+        candidate < sizeBytes - LogFormat.RECORD_HEADER_BYTES;
+        candidate++) {
+      if (wholeRecordLength(candidate, sequence + 1, most) >= 0) {
         return true;
       }
     }
@@ -107,11 +110,11 @@
 
   /** Where the next record begins, in bytes. */
   public long offset() {
-    return at;
+    return offset;
   }
 
   /** Bytes of the file. */
-  public long size() {
-    return size;
+  public long sizeBytes() {
+    return sizeBytes;
   }
 }
--- a/src/main/java/fawndock/counter/storage/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -13,16 +13,17 @@
  * else that is not whole is damage. What was acknowledged last and is damaged since looks like the
  * tail of a crash too.
  */
-public final class Recovery implements ChangeRecord.Reader {
+public final class Recovery implements ChangeRecord.Visitor {
   /**
    * What was found.
    *
-   * @param sequence of the last record
-   * @param time the latest that a record tells, in milliseconds since 1970
-   * @param bytes read
-   * @param reports what the operator should know, a line each
+   * @param lastSequence of the last record
+   * @param latestTimeMillis the latest that a record tells, in milliseconds since 1970
+   * @param bytesRead read
+   * @param warnings what the operator should know, a line each
    */
-  public record Found(long sequence, long time, long bytes, List<String> reports) {}
+  public record Result(
+      long lastSequence, long latestTimeMillis, long bytesRead, List<String> warnings) {}
 
   private final Storage disk;
   private final CounterTable table;
@@ -44,13 +45,13 @@
    * @param progress is told the bytes read so far
    * @throws CorruptLogException when a record before the end is not whole, or some are missing
    */
-  public static Found recover(Storage disk, CounterTable table, LongConsumer progress)
+  public static Result recover(Storage disk, CounterTable table, LongConsumer progress)
       throws IOException {
     return new Recovery(disk, table, progress).recover();
   }
 
-  private Found recover() throws IOException {
-    TreeMap<Long, String> snapshots = files(disk, LogFormat.Kind.SNAPSHOT);
+  private Result recover() throws IOException {
+    TreeMap<Long, String> snapshots = files(disk, LogFormat.FileKind.SNAPSHOT);
     long base = 0;
     for (long sequence : snapshots.descendingKeySet()) {
       if (snapshot(snapshots.get(sequence), sequence)) {
@@ -60,7 +61,7 @@
       reports.add(snapshots.get(sequence) + ": not whole, left aside");
       table.clear();
     }
-    TreeMap<Long, String> segments = files(disk, LogFormat.Kind.SEGMENT);
+    TreeMap<Long, String> segments = files(disk, LogFormat.FileKind.SEGMENT);
     Long from = segments.floorKey(base + 1);
     if (from == null && !segments.isEmpty()) {
       throw new CorruptLogException(
@@ -96,15 +97,16 @@
       }
       last = Math.max(base, expected - 1);
     }
-    return new Found(last, time, bytes, reports);
+    return new Result(last, time, bytes, reports);
   }
 
   /** Files of a kind by their sequence. */
-  public static TreeMap<Long, String> files(Storage disk, LogFormat.Kind kind) throws IOException {
+  public static TreeMap<Long, String> files(Storage disk, LogFormat.FileKind kind)
+      throws IOException {
     TreeMap<Long, String> found = new TreeMap<>(Comparator.naturalOrder());
     for (String name : disk.list()) {
-      if (kind.sequence(name) >= 0) {
-        found.put(kind.sequence(name), name);
+      if (kind.sequenceOf(name) >= 0) {
+        found.put(kind.sequenceOf(name), name);
       }
     }
     return found;
@@ -115,13 +117,13 @@
     try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, 1);
       ended = -1;
-      if (!reader.begins(LogFormat.Kind.SNAPSHOT, sequence)) {
+      if (!reader.matchesHeader(LogFormat.FileKind.SNAPSHOT, sequence)) {
         return false;
       }
       while (ended < 0 && reader.next()) {
         read(reader, name);
       }
-      return ended == table.size() && reader.offset() == reader.size();
+      return ended == table.size() && reader.offset() == reader.sizeBytes();
     }
   }
 
@@ -129,17 +131,17 @@
   private long segment(String name, long first, long base, boolean newest) throws IOException {
     try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, first);
-      boolean begins = reader.begins(LogFormat.Kind.SEGMENT, first);
+      boolean begins = reader.matchesHeader(LogFormat.FileKind.SEGMENT, first);
       while (begins && reader.next()) {
         if (reader.sequence() > base) {
           read(reader, name);
         }
       }
-      if (begins && reader.offset() == reader.size()) {
+      if (begins && reader.offset() == reader.sizeBytes()) {
         return reader.sequence();
       }
       long offset = begins ? reader.offset() : 0;
-      if (!newest || reader.wholeLater()) {
+      if (!newest || reader.hasLaterWholeRecord()) {
         throw new CorruptLogException(
             name,
             offset,
@@ -149,7 +151,7 @@
       reports.add(
           name
               + ": cut off "
-              + (reader.size() - offset)
+              + (reader.sizeBytes() - offset)
               + " bytes of a torn record at offset "
               + offset);
       if (begins) {
@@ -164,29 +166,29 @@
 
   private void read(RecordReader reader, String name) throws IOException {
     try {
-      time = Math.max(time, ChangeRecord.read(reader.body(), this));
+      time = Math.max(time, ChangeRecord.visitBody(reader.body(), this));
     } catch (IllegalArgumentException e) {
       throw new CorruptLogException(
           name,
           reader.offset(),
           e.getMessage() + " in record " + reader.sequence() + ", which ends");
     }
-    bytes += reader.body().remaining() + LogFormat.RECORD_HEADER;
+    bytes += reader.body().remaining() + LogFormat.RECORD_HEADER_BYTES;
     progress.accept(bytes);
   }
 
   @Override
-  public void set(byte[] name, DecimalAmount amount, long expiry) {
+  public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
     table.put(name, amount, expiry);
   }
 
   @Override
-  public void deleted(byte[] name) {
+  public void onDeleted(byte[] name) {
     table.remove(name);
   }
 
   @Override
-  public void end(long names) {
+  public void onSnapshotEnd(long names) {
     ended = names;
   }
 }
--- a/src/main/java/fawndock/counter/storage/SnapshotIterator.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotIterator.java
@@ -10,9 +10,9 @@
  */
 public final class SnapshotIterator {
   /** A part of a piece that is one record, with so many names. */
-  public record Part(ChangeRecord changes, int names) {}
+  public record SnapshotPart(ChangeRecord changes, int nameCount) {}
 
-  private static final int PIECE = 128 << 10;
+  private static final int PIECE_BYTES = 128 << 10;
   private final CounterTable table;
   private int shard;
 
@@ -24,26 +24,26 @@
    * The next piece; empty when all names were gone through. A shard is never cut: its names may
    * move.
    */
-  public List<Part> next(long now) {
-    List<Part> parts = new ArrayList<>();
-    ChangeRecord[] open = {new ChangeRecord(PIECE)};
+  public List<SnapshotPart> next(long now) {
+    List<SnapshotPart> parts = new ArrayList<>();
+    ChangeRecord[] open = {new ChangeRecord(PIECE_BYTES)};
     int[] names = {0};
-    while (shard < table.shards() && parts.isEmpty() && open[0].size() < PIECE) {
-      table.visit(
+    while (shard < table.shards() && parts.isEmpty() && open[0].sizeBytes() < PIECE_BYTES) {
+      table.visitShard(
           shard++,
           now,
           (name, amount, expiry) -> {
-            if (!open[0].room(ChangeRecord.LONGEST)) {
-              parts.add(new Part(open[0], names[0]));
-              open[0] = new ChangeRecord(PIECE);
+            if (!open[0].hasCapacityFor(ChangeRecord.MAX_CHANGE_BYTES)) {
+              parts.add(new SnapshotPart(open[0], names[0]));
+              open[0] = new ChangeRecord(PIECE_BYTES);
               names[0] = 0;
             }
-            open[0].set(name, amount, expiry);
+            open[0].putAmount(name, amount, expiry);
             names[0]++;
           });
     }
     if (names[0] > 0) {
-      parts.add(new Part(open[0], names[0]));
+      parts.add(new SnapshotPart(open[0], names[0]));
     }
     return parts;
   }
