--- a/src/main/java/fawndock/gateway/CounterNodes.java
+++ b/src/main/java/fawndock/gateway/CounterNodes.java
@@ -2,12 +2,12 @@
 
 import fawndock.counter.replication.MembershipList;
 import fawndock.counter.replication.ReplicaClient;
-import fawndock.counter.replication.ReplicaClient.Ask;
-import fawndock.counter.replication.ReplicaClient.End;
-import fawndock.counter.replication.ReplicaClient.Fetch;
-import fawndock.counter.replication.ReplicaClient.Give;
-import fawndock.counter.replication.ReplicaClient.Here;
-import fawndock.counter.replication.ReplicaClient.Out;
+import fawndock.counter.replication.ReplicaClient.CallEnded;
+import fawndock.counter.replication.ReplicaClient.ClientAction;
+import fawndock.counter.replication.ReplicaClient.FetchMembership;
+import fawndock.counter.replication.ReplicaClient.PushMembership;
+import fawndock.counter.replication.ReplicaClient.SendHeartbeat;
+import fawndock.counter.replication.ReplicaClient.SendSum;
 import fawndock.counter.replication.ReplicatedSum;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
@@ -89,7 +89,7 @@
         new ReplicaClient(
             origin,
             List.copyOf(nodes.keySet()),
-            new ReplicaClient.Times(Math.max(1, limit / 5), limit, limit, limit));
+            new ReplicaClient.ClientTimeouts(Math.max(1, limit / 5), limit, limit, limit));
     alarms.schedule(TICK_MICROS, this::tick);
   }
 
@@ -127,15 +127,15 @@
     CounterReplySequencer.PendingCall waiting =
         new CounterReplySequencer.PendingCall(count.counterName(), clock.now());
     order.begin(waiting);
-    List<Out> out = new ArrayList<>();
+    List<ClientAction> out = new ArrayList<>();
     try {
       if (calls.size() >= settings.maxCalls()) {
         throw new CommandException("too many calls are out");
       }
       DecimalAmount amount =
-          DecimalAmount.of(Double.toString(count.amount()).getBytes(StandardCharsets.US_ASCII));
+          DecimalAmount.parse(Double.toString(count.amount()).getBytes(StandardCharsets.US_ASCII));
       long call =
-          client.call(
+          client.add(
               count.counterName(),
               amount,
               Math.max(1, (count.timeToLiveMicros() + 999) / 1_000),
@@ -147,37 +147,37 @@
           later -> end(waiting, CallResult.SHED, 0)); // The gatekeeper is still being asked.
       return;
     }
-    if (out.stream().anyMatch(End.class::isInstance)) {
+    if (out.stream().anyMatch(CallEnded.class::isInstance)) {
       context.runOnContext(later -> carry(out));
     } else {
       carry(out);
     }
   }
 
-  private void carry(List<Out> out) {
-    for (Out each : out) {
-      if (each instanceof Ask ask) {
+  private void carry(List<ClientAction> out) {
+    for (ClientAction each : out) {
+      if (each instanceof SendSum ask) {
         ask(ask);
-      } else if (each instanceof Here here) {
+      } else if (each instanceof SendHeartbeat here) {
         here(here);
-      } else if (each instanceof Fetch fetch) {
+      } else if (each instanceof FetchMembership fetch) {
         list(fetch.node(), Request.cmd(NODES));
-      } else if (each instanceof Give give) {
+      } else if (each instanceof PushMembership give) {
         Request request = Request.cmd(NODES);
         for (String word : give.list().toString().split(" ")) {
           request.arg(word);
         }
         list(give.node(), request);
-      } else if (each instanceof End end) {
-        CounterReplySequencer.PendingCall waiting = calls.remove(end.call());
+      } else if (each instanceof CallEnded end) {
+        CounterReplySequencer.PendingCall waiting = calls.remove(end.callId());
         if (waiting != null) {
           end(
               waiting,
-              switch (end.result()) {
+              switch (end.outcome()) {
                 case OK -> CallResult.OK;
                 case TIMEOUT -> CallResult.TIMEOUT;
                 case UNREACHABLE -> CallResult.CONNECT_FAILED;
-                case REFUSED -> CallResult.SHED;
+                case REJECTED -> CallResult.SHED;
               },
               end.total());
         }
@@ -185,14 +185,14 @@
     }
   }
 
-  private void here(Here here) {
+  private void here(SendHeartbeat here) {
     send(
         here.node(),
         Request.cmd(HERE).arg(origin).arg(here.stamp()),
         answer -> {
           if (answer.succeeded()) {
-            List<Out> out = new ArrayList<>();
-            client.hereAnswered(
+            List<ClientAction> out = new ArrayList<>();
+            client.onHeartbeatReply(
                 here.node(),
                 answer.result().get(0).toInteger() == 1,
                 answer.result().get(1).toLong(),
@@ -213,14 +213,14 @@
         answer -> {
           String text = answer.succeeded() ? answer.result().toString() : "";
           if (!text.isEmpty()) {
-            adopt(MembershipList.of(text));
+            adopt(MembershipList.parse(text));
           }
         });
   }
 
   private void adopt(MembershipList list) {
-    List<Out> out = new ArrayList<>();
-    if (!client.adopt(list, now(), out)) {
+    List<ClientAction> out = new ArrayList<>();
+    if (!client.adoptMembership(list, now(), out)) {
       return;
     }
     LOG.info("goes by a new list of counter nodes: {}", list);
@@ -254,28 +254,28 @@
     }
   }
 
-  private void ask(Ask ask) {
+  private void ask(SendSum ask) {
     ReplicatedSum sum = ask.sum();
     send(
         ask.node(),
         Request.cmd(SUM)
             .arg(sum.name())
             .arg(sum.origin())
-            .arg(sum.plus().toString())
-            .arg(sum.minus().toString())
-            .arg(sum.keepMillis()),
+            .arg(sum.added().toString())
+            .arg(sum.withdrawn().toString())
+            .arg(sum.timeToLiveMillis()),
         answer -> {
-          List<Out> out = new ArrayList<>();
+          List<ClientAction> out = new ArrayList<>();
           if (answer.succeeded()) {
-            client.answered(
-                ask.node(), ask.call(), Double.parseDouble(answer.result().toString()), out);
+            client.onTotal(
+                ask.node(), ask.callId(), Double.parseDouble(answer.result().toString()), out);
           } else if (CounterConnection.refused(answer.cause())) {
             String text = String.valueOf(answer.cause().getMessage());
             boolean notReady =
                 text.startsWith("LOADING")
                     || text.startsWith("FENCED")
                     || text.startsWith("MISCONF");
-            client.refused(ask.node(), ask.call(), notReady, now(), out);
+            client.onRejected(ask.node(), ask.callId(), notReady, now(), out);
           }
           carry(out);
         });
@@ -285,14 +285,14 @@
     if (nodes.get(node) != line) {
       return;
     }
-    List<Out> out = new ArrayList<>();
-    client.lost(node, now(), out);
+    List<ClientAction> out = new ArrayList<>();
+    client.onConnectionLost(node, now(), out);
     carry(out);
   }
 
   private void tick() {
     if (!closed) {
-      List<Out> out = new ArrayList<>();
+      List<ClientAction> out = new ArrayList<>();
       client.tick(now(), out);
       carry(out);
       alarms.schedule(TICK_MICROS, this::tick);
--- a/src/main/java/fawndock/simulation/EmuCounter.java
+++ b/src/main/java/fawndock/simulation/EmuCounter.java
@@ -97,7 +97,7 @@
           counts
               .add(
                   count.getBytes(StandardCharsets.UTF_8),
-                  DecimalAmount.of(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
+                  DecimalAmount.parse(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
                   Math.max(1, keepMicros / 1_000),
                   agenda.now() / 1_000,
                   changes)
--- a/src/test/java/fawndock/counter/CommandCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/CommandCompatibilityTest.java
@@ -33,12 +33,12 @@
   private static final CounterSettings.Fleet ALONE =
       new CounterSettings.Fleet("", 1, 150, 2_000, Map.of());
   @TempDir private Path directory;
-  private FileDisk storage;
+  private FileStorage storage;
   private CounterServer server;
   private int port;
 
   private void start(CounterSettings.Fleet fleet) throws IOException {
-    storage = new FileDisk(directory, true);
+    storage = new FileStorage(directory, true);
     server =
         new CounterServer(
             new CounterSettings(
--- a/src/test/java/fawndock/counter/FleetTest.java
+++ b/src/test/java/fawndock/counter/CounterClusterTest.java
@@ -25,12 +25,12 @@
 import redis.clients.jedis.exceptions.JedisDataException;
 
 /** Three counters that stand in for each other, as gatekeepers see them. */
-class FleetTest {
+class CounterClusterTest {
   private static final int NODES = 3;
   @TempDir private Path directory;
   private final List<Integer> ports = new ArrayList<>();
   private final Map<Integer, CounterServer> servers = new TreeMap<>();
-  private final Map<Integer, FileDisk> disks = new TreeMap<>();
+  private final Map<Integer, FileStorage> disks = new TreeMap<>();
 
   @BeforeEach
   void start() throws IOException {
@@ -52,7 +52,7 @@
       }
     }
     Path of = directory.resolve("n" + node);
-    disks.put(node, new FileDisk(of, true));
+    disks.put(node, new FileStorage(of, true));
     servers.put(
         node,
         new CounterServer(
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -43,8 +43,8 @@
   private static final CounterSettings.Fleet ALONE =
       new CounterSettings.Fleet("", 1, 150, 2_000, java.util.Map.of());
   @TempDir private Path directory;
-  private FileDisk files;
-  private TestDisk disk;
+  private FileStorage files;
+  private FaultInjectingStorage disk;
   private CounterServer server;
   private int port;
 
@@ -54,8 +54,8 @@
   }
 
   private void start(String password, long stallMillis) throws IOException {
-    files = new FileDisk(directory, true);
-    disk = new TestDisk(files);
+    files = new FileStorage(directory, true);
+    disk = new FaultInjectingStorage(files);
     server =
         new CounterServer(
             new CounterSettings(
@@ -286,7 +286,7 @@
   void aSecondProcessIsRefusedTheDirectory() {
     assertEquals(
         directory + " is in use by another counter",
-        assertThrows(IOException.class, () -> new FileDisk(directory, true)).getMessage());
+        assertThrows(IOException.class, () -> new FileStorage(directory, true)).getMessage());
   }
 
   /** Many more answers than may wait: reading pauses, nothing is lost and all come in order. */
@@ -396,8 +396,8 @@
    */
   @Test
   void answersWaitForTheirOwnGroupAndKeepTheirOrder() throws IOException {
-    disk.step = true;
-    disk.syncs.acquireUninterruptibly();
+    disk.isStepping = true;
+    disk.syncPermits.acquireUninterruptibly();
     try (Socket first = new Socket("127.0.0.1", port);
         Socket second = new Socket("127.0.0.1", port);
         Jedis other = client()) {
@@ -410,13 +410,13 @@
         Thread.onSpinWait();
       }
       assertEquals(0, first.getInputStream().available());
-      disk.syncs.release();
+      disk.syncPermits.release();
       BufferedReader in = reader(first);
       assertEquals(List.of(":1", "$1", "1"), List.of(in.readLine(), in.readLine(), in.readLine()));
       other.ping(); // What was to go out with it has gone.
       assertEquals(0, second.getInputStream().available(), "acknowledged before its sync");
-      disk.step = false;
-      disk.syncs.release();
+      disk.isStepping = false;
+      disk.syncPermits.release();
       assertEquals(":1", reader(second).readLine());
     }
   }
@@ -426,7 +426,7 @@
    */
   @Test
   void aSlowDiskDelaysAcknowledgementsAndLosesNone() throws Exception {
-    disk.syncs.acquireUninterruptibly();
+    disk.syncPermits.acquireUninterruptibly();
     int many = 60_000;
     try (Jedis other = client();
         Socket socket = new Socket("127.0.0.1", port)) {
@@ -458,7 +458,7 @@
         }
       }
       assertEquals(0, socket.getInputStream().available(), "acknowledged before the sync");
-      disk.syncs.release();
+      disk.syncPermits.release();
       BufferedReader in = reader(socket);
       long acknowledged = 0;
       for (int i = 0; i < many; i++) {
@@ -475,7 +475,7 @@
     try (Jedis c = client();
         Socket socket = new Socket("127.0.0.1", port)) {
       c.incrBy("a", 1);
-      disk.full = true;
+      disk.isFull = true;
       socket.getOutputStream().write("INCRBY a 1\r\n".getBytes(StandardCharsets.US_ASCII));
       String told = "";
       while (!told.startsWith("MISCONF")) {
@@ -484,7 +484,7 @@
       assertEquals("MISCONF the log cannot be written (no space left), nothing was added", told);
       assertEquals("2", c.get("a"));
       assertEquals(0, socket.getInputStream().available());
-      disk.full = false;
+      disk.isFull = false;
       assertEquals(":2", reader(socket).readLine());
       assertEquals(3, c.incrBy("a", 1));
     }
@@ -499,7 +499,7 @@
   void afterAFailedSyncItGoesOnInANewFile() throws Exception {
     try (Jedis c = client()) {
       c.incrBy("a", 1);
-      disk.failSync = true;
+      disk.failNextSync = true;
       assertEquals(2, c.incrBy("a", 1));
       assertTrue(Files.exists(directory.resolve("snapshot-00000000000000000002.snap")));
       assertTrue(Files.exists(directory.resolve("segment-00000000000000000003.log")));
@@ -529,7 +529,7 @@
       assertEquals(2, c.incrBy("old", 1));
       assertEquals("ERR a name is at most 1024 bytes", error(() -> c.incrBy("x".repeat(1_025), 1)));
       Transaction t = c.multi();
-      for (int i = 0; i < fawndock.counter.Transaction.MOST + 1; i++) {
+      for (int i = 0; i < fawndock.counter.Transaction.MAX_COMMANDS + 1; i++) {
         t.incrBy("old", 1);
       }
       assertEquals("EXECABORT Transaction discarded because of previous errors.", error(t::exec));
@@ -562,7 +562,7 @@
   /** A transaction that has no room in the open group is not begun. */
   @Test
   void aTransactionIsRefusedWholeWhenThereIsNoRoomForAll() throws Exception {
-    disk.syncs.acquireUninterruptibly();
+    disk.syncPermits.acquireUninterruptibly();
     try (Socket first = new Socket("127.0.0.1", port);
         Socket second = new Socket("127.0.0.1", port);
         Jedis other = client()) {
@@ -585,7 +585,7 @@
         assertNull(c.get("small"));
       }
     } finally {
-      disk.syncs.release();
+      disk.syncPermits.release();
     }
   }
 
@@ -615,7 +615,7 @@
     assertEquals(6_000, all);
     long newest =
         fawndock.counter.storage.Recovery.files(
-                files, fawndock.counter.storage.LogFormat.Kind.SNAPSHOT)
+                files, fawndock.counter.storage.LogFormat.FileKind.SNAPSHOT)
             .lastKey();
     assertTrue(newest > 0, "no snapshot was taken");
     again("", 1_000);
--- a/src/test/java/fawndock/counter/TestDisk.java
+++ b/src/test/java/fawndock/counter/FaultInjectingStorage.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.Semaphore;
 
 /** A directory whose log can be full, slow to sync, or fail a sync. */
-final class TestDisk implements Storage {
+final class FaultInjectingStorage implements Storage {
   private final Storage disk;
-  volatile boolean full;
-  volatile boolean failSync;
+  volatile boolean isFull;
+  volatile boolean failNextSync;
 
   /** Held by a test so that syncs of files wait. */
-  final Semaphore syncs = new Semaphore(1);
+  final Semaphore syncPermits = new Semaphore(1);
 
   /** Whether each sync of a file takes a permit for good. */
-  volatile boolean step;
+  volatile boolean isStepping;
 
-  TestDisk(Storage disk) {
+  FaultInjectingStorage(Storage disk) {
     this.disk = disk;
   }
 
@@ -71,7 +71,7 @@
 
     @Override
     public void write(ByteBuffer from, long at) throws IOException {
-      if (full) {
+      if (isFull) {
         file.write(from.duplicate().limit(from.position() + from.remaining() / 2), at);
         throw new IOException("no space left");
       }
@@ -85,10 +85,10 @@
 
     @Override
     public void sync() throws IOException {
-      syncs.acquireUninterruptibly();
-      syncs.release(step ? 0 : 1);
-      if (failSync) {
-        failSync = false;
+      syncPermits.acquireUninterruptibly();
+      syncPermits.release(isStepping ? 0 : 1);
+      if (failNextSync) {
+        failNextSync = false;
         throw new IOException("sync failed");
       }
       file.sync();
--- a/src/test/java/fawndock/counter/ProtocolTest.java
+++ b/src/test/java/fawndock/counter/ProtocolTest.java
@@ -110,7 +110,7 @@
   }
 
   private static boolean matches(String[] each) {
-    return Glob.matches(
+    return GlobPattern.matches(
         each[0].getBytes(StandardCharsets.UTF_8), each[1].getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -42,7 +42,7 @@
   private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> state = new TreeMap<>();
     for (int shard = 0; shard < table.shards(); shard++) {
-      table.visit(
+      table.visitShard(
           shard,
           now,
           (name, amount, expiry) ->
@@ -52,7 +52,7 @@
   }
 
   private static String describe(DecimalAmount amount, long expiry) {
-    String kind = amount.fraction() ? "fraction" : "whole";
+    String kind = amount.isFraction() ? "fraction" : "whole";
     return kind + " " + amount.digits() + " expires " + expiry;
   }
 
@@ -65,9 +65,9 @@
     return state;
   }
 
-  private Recovery.Found recover(String from, CounterTable table) throws IOException {
+  private Recovery.Result recover(String from, CounterTable table) throws IOException {
     WrittenBefore.copyTo(from, directory);
-    try (FileDisk storage = new FileDisk(directory, true)) {
+    try (FileStorage storage = new FileStorage(directory, true)) {
       return Recovery.recover(storage, table, bytes -> {});
     }
   }
@@ -77,21 +77,23 @@
   void recovery_filesOfTheEarlierVersion_findsEveryAmountAndExpiry(String from, long lastRecord)
       throws IOException {
     CounterTable table = new CounterTable(1);
-    Recovery.Found found = recover(from, table);
+    Recovery.Result found = recover(from, table);
     assertEquals(expectedState(from), state(table, NO_TIME));
-    assertEquals(lastRecord, found.sequence());
-    assertEquals(List.of(), found.reports());
+    assertEquals(lastRecord, found.lastSequence());
+    assertEquals(List.of(), found.warnings());
   }
 
   @Test
   void recovery_filesOfTheEarlierVersion_giveTheAnswersThatItGave() throws IOException {
     CounterTable table = new CounterTable(1);
-    Recovery.Found found = recover("restarted", table);
+    Recovery.Result found = recover("restarted", table);
     for (String line : WrittenBefore.lines("restarted/answers.txt")) {
       String[] nameAndAnswer = line.split("\t", 0);
       byte[] name = nameAndAnswer[0].getBytes(StandardCharsets.UTF_8);
       assertEquals(
-          nameAndAnswer[1], String.valueOf(table.get(name, found.time())), nameAndAnswer[0]);
+          nameAndAnswer[1],
+          String.valueOf(table.get(name, found.latestTimeMillis())),
+          nameAndAnswer[0]);
     }
   }
 
@@ -102,17 +104,17 @@
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 1));
     CounterTable table = new CounterTable(1);
-    try (FileDisk storage = new FileDisk(directory, true)) {
-      Recovery.Found found = Recovery.recover(storage, table, read -> {});
-      assertEquals(33, found.sequence());
+    try (FileStorage storage = new FileStorage(directory, true)) {
+      Recovery.Result found = Recovery.recover(storage, table, read -> {});
+      assertEquals(33, found.lastSequence());
       assertEquals(
           List.of(
               "segment-00000000000000000029.log: cut off 56 bytes of a torn record at offset 249"),
-          found.reports());
+          found.warnings());
     }
     byte[] name = "after-snapshot".getBytes(StandardCharsets.UTF_8);
     assertEquals(new DecimalAmount(1, false), table.get(name, NO_TIME));
-    assertEquals(0, table.expiry(name, NO_TIME), "the expiry was in the torn record");
+    assertEquals(0, table.expiryMillis(name, NO_TIME), "the expiry was in the torn record");
   }
 
   @ParameterizedTest
@@ -120,7 +122,7 @@
   void records_ofTheEarlierVersion_areDecodedOneByOne(String from) throws IOException {
     for (String file : WrittenBefore.storedFiles(from)) {
       List<String> lines = new ArrayList<>();
-      try (FileDisk storage = new FileDisk(WrittenBefore.path(from), false)) {
+      try (FileStorage storage = new FileStorage(WrittenBefore.path(from), false)) {
         String error =
             LogVerifier.dump(
                 storage,
@@ -134,19 +136,19 @@
     }
   }
 
-  private record LineCollector(List<String> lines) implements ChangeRecord.Reader {
+  private record LineCollector(List<String> lines) implements ChangeRecord.Visitor {
     @Override
-    public void set(byte[] name, DecimalAmount amount, long expiry) {
+    public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
       lines.add("set " + HexFormat.of().formatHex(name) + " " + describe(amount, expiry));
     }
 
     @Override
-    public void deleted(byte[] name) {
+    public void onDeleted(byte[] name) {
       lines.add("delete " + HexFormat.of().formatHex(name));
     }
 
     @Override
-    public void end(long names) {
+    public void onSnapshotEnd(long names) {
       lines.add("end " + names);
     }
   }
@@ -155,34 +157,35 @@
   private record RewrittenRecord(ChangeRecord changes, long time, long names, boolean isEnd) {}
 
   private static List<RewrittenRecord> readAll(String from, String file) throws IOException {
-    LogFormat.Kind kind = file.endsWith(".snap") ? LogFormat.Kind.SNAPSHOT : LogFormat.Kind.SEGMENT;
-    long first = kind == LogFormat.Kind.SNAPSHOT ? 1 : kind.sequence(file);
+    LogFormat.FileKind kind =
+        file.endsWith(".snap") ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
+    long first = kind == LogFormat.FileKind.SNAPSHOT ? 1 : kind.sequenceOf(file);
     List<RewrittenRecord> records = new ArrayList<>();
-    try (FileDisk storage = new FileDisk(WrittenBefore.path(from), false);
+    try (FileStorage storage = new FileStorage(WrittenBefore.path(from), false);
         Storage.File open = storage.open(file)) {
       RecordReader reader = new RecordReader(open, first);
-      assertTrue(reader.begins(kind, kind.sequence(file)), file);
+      assertTrue(reader.matchesHeader(kind, kind.sequenceOf(file)), file);
       while (reader.next()) {
         ChangeRecord changes = new ChangeRecord(16);
         long[] names = {0};
         boolean[] isEnd = {false};
         long time =
-            ChangeRecord.read(
+            ChangeRecord.visitBody(
                 reader.body(),
-                new ChangeRecord.Reader() {
+                new ChangeRecord.Visitor() {
                   @Override
-                  public void set(byte[] name, DecimalAmount amount, long expiry) {
-                    changes.set(name, amount, expiry);
+                  public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
+                    changes.putAmount(name, amount, expiry);
                     names[0]++;
                   }
 
                   @Override
-                  public void deleted(byte[] name) {
-                    changes.deleted(name);
+                  public void onDeleted(byte[] name) {
+                    changes.putDeleted(name);
                   }
 
                   @Override
-                  public void end(long many) {
+                  public void onSnapshotEnd(long many) {
                     isEnd[0] = true;
                   }
                 });
@@ -196,11 +199,12 @@
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
   void files_writtenFromTheSameChanges_haveTheSameBytes(String from) throws IOException {
     for (String file : WrittenBefore.storedFiles(from)) {
-      try (FileDisk storage = new FileDisk(directory, true)) {
+      try (FileStorage storage = new FileStorage(directory, true)) {
         if (file.endsWith(".snap")) {
-          rewriteSnapshot(storage, LogFormat.Kind.SNAPSHOT.sequence(file), readAll(from, file));
+          rewriteSnapshot(
+              storage, LogFormat.FileKind.SNAPSHOT.sequenceOf(file), readAll(from, file));
         } else {
-          rewriteSegment(storage, LogFormat.Kind.SEGMENT.sequence(file), readAll(from, file));
+          rewriteSegment(storage, LogFormat.FileKind.SEGMENT.sequenceOf(file), readAll(from, file));
         }
       }
       assertArrayEquals(
@@ -210,8 +214,8 @@
     }
   }
 
-  private static void rewriteSnapshot(FileDisk storage, long covered, List<RewrittenRecord> records)
-      throws IOException {
+  private static void rewriteSnapshot(
+      FileStorage storage, long covered, List<RewrittenRecord> records) throws IOException {
     SnapshotWriter writer = new SnapshotWriter(storage, covered);
     for (RewrittenRecord each : records) {
       if (each.isEnd()) {
@@ -222,11 +226,11 @@
     }
   }
 
-  private static void rewriteSegment(FileDisk storage, long first, List<RewrittenRecord> records)
+  private static void rewriteSegment(FileStorage storage, long first, List<RewrittenRecord> records)
       throws IOException {
     LogWriter writer = new LogWriter(storage, first - 1);
     for (RewrittenRecord each : records) {
-      writer.append(each.changes().record(each.time()));
+      writer.append(each.changes().toRecord(each.time()));
     }
     writer.sync();
     writer.close();
@@ -239,19 +243,19 @@
     CounterTable table = new CounterTable(1);
     CounterOperations counts = new CounterOperations(table, Long.MAX_VALUE);
     GroupCommit commit = new GroupCommit(GroupCommit.Durability.ALWAYS, 1_000);
-    commit.resumed();
-    ChangeRecord changes = commit.room(1_000);
+    commit.onResumed();
+    ChangeRecord changes = commit.reserve(1_000);
     counts.add(bytes("a"), new DecimalAmount(5, false), 0, 1_000, changes);
-    counts.add(bytes("bc"), DecimalAmount.of(bytes("-1.5")), 500, 1_000, changes);
+    counts.add(bytes("bc"), DecimalAmount.parse(bytes("-1.5")), 500, 1_000, changes);
     counts.delete(bytes("a"), 1_000, changes);
-    try (FileDisk storage = new FileDisk(directory, true)) {
+    try (FileStorage storage = new FileStorage(directory, true)) {
       LogWriter log = new LogWriter(storage, 0);
-      log.append(commit.next(1_001).record());
+      log.append(commit.nextWork(1_001).record());
       log.sync();
       log.close();
       SnapshotWriter snapshot = new SnapshotWriter(storage, 1);
       ChangeRecord all = new ChangeRecord(16);
-      table.visit(shardOf(table, bytes("bc")), 1_001, all::set);
+      table.visitShard(shardOf(table, bytes("bc")), 1_001, all::putAmount);
       snapshot.write(all, 1, 1_002);
       snapshot.finish(1_003);
     }
@@ -272,7 +276,7 @@
   private static int shardOf(CounterTable table, byte[] name) {
     boolean[] found = {false};
     for (int shard = 0; shard < table.shards(); shard++) {
-      table.visit(
+      table.visitShard(
           shard,
           NO_TIME,
           (each, amount, expiry) -> found[0] |= java.util.Arrays.equals(each, name));
@@ -295,19 +299,19 @@
   @ValueSource(strings = {"fleet-n0", "fleet-n1", "fleet-n2"})
   void replicatedSums_ofTheEarlierVersion_areFoundByNameAndOrigin(String from) throws IOException {
     CounterTable table = new CounterTable(1);
-    long now = recover(from, table).time();
+    long now = recover(from, table).latestTimeMillis();
     ReplicatedSums sums = new ReplicatedSums(new CounterOperations(table, Long.MAX_VALUE));
     assertEquals("9.5", sums.total("agency.1", now).toString());
     assertEquals("0.000000001", sums.total("agency.2", now).toString());
     assertEquals("2", sums.total("other", now).toString());
-    assertSum("9", "2", sums.of("agency.1", 7, now));
-    assertSum("2.5", "0", sums.of("agency.1", -8, now));
-    assertSum("0.000000001", "0", sums.of("agency.2", 7, now));
-    assertSum("3", "1", sums.of("other", Long.MAX_VALUE, now));
+    assertSum("9", "2", sums.sumOf("agency.1", 7, now));
+    assertSum("2.5", "0", sums.sumOf("agency.1", -8, now));
+    assertSum("0.000000001", "0", sums.sumOf("agency.2", 7, now));
+    assertSum("3", "1", sums.sumOf("other", Long.MAX_VALUE, now));
   }
 
   private static void assertSum(String plus, String minus, ReplicatedSum sum) {
-    assertEquals(plus, sum.plus().toString());
-    assertEquals(minus, sum.minus().toString());
+    assertEquals(plus, sum.added().toString());
+    assertEquals(minus, sum.withdrawn().toString());
   }
 }
--- a/src/test/java/fawndock/counter/replication/Fleet.java
+++ b/src/test/java/fawndock/counter/replication/ClusterSimulation.java
@@ -1,9 +1,9 @@
 package fawndock.counter.replication;
 
-import fawndock.counter.replication.ReplicaClient.Ask;
-import fawndock.counter.replication.ReplicaClient.End;
-import fawndock.counter.replication.ReplicaClient.Here;
-import fawndock.counter.replication.ReplicaClient.Out;
+import fawndock.counter.replication.ReplicaClient.CallEnded;
+import fawndock.counter.replication.ReplicaClient.ClientAction;
+import fawndock.counter.replication.ReplicaClient.SendHeartbeat;
+import fawndock.counter.replication.ReplicaClient.SendSum;
 import fawndock.counter.storage.ChangeRecord;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
@@ -24,18 +24,20 @@
  * gatekeeper admits while the weighted estimate over two windows is within the limit, as the
  * gateway's does.
  */
-final class Fleet {
+final class ClusterSimulation {
   static final long WINDOW = 1_000;
   static final int LIMIT = 60;
   static final int NODES = 3;
-  static final int GATEKEEPERS = 4;
-  static final ReplicaNode.Times NODE_TIMES = new ReplicaNode.Times(150, 300);
-  static final ReplicaClient.Times CLIENT_TIMES = new ReplicaClient.Times(25, 50, 100, 40);
+  static final int GATEWAYS = 4;
+  static final ReplicaNode.FailureDetectorTimeouts NODE_TIMEOUTS =
+      new ReplicaNode.FailureDetectorTimeouts(150, 300);
+  static final ReplicaClient.ClientTimeouts CLIENT_TIMEOUTS =
+      new ReplicaClient.ClientTimeouts(25, 50, 100, 40);
 
   private record Event(long at, long number, Runnable what) {}
 
   /** A node with its counts, which a crash may leave or take. */
-  final class Node {
+  final class SimulatedNode {
     final String id;
     CounterTable table = new CounterTable(1, 2);
     ReplicaNode node;
@@ -43,7 +45,7 @@
     long skew;
     boolean stalled;
 
-    Node(String id) {
+    SimulatedNode(String id) {
       this.id = id;
     }
 
@@ -59,7 +61,7 @@
               others,
               1,
               random.nextLong(),
-              NODE_TIMES,
+              NODE_TIMEOUTS,
               new ReplicatedSums(new CounterOperations(table, Long.MAX_VALUE)),
               clock());
       tick(++life);
@@ -80,8 +82,8 @@
       }
       if (!stalled) {
         node.tick(clock());
-        for (String other : List.copyOf(node.others())) {
-          ReplicaNode.Beat beat = node.beat(clock());
+        for (String other : List.copyOf(node.peers())) {
+          ReplicaNode.Heartbeat beat = node.nextHeartbeat(clock());
           send(id, other, () -> at(other, n -> beaten(n, beat, mine)));
           give(other, mine);
         }
@@ -93,11 +95,13 @@
      * Another node has this one's beat: it goes by it, or answers that this one's list is old or
      * lacks it.
      */
-    private void beaten(Node n, ReplicaNode.Beat beat, int mine) {
-      MembershipList newer = n.node.newerThan(beat.version());
+    private void beaten(SimulatedNode n, ReplicaNode.Heartbeat beat, int mine) {
+      MembershipList newer = n.node.membershipNewerThan(beat.membershipVersion());
       boolean strange =
-          newer == null && beat.version() <= n.node.version() && !n.node.others().contains(id);
-      n.node.beat(id, beat, n.clock());
+          newer == null
+              && beat.membershipVersion() <= n.node.membershipVersion()
+              && !n.node.peers().contains(id);
+      n.node.onHeartbeat(id, beat, n.clock());
       if (newer != null || strange) {
         send(
             n.id,
@@ -107,16 +111,16 @@
                     id,
                     me -> {
                       if (newer != null) {
-                        me.node.adopt(newer, me.clock());
-                      } else if (me.life == mine && me.node.others().contains(n.id)) {
-                        me.node.strange(n.id, me.clock());
+                        me.node.adoptMembership(newer, me.clock());
+                      } else if (me.life == mine && me.node.peers().contains(n.id)) {
+                        me.node.onUnknownToPeer(n.id, me.clock());
                       }
                     }));
       }
     }
 
     private void give(String other, int mine) {
-      ReplicaNode.Batch batch = node.next(other, 50, clock());
+      ReplicaNode.DeltaBatch batch = node.nextBatch(other, 50, clock());
       if (batch.isEmpty()) {
         return;
       }
@@ -127,18 +131,18 @@
               at(
                   other,
                   n -> {
-                    if (!n.node.others().contains(id)) {
+                    if (!n.node.peers().contains(id)) {
                       return;
                     }
                     try {
                       for (ReplicatedSum each : batch.sums()) {
-                        n.node.told(id, each, n.clock(), new ChangeRecord(64));
+                        n.node.mergeFromPeer(id, each, n.clock(), new ChangeRecord(64));
                       }
                     } catch (CommandException e) {
                       throw new AssertionError(e);
                     }
-                    if (batch.all()) {
-                      n.node.gaveAll(id, n.clock());
+                    if (batch.completesFullState()) {
+                      n.node.onFullStateReceived(id, n.clock());
                     }
                     send(
                         other,
@@ -147,8 +151,8 @@
                             at(
                                 id,
                                 me -> {
-                                  if (me.life == mine && me.node.others().contains(other)) {
-                                    me.node.arrived(other);
+                                  if (me.life == mine && me.node.peers().contains(other)) {
+                                    me.node.onBatchAcknowledged(other);
                                   }
                                 }));
                   }));
@@ -156,7 +160,7 @@
   }
 
   /** A gatekeeper that customers ask in an even flow, each at its rate. */
-  final class Gate {
+  final class SimulatedGateway {
     final String id;
     final ReplicaClient client;
     final Map<Long, Runnable> told = new HashMap<>();
@@ -169,9 +173,9 @@
       return Long.parseLong(id.substring(1));
     }
 
-    Gate(String id, long origin) {
+    SimulatedGateway(String id, long origin) {
       this.id = id;
-      client = new ReplicaClient(origin, settings, CLIENT_TIMES);
+      client = new ReplicaClient(origin, settings, CLIENT_TIMEOUTS);
     }
 
     void start() {
@@ -179,12 +183,11 @@
       demand.forEach(
           (customer, perSecond) ->
               after(
-                  random.nextInt(200),
-                  () -> ask(customer, (long) (1_000 * GATEKEEPERS / perSecond))));
+                  random.nextInt(200), () -> ask(customer, (long) (1_000 * GATEWAYS / perSecond))));
     }
 
     private void tick() {
-      List<Out> out = new ArrayList<>();
+      List<ClientAction> out = new ArrayList<>();
       client.tick(now, out);
       carry(out);
       after(10, this::tick);
@@ -222,9 +225,9 @@
     }
 
     private void add(String name, int amount, java.util.function.DoubleConsumer then) {
-      List<Out> out = new ArrayList<>();
+      List<ClientAction> out = new ArrayList<>();
       try {
-        long call = client.call(name, new DecimalAmount(amount, false), 2 * WINDOW, now, out);
+        long call = client.add(name, new DecimalAmount(amount, false), 2 * WINDOW, now, out);
         told.put(call, () -> then.accept(lastTotal));
         pending.put(call, amount);
       } catch (CommandException e) {
@@ -236,11 +239,11 @@
     private final Map<Long, Integer> pending = new HashMap<>();
     private double lastTotal;
 
-    private void carry(List<Out> out) {
-      for (Out each : out) {
-        if (each instanceof Ask ask) {
+    private void carry(List<ClientAction> out) {
+      for (ClientAction each : out) {
+        if (each instanceof SendSum ask) {
           send(id, ask.node(), () -> at(ask.node(), n -> asked(ask, n)));
-        } else if (each instanceof Here here) {
+        } else if (each instanceof SendHeartbeat here) {
           long origin = origin();
           send(
               id,
@@ -249,19 +252,19 @@
                   at(
                       here.node(),
                       n -> {
-                        n.node.here(origin, here.stamp(), n.clock());
-                        boolean ready = n.node.ready();
-                        long version = n.node.version();
+                        n.node.onOriginStamp(origin, here.stamp(), n.clock());
+                        boolean ready = n.node.isReady();
+                        long version = n.node.membershipVersion();
                         send(
                             n.id,
                             id,
                             () -> {
-                              List<Out> more = new ArrayList<>();
-                              client.hereAnswered(n.id, ready, version, more);
+                              List<ClientAction> more = new ArrayList<>();
+                              client.onHeartbeatReply(n.id, ready, version, more);
                               carry(more);
                             });
                       }));
-        } else if (each instanceof ReplicaClient.Fetch fetch) {
+        } else if (each instanceof ReplicaClient.FetchMembership fetch) {
           send(
               id,
               fetch.node(),
@@ -269,40 +272,44 @@
                   at(
                       fetch.node(),
                       n -> {
-                        MembershipList list = n.node.given();
+                        MembershipList list = n.node.adoptedMembership();
                         send(
                             n.id,
                             id,
                             () -> {
-                              List<Out> more = new ArrayList<>();
-                              client.adopt(list, now, more);
+                              List<ClientAction> more = new ArrayList<>();
+                              client.adoptMembership(list, now, more);
                               carry(more);
                             });
                       }));
-        } else if (each instanceof ReplicaClient.Give give) {
-          send(id, give.node(), () -> at(give.node(), n -> n.node.adopt(give.list(), n.clock())));
-        } else if (each instanceof End end) {
-          int amount = pending.remove(end.call());
-          if (end.result() == ReplicaClient.Result.OK) {
+        } else if (each instanceof ReplicaClient.PushMembership give) {
+          send(
+              id,
+              give.node(),
+              () -> at(give.node(), n -> n.node.adoptMembership(give.list(), n.clock())));
+        } else if (each instanceof CallEnded end) {
+          int amount = pending.remove(end.callId());
+          if (end.outcome() == ReplicaClient.CallOutcome.OK) {
             totals.merge(end.name(), end.total(), (a, b) -> b);
             acknowledged.computeIfAbsent(end.name(), n -> new int[2])[amount > 0 ? 0 : 1] += 1;
           }
-          lastTotal = end.result() == ReplicaClient.Result.OK ? end.total() : -1;
-          told.remove(end.call()).run();
+          lastTotal = end.outcome() == ReplicaClient.CallOutcome.OK ? end.total() : -1;
+          told.remove(end.callId()).run();
         }
       }
     }
 
-    private void asked(Ask ask, Node n) {
-      List<Out> out = new ArrayList<>();
+    private void asked(SendSum ask, SimulatedNode n) {
+      List<ClientAction> out = new ArrayList<>();
       try {
         double total =
-            Double.parseDouble(n.node.ask(ask.sum(), n.clock(), new ChangeRecord(64)).toString());
+            Double.parseDouble(
+                n.node.mergeAndTotal(ask.sum(), n.clock(), new ChangeRecord(64)).toString());
         send(
             n.id,
             id,
             () -> {
-              client.answered(n.id, ask.call(), total, out);
+              client.onTotal(n.id, ask.callId(), total, out);
               carry(out);
             });
       } catch (CommandException e) {
@@ -310,7 +317,7 @@
             n.id,
             id,
             () -> {
-              client.refused(n.id, ask.call(), true, now, out);
+              client.onRejected(n.id, ask.callId(), true, now, out);
               carry(out);
             });
       }
@@ -320,7 +327,7 @@
   final SplittableRandom random;
 
   /** All nodes that there ever were. */
-  final Map<String, Node> nodes = new TreeMap<>();
+  final Map<String, SimulatedNode> nodes = new TreeMap<>();
 
   /** The list in everyone's settings. */
   final List<String> settings = new ArrayList<>();
@@ -328,7 +335,7 @@
   /** The list that holds now. */
   List<String> list = settings;
 
-  final List<Gate> gates = new ArrayList<>();
+  final List<SimulatedGateway> gates = new ArrayList<>();
   final Map<String, Double> demand = new TreeMap<>();
   final Map<String, Long> asked = new HashMap<>();
   final Map<String, List<Long>> admitted = new HashMap<>();
@@ -346,27 +353,27 @@
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
   private long number;
 
-  Fleet(long seed) {
+  ClusterSimulation(long seed) {
     random = new SplittableRandom(seed);
     double rate = LIMIT * 1_000.0 / WINDOW;
     demand.put("over", 1.5 * rate);
     demand.put("under", 0.5 * rate);
     for (int i = 0; i < NODES; i++) {
-      nodes.put("n" + i, new Node("n" + i));
+      nodes.put("n" + i, new SimulatedNode("n" + i));
       settings.add("n" + i);
     }
     nodes.values().forEach(n -> n.start(true));
-    for (int i = 0; i < GATEKEEPERS; i++) {
-      gates.add(new Gate("g" + i, i));
+    for (int i = 0; i < GATEWAYS; i++) {
+      gates.add(new SimulatedGateway("g" + i, i));
     }
-    gates.forEach(Gate::start);
+    gates.forEach(SimulatedGateway::start);
   }
 
   /**
    * Starts a new node in the place of another, and gives one of those that stay the list with it.
    */
   void replace(String gone, String told, long untilGone) {
-    Node made = new Node("n" + nodes.size());
+    SimulatedNode made = new SimulatedNode("n" + nodes.size());
     nodes.put(made.id, made);
     made.start(true);
     list = new ArrayList<>(list);
@@ -383,7 +390,7 @@
     if (nodes.get(to).node == null) {
       after(50, () -> give(to, given));
     } else {
-      nodes.get(to).node.adopt(given, nodes.get(to).clock());
+      nodes.get(to).node.adoptMembership(given, nodes.get(to).clock());
     }
   }
 
@@ -403,11 +410,11 @@
   }
 
   private interface OnNode {
-    void happen(Node node);
+    void happen(SimulatedNode node);
   }
 
   private void at(String id, OnNode what) {
-    Node node = nodes.get(id);
+    SimulatedNode node = nodes.get(id);
     if (node.stalled) {
       after(10, () -> at(id, what)); // It lies in the sockets until the node goes on.
     } else if (node.node != null) {
--- a/src/test/java/fawndock/counter/replication/NodeRulesTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.replication.ReplicaNode.Beat;
+import fawndock.counter.replication.ReplicaNode.Heartbeat;
 import fawndock.counter.storage.ChangeRecord;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
@@ -15,25 +15,32 @@
 import org.junit.jupiter.api.Test;
 
 /** When a node answers, with what, and what it tells others, step by step. */
-class NodeRulesTest {
+class ReplicaNodeTest {
   private static final long V1 = MembershipList.settingsVersion(1);
   private final ReplicatedSums sums =
       new ReplicatedSums(new CounterOperations(new CounterTable(1, 2), Long.MAX_VALUE));
   private final ReplicaNode node =
-      new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+      new ReplicaNode(
+          "a",
+          List.of("b", "c"),
+          1,
+          10,
+          new ReplicaNode.FailureDetectorTimeouts(150, 500),
+          sums,
+          0);
 
   private void beat(String from, long version, long start, boolean ready, long now) {
-    node.beat(from, new Beat(version, start, ready, Map.of()), now);
+    node.onHeartbeat(from, new Heartbeat(version, start, ready, Map.of()), now);
   }
 
   private void upWithAll(long now) {
     beat("b", V1, 1, true, now);
     beat("c", V1, 1, true, now);
-    node.gaveAll("b", now);
-    node.gaveAll("c", now);
-    assertTrue(node.ready());
-    assertTrue(node.next("b", 100, now).all());
-    node.arrived("b");
+    node.onFullStateReceived("b", now);
+    node.onFullStateReceived("c", now);
+    assertTrue(node.isReady());
+    assertTrue(node.nextBatch("b", 100, now).completesFullState());
+    node.onBatchAcknowledged("b");
   }
 
   private static ReplicatedSum sum(String name, long origin, long plus) {
@@ -43,7 +50,7 @@
 
   private String ask(ReplicatedSum sum, long now) {
     try {
-      return node.ask(sum, now, new ChangeRecord(64)).toString();
+      return node.mergeAndTotal(sum, now, new ChangeRecord(64)).toString();
     } catch (CommandException e) {
       return e.getMessage().split(" ")[0];
     }
@@ -54,54 +61,82 @@
     assertEquals("LOADING", ask(sum("n.1", 7, 1), 0));
     beat("b", V1, 1, true, 10);
     beat("c", V1, 1, true, 10);
-    node.gaveAll("b", 20);
+    node.onFullStateReceived("b", 20);
     assertEquals("LOADING", ask(sum("n.1", 7, 1), 20), "b may lag behind c");
-    node.gaveAll("c", 30);
+    node.onFullStateReceived("c", 30);
     assertEquals("1", ask(sum("n.1", 7, 1), 30));
   }
 
   @Test
   void whatWasToldByAnEarlierStartIsNotAll() {
     beat("b", V1, 1, true, 10);
-    node.gaveAll("b", 20);
-    assertTrue(node.ready());
+    node.onFullStateReceived("b", 20);
+    assertTrue(node.isReady());
     ReplicaNode late =
-        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-    late.beat("b", new Beat(V1, 1, false, Map.of()), 10);
-    late.gaveAll("b", 20);
-    late.beat("b", new Beat(V1, 2, true, Map.of()), 30);
-    assertFalse(late.ready(), "b has started again, and may have come back with more from c");
+        new ReplicaNode(
+            "a",
+            List.of("b", "c"),
+            1,
+            10,
+            new ReplicaNode.FailureDetectorTimeouts(150, 500),
+            sums,
+            0);
+    late.onHeartbeat("b", new Heartbeat(V1, 1, false, Map.of()), 10);
+    late.onFullStateReceived("b", 20);
+    late.onHeartbeat("b", new Heartbeat(V1, 2, true, Map.of()), 30);
+    assertFalse(late.isReady(), "b has started again, and may have come back with more from c");
   }
 
   @Test
   void itBeginsByItselfOnlyWhereNobodyElseCan() {
     node.tick(499);
-    assertFalse(node.ready());
+    assertFalse(node.isReady());
     node.tick(500);
-    assertTrue(node.ready(), "nobody there");
+    assertTrue(node.isReady(), "nobody there");
     ReplicaNode beside =
-        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+        new ReplicaNode(
+            "a",
+            List.of("b", "c"),
+            1,
+            10,
+            new ReplicaNode.FailureDetectorTimeouts(150, 500),
+            sums,
+            0);
     for (long now = 100; now <= 4_900; now += 100) {
-      beside.beat("b", new Beat(V1, 1, true, Map.of()), now);
+      beside.onHeartbeat("b", new Heartbeat(V1, 1, true, Map.of()), now);
       beside.tick(now);
-      assertFalse(beside.ready(), "b is ready, and still telling, at " + now);
+      assertFalse(beside.isReady(), "b is ready, and still telling, at " + now);
     }
     beside.tick(5_000);
-    assertTrue(beside.ready(), "told nothing for ten times as long: b cannot tell");
+    assertTrue(beside.isReady(), "told nothing for ten times as long: b cannot tell");
     ReplicaNode both =
-        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
-    both.beat("b", new Beat(V1, 1, false, Map.of()), 450);
+        new ReplicaNode(
+            "a",
+            List.of("b", "c"),
+            1,
+            10,
+            new ReplicaNode.FailureDetectorTimeouts(150, 500),
+            sums,
+            0);
+    both.onHeartbeat("b", new Heartbeat(V1, 1, false, Map.of()), 450);
     both.tick(600);
-    assertFalse(both.ready(), "b waits as well, and has not told what it has");
+    assertFalse(both.isReady(), "b waits as well, and has not told what it has");
     ReplicaNode stranger =
-        new ReplicaNode("a", List.of("b", "c"), 1, 10, new ReplicaNode.Times(150, 500), sums, 0);
+        new ReplicaNode(
+            "a",
+            List.of("b", "c"),
+            1,
+            10,
+            new ReplicaNode.FailureDetectorTimeouts(150, 500),
+            sums,
+            0);
     for (long now = 0; now <= 20_000; now += 400) {
-      stranger.strange("b", now);
+      stranger.onUnknownToPeer("b", now);
       stranger.tick(now);
-      assertFalse(stranger.ready(), "b does not know it yet, at " + now);
+      assertFalse(stranger.isReady(), "b does not know it yet, at " + now);
     }
     stranger.tick(30_000);
-    assertTrue(stranger.ready());
+    assertTrue(stranger.isReady());
   }
 
   @Test
@@ -113,21 +148,21 @@
     MembershipList with = new MembershipList(2, Map.of("a", "h:3", "b", "h:1"));
     MembershipList newer =
         with.version() > without.version() ? with : new MembershipList(3, with.addresses());
-    assertTrue(node.adopt(newer, 30));
+    assertTrue(node.adoptMembership(newer, 30));
     assertEquals("1", ask(sum("n.1", 7, 1), 30));
-    assertEquals(java.util.Set.of("b"), node.others());
-    assertFalse(node.adopt(without, 40), "an older one");
-    assertEquals(newer, node.newerThan(V1));
-    assertEquals(null, node.newerThan(newer.version()));
-    assertTrue(node.adopt(new MembershipList(4, Map.of("b", "h:1")), 50));
+    assertEquals(java.util.Set.of("b"), node.peers());
+    assertFalse(node.adoptMembership(without, 40), "an older one");
+    assertEquals(newer, node.membershipNewerThan(V1));
+    assertEquals(null, node.membershipNewerThan(newer.version()));
+    assertTrue(node.adoptMembership(new MembershipList(4, Map.of("b", "h:1")), 50));
     assertEquals("FENCED", ask(sum("n.1", 7, 1), 50), "off the list");
   }
 
   @Test
   void anOlderListIsNotHeard() {
-    assertTrue(node.adopt(new MembershipList(2, Map.of("a", "h:1", "b", "h:2")), 0));
+    assertTrue(node.adoptMembership(new MembershipList(2, Map.of("a", "h:1", "b", "h:2")), 0));
     beat("b", V1, 1, true, 10);
-    assertFalse(node.hears("b", 10));
+    assertFalse(node.isPeerAlive("b", 10));
   }
 
   @Test
@@ -136,15 +171,15 @@
     long now = 0;
     for (int i = 1; i <= 200; i++) { // 100 a second by gatekeeper 8, told by b.
       now += 10;
-      node.told("b", sum("n.1", 8, i), now, new ChangeRecord(64));
+      node.mergeFromPeer("b", sum("n.1", 8, i), now, new ChangeRecord(64));
       beat("b", V1, 1, true, now);
       beat("c", V1, 1, true, now);
-      node.here(8, i, now);
+      node.onOriginStamp(8, i, now);
     }
     assertEquals("200", ask(sum("n.1", 7, 0), now));
     beat("b", V1, 1, true, now + 1_000);
     beat("c", V1, 1, true, now + 1_000);
-    node.here(8, 200, now + 1_000); // An echo.
+    node.onOriginStamp(8, 200, now + 1_000); // An echo.
     assertEquals("200", ask(sum("n.1", 7, 0), now + 1_000), "all nodes are heard: it is dead");
     assertEquals(
         400, Double.parseDouble(ask(sum("n.1", 7, 0), now + 2_000)), 30, "b and c are not");
@@ -165,8 +200,8 @@
     for (int now = 10;
         now <= 24_000;
         now += 10) { // 100 a second for 2 s, then it is there and counts nothing.
-      node.told("b", sum("n.1", 8, Math.min(200, now / 10)), now, new ChangeRecord(64));
-      node.here(8, now, now);
+      node.mergeFromPeer("b", sum("n.1", 8, Math.min(200, now / 10)), now, new ChangeRecord(64));
+      node.onOriginStamp(8, now, now);
       beat("b", V1, 1, true, now);
       beat("c", V1, 1, true, now);
     }
@@ -178,21 +213,23 @@
     upWithAll(0);
     ask(sum("n.1", 7, 1), 10);
     assertEquals(
-        List.of("n.1"), node.next("b", 100, 20).sums().stream().map(ReplicatedSum::name).toList());
+        List.of("n.1"),
+        node.nextBatch("b", 100, 20).sums().stream().map(ReplicatedSum::name).toList());
     ask(sum("n.2", 7, 1), 30);
-    assertTrue(node.next("b", 100, 40).isEmpty(), "the last is not confirmed yet");
-    node.arrived("b");
+    assertTrue(node.nextBatch("b", 100, 40).isEmpty(), "the last is not confirmed yet");
+    node.onBatchAcknowledged("b");
     assertEquals(
-        List.of("n.2"), node.next("b", 100, 50).sums().stream().map(ReplicatedSum::name).toList());
+        List.of("n.2"),
+        node.nextBatch("b", 100, 50).sums().stream().map(ReplicatedSum::name).toList());
     beat("b", V1, 1, true, 140);
     node.tick(201); // Not confirmed within the time to miss it.
-    assertTrue(node.next("b", 100, 201).all());
-    node.arrived("b");
+    assertTrue(node.nextBatch("b", 100, 201).completesFullState());
+    node.onBatchAcknowledged("b");
     beat("b", V1, 2, true, 210);
-    assertTrue(node.next("b", 100, 210).all(), "it has started again");
-    node.arrived("b");
+    assertTrue(node.nextBatch("b", 100, 210).completesFullState(), "it has started again");
+    node.onBatchAcknowledged("b");
     beat("b", V1, 2, true, 400);
-    assertTrue(node.next("b", 100, 400).all(), "it was away");
+    assertTrue(node.nextBatch("b", 100, 400).completesFullState(), "it was away");
   }
 
   @Test
--- a/src/test/java/fawndock/counter/replication/ReplicaTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicationPropertyTest.java
@@ -16,8 +16,8 @@
  * Schedules of breaks by seed; a failing one is told by its seed, and {@code new Schedule(seed)}
  * plays it again.
  */
-class ReplicaTest {
-  private static final long SPAN = 3 * Fleet.WINDOW;
+class ReplicationPropertyTest {
+  private static final long SPAN = 3 * ClusterSimulation.WINDOW;
 
   /**
    * What the weighted estimate over two windows lets through at this demand with no break at all,
@@ -37,12 +37,12 @@
    * 60 a second.
    */
   private static double errs(double rateSeconds) {
-    return 2 / Math.sqrt(2 * Fleet.LIMIT * rateSeconds);
+    return 2 / Math.sqrt(2 * ClusterSimulation.LIMIT * rateSeconds);
   }
 
   /** One or two breaks at random, which may overlap, then mended, then what must hold. */
   private static final class Schedule {
-    final Fleet fleet;
+    final ClusterSimulation fleet;
     final SplittableRandom random;
     final long seed;
     long splitMillis;
@@ -51,7 +51,7 @@
 
     Schedule(long seed) {
       this.seed = seed;
-      fleet = new Fleet(seed);
+      fleet = new ClusterSimulation(seed);
       random = new SplittableRandom(~seed);
     }
 
@@ -63,7 +63,7 @@
       }
       fleet.run(3_300);
       fleet.run(1_200);
-      long number = fleet.now / Fleet.WINDOW;
+      long number = fleet.now / ClusterSimulation.WINDOW;
       fleet.quiet = true;
       fleet.run(400);
       for (String customer : fleet.demand.keySet()) {
@@ -78,8 +78,8 @@
     }
 
     private void strike() {
-      String id = "n" + random.nextInt(Fleet.NODES);
-      Fleet.Node node = fleet.nodes.get(id);
+      String id = "n" + random.nextInt(ClusterSimulation.NODES);
+      ClusterSimulation.SimulatedNode node = fleet.nodes.get(id);
       long length = 100 + random.nextInt(2_000);
       int kind = random.nextInt(8);
       breaks.add(
@@ -102,14 +102,14 @@
           List<String> there = new ArrayList<>(List.of(id));
           List<String> here = new ArrayList<>(fleet.nodes.keySet());
           here.remove(id);
-          for (int g = 0; g < Fleet.GATEKEEPERS; g++) {
+          for (int g = 0; g < ClusterSimulation.GATEWAYS; g++) {
             (random.nextBoolean() ? here : there).add("g" + g);
           }
           fleet.cut(here, there, true, true);
           fleet.after(length, () -> fleet.cut(here, there, true, false));
         }
         case 3 -> {
-          List<String> other = List.of("n" + random.nextInt(Fleet.NODES));
+          List<String> other = List.of("n" + random.nextInt(ClusterSimulation.NODES));
           fleet.cut(List.of(id), other, false, true);
           fleet.after(length, () -> fleet.cut(List.of(id), other, false, false));
         }
@@ -125,7 +125,9 @@
         default -> {
           if (fleet.list == fleet.settings) {
             fleet.replace(
-                id, "n" + (Integer.parseInt(id.substring(1)) + 1) % Fleet.NODES, length / 20);
+                id,
+                "n" + (Integer.parseInt(id.substring(1)) + 1) % ClusterSimulation.NODES,
+                length / 20);
           }
         }
       }
@@ -136,21 +138,22 @@
      * them.
      */
     private void judge(String name) {
-      Fleet.Node first = fleet.nodes.get(fleet.list.get(0));
-      for (Fleet.Node node : fleet.list.stream().map(fleet.nodes::get).toList()) {
-        if (!node.node.ready()) {
+      ClusterSimulation.SimulatedNode first = fleet.nodes.get(fleet.list.get(0));
+      for (ClusterSimulation.SimulatedNode node :
+          fleet.list.stream().map(fleet.nodes::get).toList()) {
+        if (!node.node.isReady()) {
           wrong.add(node.id + " does not answer after all was mended");
         }
         ReplicatedSums sums = new ReplicatedSums(new CounterOperations(node.table, Long.MAX_VALUE));
         double all = 0;
-        for (Fleet.Gate gate : fleet.gates) {
+        for (ClusterSimulation.SimulatedGateway gate : fleet.gates) {
           int[] told = gate.acknowledged.getOrDefault(name, new int[2]);
-          ReplicatedSum has = sums.of(name, gate.origin(), node.clock());
+          ReplicatedSum has = sums.sumOf(name, gate.origin(), node.clock());
           ReplicatedSum other =
               new ReplicatedSums(new CounterOperations(first.table, Long.MAX_VALUE))
-                  .of(name, gate.origin(), first.clock());
-          long plus = has == null ? 0 : has.plus().digits();
-          long minus = has == null ? 0 : has.minus().digits();
+                  .sumOf(name, gate.origin(), first.clock());
+          long plus = has == null ? 0 : has.added().digits();
+          long minus = has == null ? 0 : has.withdrawn().digits();
           all += plus - minus;
           if (plus < told[0] || minus < told[1]) {
             wrong.add(
@@ -170,7 +173,8 @@
           }
           if (has != null
               && other != null
-              && (!has.plus().equals(other.plus()) || !has.minus().equals(other.minus()))) {
+              && (!has.added().equals(other.added())
+                  || !has.withdrawn().equals(other.withdrawn()))) {
             wrong.add(node.id + " and " + first.id + " do not agree on " + name + " of " + gate.id);
           }
         }
@@ -193,7 +197,7 @@
             .parallel()
             .mapToDouble(
                 seed -> {
-                  Fleet fleet = new Fleet(seed);
+                  ClusterSimulation fleet = new ClusterSimulation(seed);
                   fleet.run(6_000);
                   return fleet.most("over", SPAN);
                 })
@@ -213,7 +217,7 @@
             .parallel()
             .mapToDouble(
                 seed -> {
-                  Fleet fleet = new Fleet(seed);
+                  ClusterSimulation fleet = new ClusterSimulation(seed);
                   fleet.run(20_000);
                   double before = fleet.rate("over", 8_000);
                   fleet.cut(List.of("n0", "g0", "g1"), List.of("n1", "n2", "g2", "g3"), true, true);
--- a/src/test/java/fawndock/counter/storage/CrashTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 
 /** Counts, group commit, log, snapshots and recovery together, on a disk that fails. */
-class CrashTest {
+class CrashRecoveryTest {
   private static final int NAMES = 40;
 
   /**
@@ -25,7 +25,7 @@
    * last.
    */
   private static final class Life {
-    final SimDisk disk;
+    final SimulatedStorage disk;
     final SplittableRandom random;
     final CounterTable table;
     final CounterOperations counts;
@@ -44,24 +44,24 @@
 
     long time;
     LogWriter log;
-    GroupCommit.Work work;
-    GroupCommit.Work offered;
+    GroupCommit.LogWork work;
+    GroupCommit.LogWork offered;
     SnapshotWriter snapshot;
     SnapshotIterator walk;
-    Iterator<SnapshotIterator.Part> parts;
+    Iterator<SnapshotIterator.SnapshotPart> parts;
     long covered;
     long walkedTo = -1;
 
-    Life(SimDisk disk, SplittableRandom random, long time) throws IOException {
+    Life(SimulatedStorage disk, SplittableRandom random, long time) throws IOException {
       this.disk = disk;
       this.random = random;
       table = new CounterTable(random.nextLong(), 8);
       counts = new CounterOperations(table, Long.MAX_VALUE);
-      Recovery.Found found = Recovery.recover(disk, table, bytes -> {});
-      this.time = Math.max(time, found.time());
+      Recovery.Result found = Recovery.recover(disk, table, bytes -> {});
+      this.time = Math.max(time, found.latestTimeMillis());
       states.put(0L, state(table, this.time));
       acknowledged.add(0L);
-      anew(found.sequence());
+      anew(found.lastSequence());
     }
 
     /**
@@ -72,17 +72,17 @@
       anew.add(state(table, Long.MIN_VALUE));
       SnapshotWriter all = new SnapshotWriter(disk, sequence);
       SnapshotIterator through = new SnapshotIterator(table);
-      for (List<SnapshotIterator.Part> piece = through.next(time);
+      for (List<SnapshotIterator.SnapshotPart> piece = through.next(time);
           !piece.isEmpty();
           piece = through.next(time)) {
-        for (SnapshotIterator.Part part : piece) {
-          all.write(part.changes(), part.names(), time);
+        for (SnapshotIterator.SnapshotPart part : piece) {
+          all.write(part.changes(), part.nameCount(), time);
         }
       }
       all.finish(time);
       log = new LogWriter(disk, sequence);
-      SnapshotWriter.clean(disk, sequence);
-      commit.resumed();
+      SnapshotWriter.deleteObsoleteFiles(disk, sequence);
+      commit.onResumed();
     }
 
     void step() throws IOException {
@@ -93,7 +93,7 @@
         case 3 -> snapshot();
         case 4 -> {
           disk.failingSyncs = random.nextInt(40) == 0 ? 1 : disk.failingSyncs;
-          disk.room = random.nextInt(10) > 0 ? Long.MAX_VALUE : random.nextInt(200);
+          disk.freeBytes = random.nextInt(10) > 0 ? Long.MAX_VALUE : random.nextInt(200);
         }
         default -> change();
       }
@@ -103,39 +103,43 @@
       openGroup();
       byte[] name = ("n" + random.nextInt(NAMES)).getBytes(StandardCharsets.UTF_8);
       try {
-        ChangeRecord to = commit.room(2 * CounterOperations.bytes(name));
+        ChangeRecord to = commit.reserve(2 * CounterOperations.maxChangeBytes(name));
         switch (random.nextInt(8)) {
           case 0 -> counts.delete(name, time, to);
           case 1 ->
               counts.expire(
-                  name, time + random.nextInt(20), CounterOperations.When.ALWAYS, time, to);
+                  name,
+                  time + random.nextInt(20),
+                  CounterOperations.ExpiryCondition.ALWAYS,
+                  time,
+                  to);
           case 2 ->
               counts.add(name, new DecimalAmount(random.nextInt(-500, 500), true), 30, time, to);
           default -> counts.add(name, new DecimalAmount(random.nextInt(9), false), 0, time, to);
         }
-        states.put(commit.open(), state(table, Long.MIN_VALUE));
+        states.put(commit.openGroup(), state(table, Long.MIN_VALUE));
       } catch (CommandException e) {
         // Refused: nothing has changed.
       }
-      table.sweep(time, 3);
+      table.sweepExpired(time, 3);
     }
 
     void begin() {
       openGroup();
       if (work == null) {
-        work = commit.next(time);
+        work = commit.nextWork(time);
       } else {
-        offered = commit.offer(time);
+        offered = commit.offerOpenGroup(time);
       }
     }
 
     /** As the event loop does: it withdraws what was offered, or finds it taken. */
     void openGroup() {
       if (commit.offered() && offered != null) {
-        commit.withdrawn();
+        commit.onOfferWithdrawn();
         offered = null;
       } else if (commit.offered()) {
-        commit.taken();
+        commit.onOfferTaken();
       }
     }
 
@@ -146,16 +150,16 @@
       try {
         log.append(work.record());
         log.sync();
-        GroupCommit.Work next = random.nextBoolean() ? offered : null;
+        GroupCommit.LogWork next = random.nextBoolean() ? offered : null;
         offered = next == null ? offered : null;
-        commit.done(work.number());
+        commit.onWorkDone(work.groupNumber());
         anew.clear();
-        acknowledged.add(work.number());
+        acknowledged.add(work.groupNumber());
         work = next;
         return;
       } catch (IOException e) {
-        commit.stalled("disk");
-        if (!log.failed()) {
+        commit.onStalled("disk");
+        if (!log.isAbandoned()) {
           return; // Tried again.
         }
         if (snapshot != null) {
@@ -163,39 +167,39 @@
           snapshot = null;
         }
         openGroup();
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         disk.failingSyncs = 0;
-        anew(log.sequence());
+        anew(log.lastSequence());
       }
-      acknowledged.add(work.number());
+      acknowledged.add(work.groupNumber());
       work = null;
     }
 
     void snapshot() throws IOException {
       try {
         if (snapshot == null) {
-          if (work == null && !log.failed()) {
+          if (work == null && !log.isAbandoned()) {
             covered = log.roll();
             snapshot = new SnapshotWriter(disk, covered);
             walk = new SnapshotIterator(table);
             parts = walk.next(time).iterator();
-            walkedTo = commit.open();
+            walkedTo = commit.openGroup();
           }
         } else if (parts.hasNext()) {
-          SnapshotIterator.Part part = parts.next();
-          snapshot.write(part.changes(), part.names(), time);
+          SnapshotIterator.SnapshotPart part = parts.next();
+          snapshot.write(part.changes(), part.nameCount(), time);
         } else if (walkedTo >= 0 && walkedTo < acknowledged.get(acknowledged.size() - 1)) {
           SnapshotWriter ending = snapshot;
           snapshot = null;
           ending.finish(time);
-          SnapshotWriter.clean(disk, covered);
+          SnapshotWriter.deleteObsoleteFiles(disk, covered);
         }
       } catch (IOException e) {
         snapshot = null;
-        if (log.failed()) {
-          disk.room = Long.MAX_VALUE;
+        if (log.isAbandoned()) {
+          disk.freeBytes = Long.MAX_VALUE;
           disk.failingSyncs = 0;
-          anew(log.sequence());
+          anew(log.lastSequence());
         }
       }
     }
@@ -204,7 +208,7 @@
   private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> all = new TreeMap<>();
     for (int i = 0; i < table.shards(); i++) {
-      table.visit(
+      table.visitShard(
           i,
           now,
           (name, amount, expiry) ->
@@ -228,13 +232,13 @@
   @Property(tries = 1_000, seed = "15", edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
   void whatWasAcknowledgedIsFoundAgain(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
-    SimDisk disk = new SimDisk(random.nextLong());
+    SimulatedStorage disk = new SimulatedStorage(random.nextLong());
     Life life = null;
     long time = 1_000;
     for (int crash = 0; crash < 5; crash++) {
       Life before = life;
-      disk.callsLeft = -1;
-      disk.room = Long.MAX_VALUE;
+      disk.callsUntilCrash = -1;
+      disk.freeBytes = Long.MAX_VALUE;
       disk.failingSyncs = 0;
       life = new Life(disk, random, time);
       if (before != null) {
@@ -247,12 +251,12 @@
         before.states.tailMap(from, false).values().forEach(s -> may.add(alive(s, now)));
         assertTrue(may.contains(found), () -> "found " + found + "\nwhich is none of " + may);
       }
-      disk.callsLeft = random.nextInt(300);
+      disk.callsUntilCrash = random.nextInt(300);
       try {
         for (int i = 0; i < 400; i++) {
           life.step();
         }
-      } catch (SimDisk.Crash e) {
+      } catch (SimulatedStorage.Crash e) {
         // Gone.
       }
       time = life.time - random.nextInt(50); // The wall clock may have been set back.
@@ -260,13 +264,13 @@
     }
   }
 
-  private static SimDisk written(int records) throws IOException {
-    SimDisk disk = new SimDisk(1);
+  private static SimulatedStorage written(int records) throws IOException {
+    SimulatedStorage disk = new SimulatedStorage(1);
     LogWriter log = new LogWriter(disk, 0);
     for (int i = 0; i < records; i++) {
       ChangeRecord changes = new ChangeRecord(64);
-      changes.set(new byte[] {'n'}, new DecimalAmount(i + 1, false), 0);
-      log.append(changes.record(i));
+      changes.putAmount(new byte[] {'n'}, new DecimalAmount(i + 1, false), 0);
+      log.append(changes.toRecord(i));
       log.sync();
     }
     return disk;
@@ -274,22 +278,22 @@
 
   @Example
   void aTornLastRecordIsCutOffAndReported() throws IOException {
-    SimDisk disk = written(3);
-    String name = LogFormat.Kind.SEGMENT.file(1);
-    disk.rot(name, (int) disk.open(name).size() - 1);
+    SimulatedStorage disk = written(3);
+    String name = LogFormat.FileKind.SEGMENT.fileName(1);
+    disk.flipBit(name, (int) disk.open(name).size() - 1);
     CounterTable table = new CounterTable(1);
-    Recovery.Found found = Recovery.recover(disk, table, b -> {});
-    assertEquals(2, found.sequence());
+    Recovery.Result found = Recovery.recover(disk, table, b -> {});
+    assertEquals(2, found.lastSequence());
     assertEquals(new DecimalAmount(2, false), table.get(new byte[] {'n'}, 0));
     assertEquals(
-        List.of(name + ": cut off 44 bytes of a torn record at offset 104"), found.reports());
+        List.of(name + ": cut off 44 bytes of a torn record at offset 104"), found.warnings());
     assertEquals(104, disk.open(name).size());
   }
 
   @Example
   void damageBeforeTheEndIsNotStartedOn() throws IOException {
-    SimDisk disk = written(3);
-    disk.rot(LogFormat.Kind.SEGMENT.file(1), 16 + 44 + 30);
+    SimulatedStorage disk = written(3);
+    disk.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 16 + 44 + 30);
     IOException e =
         assertThrows(
             CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
@@ -300,7 +304,7 @@
 
   @Example
   void aMissingSegmentIsDamage() throws IOException {
-    SimDisk disk = written(2);
+    SimulatedStorage disk = written(2);
     LogWriter later = new LogWriter(disk, 5);
     later.close();
     assertThrows(
@@ -313,45 +317,45 @@
    */
   @Example
   void aSegmentIsDurableBeforeTheNextBegins() throws IOException {
-    SimDisk disk = new SimDisk(1);
+    SimulatedStorage disk = new SimulatedStorage(1);
     LogWriter log = new LogWriter(disk, 0);
     for (int i = 0; i < 40; i++) {
       ChangeRecord changes = new ChangeRecord(64);
-      changes.set(new byte[] {(byte) i}, DecimalAmount.ZERO, 0);
-      log.append(changes.record(i));
+      changes.putAmount(new byte[] {(byte) i}, DecimalAmount.ZERO, 0);
+      log.append(changes.toRecord(i));
     }
     log.roll();
     disk.crash();
-    assertEquals(40, Recovery.recover(disk, new CounterTable(1), b -> {}).sequence());
+    assertEquals(40, Recovery.recover(disk, new CounterTable(1), b -> {}).lastSequence());
   }
 
   @Example
   void aDamagedSnapshotIsLeftAsideAndTheLogReadInstead() throws IOException {
-    SimDisk disk = written(3);
+    SimulatedStorage disk = written(3);
     CounterTable table = new CounterTable(1);
     Recovery.recover(disk, table, b -> {});
     SnapshotWriter snapshot = new SnapshotWriter(disk, 3);
     snapshot.write(new SnapshotIterator(table).next(0).get(0).changes(), 1, 0);
     snapshot.finish(0);
-    disk.rot(LogFormat.Kind.SNAPSHOT.file(3), 16 + 44 + 30); // In its end.
+    disk.flipBit(LogFormat.FileKind.SNAPSHOT.fileName(3), 16 + 44 + 30); // In its end.
     CounterTable again = new CounterTable(1);
-    Recovery.Found found = Recovery.recover(disk, again, b -> {});
-    assertEquals(3, found.sequence());
+    Recovery.Result found = Recovery.recover(disk, again, b -> {});
+    assertEquals(3, found.lastSequence());
     assertEquals(
-        List.of("snapshot-00000000000000000003.snap: not whole, left aside"), found.reports());
+        List.of("snapshot-00000000000000000003.snap: not whole, left aside"), found.warnings());
     assertEquals(new DecimalAmount(3, false), again.get(new byte[] {'n'}, 0));
   }
 
   @Example
   void nothingIsAppendedAfterAFailedSync() throws IOException {
-    SimDisk disk = new SimDisk(1);
+    SimulatedStorage disk = new SimulatedStorage(1);
     LogWriter log = new LogWriter(disk, 0);
     ChangeRecord changes = new ChangeRecord(64);
-    changes.deleted(new byte[] {'n'});
-    log.append(changes.record(0));
+    changes.putDeleted(new byte[] {'n'});
+    log.append(changes.toRecord(0));
     disk.failingSyncs = 1;
     assertThrows(IOException.class, log::sync);
     assertThrows(IOException.class, log::sync);
-    assertThrows(IOException.class, () -> log.append(changes.record(0)));
+    assertThrows(IOException.class, () -> log.append(changes.toRecord(0)));
   }
 }
--- a/src/test/java/fawndock/counter/storage/SimDisk.java
+++ b/src/test/java/fawndock/counter/storage/SimulatedStorage.java
@@ -14,7 +14,7 @@
  * unsynced change of the directory, is there or not by itself. It can be full, fail a sync and lose
  * what that covered, and crash at any call.
  */
-public final class SimDisk implements Storage {
+public final class SimulatedStorage implements Storage {
   /** The process is gone. */
   public static final class Crash extends Error {
     private static final long serialVersionUID = 1L;
@@ -22,49 +22,49 @@
 
   private static final int SECTOR = 32;
 
-  private static final class Node {
+  private static final class FileContent {
     byte[] seen = new byte[0];
     byte[] kept = new byte[0];
     final List<long[]> unsynced = new ArrayList<>(); // From and to, or a size cut to and -1.
   }
 
   private final SplittableRandom random;
-  private Map<String, Node> seen = new HashMap<>();
-  private final Map<String, Node> kept = new HashMap<>();
+  private Map<String, FileContent> seen = new HashMap<>();
+  private final Map<String, FileContent> kept = new HashMap<>();
   private final List<Runnable> unsynced = new ArrayList<>();
 
   /** Bytes that can still be written. */
-  public long room = Long.MAX_VALUE;
+  public long freeBytes = Long.MAX_VALUE;
 
   /** Syncs of files that fail from now on. */
   public int failingSyncs;
 
   /** Calls until the crash; below 0 for none. */
-  public int callsLeft = -1;
+  public int callsUntilCrash = -1;
 
-  public SimDisk(long seed) {
+  public SimulatedStorage(long seed) {
     random = new SplittableRandom(seed);
   }
 
   private void call() {
-    if (callsLeft >= 0 && callsLeft-- == 0) {
+    if (callsUntilCrash >= 0 && callsUntilCrash-- == 0) {
       throw new Crash();
     }
   }
 
   /** What is left after the crash: the disk goes on as that. */
   public void crash() {
-    callsLeft = -1;
+    callsUntilCrash = -1;
     unsynced.stream().filter(op -> random.nextBoolean()).forEach(Runnable::run);
     unsynced.clear();
     seen = new HashMap<>(kept);
-    for (Node node : seen.values()) {
+    for (FileContent node : seen.values()) {
       persist(node);
       node.seen = node.kept.clone();
     }
   }
 
-  private void persist(Node node) {
+  private void persist(FileContent node) {
     for (long[] op : node.unsynced) {
       if (op[1] < 0) {
         node.kept =
@@ -91,21 +91,21 @@
 
   @Override
   public File create(String name) {
-    Node node = new Node();
+    FileContent node = new FileContent();
     seen.put(name, node);
     unsynced.add(() -> kept.put(name, node));
     call();
-    return new Open(node);
+    return new OpenFile(node);
   }
 
   @Override
   public File open(String name) {
-    return new Open(seen.get(name));
+    return new OpenFile(seen.get(name));
   }
 
   @Override
   public void rename(String from, String to) {
-    Node node = seen.remove(from);
+    FileContent node = seen.remove(from);
     seen.put(to, node);
     unsynced.add(
         () -> {
@@ -131,15 +131,15 @@
   }
 
   /** Changes a byte on the disk itself. */
-  public void rot(String name, int at) {
+  public void flipBit(String name, int at) {
     seen.get(name).seen[at] ^= 1;
     seen.get(name).kept[at] ^= 1;
   }
 
-  private final class Open implements File {
-    private final Node node;
+  private final class OpenFile implements File {
+    private final FileContent node;
 
-    Open(Node node) {
+    OpenFile(FileContent node) {
       this.node = node;
     }
 
@@ -158,8 +158,8 @@
     @Override
     public void write(ByteBuffer from, long at) throws IOException {
       int wanted = from.remaining();
-      int many = (int) Math.min(wanted, room);
-      room -= room == Long.MAX_VALUE ? 0 : many;
+      int many = (int) Math.min(wanted, freeBytes);
+      freeBytes -= freeBytes == Long.MAX_VALUE ? 0 : many;
       node.seen = Arrays.copyOf(node.seen, (int) Math.max(node.seen.length, at + many));
       from.get(node.seen, (int) at, many);
       node.unsynced.add(new long[] {at, at + many});
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.counter.CounterServer;
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.fake.FakeCounterServer;
 import fawndock.policy.action.AddToCounter;
@@ -103,7 +103,7 @@
   /** Add, expiry and total are one command where the server knows it. */
   @Test
   void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
-    try (FileDisk disk = new FileDisk(directory, true)) {
+    try (FileStorage disk = new FileStorage(directory, true)) {
       CounterServer own =
           own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
       port = own.start(bytes -> {});
@@ -125,7 +125,7 @@
   /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
   @Test
   void silentNodesAreStoodInFor(@TempDir Path directory) throws Exception {
-    try (FileDisk disk = new FileDisk(directory, true);
+    try (FileStorage disk = new FileStorage(directory, true);
         ServerSocket one = new ServerSocket(0);
         ServerSocket two = new ServerSocket(0)) {
       CounterServer own =
@@ -158,8 +158,8 @@
    */
   @Test
   void aNewListOfNodesIsTaken(@TempDir Path directory) throws Exception {
-    try (FileDisk old = new FileDisk(directory.resolve("old"), true);
-        FileDisk fresh = new FileDisk(directory.resolve("fresh"), true)) {
+    try (FileStorage old = new FileStorage(directory.resolve("old"), true);
+        FileStorage fresh = new FileStorage(directory.resolve("fresh"), true)) {
       CounterServer off =
           own(
               old,
@@ -194,7 +194,7 @@
     }
   }
 
-  private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Fleet fleet) {
+  private static CounterServer own(FileStorage disk, Path directory, CounterSettings.Fleet fleet) {
     return new CounterServer(
         new CounterSettings(
             new Address("127.0.0.1", 0),
