--- a/src/main/java/fawndock/counter/ClientConnection.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -104,7 +104,7 @@
     boolean incomplete =
         !isBackpressured()
             && many < MAX_COMMANDS_PER_TURN
-            && (reader.within() || input.isReadable());
+            && (reader.isWithinCommand() || input.isReadable());
     stalledSinceNanos =
         !incomplete
             ? 0
