--- a/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
+++ b/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
@@ -21,6 +21,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
@@ -60,7 +61,8 @@
   private final ArrayDeque<PolicyAction> todo = new ArrayDeque<>();
   private final ArrayDeque<Long> due = new ArrayDeque<>();
   private final ArrayDeque<PolicyTimer> timers = new ArrayDeque<>();
-  private final Map<String, Double> load = Map.of("utilization", 0.5, "queue", 1.0);
+  private final LoadReport load =
+      new LoadReport.Builder().utilization(0.5).queuedRequests(1).build();
   private final Map<String, Double> totals =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
--- a/src/main/java/fawndock/gateway/GatekeeperNode.java
+++ b/src/main/java/fawndock/gateway/GatekeeperNode.java
@@ -21,7 +21,6 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.RequestOptions;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
@@ -225,7 +224,9 @@
     long startedAt = host.clock().now();
     RequestOptions target = target(server);
     if (target == null) {
-      host.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+      host.onEvent(
+          new HealthCheckCompleted(
+              server, 0, CallResult.NOT_SENT, fawndock.policy.event.LoadReport.NONE));
       return;
     }
     target.setURI("/healthz").setTimeout(1_000);
@@ -242,7 +243,7 @@
                             ? CallResult.TIMEOUT
                             : Ends.answered(done.result().statusCode()),
                         done.failed()
-                            ? Map.of()
+                            ? fawndock.policy.event.LoadReport.NONE
                             : LoadReport.parse(done.result().getHeader(LoadReport.HEADER))
                                 .load())));
   }
--- a/src/main/java/fawndock/gateway/LoadReport.java
+++ b/src/main/java/fawndock/gateway/LoadReport.java
@@ -20,24 +20,15 @@
   private static final int LONGEST = 4096;
   private static final int MOST = 64;
   private static final JsonFactory JSON = new JsonFactory();
-  private static final Map<String, String> NAMES =
-      Map.of(
-          "cpu_utilization", "utilization",
-          "application_utilization", "utilization",
-          "rps_fractional", "throughput",
-          "eps", "errors",
-          "named_metrics.queue", "queue",
-          "named_metrics.in_flight", "inFlight",
-          "named_metrics.recent_ms", "recentMillis");
   private static final String COST = "request_cost.units";
 
   /**
    * What the gatekeeper is told, and the true units of this request when the worker says them, else
    * 0.
    */
-  record Report(Map<String, Double> load, double units) {}
+  record Report(fawndock.policy.event.LoadReport load, double units) {}
 
-  static final Report NONE = new Report(Map.of(), 0);
+  static final Report NONE = new Report(fawndock.policy.event.LoadReport.NONE, 0);
 
   private LoadReport() {}
 
@@ -57,14 +48,29 @@
     } else {
       return NONE;
     }
-    Map<String, Double> load = new HashMap<>();
+    var load = new fawndock.policy.event.LoadReport.Builder();
     raw.forEach(
         (name, value) -> {
-          if (NAMES.containsKey(name) && value >= 0) {
-            load.put(NAMES.get(name), value);
+          if (value >= 0) {
+            set(name, value, load);
           }
         });
-    return new Report(load, Math.max(0, raw.getOrDefault(COST, 0.0)));
+    return new Report(load.build(), Math.max(0, raw.getOrDefault(COST, 0.0)));
+  }
+
+  private static void set(
+      String name, double value, fawndock.policy.event.LoadReport.Builder load) {
+    switch (name) {
+      case "cpu_utilization", "application_utilization" -> load.utilization(value);
+      case "rps_fractional" -> load.requestsPerSecond(value);
+      case "eps" -> load.errorsPerSecond(value);
+      case "named_metrics.queue" -> load.queuedRequests(value);
+      case "named_metrics.in_flight" -> load.inFlightRequests(value);
+      case "named_metrics.recent_ms" -> load.recentMillis(value);
+      default -> {
+        // Not known: skipped, as stated above.
+      }
+    }
   }
 
   private static void pairs(String text, Map<String, Double> raw) {
--- a/src/main/java/fawndock/gateway/QuotaHost.java
+++ b/src/main/java/fawndock/gateway/QuotaHost.java
@@ -159,7 +159,9 @@
   private void settle(long id, double units) {
     String caller = allowed.remove(id);
     if (caller != null) {
-      tell(new AttemptCompleted(id, 0, caller, 1, CallResult.OK, true, units, Map.of()));
+      tell(
+          new AttemptCompleted(
+              id, 0, caller, 1, CallResult.OK, true, units, fawndock.policy.event.LoadReport.NONE));
     }
   }
 
--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -1,10 +1,10 @@
 package fawndock.platform;
 
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import fawndock.runtime.InFlightAttempt;
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.PolicyRunner;
-import java.util.Map;
 
 /**
  * One attempt at a worker, on a connection that carries nothing else meanwhile: giving it up ends
@@ -40,7 +40,7 @@
     pools.lease(endpointId, this);
   }
 
-  private void finish(CallResult how, Map<String, Double> load, double units) {
+  private void finish(CallResult how, LoadReport load, double units) {
     if (result() == null) {
       pools.figures().recordAttempt(endpointId, how);
       complete(how, load, units);
@@ -48,7 +48,7 @@
   }
 
   private void finish(CallResult how) {
-    finish(how, Map.of(), 0);
+    finish(how, LoadReport.NONE, 0);
   }
 
   /** Nobody has told the worker's address. */
--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -2,6 +2,7 @@
 
 import fawndock.platformconfig.SettingsReader;
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import fawndock.resp.Reply;
 import java.util.HashMap;
 import java.util.Locale;
@@ -13,25 +14,21 @@
  * itself.
  *
  * @param value what the client is served, or null
- * @param load the load report under the decisions' names
+ * @param load the load report
  * @param units the true units, or 0 where nothing is said
  * @param isConnectionReusable whether the connection is of further use
  */
 record BackendReply(
-    CallResult result,
-    byte[] value,
-    Map<String, Double> load,
-    double units,
-    boolean isConnectionReusable) {
+    CallResult result, byte[] value, LoadReport load, double units, boolean isConnectionReusable) {
   private static final int PARTS = 3;
   private static final int MOST_FIELDS = 32;
   private static final BackendReply SPOILT =
-      new BackendReply(CallResult.ERROR, null, Map.of(), 0, false);
+      new BackendReply(CallResult.ERROR, null, LoadReport.NONE, 0, false);
 
   static BackendReply of(Reply reply) {
     if (reply.isError()) {
       String text = reply.text();
-      Map<String, Double> load =
+      LoadReport load =
           SettingsReader.load(parseNumbers(text.substring(text.lastIndexOf(' ') + 1)));
       boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
       // Only the error that the table names is known to leave the connection in order.
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -9,6 +9,7 @@
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.runtime.InFlightAttempt;
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.MicroClock;
@@ -21,7 +22,6 @@
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import org.slf4j.Logger;
@@ -275,6 +275,6 @@
 
   @Override
   public void startHealthCheck(String server) {
-    runner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+    runner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, LoadReport.NONE));
   }
 }
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -9,26 +9,11 @@
 import fawndock.policy.config.PolicyConfig;
 import fawndock.policy.config.RequestClass;
 import fawndock.policy.config.ServiceRules;
-import java.util.LinkedHashMap;
+import fawndock.policy.event.LoadReport;
 import java.util.Map;
 
 /** Reads the settings object and its words. */
 public final class SettingsReader {
-  private static final Map<String, String> LOAD_NAMES =
-      Map.of(
-          "outstanding",
-          "inFlight",
-          "backlog",
-          "queue",
-          "utilization",
-          "utilization",
-          "recent_ms",
-          "recentMillis",
-          "throughput",
-          "throughput",
-          "errors_per_s",
-          "errors");
-
   private SettingsReader() {}
 
   /**
@@ -99,21 +84,35 @@
         p.numberOr("tolerance", 0));
   }
 
-  /** A load report under the names that decisions know; what they do not know is left out. */
-  public static Map<String, Double> load(JsonObject stats) {
+  /** A load report; figures that are not known are left out. */
+  public static LoadReport load(JsonObject stats) {
     return load(stats.all());
   }
 
   /** The same of plain names and values; those that are no numbers are left out. */
-  public static Map<String, Double> load(Map<String, ?> stats) {
-    Map<String, Double> load = new LinkedHashMap<>();
+  public static LoadReport load(Map<String, ?> stats) {
+    LoadReport.Builder load = new LoadReport.Builder();
     stats.forEach(
         (name, value) -> {
-          if (LOAD_NAMES.containsKey(name) && value instanceof Number number) {
-            load.put(LOAD_NAMES.get(name), number.doubleValue());
+          if (value instanceof Number number) {
+            setLoad(name, number.doubleValue(), load);
           }
         });
-    return load;
+    return load.build();
+  }
+
+  private static void setLoad(String name, double value, LoadReport.Builder load) {
+    switch (name) {
+      case "outstanding" -> load.inFlightRequests(value);
+      case "backlog" -> load.queuedRequests(value);
+      case "utilization" -> load.utilization(value);
+      case "recent_ms" -> load.recentMillis(value);
+      case "throughput" -> load.requestsPerSecond(value);
+      case "errors_per_s" -> load.errorsPerSecond(value);
+      default -> {
+        // Not known to the policy.
+      }
+    }
   }
 
   /** The constant that a word names, whatever its case. */
--- a/src/main/java/fawndock/policy/event/AttemptCompleted.java
+++ b/src/main/java/fawndock/policy/event/AttemptCompleted.java
@@ -1,7 +1,5 @@
 package fawndock.policy.event;
 
-import java.util.Map;
-
 /** An attempt ended; {@code isFinal} says that the request has had its final answer. */
 public record AttemptCompleted(
     long requestId,
@@ -11,5 +9,5 @@
     CallResult result,
     boolean isFinal,
     double settledUnits,
-    Map<String, Double> load)
+    LoadReport load)
     implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/HealthCheckCompleted.java
+++ b/src/main/java/fawndock/policy/event/HealthCheckCompleted.java
@@ -1,8 +1,6 @@
 package fawndock.policy.event;
 
-import java.util.Map;
-
 /** A probe ended. */
 public record HealthCheckCompleted(
-    String endpointId, long latencyMicros, CallResult result, Map<String, Double> load)
+    String endpointId, long latencyMicros, CallResult result, LoadReport load)
     implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/routing/ReportedLoad.java
+++ b/src/main/java/fawndock/policy/routing/ReportedLoad.java
@@ -1,6 +1,6 @@
 package fawndock.policy.routing;
 
-import java.util.Map;
+import fawndock.policy.event.LoadReport;
 
 /** What one endpoint last reported of its load, without this instance's own attempts. */
 final class ReportedLoad {
@@ -12,15 +12,16 @@
   private double load;
   private long reportedAtMicros = Long.MIN_VALUE / 2;
 
-  void record(Map<String, Double> report, double ownInFlight, long nowMicros) {
-    if (report.isEmpty()) {
+  void record(LoadReport report, double ownInFlight, long nowMicros) {
+    if (report.isNone()) {
       return;
     }
     double otherAttempts =
         Math.max(
-            report.getOrDefault("queue", 0.0), report.getOrDefault("inFlight", 0.0) - ownInFlight);
+            LoadReport.orZero(report.queuedRequests()),
+            LoadReport.orZero(report.inFlightRequests()) - ownInFlight);
     load =
-        OTHER_ATTEMPTS_RATIO * Math.max(0, otherAttempts) + report.getOrDefault("utilization", 0.0);
+        OTHER_ATTEMPTS_RATIO * Math.max(0, otherAttempts) + LoadReport.orZero(report.utilization());
     reportedAtMicros = nowMicros;
   }
 
--- a/src/main/java/fawndock/runtime/InFlightAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -1,8 +1,7 @@
 package fawndock.runtime;
 
-import fawndock.policy.event.AttemptCompleted;
 import fawndock.policy.event.CallResult;
-import java.util.Map;
+import fawndock.policy.event.LoadReport;
 
 /**
  * One attempt of a request at an endpoint, independent of the protocol. It completes exactly once,
@@ -73,16 +72,16 @@
 
   /** Completes the attempt without a load report; does nothing when it has completed before. */
   protected final void complete(CallResult outcome) {
-    complete(outcome, Map.of(), 0);
+    complete(outcome, LoadReport.NONE, 0);
   }
 
   /**
    * Completes the attempt; does nothing when it has completed before.
    *
-   * @param load the endpoint's load report, by the names of {@link AttemptCompleted}
+   * @param load the endpoint's load report
    * @param units the request's true units where the endpoint reported them, else 0
    */
-  protected final void complete(CallResult outcome, Map<String, Double> load, double units) {
+  protected final void complete(CallResult outcome, LoadReport load, double units) {
     if (result != null) {
       return;
     }
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -18,6 +18,7 @@
 import fawndock.policy.event.ClientDisconnected;
 import fawndock.policy.event.CounterReply;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
@@ -242,7 +243,7 @@
       InFlightRequest request,
       InFlightAttempt attempt,
       long durationMicros,
-      Map<String, Double> load,
+      LoadReport load,
       double units) {
     request.activeAttemptCount--;
     onEvent(
--- a/src/main/java/fawndock/simulation/EmuGatekeeper.java
+++ b/src/main/java/fawndock/simulation/EmuGatekeeper.java
@@ -16,6 +16,7 @@
 import fawndock.policy.event.ClientDisconnected;
 import fawndock.policy.event.CounterReply;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PeerMessageReceived;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
@@ -191,7 +192,7 @@
     } else if (action instanceof CancelAttempt a) {
       Open open = requests.get(a.requestId());
       if (open != null) {
-        ended(open, a.attemptIndex(), 0, CallResult.CANCELLED, Map.of());
+        ended(open, a.attemptIndex(), 0, CallResult.CANCELLED, LoadReport.NONE);
       }
     } else if (action instanceof StartHealthCheck a) {
       probe(a.endpointId());
@@ -248,7 +249,7 @@
         || worker == null
         || number >= in.deployment.limits().maxAttempts()
         || abandonAt <= now) {
-      later(0, () -> ended(open, number, 0, CallResult.NOT_SENT, Map.of()));
+      later(0, () -> ended(open, number, 0, CallResult.NOT_SENT, LoadReport.NONE));
       return;
     }
     in.network.send(
@@ -260,12 +261,12 @@
                     in.network.send(
                         () -> ended(open, number, in.agenda.now() - now, result, load))));
     in.agenda.at(
-        abandonAt, () -> ended(open, number, in.agenda.now() - now, CallResult.TIMEOUT, Map.of()));
+        abandonAt,
+        () -> ended(open, number, in.agenda.now() - now, CallResult.TIMEOUT, LoadReport.NONE));
   }
 
   /** An attempt ended, unless it had already. */
-  private void ended(
-      Open open, int number, long took, CallResult result, Map<String, Double> load) {
+  private void ended(Open open, int number, long took, CallResult result, LoadReport load) {
     String server = open.out.remove(number);
     if (server == null || requests.get(open.request.requestId()) != open) {
       return;
@@ -337,6 +338,6 @@
                             worker != null && worker.up() && !worker.silent
                                 ? CallResult.OK
                                 : CallResult.TIMEOUT,
-                            Map.of()))));
+                            LoadReport.NONE))));
   }
 }
--- a/src/main/java/fawndock/simulation/EmuWorker.java
+++ b/src/main/java/fawndock/simulation/EmuWorker.java
@@ -3,11 +3,11 @@
 import fawndock.conformance.TraceEvent;
 import fawndock.fake.FakeBackend.Build;
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
@@ -20,9 +20,9 @@
   private static final class Work {
     final String request;
     final String key;
-    final BiConsumer<CallResult, Map<String, Double>> ended;
+    final BiConsumer<CallResult, LoadReport> ended;
 
-    Work(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
+    Work(String request, String key, BiConsumer<CallResult, LoadReport> ended) {
       this.request = request;
       this.key = key;
       this.ended = ended;
@@ -103,7 +103,7 @@
     lost.addAll(waiting);
     running.clear();
     waiting.clear();
-    lost.forEach(work -> work.ended.accept(CallResult.RESET, Map.of()));
+    lost.forEach(work -> work.ended.accept(CallResult.RESET, LoadReport.NONE));
   }
 
   boolean up() {
@@ -111,22 +111,22 @@
   }
 
   /** An attempt has arrived; told its end, or nothing when it is silent. */
-  void arrive(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
+  void arrive(String request, String key, BiConsumer<CallResult, LoadReport> ended) {
     if (!up) {
-      ended.accept(CallResult.CONNECT_FAILED, Map.of());
+      ended.accept(CallResult.CONNECT_FAILED, LoadReport.NONE);
       return;
     }
     if (leaks > 0
         && waiting.size() + running.size() + leaks * (agenda.now() - leaksSince) / 1e6
             >= build.cores() + build.queue()) {
-      ended.accept(CallResult.CONNECT_FAILED, Map.of());
+      ended.accept(CallResult.CONNECT_FAILED, LoadReport.NONE);
       return;
     }
     boolean refuse = waiting.size() >= build.queue();
     trace.add(new TraceEvent.Arrived(agenda.now(), request, id, life, refuse));
     if (pushedOver()) {
       crash();
-      ended.accept(CallResult.RESET, Map.of());
+      ended.accept(CallResult.RESET, LoadReport.NONE);
     } else if (refuse) {
       ended.accept(CallResult.SHED, load());
     } else if (!silent) {
@@ -192,13 +192,11 @@
     work.ended.accept(random.nextDouble() < errs ? CallResult.ERROR : CallResult.OK, load());
   }
 
-  private Map<String, Double> load() {
-    return Map.of(
-        "utilization",
-        (double) running.size() / build.cores(),
-        "queue",
-        (double) waiting.size(),
-        "inFlight",
-        (double) running.size() + waiting.size());
+  private LoadReport load() {
+    return new LoadReport.Builder()
+        .utilization((double) running.size() / build.cores())
+        .queuedRequests(waiting.size())
+        .inFlightRequests((double) running.size() + waiting.size())
+        .build();
   }
 }
--- a/src/test/java/fawndock/gateway/PartsTest.java
+++ b/src/test/java/fawndock/gateway/PartsTest.java
@@ -88,7 +88,12 @@
 
   @Test
   void loadReportsInBothFormsAndNonsense() {
-    Map<String, Double> expected = Map.of("utilization", 0.3, "throughput", 90.0, "queue", 4.0);
+    var expected =
+        new fawndock.policy.event.LoadReport.Builder()
+            .utilization(0.3)
+            .requestsPerSecond(90)
+            .queuedRequests(4)
+            .build();
     assertEquals(
         expected,
         LoadReport.parse(
@@ -109,9 +114,9 @@
             "TEXT cpu_utilization=NaN,eps=-1",
             "BIN x",
             "TEXT " + "x".repeat(5_000))) {
-      assertEquals(Map.of(), LoadReport.parse(bad).load(), bad);
+      assertEquals(fawndock.policy.event.LoadReport.NONE, LoadReport.parse(bad).load(), bad);
     }
-    assertEquals(Map.of(), LoadReport.parse(null).load());
+    assertEquals(fawndock.policy.event.LoadReport.NONE, LoadReport.parse(null).load());
   }
 
   @Test
--- a/src/test/java/fawndock/gateway/WorkerEndsTest.java
+++ b/src/test/java/fawndock/gateway/WorkerEndsTest.java
@@ -125,7 +125,7 @@
           "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
       AttemptCompleted outcome = s.gatekeeper.await(AttemptCompleted.class);
       assertEquals(CallResult.ERROR, outcome.result());
-      assertEquals(0.5, outcome.load().get("utilization"));
+      assertEquals(0.5, outcome.load().utilization());
     }
   }
 
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -6,6 +6,7 @@
 
 import fawndock.fake.FakeRespServer;
 import fawndock.fake.RespClient;
+import fawndock.policy.event.LoadReport;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
@@ -204,9 +205,9 @@
   @Test
   void anUnreadableReportCostsNothingButItself() {
     assertEquals(
-        Map.of("queue", 2.0),
+        new LoadReport.Builder().queuedRequests(2).build(),
         BackendReply.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
-    assertEquals(Map.of(), BackendReply.of(reply("\u0000\u00ff")).load());
+    assertEquals(LoadReport.NONE, BackendReply.of(reply("\u0000\u00ff")).load());
     assertNotEquals(null, BackendReply.of(reply("")).value());
   }
 
--- a/src/test/java/fawndock/policy/ColdFleetTest.java
+++ b/src/test/java/fawndock/policy/ColdFleetTest.java
@@ -19,6 +19,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
@@ -170,7 +171,7 @@
                       good ? CallResult.OK : CallResult.ERROR,
                       good,
                       0,
-                      Map.of())));
+                      LoadReport.NONE)));
           if (a.endpointId().equals("s4") && from.at >= told) {
             reached.add(from.at);
           }
--- a/src/test/java/fawndock/policy/FleetTest.java
+++ b/src/test/java/fawndock/policy/FleetTest.java
@@ -13,6 +13,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
@@ -86,7 +87,8 @@
         cold += a.endpointId().equals("s17") ? 1 : 0;
         on(
             gatekeeper,
-            new AttemptCompleted(id, 0, a.endpointId(), 100_000, CallResult.OK, true, 0, Map.of()));
+            new AttemptCompleted(
+                id, 0, a.endpointId(), 100_000, CallResult.OK, true, 0, LoadReport.NONE));
       }
     }
     assertEquals(20 * GATEKEEPERS, all);
@@ -119,7 +121,8 @@
         long took = 50_000 + 2_000 * (id * 7_919 % 100);
         on(
             gatekeeper,
-            new AttemptCompleted(id, 0, sent.endpointId(), took, CallResult.OK, true, 0, Map.of()));
+            new AttemptCompleted(
+                id, 0, sent.endpointId(), took, CallResult.OK, true, 0, LoadReport.NONE));
       }
       assertTrue(known.size() <= 8, known.size() + " servers met by one gatekeeper");
     }
@@ -149,7 +152,7 @@
                     CallResult.CONNECT_FAILED,
                     false,
                     0,
-                    Map.of()));
+                    LoadReport.NONE));
       }
     }
     assertTrue(met.size() > 8, met + " tried");
--- a/src/test/java/fawndock/policy/PolicyHarness.java
+++ b/src/test/java/fawndock/policy/PolicyHarness.java
@@ -15,11 +15,11 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 
 /** Settings, events and a short hand for the tests of one gatekeeper. */
 final class PolicyHarness {
@@ -107,7 +107,8 @@
 
   List<PolicyAction> completeAttempt(
       long id, int attempt, String server, CallResult result, boolean over) {
-    return onEvent(new AttemptCompleted(id, attempt, server, 100_000, result, over, 0, Map.of()));
+    return onEvent(
+        new AttemptCompleted(id, attempt, server, 100_000, result, over, 0, LoadReport.NONE));
   }
 
   static <T extends PolicyAction> List<T> allOf(Class<T> type, List<PolicyAction> actions) {
--- a/src/test/java/fawndock/policy/QuotaTest.java
+++ b/src/test/java/fawndock/policy/QuotaTest.java
@@ -21,6 +21,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
@@ -548,7 +549,14 @@
                 AddToCounter.class,
                 rig.onEvent(
                     new AttemptCompleted(
-                        1, 0, sent.endpointId(), 100_000, CallResult.OK, true, 3.5, Map.of())))
+                        1,
+                        0,
+                        sent.endpointId(),
+                        100_000,
+                        CallResult.OK,
+                        true,
+                        3.5,
+                        LoadReport.NONE)))
             .amount());
   }
 
--- a/src/test/java/fawndock/policy/RulesTest.java
+++ b/src/test/java/fawndock/policy/RulesTest.java
@@ -26,6 +26,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PeerMessageReceived;
 import fawndock.policy.event.PolicyTimer;
 import fawndock.policy.event.RequestArrived;
@@ -212,7 +213,7 @@
               fails ? CallResult.ERROR : CallResult.OK,
               true,
               0,
-              Map.of()));
+              LoadReport.NONE));
     }
     assertTrue(failing < 30, failing + " of 300 went to the one that fails");
   }
@@ -417,7 +418,7 @@
                   result,
                   !open.containsKey(id),
                   1,
-                  Map.of("queue", 1.0))));
+                  new LoadReport.Builder().queuedRequests(1).build())));
     }
 
     private void take(List<PolicyAction> actions) {
