--- a/src/main/java/fawndock/scenario/Script.java
+++ b/src/main/java/fawndock/scenario/FaultSchedule.java
@@ -6,32 +6,32 @@
 import java.util.List;
 
 /** Troubles by the second, played in order on the calling thread. */
-public final class Script {
+public final class FaultSchedule {
   /** Something that a script does. */
   @FunctionalInterface
-  public interface Happening {
+  public interface ScheduledAction {
     /** Does it, at once. */
-    void happen() throws Exception;
+    void run() throws Exception;
   }
 
-  private record Step(double second, String what, Happening how) {}
+  private record Step(double second, String description, ScheduledAction action) {}
 
   private final List<Step> steps = new ArrayList<>();
 
   /** Adds something that happens at a second of the script; it must not take long. */
-  public Script at(double second, String what, Happening how) {
+  public FaultSchedule at(double second, String what, ScheduledAction how) {
     steps.add(new Step(second, what, how));
     return this;
   }
 
   /** Plays all steps, and returns at the second given. */
-  public void play(double until, PrintStream out) throws Exception {
+  public void playUntil(double until, PrintStream out) throws Exception {
     long start = System.nanoTime();
     steps.sort(Comparator.comparingDouble(Step::second));
     for (Step step : steps) {
       waitUntil(start, step.second);
-      out.printf("%5.1f s  %s%n", step.second, step.what);
-      step.how.happen();
+      out.printf("%5.1f s  %s%n", step.second, step.description);
+      step.action.run();
     }
     waitUntil(start, until);
   }
--- a/src/main/java/fawndock/scenario/Scene.java
+++ b/src/main/java/fawndock/scenario/FleetFixture.java
@@ -21,19 +21,19 @@
 import java.util.function.IntFunction;
 
 /** Everything that surrounds the gatekeepers of a drill, and the gatekeepers' processes. */
-public final class Scene implements AutoCloseable {
-  private static final int WAIT_SECONDS = 20;
+public final class FleetFixture implements AutoCloseable {
+  private static final int TIMEOUT_SECONDS = 20;
   public final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
   public final TraceRecorder recorder = new TraceRecorder();
-  public final FakeEndpointFeed roster = new FakeEndpointFeed(vertx, recorder);
-  public final SceneCounter counter;
-  public final List<FakeBackend> workers = new ArrayList<>();
-  public final Gatekeepers gatekeepers;
-  private final Path folder;
+  public final FakeEndpointFeed discovery = new FakeEndpointFeed(vertx, recorder);
+  public final CounterFixture counter;
+  public final List<FakeBackend> backends = new ArrayList<>();
+  public final GatewayProcesses gateways;
+  private final Path directory;
   private boolean closed;
 
   /** Workers of one build, warm and listed as running, and a counter. */
-  public Scene(int count, FakeBackend.Build build, long seed)
+  public FleetFixture(int count, FakeBackend.BackendConfig build, long seed)
       throws IOException, InterruptedException {
     this(count, build, seed, true);
   }
@@ -42,28 +42,29 @@
    * @param counted whether there is a counter; without, the settings must name what the gatekeepers
    *     ask
    */
-  public Scene(int count, FakeBackend.Build build, long seed, boolean counted)
+  public FleetFixture(int count, FakeBackend.BackendConfig build, long seed, boolean counted)
       throws IOException, InterruptedException {
-    folder = Files.createTempDirectory("fawndock-drill");
-    gatekeepers =
-        new Gatekeepers(
-            folder, recorder, "-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
-    counter = counted ? new SceneCounter(vertx, folder) : null;
+    directory = Files.createTempDirectory("fawndock-drill");
+    gateways =
+        new GatewayProcesses(
+            directory, recorder, "-Xmx256m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
+    counter = counted ? new CounterFixture(vertx, directory) : null;
     Set<String> keys = ConcurrentHashMap.newKeySet();
     for (int i = 0; i < count; i++) {
       FakeBackend worker =
           new FakeBackend(vertx, "worker-" + i, build, recorder, seed * 1_000 + i)
-              .droppingRepeatsBy(keys);
-      workers.add(worker);
+              .withDeduplicationKeys(keys);
+      backends.add(worker);
       await(worker.start(false));
-      roster.tell(entry(i, "running"));
+      discovery.publish(endpointEntry(i, "running"));
     }
   }
 
   /** How the roster lists a worker. */
-  public FakeEndpointFeed.Entry entry(int worker, String state) {
-    FakeBackend w = workers.get(worker);
-    return new FakeEndpointFeed.Entry(w.id(), w.port(), "here", worker / 4, state, w.startedAt());
+  public FakeEndpointFeed.EndpointEntry endpointEntry(int worker, String state) {
+    FakeBackend w = backends.get(worker);
+    return new FakeEndpointFeed.EndpointEntry(
+        w.id(), w.port(), "here", worker / 4, state, w.startedAtMicros());
   }
 
   /**
@@ -71,17 +72,17 @@
    *
    * @param common lines that all of their settings have
    */
-  public void gatekeepers(int count, String common) throws IOException {
-    gatekeepers(count, i -> "counter 127.0.0.1:" + counter.port() + "\n" + common);
+  public void addGateways(int count, String common) throws IOException {
+    addGateways(count, i -> "counter 127.0.0.1:" + counter.port() + "\n" + common);
   }
 
   /** Adds gatekeepers, each with lines of its own. */
-  public void gatekeepers(int count, IntFunction<String> lines) throws IOException {
+  public void addGateways(int count, IntFunction<String> lines) throws IOException {
     List<Integer> ports = new ArrayList<>();
     List<Integer> peerPorts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ports.add(Gatekeepers.freePort());
-      peerPorts.add(Gatekeepers.freePort());
+      ports.add(GatewayProcesses.freePort());
+      peerPorts.add(GatewayProcesses.freePort());
     }
     for (int i = 0; i < count; i++) {
       StringBuilder text =
@@ -93,14 +94,14 @@
                   + " of "
                   + count
                   + "\nseed 7\nroster 127.0.0.1:"
-                  + await(roster.listen(i))
+                  + await(discovery.listen(i))
                   + " silence 3s\npeer-listen 127.0.0.1:"
                   + peerPorts.get(i)
                   + "\n");
       for (int j = 0; j < count; j++) {
         text.append("peer ").append(j).append(" 127.0.0.1:").append(peerPorts.get(j)).append('\n');
       }
-      gatekeepers.settings(i, ports.get(i), text + lines.apply(i));
+      gateways.writeSettings(i, ports.get(i), text + lines.apply(i));
     }
   }
 
@@ -108,10 +109,11 @@
    * Adds processes with several gatekeepers of one fleet in each, which share its port, and lines
    * of its own.
    */
-  public void processes(int count, int instances, IntFunction<String> lines) throws IOException {
+  public void addMultiInstanceGateways(int count, int instances, IntFunction<String> lines)
+      throws IOException {
     for (int i = 0; i < count; i++) {
-      int port = Gatekeepers.freePort();
-      gatekeepers.settings(
+      int port = GatewayProcesses.freePort();
+      gateways.writeSettings(
           i,
           port,
           "listen 127.0.0.1:"
@@ -123,7 +125,7 @@
               + " of "
               + count * instances
               + "\nseed 7\nroster 127.0.0.1:"
-              + await(roster.listen(i))
+              + await(discovery.listen(i))
               + " silence 3s\n"
               + lines.apply(i));
     }
@@ -132,7 +134,7 @@
   /** Waits for something of the stand-ins. */
   public static <T> T await(Future<T> what) throws IOException {
     try {
-      return what.toCompletionStage().toCompletableFuture().get(WAIT_SECONDS, TimeUnit.SECONDS);
+      return what.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("a stand-in failed: " + e.getCause(), e);
     } catch (InterruptedException e) {
@@ -142,8 +144,8 @@
   }
 
   /** Where the settings and logs of the gatekeepers are. */
-  public Path folder() {
-    return folder;
+  public Path directory() {
+    return directory;
   }
 
   /**
@@ -151,22 +153,22 @@
    * gatekeepers' settings and logs stay when a rule was broken.
    */
   public boolean conclude(ConformanceResult verdict, PrintStream out) throws IOException {
-    verdict.breaches().forEach(b -> out.println("  " + b));
-    end(verdict.kept(), out);
-    out.println(verdict.line());
-    return verdict.kept();
+    verdict.violations().forEach(b -> out.println("  " + b));
+    closeAndCleanUp(verdict.isConformant(), out);
+    out.println(verdict.summaryLine());
+    return verdict.isConformant();
   }
 
   /**
    * Closes everything, and removes settings and logs when they are not needed, or tells where they
    * are.
    */
-  void end(boolean well, PrintStream out) throws IOException {
+  void closeAndCleanUp(boolean well, PrintStream out) throws IOException {
     close();
     if (well) {
-      Folders.remove(folder);
+      TemporaryDirectories.delete(directory);
     } else {
-      out.println("settings and logs of the gatekeepers: " + folder);
+      out.println("settings and logs of the gatekeepers: " + directory);
     }
   }
 
@@ -176,7 +178,7 @@
       return;
     }
     closed = true;
-    gatekeepers.close();
+    gateways.close();
     if (counter != null) {
       counter.close();
     }
--- a/src/main/java/fawndock/scenario/Gatekeepers.java
+++ b/src/main/java/fawndock/scenario/GatewayProcesses.java
@@ -22,25 +22,25 @@
  * Gatekeepers in processes of their own, each with a settings file in one folder. Ends its own
  * processes only.
  */
-public final class Gatekeepers implements AutoCloseable {
-  private static final int MOST_PORTS = 1_000;
-  private final Path folder;
+public final class GatewayProcesses implements AutoCloseable {
+  private static final int MAX_PORT_ATTEMPTS = 1_000;
+  private final Path directory;
   private final TraceRecorder recorder;
   private final List<String> jvmOptions;
   private final Map<Integer, Process> processes = new TreeMap<>();
   private final Map<Integer, Integer> ports = new TreeMap<>();
-  private final Thread hook = new Thread(this::end, "end gatekeepers");
+  private final Thread shutdownHook = new Thread(this::destroyAll, "end gatekeepers");
 
   /**
    * No gatekeepers yet.
    *
    * @param jvmOptions of each process
    */
-  public Gatekeepers(Path folder, TraceRecorder recorder, String... jvmOptions) {
-    this.folder = folder;
+  public GatewayProcesses(Path folder, TraceRecorder recorder, String... jvmOptions) {
+    this.directory = folder;
     this.recorder = recorder;
     this.jvmOptions = List.of(jvmOptions);
-    Runtime.getRuntime().addShutdownHook(hook);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
   /**
@@ -49,7 +49,7 @@
    * came to listen.
    */
   public static int freePort() throws IOException {
-    for (int i = 0; i < MOST_PORTS; i++) {
+    for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
       int port = 15_000 + ThreadLocalRandom.current().nextInt(16_000);
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return socket.getLocalPort();
@@ -57,32 +57,32 @@
         // Taken: another.
       }
     }
-    throw new IOException("no free port found in " + MOST_PORTS + " tries");
+    throw new IOException("no free port found in " + MAX_PORT_ATTEMPTS + " tries");
   }
 
   /** Keeps the settings of a gatekeeper and the port on which they say that it listens. */
-  public void settings(int number, int port, String text) throws IOException {
+  public void writeSettings(int number, int port, String text) throws IOException {
     ports.put(number, port);
-    Files.writeString(folder.resolve("gatekeeper-" + number + ".conf"), text);
+    Files.writeString(directory.resolve("gatekeeper-" + number + ".conf"), text);
   }
 
   public int port(int number) {
     return ports.get(number);
   }
 
-  public List<Integer> numbers() {
+  public List<Integer> indexes() {
     return new ArrayList<>(ports.keySet());
   }
 
   /** Starts one; completes when it says that it listens. */
   public CompletableFuture<Void> start(int number) throws IOException {
-    Child child =
-        Child.start(
+    ChildProcess child =
+        ChildProcess.start(
             jvmOptions,
-            folder.resolve("gatekeeper-" + number + ".log"),
+            directory.resolve("gatekeeper-" + number + ".log"),
             "run",
             "-c",
-            folder.resolve("gatekeeper-" + number + ".conf").toString());
+            directory.resolve("gatekeeper-" + number + ".conf").toString());
     synchronized (processes) {
       processes.put(number, child.process());
     }
@@ -92,12 +92,12 @@
   /** Starts all that have settings and waits for them. */
   public void startAll() throws IOException {
     List<CompletableFuture<Void>> starting = new ArrayList<>();
-    for (int number : numbers()) {
+    for (int number : indexes()) {
       starting.add(start(number));
     }
     try {
       CompletableFuture.allOf(starting.toArray(CompletableFuture[]::new))
-          .get(Child.START_SECONDS, TimeUnit.SECONDS);
+          .get(ChildProcess.START_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException(
           e.getCause() == null ? "gatekeepers did not start" : e.getCause().getMessage(), e);
@@ -112,7 +112,7 @@
     synchronized (processes) {
       Process process = processes.remove(number);
       if (process != null) {
-        recorder.add(new TraceEvent.Killed(TraceRecorder.now(), number));
+        recorder.record(new TraceEvent.GatewayKilled(TraceRecorder.nowMicros(), number));
         process.destroyForcibly();
       }
     }
@@ -131,7 +131,7 @@
     return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
   }
 
-  private void end() {
+  private void destroyAll() {
     synchronized (processes) {
       processes.values().forEach(Process::destroyForcibly);
       processes.clear();
@@ -140,9 +140,9 @@
 
   @Override
   public void close() {
-    end();
+    destroyAll();
     try {
-      Runtime.getRuntime().removeShutdownHook(hook);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
       // Ending already.
     }
--- a/src/main/java/fawndock/scenario/PlatformDrill.java
+++ b/src/main/java/fawndock/scenario/PlatformScenario.java
@@ -14,22 +14,23 @@
  * refusals, bad input, a new configuration, a stop. Prints what became of them. The build has the
  * classes that it loads archived, so it goes through all that a day does.
  */
-public final class PlatformDrill {
+public final class PlatformScenario {
   private static final int CONNECTIONS = 4;
   private final int requests;
   private final PrintStream out;
 
   /** A drill of so many requests. */
-  public PlatformDrill(int requests, PrintStream out) {
+  public PlatformScenario(int requests, PrintStream out) {
     this.requests = requests;
     this.out = out;
   }
 
   /** Plays it; whether each request was answered as it should be. */
   public boolean run() throws IOException, InterruptedException {
-    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter());
-        FakeRespServer otherCounter = new FakeRespServer(FakeRespServer.counter())) {
-      PlatformDaemon daemon = new PlatformDaemon(world.variables());
+    try (FakePlatform world =
+            new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+        FakeRespServer otherCounter = new FakeRespServer(FakeRespServer.counterHandler())) {
+      PlatformDaemon daemon = new PlatformDaemon(world.environment());
       int[] code = {-1};
       Thread running =
           new Thread(
@@ -65,19 +66,19 @@
     int refused = 0;
     for (int i = 0; i < requests; i++) {
       if (i == requests / 2) {
-        world.configure(world.catalog.port(), otherCounter.port());
+        world.writeConfiguration(world.discovery.port(), otherCounter.port());
         daemon.reload();
       }
       boolean small = i % 10 == 9; // Customers of the small plan ask more than it holds.
       String[] words =
-          FakePlatform.request(
+          FakePlatform.requestCommand(
               types[i % 3], small ? "small" : "large", small ? 1 : 100 + i % 50, 1_000 + i, "");
-      String answer = clients[i % CONNECTIONS].ask(words);
+      String answer = clients[i % CONNECTIONS].call(words);
       served += answer != null && answer.equals("value of " + words[2]) ? 1 : 0;
       refused += answer != null && answer.startsWith("-BUSY ") && small ? 1 : 0;
     }
-    String unfit = clients[0].ask("Q.ASK", "x", "y", "z");
-    String noise = clients[1].send("noise without end").answer();
+    String unfit = clients[0].call("Q.ASK", "x", "y", "z");
+    String noise = clients[1].send("noise without end").readReply();
     for (RespClient client : clients) {
       client.close();
     }
--- a/src/main/java/fawndock/scenario/Folders.java
+++ b/src/main/java/fawndock/scenario/TemporaryDirectories.java
@@ -8,11 +8,11 @@
 import java.util.stream.Stream;
 
 /** Folders that a tool makes for itself. */
-public final class Folders {
-  private Folders() {}
+public final class TemporaryDirectories {
+  private TemporaryDirectories() {}
 
   /** Removes a folder and all that is in it. */
-  public static void remove(Path folder) throws IOException {
+  public static void delete(Path folder) throws IOException {
     List<Path> deepestFirst;
     try (Stream<Path> files = Files.walk(folder)) {
       deepestFirst = files.sorted(Comparator.reverseOrder()).toList();
--- a/src/main/java/fawndock/scenario/Traffic.java
+++ b/src/main/java/fawndock/scenario/TrafficGenerator.java
@@ -16,41 +16,41 @@
  * clients that try again as their class allows, some of which leave early. A generator of its own
  * for drills and the demo.
  */
-public final class Traffic {
+public final class TrafficGenerator {
   /** A customer and how much it asks, requests a second. */
-  public record Customer(String name, String key, double rate) {}
+  public record Customer(String name, String apiKey, double requestsPerSecond) {}
 
   /** A kind of request and its share of all. */
-  public record Kind(
-      String type,
+  public record RequestKind(
+      String requestClass,
       String method,
       String path,
-      Idempotency repeat,
-      long remainingMicros,
+      Idempotency idempotency,
+      long timeoutMicros,
       double share) {}
 
-  private static final int MOST_AT_ONCE = 4_000;
+  private static final int MAX_IN_FLIGHT = 4_000;
   private final Vertx vertx;
   private final RawHttpClient client;
-  private final List<Kind> kinds;
+  private final List<RequestKind> kinds;
   private final List<Customer> customers;
   private final IntUnaryOperator port;
-  private final int gatekeepers;
+  private final int gatewayCount;
   private final SplittableRandom random;
-  private final AtomicInteger open = new AtomicInteger();
-  private final AtomicLongArray statuses = new AtomicLongArray(600);
-  private final Map<String, AtomicLongArray> byCustomer = new ConcurrentHashMap<>();
-  private final Map<String, Double> factors = new ConcurrentHashMap<>();
-  private volatile double factor = 1;
-  private volatile double leaving;
-  private volatile double hot;
-  private volatile boolean abuse;
+  private final AtomicInteger inFlightCount = new AtomicInteger();
+  private final AtomicLongArray countByStatus = new AtomicLongArray(600);
+  private final Map<String, AtomicLongArray> countByCustomer = new ConcurrentHashMap<>();
+  private final Map<String, Double> factorByPrefix = new ConcurrentHashMap<>();
+  private volatile double rateFactor = 1;
+  private volatile double earlyDisconnectRatio;
+  private volatile double hotGatewayRatio;
+  private volatile boolean isRetryAbuse;
   private volatile int shifts;
   private volatile boolean stopped;
   private String name = "op";
-  private int tries = 3;
-  private int spread;
-  private double debt;
+  private int maxAttempts = 3;
+  private int gatewaysPerCustomer;
+  private double dueArrivals;
   private long operations;
   private long lastTick;
   private long timer = -1;
@@ -58,10 +58,10 @@
   /**
    * @param port of each gatekeeper by its number
    */
-  public Traffic(
+  public TrafficGenerator(
       Vertx vertx,
       RawHttpClient client,
-      List<Kind> kinds,
+      List<RequestKind> kinds,
       List<Customer> customers,
       int gatekeepers,
       IntUnaryOperator port,
@@ -70,7 +70,7 @@
     this.client = client;
     this.kinds = kinds;
     this.customers = customers;
-    this.gatekeepers = gatekeepers;
+    this.gatewayCount = gatekeepers;
     this.port = port;
     this.random = new SplittableRandom(seed);
   }
@@ -91,66 +91,66 @@
   }
 
   /** All customers ask so many times as much from now on. */
-  public void factor(double times) {
-    factor = times;
+  public void setRateFactor(double times) {
+    rateFactor = times;
   }
 
   /** This share of the clients leaves early and tries again at once from now on. */
-  public void leaving(double share) {
-    leaving = share;
+  public void setEarlyDisconnectRatio(double share) {
+    earlyDisconnectRatio = share;
   }
 
   /** Customers whose names begin so ask so many times as much from now on. */
-  public void factorOf(String prefix, double times) {
-    factors.put(prefix, times);
+  public void setRateFactorOf(String prefix, double times) {
+    factorByPrefix.put(prefix, times);
   }
 
   /** This share of the requests goes to the busiest gatekeeper of its customer from now on. */
-  public void hot(double share) {
-    hot = share;
+  public void setHotGatewayRatio(double share) {
+    hotGatewayRatio = share;
   }
 
   /** Other gatekeepers become the busiest of their customers. */
-  public void shift() {
+  public void shiftHotGateways() {
     shifts++;
   }
 
   /** Clients try again at once, whatever they are told, and more often. */
-  public void abuse(boolean on) {
-    abuse = on;
+  public void setRetryAbuse(boolean on) {
+    isRetryAbuse = on;
   }
 
   /** The most tries of one operation. */
-  public Traffic tries(int most) {
-    tries = most;
+  public TrafficGenerator withMaxAttempts(int most) {
+    maxAttempts = most;
     return this;
   }
 
   /** What its operations are named after, where there are several at once. */
-  public Traffic named(String what) {
+  public TrafficGenerator withOperationPrefix(String what) {
     name = what;
     return this;
   }
 
   /** Each customer comes through so many gatekeepers in a row, unevenly; the first by its name. */
-  public Traffic through(int some) {
-    spread = some;
+  public TrafficGenerator withGatewaysPerCustomer(int some) {
+    gatewaysPerCustomer = some;
     return this;
   }
 
   /** Requests without an end. */
-  public int open() {
-    return open.get();
+  public int inFlightCount() {
+    return inFlightCount.get();
   }
 
   /** Final answers with this status so far; 0 counts those that had none. */
-  public long ended(int status) {
-    return statuses.get(status);
+  public long completedCount(int status) {
+    return countByStatus.get(status);
   }
 
   /** The same of one customer. */
-  public long ended(String customer, int status) {
-    AtomicLongArray all = byCustomer.get(customer);
+  public long completedCount(String customer, int status) {
+    AtomicLongArray all = countByCustomer.get(customer);
     return all == null ? 0 : all.get(status);
   }
 
@@ -159,34 +159,35 @@
     double seconds = Math.min(0.5, (now - lastTick) / 1e9);
     lastTick = now;
     double rate = customers.stream().mapToDouble(this::rate).sum();
-    debt += rate * factor * seconds;
-    while (debt > 0) {
-      debt +=
+    dueArrivals += rate * rateFactor * seconds;
+    while (dueArrivals > 0) {
+      dueArrivals +=
           Math.log(
               1 - random.nextDouble()); // Gaps between arrivals are exponential, of mean 1 here.
-      ask(pick(rate), kind(), name + operations++, 0);
+      send(pickCustomer(rate), pickKind(), name + operations++, 0);
     }
   }
 
   private double rate(Customer customer) {
-    double rate = customer.rate();
-    for (Map.Entry<String, Double> each : factors.entrySet()) {
+    double rate = customer.requestsPerSecond();
+    for (Map.Entry<String, Double> each : factorByPrefix.entrySet()) {
       rate *= customer.name().startsWith(each.getKey()) ? each.getValue() : 1;
     }
     return rate;
   }
 
-  private int gatekeeper(Customer customer) {
-    if (spread == 0) {
-      return random.nextInt(gatekeepers);
+  private int pickGateway(Customer customer) {
+    if (gatewaysPerCustomer == 0) {
+      return random.nextInt(gatewayCount);
     }
     double u = random.nextDouble();
-    int place = random.nextDouble() < hot ? 0 : (int) (spread * u * u);
-    return (Math.floorMod(customer.name().hashCode(), gatekeepers) + (place + shifts) % spread)
-        % gatekeepers;
+    int place = random.nextDouble() < hotGatewayRatio ? 0 : (int) (gatewaysPerCustomer * u * u);
+    return (Math.floorMod(customer.name().hashCode(), gatewayCount)
+            + (place + shifts) % gatewaysPerCustomer)
+        % gatewayCount;
   }
 
-  private Customer pick(double rate) {
+  private Customer pickCustomer(double rate) {
     double at = random.nextDouble() * rate;
     for (Customer each : customers) {
       at -= rate(each);
@@ -197,9 +198,9 @@
     return customers.get(customers.size() - 1);
   }
 
-  private Kind kind() {
+  private RequestKind pickKind() {
     double at = random.nextDouble();
-    for (Kind each : kinds) {
+    for (RequestKind each : kinds) {
       at -= each.share();
       if (at < 0) {
         return each;
@@ -208,56 +209,62 @@
     return kinds.get(kinds.size() - 1);
   }
 
-  private void ask(Customer customer, Kind kind, String operation, int attempt) {
-    if (stopped || open.get() >= MOST_AT_ONCE) {
+  private void send(Customer customer, RequestKind kind, String operation, int attempt) {
+    if (stopped || inFlightCount.get() >= MAX_IN_FLIGHT) {
       return; // Over, or not offered: the machine is behind.
     }
-    open.incrementAndGet();
-    int gatekeeper = gatekeeper(customer);
-    boolean leaves = kind.repeat() != Idempotency.AT_MOST_ONCE && random.nextDouble() < leaving;
-    String key = kind.repeat() == Idempotency.DEDUPLICATED ? operation : null;
+    inFlightCount.incrementAndGet();
+    int gatekeeper = pickGateway(customer);
+    boolean leaves =
+        kind.idempotency() != Idempotency.AT_MOST_ONCE
+            && random.nextDouble() < earlyDisconnectRatio;
+    String key = kind.idempotency() == Idempotency.DEDUPLICATED ? operation : null;
     client.send(
-        new RawHttpClient.Call(
+        new RawHttpClient.RequestSpec(
             operation + "." + attempt,
             gatekeeper,
             port.applyAsInt(gatekeeper),
             kind.method(),
             kind.path(),
-            kind.type(),
-            customer.key(),
+            kind.requestClass(),
+            customer.apiKey(),
             customer.name(),
             1,
-            kind.remainingMicros(),
+            kind.timeoutMicros(),
             key,
             leaves ? 5_000 + random.nextInt(60_000) : 0),
         end -> {
-          open.decrementAndGet();
-          statuses.incrementAndGet(end.status());
-          byCustomer
+          inFlightCount.decrementAndGet();
+          countByStatus.incrementAndGet(end.status());
+          countByCustomer
               .computeIfAbsent(customer.name(), name -> new AtomicLongArray(600))
               .incrementAndGet(end.status());
-          again(customer, kind, operation, attempt, end);
+          retryIfAllowed(customer, kind, operation, attempt, end);
         });
   }
 
-  private void again(
-      Customer customer, Kind kind, String operation, int attempt, RawHttpClient.End end) {
+  private void retryIfAllowed(
+      Customer customer,
+      RequestKind kind,
+      String operation,
+      int attempt,
+      RawHttpClient.ExchangeResult end) {
     // A request that may have run is the client's to repeat only when its class allows that.
     boolean harmless =
         end.status() == 429
             || end.status() == 503
-            || kind.repeat() == Idempotency.IDEMPOTENT && end.status() != 200;
-    if (attempt + 1 >= (abuse ? 2 * tries : tries)
+            || kind.idempotency() == Idempotency.IDEMPOTENT && end.status() != 200;
+    if (attempt + 1 >= (isRetryAbuse ? 2 * maxAttempts : maxAttempts)
         || end.status() == 200
-        || !harmless && !end.left()) {
+        || !harmless && !end.hasDisconnected()) {
       return;
     }
     long wait =
-        end.left() || abuse
+        end.hasDisconnected() || isRetryAbuse
             ? 1
             : end.status() == 429 && random.nextBoolean()
-                ? 1_000L * Math.max(1, end.retryAfter())
+                ? 1_000L * Math.max(1, end.retryAfterSeconds())
                 : 50 + random.nextInt(200);
-    vertx.setTimer(wait, id -> ask(customer, kind, operation, attempt + 1));
+    vertx.setTimer(wait, id -> send(customer, kind, operation, attempt + 1));
   }
 }
--- a/src/main/java/fawndock/simulation/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -14,81 +14,85 @@
 /**
  * What is emulated.
  *
- * @param gatekeepers how many
- * @param workers how many
- * @param zones that workers lie in, in turns
- * @param build of each worker
- * @param thrash by which work takes longer for each request that waits beyond one a core, as a
- *     share; 0 for not at all
+ * @param gatewayCount how many
+ * @param backendCount how many
+ * @param zoneCount that workers lie in, in turns
+ * @param backend of each worker
+ * @param queueingSlowdown by which work takes longer for each request that waits beyond one a core,
+ *     as a share; 0 for not at all
  * @param network between all of them
  * @param counter that all gatekeepers ask
- * @param rosterMicros until a gatekeeper hears of a change
- * @param seconds how long clients ask
+ * @param discoveryDelayMicros until a gatekeeper hears of a change
+ * @param durationSeconds how long clients ask
  */
 public record Deployment(
-    int gatekeepers,
-    int workers,
-    int zones,
-    FakeBackend.Build build,
-    double thrash,
-    Network network,
-    Counter counter,
-    long rosterMicros,
-    List<RequestClass> classes,
+    int gatewayCount,
+    int backendCount,
+    int zoneCount,
+    FakeBackend.BackendConfig backend,
+    double queueingSlowdown,
+    NetworkModel network,
+    CounterModel counter,
+    long discoveryDelayMicros,
+    List<RequestClass> requestClasses,
     List<Plan> plans,
     GatewayLimits limits,
     ServiceRules rules,
     List<Demand> demands,
-    double seconds,
+    double durationSeconds,
     long seed) {
   /**
    * Each way of each message by itself.
    *
-   * @param leastMicros that a way takes
-   * @param moreMicros that are added on average, exponentially
-   * @param loss share of the messages to and from the counter that never arrive
+   * @param minDelayMicros that a way takes
+   * @param meanExtraDelayMicros that are added on average, exponentially
+   * @param lossRatio share of the messages to and from the counter that never arrive
    */
-  public record Network(long leastMicros, long moreMicros, double loss) {}
+  public record NetworkModel(long minDelayMicros, long meanExtraDelayMicros, double lossRatio) {}
 
   /**
    * The counter.
    *
-   * @param perSecond calls that each part takes, one after the other
-   * @param waitMicros after which a gatekeeper gives up a call
-   * @param parts that names lie on, each name on one
-   * @param turnsAway share of the calls that are refused uncounted
-   * @param queueMicros how long the calls that wait may take; one more is refused uncounted; 0 for
-   *     a second, and no answer
+   * @param callsPerSecond calls that each part takes, one after the other
+   * @param timeoutMicros after which a gatekeeper gives up a call
+   * @param partitionCount that names lie on, each name on one
+   * @param rejectRatio share of the calls that are refused uncounted
+   * @param maxQueueMicros how long the calls that wait may take; one more is refused uncounted; 0
+   *     for a second, and no answer
    */
-  public record Counter(
-      double perSecond, long waitMicros, int parts, double turnsAway, long queueMicros) {}
+  public record CounterModel(
+      double callsPerSecond,
+      long timeoutMicros,
+      int partitionCount,
+      double rejectRatio,
+      long maxQueueMicros) {}
 
   /**
    * What some customers ask.
    *
-   * @param customers how many, named after the demand, with a number
-   * @param spread gatekeepers that a customer comes through
-   * @param rate of all of them, a second
+   * @param customerCount how many, named after the demand, with a number
+   * @param gatewaysPerCustomer gatekeepers that a customer comes through
+   * @param requestsPerSecond of all of them, a second
    */
   public record Demand(
       String name,
       String requestClass,
       String plan,
-      int customers,
+      int customerCount,
       double skew,
-      int spread,
-      double rate,
+      int gatewaysPerCustomer,
+      double requestsPerSecond,
       Shape shape,
-      long remainingMicros,
-      Manners manners) {}
+      long timeoutMicros,
+      Manners clientBehavior) {}
 
   /** Each customer's plan, by the customer's name. */
-  public Map<String, Plan> plansOfCustomers() {
+  public Map<String, Plan> customerPlans() {
     Map<String, Plan> all = new HashMap<>();
     for (Demand demand : demands) {
       Plan plan =
           plans.stream().filter(p -> p.name().equals(demand.plan())).findFirst().orElseThrow();
-      for (int i = 0; i < demand.customers(); i++) {
+      for (int i = 0; i < demand.customerCount(); i++) {
         all.put(demand.name() + "-" + i, plan);
       }
     }
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -1,6 +1,6 @@
 package fawndock.simulation;
 
-import fawndock.fake.FakeBackend.Build;
+import fawndock.fake.FakeBackend.BackendConfig;
 import fawndock.loadgen.Words;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.GatewayLimits;
@@ -30,45 +30,45 @@
   /**
    * What was read.
    *
-   * @param troubles put into a run before it begins, in the order of the file
-   * @param marks when which trouble was
-   * @param settings all lines as they were taken, variables put in
+   * @param faults put into a run before it begins, in the order of the file
+   * @param faultWindows when which trouble was
+   * @param effectiveSettings all lines as they were taken, variables put in
    */
-  public record Read(
+  public record ParsedDeployment(
       Deployment deployment,
-      List<Consumer<Emulation>> troubles,
-      List<Mark> marks,
-      String settings) {
+      List<Consumer<Simulation>> faults,
+      List<FaultWindow> faultWindows,
+      String effectiveSettings) {
     /** The run that the file describes, ready to begin. */
-    public Emulation emulation(Function<PolicyConfig, GatewayPolicy> maker) {
-      Emulation made = new Emulation(deployment, maker);
-      troubles.forEach(trouble -> trouble.accept(made));
+    public Simulation createSimulation(Function<PolicyConfig, GatewayPolicy> maker) {
+      Simulation made = new Simulation(deployment, maker);
+      faults.forEach(trouble -> trouble.accept(made));
       return made;
     }
 
     /** The same with another seed. */
-    public Read seed(long seed) {
+    public ParsedDeployment withSeed(long seed) {
       Deployment d = deployment;
-      return new Read(
+      return new ParsedDeployment(
           new Deployment(
-              d.gatekeepers(),
-              d.workers(),
-              d.zones(),
-              d.build(),
-              d.thrash(),
+              d.gatewayCount(),
+              d.backendCount(),
+              d.zoneCount(),
+              d.backend(),
+              d.queueingSlowdown(),
               d.network(),
               d.counter(),
-              d.rosterMicros(),
-              d.classes(),
+              d.discoveryDelayMicros(),
+              d.requestClasses(),
               d.plans(),
               d.limits(),
               d.rules(),
               d.demands(),
-              d.seconds(),
+              d.durationSeconds(),
               seed),
-          troubles,
-          marks,
-          settings);
+          faults,
+          faultWindows,
+          effectiveSettings);
     }
   }
 
@@ -76,48 +76,62 @@
    * A trouble of a kind, from a second to another; on so many workers from one on, of such a size
    * where its kind has one.
    */
-  public record Mark(
-      String kind, double from, double until, int worker, int count, double times, double share) {}
+  public record FaultWindow(
+      String kind,
+      double fromSecond,
+      double untilSecond,
+      int firstBackend,
+      int backendCount,
+      double factor,
+      double ratio) {}
 
-  private static final long SECOND = 1_000_000;
-  private static final long HOUR = 3_600 * SECOND;
-  private final Map<String, RequestClass> classes = new LinkedHashMap<>();
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long HOUR_MICROS = 3_600 * SECOND_MICROS;
+  private final Map<String, RequestClass> requestClasses = new LinkedHashMap<>();
   private final Map<String, Plan> plans = new LinkedHashMap<>();
   private final List<Deployment.Demand> demands = new ArrayList<>();
-  private final List<Consumer<Emulation>> troubles = new ArrayList<>();
-  private final List<Mark> marks = new ArrayList<>();
-  private final StringBuilder taken = new StringBuilder();
-  private final Map<String, String> given;
+  private final List<Consumer<Simulation>> faults = new ArrayList<>();
+  private final List<FaultWindow> faultWindows = new ArrayList<>();
+  private final StringBuilder effectiveSettings = new StringBuilder();
+  private final Map<String, String> overrides;
   private final Map<String, String> variables = new LinkedHashMap<>();
-  private int gatekeepers = 4;
-  private int workers = 8;
-  private int zones = 1;
-  private Build build = new Build(4, 20_000, 200, 0.2, 10 * SECOND, 2, 2 * SECOND);
-  private double thrash;
-  private Deployment.Network network = new Deployment.Network(200, 100, 0);
-  private Deployment.Counter counter = new Deployment.Counter(20_000, 50_000, 1, 0, 0);
-  private long roster = 1_000_000;
+  private int gatewayCount = 4;
+  private int backendCount = 8;
+  private int zoneCount = 1;
+  private BackendConfig backend =
+      new BackendConfig(4, 20_000, 200, 0.2, 10 * SECOND_MICROS, 2, 2 * SECOND_MICROS);
+  private double queueingSlowdown;
+  private Deployment.NetworkModel network = new Deployment.NetworkModel(200, 100, 0);
+  private Deployment.CounterModel counter = new Deployment.CounterModel(20_000, 50_000, 1, 0, 0);
+  private long discoveryDelayMicros = 1_000_000;
   private GatewayLimits limits =
-      new GatewayLimits(3, 10_000, 30 * SECOND, false, true, false, true, true);
+      new GatewayLimits(3, 10_000, 30 * SECOND_MICROS, false, true, false, true, true);
   private ServiceRules rules =
-      new ServiceRules(10_000, 2 * SECOND, 0.2, 10 * SECOND, 2, 2 * SECOND, 10 * SECOND);
-  private double seconds = 60;
+      new ServiceRules(
+          10_000,
+          2 * SECOND_MICROS,
+          0.2,
+          10 * SECOND_MICROS,
+          2,
+          2 * SECOND_MICROS,
+          10 * SECOND_MICROS);
+  private double durationSeconds = 60;
   private long seed = 1;
 
   private DeploymentFile(Map<String, String> given) {
     super(Set.of("class", "plan", "demand", "trouble", "let"));
-    this.given = given;
+    this.overrides = given;
     keywords.put("let", this::let);
-    keywords.put("gatekeepers", line -> gatekeepers = whole(line, 1, 10_000));
-    keywords.put("workers", this::workers);
+    keywords.put("gatekeepers", line -> gatewayCount = whole(line, 1, 10_000));
+    keywords.put("workers", this::backendCount);
     keywords.put(
         "network",
         line -> {
           LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
           network =
-              new Deployment.Network(
-                  a.time("way", 1, SECOND, 200),
-                  a.time("more", 0, SECOND, 100),
+              new Deployment.NetworkModel(
+                  a.time("way", 1, SECOND_MICROS, 200),
+                  a.time("more", 0, SECOND_MICROS, 100),
                   a.number("loss", 0, 1, 0));
           a.finish();
         });
@@ -130,23 +144,24 @@
                   0,
                   "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
           counter =
-              new Deployment.Counter(
+              new Deployment.CounterModel(
                   a.number("rate", 1, 1e9, 20_000),
-                  a.time("wait", 1_000, 10 * SECOND, 50_000),
+                  a.time("wait", 1_000, 10 * SECOND_MICROS, 50_000),
                   a.whole("parts", 1, 1_000, 1),
                   a.number("turns-away", 0, 1, 0),
-                  a.time("queue", 0, SECOND, 0));
+                  a.time("queue", 0, SECOND_MICROS, 0));
           a.finish();
         });
-    keywords.put("roster", line -> roster = time(line, HOUR));
-    keywords.put("for", line -> seconds = time(line, 24 * HOUR) / (double) SECOND);
+    keywords.put("roster", line -> discoveryDelayMicros = time(line, HOUR_MICROS));
+    keywords.put(
+        "for", line -> durationSeconds = time(line, 24 * HOUR_MICROS) / (double) SECOND_MICROS);
     keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
     keywords.put(
         "class",
         line -> {
           LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
           RequestClass c = Entries.requestClass(a);
-          if (classes.putIfAbsent(c.name(), c) != null) {
+          if (requestClasses.putIfAbsent(c.name(), c) != null) {
             a.wrong("class " + c.name() + " is given twice", "each class once");
           }
           a.finish();
@@ -181,30 +196,30 @@
 
   private long time(ConfigurationLine line, long most) {
     LineArguments a = args(line, 1, line.keyword() + " TIME");
-    long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND);
+    long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND_MICROS);
     a.finish();
     return time;
   }
 
-  private void workers(ConfigurationLine line) {
+  private void backendCount(ConfigurationLine line) {
     LineArguments a =
         args(
             line,
             1,
             "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-    workers = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
-    build =
-        new Build(
+    backendCount = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
+    backend =
+        new BackendConfig(
             a.whole("cores", 1, 1_000, 4),
-            a.time("work", 1, HOUR, 20_000),
+            a.time("work", 1, HOUR_MICROS, 20_000),
             a.whole("queue", 1, 1_000_000, 200),
             a.number("cold-share", 0.01, 1, 0.2),
-            a.time("cold-time", 0, HOUR, 10 * SECOND),
+            a.time("cold-time", 0, HOUR_MICROS, 10 * SECOND_MICROS),
             a.number("fall-multiple", 1, 1_000, 2),
-            a.time("fall-time", 1_000, HOUR, 2 * SECOND));
-    thrash = a.number("thrash", 0, 10, 0);
-    zones = a.whole("zones", 1, 1_000, 1);
+            a.time("fall-time", 1_000, HOUR_MICROS, 2 * SECOND_MICROS));
+    queueingSlowdown = a.number("thrash", 0, 10, 0);
+    zoneCount = a.whole("zones", 1, 1_000, 1);
     a.finish();
   }
 
@@ -233,12 +248,12 @@
             a.whole("spread", 1, 10_000, 10_000),
             rate,
             Words.shape(a),
-            a.time("remaining", 1_000, HOUR, 2 * SECOND),
+            a.time("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
             Words.manners(a)));
     a.finish();
     check(
         a,
-        () -> classes.containsKey(type),
+        () -> requestClasses.containsKey(type),
         "there is no class '" + type + "'",
         "the name of a class line");
     check(
@@ -257,7 +272,7 @@
     if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
       a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
     }
-    variables.put(a.place(0), given.getOrDefault(a.place(0), a.place(1)));
+    variables.put(a.place(0), overrides.getOrDefault(a.place(0), a.place(1)));
     a.finish();
   }
 
@@ -296,28 +311,35 @@
       }
     }
     if (!put.get(0).equals("let")) {
-      taken.append(String.join(" ", put)).append('\n');
+      effectiveSettings.append(String.join(" ", put)).append('\n');
     }
     return new ConfigurationLine(line.file(), line.number(), put);
   }
 
   private void trouble(ConfigurationLine line) {
     LineArguments a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
-    TroubleLine read = TroubleLine.read(a);
-    int last = read.mark().worker() + read.mark().count() - 1;
-    check(a, () -> last < workers, "there is no worker " + last, "a number below " + workers);
+    FaultLine read = FaultLine.read(a);
+    int last = read.window().firstBackend() + read.window().backendCount() - 1;
+    check(
+        a,
+        () -> last < backendCount,
+        "there is no worker " + last,
+        "a number below " + backendCount);
     check(
         a,
-        () -> read.gatekeepers() <= gatekeepers,
-        "there are not " + read.gatekeepers() + " gatekeepers",
-        "at most " + gatekeepers);
+        () -> read.gatewayCount() <= gatewayCount,
+        "there are not " + read.gatewayCount() + " gatekeepers",
+        "at most " + gatewayCount);
     check(
         a,
-        () -> read.part() < counter.parts(),
-        "the counter has no part " + read.part(),
-        "a number below " + counter.parts());
+        () -> read.counterPartition() < counter.partitionCount(),
+        "the counter has no part " + read.counterPartition(),
+        "a number below " + counter.partitionCount());
     check(
-        a, () -> read.zone() < zones, "there is no zone " + read.zone(), "a number below " + zones);
+        a,
+        () -> read.zone() < zoneCount,
+        "there is no zone " + read.zone(),
+        "a number below " + zoneCount);
     check(
         a,
         () ->
@@ -325,8 +347,8 @@
                 || demands.stream().anyMatch(d -> d.name().equals(read.demand())),
         "there is no demand '" + read.demand() + "'",
         "the name of a demand line");
-    troubles.add(read.made());
-    marks.add(read.mark());
+    faults.add(read.fault());
+    faultWindows.add(read.window());
     a.finish();
   }
 
@@ -335,7 +357,7 @@
    *
    * @throws ConfigurationException with every mistake when there is any
    */
-  public static Read read(Path file) throws ConfigurationException {
+  public static ParsedDeployment read(Path file) throws ConfigurationException {
     return read(file, Map.of());
   }
 
@@ -344,7 +366,8 @@
    *
    * @param given by name; each must have a {@code let} line
    */
-  public static Read read(Path file, Map<String, String> given) throws ConfigurationException {
+  public static ParsedDeployment read(Path file, Map<String, String> given)
+      throws ConfigurationException {
     DeploymentFile f = new DeploymentFile(given);
     f.lines(file);
     given
@@ -357,25 +380,25 @@
                     "let " + name + " VALUE"));
     f.missing(f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
     f.finish();
-    return new Read(
+    return new ParsedDeployment(
         new Deployment(
-            f.gatekeepers,
-            f.workers,
-            f.zones,
-            f.build,
-            f.thrash,
+            f.gatewayCount,
+            f.backendCount,
+            f.zoneCount,
+            f.backend,
+            f.queueingSlowdown,
             f.network,
             f.counter,
-            f.roster,
-            List.copyOf(f.classes.values()),
+            f.discoveryDelayMicros,
+            List.copyOf(f.requestClasses.values()),
             List.copyOf(f.plans.values()),
             f.limits,
             f.rules,
             List.copyOf(f.demands),
-            f.seconds,
+            f.durationSeconds,
             f.seed),
-        List.copyOf(f.troubles),
-        List.copyOf(f.marks),
-        f.taken.toString());
+        List.copyOf(f.faults),
+        List.copyOf(f.faultWindows),
+        f.effectiveSettings.toString());
   }
 }
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -47,14 +47,17 @@
                 {"kind":"sunspots","at":1000000,"len":2000000,"size":3,"on":[],"steps":[]}]}
                 """));
     Path file = Files.writeString(directory.resolve("d.emu"), DayDescribed.of(day));
-    DeploymentFile.Read read = DeploymentFile.read(file);
-    assertEquals(4, read.deployment().workers());
-    assertEquals(2, read.deployment().counter().parts());
-    assertEquals(9_000, read.deployment().counter().queueMicros());
+    DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
+    assertEquals(4, read.deployment().backendCount());
+    assertEquals(2, read.deployment().counter().partitionCount());
+    assertEquals(9_000, read.deployment().counter().maxQueueMicros());
     assertEquals(
-        List.of(2, 3, 5), read.deployment().demands().stream().map(d -> d.customers()).toList());
-    assertEquals(2 * 3 * 2, read.deployment().demands().get(0).rate(), 1e-6);
-    assertEquals(new DeploymentFile.Mark("worker-slow", 1, 3, 0, 2, 3, 0.5), read.marks().get(0));
+        List.of(2, 3, 5),
+        read.deployment().demands().stream().map(d -> d.customerCount()).toList());
+    assertEquals(2 * 3 * 2, read.deployment().demands().get(0).requestsPerSecond(), 1e-6);
+    assertEquals(
+        new DeploymentFile.FaultWindow("worker-slow", 1, 3, 0, 2, 3, 0.5),
+        read.faultWindows().get(0));
     assertTrue(Files.readString(file).contains("# trouble sunspots"));
     assertEquals(
         List.of("over sockets each customer comes through all gatekeepers"),
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -219,10 +219,10 @@
   @Test
   void aLateTotalIsNotGivenToAnotherCall() throws Exception {
     connect(2_000_000, 4_096);
-    counter.slow(2_600);
+    counter.setDelayMillis(2_600);
     count("n", 100);
     assertEquals(CallResult.TIMEOUT, next().result());
-    counter.slow(0);
+    counter.setDelayMillis(0);
     count("n", 1);
     CounterReply second = next();
     assertEquals(CallResult.OK, second.result());
@@ -236,13 +236,13 @@
   @Test
   void aHalfOpenConnectionIsReplaced() throws Exception {
     connect(20_000, 4_096);
-    counter.silent(true);
+    counter.setUnresponsive(true);
     double[] many = new double[30];
     count("n", many);
     for (int i = 0; i < many.length; i++) {
       assertEquals(CallResult.TIMEOUT, next().result());
     }
-    counter.silent(false);
+    counter.setUnresponsive(false);
     List<CallResult> ends = new ArrayList<>();
     while (!ends.contains(CallResult.OK)) {
       count("after", 1);
@@ -254,14 +254,14 @@
   @Test
   void anErrorAddedNothingAndALostConnectionMayHave() throws Exception {
     connect(20_000_000, 4_096);
-    counter.refusing(true);
+    counter.setRejecting(true);
     count("n", 5);
     assertEquals(CallResult.SHED, next().result());
-    counter.refusing(false);
-    counter.silent(true);
-    long calls = counter.calls();
+    counter.setRejecting(false);
+    counter.setUnresponsive(true);
+    long calls = counter.addCount();
     count("n", 7);
-    Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
+    Setup.until(() -> counter.addCount() > calls); // It has reached the counter, so it is out.
     counter.stop();
     assertEquals(CallResult.TIMEOUT, next().result());
     count("n", 1);
@@ -272,7 +272,7 @@
   @Test
   void callsBeyondTheMostWaitForTheirTurn() throws Exception {
     connect(5_000_000, 1);
-    counter.slow(60);
+    counter.setDelayMillis(60);
     count("n", 1, 1);
     assertEquals(CallResult.OK, next().result());
     assertEquals(CallResult.SHED, next().result());
--- a/src/test/java/fawndock/gateway/FrontTest.java
+++ b/src/test/java/fawndock/gateway/FrontTest.java
@@ -188,7 +188,7 @@
               }
               return List.of();
             });
-        counter.slow(300);
+        counter.setDelayMillis(300);
         try (Socket socket = new Socket("127.0.0.1", s.port)) {
           socket
               .getOutputStream()
--- a/src/test/java/fawndock/gateway/RosterLinkTest.java
+++ b/src/test/java/fawndock/gateway/RosterLinkTest.java
@@ -80,20 +80,20 @@
   void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
     FakeEndpointFeed roster = new FakeEndpointFeed(vertx, new TraceRecorder());
-    roster.tell(
-        new FakeEndpointFeed.Entry("a", 1, "", 0, "running", 0),
-        new FakeEndpointFeed.Entry("b", 2, "", 0, "running", 0));
+    roster.publish(
+        new FakeEndpointFeed.EndpointEntry("a", 1, "", 0, "running", 0),
+        new FakeEndpointFeed.EndpointEntry("b", 2, "", 0, "running", 0));
     int port = Setup.wait(roster.listen(0));
     try (Setup s = new Setup(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
       s.gatekeeper.await(
           EndpointUpdate.class,
           e -> e.kind() == EndpointUpdateKind.SNAPSHOT && e.endpoints().size() == 2);
-      roster.cut(true);
-      roster.cut(false);
+      roster.setDisconnected(true);
+      roster.setDisconnected(false);
       Setup.until(() -> complete(s) >= 2); // It connects again and has the complete list once more.
-      roster.raw("{\"list\":\"complete\",\"servers\":[]}");
+      roster.publishRaw("{\"list\":\"complete\",\"servers\":[]}");
       s.gatekeeper.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
-      roster.raw("nonsense");
+      roster.publishRaw("nonsense");
       Setup.until(() -> complete(s) >= 3);
       assertEquals(
           0,
--- a/src/test/java/fawndock/measurement/MeasuresTest.java
+++ b/src/test/java/fawndock/measurement/MeasuresTest.java
@@ -26,8 +26,8 @@
   private static void even(QuotaUsage use, String customer, double aSecond, int from, int to) {
     for (int i = 0; i < (to - from) * aSecond; i++) {
       long at = from * S + (long) (i * S / aSecond);
-      use.asked(at, customer, 1);
-      use.used(at, customer, 1);
+      use.onRequest(at, customer, 1);
+      use.onForwarded(at, customer, 1);
     }
   }
 
@@ -36,41 +36,41 @@
     QuotaUsage use = new QuotaUsage(PLANS, 130);
     even(use, "a-0", 10, 0, 70);
     even(use, "a-0", 20, 70, 130); // 10 a second allowed: twice that in the last minute.
-    QuotaUsage.Use of = use.of("a-0");
-    assertEquals(2.0, of.worst(), 1e-9);
-    assertEquals(1.0, of.kept(), 1e-9);
-    assertEquals((60 * 20 - 60 * 10 - 20) / (60.0 * 10 + 60 * 10 + 20), of.beyond(), 0.01);
+    QuotaUsage.Summary of = use.summarize("a-0");
+    assertEquals(2.0, of.peakPlanRatio(), 1e-9);
+    assertEquals(1.0, of.entitledUseRatio(), 1e-9);
+    assertEquals((60 * 20 - 60 * 10 - 20) / (60.0 * 10 + 60 * 10 + 20), of.excessRatio(), 0.01);
     even(use, "a-1", 5, 0, 130);
-    assertEquals((20 + 5) / 20.0, use.of("a-").worst(), 1e-9);
-    assertEquals(2.0, use.of("a-").worstCustomer(), 1e-9);
-    assertEquals(0, new QuotaUsage(PLANS, 130).of("").worst());
+    assertEquals((20 + 5) / 20.0, use.summarize("a-").peakPlanRatio(), 1e-9);
+    assertEquals(2.0, use.summarize("a-").peakCustomerPlanRatio(), 1e-9);
+    assertEquals(0, new QuotaUsage(PLANS, 130).summarize("").peakPlanRatio());
   }
 
   @Test
   void theFirstTenSecondsDoNotCountAndWhatIsKeptIsOfWhatWasAskedAndAllowed() {
     QuotaUsage use = new QuotaUsage(PLANS, 70);
     even(use, "a-0", 100, 0, 10);
-    assertEquals(0, use.of("").worst());
+    assertEquals(0, use.summarize("").peakPlanRatio());
     for (int i = 0; i < 600; i++) { // Asked half its plan, and let in one time in two.
-      use.asked(10 * S + i * S / 5, "a-0", 1);
+      use.onRequest(10 * S + i * S / 5, "a-0", 1);
       if (i % 2 == 0) {
-        use.used(10 * S + i * S / 5, "a-0", 1);
+        use.onForwarded(10 * S + i * S / 5, "a-0", 1);
       }
     }
-    assertEquals(0.25, use.of("").worst(), 0.01);
-    assertEquals(0.5, use.of("").kept(), 0.01);
-    assertEquals(0, use.of("").beyond());
+    assertEquals(0.25, use.summarize("").peakPlanRatio(), 0.01);
+    assertEquals(0.5, use.summarize("").entitledUseRatio(), 0.01);
+    assertEquals(0, use.summarize("").excessRatio());
   }
 
   @Test
   void aCustomerIsModestWhileItAsksLessThanItsPlan() {
     QuotaUsage use = new QuotaUsage(PLANS, 100);
     even(use, "a-0", 8, 0, 30);
-    assertTrue(use.modest(30 * S, "a-0"));
+    assertTrue(use.isBelowPlanRate(30 * S, "a-0"));
     even(use, "a-0", 12, 30, 60);
-    assertFalse(use.modest(60 * S, "a-0"));
-    assertTrue(use.modest(90 * S, "a-0"), "it stopped asking");
-    assertTrue(use.modest(60 * S, "nobody"));
+    assertFalse(use.isBelowPlanRate(60 * S, "a-0"));
+    assertTrue(use.isBelowPlanRate(90 * S, "a-0"), "it stopped asking");
+    assertTrue(use.isBelowPlanRate(60 * S, "nobody"));
   }
 
   @Test
@@ -78,20 +78,20 @@
     List<TraceEvent> trace = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       String id = "r" + i + ".1";
-      trace.add(new TraceEvent.Asked(S + i * S, id, 0, "lookup", "a-0", 1, S * 9));
+      trace.add(new TraceEvent.RequestSent(S + i * S, id, 0, "lookup", "a-0", 1, S * 9));
       if (i < 3) {
-        trace.add(new TraceEvent.Arrived(S + i * S + 5, id, "w", 1, false));
+        trace.add(new TraceEvent.AttemptArrived(S + i * S + 5, id, "w", 1, false));
       }
     }
-    trace.add(new TraceEvent.Arrived(S + 9, "r0.1", "v", 1, false));
-    trace.add(new TraceEvent.Answered(S + 20_000, "r0.1", 200));
+    trace.add(new TraceEvent.AttemptArrived(S + 9, "r0.1", "v", 1, false));
+    trace.add(new TraceEvent.ResponseReceived(S + 20_000, "r0.1", 200));
     trace.add(
-        new TraceEvent.Answered(
+        new TraceEvent.ResponseReceived(
             S + 30_000, "r0.1", 200)); // A second answer is the judge's, and does not count here.
-    trace.add(new TraceEvent.Answered(2 * S + 10_000, "r1.1", 504));
-    trace.add(new TraceEvent.Left(3 * S + 10_000, "r2.1"));
-    trace.add(new TraceEvent.Answered(4 * S + 10_000, "r3.1", 429));
-    trace.add(new TraceEvent.Answered(4 * S + 10_000, "unknown.1", 200));
+    trace.add(new TraceEvent.ResponseReceived(2 * S + 10_000, "r1.1", 504));
+    trace.add(new TraceEvent.ClientDisconnected(3 * S + 10_000, "r2.1"));
+    trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "r3.1", 429));
+    trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "unknown.1", 200));
     Measures.Told told = Measures.of(trace, Map.of(), PLANS, List.of("a"), 0, 6);
     assertEquals(Map.of(200, 1L, 504, 1L, 0, 1L, 429, 1L), told.statuses());
     assertEquals(0.25, told.figures().get("served-a-try"));
--- a/src/test/java/fawndock/platform/AttemptEndsTest.java
+++ b/src/test/java/fawndock/platform/AttemptEndsTest.java
@@ -22,20 +22,20 @@
   @Test
   void aSecondCopyAfterAPauseAnswersNobody() throws Exception {
     AtomicInteger many = new AtomicInteger();
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
-          String answer = FakeRespServer.served("value of " + words.get(2), "backlog=0");
+          String answer = FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0");
           link.send(answer);
           if (many.getAndIncrement() == 0) {
             Thread.sleep(20);
             link.send(answer);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       for (int i = 0; i < 4; i++) {
         String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.ask(words));
+        assertEquals("value of " + words[2], client.call(words));
         Thread.sleep(10);
       }
     }
@@ -47,25 +47,25 @@
    */
   @Test
   void aRequestThatMeetsAWorkersCloseGetsAnotherConnection() throws Exception {
-    CopyOnWriteArrayList<FakeRespServer.Link> links = new CopyOnWriteArrayList<>();
-    FakeRespServer.Behaviour worker =
+    CopyOnWriteArrayList<FakeRespServer.Connection> links = new CopyOnWriteArrayList<>();
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           links.add(link);
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      client.ask(service.request("pay"));
+      client.call(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
       for (boolean reset : new boolean[] {false, true}) {
         CountDownLatch release = service.hold();
         String[] words = service.request("pay");
-        client.send(RespClient.command(words));
+        client.send(RespClient.encodeCommand(words));
         Thread.sleep(20);
-        links.get(links.size() - 1).end(reset);
+        links.get(links.size() - 1).close(reset);
         Thread.sleep(20);
         release.countDown();
-        assertEquals("value of " + words[2], client.answer());
+        assertEquals("value of " + words[2], client.readReply());
         Thread.sleep(RESTED_MILLIS);
       }
     }
@@ -74,22 +74,22 @@
   /** Noise that came on the connection to be used again, half a reply too. */
   @Test
   void bytesOnAnIdleConnectionEndIt() throws Exception {
-    CopyOnWriteArrayList<FakeRespServer.Link> links = new CopyOnWriteArrayList<>();
-    FakeRespServer.Behaviour worker =
+    CopyOnWriteArrayList<FakeRespServer.Connection> links = new CopyOnWriteArrayList<>();
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           links.add(link);
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.ask(words));
+        assertEquals("value of " + words[2], client.call(words));
         Thread.sleep(RESTED_MILLIS);
         links.get(i).send("*3\r\n$5\r\nva");
-        Await.until(() -> service.world.worker.open() == 0);
+        Await.until(() -> service.world.backend.openCount() == 0);
       }
-      assertEquals(3, service.world.worker.accepted());
+      assertEquals(3, service.world.backend.acceptedCount());
     }
   }
 
@@ -97,20 +97,20 @@
   @Test
   void aFurtherAttemptTellsWhatIsLeft() throws Exception {
     List<Integer> told = new CopyOnWriteArrayList<>();
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           told.add(Integer.parseInt(words.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
           if (told.size() == 1) {
             Thread.sleep(100);
             link.send("-BUSY\r\n");
           } else {
-            FakeRespServer.worker().command(words, link);
+            FakeRespServer.backendHandler().onCommand(words, link);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], client.ask(words));
+      assertEquals("value of " + words[2], client.call(words));
       assertTrue(told.get(0) <= 1_500 && told.get(1) <= told.get(0) - 100, told.toString());
     }
   }
@@ -118,14 +118,15 @@
   /** No attempt begins for a request whose time was up while the loop was held. */
   @Test
   void noAttemptBeginsWithNoTimeLeft() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      client.ask(service.request("look"));
+      client.call(service.request("look"));
       Thread.sleep(RESTED_MILLIS);
       String[] words = service.request("look");
       words[3] = words[3].replace("d=1500", "d=1");
-      assertTrue(client.ask(words).startsWith("-"));
-      assertEquals(1, service.world.worker.commands());
+      assertTrue(client.call(words).startsWith("-"));
+      assertEquals(1, service.world.backend.commandCount());
     }
   }
 }
--- a/src/test/java/fawndock/platform/CatalogEndsTest.java
+++ b/src/test/java/fawndock/platform/CatalogEndsTest.java
@@ -20,16 +20,16 @@
 class CatalogEndsTest {
   private static void served(Service service, RespClient client) throws Exception {
     String[] words = service.request("look");
-    assertEquals("value of " + words[2], client.ask(words));
+    assertEquals("value of " + words[2], client.call(words));
   }
 
   /** The first worker drains and the second is ready, as the whole list and as a change. */
   private static String drained(Service service, FakeRespServer second, boolean whole) {
-    return FakeDiscoveryServer.list(
+    return FakeDiscoveryServer.endpointListJson(
         20,
         whole,
         "w1",
-        "127.0.0.1:" + service.world.worker.port(),
+        "127.0.0.1:" + service.world.backend.port(),
         "draining",
         "w2",
         "127.0.0.1:" + second.port(),
@@ -41,30 +41,32 @@
     Await.until(
         () -> {
           served(service, client);
-          return second.commands() > 0;
+          return second.commandCount() > 0;
         });
-    int before = service.world.worker.commands();
+    int before = service.world.backend.commandCount();
     for (int i = 0; i < 5; i++) {
       served(service, client);
     }
-    assertEquals(before, service.world.worker.commands());
+    assertEquals(before, service.world.backend.commandCount());
   }
 
   @Test
   void aChangeIsReadInAnyFormAndPieces() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
-      Await.until(() -> service.world.catalog.watched() == 1);
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
       String indented =
           "\n"
               + drained(service, second, false).replace(",", ",\n    ").replace("{", "{\n  ")
               + "\n";
       for (int i = 0; i < indented.length(); i += 7) {
-        service.world.catalog.chunk(indented.substring(i, Math.min(indented.length(), i + 7)));
+        service.world.discovery.sendChunk(
+            indented.substring(i, Math.min(indented.length(), i + 7)));
       }
       goesToSecond(service, client, second);
-      assertEquals(1, service.world.catalog.watched());
+      assertEquals(1, service.world.discovery.watchCount());
     }
   }
 
@@ -74,32 +76,33 @@
    */
   @Test
   void aCallWaitsAllTheWhileThatTheCatalogIsSilent() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
-      Await.until(() -> service.world.catalog.watched() == 1);
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
       served(service, client);
-      service.world.catalog.silent(true);
+      service.world.discovery.setUnresponsive(true);
       AtomicBoolean waited = new AtomicBoolean(true);
       AtomicBoolean watching = new AtomicBoolean(true);
       Thread watcher =
           new Thread(
               () -> {
                 while (watching.get()) {
-                  waited.compareAndSet(true, service.world.catalog.open() > 0);
+                  waited.compareAndSet(true, service.world.discovery.openCount() > 0);
                   Thread.onSpinWait();
                 }
               });
       watcher.start();
-      int before = service.world.catalog.accepted();
-      Await.until(() -> service.world.catalog.accepted() >= before + 3);
-      service.world.catalog.whole(drained(service, second, true));
-      service.world.catalog.silent(false);
-      Await.until(() -> service.world.catalog.watched() >= 2);
+      int before = service.world.discovery.acceptedCount();
+      Await.until(() -> service.world.discovery.acceptedCount() >= before + 3);
+      service.world.discovery.setSnapshot(drained(service, second, true));
+      service.world.discovery.setUnresponsive(false);
+      Await.until(() -> service.world.discovery.watchCount() >= 2);
       watching.set(false);
       watcher.join();
       assertTrue(waited.get());
-      service.world.catalog.tell(drained(service, second, false));
+      service.world.discovery.sendEvent(drained(service, second, false));
       goesToSecond(service, client, second);
     }
   }
@@ -111,61 +114,63 @@
   @Test
   void aDrainThatCameWithTheChoiceIsKept() throws Exception {
     AtomicReference<CountDownLatch> counting = new AtomicReference<>(new CountDownLatch(0));
-    FakeRespServer.Behaviour counter =
+    FakeRespServer.CommandHandler counter =
         (words, link) -> {
           counting.get().await();
-          FakeRespServer.counter().command(words, link);
+          FakeRespServer.counterHandler().onCommand(words, link);
         };
-    try (Service service = new Service(FakeRespServer.worker(), counter);
+    try (Service service = new Service(FakeRespServer.backendHandler(), counter);
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
-      Await.until(() -> service.world.catalog.watched() == 1);
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
       served(service, client);
       Thread.sleep(80); // The connection has rested and is used again.
       CountDownLatch counted = new CountDownLatch(1);
       counting.set(counted);
-      int calls = service.world.counter.commands();
+      int calls = service.world.counter.commandCount();
       String[] words = service.request("look");
-      client.send(RespClient.command(words));
-      Await.until(() -> service.world.counter.commands() > calls);
+      client.send(RespClient.encodeCommand(words));
+      Await.until(() -> service.world.counter.commandCount() > calls);
       CountDownLatch release = service.hold();
       counted.countDown();
       Thread.sleep(20);
-      service.world.catalog.tell(drained(service, second, false));
+      service.world.discovery.sendEvent(drained(service, second, false));
       Thread.sleep(20);
       release.countDown();
-      assertEquals("value of " + words[2], client.answer());
-      assertEquals(1, service.world.worker.commands());
-      assertEquals(1, second.commands());
+      assertEquals("value of " + words[2], client.readReply());
+      assertEquals(1, service.world.backend.commandCount());
+      assertEquals(1, second.commandCount());
     }
   }
 
   @Test
   void aWatchThatEndsInsteadOfTellingIsMadeAgain() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       for (int i = 1; i <= 5; i++) {
         int many = i;
-        Await.until(() -> service.world.catalog.watched() == many);
-        service.world.catalog.cut();
+        Await.until(() -> service.world.discovery.watchCount() == many);
+        service.world.discovery.endWatches();
       }
-      Await.until(() -> service.world.catalog.watched() == 6);
-      service.world.catalog.tell(drained(service, second, true));
+      Await.until(() -> service.world.discovery.watchCount() == 6);
+      service.world.discovery.sendEvent(drained(service, second, true));
       goesToSecond(service, client, second);
     }
   }
 
   @Test
   void anOlderListIsNotTaken() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
-      Await.until(() -> service.world.catalog.watched() == 1);
-      service.world.catalog.tell(drained(service, second, false));
-      service.world.catalog.tell(
-          FakeDiscoveryServer.list(
-              8, false, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"));
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
+      service.world.discovery.sendEvent(drained(service, second, false));
+      service.world.discovery.sendEvent(
+          FakeDiscoveryServer.endpointListJson(
+              8, false, "w1", "127.0.0.1:" + service.world.backend.port(), "ready"));
       goesToSecond(service, client, second);
     }
   }
@@ -176,43 +181,45 @@
    */
   @Test
   void addressesOfBeforeAreLeftWhenTheNewestSpeaks() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker());
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler());
         FakeDiscoveryServer mute = new FakeDiscoveryServer(drained(service, second, true));
         FakeDiscoveryServer last = new FakeDiscoveryServer(drained(service, second, true))) {
-      mute.silent(true);
-      last.silent(true);
-      service.world.configure(mute.port(), service.world.counter.port());
+      mute.setUnresponsive(true);
+      last.setUnresponsive(true);
+      service.world.writeConfiguration(mute.port(), service.world.counter.port());
       service.daemon.reload();
-      Await.until(() -> mute.accepted() > 0);
-      service.world.configure(last.port(), service.world.counter.port());
+      Await.until(() -> mute.acceptedCount() > 0);
+      service.world.writeConfiguration(last.port(), service.world.counter.port());
       service.daemon.reload();
-      Await.until(() -> last.accepted() > 0);
+      Await.until(() -> last.acceptedCount() > 0);
       served(service, client);
-      assertTrue(service.world.catalog.open() > 0);
-      last.silent(false);
-      Await.until(() -> last.watched() > 0 && service.world.catalog.open() == 0);
+      assertTrue(service.world.discovery.openCount() > 0);
+      last.setUnresponsive(false);
+      Await.until(() -> last.watchCount() > 0 && service.world.discovery.openCount() == 0);
       goesToSecond(service, client, second);
-      int calls = mute.accepted();
-      mute.silent(false);
-      Await.until(() -> mute.open() == 0);
-      assertEquals(calls, mute.accepted());
+      int calls = mute.acceptedCount();
+      mute.setUnresponsive(false);
+      Await.until(() -> mute.openCount() == 0);
+      assertEquals(calls, mute.acceptedCount());
     }
   }
 
   @Test
   void aWatchIsMadeAnewWhileClientsFillTheirDescriptors() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
-      Await.until(() -> service.world.catalog.watched() == 1);
+    try (Service service =
+        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
       CountDownLatch release = service.hold();
       List<RespClient> idle = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
         idle.add(service.client());
       }
-      service.world.catalog.cut();
+      service.world.discovery.endWatches();
       release.countDown();
-      Await.until(() -> service.world.catalog.watched() == 2);
+      Await.until(() -> service.world.discovery.watchCount() == 2);
       served(service, service.client());
     }
   }
--- a/src/test/java/fawndock/platform/ClientEndsTest.java
+++ b/src/test/java/fawndock/platform/ClientEndsTest.java
@@ -43,7 +43,8 @@
 
   @Test
   void aCloseOverUnreadBytesIsNoReset() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         Socket bad = socket(service)) {
       CountDownLatch release = service.hold();
       send(bad, "*x\r\n" + "y".repeat(100_000));
@@ -55,16 +56,17 @@
 
   @Test
   void whatIsReadAfterTheHalfCloseIsNotSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         Socket bad = socket(service);
         RespClient usual = service.client()) {
       send(bad, "*x\r\n");
       assertTrue(line(bad.getInputStream()).startsWith("-ERR"));
       assertEquals(-1, bad.getInputStream().read());
-      send(bad, RespClient.command(service.request("pay")));
+      send(bad, RespClient.encodeCommand(service.request("pay")));
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.ask(words));
-      assertEquals(1, service.world.worker.commands());
+      assertEquals("value of " + words[2], usual.call(words));
+      assertEquals(1, service.world.backend.commandCount());
     }
   }
 
@@ -74,7 +76,8 @@
    */
   @Test
   void aRequestThatCrossesAnEvictionIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
+    try (Service service =
+        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       RespClient silent = service.client();
       Await.until(() -> service.daemon.node().front().connections() == 1);
       int most = (int) (0.45 * 64);
@@ -84,11 +87,11 @@
         others[i] = service.client();
       }
       String[] words = service.request("pay");
-      silent.send(RespClient.command(words));
+      silent.send(RespClient.encodeCommand(words));
       release.countDown();
-      String answer = silent.answer();
-      others[most - 1].ask("PING");
-      assertEquals(answer == null ? 0 : 1, service.world.worker.commands());
+      String answer = silent.readReply();
+      others[most - 1].call("PING");
+      assertEquals(answer == null ? 0 : 1, service.world.backend.commandCount());
       assertTrue(answer == null || answer.equals("value of " + words[2]), answer);
     }
   }
@@ -96,22 +99,22 @@
   @Test
   void nothingIsSentForAClientThatLeftWhileItWasCounted() throws Exception {
     CountDownLatch[] counting = {null};
-    FakeRespServer.Behaviour counter =
+    FakeRespServer.CommandHandler counter =
         (words, link) -> {
           if (counting[0] != null) {
             counting[0].await();
           }
-          FakeRespServer.counter().command(words, link);
+          FakeRespServer.counterHandler().onCommand(words, link);
         };
-    try (Service service = new Service(FakeRespServer.worker(), counter);
+    try (Service service = new Service(FakeRespServer.backendHandler(), counter);
         RespClient usual = service.client()) {
-      usual.ask(service.request("pay"));
+      usual.call(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
       counting[0] = new CountDownLatch(1);
       RespClient leaving = service.client();
-      int calls = service.world.counter.commands();
-      leaving.send(RespClient.command(service.request("pay")));
-      Await.until(() -> service.world.counter.commands() > calls);
+      int calls = service.world.counter.commandCount();
+      leaving.send(RespClient.encodeCommand(service.request("pay")));
+      Await.until(() -> service.world.counter.commandCount() > calls);
       CountDownLatch release = service.hold();
       counting[0]
           .countDown(); // Its answer comes first, then the close; both are found in one turn.
@@ -121,40 +124,41 @@
       release.countDown();
       counting[0] = null;
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.ask(words));
-      assertEquals(2, service.world.worker.commands());
+      assertEquals("value of " + words[2], usual.call(words));
+      assertEquals(2, service.world.backend.commandCount());
     }
   }
 
   @Test
   void nothingIsSentAgainForAClientThatLeftMeanwhile() throws Exception {
     CountDownLatch[] working = {null};
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           if (working[0] != null) {
             working[0].await();
             link.send("-ERR failed\r\n");
           } else {
-            FakeRespServer.worker().command(words, link);
+            FakeRespServer.backendHandler().onCommand(words, link);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient usual = service.client();
         FakeRespServer second = new FakeRespServer(worker)) {
-      Await.until(() -> service.world.catalog.watched() == 1);
-      service.world.catalog.tell(
-          FakeDiscoveryServer.list(9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
+      Await.until(() -> service.world.discovery.watchCount() == 1);
+      service.world.discovery.sendEvent(
+          FakeDiscoveryServer.endpointListJson(
+              9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
-            usual.ask(service.request("look"));
-            return second.commands() > 0 && service.world.worker.commands() > 0;
+            usual.call(service.request("look"));
+            return second.commandCount() > 0 && service.world.backend.commandCount() > 0;
           });
       Thread.sleep(RESTED_MILLIS);
       working[0] = new CountDownLatch(1);
-      int before = second.commands() + service.world.worker.commands();
+      int before = second.commandCount() + service.world.backend.commandCount();
       RespClient leaving = service.client();
-      leaving.send(RespClient.command(service.request("look")));
-      Await.until(() -> second.commands() + service.world.worker.commands() == before + 1);
+      leaving.send(RespClient.encodeCommand(service.request("look")));
+      Await.until(() -> second.commandCount() + service.world.backend.commandCount() == before + 1);
       CountDownLatch release = service.hold();
       working[0].countDown();
       Thread.sleep(20);
@@ -163,8 +167,8 @@
       release.countDown();
       working[0] = null;
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.ask(words));
-      assertEquals(before + 2, second.commands() + service.world.worker.commands());
+      assertEquals("value of " + words[2], usual.call(words));
+      assertEquals(before + 2, second.commandCount() + service.world.backend.commandCount());
     }
   }
 
@@ -174,24 +178,24 @@
     CountDownLatch hang = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
     String large = "v".repeat(60_000);
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             asked.countDown();
             hang.await();
           }
-          link.send(FakeRespServer.served(large, "backlog=0"));
+          link.send(FakeRespServer.backendResponse(large, "backlog=0"));
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4_096);
       client.connect(new java.net.InetSocketAddress("127.0.0.1", service.world.port()));
       for (int i = 0; i < 60; i++) {
-        send(client, RespClient.command(service.request("look")));
+        send(client, RespClient.encodeCommand(service.request("look")));
       }
       String[] words = service.request("pay");
       words[3] = words[3].replace("d=1500", "d=60000");
-      send(client, RespClient.command(words));
+      send(client, RespClient.encodeCommand(words));
       assertTrue(
           asked.await(
               10,
@@ -221,29 +225,29 @@
   @Test
   void aStopAnswersAllThatCameAndEndsConnectionsInOrder() throws Exception {
     CountDownLatch hang = new CountDownLatch(1);
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             hang.await();
           }
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter())) {
+    try (Service service = new Service(worker, FakeRespServer.counterHandler())) {
       Socket resting = socket(service);
       send(resting, "*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", line(resting.getInputStream()));
       Socket half = socket(service);
       send(half, "*4\r\n$5\r\nQ.A");
       RespClient waiting = service.client();
-      waiting.send(RespClient.command(service.request("pay")));
-      Await.until(() -> service.world.worker.commands() == 1);
+      waiting.send(RespClient.encodeCommand(service.request("pay")));
+      Await.until(() -> service.world.backend.commandCount() == 1);
       service.daemon.stop();
       service.daemon.stop();
       RespClient late = service.client();
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], late.ask(words));
-      assertTrue(waiting.answer().startsWith("-ERR"));
-      assertNull(waiting.answer());
+      assertEquals("value of " + words[2], late.call(words));
+      assertTrue(waiting.readReply().startsWith("-ERR"));
+      assertNull(waiting.readReply());
       assertEquals(-1, resting.getInputStream().read());
       assertEquals(-1, half.getInputStream().read());
       assertEquals(0, service.stop());
@@ -254,9 +258,10 @@
   /** A request that comes in the turn in which the stop closes what is quiet. */
   @Test
   void aRequestThatCrossesAStopIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      client.ask("PING");
+      client.call("PING");
       service.daemon.stop();
       CountDownLatch release = service.hold();
       String[] words = service.request("pay");
@@ -266,14 +271,14 @@
           .context()
           .runOnContext(
               v -> {
-                client.sendUnchecked(RespClient.command(words));
+                client.sendUnchecked(RespClient.encodeCommand(words));
                 service.daemon.node().front().drain(drained::countDown);
               });
       release.countDown();
-      String answer = client.answer();
+      String answer = client.readReply();
       client.close();
       drained.await();
-      assertEquals(answer == null ? 0 : 1, service.world.worker.commands());
+      assertEquals(answer == null ? 0 : 1, service.world.backend.commandCount());
       assertTrue(answer == null || answer.equals("value of " + words[2]), answer);
     }
   }
--- a/src/test/java/fawndock/platform/ClientsTest.java
+++ b/src/test/java/fawndock/platform/ClientsTest.java
@@ -19,30 +19,33 @@
   @Test
   void answersComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             release.await();
           }
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       String[] slow = service.request("pay");
       String[] quick = service.request("look");
       client.send(
-          RespClient.command(slow) + RespClient.command(quick) + RespClient.command("PING"));
-      Await.until(() -> service.world.worker.commands() == 2);
+          RespClient.encodeCommand(slow)
+              + RespClient.encodeCommand(quick)
+              + RespClient.encodeCommand("PING"));
+      Await.until(() -> service.world.backend.commandCount() == 2);
       release.countDown();
-      assertEquals("value of " + slow[2], client.answer());
-      assertEquals("value of " + quick[2], client.answer());
-      assertEquals("+PONG", client.answer());
+      assertEquals("value of " + slow[2], client.readReply());
+      assertEquals("value of " + quick[2], client.readReply());
+      assertEquals("+PONG", client.readReply());
     }
   }
 
   @Test
   void badInputGetsAnErrorOrACloseAndReachesNobody() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient usual = service.client()) {
       String good = "c=look,t=large,d=900,units=1,spread=1,first=0";
       List<String[]> unfit = new ArrayList<>();
@@ -78,7 +81,7 @@
           });
       unfit.add(new String[] {"GET", "x"});
       for (String[] each : unfit) {
-        assertTrue(usual.ask(each).startsWith("-ERR"), String.join(" ", each));
+        assertTrue(usual.call(each).startsWith("-ERR"), String.join(" ", each));
       }
       for (String noise :
           new String[] {
@@ -93,88 +96,91 @@
             "*" + "1".repeat(200)
           }) {
         try (RespClient bad = service.client()) {
-          assertTrue(bad.send(noise).answer().startsWith("-ERR"), noise);
-          assertNull(bad.answer(), noise);
+          assertTrue(bad.send(noise).readReply().startsWith("-ERR"), noise);
+          assertNull(bad.readReply(), noise);
         }
       }
-      assertEquals(0, service.world.worker.commands());
-      assertEquals(0, service.world.counter.commands());
+      assertEquals(0, service.world.backend.commandCount());
+      assertEquals(0, service.world.counter.commandCount());
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.ask(words));
+      assertEquals("value of " + words[2], usual.call(words));
     }
   }
 
   @Test
   void halfACommandAndSilenceEnd() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient half = service.client();
         RespClient silent = service.client();
         RespClient usual = service.client()) {
-      usual.ask("PING");
+      usual.call("PING");
       half.send("*4\r\n$5\r\nQ.A");
-      assertTrue(half.answer().startsWith("-ERR"));
-      assertNull(half.answer());
-      assertNull(silent.answer());
-      assertEquals("+PONG", usual.ask("PING"));
+      assertTrue(half.readReply().startsWith("-ERR"));
+      assertNull(half.readReply());
+      assertNull(silent.readReply());
+      assertEquals("+PONG", usual.call("PING"));
     }
   }
 
   @Test
   void anIdThatIsOpenIsNotTakenTwice() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           release.await();
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient usual = service.client();
         RespClient bad = service.client()) {
       String[] words = service.request("pay");
-      usual.send(RespClient.command(words));
-      Await.until(() -> service.world.worker.commands() == 1);
-      assertEquals("-ERR the id is open already", bad.ask(words));
+      usual.send(RespClient.encodeCommand(words));
+      Await.until(() -> service.world.backend.commandCount() == 1);
+      assertEquals("-ERR the id is open already", bad.call(words));
       release.countDown();
-      assertEquals("value of " + words[2], usual.answer());
-      assertEquals(1, service.world.worker.commands());
+      assertEquals("value of " + words[2], usual.readReply());
+      assertEquals(1, service.world.backend.commandCount());
     }
   }
 
   @Test
   void tooManyCommandsAtOnceEndTheConnectionAfterTheFirst() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient bad = service.client()) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 200; i++) {
-        all.append(RespClient.command(service.request("look")));
+        all.append(RespClient.encodeCommand(service.request("look")));
       }
       bad.send(all.toString());
       int answers = 0;
       String last = "";
-      for (String answer = bad.answer(); answer != null; answer = bad.answer()) {
+      for (String answer = bad.readReply(); answer != null; answer = bad.readReply()) {
         answers++;
         last = answer;
       }
       assertEquals("-ERR too many commands at once", last);
       assertTrue(answers < 200, answers + " answers");
-      assertEquals("+PONG", service.client().ask("PING"));
+      assertEquals("+PONG", service.client().call("PING"));
     }
   }
 
   @Test
   void whenConnectionsAreSpentTheSilentOnesGo() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter(), 64)) {
+    try (Service service =
+        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       RespClient usual = service.client();
-      usual.ask("PING");
+      usual.call("PING");
       List<RespClient> silent = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
         silent.add(service.client());
       }
       RespClient late = service.client();
       String[] words = service.request("look");
-      assertEquals("value of " + words[2], late.ask(words));
-      assertEquals("+PONG", usual.ask("PING"));
-      assertNull(silent.get(0).answer());
+      assertEquals("value of " + words[2], late.call(words));
+      assertEquals("+PONG", usual.call("PING"));
+      assertNull(silent.get(0).readReply());
     }
   }
 }
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -48,9 +48,9 @@
   @Test
   void everyCutOfTwoListsGivesTheSame() throws Exception {
     String first =
-        FakeDiscoveryServer.list(
+        FakeDiscoveryServer.endpointListJson(
             41, true, "a", "127.0.0.1:1", "ready", "b{\\\"}", "127.0.0.1:2", "draining");
-    String second = FakeDiscoveryServer.list(42, false, "ä", "127.0.0.1:3", "gone");
+    String second = FakeDiscoveryServer.endpointListJson(42, false, "ä", "127.0.0.1:3", "gone");
     String indented = "{\n  \"index\": 43,\n  \"snapshot\": false,\n  \"endpoints\": [\n\n  ]\n}";
     String all = first + "\n\n" + second + "\r\n" + indented + "\n";
     for (int cut = 0; cut <= all.length(); cut++) {
--- a/src/test/java/fawndock/platform/OutcomesTest.java
+++ b/src/test/java/fawndock/platform/OutcomesTest.java
@@ -19,13 +19,13 @@
  */
 class OutcomesTest {
   /** Answers the first attempt of all as given, and the others well. */
-  private static FakeRespServer.Behaviour first(FakeRespServer.Behaviour odd) {
+  private static FakeRespServer.CommandHandler first(FakeRespServer.CommandHandler odd) {
     AtomicInteger many = new AtomicInteger();
     return (words, link) -> {
       if (many.getAndIncrement() == 0) {
-        odd.command(words, link);
+        odd.onCommand(words, link);
       } else {
-        FakeRespServer.worker().command(words, link);
+        FakeRespServer.backendHandler().onCommand(words, link);
       }
     };
   }
@@ -34,15 +34,15 @@
    * What a client is answered when the first attempt ends so, by class, and how many commands the
    * worker read.
    */
-  private static Map.Entry<String, Integer> answer(String type, FakeRespServer.Behaviour odd)
+  private static Map.Entry<String, Integer> answer(String type, FakeRespServer.CommandHandler odd)
       throws Exception {
-    try (Service service = new Service(first(odd), FakeRespServer.counter());
+    try (Service service = new Service(first(odd), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       String[] words = service.request(type);
-      String answer = client.ask(words);
+      String answer = client.call(words);
       return Map.entry(
           answer.equals("value of " + words[2]) ? "served" : answer.split(" ")[0],
-          service.world.worker.commands());
+          service.world.backend.commandCount());
     }
   }
 
@@ -53,14 +53,14 @@
             new Service(
                 (words, link) -> {
                   lists.put(words.get(2), String.join(" ", words));
-                  FakeRespServer.worker().command(words, link);
+                  FakeRespServer.backendHandler().onCommand(words, link);
                 },
-                FakeRespServer.counter());
+                FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       String[] words = service.request("note");
       assertEquals(
           "value of " + words[2],
-          client.ask(words[0], words[1], words[2], words[3], "BODY \r\n $5"));
+          client.call(words[0], words[1], words[2], words[3], "BODY \r\n $5"));
       String sent = lists.get(words[2]);
       assertTrue(
           sent.matches(
@@ -89,31 +89,32 @@
 
   @Test
   void aBreakAfterTheLastByteMayHaveRun() throws Exception {
-    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(true)));
-    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.end(false)));
+    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.close(true)));
+    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.close(false)));
   }
 
   @Test
   void noConnectionNeverRan() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      service.world.worker.close();
-      assertTrue(client.ask(service.request("pay")).startsWith("-BUSY"));
+      service.world.backend.close();
+      assertTrue(client.call(service.request("pay")).startsWith("-BUSY"));
     }
   }
 
   @Test
   void spoiltAnswersMayHaveRunAndEndTheConnection() throws Exception {
     AtomicReference<String> next = new AtomicReference<>();
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           String spoilt = next.getAndSet(null);
           link.send(
               spoilt == null
-                  ? FakeRespServer.served("value of " + words.get(2), "backlog=0")
+                  ? FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0")
                   : spoilt);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter());
+    try (Service service = new Service(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       int connections = 0;
       for (String spoilt :
@@ -130,28 +131,29 @@
             "*2\r\n$1\r\nv\r\n$-1\r\n"
           }) {
         next.set(spoilt);
-        assertTrue(client.ask(service.request("pay")).startsWith("-ERR"), spoilt);
-        assertTrue(service.world.worker.accepted() > connections, spoilt);
-        connections = service.world.worker.accepted();
+        assertTrue(client.call(service.request("pay")).startsWith("-ERR"), spoilt);
+        assertTrue(service.world.backend.acceptedCount() > connections, spoilt);
+        connections = service.world.backend.acceptedCount();
       }
-      Await.until(() -> service.world.worker.open() == 0);
+      Await.until(() -> service.world.backend.openCount() == 0);
     }
   }
 
   @Test
   void aSecondCopyNeverAnswersTheNextRequest() throws Exception {
-    FakeRespServer.Behaviour twice =
+    FakeRespServer.CommandHandler twice =
         (words, link) -> {
-          String answer = FakeRespServer.served("value of " + words.get(2), "queue=x,noise");
+          String answer =
+              FakeRespServer.backendResponse("value of " + words.get(2), "queue=x,noise");
           link.send(answer + answer);
         };
-    try (Service service = new Service(twice, FakeRespServer.counter());
+    try (Service service = new Service(twice, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       for (int i = 0; i < 5; i++) {
         String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.ask(words));
+        assertEquals("value of " + words[2], client.call(words));
       }
-      assertEquals(5, service.world.worker.accepted());
+      assertEquals(5, service.world.backend.acceptedCount());
     }
   }
 
@@ -160,29 +162,31 @@
    */
   @Test
   void halfAReplyBehindAnAnswerIsNoPartOfTheNext() throws Exception {
-    FakeRespServer.Behaviour more =
+    FakeRespServer.CommandHandler more =
         (words, link) ->
             link.send(
-                FakeRespServer.served("value of " + words.get(2), "backlog=0") + "*3\r\n$5\r\nva");
-    try (Service service = new Service(more, FakeRespServer.counter());
+                FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0")
+                    + "*3\r\n$5\r\nva");
+    try (Service service = new Service(more, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       for (int i = 0; i < 3; i++) {
         String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.ask(words));
+        assertEquals("value of " + words[2], client.call(words));
         Thread.sleep(10); // Longer than a connection rests: it would be used again.
       }
-      assertEquals(3, service.world.worker.accepted());
+      assertEquals(3, service.world.backend.acceptedCount());
     }
   }
 
   /** The worker would close at 3 s; a request that met that would end as a reset. */
   @Test
   void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      client.ask(service.request("look"));
-      assertEquals(1, service.world.worker.open());
-      Await.until(() -> service.world.worker.open() == 0);
+      client.call(service.request("look"));
+      assertEquals(1, service.world.backend.openCount());
+      Await.until(() -> service.world.backend.openCount() == 0);
     }
   }
 
@@ -190,12 +194,12 @@
   void anAttemptGivenUpEndsItsConnection() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
     try (Service service =
-        new Service(first((words, link) -> asked.countDown()), FakeRespServer.counter())) {
+        new Service(first((words, link) -> asked.countDown()), FakeRespServer.counterHandler())) {
       RespClient client = service.client();
-      client.send(RespClient.command(service.request("pay")));
+      client.send(RespClient.encodeCommand(service.request("pay")));
       asked.await();
       client.close();
-      Await.until(() -> service.world.worker.open() == 0);
+      Await.until(() -> service.world.backend.openCount() == 0);
     }
   }
 
--- a/src/test/java/fawndock/platform/Service.java
+++ b/src/test/java/fawndock/platform/Service.java
@@ -17,14 +17,15 @@
   private final AtomicInteger code = new AtomicInteger(-1);
   private long nextId = 1;
 
-  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter) throws Exception {
+  Service(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
+      throws Exception {
     this(worker, counter, 256);
   }
 
-  Service(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
+  Service(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
       throws Exception {
     world = new FakePlatform(worker, counter, sockets);
-    daemon = new PlatformDaemon(world.variables());
+    daemon = new PlatformDaemon(world.environment());
     thread =
         new Thread(
             () -> {
@@ -46,7 +47,7 @@
 
   /** The words of a new request. */
   String[] request(String type) {
-    return FakePlatform.request(type, "large", 7, nextId++, "");
+    return FakePlatform.requestCommand(type, "large", 7, nextId++, "");
   }
 
   /**
--- a/src/test/java/fawndock/platform/TroubleTest.java
+++ b/src/test/java/fawndock/platform/TroubleTest.java
@@ -36,29 +36,29 @@
 class TroubleTest {
   private static String ask(Service service, RespClient client, String type) throws Exception {
     String[] words = service.request(type);
-    String answer = client.ask(words);
+    String answer = client.call(words);
     return answer.equals("value of " + words[2]) ? "served" : answer;
   }
 
   @Test
   void aCounterInTroubleCostsARequestNothingButItsWait() throws Exception {
-    for (FakeRespServer.Behaviour counter :
-        new FakeRespServer.Behaviour[] {
+    for (FakeRespServer.CommandHandler counter :
+        new FakeRespServer.CommandHandler[] {
           (words, link) -> {},
           (words, link) -> link.send("-BUSY\r\n"),
           (words, link) -> link.send("-ERR no such call\r\n"),
-          (words, link) -> link.end(true),
+          (words, link) -> link.close(true),
           (words, link) -> link.send("$3000000000\r\n"),
           (words, link) -> link.send("$5\r\nnoise\r\n"),
           (words, link) -> link.send("+OK\r\n"),
           (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")
         }) {
-      try (Service service = new Service(FakeRespServer.worker(), counter);
+      try (Service service = new Service(FakeRespServer.backendHandler(), counter);
           RespClient client = service.client()) {
         for (int i = 0; i < 3; i++) {
           assertEquals("served", ask(service, client, "look"));
         }
-        assertTrue(service.world.counter.commands() > 0);
+        assertTrue(service.world.counter.commandCount() > 0);
       }
     }
   }
@@ -73,29 +73,31 @@
 
   @Test
   void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.worker())) {
-      Await.until(() -> service.world.catalog.watched() == 1);
+        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() == 1);
       assertEquals("served", ask(service, client, "look"));
-      String at = "127.0.0.1:" + service.world.worker.port();
-      service.world.catalog.tell("what is no JSON");
-      service.world.catalog.whole(FakeDiscoveryServer.list(9, true, "w9", at, "ready"));
-      Await.until(() -> service.world.catalog.watched() == 2);
+      String at = "127.0.0.1:" + service.world.backend.port();
+      service.world.discovery.sendEvent("what is no JSON");
+      service.world.discovery.setSnapshot(
+          FakeDiscoveryServer.endpointListJson(9, true, "w9", at, "ready"));
+      Await.until(() -> service.world.discovery.watchCount() == 2);
       assertEquals("served", ask(service, client, "look"));
-      service.world.catalog.tell(
-          FakeDiscoveryServer.list(
+      service.world.discovery.sendEvent(
+          FakeDiscoveryServer.endpointListJson(
               10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
             assertEquals("served", ask(service, client, "look"));
-            return second.commands() > 0;
+            return second.commandCount() > 0;
           });
-      int before = service.world.worker.commands();
+      int before = service.world.backend.commandCount();
       for (int i = 0; i < 5; i++) {
         assertEquals("served", ask(service, client, "look"));
       }
-      assertEquals(before, service.world.worker.commands());
+      assertEquals(before, service.world.backend.commandCount());
     }
   }
 
@@ -105,10 +107,11 @@
    */
   @Test
   void theWarmUpLeavesNothingBehind() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      assertEquals(0, service.world.worker.accepted());
-      assertEquals(0, service.world.counter.accepted());
+      assertEquals(0, service.world.backend.acceptedCount());
+      assertEquals(0, service.world.counter.acceptedCount());
       assertEquals("served", ask(service, client, "look"));
       assertTrue(
           Files.readAllLines(Path.of("/proc/net/unix")).stream()
@@ -127,8 +130,9 @@
   @Test
   void theWarmUpServes() throws Exception {
     Vertx vertx = Vertx.vertx();
-    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
-      PlatformConfig config = PlatformConfig.read(world.variables());
+    try (FakePlatform world =
+        new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
+      PlatformConfig config = PlatformConfig.read(world.environment());
       CompletableFuture<Integer> served = new CompletableFuture<>();
       vertx
           .getOrCreateContext()
@@ -138,7 +142,7 @@
                 warmUp.run().onComplete(done -> served.complete(warmUp.served()));
               });
       assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
-      assertEquals(0, world.worker.accepted());
+      assertEquals(0, world.backend.acceptedCount());
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
@@ -147,22 +151,23 @@
   /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
   @Test
   void connectionsToACounterOfBeforeEnd() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), (words, link) -> {});
+    try (Service service = new Service(FakeRespServer.backendHandler(), (words, link) -> {});
         RespClient client = service.client();
-        FakeRespServer counter = new FakeRespServer(FakeRespServer.counter())) {
+        FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler())) {
       assertEquals("served", ask(service, client, "look"));
-      assertTrue(service.world.counter.open() > 0);
-      service.world.configure(service.world.catalog.port(), counter.port());
+      assertTrue(service.world.counter.openCount() > 0);
+      service.world.writeConfiguration(service.world.discovery.port(), counter.port());
       service.daemon.reload();
-      Await.until(() -> service.world.counter.open() == 0);
+      Await.until(() -> service.world.counter.openCount() == 0);
     }
   }
 
   /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
   @Test
   void aSilentWatchIsMadeAgain() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter())) {
-      Await.until(() -> service.world.catalog.watched() >= 2);
+    try (Service service =
+        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
+      Await.until(() -> service.world.discovery.watchCount() >= 2);
       assertEquals("served", ask(service, service.client(), "look"));
     }
   }
@@ -212,67 +217,69 @@
 
   @Test
   void anEmptyListEmptiesNothing() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
-      Await.until(() -> service.world.catalog.watched() == 1);
-      service.world.catalog.whole(FakeDiscoveryServer.list(11, true));
-      service.world.catalog.tell(FakeDiscoveryServer.list(11, true));
+      Await.until(() -> service.world.discovery.watchCount() == 1);
+      service.world.discovery.setSnapshot(FakeDiscoveryServer.endpointListJson(11, true));
+      service.world.discovery.sendEvent(FakeDiscoveryServer.endpointListJson(11, true));
       assertEquals("served", ask(service, client, "look"));
-      service.world.catalog.cut();
+      service.world.discovery.endWatches();
       assertEquals("served", ask(service, client, "look"));
     }
   }
 
   @Test
   void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
-    try (Service service = new Service(FakeRespServer.worker(), FakeRespServer.counter());
+    try (Service service =
+            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
-        FakeRespServer counter = new FakeRespServer(FakeRespServer.counter());
+        FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler());
         FakeDiscoveryServer catalog =
             new FakeDiscoveryServer(
-                FakeDiscoveryServer.list(
-                    3, true, "w1", "127.0.0.1:" + service.world.worker.port(), "ready"))) {
+                FakeDiscoveryServer.endpointListJson(
+                    3, true, "w1", "127.0.0.1:" + service.world.backend.port(), "ready"))) {
       assertEquals("served", ask(service, client, "look"));
-      service.world.write("{\"name\":");
+      service.world.writeFile("{\"name\":");
       service.daemon.reload();
       assertEquals("served", ask(service, client, "look"));
-      assertEquals(0, counter.commands());
-      service.world.configure(catalog.port(), counter.port());
+      assertEquals(0, counter.commandCount());
+      service.world.writeConfiguration(catalog.port(), counter.port());
       service.daemon.reload();
       service.daemon.reload();
       Await.until(
           () -> {
             assertEquals("served", ask(service, client, "look"));
-            return counter.commands() > 0 && catalog.watched() == 1;
+            return counter.commandCount() > 0 && catalog.watchCount() == 1;
           });
       service.world.counter.close();
-      service.world.catalog.close();
-      int before = counter.commands();
+      service.world.discovery.close();
+      int before = counter.commandCount();
       assertEquals("served", ask(service, client, "look"));
-      assertTrue(counter.commands() > before);
+      assertTrue(counter.commandCount() > before);
     }
   }
 
   @Test
   void aStopAnswersWhatIsOpenAndWhatStillComes() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.Behaviour worker =
+    FakeRespServer.CommandHandler worker =
         (words, link) -> {
           if (words.get(0).equals("Q.DO")) {
             release.await();
           }
-          FakeRespServer.worker().command(words, link);
+          FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counter())) {
+    try (Service service = new Service(worker, FakeRespServer.counterHandler())) {
       RespClient open = service.client();
       String[] words = service.request("pay");
-      open.send(RespClient.command(words));
-      Await.until(() -> service.world.worker.commands() == 1);
+      open.send(RespClient.encodeCommand(words));
+      Await.until(() -> service.world.backend.commandCount() == 1);
       service.daemon.stop();
       assertEquals("served", ask(service, service.client(), "look"));
       release.countDown();
-      assertEquals("value of " + words[2], open.answer());
-      assertNull(open.answer());
+      assertEquals("value of " + words[2], open.readReply());
+      assertNull(open.readReply());
       assertEquals(0, service.stop());
     }
   }
@@ -283,8 +290,9 @@
         "RELAY_CONFIG is not set: the path of the configuration is expected",
         assertThrows(PlatformConfig.UnusableException.class, () -> PlatformConfig.read(Map.of()))
             .getMessage());
-    try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
-      String file = world.variables().get("RELAY_CONFIG");
+    try (FakePlatform world =
+        new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
+      String file = world.environment().get("RELAY_CONFIG");
       String good = Files.readString(Path.of(file));
       for (String[] each :
           new String[][] {
@@ -296,18 +304,18 @@
               "'listen' is 'nowhere', HOST:PORT is expected"
             },
             {
-              good.replace(":" + world.catalog.port(), ":0"),
+              good.replace(":" + world.discovery.port(), ":0"),
               "'discovery' is '127.0.0.1:0', HOST:PORT is expected"
             },
             {good.replace("8c1f30d27a5be964", "xyz"), "'seed' is 'xyz'"},
             {good.replace("at_most_once", "ever"), "unknown word 'ever'"},
             {good.replace("\"name\":\"small\"", "\"title\":\"small\""), "'name' is missing"}
           }) {
-        world.write(each[0]);
+        world.writeFile(each[0]);
         String line =
             assertThrows(
                     PlatformConfig.UnusableException.class,
-                    () -> PlatformConfig.read(world.variables()))
+                    () -> PlatformConfig.read(world.environment()))
                 .getMessage();
         assertTrue(
             line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
--- a/src/test/java/fawndock/ratelimit/RateLimitTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitTest.java
@@ -216,7 +216,7 @@
 
   @Test
   void aSilentCounterLetsInInTime() throws Exception {
-    counter.silent(true);
+    counter.setUnresponsive(true);
     for (int i = 0;
         i < 10;
         i++) { // One customer's tenth would go by its own demand, as in a crowd, until silence is
--- a/src/test/java/fawndock/report/ReportTest.java
+++ b/src/test/java/fawndock/report/ReportTest.java
@@ -8,7 +8,7 @@
 import fawndock.experiment.Experiment;
 import fawndock.experiment.Experiment.Expect;
 import fawndock.experiment.Outcome;
-import fawndock.simulation.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.io.ByteArrayInputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
         "b1",
         Map.of("use", use, "rules-broken", 0.0, "plan.a", 10.0),
         Map.of("asked", new double[] {1, 5, 3}, "used a", new double[] {1, 4, 3}),
-        List.of(new Mark("counter-silent", 1, 2, 0, 1, 1, 1)),
+        List.of(new FaultWindow("counter-silent", 1, 2, 0, 1, 1, 1)),
         "rules kept");
   }
 
--- a/src/test/java/fawndock/scenario/DayFileTest.java
+++ b/src/test/java/fawndock/scenario/DayFileTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.conformance.ConformanceLimits;
-import fawndock.conformance.PriorityWeights;
 import fawndock.conformance.TraceEvent;
+import fawndock.conformance.WeightedGoodput;
 import fawndock.policy.config.DeduplicationScope;
 import fawndock.policy.config.Idempotency;
 import fawndock.policy.config.Plan;
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DayFileTest {
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   @Test
-  void readsWhatADrillNeeds() throws Exception {
+  void read_completeFile_returnsItsValues() throws Exception {
     DayFile day =
         DayFile.read(
             Files.writeString(
-                folder.resolve("day.json"),
+                directory.resolve("day.json"),
                 """
                 {"site":"s","length":4000000,"traffic":{"load":0.4},"servers":[{},{},{},{}],"balancers":[{},{}],
                 "tiers":[{"kinds":[{"cores":3,"queue":9,"cold_from":0.3,"cold":5000000}]}],
@@ -38,22 +38,22 @@
                 "steps":[{"at":1500000,"stop":[1],"start":[]}]}]}
                 """));
     assertEquals(4, day.seconds());
-    assertEquals(Idempotency.DEDUPLICATED, day.kinds().get(0).repeat());
-    assertEquals(new DayFile.PlanOf("t", 1, 2, 4, 0.5, 0, 1, 2), day.plans().get(0));
+    assertEquals(Idempotency.DEDUPLICATED, day.requestClasses().get(0).idempotency());
+    assertEquals(new DayFile.DayPlan("t", 1, 2, 4, 0.5, 0, 1, 2), day.plans().get(0));
     assertEquals(
-        new DayFile.Trouble(
-            "slow", 1, 2, 0.5, 3, 0, "", 0, List.of(new DayFile.Step(1.5, 0.25, 0))),
-        day.troubles().get(0));
+        new DayFile.DayFault(
+            "slow", 1, 2, 0.5, 3, 0, "", 0, List.of(new DayFile.FleetStep(1.5, 0.25, 0))),
+        day.faults().get(0));
   }
 
   @Test
-  void anotherFileIsToldApart() throws Exception {
-    Path file = Files.writeString(folder.resolve("other.json"), "{\"length\":1}");
+  void read_otherOrTruncatedFile_throws() throws Exception {
+    Path file = Files.writeString(directory.resolve("other.json"), "{\"length\":1}");
     assertTrue(
         assertThrows(IOException.class, () -> DayFile.read(file))
             .getMessage()
             .contains("no 'classes'"));
-    Path torn = Files.writeString(folder.resolve("torn.json"), "{\"length\":");
+    Path torn = Files.writeString(directory.resolve("torn.json"), "{\"length\":");
     assertThrows(IOException.class, () -> DayFile.read(torn));
   }
 
@@ -61,7 +61,7 @@
    * Of three tries at once with a store of two, two are inside; one of them is answered in time.
    */
   @Test
-  void serviceCountsWhatIsInsideTheQuotaAndInTime() {
+  void weightedGoodput_countsRequestsWithinQuotaAndObjective() {
     ConformanceLimits figures =
         new ConformanceLimits(
             Map.of(
@@ -82,14 +82,14 @@
             0);
     List<TraceEvent> trace =
         List.of(
-            new TraceEvent.Asked(10, "a.0", 0, "c", "x", 1, 9_010),
-            new TraceEvent.Asked(20, "b.0", 0, "c", "x", 1, 9_020),
-            new TraceEvent.Asked(30, "d.0", 0, "c", "x", 1, 9_030),
-            new TraceEvent.Answered(500, "a.0", 429),
-            new TraceEvent.Asked(600, "a.1", 0, "c", "x", 1, 9_600),
-            new TraceEvent.Answered(900, "a.1", 200),
-            new TraceEvent.Answered(1_500, "b.0", 200),
-            new TraceEvent.Answered(900, "d.0", 200));
-    assertEquals(0.5, PriorityWeights.judge(trace, figures));
+            new TraceEvent.RequestSent(10, "a.0", 0, "c", "x", 1, 9_010),
+            new TraceEvent.RequestSent(20, "b.0", 0, "c", "x", 1, 9_020),
+            new TraceEvent.RequestSent(30, "d.0", 0, "c", "x", 1, 9_030),
+            new TraceEvent.ResponseReceived(500, "a.0", 429),
+            new TraceEvent.RequestSent(600, "a.1", 0, "c", "x", 1, 9_600),
+            new TraceEvent.ResponseReceived(900, "a.1", 200),
+            new TraceEvent.ResponseReceived(1_500, "b.0", 200),
+            new TraceEvent.ResponseReceived(900, "d.0", 200));
+    assertEquals(0.5, WeightedGoodput.shareOfOffered(trace, figures));
   }
 }
--- a/src/test/java/fawndock/simulation/EmulationTest.java
+++ b/src/test/java/fawndock/simulation/SimulationTest.java
@@ -32,18 +32,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class EmulationTest {
-  private static final Manners PATIENT = new Manners(3_000_000, Manners.Retry.NONE, 0, 1, false);
+class SimulationTest {
+  private static final Manners PATIENT_CLIENT =
+      new Manners(3_000_000, Manners.Retry.NONE, 0, 1, false);
 
   private static Deployment deployment(long seed, double seconds) {
     return new Deployment(
         6,
         8,
         2,
-        new FakeBackend.Build(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000),
+        new FakeBackend.BackendConfig(4, 20_000, 200, 0.2, 4_000_000, 2, 1_000_000),
         0.02,
-        new Deployment.Network(200, 100, 0),
-        new Deployment.Counter(20_000, 50_000, 2, 0, 0),
+        new Deployment.NetworkModel(200, 100, 0),
+        new Deployment.CounterModel(20_000, 50_000, 2, 0, 0),
         50_000,
         List.of(
             new RequestClass(
@@ -62,48 +63,68 @@
         new ServiceRules(10_000, 1_000_000, 0.2, 4_000_000, 2, 1_000_000, 60_000_000),
         List.of(
             new Deployment.Demand(
-                "over", "lookup", "seat", 4, 0, 6, 120, new Shape.Constant(), 1_500_000, PATIENT),
+                "over",
+                "lookup",
+                "seat",
+                4,
+                0,
+                6,
+                120,
+                new Shape.Constant(),
+                1_500_000,
+                PATIENT_CLIENT),
             new Deployment.Demand(
-                "under", "lookup", "seat", 4, 0, 6, 40, new Shape.Constant(), 1_500_000, PATIENT)),
+                "under",
+                "lookup",
+                "seat",
+                4,
+                0,
+                6,
+                40,
+                new Shape.Constant(),
+                1_500_000,
+                PATIENT_CLIENT)),
         seconds,
         seed);
   }
 
-  private static Emulation.Result run(Emulation emulation) {
+  private static Simulation.SimulationResult run(Simulation emulation) {
     return emulation.run();
   }
 
   @Test
-  void eventsAtTheSameTimeHappenInTheOrderInWhichTheyWerePut() {
-    Agenda agenda = new Agenda();
+  void runUntil_eventsAtTheSameTime_runInSchedulingOrder() {
+    EventQueue agenda = new EventQueue();
     List<Integer> seen = new ArrayList<>();
-    agenda.at(
+    agenda.scheduleAt(
         5,
         () -> {
           seen.add(1);
-          agenda.at(5, () -> seen.add(4));
-          agenda.at(3, () -> seen.add(5));
+          agenda.scheduleAt(5, () -> seen.add(4));
+          agenda.scheduleAt(3, () -> seen.add(5));
         });
-    agenda.at(5, () -> seen.add(2));
-    agenda.at(4, () -> seen.add(0));
-    agenda.at(5, () -> seen.add(3));
-    agenda.run(5);
+    agenda.scheduleAt(5, () -> seen.add(2));
+    agenda.scheduleAt(4, () -> seen.add(0));
+    agenda.scheduleAt(5, () -> seen.add(3));
+    agenda.runUntil(5);
     assertEquals(List.of(0, 1, 2, 3, 4, 5), seen);
-    assertEquals(5, agenda.now());
+    assertEquals(5, agenda.nowMicros());
   }
 
   @Test
-  void theSameSeedGivesTheSameRunAndCustomersAreHeldToTheirPlans() {
-    Emulation.Result first = run(new Emulation(deployment(1, 30), DefaultGatewayPolicy::new));
-    Emulation.Result again = run(new Emulation(deployment(1, 30), DefaultGatewayPolicy::new));
+  void run_sameSeed_givesSameResultWithinPlans() {
+    Simulation.SimulationResult first =
+        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    Simulation.SimulationResult again =
+        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
     assertEquals(first.figures(), again.figures());
     first
         .series()
         .forEach((name, values) -> assertArrayEquals(values, again.series().get(name), name));
     assertNotEquals(
-        first.statuses(),
-        run(new Emulation(deployment(2, 30), DefaultGatewayPolicy::new)).statuses());
-    assertTrue(first.verdict().kept(), first.verdict().breaches().toString());
+        first.responsesByStatus(),
+        run(new Simulation(deployment(2, 30), DefaultGatewayPolicy::new)).responsesByStatus());
+    assertTrue(first.conformance().isConformant(), first.conformance().violations().toString());
     assertTrue(
         first.figures().get("use.over") > 0.9 && first.figures().get("use.over") < 1.1,
         "30 a second asked, 20 " + "allowed, 4 times: " + first.figures());
@@ -112,34 +133,38 @@
   }
 
   @Test
-  void troublesShowAndTheRulesAreKept() {
+  void run_withFaults_changesResultAndStaysConformant() {
     long calm =
-        run(new Emulation(deployment(1, 20), DefaultGatewayPolicy::new)).statuses().get(200);
-    Emulation silent = new Emulation(deployment(1, 20), DefaultGatewayPolicy::new);
-    Troubles.counterSilent(silent, 5, 15);
-    Emulation.Result result = run(silent);
+        run(new Simulation(deployment(1, 20), DefaultGatewayPolicy::new))
+            .responsesByStatus()
+            .get(200);
+    Simulation silent = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
+    Faults.counterUnreachable(silent, 5, 15);
+    Simulation.SimulationResult result = run(silent);
     assertTrue(
-        result.statuses().get(200) > calm + 200,
-        "let in while the counter is silent: " + result.statuses());
-    assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
-    Emulation bad = new Emulation(deployment(1, 20), DefaultGatewayPolicy::new);
-    Troubles.dies(bad, 3, 8, "w0");
-    Troubles.silent(bad, 6, 12, "w1");
-    Troubles.slow(bad, 6, 12, "w2", 10);
-    Troubles.losesAnswers(bad, 2, 18, "w3", 0.3);
-    Troubles.counterDies(bad, 9, 11, true);
-    Troubles.counterSplit(bad, 13, 16, 3, -1);
-    Troubles.networkSlow(bad, 14, 15, 5);
-    Emulation.Result many = run(bad);
-    assertTrue(many.verdict().kept(), many.verdict().breaches().toString());
-    assertTrue(many.statuses().get(200) > 0.8 * calm, many.statuses() + " beside " + calm);
+        result.responsesByStatus().get(200) > calm + 200,
+        "let in while the counter is silent: " + result.responsesByStatus());
+    assertTrue(result.conformance().isConformant(), result.conformance().violations().toString());
+    Simulation bad = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
+    Faults.backendRestart(bad, 3, 8, "w0");
+    Faults.backendUnresponsive(bad, 6, 12, "w1");
+    Faults.backendSlow(bad, 6, 12, "w2", 10);
+    Faults.backendLosesResponses(bad, 2, 18, "w3", 0.3);
+    Faults.counterRestart(bad, 9, 11, true);
+    Faults.counterPartitioned(bad, 13, 16, 3, -1);
+    Faults.networkSlow(bad, 14, 15, 5);
+    Simulation.SimulationResult many = run(bad);
+    assertTrue(many.conformance().isConformant(), many.conformance().violations().toString());
+    assertTrue(
+        many.responsesByStatus().get(200) > 0.8 * calm,
+        many.responsesByStatus() + " beside " + calm);
   }
 
   /** Decisions that answer twice, or send twice what must not be, are found by the same judge. */
   @Test
-  void brokenDecisionsAreFound() {
+  void run_withFaultyPolicy_reportsViolations() {
     Function<PolicyConfig, GatewayPolicy> mute = s -> (now, event) -> List.of();
-    assertTrue(run(new Emulation(deployment(1, 2), mute)).verdict().unanswered() > 100);
+    assertTrue(run(new Simulation(deployment(1, 2), mute)).conformance().unansweredCount() > 100);
     Function<PolicyConfig, GatewayPolicy> hasty =
         s ->
             new GatewayPolicy() {
@@ -170,7 +195,7 @@
             6,
             8,
             1,
-            once.build(),
+            once.backend(),
             0,
             once.network(),
             once.counter(),
@@ -182,7 +207,7 @@
             once.demands(),
             2,
             1);
-    assertTrue(run(new Emulation(once, hasty)).verdict().breaches().size() > 5);
+    assertTrue(run(new Simulation(once, hasty)).conformance().violations().size() > 5);
     Function<PolicyConfig, GatewayPolicy> strict =
         s ->
             (now, event) ->
@@ -190,7 +215,8 @@
                     ? List.of(new RejectRequest(r.requestId(), 1_000_000))
                     : List.of();
     assertEquals(
-        java.util.Set.of(429), run(new Emulation(deployment(1, 2), strict)).statuses().keySet());
+        java.util.Set.of(429),
+        run(new Simulation(deployment(1, 2), strict)).responsesByStatus().keySet());
   }
 
   /**
@@ -218,7 +244,7 @@
             poison from 5s until 15s share 0.01                            | repeated-attempts-a-try   | more | 2
             clock-skew from 5s until 15s gatekeepers 3 by 700ms behind yes | use                       | more | 1.0
             """)
-  void eachTroubleShows(
+  void run_withEachFault_changesItsFigure(
       String trouble, String figure, String way, double times, @TempDir Path directory)
       throws Exception {
     Path file = directory.resolve("d.emu");
@@ -237,18 +263,22 @@
                 """;
     Files.writeString(file, base);
     double calm =
-        run(DeploymentFile.read(file).emulation(DefaultGatewayPolicy::new)).figures().get(figure);
+        run(DeploymentFile.read(file).createSimulation(DefaultGatewayPolicy::new))
+            .figures()
+            .get(figure);
     Files.writeString(file, base + "trouble " + trouble + "\n");
-    Emulation.Result result = run(DeploymentFile.read(file).emulation(DefaultGatewayPolicy::new));
+    Simulation.SimulationResult result =
+        run(DeploymentFile.read(file).createSimulation(DefaultGatewayPolicy::new));
     double troubled = result.figures().get(figure);
     assertTrue(
         way.equals("more") ? troubled > times * calm : troubled < times * calm,
         troubled + " beside " + calm);
-    assertTrue(result.verdict().kept(), result.verdict().breaches().toString());
+    assertTrue(result.conformance().isConformant(), result.conformance().violations().toString());
   }
 
   @Test
-  void aFileDescribesARunAndItsMistakesComeAtOnce(@TempDir Path directory) throws Exception {
+  void read_deploymentFile_describesRunAndReportsAllErrors(@TempDir Path directory)
+      throws Exception {
     Path file = directory.resolve("d.emu");
     Files.writeString(
         file,
@@ -261,11 +291,13 @@
                 demand crowd class lookup plan seat rate 160 customers 4 remaining 1500ms
                 trouble counter-silent from 5s until 15s
                 """);
-    DeploymentFile.Read read = DeploymentFile.read(file);
-    Emulation.Result calm = run(new Emulation(read.deployment(), DefaultGatewayPolicy::new));
-    Emulation troubled = new Emulation(read.deployment(), DefaultGatewayPolicy::new);
-    read.troubles().forEach(trouble -> trouble.accept(troubled));
-    assertTrue(run(troubled).statuses().get(200) > calm.statuses().get(200) + 200);
+    DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
+    Simulation.SimulationResult calm =
+        run(new Simulation(read.deployment(), DefaultGatewayPolicy::new));
+    Simulation troubled = new Simulation(read.deployment(), DefaultGatewayPolicy::new);
+    read.faults().forEach(trouble -> trouble.accept(troubled));
+    assertTrue(
+        run(troubled).responsesByStatus().get(200) > calm.responsesByStatus().get(200) + 200);
     Files.writeString(
         file,
         "let rate 20\nwhen rate 20 demand x class a plan b\ntrouble rain from 3s until 2s\nworkers $n\n"
