--- a/src/main/java/fawndock/scenario/PlatformScenario.java
+++ b/src/main/java/fawndock/scenario/PlatformScenario.java
@@ -3,7 +3,7 @@
 import fawndock.fake.FakePlatform;
 import fawndock.fake.FakeRespServer;
 import fawndock.fake.RespClient;
-import fawndock.platform.PlatformDaemon;
+import fawndock.platform.PlatformProcess;
 import fawndock.policy.DefaultGatewayPolicy;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -30,7 +30,7 @@
     try (FakePlatform world =
             new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         FakeRespServer otherCounter = new FakeRespServer(FakeRespServer.counterHandler())) {
-      PlatformDaemon daemon = new PlatformDaemon(world.environment());
+      PlatformProcess daemon = new PlatformProcess(world.environment());
       int[] code = {-1};
       Thread running =
           new Thread(
@@ -55,7 +55,7 @@
     }
   }
 
-  private boolean requests(FakePlatform world, FakeRespServer otherCounter, PlatformDaemon daemon)
+  private boolean requests(FakePlatform world, FakeRespServer otherCounter, PlatformProcess daemon)
       throws IOException {
     RespClient[] clients = new RespClient[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++) {
--- a/src/main/java/fawndock/simulation/SimulatedGateway.java
+++ b/src/main/java/fawndock/simulation/SimulatedGateway.java
@@ -142,7 +142,7 @@
             asked.deadlineAtMicros() - simulation.events.nowMicros() + clockMicros(),
             asked.units(),
             asked.customerInstanceCount(),
-            asked.customerFirstInstance(),
+            asked.customerFirstInstanceIndex(),
             asked.isRetry());
     inFlight.put(id, new InFlightRequest(request, name, key, answer));
     onEvent(request);
@@ -188,7 +188,7 @@
     } else if (action instanceof AddToCounter a) {
       addToCounter(a);
     } else if (action instanceof ScheduleTimer a) {
-      scheduleAfter(a.delayMicros(), () -> onEvent(new TimerFired(a.token())));
+      scheduleAfter(a.delayMicros(), () -> onEvent(new TimerFired(a.timer())));
     } else if (action instanceof CancelAttempt a) {
       InFlightRequest open = inFlight.get(a.requestId());
       if (open != null) {
--- a/src/test/java/fawndock/platform/ClientsTest.java
+++ b/src/test/java/fawndock/platform/ClientCommandTest.java
@@ -15,7 +15,7 @@
  * Clients, usual and bad ones: a bad one gets an error or a close and takes nothing from the usual
  * ones.
  */
-class ClientsTest {
+class ClientCommandTest {
   @Test
   void answersComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
@@ -26,7 +26,7 @@
           }
           FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counterHandler());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       String[] slow = service.request("pay");
       String[] quick = service.request("look");
@@ -44,8 +44,8 @@
 
   @Test
   void badInputGetsAnErrorOrACloseAndReachesNobody() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient usual = service.client()) {
       String good = "c=look,t=large,d=900,units=1,spread=1,first=0";
       List<String[]> unfit = new ArrayList<>();
@@ -109,8 +109,8 @@
 
   @Test
   void halfACommandAndSilenceEnd() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient half = service.client();
         RespClient silent = service.client();
         RespClient usual = service.client()) {
@@ -131,7 +131,7 @@
           release.await();
           FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counterHandler());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
         RespClient usual = service.client();
         RespClient bad = service.client()) {
       String[] words = service.request("pay");
@@ -146,8 +146,8 @@
 
   @Test
   void tooManyCommandsAtOnceEndTheConnectionAfterTheFirst() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient bad = service.client()) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 200; i++) {
@@ -168,8 +168,8 @@
 
   @Test
   void whenConnectionsAreSpentTheSilentOnesGo() throws Exception {
-    try (Service service =
-        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       RespClient usual = service.client();
       usual.call("PING");
       List<RespClient> silent = new ArrayList<>();
--- a/src/test/java/fawndock/platform/ClientEndsTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -18,11 +18,11 @@
  * Ends of clients' connections, with bytes or requests that cross them: the event loop is held
  * until both have happened.
  */
-class ClientEndsTest {
+class ClientDisconnectTest {
   /** Longer than a connection to a worker rests: it is used again. */
   private static final long RESTED_MILLIS = 80;
 
-  private static Socket socket(Service service) throws Exception {
+  private static Socket socket(PlatformHarness service) throws Exception {
     Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), service.world.port());
     socket.setSoTimeout(10_000);
     return socket;
@@ -43,8 +43,8 @@
 
   @Test
   void aCloseOverUnreadBytesIsNoReset() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         Socket bad = socket(service)) {
       CountDownLatch release = service.hold();
       send(bad, "*x\r\n" + "y".repeat(100_000));
@@ -56,8 +56,8 @@
 
   @Test
   void whatIsReadAfterTheHalfCloseIsNotSentOn() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         Socket bad = socket(service);
         RespClient usual = service.client()) {
       send(bad, "*x\r\n");
@@ -76,10 +76,10 @@
    */
   @Test
   void aRequestThatCrossesAnEvictionIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service =
-        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       RespClient silent = service.client();
-      Await.until(() -> service.daemon.node().front().connections() == 1);
+      Await.until(() -> service.daemon.gateway().clientListener().connectionCount() == 1);
       int most = (int) (0.45 * 64);
       CountDownLatch release = service.hold();
       RespClient[] others = new RespClient[most];
@@ -106,7 +106,7 @@
           }
           FakeRespServer.counterHandler().onCommand(words, link);
         };
-    try (Service service = new Service(FakeRespServer.backendHandler(), counter);
+    try (PlatformHarness service = new PlatformHarness(FakeRespServer.backendHandler(), counter);
         RespClient usual = service.client()) {
       usual.call(service.request("pay"));
       Thread.sleep(RESTED_MILLIS);
@@ -141,7 +141,7 @@
             FakeRespServer.backendHandler().onCommand(words, link);
           }
         };
-    try (Service service = new Service(worker, FakeRespServer.counterHandler());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
         RespClient usual = service.client();
         FakeRespServer second = new FakeRespServer(worker)) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
@@ -186,7 +186,7 @@
           }
           link.send(FakeRespServer.backendResponse(large, "backlog=0"));
         };
-    try (Service service = new Service(worker, FakeRespServer.counterHandler());
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4_096);
       client.connect(new java.net.InetSocketAddress("127.0.0.1", service.world.port()));
@@ -211,12 +211,12 @@
               v ->
                   service
                       .daemon
-                      .node()
-                      .host()
+                      .gateway()
+                      .runner()
                       .timers()
-                      .schedule(ClientFront.UNREAD_MICROS / 2, late::countDown));
+                      .schedule(ClientListener.UNREAD_MICROS / 2, late::countDown));
       client.close();
-      Await.until(() -> service.daemon.node().host().openCount() == 0);
+      Await.until(() -> service.daemon.gateway().runner().openCount() == 0);
       assertEquals(1, late.getCount());
       hang.countDown();
     }
@@ -232,7 +232,7 @@
           }
           FakeRespServer.backendHandler().onCommand(words, link);
         };
-    try (Service service = new Service(worker, FakeRespServer.counterHandler())) {
+    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler())) {
       Socket resting = socket(service);
       send(resting, "*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", line(resting.getInputStream()));
@@ -258,8 +258,8 @@
   /** A request that comes in the turn in which the stop closes what is quiet. */
   @Test
   void aRequestThatCrossesAStopIsAnsweredOrNeverSentOn() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client()) {
       client.call("PING");
       service.daemon.stop();
@@ -272,7 +272,7 @@
           .runOnContext(
               v -> {
                 client.sendUnchecked(RespClient.encodeCommand(words));
-                service.daemon.node().front().drain(drained::countDown);
+                service.daemon.gateway().clientListener().drain(drained::countDown);
               });
       release.countDown();
       String answer = client.readReply();
--- a/src/test/java/fawndock/platform/CatalogEndsTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -17,14 +17,14 @@
  * The catalog falls silent, comes back, ends its watches or writes in other forms: no drain is
  * missed.
  */
-class CatalogEndsTest {
-  private static void served(Service service, RespClient client) throws Exception {
+class EndpointDiscoveryTest {
+  private static void served(PlatformHarness service, RespClient client) throws Exception {
     String[] words = service.request("look");
     assertEquals("value of " + words[2], client.call(words));
   }
 
   /** The first worker drains and the second is ready, as the whole list and as a change. */
-  private static String drained(Service service, FakeRespServer second, boolean whole) {
+  private static String drained(PlatformHarness service, FakeRespServer second, boolean whole) {
     return FakeDiscoveryServer.endpointListJson(
         20,
         whole,
@@ -36,8 +36,8 @@
         "ready");
   }
 
-  private static void goesToSecond(Service service, RespClient client, FakeRespServer second)
-      throws Exception {
+  private static void goesToSecond(
+      PlatformHarness service, RespClient client, FakeRespServer second) throws Exception {
     Await.until(
         () -> {
           served(service, client);
@@ -52,8 +52,8 @@
 
   @Test
   void aChangeIsReadInAnyFormAndPieces() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
@@ -76,8 +76,8 @@
    */
   @Test
   void aCallWaitsAllTheWhileThatTheCatalogIsSilent() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
@@ -119,7 +119,7 @@
           counting.get().await();
           FakeRespServer.counterHandler().onCommand(words, link);
         };
-    try (Service service = new Service(FakeRespServer.backendHandler(), counter);
+    try (PlatformHarness service = new PlatformHarness(FakeRespServer.backendHandler(), counter);
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
@@ -145,8 +145,8 @@
 
   @Test
   void aWatchThatEndsInsteadOfTellingIsMadeAgain() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       for (int i = 1; i <= 5; i++) {
@@ -162,8 +162,8 @@
 
   @Test
   void anOlderListIsNotTaken() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
@@ -181,8 +181,8 @@
    */
   @Test
   void addressesOfBeforeAreLeftWhenTheNewestSpeaks() throws Exception {
-    try (Service service =
-            new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
+    try (PlatformHarness service =
+            new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = service.client();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler());
         FakeDiscoveryServer mute = new FakeDiscoveryServer(drained(service, second, true));
@@ -209,8 +209,8 @@
 
   @Test
   void aWatchIsMadeAnewWhileClientsFillTheirDescriptors() throws Exception {
-    try (Service service =
-        new Service(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
+    try (PlatformHarness service =
+        new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       Await.until(() -> service.world.discovery.watchCount() == 1);
       CountDownLatch release = service.hold();
       List<RespClient> idle = new ArrayList<>();
--- a/src/test/java/fawndock/platform/Service.java
+++ b/src/test/java/fawndock/platform/PlatformHarness.java
@@ -10,22 +10,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** One gatekeeper of the platform's way in, in service among stand-ins, for one test. */
-final class Service implements AutoCloseable {
+final class PlatformHarness implements AutoCloseable {
   final FakePlatform world;
-  final PlatformDaemon daemon;
+  final PlatformProcess daemon;
   private final Thread thread;
   private final AtomicInteger code = new AtomicInteger(-1);
   private long nextId = 1;
 
-  Service(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
+  PlatformHarness(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
       throws Exception {
     this(worker, counter, 256);
   }
 
-  Service(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
+  PlatformHarness(
+      FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
       throws Exception {
     world = new FakePlatform(worker, counter, sockets);
-    daemon = new PlatformDaemon(world.environment());
+    daemon = new PlatformProcess(world.environment());
     thread =
         new Thread(
             () -> {
