--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -14,9 +14,9 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.PolicyRunner;
 import fawndock.runtime.Timers;
+import fawndock.runtime.WarmUpProgress;
 import fawndock.settings.GatewaySettings;
 import io.vertx.core.Future;
-import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpMethod;
@@ -104,8 +104,7 @@
     HttpServer front =
         vertx.createHttpServer().requestHandler(new Front(own, host, silent)::handle);
     HttpClient client = vertx.createHttpClient();
-    Promise<Void> done = Promise.promise();
-    vertx.setTimer(LIMIT_MILLIS, id -> done.tryComplete());
+    WarmUpProgress progress = new WarmUpProgress(vertx, REQUESTS, LIMIT_MILLIS);
     worker
         .listen(0, "127.0.0.1")
         .compose(
@@ -117,9 +116,10 @@
                       List.of(new Endpoint(KEY, own.zone(), 0, EndpointState.RUNNING, 1, 0))));
               return front.listen(0, "127.0.0.1");
             })
-        .onSuccess(f -> send(client, f.actualPort(), REQUESTS, done))
-        .onFailure(e -> done.tryComplete());
-    return done.future()
+        .onSuccess(f -> send(client, f.actualPort(), REQUESTS, progress))
+        .onFailure(e -> progress.complete());
+    return progress
+        .completion()
         .onComplete(
             v -> {
               client.close();
@@ -130,9 +130,9 @@
             });
   }
 
-  private void send(HttpClient client, int port, int left, Promise<Void> done) {
-    if (left <= 0 || done.future().isComplete()) {
-      done.tryComplete();
+  private void send(HttpClient client, int port, int left, WarmUpProgress progress) {
+    if (left <= 0 || progress.isComplete()) {
+      progress.complete();
       return;
     }
     GatewaySettings.Route route = settings.routes().get(0);
@@ -153,7 +153,7 @@
               .compose(answer -> answer.body())
               .timeout(LIMIT_MILLIS, TimeUnit.MILLISECONDS);
     }
-    Future.join(List.of(all)).onComplete(v -> send(client, port, left - AT_ONCE, done));
+    Future.join(List.of(all)).onComplete(v -> send(client, port, left - AT_ONCE, progress));
   }
 
   @Override
--- a/src/main/java/fawndock/platform/ActivitySummary.java
+++ b/src/main/java/fawndock/platform/ActivitySummary.java
@@ -8,72 +8,93 @@
 import java.util.Map;
 
 /**
- * What happened since the last line of the log: ends of attempts and of counter calls, and the last
- * error told.
+ * Counts responses, attempts and counter calls since the last summary, for the periodic log line.
+ * Confined to one event loop.
  */
 final class ActivitySummary implements ResponseRecorder {
+  private static final int MAX_ERROR_CHARACTERS = 80;
+
+  /** Attempts at one endpoint. */
+  private static final class EndpointAttempts {
+    private int completed;
+    private int failed;
+  }
+
+  private final Map<RequestOutcome, Integer> responses = new EnumMap<>(RequestOutcome.class);
   private final Map<CallResult, Integer> attempts = new EnumMap<>(CallResult.class);
-  private final Map<CallResult, Integer> calls = new EnumMap<>(CallResult.class);
+  private final Map<CallResult, Integer> counterCalls = new EnumMap<>(CallResult.class);
 
-  /** Ends and errors of each worker; as many as attempts in a few seconds had workers. */
-  private final Map<String, int[]> workers = new HashMap<>();
+  /** Only endpoints with attempts since the last summary, so that the map stays small. */
+  private final Map<String, EndpointAttempts> attemptsByEndpoint = new HashMap<>();
 
-  private final Map<RequestOutcome, Integer> answers = new EnumMap<>(RequestOutcome.class);
   private String lastError = "";
-  private long waitedMicros;
+  private long counterCallMicros;
 
   @Override
-  public void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason) {
-    answers.merge(verdict, 1, Integer::sum);
+  public void onResponse(
+      InFlightRequest request, long nowMicros, RequestOutcome outcome, String reason) {
+    responses.merge(outcome, 1, Integer::sum);
   }
 
-  void recordAttempt(String worker, CallResult how) {
-    int[] ends = workers.computeIfAbsent(worker, id -> new int[2]);
-    ends[0]++;
-    ends[1] += how == CallResult.OK || how == CallResult.CANCELLED ? 0 : 1;
-    attempts.merge(how, 1, Integer::sum);
+  void recordAttempt(String endpointId, CallResult result) {
+    EndpointAttempts endpoint =
+        attemptsByEndpoint.computeIfAbsent(endpointId, id -> new EndpointAttempts());
+    endpoint.completed++;
+    if (result != CallResult.OK && result != CallResult.CANCELLED) {
+      endpoint.failed++;
+    }
+    attempts.merge(result, 1, Integer::sum);
   }
 
-  /** A counter call has ended after so long. */
-  void recordCounterCall(CallResult how, long tookMicros) {
-    calls.merge(how, 1, Integer::sum);
-    waitedMicros += tookMicros;
+  void recordCounterCall(CallResult result, long durationMicros) {
+    counterCalls.merge(result, 1, Integer::sum);
+    counterCallMicros += durationMicros;
   }
 
-  /** A worker told an error, or what it told cannot be read. */
-  void recordError(String told) {
-    lastError = told.length() > 80 ? told.substring(0, 80) : told;
+  /** Records an endpoint's error reply, or what was wrong with a malformed one. */
+  void recordError(String error) {
+    lastError =
+        error.length() > MAX_ERROR_CHARACTERS ? error.substring(0, MAX_ERROR_CHARACTERS) : error;
   }
 
-  /** Tells what happened and begins anew. */
+  /** Returns the summary as fields of a log line, and starts over. */
   String summarizeAndReset() {
-    int many = calls.values().stream().mapToInt(Integer::intValue).sum();
-    String told =
-        "answers "
-            + answers
-            + ", attempts "
+    String summary =
+        "responses="
+            + responses
+            + ", attempts="
             + attempts
-            + ", counter calls "
-            + calls
-            + " of "
-            + (many == 0 ? 0 : waitedMicros / many)
-            + " us"
-            + (lastError.isEmpty() ? "" : ", last error '" + lastError + "'");
-    String worst = "";
-    int most = 0;
-    for (Map.Entry<String, int[]> each : workers.entrySet()) {
-      if (each.getValue()[1] > most) {
-        most = each.getValue()[1];
-        worst = ", most failures at " + each.getKey() + ", " + most + " of " + each.getValue()[0];
-      }
-    }
-    told += worst;
-    workers.clear();
-    answers.clear();
+            + ", counterCalls="
+            + counterCalls
+            + ", counterMeanMicros="
+            + meanCounterCallMicros()
+            + (lastError.isEmpty() ? "" : ", lastError='" + lastError + "'")
+            + mostFailures();
+    responses.clear();
     attempts.clear();
-    calls.clear();
-    waitedMicros = 0;
+    counterCalls.clear();
+    attemptsByEndpoint.clear();
+    counterCallMicros = 0;
     lastError = "";
-    return told;
+    return summary;
+  }
+
+  private long meanCounterCallMicros() {
+    int calls = counterCalls.values().stream().mapToInt(Integer::intValue).sum();
+    return calls == 0 ? 0 : counterCallMicros / calls;
+  }
+
+  private String mostFailures() {
+    String worstId = null;
+    EndpointAttempts worst = new EndpointAttempts();
+    for (Map.Entry<String, EndpointAttempts> entry : attemptsByEndpoint.entrySet()) {
+      if (entry.getValue().failed > worst.failed) {
+        worstId = entry.getKey();
+        worst = entry.getValue();
+      }
+    }
+    return worstId == null
+        ? ""
+        : ", mostFailures=" + worstId + " (" + worst.failed + " of " + worst.completed + ")";
   }
 }
--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -7,171 +7,166 @@
 import java.util.Map;
 
 /**
- * One attempt at a worker, on a connection that carries nothing else meanwhile: giving it up ends
- * the connection, and replies come in order. Whether it can have run goes by the platform's table:
- * never before the last byte is written.
+ * One attempt at a backend, on a connection that carries nothing else meanwhile: abandoning the
+ * attempt closes the connection. An attempt cannot have run before its last byte was written.
+ * Confined to one event loop.
  */
 final class BackendAttempt extends InFlightAttempt {
-  /** Connections that may end under it before it is sent. */
-  private static final int MOST_AGAIN = 3;
+  /** Connections that may break under the attempt before it is sent. */
+  private static final int MAX_RECONNECTS = 3;
 
   private final BackendConnectionPools pools;
   private final ClientExchange exchange;
-  private BackendConnectionPools.PooledConnection lease;
-  private int again;
-  private boolean sent;
-  private boolean written;
-  private long abandonAt;
+  private PooledConnection connection;
+  private int reconnects;
+  private boolean isSent;
+  private boolean isWritten;
+  private long deadlineMicros;
 
   BackendAttempt(
-      PolicyRunner host,
-      InFlightRequest open,
-      int number,
-      String server,
+      PolicyRunner runner,
+      InFlightRequest request,
+      int index,
+      String endpointId,
       BackendConnectionPools pools) {
-    super(host, open, number, server);
+    super(runner, request, index, endpointId);
     this.pools = pools;
-    this.exchange = (ClientExchange) open.exchange;
+    this.exchange = (ClientExchange) request.exchange;
   }
 
   @Override
-  protected void send(long abandonAtMicros) {
-    abandonAt = abandonAtMicros;
-    pools.lease(endpointId, this);
+  protected void send(long deadlineMicros) {
+    this.deadlineMicros = deadlineMicros;
+    pools.acquire(endpointId, this);
   }
 
-  private void finish(CallResult how, Map<String, Double> load, double units) {
-    if (result() == null) {
-      pools.figures().recordAttempt(endpointId, how);
-      complete(how, load, units);
-    }
-  }
-
-  private void finish(CallResult how) {
-    finish(how, Map.of(), 0);
-  }
-
-  /** Nobody has told the worker's address. */
-  void unknown() {
+  /** The endpoint's address is not known. */
+  void onUnknownEndpoint() {
     finish(CallResult.NOT_SENT);
   }
 
-  /** There is a connection; returns whether it is wanted. */
-  boolean connected(BackendConnectionPools.PooledConnection ready) {
+  /**
+   * A connection is available.
+   *
+   * @return whether the attempt still wants it
+   */
+  boolean onConnectionAvailable(PooledConnection available) {
     if (result() != null) {
       return false;
     }
-    lease = ready;
-    // After all that has come in this turn: a client that has closed by now has gone, and a
-    // connection that the
-    // worker has closed by now, or on which it sent a second copy, is of no use.
-    pools.later(this::write);
+    connection = available;
+    // Written after all that this turn has read: by then it is seen when the client or the backend
+    // has closed its connection, or when the backend has sent a response twice.
+    pools.runAfterReads(this::write);
     return true;
   }
 
   private void write() {
-    if (result() != null || lease == null || sent) {
+    if (result() != null || connection == null || isSent) {
       return;
     }
-    // What is left to the client as it is written, also on a connection that came up late.
-    long left = (abandonAt - runner.clock().now()) / 1_000;
-    // A drain that was told between the choice of the worker and now: guards against a turn in
-    // which a request was
-    // read before the drain that lay there as long. May take a free attempt more; nothing was sent.
-    if (left <= 0 || pools.closedToNew(endpointId)) {
-      leave(CallResult.NOT_SENT);
+    long timeoutMillis = (deadlineMicros - runner.clock().now()) / 1_000;
+    // The endpoint may have been reported as draining in the turn in which it was chosen. Nothing
+    // has been sent, so that the policy may choose another one.
+    if (timeoutMillis <= 0 || pools.isUnavailable(endpointId)) {
+      abandon(CallResult.NOT_SENT);
       return;
     }
-    sent = true;
-    lease
-        .connection()
-        .write(
-            exchange.command().toWorker(left),
-            whole -> {
-              written |= whole;
-              if (!whole) {
-                broken();
-              }
-            });
-  }
-
-  /** Whether its command was handed to the network, in part at least. */
-  boolean sent() {
-    return sent;
-  }
-
-  /** The connection it had is over, or of no use, before anything was sent: it gets another. */
-  private void again() {
-    lease = null;
-    if (++again > MOST_AGAIN) {
-      unconnected();
+    isSent = true;
+    connection.write(exchange.command().encodeForEndpoint(timeoutMillis), this::onWritten);
+  }
+
+  private void onWritten(boolean isComplete) {
+    isWritten |= isComplete;
+    if (!isComplete) {
+      onConnectionClosed();
+    }
+  }
+
+  /** Returns whether any of the command may have been handed to the network. */
+  boolean isSent() {
+    return isSent;
+  }
+
+  /** Gets another connection, as this one broke before anything was sent on it. */
+  private void reconnect() {
+    connection = null;
+    if (++reconnects > MAX_RECONNECTS) {
+      onConnectFailed();
     } else if (result() == null) {
-      pools.lease(endpointId, this);
+      pools.acquire(endpointId, this);
     }
   }
 
-  /** No connection came up. */
-  void unconnected() {
+  /** No connection could be had. */
+  void onConnectFailed() {
     finish(CallResult.CONNECT_FAILED);
   }
 
-  /** Its reply has come. */
-  void replied(BackendReply answer) {
-    if (answer.result() == CallResult.OK && result() == null) {
-      runner.deliverResponse(request, this, () -> exchange.serve(answer.value()));
+  void onReply(BackendReply reply) {
+    if (reply.result() == CallResult.OK && result() == null) {
+      runner.deliverResponse(request, this, () -> exchange.serve(reply.value()));
     }
-    finish(answer.result(), answer.load(), answer.units());
+    finish(reply.result(), reply.load(), reply.units());
   }
 
-  /**
-   * What came cannot be read: where it was asked, the worker answered, and the work may have run.
-   */
-  void spoilt() {
-    if (sent) {
+  /** The connection brought bytes that are no reply; a command that was sent may have run. */
+  void onProtocolError() {
+    if (isSent) {
       finish(CallResult.ERROR);
     } else {
-      again();
+      reconnect();
     }
   }
 
-  /** The connection broke. */
-  void broken() {
-    if (sent) {
-      finish(written ? CallResult.RESET : CallResult.CONNECT_FAILED);
+  void onConnectionClosed() {
+    if (isSent) {
+      finish(isWritten ? CallResult.RESET : CallResult.CONNECT_FAILED);
     } else {
-      again();
+      reconnect();
     }
   }
 
   @Override
   protected void onDeadlineExceeded() {
-    leave(written ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
+    abandon(isWritten ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
   }
 
   @Override
   public void cancel() {
-    leave(sent ? CallResult.CANCELLED : CallResult.NOT_SENT);
+    abandon(isSent ? CallResult.CANCELLED : CallResult.NOT_SENT);
   }
 
   /**
-   * A client that has left has nothing begun for it any more, whatever the settings say of
-   * cancelling.
+   * Nothing is sent for a client that has disconnected, whatever the settings say of cancelling.
    */
   @Override
   public void onClientDisconnected() {
-    if (!sent) {
-      leave(CallResult.NOT_SENT);
+    if (!isSent) {
+      abandon(CallResult.NOT_SENT);
+    }
+  }
+
+  private void abandon(CallResult outcome) {
+    if (result() != null) {
+      return;
     }
+    if (connection != null && isSent) {
+      connection.abort();
+    } else if (connection != null) {
+      connection.release();
+    }
+    finish(outcome);
+  }
+
+  private void finish(CallResult outcome) {
+    finish(outcome, Map.of(), 0);
   }
 
-  private void leave(CallResult how) {
+  private void finish(CallResult outcome, Map<String, Double> load, double units) {
     if (result() == null) {
-      if (lease != null && sent) {
-        lease.abandon();
-      } else if (lease != null) {
-        lease.rest();
-      }
-      finish(how);
+      pools.activity().recordAttempt(endpointId, outcome);
+      complete(outcome, load, units);
     }
   }
 }
--- a/src/main/java/fawndock/platform/BackendConnectionPools.java
+++ b/src/main/java/fawndock/platform/BackendConnectionPools.java
@@ -1,7 +1,5 @@
 package fawndock.platform;
 
-import fawndock.resp.Reply;
-import fawndock.resp.ReplyReader;
 import fawndock.settings.Address;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -12,259 +10,192 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections to the workers, a pool for each worker by its id. A connection carries one attempt at
- * a time. All of them together are bounded; when they are spent the one that has been idle longest,
- * of any worker, makes room. One context.
+ * Connections to the backends, with one pool for each endpoint. Together they are bounded: when
+ * they are spent, the connection that has been idle longest is closed, whatever its endpoint.
+ * Confined to one event loop.
  */
-final class BackendConnectionPools {
+final class BackendConnectionPools implements AutoCloseable {
   /**
-   * A connection rests so long before it is used again. Guards against a second copy of an answer,
-   * some milliseconds behind it, being taken for the next one's; may open a connection more when
-   * attempts come closer together.
+   * A connection is not reused before it has been idle for this time, so that a second copy of a
+   * response, some milliseconds late, is not taken for the next one's. May open more connections
+   * when attempts come close together.
    */
-  private static final long REST_MICROS = 30_000;
+  private static final long REUSE_DELAY_MICROS = 30_000;
 
-  private static final int LONGEST_VALUE = 64 << 10;
-  private static final int LONGEST_LINE = 1_024;
-  private static final int PARTS = 8;
-  private static final ReplyReader READER = new ReplyReader(LONGEST_VALUE, LONGEST_LINE, PARTS);
+  /**
+   * Limits of all pools together.
+   *
+   * @param connections at once
+   * @param connectTimeoutMicros longest time for a connection to come up
+   * @param idleTimeoutMicros after which an idle connection is closed
+   */
+  record Limits(int connections, long connectTimeoutMicros, long idleTimeoutMicros) {}
 
-  /** Idle connections of one worker, the longest idle first. */
-  private static final class Pool {
+  /** The connections of one endpoint at one address. */
+  static final class EndpointPool {
     final Address address;
-    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>(4);
-    boolean draining;
-
-    Pool(Address address) {
-      this.address = address;
-    }
-  }
-
-  /** One connection, leased to an attempt or idle. */
-  final class PooledConnection implements RespConnection.Listener {
-    private final Pool pool;
-    private final RespConnection connection;
-    private BackendAttempt call;
-    private long idleSince;
-
-    private PooledConnection(Pool pool, BackendAttempt call) {
-      this.pool = pool;
-      this.call = call;
-      open++;
-      connection = new RespConnection(sockets, pool.address, connectMicros, READER, this);
-    }
-
-    RespConnection connection() {
-      return connection;
-    }
-
-    /** What comes while nothing was asked is a late second copy, or noise. */
-    @Override
-    public boolean expectsReply() {
-      return call != null && call.sent();
-    }
 
-    @Override
-    public void onConnected() {
-      if (!call.connected(this)) {
-        rest(); // Its attempt has ended meanwhile; the connection is as good as any.
-      }
-    }
-
-    @Override
-    public void onReply(Reply reply, boolean more) {
-      BackendAttempt of = call;
-      call = null;
-      // Before it is told: what is sent on hearing of it may want the connection.
-      BackendReply answer = BackendReply.of(reply);
-      if (reply.isError() || !answer.isConnectionReusable()) {
-        figures.recordError(reply.type() + reply.text());
-      }
-      if (more || !answer.isConnectionReusable()) {
-        abandon();
-      } else {
-        rest();
-      }
-      of.replied(answer);
-    }
-
-    @Override
-    public void onProtocolError(String why) {
-      figures.recordError(why);
-      gone();
-      if (call != null) {
-        call.spoilt();
-      }
-    }
-
-    @Override
-    public void onClosed(boolean wasUp) {
-      gone();
-      if (call != null && wasUp) {
-        call.broken();
-      } else if (call != null) {
-        call.unconnected();
-      }
-    }
-
-    /** Nothing is out on it any more: it waits for its next attempt. */
-    void rest() {
-      call = null;
-      if (pools.containsValue(pool)) {
-        idleSince = now.getAsLong();
-        pool.idle.add(this);
-      } else {
-        abandon();
-      }
-    }
+    /** Idle connections, the longest idle first. */
+    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>(4);
 
-    private void gone() {
-      pool.idle.remove(this);
-      open--;
-    }
+    private boolean isDraining;
 
-    /** Ends the connection. */
-    void abandon() {
-      call = null;
-      gone();
-      connection.close();
+    private EndpointPool(Address address) {
+      this.address = address;
     }
   }
 
-  private final TcpTransport sockets;
-  private final LongSupplier now;
-  private final ActivitySummary figures;
-  private final int most;
-  private final long connectMicros;
-  private final long idleMicros;
-  private final Map<String, Pool> pools = new HashMap<>();
-  private int open;
+  private final TcpTransport transport;
+  private final LongSupplier clockMicros;
+  private final ActivitySummary activity;
+  private final Limits limits;
+  private final Map<String, EndpointPool> pools = new HashMap<>();
+  private int openCount;
 
-  /**
-   * No connection is open yet.
-   *
-   * @param now microseconds
-   * @param most connections in all
-   * @param idleMicros after which an idle one is closed
-   */
+  /** Creates empty pools. */
   BackendConnectionPools(
-      TcpTransport sockets,
-      LongSupplier now,
-      ActivitySummary figures,
-      int most,
-      long connectMicros,
-      long idleMicros) {
-    this.sockets = sockets;
-    this.connectMicros = connectMicros;
-    this.now = now;
-    this.figures = figures;
-    this.most = most;
-    this.idleMicros = idleMicros;
+      TcpTransport transport, LongSupplier clockMicros, ActivitySummary activity, Limits limits) {
+    this.transport = transport;
+    this.clockMicros = clockMicros;
+    this.activity = activity;
+    this.limits = limits;
   }
 
-  /**
-   * Where a worker listens now; connections to another address of it are given up when they are
-   * idle.
-   */
-  void address(String server, Address address) {
-    Pool pool = pools.get(server);
-    if (pool == null
-        || pool.address.port() != address.port()
-        || !pool.address.host().equals(address.host())) {
-      forget(server);
-      pools.put(server, new Pool(address));
+  /** Sets where an endpoint listens; connections to another address are closed once idle. */
+  void setAddress(String endpointId, Address address) {
+    EndpointPool pool = pools.get(endpointId);
+    if (pool == null || !pool.address.equals(address)) {
+      remove(endpointId);
+      pools.put(endpointId, new EndpointPool(address));
     }
   }
 
-  /** A worker is said to drain, or to be ready. */
-  void draining(String server, boolean is) {
-    Pool pool = pools.get(server);
+  /** Sets whether an endpoint is draining; does nothing for an unknown one. */
+  void setDraining(String endpointId, boolean isDraining) {
+    EndpointPool pool = pools.get(endpointId);
     if (pool != null) {
-      pool.draining = is;
+      pool.isDraining = isDraining;
     }
   }
 
-  /** Whether a worker is said to drain or to be gone: nothing new may be written to it. */
-  boolean closedToNew(String server) {
-    Pool pool = pools.get(server);
-    return pool == null || pool.draining;
+  /** Returns whether an endpoint is draining or unknown: nothing new may be sent to it. */
+  boolean isUnavailable(String endpointId) {
+    EndpointPool pool = pools.get(endpointId);
+    return pool == null || pool.isDraining;
   }
 
-  /** A worker is gone: its idle connections end now, those in use with their attempt. */
-  void forget(String server) {
-    Pool pool = pools.remove(server);
+  /** Removes an endpoint: its idle connections are closed now, those in use after their attempt. */
+  void remove(String endpointId) {
+    EndpointPool pool = pools.remove(endpointId);
     while (pool != null && !pool.idle.isEmpty()) {
-      pool.idle.peek().abandon();
+      pool.idle.peek().abort();
     }
   }
 
-  /** Forgets all workers but these. */
-  void keep(Set<String> servers) {
-    List.copyOf(pools.keySet()).stream().filter(s -> !servers.contains(s)).forEach(this::forget);
+  /** Removes all endpoints but these. */
+  void retainAll(Set<String> endpointIds) {
+    for (String endpointId : List.copyOf(pools.keySet())) {
+      if (!endpointIds.contains(endpointId)) {
+        remove(endpointId);
+      }
+    }
   }
 
-  /** Gives a call a connection, now or when one is up, or tells it that there is none. */
-  void lease(String server, BackendAttempt call) {
-    Pool pool = pools.get(server);
+  /** Gives an attempt a connection, now or once one is up, or tells it that there is none. */
+  void acquire(String endpointId, BackendAttempt attempt) {
+    EndpointPool pool = pools.get(endpointId);
     if (pool == null) {
-      call.unknown();
+      attempt.onUnknownEndpoint();
       return;
     }
-    long rested = now.getAsLong() - REST_MICROS;
+    PooledConnection reusable = pollReusable(pool);
+    if (reusable != null) {
+      reusable.assign(attempt);
+    } else if (openCount >= limits.connections() && !evictIdleConnection()) {
+      attempt.onConnectFailed();
+    } else {
+      openCount++;
+      // Not kept here: it calls the attempt once it is up, and joins the pool when released.
+      var unused = new PooledConnection(this, pool, attempt);
+    }
+  }
+
+  /** Takes the connection that was used last of those that may be reused; null without one. */
+  private PooledConnection pollReusable(EndpointPool pool) {
+    long idleSinceAtMost = nowMicros() - REUSE_DELAY_MICROS;
     for (Iterator<PooledConnection> i = pool.idle.descendingIterator(); i.hasNext(); ) {
-      PooledConnection lease = i.next();
-      if (lease.idleSince <= rested) {
+      PooledConnection connection = i.next();
+      if (connection.idleSinceMicros() <= idleSinceAtMost) {
         i.remove();
-        lease.call = call;
-        call.connected(lease);
-        return;
+        return connection;
       }
     }
-    if (open >= most && !evict()) {
-      call.unconnected();
-      return;
-    }
-    new PooledConnection(pool, call);
+    return null;
   }
 
-  /** Runs something after all that has come in this turn of the loop has been taken in. */
-  void later(Runnable what) {
-    sockets.runAfterReads(what);
-  }
-
-  private boolean evict() {
+  private boolean evictIdleConnection() {
     PooledConnection oldest = null;
-    for (Pool pool : pools.values()) {
+    for (EndpointPool pool : pools.values()) {
       PooledConnection first = pool.idle.peek();
-      if (first != null && (oldest == null || first.idleSince < oldest.idleSince)) {
+      if (first != null && (oldest == null || first.idleSinceMicros() < oldest.idleSinceMicros())) {
         oldest = first;
       }
     }
     if (oldest != null) {
-      oldest.abandon();
+      oldest.abort();
     }
     return oldest != null;
   }
 
-  /** Closes what has been idle for long; to be called every second or so. */
-  void sweep() {
-    long since = now.getAsLong() - idleMicros;
-    for (Pool pool : pools.values()) {
-      while (!pool.idle.isEmpty() && pool.idle.peek().idleSince < since) {
-        pool.idle.peek().abandon();
+  /** Closes connections that have been idle for too long; to be called every second or so. */
+  void closeIdle() {
+    long idleSinceAtLeast = nowMicros() - limits.idleTimeoutMicros();
+    for (EndpointPool pool : pools.values()) {
+      while (!pool.idle.isEmpty() && pool.idle.peek().idleSinceMicros() < idleSinceAtLeast) {
+        pool.idle.peek().abort();
       }
     }
   }
 
-  ActivitySummary figures() {
-    return figures;
+  /** Forgets a connection that is closed. */
+  void onConnectionClosed(EndpointPool pool, PooledConnection connection) {
+    pool.idle.remove(connection);
+    openCount--;
+  }
+
+  /** Returns whether a pool's endpoint still listens at the pool's address. */
+  boolean isCurrent(EndpointPool pool) {
+    return pools.containsValue(pool);
+  }
+
+  /** Runs a task after all that has come in this turn of the event loop has been read. */
+  void runAfterReads(Runnable task) {
+    transport.runAfterReads(task);
+  }
+
+  TcpTransport transport() {
+    return transport;
+  }
+
+  ActivitySummary activity() {
+    return activity;
+  }
+
+  long connectTimeoutMicros() {
+    return limits.connectTimeoutMicros();
+  }
+
+  long nowMicros() {
+    return clockMicros.getAsLong();
   }
 
-  int open() {
-    return open;
+  int openCount() {
+    return openCount;
   }
 
-  void close() {
-    List.copyOf(pools.keySet()).forEach(this::forget);
+  /** Closes all idle connections; those in use close with their attempt. Idempotent. */
+  @Override
+  public void close() {
+    List.copyOf(pools.keySet()).forEach(this::remove);
   }
 }
--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -4,18 +4,18 @@
 import fawndock.policy.event.CallResult;
 import fawndock.resp.Reply;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
 /**
- * What a worker's reply says, by the platform's table. A reply that is none of the table's is a
- * failed attempt that may have run; an unreadable load report or figure on use costs nothing but
- * itself.
+ * What a backend's reply says, by the platform's table of outcomes. A reply that is not in the
+ * table is a failed attempt that may have run; a malformed load report or usage is ignored.
  *
- * @param value what the client is served, or null
- * @param load the load report under the decisions' names
- * @param units the true units, or 0 where nothing is said
- * @param isConnectionReusable whether the connection is of further use
+ * @param value the response to the client, or null
+ * @param load the load report under the policy's names
+ * @param units the units that the request has used, or 0 where none are reported
+ * @param isConnectionReusable whether further replies on the connection can be trusted
  */
 record BackendReply(
     CallResult result,
@@ -23,53 +23,67 @@
     Map<String, Double> load,
     double units,
     boolean isConnectionReusable) {
-  private static final int PARTS = 3;
-  private static final int MOST_FIELDS = 32;
-  private static final BackendReply SPOILT =
+  /** Value, usage and load report. */
+  private static final int ELEMENTS = 3;
+
+  private static final int MAX_FIELDS = 32;
+  private static final BackendReply MALFORMED =
       new BackendReply(CallResult.ERROR, null, Map.of(), 0, false);
 
+  /** Interprets a reply. */
   static BackendReply of(Reply reply) {
     if (reply.isError()) {
-      String text = reply.text();
-      Map<String, Double> load =
-          SettingsReader.load(parseNumbers(text.substring(text.lastIndexOf(' ') + 1)));
-      boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
-      // Only the error that the table names is known to leave the connection in order.
-      return busy
-          ? new BackendReply(CallResult.SHED, null, load, 0, true)
-          : new BackendReply(CallResult.ERROR, null, load, 0, text.startsWith("ERR "));
+      return ofError(reply.text());
     }
-    if (reply.elements() == null
-        || reply.elements().size() != PARTS
-        || !reply.elements().get(0).isBulk()) {
-      return SPOILT;
+    List<Reply> elements = reply.elements();
+    if (elements == null || elements.size() != ELEMENTS || !elements.get(0).isBulk()) {
+      return MALFORMED;
     }
-    Map<String, Double> use = parseNumbers(reply.elements().get(1).text());
-    double units = use.getOrDefault("charged", use.getOrDefault("cost", 0.0));
+    Map<String, Double> usage = parseNumbers(elements.get(1).text());
+    double units =
+        usage.getOrDefault(
+            PlatformProtocol.FIELD_UNITS_USED,
+            usage.getOrDefault(PlatformProtocol.FIELD_UNITS_USED_OLD, 0.0));
     return new BackendReply(
         CallResult.OK,
-        reply.elements().get(0).bytes(),
-        SettingsReader.load(parseNumbers(reply.elements().get(2).text())),
+        elements.get(0).bytes(),
+        SettingsReader.load(parseNumbers(elements.get(2).text())),
         Math.max(0, units),
         true);
   }
 
-  /** Names and values that can be read, {@code name=1.5,other=2}; what cannot is left out. */
+  private static BackendReply ofError(String text) {
+    String lastWord = text.substring(text.lastIndexOf(' ') + 1);
+    Map<String, Double> load = SettingsReader.load(parseNumbers(lastWord));
+    if (text.equals(PlatformProtocol.ERROR_REJECTED)
+        || text.startsWith(PlatformProtocol.ERROR_REJECTED + " ")) {
+      return new BackendReply(CallResult.SHED, null, load, 0, true);
+    }
+    // Only the error that the table names is known to leave the connection in order.
+    boolean isConnectionReusable = text.startsWith(PlatformProtocol.ERROR);
+    return new BackendReply(CallResult.ERROR, null, load, 0, isConnectionReusable);
+  }
+
+  /** Parses {@code name=1.5,other=2}; fields that are malformed or negative are left out. */
   static Map<String, Double> parseNumbers(String text) {
-    Map<String, Double> read = new HashMap<>();
-    for (String pair : text.split(",", MOST_FIELDS)) {
-      int sign = pair.indexOf('=');
-      if (sign > 0) {
-        try {
-          double value = Double.parseDouble(pair.substring(sign + 1));
-          if (Double.isFinite(value) && value >= 0) {
-            read.put(pair.substring(0, sign).trim().toLowerCase(Locale.ROOT), value);
-          }
-        } catch (NumberFormatException e) {
-          // Left out, as stated above.
+    Map<String, Double> numbers = new HashMap<>();
+    for (String field : text.split(",", MAX_FIELDS)) {
+      int separator = field.indexOf('=');
+      if (separator > 0) {
+        double value = parseNumber(field.substring(separator + 1));
+        if (Double.isFinite(value) && value >= 0) {
+          numbers.put(field.substring(0, separator).trim().toLowerCase(Locale.ROOT), value);
         }
       }
     }
-    return read;
+    return numbers;
+  }
+
+  private static double parseNumber(String text) {
+    try {
+      return Double.parseDouble(text);
+    } catch (NumberFormatException e) {
+      return Double.NaN; // Left out by the caller.
+    }
   }
 }
--- a/src/main/java/fawndock/platform/ByteConnection.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -9,21 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bytes of one connection. What has come and not been used up is kept and given again with what
- * comes next. One event loop.
+ * Base class of connections: bytes in and out, with unread bytes buffered until more come, and a
+ * half-close that loses no response. Confined to one event loop.
  */
-abstract class ByteConnection extends ChannelInboundHandlerAdapter {
-  /**
-   * After a half-close the other side has so long to close, and so many bytes are read from it and
-   * dropped.
-   */
+abstract class ByteConnection extends ChannelInboundHandlerAdapter implements AutoCloseable {
+  /** After a half-close the other side is given this time to close. */
   private static final long LINGER_MILLIS = 1_000;
 
+  /** After a half-close at most so many bytes are read and dropped. */
   private static final int LINGER_BYTES = 256 << 10;
+
   private ChannelHandlerContext context;
-  private ByteBuf kept = Unpooled.EMPTY_BUFFER;
-  private boolean over;
-  private int dropped;
+  private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+  private boolean isClosed;
+  private int droppedBytes;
+
+  /** Reads what it can; bytes left unread are given again, together with the next ones. */
+  abstract void onBytes(ByteBuf in);
+
+  /** The other side closed the connection, or it broke; not called after {@link #close}. */
+  abstract void onDisconnected();
 
   @Override
   public void handlerAdded(ChannelHandlerContext handler) {
@@ -32,68 +37,62 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext handler) {
-    over();
+    if (!isClosed) {
+      markClosed();
+      onDisconnected();
+    }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    handler.close(); // A reset, most often.
+    // A reset, most often; channelInactive reports the disconnect.
+    handler.close();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext handler, Object message) {
     ByteBuf part = (ByteBuf) message;
     try {
-      if (over) {
+      if (isClosed) {
         drop(part.readableBytes());
-        return;
+      } else if (buffered.isReadable()) {
+        int size = buffered.readableBytes() + part.readableBytes();
+        deliver(Unpooled.buffer(size).writeBytes(buffered).writeBytes(part), false);
+      } else {
+        deliver(part, true);
       }
-      ByteBuf all = part;
-      if (kept.isReadable()) {
-        all =
-            Unpooled.buffer(kept.readableBytes() + part.readableBytes())
-                .writeBytes(kept)
-                .writeBytes(part);
-      }
-      take(all, all == part);
     } finally {
       part.release();
     }
   }
 
-  private void take(ByteBuf all, boolean copy) {
-    kept = Unpooled.EMPTY_BUFFER;
-    onBytes(all);
-    if (!over && all.isReadable()) {
-      kept = copy ? Unpooled.buffer(all.readableBytes()).writeBytes(all) : all;
-    }
-  }
-
-  /** Gives what was kept once more. */
-  final void redeliverBuffered() {
-    if (!over && kept.isReadable()) {
-      take(kept, false);
+  private void deliver(ByteBuf bytes, boolean mustCopy) {
+    buffered = Unpooled.EMPTY_BUFFER;
+    onBytes(bytes);
+    if (!isClosed && bytes.isReadable()) {
+      buffered = mustCopy ? Unpooled.buffer(bytes.readableBytes()).writeBytes(bytes) : bytes;
     }
   }
 
-  /** Whether bytes have come that were not used up. */
-  final boolean hasBufferedBytes() {
-    return kept.isReadable();
-  }
-
   private void drop(int bytes) {
-    dropped += bytes;
-    if (dropped > LINGER_BYTES) {
+    droppedBytes += bytes;
+    if (droppedBytes > LINGER_BYTES) {
       context.close();
     }
   }
 
-  /** Takes what it can use off the bytes. */
-  abstract void onBytes(ByteBuf in);
+  /** Delivers the buffered bytes once more. */
+  final void redeliverBuffered() {
+    if (!isClosed && buffered.isReadable()) {
+      deliver(buffered, false);
+    }
+  }
 
-  /** The other side ended it, or it broke; not told after {@link #close}. */
-  abstract void onDisconnected();
+  final boolean hasBufferedBytes() {
+    return buffered.isReadable();
+  }
 
+  /** Writes bytes; the future tells whether all were handed to the network. */
   final ChannelFuture send(ByteBuf bytes) {
     return context.writeAndFlush(bytes);
   }
@@ -102,32 +101,21 @@
     return context.channel().isWritable();
   }
 
-  private void over() {
-    if (!over) {
-      over = true;
-      kept = Unpooled.EMPTY_BUFFER;
-      onDisconnected();
-    }
-  }
-
   /**
-   * Ends it in this turn, after what was written, by a half-close: what comes from now on is read
-   * and dropped, until the other side has closed too. Guards against a close over unread bytes,
-   * which is a reset and may take with it an answer that was just written. May hold a descriptor
-   * for the linger time; {@link #lingerEnd} ends that.
+   * Closes the connection for both directions after what was written: output is shut down, and
+   * input is read and dropped until the other side closes, within limits. A plain close over unread
+   * bytes would be a reset, which can destroy a response on its way. Idempotent.
    */
   final void halfClose() {
-    if (over) {
+    if (isClosed) {
       return;
     }
-    over = true;
-    kept = Unpooled.EMPTY_BUFFER;
+    markClosed();
     if (!(context.channel() instanceof DuplexChannel channel) || !channel.isActive()) {
       context.close();
       return;
     }
-    // In the turn of the decision where all has been written, as it mostly has; else as soon as it
-    // is.
+    // Within this turn where all has been written, as it mostly has; else as soon as it is.
     send(Unpooled.EMPTY_BUFFER)
         .addListener(
             written -> {
@@ -137,31 +125,39 @@
                 channel.close();
               }
             });
-    var limit =
+    var lingerTimer =
         context.executor().schedule(() -> context.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
-    channel.closeFuture().addListener(closed -> limit.cancel(false));
+    channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
   }
 
-  /** Ends the waiting for the other side after {@link #halfClose}. */
+  /** Closes the channel at once, also after {@link #halfClose}. */
   final void closeNow() {
     context.close();
   }
 
-  /** Runs something when the connection is closed on both sides. */
-  final void whenClosed(Runnable what) {
-    context.channel().closeFuture().addListener(closed -> what.run());
+  /** Calls the listener when the connection is closed in both directions. */
+  final void whenClosed(Runnable listener) {
+    context.channel().closeFuture().addListener(closed -> listener.run());
   }
 
-  /** Ends it now, on both sides: nothing more is read, and what lies unread makes it a reset. */
-  final void close() {
-    if (!over) {
-      over = true;
-      kept = Unpooled.EMPTY_BUFFER;
+  /**
+   * Closes the connection at once, without calling {@link #onDisconnected}; unread bytes make it a
+   * reset. Idempotent.
+   */
+  @Override
+  public final void close() {
+    if (!isClosed) {
+      markClosed();
       context.close();
     }
   }
 
+  private void markClosed() {
+    isClosed = true;
+    buffered = Unpooled.EMPTY_BUFFER;
+  }
+
   final boolean isClosed() {
-    return over;
+    return isClosed;
   }
 }
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -10,33 +10,37 @@
 import java.util.List;
 
 /**
- * One client's connection: commands in, answers out in their order. What cannot be read gets an
- * error line in its turn, and nothing is read after it. One context.
+ * One client's connection: commands are read and their responses written in the same order. After a
+ * protocol error the client gets an error reply in its turn and nothing more is read. Confined to
+ * one event loop.
  */
 final class ClientConnection extends ByteConnection {
-  /**
-   * Commands that wait for their answers on one connection; more are told to be too many, and it
-   * ends.
-   */
-  private static final int MOST_OPEN = 64;
+  /** Commands in flight on one connection; a client that exceeds this is disconnected. */
+  private static final int MAX_PENDING_RESPONSES = 64;
 
-  /** What it may send while it does not read its answers; more ends it. */
-  private static final int MOST_KEPT = 128 << 10;
+  /** Buffered from a client that does not read its responses; one that exceeds this is closed. */
+  private static final int MAX_BUFFERED_BYTES = 128 << 10;
 
   private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
 
-  /** One command's place among the answers. */
+  /** Value of the times below while the condition does not hold. */
+  private static final long NEVER = 0;
+
+  private static final long NO_REQUEST = -1;
+
+  /** The place of one command's response among those of the connection. */
   final class ResponseSlot {
-    private ByteBuf respond;
+    private ByteBuf response;
     private ClientExchange exchange;
-    private long host = -1;
+    private long requestId = NO_REQUEST;
 
+    /** Responds; the bytes are written once all responses before have been. */
     void respond(ByteBuf bytes) {
-      respond = bytes;
+      response = bytes;
       if (exchange != null) {
-        front.release(exchange);
+        listener.release(exchange);
       }
-      flush();
+      flushResponses();
     }
 
     void respondError(String line) {
@@ -44,135 +48,168 @@
       new ReplyWriter(out).error(line);
       respond(out);
     }
+
+    private boolean isInFlight() {
+      return response == null && requestId != NO_REQUEST;
+    }
   }
 
-  private final ClientListener front;
+  private final ClientListener listener;
   private final CommandReader reader = new CommandReader(LIMITS);
-  private final ArrayDeque<ResponseSlot> places = new ArrayDeque<>(2);
+  private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>(2);
 
-  /** When it was opened, or last had all of its answers. */
-  private long quietSince;
+  /** When the connection was accepted, or last wrote a response. */
+  private long idleSinceMicros;
 
-  /** When a command began of which the rest has not come; 0 for none. */
-  private long halfSince;
+  /** When an incomplete command began. */
+  private long incompleteSinceMicros = NEVER;
 
-  /** When it began not to read its answers; 0 while it does. */
-  private long fullSince;
+  /** When the client stopped reading its responses. */
+  private long unwritableSinceMicros = NEVER;
 
-  /** When it was told that it cannot go on; 0 while it can. */
-  private long endingSince;
+  /** When a protocol error made the connection unusable. */
+  private long failedSinceMicros = NEVER;
 
   private boolean hasSentCommand;
-  private boolean flushing;
-  private boolean left;
+  private boolean isReading;
+  private boolean isReleased;
 
-  ClientConnection(ClientListener front) {
-    this.front = front;
-    quietSince = front.now();
+  ClientConnection(ClientListener listener) {
+    this.listener = listener;
+    idleSinceMicros = listener.nowMicros();
   }
 
   @Override
   public void channelActive(ChannelHandlerContext handler) {
-    front.onAccepted(this);
+    listener.onAccepted(this);
   }
 
   @Override
   void onBytes(ByteBuf in) {
-    boolean any = false;
-    flushing = true;
+    boolean hasReadCommand = readCommands(in);
+    if (failedSinceMicros != NEVER) {
+      in.skipBytes(in.readableBytes());
+    }
+    // Bytes are read even while the client does not read its responses, so that a disconnect is
+    // noticed; commands are not.
+    if (unwritableSinceMicros != NEVER && in.readableBytes() > MAX_BUFFERED_BYTES) {
+      closeGracefully();
+      return;
+    }
+    updateIncompleteSince(in, hasReadCommand);
+    flushResponses();
+  }
+
+  /** Reads all complete commands; returns whether there were any. */
+  private boolean readCommands(ByteBuf in) {
+    boolean hasReadCommand = false;
+    isReading = true;
     try {
-      // After it was told that it cannot go on, nothing is read: guards memory against what it
-      // still sends.
-      for (byte[][] words = next(in); words != null; words = next(in)) {
-        any = true;
-        if (places.size() >= MOST_OPEN) {
-          refuse("ERR too many commands at once");
+      for (byte[][] words = nextCommand(in); words != null; words = nextCommand(in)) {
+        hasReadCommand = true;
+        if (slots.size() >= MAX_PENDING_RESPONSES) {
+          fail(PlatformProtocol.ERROR_TOO_MANY_COMMANDS);
         } else {
-          command(words);
+          onCommand(words);
         }
       }
     } catch (ProtocolException e) {
-      refuse(e.getMessage());
-    }
-    flushing = false;
-    if (endingSince != 0) {
-      in.skipBytes(in.readableBytes());
+      fail(e.getMessage());
     }
-    // Bytes are taken also while answers are not read, so that its leaving is seen; commands are
-    // not.
-    if (fullSince != 0 && in.readableBytes() > MOST_KEPT) {
-      closeGracefully();
-      return;
-    }
-    boolean half = fullSince == 0 && (reader.isWithinCommand() || in.isReadable());
-    halfSince = !half ? 0 : any || halfSince == 0 ? front.now() : halfSince;
-    flush();
+    isReading = false;
+    return hasReadCommand;
+  }
+
+  private byte[][] nextCommand(ByteBuf in) throws ProtocolException {
+    boolean canRead = failedSinceMicros == NEVER && unwritableSinceMicros == NEVER && !isClosed();
+    return canRead ? reader.next(in) : null;
   }
 
-  private byte[][] next(ByteBuf in) throws ProtocolException {
-    return endingSince != 0 || fullSince != 0 || isClosed() ? null : reader.next(in);
+  private void updateIncompleteSince(ByteBuf in, boolean hasReadCommand) {
+    boolean isIncomplete =
+        unwritableSinceMicros == NEVER && (reader.isWithinCommand() || in.isReadable());
+    if (!isIncomplete) {
+      incompleteSinceMicros = NEVER;
+    } else if (hasReadCommand || incompleteSinceMicros == NEVER) {
+      incompleteSinceMicros = listener.nowMicros();
+    }
   }
 
-  private void command(byte[][] words) {
+  private void onCommand(byte[][] words) {
     hasSentCommand = true;
-    ResponseSlot place = new ResponseSlot();
-    places.add(place);
-    if (ClientCommand.isOne(words[0])) {
-      try {
-        ClientCommand command = ClientCommand.read(words, front.now(), front.terms());
-        String unfit = front.rejection(command);
-        if (unfit != null) {
-          place.respondError(unfit);
-          return;
-        }
-        place.exchange = new ClientExchange(command, place);
-        place.host = front.submit(place.exchange);
-      } catch (ClientCommand.UnfitException e) {
-        place.respondError(e.getMessage());
-      }
-    } else if (words.length == 1 && ClientCommand.is(words[0], "PING")) {
+    ResponseSlot slot = addSlot();
+    if (ClientCommandParser.isRequest(words[0])) {
+      onRequest(words, slot);
+    } else if (words.length == 1
+        && ClientCommandParser.isWord(words[0], PlatformProtocol.COMMAND_PING)) {
       ByteBuf out = Unpooled.buffer(8);
-      new ReplyWriter(out).simple("PONG");
-      place.respond(out);
+      new ReplyWriter(out).simple(PlatformProtocol.REPLY_PONG);
+      slot.respond(out);
     } else {
-      place.respondError("ERR unknown command");
+      slot.respondError(PlatformProtocol.ERROR_UNKNOWN_COMMAND);
+    }
+  }
+
+  private void onRequest(byte[][] words, ResponseSlot slot) {
+    try {
+      ClientCommand command = listener.parser().parse(words, listener.nowMicros());
+      String error = listener.admissionError(command);
+      if (error != null) {
+        slot.respondError(error);
+        return;
+      }
+      slot.exchange = new ClientExchange(command, slot);
+      slot.requestId = listener.submit(slot.exchange);
+    } catch (InvalidCommandException e) {
+      slot.respondError(e.getMessage());
     }
   }
 
-  /** Tells that the connection cannot go on, after the answers before. */
-  private void refuse(String line) {
-    ResponseSlot place = new ResponseSlot();
-    places.add(place);
-    endingSince = front.now();
-    halfSince = 0;
-    place.respondError(line);
+  private ResponseSlot addSlot() {
+    ResponseSlot slot = new ResponseSlot();
+    slots.add(slot);
+    return slot;
   }
 
-  private void flush() {
-    if (flushing || isClosed()) {
+  /** Responds with an error after all pending responses, and closes the connection after it. */
+  private void fail(String error) {
+    ResponseSlot slot = addSlot();
+    failedSinceMicros = listener.nowMicros();
+    incompleteSinceMicros = NEVER;
+    slot.respondError(error);
+  }
+
+  /** Writes the responses that are due, in order. */
+  private void flushResponses() {
+    if (isReading || isClosed()) {
       return;
     }
     ByteBuf out = null;
-    while (!places.isEmpty() && places.peek().respond != null) {
-      ByteBuf next = places.poll().respond;
+    while (!slots.isEmpty() && slots.peek().response != null) {
+      ByteBuf next = slots.poll().response;
       out = out == null ? next : Unpooled.wrappedBuffer(out, next);
     }
     if (out != null) {
-      quietSince = front.now();
+      idleSinceMicros = listener.nowMicros();
       send(out);
-      if (!isWritable() && fullSince == 0) {
-        fullSince = quietSince;
+      if (!isWritable() && unwritableSinceMicros == NEVER) {
+        unwritableSinceMicros = idleSinceMicros;
       }
     }
-    if (places.isEmpty()
-        && (endingSince != 0 || front.isDraining() && halfSince == 0 && !hasBufferedBytes())) {
+    boolean isDrained = listener.isDraining() && isQuiet();
+    if (slots.isEmpty() && (failedSinceMicros != NEVER || isDrained)) {
       closeGracefully();
     }
   }
 
-  /** Whether nothing is open on it and it has been so for the time given. */
-  boolean isIdle(long now, long micros) {
-    return places.isEmpty() && halfSince == 0 && !hasBufferedBytes() && now - quietSince >= micros;
+  /** Returns whether no response is pending and no byte of a further command has come. */
+  private boolean isQuiet() {
+    return slots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
+  }
+
+  /** Returns whether nothing has been in flight on the connection for this long. */
+  boolean isIdle(long nowMicros, long minMicros) {
+    return isQuiet() && nowMicros - idleSinceMicros >= minMicros;
   }
 
   boolean hasSentCommand() {
@@ -180,54 +217,55 @@
   }
 
   boolean hasPendingResponses() {
-    return !places.isEmpty();
-  }
-
-  /**
-   * Ends it when a limit of {@link ClientListener} is passed: silent, half a command, answers not
-   * read, told to go.
-   */
-  void checkLimits(long now) {
-    boolean silent = !hasSentCommand && isIdle(now, ClientListener.SILENT_MICROS);
-    boolean half = halfSince != 0 && now - halfSince >= ClientListener.SILENT_MICROS;
-    boolean full = fullSince != 0 && now - fullSince >= ClientListener.UNREAD_MICROS;
-    boolean told = endingSince != 0 && now - endingSince >= ClientListener.SILENT_MICROS;
-    if (silent || full || told || isIdle(now, front.idleMicros())) {
+    return !slots.isEmpty();
+  }
+
+  /** Closes the connection when it exceeds one of the listener's time limits. */
+  void checkTimeouts(long nowMicros) {
+    boolean isSilent = !hasSentCommand && isIdle(nowMicros, ClientListener.SILENT_TIMEOUT_MICROS);
+    if (isSilent
+        || hasElapsed(nowMicros, unwritableSinceMicros, ClientListener.UNREAD_TIMEOUT_MICROS)
+        || hasElapsed(nowMicros, failedSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)
+        || isIdle(nowMicros, listener.idleTimeoutMicros())) {
       closeGracefully();
-    } else if (half && endingSince == 0) {
-      halfSince = 0;
-      refuse("ERR the command did not end");
+    } else if (failedSinceMicros == NEVER
+        && hasElapsed(nowMicros, incompleteSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)) {
+      fail(PlatformProtocol.ERROR_INCOMPLETE_COMMAND);
     }
   }
 
-  /** Closes it when nothing is open on it, not even half a command. */
-  void closeIfIdle() {
-    if (places.isEmpty() && halfSince == 0 && !hasBufferedBytes()) {
+  private static boolean hasElapsed(long nowMicros, long sinceMicros, long timeoutMicros) {
+    return sinceMicros != NEVER && nowMicros - sinceMicros >= timeoutMicros;
+  }
+
+  /** Closes the connection unless a response is pending or part of a command has come. */
+  void closeIfQuiet() {
+    if (isQuiet()) {
       closeGracefully();
     }
   }
 
-  /** Answers what is open as failed. */
+  /** Responds to all requests in flight with an error. */
   void failInFlight() {
-    for (ResponseSlot place : List.copyOf(places)) {
-      if (place.respond == null && place.host >= 0) {
-        front.onClientDisconnected(place.host);
-        place.respondError("ERR stopping");
+    for (ResponseSlot slot : List.copyOf(slots)) {
+      if (slot.isInFlight()) {
+        listener.onClientDisconnected(slot.requestId);
+        slot.respondError(PlatformProtocol.ERROR_SHUTTING_DOWN);
       }
     }
   }
 
-  /** Closes it after what was written; what comes meanwhile is not read. */
+  /** Closes the connection after what was written; bytes that come meanwhile are dropped. */
   void closeGracefully() {
     halfClose();
-    front.onHalfClosed(this);
+    listener.onHalfClosed(this);
     onDisconnected();
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext handler) {
-    if (fullSince != 0 && isWritable()) {
-      fullSince = 0;
+    if (unwritableSinceMicros != NEVER && isWritable()) {
+      unwritableSinceMicros = NEVER;
       redeliverBuffered();
     }
     handler.fireChannelWritabilityChanged();
@@ -235,17 +273,17 @@
 
   @Override
   void onDisconnected() {
-    if (left) {
+    if (isReleased) {
       return;
     }
-    left = true;
-    front.onClosed(this);
-    for (ResponseSlot place : places) {
-      if (place.respond == null && place.host >= 0) {
-        front.release(place.exchange);
-        front.onClientDisconnected(place.host);
+    isReleased = true;
+    listener.onClosed(this);
+    for (ResponseSlot slot : slots) {
+      if (slot.isInFlight()) {
+        listener.release(slot.exchange);
+        listener.onClientDisconnected(slot.requestId);
       }
     }
-    places.clear();
+    slots.clear();
   }
 }
--- a/src/main/java/fawndock/platform/ClientExchange.java
+++ b/src/main/java/fawndock/platform/ClientExchange.java
@@ -5,16 +5,16 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/**
- * A command of a client's that the host holds, and its place among the answers of its connection.
- */
+/** A client's request in flight, and the slot for its response on the client's connection. */
 final class ClientExchange implements ServerExchange {
+  private static final int HEADER_BYTES = 16;
+
   private final ClientCommand command;
-  private final ClientConnection.ResponseSlot place;
+  private final ClientConnection.ResponseSlot slot;
 
-  ClientExchange(ClientCommand command, ClientConnection.ResponseSlot place) {
+  ClientExchange(ClientCommand command, ClientConnection.ResponseSlot slot) {
     this.command = command;
-    this.place = place;
+    this.slot = slot;
   }
 
   ClientCommand command() {
@@ -23,23 +23,25 @@
 
   @Override
   public RequestAttributes requestAttributes() {
-    return command.asked();
+    return command.attributes();
   }
 
-  /** Passes on the value that a worker gave for this request. */
+  /** Responds with the value that an endpoint gave. */
   void serve(byte[] value) {
-    ByteBuf out = Unpooled.buffer(value.length + 16);
+    ByteBuf out = Unpooled.buffer(value.length + HEADER_BYTES);
     new ReplyWriter(out).bulk(value);
-    place.respond(out);
+    slot.respond(out);
   }
 
   @Override
   public void reject(long retryAfterMicros) {
-    place.respondError("BUSY " + Math.max(0, (retryAfterMicros + 999) / 1_000));
+    long retryAfterMillis = Math.max(0, (retryAfterMicros + 999) / 1_000);
+    slot.respondError(PlatformProtocol.ERROR_REJECTED + " " + retryAfterMillis);
   }
 
   @Override
-  public void fail(boolean answered, String reason) {
-    place.respondError(answered ? "ERR failed" : "ERR no answer in time");
+  public void fail(boolean hasAttemptFailure, String reason) {
+    slot.respondError(
+        hasAttemptFailure ? PlatformProtocol.ERROR_FAILED : PlatformProtocol.ERROR_TIMEOUT);
   }
 }
--- a/src/main/java/fawndock/platform/ClientListener.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -11,110 +11,103 @@
 import java.util.Set;
 
 /**
- * Where clients connect. Connections are bounded: when they are spent, one that never said anything
- * makes room first, then the one that has had nothing open for longest; one with a request open
- * never does. One context.
+ * Accepts clients and bounds their connections, requests and memory. When connections are spent, a
+ * half-closed one is closed first, then one that has never sent a command, then an idle one; one
+ * with a request in flight never is. Confined to one event loop.
  */
-final class ClientListener {
+final class ClientListener implements AutoCloseable {
   /**
-   * A connection that says nothing, stops within a command, or was told to go is closed after this.
+   * A connection is closed after this time without a first command, with an incomplete command, or
+   * after a protocol error.
    */
-  static final long SILENT_MICROS = 2_000_000;
+  static final long SILENT_TIMEOUT_MICROS = 2_000_000;
 
-  /** One whose answers are not read is closed after this. */
-  static final long UNREAD_MICROS = 4_000_000;
+  /** A connection is closed when its client has not read its responses for this time. */
+  static final long UNREAD_TIMEOUT_MICROS = 4_000_000;
 
-  /**
-   * Long: each close may cross a request, and quiet connections go much sooner where they grow
-   * scarce.
-   */
-  private static final long IDLE_MICROS = 120_000_000;
-
-  /** Nothing open for this long, a connection may be closed without harm to its client. */
-  private static final long MAY_CLOSE_MICROS = 2_000_000;
-
-  private static final long CHECK_MICROS = 250_000;
-  private final TcpTransport sockets;
-  private final PolicyRunner host;
-  private final ClientCommand.Terms terms;
-  private final int mostConnections;
-  private final int mostOpen;
-  private final long mostBytes;
-  private final Set<ClientConnection> connectionCount = new LinkedHashSet<>();
-
-  /** Those that are half-closed: nothing of theirs is owed, but each still holds its descriptor. */
-  private final Set<ClientConnection> lingering = new LinkedHashSet<>();
-
-  private final Set<String> ids = new HashSet<>();
-  private Channel server;
-  private long bytes;
-  private boolean isDraining;
-  private Runnable whenEmpty;
-  private Timers.Timer next;
+  /** Idle time while connections are plenty. Long, as a request may cross each close. */
+  private static final long LONG_IDLE_TIMEOUT_MICROS = 120_000_000;
+
+  /** Idle time while connections are scarce; a close after it seldom meets a request. */
+  private static final long SHORT_IDLE_TIMEOUT_MICROS = 2_000_000;
+
+  private static final long CHECK_INTERVAL_MICROS = 250_000;
 
   /**
-   * A front that does not listen yet.
+   * Upper bounds.
    *
-   * @param mostConnections at once
-   * @param mostOpen requests at once
-   * @param mostBytes of commands that are open, all together
+   * @param connections at once, half-closed ones included
+   * @param requests in flight at once
+   * @param requestBytes of all requests in flight
    */
+  record Limits(int connections, int requests, long requestBytes) {}
+
+  private final TcpTransport transport;
+  private final PolicyRunner runner;
+  private final ClientCommandParser parser;
+  private final Limits limits;
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
+  /** Half-closed: nothing is in flight on them, but each still holds its descriptor. */
+  private final Set<ClientConnection> halfClosedConnections = new LinkedHashSet<>();
+
+  private final Set<String> inFlightIds = new HashSet<>();
+  private Channel serverChannel;
+  private long inFlightBytes;
+  private boolean isDraining;
+  private Runnable drainedListener;
+  private Timers.Timer checkTimer;
+
+  /** Creates a listener that does not listen yet. */
   ClientListener(
-      TcpTransport sockets,
-      PolicyRunner host,
-      ClientCommand.Terms terms,
-      int mostConnections,
-      int mostOpen,
-      long mostBytes) {
-    this.sockets = sockets;
-    this.host = host;
-    this.terms = terms;
-    this.mostConnections = mostConnections;
-    this.mostOpen = mostOpen;
-    this.mostBytes = mostBytes;
-  }
-
-  /** Listens; the future fails when that cannot be. */
+      TcpTransport transport, PolicyRunner runner, ClientCommandParser parser, Limits limits) {
+    this.transport = transport;
+    this.runner = runner;
+    this.parser = parser;
+    this.limits = limits;
+  }
+
+  /** Listens; the future fails when the address cannot be bound. */
   ChannelFuture listen(Address address) {
-    next = host.timers().schedule(CHECK_MICROS, this::check);
-    ChannelFuture bound = sockets.listen(address, () -> new ClientConnection(this));
-    server = bound.channel();
+    checkTimer = runner.timers().schedule(CHECK_INTERVAL_MICROS, this::checkTimeouts);
+    ChannelFuture bound = transport.listen(address, () -> new ClientConnection(this));
+    serverChannel = bound.channel();
     return bound;
   }
 
   void onAccepted(ClientConnection connection) {
-    while (connectionCount.size() + lingering.size() >= mostConnections && !lingering.isEmpty()) {
-      ClientConnection oldest = lingering.iterator().next();
-      lingering.remove(oldest);
+    while (connections.size() + halfClosedConnections.size() >= limits.connections()
+        && !halfClosedConnections.isEmpty()) {
+      ClientConnection oldest = halfClosedConnections.iterator().next();
+      halfClosedConnections.remove(oldest);
       oldest.closeNow();
     }
-    if (connectionCount.size() >= mostConnections && !evictIdle()) {
+    if (connections.size() >= limits.connections() && !evictIdleConnection()) {
       connection.close();
     } else {
-      connectionCount.add(connection);
+      connections.add(connection);
     }
   }
 
-  /** A connection was half-closed. */
   void onHalfClosed(ClientConnection connection) {
-    if (lingering.add(connection)) {
+    if (halfClosedConnections.add(connection)) {
       connection.whenClosed(
           () -> {
-            lingering.remove(connection);
-            checkEmpty();
+            halfClosedConnections.remove(connection);
+            notifyIfDrained();
           });
     }
   }
 
-  private boolean evictIdle() {
+  private boolean evictIdleConnection() {
     ClientConnection idle = null;
-    for (ClientConnection each : connectionCount) {
-      if (!each.hasSentCommand() && !each.hasPendingResponses()) {
-        each.closeGracefully();
+    for (ClientConnection connection : connections) {
+      if (!connection.hasSentCommand() && !connection.hasPendingResponses()) {
+        connection.closeGracefully();
         return true;
       }
-      if (idle == null && each.isIdle(now(), MAY_CLOSE_MICROS)) {
-        idle = each;
+      if (idle == null && connection.isIdle(nowMicros(), SHORT_IDLE_TIMEOUT_MICROS)) {
+        idle = connection;
       }
     }
     if (idle != null) {
@@ -123,78 +116,79 @@
     return idle != null;
   }
 
-  private void check() {
-    long now = now();
-    List.copyOf(connectionCount).forEach(c -> c.checkLimits(now));
-    next = host.timers().schedule(CHECK_MICROS, this::check);
+  private void checkTimeouts() {
+    long nowMicros = nowMicros();
+    List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowMicros));
+    checkTimer = runner.timers().schedule(CHECK_INTERVAL_MICROS, this::checkTimeouts);
   }
 
-  /** How long a connection may have nothing open: shorter as they grow scarce. */
-  long idleMicros() {
-    return 2 * connectionCount.size() > mostConnections ? MAY_CLOSE_MICROS : IDLE_MICROS;
+  /** Returns after which time an idle connection is closed. */
+  long idleTimeoutMicros() {
+    boolean isScarce = 2 * connections.size() > limits.connections();
+    return isScarce ? SHORT_IDLE_TIMEOUT_MICROS : LONG_IDLE_TIMEOUT_MICROS;
   }
 
-  /** Why a command cannot be given to the host, as an error line, or null. */
-  String rejection(ClientCommand command) {
-    if (ids.contains(command.id())) {
-      return "ERR the id is open already";
+  /** Returns the error reply to a command that cannot be taken, or null when it can. */
+  String admissionError(ClientCommand command) {
+    if (inFlightIds.contains(command.id())) {
+      return PlatformProtocol.ERROR_DUPLICATE_ID;
     }
-    return ids.size() >= mostOpen || bytes + command.size() > mostBytes ? "BUSY" : null;
+    boolean isOverLimit =
+        inFlightIds.size() >= limits.requests()
+            || inFlightBytes + command.sizeBytes() > limits.requestBytes();
+    return isOverLimit ? PlatformProtocol.ERROR_REJECTED : null;
   }
 
-  /** Gives a request to the host; returns the host's number. */
+  /** Gives a request to the runner; returns the runner's id of it. */
   long submit(ClientExchange exchange) {
-    ids.add(exchange.command().id());
-    bytes += exchange.command().size();
-    return host.onRequest(exchange);
+    inFlightIds.add(exchange.command().id());
+    inFlightBytes += exchange.command().sizeBytes();
+    return runner.onRequest(exchange);
   }
 
-  /** A request has had its answer, or its client has left. */
+  /** Releases what a request held, as it has its response or its client has disconnected. */
   void release(ClientExchange exchange) {
-    if (ids.remove(exchange.command().id())) {
-      bytes -= exchange.command().size();
+    if (inFlightIds.remove(exchange.command().id())) {
+      inFlightBytes -= exchange.command().sizeBytes();
     }
   }
 
-  void onClientDisconnected(long id) {
-    host.onClientDisconnected(id);
+  void onClientDisconnected(long requestId) {
+    runner.onClientDisconnected(requestId);
   }
 
   void onClosed(ClientConnection connection) {
-    connectionCount.remove(connection);
-    checkEmpty();
+    connections.remove(connection);
+    notifyIfDrained();
   }
 
   /**
-   * No connection is accepted any more, and those there are close as soon as nothing is open on
-   * them, not even half a command.
+   * Stops accepting, and closes each connection as soon as nothing is in flight on it and no part
+   * of a command has come.
    *
-   * @param empty is run when the last is closed, on both sides: then nothing is owed to anybody
+   * @param drainedListener is called once the last connection is closed on both sides
    */
-  void drain(Runnable empty) {
+  void drain(Runnable drainedListener) {
     isDraining = true;
-    whenEmpty = empty;
-    stopListening();
-    List.copyOf(connectionCount).forEach(ClientConnection::closeIfIdle);
-    checkEmpty();
+    this.drainedListener = drainedListener;
+    stopAccepting();
+    List.copyOf(connections).forEach(ClientConnection::closeIfQuiet);
+    notifyIfDrained();
   }
 
-  private void checkEmpty() {
-    if (whenEmpty != null && connectionCount.isEmpty() && lingering.isEmpty()) {
-      Runnable what = whenEmpty;
-      whenEmpty = null;
-      what.run();
+  private void notifyIfDrained() {
+    if (drainedListener != null && connections.isEmpty() && halfClosedConnections.isEmpty()) {
+      Runnable listener = drainedListener;
+      drainedListener = null;
+      listener.run();
     }
   }
 
-  /**
-   * Answers all that is open as failed and closes every connection, in this turn: nothing is read
-   * after it.
-   */
+  /** Fails all requests in flight and closes all connections; nothing is read afterwards. */
   void failInFlight() {
-    for (ClientConnection each : List.copyOf(connectionCount)) {
-      each.failInFlight();
-      each.closeGracefully();
+    for (ClientConnection connection : List.copyOf(connections)) {
+      connection.failInFlight();
+      connection.closeGracefully();
     }
   }
 
@@ -202,27 +196,29 @@
     return isDraining;
   }
 
-  void stopListening() {
-    if (server != null) {
-      server.close();
+  private void stopAccepting() {
+    if (serverChannel != null) {
+      serverChannel.close();
     }
   }
 
-  void close() {
-    host.timers().cancel(next);
-    List.copyOf(connectionCount).forEach(ClientConnection::closeGracefully);
-    stopListening();
+  /** Closes all connections after what was written. Idempotent. */
+  @Override
+  public void close() {
+    runner.timers().cancel(checkTimer);
+    List.copyOf(connections).forEach(ClientConnection::closeGracefully);
+    stopAccepting();
   }
 
-  ClientCommand.Terms terms() {
-    return terms;
+  ClientCommandParser parser() {
+    return parser;
   }
 
-  long now() {
-    return host.clock().now();
+  long nowMicros() {
+    return runner.clock().now();
   }
 
   int connectionCount() {
-    return connectionCount.size();
+    return connections.size();
   }
 }
--- a/src/main/java/fawndock/platform/DiscoveryCall.java
+++ b/src/main/java/fawndock/platform/DiscoveryCall.java
@@ -16,64 +16,81 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One call to the catalog over a connection of its own: the whole list, or a watch. Netty's
- * HTTP/1.1 codec: Vert.x's own HTTP client alone costs a quarter of the program's start. One
- * context.
+ * One HTTP call to endpoint discovery on a connection of its own: a complete list, or a watch. Uses
+ * Netty's HTTP/1.1 codec, as Vert.x's HTTP client alone takes a quarter of the start. Confined to
+ * one event loop.
  */
-final class DiscoveryCall extends ChannelInboundHandlerAdapter implements JsonFramer.Listener {
+final class DiscoveryCall extends ChannelInboundHandlerAdapter
+    implements JsonFramer.Listener, AutoCloseable {
   /**
-   * Is told what the call brings; {@link #over} once at most, and nothing after it or after {@link
-   * CatalogCall#end}.
+   * Receives what the call brings. {@link #onEnded} is called once at most, and nothing is after it
+   * or after {@link DiscoveryCall#close}.
    */
   interface Listener {
-    /** A list, as text. */
-    void onEndpointList(DiscoveryCall call, String text);
+    /** A list has come, as JSON text. */
+    void onEndpointList(DiscoveryCall call, String json);
 
-    /** Something whole has come: it lives. */
+    /** A list or an empty line has come: the call is alive. */
     void onActivity(DiscoveryCall call);
 
-    /** It has ended, was refused, or brought what cannot be read. */
-    void onEnded(DiscoveryCall call, String why, boolean unreadable);
+    /** The call has ended, was refused, or brought something that cannot be read. */
+    void onEnded(DiscoveryCall call, String reason, boolean isMalformed);
   }
 
-  private static final String PATH = "/catalog/members";
-  private static final int LONGEST_LIST = 4 << 20;
-  private static final long CONNECT_MICROS = 1_000_000;
+  private static final int MAX_LIST_BYTES = 4 << 20;
+  private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
+  private static final int STATUS_OK = 200;
 
-  /** Whether it asks for the whole list, rather than for changes. */
+  /** Whether this is a call for a complete list, rather than a watch. */
   final boolean isSnapshotCall;
 
-  /** Rings when nothing has come for too long; the owner's. */
+  /** Fires when nothing has come for too long; the listener's. */
   Timers.Timer idleTimer;
 
-  /** Nothing came for too long: another call is out beside it. */
+  /** Nothing has come for too long, and another call has been opened beside this one. */
   boolean isSuspected;
 
-  private final Listener owner;
+  private final Listener listener;
   private final String uri;
-  private final String host;
-  private final JsonFramer framer = new JsonFramer(LONGEST_LIST);
+  private final String hostHeader;
+  private final JsonFramer framer = new JsonFramer(MAX_LIST_BYTES);
   private ChannelHandlerContext context;
-  private boolean end;
-
-  /** Asks at once; with an index below 0 for the whole list, else for the changes after it. */
-  DiscoveryCall(TcpTransport sockets, Address address, long index, Listener owner) {
-    this.owner = owner;
-    isSnapshotCall = index < 0;
-    uri = isSnapshotCall ? PATH : PATH + "?stream=1&index=" + index;
-    host = address.toString();
-    sockets
-        .connect(address, CONNECT_MICROS, this)
+  private boolean isClosed;
+
+  private DiscoveryCall(
+      TcpTransport transport,
+      Address address,
+      String uri,
+      boolean isSnapshotCall,
+      Listener listener) {
+    this.listener = listener;
+    this.isSnapshotCall = isSnapshotCall;
+    this.uri = uri;
+    hostHeader = address.toString();
+    transport
+        .connect(address, CONNECT_TIMEOUT_MICROS, this)
         .addListener(
-            made -> {
-              if (!made.isSuccess()) {
+            connected -> {
+              if (!connected.isSuccess()) {
                 end("no connection", false);
-              } else if (end) {
+              } else if (isClosed) {
                 context.close();
               }
             });
   }
 
+  /** Opens a call for a complete list. */
+  static DiscoveryCall fetchSnapshot(TcpTransport transport, Address address, Listener listener) {
+    return new DiscoveryCall(transport, address, EndpointListCodec.SNAPSHOT_PATH, true, listener);
+  }
+
+  /** Opens a watch for the changes after a version. */
+  static DiscoveryCall watch(
+      TcpTransport transport, Address address, long version, Listener listener) {
+    return new DiscoveryCall(
+        transport, address, EndpointListCodec.WATCH_PATH + version, false, listener);
+  }
+
   @Override
   public void handlerAdded(ChannelHandlerContext handler) {
     context = handler;
@@ -84,8 +101,9 @@
   public void channelActive(ChannelHandlerContext handler) {
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-    request.headers().set(HttpHeaderNames.HOST, host);
-    handler.writeAndFlush(request);
+    request.headers().set(HttpHeaderNames.HOST, hostHeader);
+    // A write that fails closes the connection, and channelInactive ends the call.
+    var unused = handler.writeAndFlush(request);
   }
 
   @Override
@@ -101,52 +119,57 @@
   @Override
   public void channelRead(ChannelHandlerContext handler, Object message) {
     try {
-      if (end) {
-        return;
-      }
-      if (((HttpObject) message).decoderResult().isFailure()) {
-        end("an answer that is not HTTP", false);
-      } else if (message instanceof HttpResponse head && head.status().code() != 200) {
-        if (head.status().code() >= 200) {
-          end("status " + head.status().code(), false);
-        }
-      } else if (message instanceof HttpContent content) {
-        framer.read(content.content(), this);
-        if (message instanceof LastHttpContent && !end) {
-          end("ended", false);
-        }
+      if (!isClosed) {
+        onMessage(message);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
+  private void onMessage(Object message) {
+    if (((HttpObject) message).decoderResult().isFailure()) {
+      end("not an HTTP response", false);
+    } else if (message instanceof HttpResponse head && head.status().code() != STATUS_OK) {
+      // Statuses below are informational: the response itself is still to come.
+      if (head.status().code() > STATUS_OK) {
+        end("status " + head.status().code(), false);
+      }
+    } else if (message instanceof HttpContent content) {
+      framer.read(content.content(), this);
+      if (message instanceof LastHttpContent && !isClosed) {
+        end("ended", false);
+      }
+    }
+  }
+
   @Override
-  public void onObject(String text) {
-    owner.onActivity(this);
-    owner.onEndpointList(this, text);
+  public void onObject(String json) {
+    listener.onActivity(this);
+    listener.onEndpointList(this, json);
   }
 
   @Override
   public void onLineEnd() {
-    owner.onActivity(this);
+    listener.onActivity(this);
   }
 
   @Override
-  public void onMalformed(String why) {
-    end(why, true);
+  public void onMalformed(String reason) {
+    end(reason, true);
   }
 
-  private void end(String why, boolean unreadable) {
-    if (!end) {
+  private void end(String reason, boolean isMalformed) {
+    if (!isClosed) {
       close();
-      owner.onEnded(this, why, unreadable);
+      listener.onEnded(this, reason, isMalformed);
     }
   }
 
-  /** Ends it; nothing is told any more. */
-  void close() {
-    end = true;
+  /** Closes the connection; the listener is not called any more. Idempotent. */
+  @Override
+  public void close() {
+    isClosed = true;
     framer.close();
     if (context != null) {
       context.close();
--- a/src/main/java/fawndock/platform/EndpointWatch.java
+++ b/src/main/java/fawndock/platform/EndpointWatch.java
@@ -12,99 +12,100 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the catalog at one address: the whole list, then the changes after it, for as long as it
- * lives. A watch on which nothing comes, not even an empty line, is suspected: another is opened
- * beside it, from the version last seen, and it is dropped only when the other one speaks. Guards
- * against hearing nothing between two tries: what an agent that was silent tells at its return, it
- * tells to the calls that wait. One context.
+ * Watches endpoint discovery at one address: a complete list, then the changes after it. A watch
+ * without even an empty line for too long is suspected; another is opened beside it, from the last
+ * version, and the suspected one is closed only once the new one is alive. So at every moment a
+ * call waits there, and a change that discovery reports when it recovers is not missed. Confined to
+ * one event loop.
  */
-final class EndpointWatch implements DiscoveryCall.Listener {
+final class EndpointWatch implements DiscoveryCall.Listener, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
 
-  /** Empty lines come every 2 s; one missing is a suspected watch. */
-  private static final long SILENT_MICROS = 2_600_000;
+  /** Empty lines come every 2 s; a watch that misses one is suspected. */
+  private static final long WATCH_IDLE_TIMEOUT_MICROS = 2_600_000;
 
-  /** The whole list comes at once. */
-  private static final long ANSWER_MICROS = 1_500_000;
+  /** A complete list is sent at once. */
+  private static final long SNAPSHOT_TIMEOUT_MICROS = 1_500_000;
 
-  /**
-   * Between calls that end without a word; what changes meanwhile is heard late, so it stays short.
-   */
-  private static final long FIRST_PAUSE = 10_000;
-
-  private static final long LONGEST_PAUSE = 200_000;
+  /** Backoff between failed calls. Short, as changes meanwhile arrive late. */
+  private static final long MIN_BACKOFF_MICROS = 10_000;
 
-  /** Calls that wait at once. */
-  private static final int MOST_CALLS = 3;
+  private static final long MAX_BACKOFF_MICROS = 200_000;
+  private static final int MAX_CALLS = 3;
+  private static final long NO_VERSION = -1;
 
-  private final TcpTransport sockets;
-  private final Timers alarms;
+  private final TcpTransport transport;
+  private final Timers timers;
   private final Address address;
   private final SplittableRandom random;
-  private final Consumer<EndpointList> told;
+  private final Consumer<EndpointList> listener;
 
-  /** Calls that are out, the newest last. */
+  /** Open calls, the newest last. */
   private final ArrayDeque<DiscoveryCall> calls = new ArrayDeque<>();
 
-  private Timers.Timer next;
-  private long index = -1;
-  private long pause = FIRST_PAUSE;
-  private boolean closed;
+  private Timers.Timer retryTimer;
+  private long version = NO_VERSION;
+  private long backoffMicros = MIN_BACKOFF_MICROS;
+  private boolean isClosed;
 
   /**
-   * Made for one address; it asks nothing yet.
+   * Creates a watch that is not started.
    *
-   * @param random spreads the calls of a fleet that lost its catalog at once
+   * @param random jitters retries, so that a fleet does not retry all at once
+   * @param listener receives each list that is not outdated
    */
   EndpointWatch(
-      TcpTransport sockets,
+      TcpTransport transport,
       Address address,
-      Timers alarms,
+      Timers timers,
       SplittableRandom random,
-      Consumer<EndpointList> told) {
-    this.sockets = sockets;
-    this.alarms = alarms;
+      Consumer<EndpointList> listener) {
+    this.transport = transport;
+    this.timers = timers;
     this.address = address;
     this.random = random;
-    this.told = told;
+    this.listener = listener;
   }
 
-  /** Asks for the whole list, and then for what changes. Told again, begins anew. */
+  /** Fetches a complete list and watches for changes after it. Called again, starts over. */
   void start() {
-    index = -1;
-    call();
+    version = NO_VERSION;
+    openCall();
   }
 
-  private void call() {
-    if (closed) {
+  private void openCall() {
+    if (isClosed) {
       return;
     }
-    alarms.cancel(next);
-    next = null;
-    while (calls.size() >= MOST_CALLS) {
-      drop(calls.peek());
+    timers.cancel(retryTimer);
+    retryTimer = null;
+    while (calls.size() >= MAX_CALLS) {
+      closeCall(calls.peek());
     }
-    DiscoveryCall call = new DiscoveryCall(sockets, address, index, this);
+    DiscoveryCall call =
+        version == NO_VERSION
+            ? DiscoveryCall.fetchSnapshot(transport, address, this)
+            : DiscoveryCall.watch(transport, address, version, this);
     calls.add(call);
-    listen(call);
+    restartIdleTimer(call);
+  }
+
+  private void restartIdleTimer(DiscoveryCall call) {
+    timers.cancel(call.idleTimer);
+    long timeoutMicros = call.isSnapshotCall ? SNAPSHOT_TIMEOUT_MICROS : WATCH_IDLE_TIMEOUT_MICROS;
+    call.idleTimer = timers.schedule(timeoutMicros, () -> onIdle(call));
   }
 
-  private void listen(DiscoveryCall call) {
-    alarms.cancel(call.idleTimer);
-    call.idleTimer =
-        alarms.schedule(
-            call.isSnapshotCall ? ANSWER_MICROS : SILENT_MICROS,
-            () -> {
-              if (!call.isSuspected) {
-                LOG.info("catalog {}: silent, asking again beside it", address);
-                call.isSuspected = true;
-                call();
-              }
-            });
+  private void onIdle(DiscoveryCall call) {
+    if (!call.isSuspected) {
+      LOG.info("watch idle, opening another, discovery={}", address);
+      call.isSuspected = true;
+      openCall();
+    }
   }
 
-  private void drop(DiscoveryCall call) {
-    alarms.cancel(call.idleTimer);
+  private void closeCall(DiscoveryCall call) {
+    timers.cancel(call.idleTimer);
     calls.remove(call);
     call.close();
   }
@@ -112,76 +113,81 @@
   @Override
   public void onActivity(DiscoveryCall call) {
     call.isSuspected = false;
-    // Those before it are not needed any more; a later one that was opened for its silence may
-    // stay.
+    // Older calls are not needed any more; a newer one, opened beside this one, may stay.
     while (calls.peek() != call && calls.contains(call)) {
-      drop(calls.peek());
+      closeCall(calls.peek());
     }
-    listen(call);
+    restartIdleTimer(call);
   }
 
   @Override
-  public void onEndpointList(DiscoveryCall call, String text) {
+  public void onEndpointList(DiscoveryCall call, String json) {
     EndpointList list;
     try {
-      list = EndpointList.of(Json.parse(text));
+      list = EndpointListCodec.decode(Json.parse(json));
     } catch (IOException | MalformedMessageException e) {
       call.close();
       onEnded(call, e.getMessage(), true);
       return;
     }
-    if (list.isSnapshot() && list.endpoints().isEmpty()) {
-      LOG.warn("catalog {}: an empty list, the last one stays", address);
-    } else if (list.version() >= index || list.isSnapshot() && calls.peekLast() == call) {
-      index = Math.max(0, list.version());
-      pause = FIRST_PAUSE;
-      told.accept(list);
-    } else {
-      LOG.info(
-          "catalog {}: a list of version {} after {} is not taken", address, list.version(), index);
-    }
+    accept(call, list);
     if (call.isSnapshotCall && calls.contains(call)) {
-      drop(call);
-      if (index >= 0) {
-        call();
+      closeCall(call);
+      if (version == NO_VERSION) {
+        scheduleRetry();
       } else {
-        again();
+        openCall();
       }
     }
   }
 
+  private void accept(DiscoveryCall call, EndpointList list) {
+    boolean isNewestCall = calls.peekLast() == call;
+    if (list.isSnapshot() && list.endpoints().isEmpty()) {
+      LOG.warn("empty endpoint list ignored, discovery={}", address);
+    } else if (list.version() >= version || (list.isSnapshot() && isNewestCall)) {
+      version = Math.max(0, list.version());
+      backoffMicros = MIN_BACKOFF_MICROS;
+      listener.accept(list);
+    } else {
+      LOG.info(
+          "outdated endpoint list ignored, discovery={}, version={}, current={}",
+          address,
+          list.version(),
+          version);
+    }
+  }
+
   @Override
-  public void onEnded(DiscoveryCall call, String why, boolean unreadable) {
-    alarms.cancel(call.idleTimer);
+  public void onEnded(DiscoveryCall call, String reason, boolean isMalformed) {
+    timers.cancel(call.idleTimer);
     calls.remove(call);
-    if (unreadable) {
-      LOG.warn("catalog {}: a list that cannot be read: {}", address, why);
-      index = -1;
+    if (isMalformed) {
+      LOG.warn("endpoint list malformed, discovery={}, reason={}", address, reason);
+      version = NO_VERSION;
     }
-    if (unreadable || calls.stream().allMatch(c -> c.isSuspected)) {
-      LOG.info("catalog {}: {}, asking again", address, why);
-      again();
+    if (isMalformed || calls.stream().allMatch(c -> c.isSuspected)) {
+      LOG.info("watch ended, reopening, discovery={}, reason={}", address, reason);
+      scheduleRetry();
     }
   }
 
-  private void again() {
-    if (closed || next != null) {
+  private void scheduleRetry() {
+    if (isClosed || retryTimer != null) {
       return;
     }
-    next = alarms.schedule(pause / 2 + random.nextLong(pause), this::call);
-    pause = Math.min(LONGEST_PAUSE, 2 * pause);
-  }
-
-  /** Calls that are out. */
-  int calls() {
-    return calls.size();
+    long delayMicros = backoffMicros / 2 + random.nextLong(backoffMicros);
+    retryTimer = timers.schedule(delayMicros, this::openCall);
+    backoffMicros = Math.min(MAX_BACKOFF_MICROS, 2 * backoffMicros);
   }
 
-  void close() {
-    closed = true;
-    alarms.cancel(next);
+  /** Closes all calls; the listener is not called any more. Idempotent. */
+  @Override
+  public void close() {
+    isClosed = true;
+    timers.cancel(retryTimer);
     while (!calls.isEmpty()) {
-      drop(calls.peek());
+      closeCall(calls.peek());
     }
   }
 }
--- /dev/null
+++ b/src/main/java/fawndock/platform/GracefulShutdown.java
@@ -0,0 +1,67 @@
+package fawndock.platform;
+
+import io.vertx.core.Vertx;
+
+/**
+ * Shuts a gateway down within the time that the platform allows: serves on for most of the longest
+ * deadline, then drains connections, and at last fails what is still in flight. Confined to one
+ * event loop.
+ */
+final class GracefulShutdown {
+  /** The platform counts the longest deadline as no more than this. */
+  private static final long MAX_DEADLINE_MICROS = 3_000_000;
+
+  /** Share of the longest deadline in which new connections and requests are still accepted. */
+  private static final double SERVING_RATIO = 0.9;
+
+  /** New connections may come for this time after the signal, whatever the deadline. */
+  private static final long MIN_SERVING_MICROS = 450_000;
+
+  /**
+   * Time after the longest deadline for the last responses. SIGKILL comes after it, with a small
+   * reserve.
+   */
+  private static final long FAIL_DELAY_MICROS = 450_000;
+
+  /** Left to the last responses and closes on their way. */
+  private static final long LINGER_MICROS = 100_000;
+
+  private final Vertx vertx;
+  private final ClientListener clientListener;
+  private final long deadlineMicros;
+  private final Runnable finishedListener;
+
+  /**
+   * Prepares a shutdown.
+   *
+   * @param longestDeadlineMicros the longest deadline of any request class
+   * @param finishedListener is called when all clients are gone or time is up; perhaps twice
+   */
+  GracefulShutdown(
+      Vertx vertx,
+      ClientListener clientListener,
+      long longestDeadlineMicros,
+      Runnable finishedListener) {
+    this.vertx = vertx;
+    this.clientListener = clientListener;
+    this.deadlineMicros = Math.min(MAX_DEADLINE_MICROS, longestDeadlineMicros);
+    this.finishedListener = finishedListener;
+  }
+
+  /** Starts the shutdown; to be called once. */
+  void start() {
+    long servingMicros = Math.max(MIN_SERVING_MICROS, (long) (SERVING_RATIO * deadlineMicros));
+    schedule(servingMicros, () -> clientListener.drain(finishedListener));
+    schedule(deadlineMicros + FAIL_DELAY_MICROS, this::failInFlight);
+  }
+
+  /** Fails what is in flight: an error reply serves clients better than a reset at SIGKILL. */
+  private void failInFlight() {
+    clientListener.failInFlight();
+    schedule(LINGER_MICROS, finishedListener);
+  }
+
+  private void schedule(long delayMicros, Runnable task) {
+    vertx.setTimer(delayMicros / 1_000, id -> task.run());
+  }
+}
--- a/src/main/java/fawndock/platform/InMemoryTransport.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -3,6 +3,7 @@
 import fawndock.settings.Address;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPromise;
 import io.netty.channel.DefaultChannelPromise;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -14,9 +15,9 @@
 import java.util.function.Supplier;
 
 /**
- * Connections between two parties of this process, in memory: no descriptor, no port, no file. What
- * one side writes comes to the other in a later turn of the loop, as from a network. For {@link
- * WarmUp}.
+ * Connections within this process, in memory: no descriptor, port or file is used. What one side
+ * writes reaches the other in a later turn of the event loop, as from a network. For {@link
+ * WarmUp}. Confined to one event loop.
  */
 final class InMemoryTransport extends TcpTransport {
   private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
@@ -58,31 +59,30 @@
   }
 
   @Override
-  ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
-    InMemoryChannel near = new InMemoryChannel(handler);
-    ChannelPromise made = new DefaultChannelPromise(near, eventLoop);
+  ChannelFuture connect(Address address, long timeoutMicros, ChannelHandler handler) {
+    InMemoryChannel client = new InMemoryChannel(handler);
+    ChannelPromise connected = new DefaultChannelPromise(client, eventLoop);
     eventLoop.execute(
         () -> {
           Supplier<ChannelHandler> listener = listeners.get(address);
           if (listener == null) {
-            made.setFailure(new ConnectException("nobody listens at " + address));
+            connected.setFailure(new ConnectException("nothing listens at " + address));
             return;
           }
-          InMemoryChannel far = new InMemoryChannel(listener.get());
-          near.peer = far;
-          far.peer = near;
-          made.setSuccess();
+          InMemoryChannel server = new InMemoryChannel(listener.get());
+          client.peer = server;
+          server.peer = client;
+          connected.setSuccess();
         });
-    return made;
+    return connected;
   }
 
   @Override
   ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
     listeners.put(address, handlers);
-    InMemoryChannel bound =
-        new InMemoryChannel(new io.netty.channel.ChannelInboundHandlerAdapter());
-    ChannelPromise done = new DefaultChannelPromise(bound, eventLoop);
-    eventLoop.execute(done::setSuccess);
-    return done;
+    InMemoryChannel bound = new InMemoryChannel(new ChannelInboundHandlerAdapter());
+    ChannelPromise listening = new DefaultChannelPromise(bound, eventLoop);
+    eventLoop.execute(listening::setSuccess);
+    return listening;
   }
 }
--- a/src/main/java/fawndock/platform/JsonFramer.java
+++ b/src/main/java/fawndock/platform/JsonFramer.java
@@ -5,65 +5,67 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Takes JSON objects off a stream of bytes by their brackets, however they are cut, indented or
- * spread over lines. What stands between objects may only be blanks and ends of lines.
+ * Splits a byte stream into JSON objects by their brackets, however the bytes are cut, indented or
+ * spread over lines. Between objects only blanks and line ends may stand. Confined to one event
+ * loop.
  */
 final class JsonFramer {
-  /** Is told in the order of the bytes. */
+  /** Is called in the order of the bytes. */
   interface Listener {
-    /** A whole object. */
-    void onObject(String text);
+    /** A complete object has come. */
+    void onObject(String json);
 
-    /** A line ended outside of any object. */
+    /** A line has ended outside of any object. */
     void onLineEnd();
 
-    /**
-     * What stands between objects is none, or one is longer than may be; nothing is told after it.
-     */
-    void onMalformed(String why);
+    /** The stream is malformed, or an object is too long; nothing is called after it. */
+    void onMalformed(String reason);
   }
 
-  private final int longest;
+  private final int maxObjectBytes;
   private final ByteBuf object = Unpooled.buffer(256);
   private int depth;
-  private boolean quoted;
-  private boolean escaped;
-  private boolean ended;
+  private boolean isInString;
+  private boolean isEscaped;
+  private boolean isClosed;
 
-  /** Takes objects of so many bytes at most. */
-  JsonFramer(int longest) {
-    this.longest = longest;
+  JsonFramer(int maxObjectBytes) {
+    this.maxObjectBytes = maxObjectBytes;
   }
 
-  /** Uses up all of the bytes. */
-  void read(ByteBuf bytes, Listener found) {
-    while (bytes.isReadable() && !ended) {
+  /** Reads all of the bytes. */
+  void read(ByteBuf bytes, Listener listener) {
+    while (bytes.isReadable() && !isClosed) {
       byte b = bytes.readByte();
       if (depth > 0 || b == '{') {
-        object.writeByte(b);
-        within(b);
-        if (depth == 0) {
-          String text = object.toString(StandardCharsets.UTF_8);
-          object.clear();
-          found.onObject(text);
-        } else if (object.readableBytes() > longest) {
-          end(found, "an object of more than " + longest + " bytes");
-        }
+        readObjectByte(b, listener);
       } else if (b == '\n') {
-        found.onLineEnd();
+        listener.onLineEnd();
       } else if (b != ' ' && b != '\t' && b != '\r') {
-        end(found, "no JSON object");
+        fail(listener, "no JSON object");
       }
     }
     bytes.skipBytes(bytes.readableBytes());
   }
 
-  private void within(byte b) {
-    if (quoted) {
-      quoted = escaped || b != '"';
-      escaped = !escaped && b == '\\';
+  private void readObjectByte(byte b, Listener listener) {
+    object.writeByte(b);
+    updateDepth(b);
+    if (depth == 0) {
+      String json = object.toString(StandardCharsets.UTF_8);
+      object.clear();
+      listener.onObject(json);
+    } else if (object.readableBytes() > maxObjectBytes) {
+      fail(listener, "an object of more than " + maxObjectBytes + " bytes");
+    }
+  }
+
+  private void updateDepth(byte b) {
+    if (isInString) {
+      isInString = isEscaped || b != '"';
+      isEscaped = !isEscaped && b == '\\';
     } else if (b == '"') {
-      quoted = true;
+      isInString = true;
     } else if (b == '{' || b == '[') {
       depth++;
     } else if (b == '}' || b == ']') {
@@ -71,13 +73,13 @@
     }
   }
 
-  private void end(Listener found, String why) {
-    ended = true;
-    found.onMalformed(why);
+  private void fail(Listener listener, String reason) {
+    isClosed = true;
+    listener.onMalformed(reason);
   }
 
-  /** Takes nothing any more. */
+  /** Stops reading; the listener is not called any more. Idempotent. */
   void close() {
-    ended = true;
+    isClosed = true;
   }
 }
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -5,8 +5,6 @@
 import fawndock.policy.action.SendPeerMessage;
 import fawndock.policy.config.PolicyConfig;
 import fawndock.policy.event.CallResult;
-import fawndock.policy.event.EndpointState;
-import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.HealthCheckCompleted;
 import fawndock.runtime.InFlightAttempt;
@@ -14,199 +12,166 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.PolicyRunner;
 import fawndock.runtime.Timers;
-import fawndock.settings.Address;
 import io.netty.channel.ChannelFuture;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
-import java.util.ArrayDeque;
-import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One gatekeeper on the platform, with its sockets, on one event-loop context. */
-final class PlatformGateway implements PolicyRunner.GatewayConnections {
+/**
+ * One gateway instance on the platform: wires clients, backends, counter and endpoint discovery to
+ * one policy. Confined to one event loop.
+ */
+final class PlatformGateway implements PolicyRunner.GatewayConnections, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformGateway.class);
 
-  /**
-   * Shares of the descriptors; the rest is kept for the counter, the catalog, files and a reserve.
-   */
-  private static final double CLIENTS = 0.45;
+  /** Share of the descriptors for clients. */
+  private static final double CLIENT_SOCKET_RATIO = 0.45;
+
+  /** Share for backends; the rest is left to counter, discovery and files, with a reserve. */
+  private static final double BACKEND_SOCKET_RATIO = 0.32;
 
-  private static final double WORKERS = 0.32;
-  private static final long MOST_BYTES_SHARE = 16;
-  private static final long LIST_WAIT_MICROS = 3_000_000;
-  private static final long REPORT_MICROS = 5_000_000;
-  private static final long SWEEP_MICROS = 1_000_000;
+  /** Requests in flight hold at most the memory divided by this. */
+  private static final long REQUEST_MEMORY_DIVISOR = 16;
+
+  /** The known endpoint list is used when discovery has brought none after this time. */
+  private static final long FIRST_LIST_TIMEOUT_MICROS = 3_000_000;
+
+  private static final long ACTIVITY_INTERVAL_MICROS = 5_000_000;
+  private static final long CLOSE_IDLE_INTERVAL_MICROS = 1_000_000;
 
   /**
-   * Of the time after which a worker closes an idle connection; used up to then, it would end as a
-   * reset.
+   * Share of the time after which endpoints close idle connections. A request on a connection that
+   * is used up to that time would meet a reset.
    */
-  private static final double IDLE_PART = 0.5;
+  private static final double IDLE_TIMEOUT_RATIO = 0.5;
+
+  /** Where the endpoints' idle timeout is not known. */
+  private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 20_000_000;
 
-  private static final long IDLE_MICROS = 20_000_000;
-  private final TcpTransport sockets;
+  /** Keeps the retry jitter apart from the policy's random numbers, which have the same seed. */
+  private static final long JITTER_SEED_MASK = 0x5DEECE66DL;
+
+  private final TcpTransport transport;
   private final PlatformConfig config;
   private final MicroClock clock = new MicroClock();
-  private final Timers alarms;
+  private final Timers timers;
   private final PolicyRunner runner;
-  private final ActivitySummary figures = new ActivitySummary();
-  private final BackendConnectionPools workers;
+  private final ActivitySummary activity = new ActivitySummary();
+  private final BackendConnectionPools pools;
+  private final EndpointDirectory directory;
   private final CounterClient counter;
   private final ClientListener clientListener;
-  private final Promise<Void> listed = Promise.promise();
-
-  /** The newest last; those before it until it has spoken. */
-  private final ArrayDeque<EndpointWatch> catalogs = new ArrayDeque<>();
-
-  private final SplittableRandom random;
-  private long reportAt;
-  private Address discovery;
+  private long activityLoggedAtMicros;
 
-  /** Made on the context that it belongs to. */
+  /** Creates the gateway on the event loop that it belongs to; it does not listen yet. */
   PlatformGateway(
       Vertx vertx,
-      TcpTransport sockets,
+      TcpTransport transport,
       PlatformConfig config,
-      Function<PolicyConfig, GatewayPolicy> maker) {
-    this.sockets = sockets;
+      Function<PolicyConfig, GatewayPolicy> policyFactory) {
+    this.transport = transport;
     this.config = config;
-    PolicyConfig settings = config.policy();
-    random =
-        new SplittableRandom(
-            settings.randomSeed() ^ 0x5DEECE66DL); // Not the decisions' own numbers.
-    alarms = new Timers(vertx);
-    runner = new PolicyRunner(clock, alarms, this, settings.limits().maxAttempts(), 1, figures);
-    runner.setPolicy(maker.apply(settings));
-    long idle =
-        config.endpointIdleTimeoutMicros() <= 0
-            ? IDLE_MICROS
-            : (long) (IDLE_PART * config.endpointIdleTimeoutMicros());
-    workers =
-        new BackendConnectionPools(
-            sockets,
-            clock::now,
-            figures,
-            (int) (WORKERS * config.maxSockets()),
-            config.connectTimeoutMicros(),
-            idle);
-    counter =
-        new CounterClient(
-            sockets,
-            config.counter(),
-            clock,
-            alarms,
-            figures,
-            config.connectTimeoutMicros(),
-            settings.counter().timeoutMicros(),
-            runner::onEvent);
-    clientListener =
-        new ClientListener(
-            sockets,
-            runner,
-            new ClientCommand.Terms(config),
-            (int) (CLIENTS * config.maxSockets()),
-            settings.limits().maxInFlight(),
-            config.memoryBytes() / MOST_BYTES_SHARE);
-    sweep();
-  }
-
-  /** Follows the catalog and listens as soon as the list of workers is known. */
+    PolicyConfig policy = config.policy();
+    timers = new Timers(vertx);
+    runner = new PolicyRunner(clock, timers, this, policy.limits().maxAttempts(), 1, activity);
+    runner.setPolicy(policyFactory.apply(policy));
+    pools = new BackendConnectionPools(transport, clock::now, activity, poolLimits(config));
+    directory =
+        new EndpointDirectory(
+            transport, runner, pools, new SplittableRandom(policy.randomSeed() ^ JITTER_SEED_MASK));
+    counter = createCounterClient();
+    clientListener = createClientListener();
+    closeIdleConnections();
+  }
+
+  private static BackendConnectionPools.Limits poolLimits(PlatformConfig config) {
+    long endpointTimeoutMicros = config.endpointIdleTimeoutMicros();
+    return new BackendConnectionPools.Limits(
+        (int) (BACKEND_SOCKET_RATIO * config.maxSockets()),
+        config.connectTimeoutMicros(),
+        endpointTimeoutMicros <= 0
+            ? DEFAULT_IDLE_TIMEOUT_MICROS
+            : (long) (IDLE_TIMEOUT_RATIO * endpointTimeoutMicros));
+  }
+
+  private CounterClient createCounterClient() {
+    return new CounterClient(
+        transport,
+        config.counter(),
+        clock,
+        timers,
+        activity,
+        new CounterClient.Timeouts(
+            config.connectTimeoutMicros(), config.policy().counter().timeoutMicros()),
+        runner::onEvent);
+  }
+
+  private ClientListener createClientListener() {
+    return new ClientListener(
+        transport,
+        runner,
+        new ClientCommandParser(config),
+        new ClientListener.Limits(
+            (int) (CLIENT_SOCKET_RATIO * config.maxSockets()),
+            config.policy().limits().maxInFlight(),
+            config.memoryBytes() / REQUEST_MEMORY_DIVISOR));
+  }
+
+  /** Watches endpoint discovery, and listens once there is an endpoint list. */
   Future<?> start() {
-    if (!config.knownEndpoints().endpoints().isEmpty()) {
-      take(config.knownEndpoints(), EndpointUpdateKind.CACHED);
-      alarms.schedule(LIST_WAIT_MICROS, listed::tryComplete);
+    boolean hasKnownEndpoints = !config.knownEndpoints().endpoints().isEmpty();
+    if (hasKnownEndpoints) {
+      directory.apply(config.knownEndpoints(), EndpointUpdateKind.CACHED);
     }
-    follow(config.discovery());
-    report();
-    return listed
-        .future()
-        .compose(
-            v -> {
-              Promise<Void> bound = Promise.promise();
-              clientListener
-                  .listen(config.listen())
-                  .addListener(
-                      done -> {
-                        if (done.isSuccess()) {
-                          bound.complete();
-                        } else {
-                          bound.fail(done.cause());
-                        }
-                      });
-              return bound.future();
-            })
+    directory.watch(config.discovery());
+    scheduleActivityLog();
+    return directory
+        .awaitFirstList(hasKnownEndpoints ? FIRST_LIST_TIMEOUT_MICROS : 0)
+        .compose(list -> listen())
         .onSuccess(
-            v ->
+            listening ->
                 LOG.info(
-                    "{} ({} of {}) listens on {}",
+                    "listening, name={}, instance={}/{}, address={}",
                     config.name(),
                     config.policy().instanceIndex(),
                     config.policy().instanceCount(),
                     config.listen()));
   }
 
-  /** Listens with this list of workers and follows no catalog: for {@link WarmUp}. */
-  ChannelFuture warmUp(EndpointList list) {
-    take(list, EndpointUpdateKind.SNAPSHOT);
-    return clientListener.listen(config.listen());
-  }
-
-  private void follow(Address address) {
-    List<EndpointWatch> before = List.copyOf(catalogs);
-    discovery = address;
-    boolean[] heard = new boolean[1];
-    EndpointWatch catalog =
-        new EndpointWatch(
-            sockets,
-            address,
-            alarms,
-            random.split(),
-            list -> {
-              if (!heard[0]) {
-                heard[0] = true;
-                before.forEach(
-                    EndpointWatch
-                        ::close); // Not sooner: until the new one speaks, what they tell counts.
-                catalogs.removeAll(before);
+  private Future<Void> listen() {
+    Promise<Void> listening = Promise.promise();
+    clientListener
+        .listen(config.listen())
+        .addListener(
+            bound -> {
+              if (bound.isSuccess()) {
+                listening.complete();
+              } else {
+                listening.fail(bound.cause());
               }
-              take(
-                  list,
-                  list.isSnapshot() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.CHANGES);
-              listed.tryComplete();
             });
-    catalogs.add(catalog);
-    catalog.start();
+    return listening.future();
   }
 
-  private void take(EndpointList list, EndpointUpdateKind listing) {
-    if (listing == EndpointUpdateKind.SNAPSHOT) {
-      workers.keep(list.addresses().keySet());
-    }
-    list.endpoints()
-        .forEach(
-            s -> {
-              if (s.state() == EndpointState.REMOVED) {
-                workers.forget(s.id());
-              } else if (list.addresses().containsKey(s.id())) {
-                workers.address(s.id(), list.addresses().get(s.id()));
-              }
-              workers.draining(s.id(), s.state() == EndpointState.DRAINING);
-            });
-    runner.onEvent(new EndpointUpdate(listing, list.endpoints()));
+  /** Listens with this endpoint list and without endpoint discovery: for {@link WarmUp}. */
+  ChannelFuture startForWarmUp(EndpointList endpoints) {
+    directory.apply(endpoints, EndpointUpdateKind.SNAPSHOT);
+    return clientListener.listen(config.listen());
   }
 
-  /** Takes up the addresses of a new configuration; the decisions keep what they know. */
-  void reload(PlatformConfig fresh) {
-    counter.moveTo(fresh.counter());
-    if (!fresh.discovery().equals(discovery)) {
-      follow(fresh.discovery());
-    }
-    LOG.info("new configuration: discovery {}, counter {}", fresh.discovery(), fresh.counter());
+  /** Takes the addresses of a new configuration; the policy keeps its state and settings. */
+  void reload(PlatformConfig newConfig) {
+    counter.setAddress(newConfig.counter());
+    directory.watch(newConfig.discovery());
+    LOG.info(
+        "configuration reloaded, discovery={}, counter={}",
+        newConfig.discovery(),
+        newConfig.counter());
   }
 
   ClientListener clientListener() {
@@ -217,64 +182,67 @@
     return runner;
   }
 
-  /** One line every few seconds, whatever the load. */
-  private void report() {
-    alarms.schedule(
-        REPORT_MICROS,
-        () -> {
-          long late = clock.now() - reportAt - REPORT_MICROS;
-          LOG.info(
-              "open {}, clients {}, workers {}, loop {} ms late; {}",
-              runner.openCount(),
-              clientListener.connectionCount(),
-              workers.open(),
-              late / 1_000,
-              figures.summarizeAndReset());
-          report();
-        });
-    reportAt = clock.now();
+  /** Logs one line every few seconds, whatever the load. */
+  private void scheduleActivityLog() {
+    activityLoggedAtMicros = clock.now();
+    timers.schedule(ACTIVITY_INTERVAL_MICROS, this::logActivity);
   }
 
-  private void sweep() {
-    workers.sweep();
-    alarms.schedule(SWEEP_MICROS, this::sweep);
+  private void logActivity() {
+    long delayMicros = clock.now() - activityLoggedAtMicros - ACTIVITY_INTERVAL_MICROS;
+    LOG.info(
+        "activity, openRequests={}, clientConnections={}, backendConnections={}, loopDelayMillis={}, {}",
+        runner.openCount(),
+        clientListener.connectionCount(),
+        pools.openCount(),
+        delayMicros / 1_000,
+        activity.summarizeAndReset());
+    scheduleActivityLog();
   }
 
-  void close() {
+  private void closeIdleConnections() {
+    pools.closeIdle();
+    timers.schedule(CLOSE_IDLE_INTERVAL_MICROS, this::closeIdleConnections);
+  }
+
+  /** Closes all connections and timers. Idempotent. */
+  @Override
+  public void close() {
     clientListener.close();
     counter.close();
-    workers.close();
-    catalogs.forEach(EndpointWatch::close);
-    alarms.close();
+    pools.close();
+    directory.close();
+    timers.close();
   }
 
   @Override
-  public void addToCounter(AddToCounter count) {
-    counter.count(count);
+  public void addToCounter(AddToCounter action) {
+    counter.add(action);
   }
 
   @Override
-  public void sendPeerMessage(SendPeerMessage tell) {
-    LOG.debug("the platform carries no messages between gatekeepers");
+  public void sendPeerMessage(SendPeerMessage action) {
+    LOG.debug("peer message dropped, the platform carries none");
   }
 
   @Override
   public void watchEndpoints() {
-    catalogs.getLast().start();
+    directory.refresh();
   }
 
   @Override
   public void fetchEndpoints() {
-    catalogs.getLast().start();
+    directory.refresh();
   }
 
   @Override
-  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new BackendAttempt(runner, request, number, server, workers);
+  public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
+    return new BackendAttempt(runner, request, index, endpointId, pools);
   }
 
+  /** The platform has no health checks: the policy is told that none was sent. */
   @Override
-  public void startHealthCheck(String server) {
-    runner.onEvent(new HealthCheckCompleted(server, 0, CallResult.NOT_SENT, Map.of()));
+  public void startHealthCheck(String endpointId) {
+    runner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, Map.of()));
   }
 }
--- a/src/main/java/fawndock/platform/PlatformProcess.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -14,189 +14,175 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 
-/** The process on the platform: start, new configurations on SIGHUP, stop on SIGTERM. */
+/**
+ * The gateway's process on the platform: start, configuration reload on SIGHUP, shutdown on SIGTERM
+ * or SIGINT. {@link #run} blocks its thread; the other public methods may be called from any
+ * thread.
+ */
 public final class PlatformProcess {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformProcess.class);
 
-  /**
-   * The platform counts the longest deadline as no more than this when it says how long a stop may
-   * take.
-   */
-  private static final long LONGEST_MICROS = 3_000_000;
+  /** Exit code after a shutdown. */
+  public static final int EXIT_STOPPED = 0;
 
-  /** Of that time, in which clients that have connections are served as before. */
-  private static final double SERVING = 0.9;
+  /** Exit code when the address cannot be listened on. */
+  public static final int EXIT_CANNOT_LISTEN = 1;
 
-  /**
-   * After that time all is to be answered, and SIGKILL comes this much later at the soonest, less a
-   * reserve.
-   */
-  private static final long LAST_MICROS = 450_000;
+  /** Exit code for an unusable configuration. */
+  public static final int EXIT_INVALID_CONFIG = 2;
+
+  /** Lets what was written last leave the process. */
+  private static final long FLUSH_MILLIS = 20;
 
-  /** New connections keep coming for so long. */
-  private static final long COMING_MICROS = 450_000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
-  /** Left to what was answered last, and to the closes, on their way. */
-  private static final long LEAVE_MICROS = 100_000;
+  /** Blocked threads are not checked: the check would need a thread of its own. */
+  private static final long BLOCKED_THREAD_CHECK_MILLIS = 3_600_000;
 
   private final Map<String, String> variables;
-  private final CountDownLatch ready = new CountDownLatch(1);
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch listening = new CountDownLatch(1);
+  private final CountDownLatch finished = new CountDownLatch(1);
   private Vertx vertx;
   private volatile Context context;
   private PlatformGateway gateway;
-  private boolean stopping;
-  private long longestMicros;
-  private volatile int code;
+  private boolean isShuttingDown;
+  private long longestDeadlineMicros;
+  private volatile int exitCode;
 
-  /** A daemon that is not started; takes the platform's variables. */
+  /** Creates a process that is not started, with the platform's environment variables. */
   public PlatformProcess(Map<String, String> variables) {
     this.variables = variables;
   }
 
   /**
-   * Serves until it is told to stop; returns the exit code: 0 after a stop, 1 could not listen, 2
-   * unusable configuration.
+   * Serves until the process is stopped; returns the exit code. An unusable configuration is
+   * reported on standard error in one line.
    */
-  public int run(Function<PolicyConfig, GatewayPolicy> maker) throws InterruptedException {
+  public int run(Function<PolicyConfig, GatewayPolicy> policyFactory) throws InterruptedException {
     PlatformConfig config;
     try {
-      config = PlatformConfig.read(variables);
-    } catch (PlatformConfig.InvalidConfigException e) {
+      config = PlatformConfigReader.read(variables);
+    } catch (InvalidConfigException e) {
       System.err.println(e.getMessage());
-      return 2;
+      return EXIT_INVALID_CONFIG;
     }
-    longestMicros =
-        config.policy().requestClasses().stream()
-            .mapToLong(c -> c.deadlineMicros())
-            .max()
-            .orElse(0);
-    vertx =
-        Vertx.vertx(
-            new VertxOptions()
-                .setEventLoopPoolSize(1)
-                .setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1)
-                .setBlockedThreadCheckInterval(3_600_000)
-                .setFileSystemOptions(
-                    new FileSystemOptions()
-                        .setFileCachingEnabled(false)
-                        .setClassPathResolvingEnabled(false)));
+    longestDeadlineMicros = config.longestDeadlineMicros();
+    vertx = createVertx();
     context = vertx.getOrCreateContext();
-    Signal.handle(new Signal("HUP"), s -> reload());
-    Signal.handle(new Signal("TERM"), s -> stop());
-    Signal.handle(new Signal("INT"), s -> stop());
-    context.runOnContext(
-        v -> {
-          new WarmUp(vertx, config, maker)
-              .run()
-              .compose(
-                  warm -> {
-                    gateway = new PlatformGateway(vertx, new TcpTransport(context), config, maker);
-                    return gateway.start();
-                  })
-              .onSuccess(listens -> ready.countDown())
-              .onFailure(
-                  e -> {
-                    LOG.error("cannot listen on {}: {}", config.listen(), e.toString());
-                    end(1);
-                  });
-        });
-    ended.await();
-    close();
-    return code;
+    Signal.handle(new Signal("HUP"), signal -> reload());
+    Signal.handle(new Signal("TERM"), signal -> stop());
+    Signal.handle(new Signal("INT"), signal -> stop());
+    context.runOnContext(v -> start(config, policyFactory));
+    finished.await();
+    closeVertx();
+    return exitCode;
+  }
+
+  private static Vertx createVertx() {
+    return Vertx.vertx(
+        new VertxOptions()
+            .setEventLoopPoolSize(1)
+            .setWorkerPoolSize(1)
+            .setInternalBlockingPoolSize(1)
+            .setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MILLIS)
+            .setFileSystemOptions(
+                new FileSystemOptions()
+                    .setFileCachingEnabled(false)
+                    .setClassPathResolvingEnabled(false)));
+  }
+
+  /** Warms up, and then starts the gateway. */
+  private void start(PlatformConfig config, Function<PolicyConfig, GatewayPolicy> policyFactory) {
+    new WarmUp(vertx, config, policyFactory)
+        .run()
+        .compose(
+            warmedUp -> {
+              gateway =
+                  new PlatformGateway(vertx, new TcpTransport(context), config, policyFactory);
+              return gateway.start();
+            })
+        .onSuccess(started -> listening.countDown())
+        .onFailure(
+            e -> {
+              LOG.error("cannot listen, address={}, cause={}", config.listen(), e.toString());
+              finish(EXIT_CANNOT_LISTEN);
+            });
   }
 
   /**
-   * Reads the file on the thread that calls, whole or not at all; a damaged one changes nothing.
+   * Reads the configuration file, on the calling thread, and takes its addresses. An unusable file
+   * is logged and changes nothing.
    */
   public synchronized void reload() {
     try {
-      PlatformConfig fresh = PlatformConfig.read(variables);
+      PlatformConfig newConfig = PlatformConfigReader.read(variables);
       context.runOnContext(
           v -> {
             if (gateway != null) {
-              gateway.reload(fresh);
+              gateway.reload(newConfig);
             }
           });
-    } catch (PlatformConfig.InvalidConfigException e) {
-      LOG.error("the configuration stays as it was: {}", e.getMessage());
+    } catch (InvalidConfigException e) {
+      LOG.error("configuration rejected, keeping the current one, reason={}", e.getMessage());
     }
   }
 
-  /**
-   * Answers what is open, takes what still comes for a moment, and ends {@link #run}. From any
-   * thread.
-   */
+  /** Shuts down gracefully, and then ends {@link #run}. Idempotent. */
   public void stop() {
-    if (ended.getCount() == 0) {
-      return;
+    if (finished.getCount() > 0) {
+      context.runOnContext(v -> shutDown());
     }
-    context.runOnContext(v -> drain());
   }
 
-  /** Whether it listens, waiting so long for it. */
-  public boolean awaitReady(long time, TimeUnit unit) throws InterruptedException {
-    return ready.await(time, unit);
+  /** Waits until the gateway listens; returns false when it does not within this time. */
+  public boolean awaitReady(long timeout, TimeUnit unit) throws InterruptedException {
+    return listening.await(timeout, unit);
   }
 
-  /** The context that all of it runs on. */
+  /** Returns the context of the event loop that all of the gateway runs on. */
   Context context() {
     return context;
   }
 
-  /** What serves, once it does. */
+  /** Returns the gateway, or null before the warm-up is done. */
   PlatformGateway gateway() {
     return gateway;
   }
 
-  private void drain() {
-    if (stopping) {
+  private void shutDown() {
+    if (isShuttingDown) {
       return;
     }
-    stopping = true;
+    isShuttingDown = true;
     if (gateway == null) {
-      end(0);
+      finish(EXIT_STOPPED);
       return;
     }
-    LOG.info("stopping with {} requests open", gateway.runner().openCount());
-    long longest = Math.min(LONGEST_MICROS, longestMicros);
-    after(
-        Math.max(COMING_MICROS, (long) (SERVING * longest)),
-        () -> gateway.clientListener().drain(() -> end(0)));
-    after(
-        longest + LAST_MICROS,
-        () -> {
-          gateway
-              .clientListener()
-              .failInFlight(); // Answered as failed by us, rather than cut off by SIGKILL.
-          after(LEAVE_MICROS, () -> end(0));
-        });
+    LOG.info("shutting down, openRequests={}", gateway.runner().openCount());
+    new GracefulShutdown(
+            vertx, gateway.clientListener(), longestDeadlineMicros, () -> finish(EXIT_STOPPED))
+        .start();
   }
 
-  private void after(long micros, Runnable what) {
-    vertx.setTimer(micros / 1_000, id -> what.run());
+  private void finish(int code) {
+    if (finished.getCount() > 0) {
+      exitCode = code;
+      vertx.setTimer(FLUSH_MILLIS, id -> closeGateway());
+    }
   }
 
-  private void end(int with) {
-    if (ended.getCount() > 0) {
-      code = with;
-      // What was written last leaves with this turn of the loop; the process ends after it.
-      vertx.setTimer(
-          20,
-          id -> {
-            if (gateway != null) {
-              gateway.close();
-            }
-            vertx.setTimer(20, again -> ended.countDown());
-          });
+  private void closeGateway() {
+    if (gateway != null) {
+      gateway.close();
     }
+    vertx.setTimer(FLUSH_MILLIS, id -> finished.countDown());
   }
 
-  /** Closes what is left, within a second. */
-  private void close() throws InterruptedException {
+  private void closeVertx() throws InterruptedException {
     CountDownLatch closed = new CountDownLatch(1);
     vertx.close().onComplete(v -> closed.countDown());
-    closed.await(1, TimeUnit.SECONDS);
+    if (!closed.await(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+      LOG.warn("event loop still open after {} ms, exiting anyway", CLOSE_TIMEOUT_MILLIS);
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/fawndock/platform/PooledConnection.java
@@ -0,0 +1,121 @@
+package fawndock.platform;
+
+import fawndock.resp.Reply;
+import fawndock.resp.ReplyReader;
+import io.netty.buffer.ByteBuf;
+import java.util.function.Consumer;
+
+/**
+ * One connection to a backend: used by one attempt, or idle in its pool. Bytes on an idle
+ * connection, such as a late second copy of a response, close it. Confined to one event loop.
+ */
+final class PooledConnection implements RespConnection.Listener {
+  private static final int MAX_VALUE_BYTES = 64 << 10;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_ELEMENTS = 8;
+  private static final ReplyReader READER =
+      new ReplyReader(MAX_VALUE_BYTES, MAX_LINE_BYTES, MAX_ELEMENTS);
+
+  private final BackendConnectionPools pools;
+  private final BackendConnectionPools.EndpointPool pool;
+  private final RespConnection connection;
+
+  /** The attempt that uses the connection; null while idle. */
+  private BackendAttempt attempt;
+
+  private long idleSinceMicros;
+
+  /** Connects for an attempt. */
+  PooledConnection(
+      BackendConnectionPools pools,
+      BackendConnectionPools.EndpointPool pool,
+      BackendAttempt attempt) {
+    this.pools = pools;
+    this.pool = pool;
+    this.attempt = attempt;
+    connection =
+        new RespConnection(
+            pools.transport(), pool.address, pools.connectTimeoutMicros(), READER, this);
+  }
+
+  /** Gives an idle connection to an attempt. */
+  void assign(BackendAttempt next) {
+    attempt = next;
+    next.onConnectionAvailable(this);
+  }
+
+  /** Writes a command; the listener is told whether all of it was handed to the network. */
+  void write(ByteBuf command, Consumer<Boolean> writeListener) {
+    connection.write(command, writeListener);
+  }
+
+  long idleSinceMicros() {
+    return idleSinceMicros;
+  }
+
+  @Override
+  public boolean expectsReply() {
+    return attempt != null && attempt.isSent();
+  }
+
+  @Override
+  public void onConnected() {
+    if (!attempt.onConnectionAvailable(this)) {
+      release(); // The attempt has ended meanwhile; the connection is as good as any.
+    }
+  }
+
+  @Override
+  public void onReply(Reply reply, boolean hasMoreBytes) {
+    BackendAttempt completed = attempt;
+    attempt = null;
+    BackendReply backendReply = BackendReply.of(reply);
+    if (reply.isError() || !backendReply.isConnectionReusable()) {
+      pools.activity().recordError(reply.type() + reply.text());
+    }
+    // Released before the attempt learns of its reply: what is sent next may want the connection.
+    if (hasMoreBytes || !backendReply.isConnectionReusable()) {
+      abort();
+    } else {
+      release();
+    }
+    completed.onReply(backendReply);
+  }
+
+  @Override
+  public void onProtocolError(String reason) {
+    pools.activity().recordError(reason);
+    pools.onConnectionClosed(pool, this);
+    if (attempt != null) {
+      attempt.onProtocolError();
+    }
+  }
+
+  @Override
+  public void onClosed(boolean wasConnected) {
+    pools.onConnectionClosed(pool, this);
+    if (attempt != null && wasConnected) {
+      attempt.onConnectionClosed();
+    } else if (attempt != null) {
+      attempt.onConnectFailed();
+    }
+  }
+
+  /** Returns the connection to its pool, or closes it when its endpoint has been removed. */
+  void release() {
+    attempt = null;
+    if (pools.isCurrent(pool)) {
+      idleSinceMicros = pools.nowMicros();
+      pool.idle.add(this);
+    } else {
+      abort();
+    }
+  }
+
+  /** Closes the connection; nothing of it is reported any more. */
+  void abort() {
+    attempt = null;
+    pools.onConnectionClosed(pool, this);
+    connection.close();
+  }
+}
--- a/src/main/java/fawndock/platform/RespConnection.java
+++ b/src/main/java/fawndock/platform/RespConnection.java
@@ -8,111 +8,122 @@
 import java.util.function.Consumer;
 
 /**
- * One connection on which commands go out and replies come in, to a worker or to the counter. It
- * sends nothing by itself and is never opened again: what was on it ends with it. One context.
+ * One RESP client connection, to an endpoint or to the counter: commands out, replies in. It is
+ * never reopened. Confined to one event loop.
  */
-final class RespConnection {
-  /** Is told on the context what comes; {@link #closed} exactly once, and nothing after it. */
+final class RespConnection implements AutoCloseable {
+  /**
+   * Is called on the event loop. Exactly one of {@link #onProtocolError} and {@link #onClosed} is
+   * called last, neither after {@link RespConnection#close}.
+   */
   interface Listener {
     /** The connection is up. */
     void onConnected();
 
-    /**
-     * Whether a reply is owed by the other side: bytes that come while none is are noise, and end
-     * the connection.
-     */
+    /** Returns whether a reply is outstanding; bytes while none is are a protocol error. */
     boolean expectsReply();
 
-    /** A reply has come; {@code more} says that bytes stand behind it. */
-    void onReply(Reply reply, boolean more);
+    /**
+     * A reply has come.
+     *
+     * @param hasMoreBytes whether bytes stand behind it
+     */
+    void onReply(Reply reply, boolean hasMoreBytes);
 
-    /** What came is no reply. The connection has been closed. */
-    void onProtocolError(String why);
+    /** Bytes that are no reply have come; the connection has been closed. */
+    void onProtocolError(String reason);
 
-    /** It did not come up, or it is over; not told after {@link #close} was called. */
-    void onClosed(boolean wasUp);
+    /** The connection did not come up, or was closed by the other side. */
+    void onClosed(boolean wasConnected);
   }
 
   private final ReplyReader reader;
-  private final Listener owner;
-  private final ByteConnection wire =
+  private final Listener listener;
+  private final ByteConnection connection =
       new ByteConnection() {
         @Override
         void onBytes(ByteBuf in) {
-          read(in);
+          readReplies(in);
         }
 
         @Override
         void onDisconnected() {
-          over(up);
+          notifyClosed(isConnected);
         }
       };
-  private boolean up;
-  private boolean closed;
+  private boolean isConnected;
+  private boolean isClosed;
 
+  /** Connects at once; {@link Listener#onConnected} is called in a later turn. */
   RespConnection(
-      TcpTransport sockets,
+      TcpTransport transport,
       Address address,
-      long connectMicros,
+      long connectTimeoutMicros,
       ReplyReader reader,
-      Listener owner) {
+      Listener listener) {
     this.reader = reader;
-    this.owner = owner;
-    sockets
-        .connect(address, connectMicros, wire)
-        .addListener(
-            made -> {
-              if (!made.isSuccess()) {
-                over(false);
-              } else if (closed) {
-                wire.close();
-              } else {
-                up = true;
-                owner.onConnected();
-              }
-            });
+    this.listener = listener;
+    transport
+        .connect(address, connectTimeoutMicros, connection)
+        .addListener(connected -> onConnectDone(connected.isSuccess()));
+  }
+
+  private void onConnectDone(boolean isSuccess) {
+    if (!isSuccess) {
+      notifyClosed(false);
+    } else if (isClosed) {
+      connection.close();
+    } else {
+      isConnected = true;
+      listener.onConnected();
+    }
   }
 
   boolean isConnected() {
-    return up && !closed;
+    return isConnected && !isClosed;
   }
 
   /**
-   * Writes; the consumer is told whether all of it was handed to the network, false when the
-   * connection broke before.
+   * Writes a command.
+   *
+   * @param writeListener is told whether all bytes were handed to the network; false when the
+   *     connection broke before
    */
-  void write(ByteBuf bytes, Consumer<Boolean> written) {
-    wire.send(bytes).addListener(done -> written.accept(done.isSuccess()));
+  void write(ByteBuf command, Consumer<Boolean> writeListener) {
+    connection.send(command).addListener(done -> writeListener.accept(done.isSuccess()));
   }
 
-  private void read(ByteBuf in) {
+  private void readReplies(ByteBuf in) {
     try {
-      if (!owner.expectsReply()) {
-        throw new ProtocolException("bytes that nobody asked for");
+      if (!listener.expectsReply()) {
+        throw new ProtocolException("unexpected bytes, no reply is outstanding");
       }
-      for (Reply reply = reader.next(in); reply != null; reply = closed ? null : reader.next(in)) {
-        owner.onReply(reply, in.isReadable());
+      for (Reply reply = reader.next(in);
+          reply != null;
+          reply = isClosed ? null : reader.next(in)) {
+        listener.onReply(reply, in.isReadable());
       }
     } catch (ProtocolException e) {
-      if (!closed) {
+      if (!isClosed) {
         close();
-        owner.onProtocolError(e.getMessage());
+        listener.onProtocolError(e.getMessage());
       }
     }
   }
 
-  private void over(boolean wasUp) {
-    if (!closed) {
-      closed = true;
-      owner.onClosed(wasUp);
+  private void notifyClosed(boolean wasConnected) {
+    if (!isClosed) {
+      isClosed = true;
+      listener.onClosed(wasConnected);
     }
   }
 
-  /** Ends it now; nothing is told any more. */
-  void close() {
-    closed = true;
-    if (up) {
-      wire.close();
+  /** Closes the connection; the listener is not called any more. Idempotent. */
+  @Override
+  public void close() {
+    isClosed = true;
+    if (isConnected) {
+      connection.close();
     }
   }
 }
--- a/src/main/java/fawndock/platform/TcpTransport.java
+++ b/src/main/java/fawndock/platform/TcpTransport.java
@@ -18,42 +18,54 @@
 import java.util.function.Supplier;
 
 /**
- * Opens and accepts TCP connections on Vert.x's event loop by Netty beneath it. Vert.x is in the
- * way here: it accepts on a thread of its own, without limit while the loop is held up, and a
- * connection of its own costs ten times as much. What is accepted here is accepted on the one loop,
- * a few at a time.
+ * Opens and accepts TCP connections with Netty, on Vert.x's event loop. Vert.x's own sockets are
+ * not used: they accept on another thread without limit while the event loop is busy, and cost ten
+ * times as much for each connection. Confined to one event loop.
  */
 class TcpTransport {
   private static final int BACKLOG = 1_024;
 
-  /** The loop of all of them. */
+  /** The event loop of all connections. */
   protected final EventLoop eventLoop;
 
-  /** On the loop of this context. */
+  /** Uses the event loop of this context. */
   TcpTransport(Context context) {
     eventLoop = ((ContextInternal) context).nettyEventLoop();
   }
 
   /**
-   * Runs something after all that has come by now has been taken in: after the reads of the next
-   * turn, as a close stands behind the bytes that were read in this one.
+   * Runs a task after the reads of the next turn of the event loop: a close that stands behind
+   * bytes which were read in this turn has been seen by then.
    */
-  void runAfterReads(Runnable what) {
-    eventLoop.execute(() -> eventLoop.schedule(what, 0, TimeUnit.NANOSECONDS));
+  void runAfterReads(Runnable task) {
+    eventLoop.execute(
+        () -> {
+          // Nothing waits for the task, and the event loop logs its exceptions.
+          var unused = eventLoop.schedule(task, 0, TimeUnit.NANOSECONDS);
+        });
   }
 
-  /** Connects; the handler takes the bytes. The future ends in a later turn of the loop. */
-  ChannelFuture connect(Address address, long limitMicros, ChannelHandler handler) {
+  /**
+   * Connects. The future completes in a later turn of the event loop.
+   *
+   * @param handler receives the bytes
+   */
+  ChannelFuture connect(Address address, long timeoutMicros, ChannelHandler handler) {
+    int timeoutMillis = (int) Math.max(1, timeoutMicros / 1_000);
     return new Bootstrap()
         .group(eventLoop)
         .channel(NioSocketChannel.class)
         .handler(handler)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, limitMicros / 1_000))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
         .option(ChannelOption.TCP_NODELAY, true)
         .connect(new InetSocketAddress(address.host(), address.port()));
   }
 
-  /** Listens; a new handler takes the bytes of each connection that is accepted. */
+  /**
+   * Listens; a few connections are accepted in each turn of the event loop.
+   *
+   * @param handlers makes the handler of each accepted connection
+   */
   ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
     return new ServerBootstrap()
         .group(eventLoop)
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -12,11 +12,11 @@
 import fawndock.resp.Reply;
 import fawndock.resp.ReplyReader;
 import fawndock.resp.ReplyWriter;
+import fawndock.runtime.WarmUpProgress;
 import fawndock.settings.Address;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.vertx.core.Future;
-import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -26,178 +26,216 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests of its own through a throw-away gatekeeper of the same parts to a throw-away
- * worker and counter, over connections in memory, before the first client is let in. Guards against
- * a start under full load with code that is still being compiled, which costs four times as much:
- * on a third of a core the first seconds' requests ran out of time, and their clients' retries with
- * them. Delays a start by its time limit at most.
+ * Sends requests through a temporary gateway to a temporary backend and counter, over connections
+ * in memory, before the first client is accepted. Code that is not compiled yet takes four times as
+ * long: on a small core the first seconds' requests would exceed their deadlines. Delays the start
+ * by its time limit at most. Confined to one event loop.
  */
 final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
   private static final int REQUESTS = 700;
-  private static final int AT_ONCE = 6;
-  private static final long LIMIT_MILLIS = 2_500;
+  private static final int CLIENTS = 6;
+  private static final long TIME_LIMIT_MILLIS = 2_500;
+  private static final String ENDPOINT_ID = "w";
+  private static final Address BACKEND_ADDRESS = new Address("worker", 1);
+  private static final Address GATEWAY_ADDRESS = new Address("gatekeeper", 1);
+
   private final Vertx vertx;
   private final PlatformConfig config;
-  private final Function<PolicyConfig, GatewayPolicy> maker;
-  private final Promise<Void> done = Promise.promise();
-  private PlatformGateway node;
-  private int sent;
-  private int answered;
-  private int served;
-
-  WarmUp(Vertx vertx, PlatformConfig config, Function<PolicyConfig, GatewayPolicy> maker) {
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
+  private final WarmUpProgress progress;
+  private PlatformGateway gateway;
+
+  WarmUp(Vertx vertx, PlatformConfig config, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.vertx = vertx;
     this.config = config;
-    this.maker = maker;
+    this.policyFactory = policyFactory;
+    progress = new WarmUpProgress(vertx, REQUESTS, TIME_LIMIT_MILLIS);
   }
 
-  /** Never fails: a warm-up that does not work out is no reason not to start. */
+  /** Runs the warm-up; the future never fails. */
   Future<Void> run() {
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     try {
-      Address back = new Address("worker", 1);
-      Address front = new Address("gatekeeper", 1);
-      TcpTransport sockets = new InMemoryTransport(vertx.getOrCreateContext());
-      EndpointList list =
-          new EndpointList(
-              1,
-              true,
-              List.of(new Endpoint("w", config.policy().zone(), 0, EndpointState.RUNNING, 1, 0)),
-              Map.of("w", back));
-      PlatformConfig own =
-          new PlatformConfig(
-              "warm-up",
-              front,
-              back,
-              back,
-              config.policy(),
-              list,
-              config.maxSockets(),
-              config.memoryBytes(),
-              config.connectTimeoutMicros(),
-              config.endpointIdleTimeoutMicros(),
-              config.maxRequestUnits());
-      node = new PlatformGateway(vertx, sockets, own, maker);
-      sockets.listen(back, Back::new);
-      node.warmUp(list)
-          .addListener(
-              bound -> {
-                for (int i = 0; i < AT_ONCE && bound.isSuccess(); i++) {
-                  Client client = new Client();
-                  sockets
-                      .connect(front, config.connectTimeoutMicros(), client)
-                      .addListener(made -> client.ask());
-                }
-              });
-      vertx.setTimer(LIMIT_MILLIS, id -> done.tryComplete());
+      start();
     } catch (RuntimeException e) {
-      LOG.warn("no warm-up: {}", e.toString());
-      done.tryComplete();
+      // The gateway serves without a warm-up too, only more slowly at first.
+      LOG.warn("warm-up failed, cause={}", e.toString());
+      progress.complete();
     }
-    return done.future()
-        .onComplete(
-            v -> {
-              LOG.info(
-                  "warmed up with {} of {} requests answered in {} ms",
-                  answered,
-                  sent,
-                  (System.nanoTime() - from) / 1_000_000);
-              if (node != null) {
-                node.close();
+    return progress.completion().onComplete(v -> finish(startNanos));
+  }
+
+  private void start() {
+    TcpTransport transport = new InMemoryTransport(vertx.getOrCreateContext());
+    EndpointList endpoints = endpoints();
+    gateway = new PlatformGateway(vertx, transport, warmUpConfig(endpoints), policyFactory);
+    // Only a socket can fail to listen.
+    var unused = transport.listen(BACKEND_ADDRESS, Backend::new);
+    gateway
+        .startForWarmUp(endpoints)
+        .addListener(
+            bound -> {
+              for (int i = 0; i < CLIENTS && bound.isSuccess(); i++) {
+                connectClient(transport);
               }
             });
   }
 
-  /** Requests that were served, not refused or failed. */
-  int served() {
-    return served;
+  private void connectClient(TcpTransport transport) {
+    Client client = new Client();
+    transport
+        .connect(GATEWAY_ADDRESS, config.connectTimeoutMicros(), client)
+        .addListener(connected -> client.sendRequest());
+  }
+
+  private EndpointList endpoints() {
+    Endpoint endpoint =
+        new Endpoint(ENDPOINT_ID, config.policy().zone(), 0, EndpointState.RUNNING, 1, 0);
+    return new EndpointList(1, true, List.of(endpoint), Map.of(ENDPOINT_ID, BACKEND_ADDRESS));
+  }
+
+  private PlatformConfig warmUpConfig(EndpointList endpoints) {
+    return new PlatformConfig(
+        "warm-up",
+        GATEWAY_ADDRESS,
+        BACKEND_ADDRESS,
+        BACKEND_ADDRESS,
+        config.policy(),
+        endpoints,
+        config.maxSockets(),
+        config.memoryBytes(),
+        config.connectTimeoutMicros(),
+        config.endpointIdleTimeoutMicros(),
+        config.maxRequestUnits());
+  }
+
+  private void finish(long startNanos) {
+    LOG.info(
+        "warm-up finished, responses={}, requests={}, durationMillis={}",
+        progress.responseCount(),
+        progress.requestCount(),
+        (System.nanoTime() - startNanos) / 1_000_000);
+    if (gateway != null) {
+      gateway.close();
+    }
+  }
+
+  /** Returns how many requests were served, rather than rejected or failed. */
+  int servedCount() {
+    return progress.servedCount();
   }
 
-  private ByteBuf next() {
-    RequestClass type =
-        config.policy().requestClasses().get(sent % config.policy().requestClasses().size());
-    Plan plan = config.policy().plans().get(sent % config.policy().plans().size());
-    sent++;
-    String list =
-        "c="
-            + type.name()
-            + ",t="
-            + plan.name()
-            + ",d=1000"
-            + (type.idempotency() == Idempotency.DEDUPLICATED ? ",k=0" : "")
-            + ",units=1,spread=1,first=0";
+  private ByteBuf encodeNextRequest() {
+    int number = progress.nextRequest();
+    List<RequestClass> classes = config.policy().requestClasses();
+    List<Plan> plans = config.policy().plans();
+    RequestClass requestClass = classes.get((number - 1) % classes.size());
+    Plan plan = plans.get((number - 1) % plans.size());
+    String id = "00000000" + Integer.toHexString(0x10000000 | number);
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
     writer.array(4);
-    writer.bulk(type.idempotency() == Idempotency.IDEMPOTENT ? "Q.ASK" : "Q.DO");
-    String number = Integer.toHexString(0x10000000 | sent);
-    writer.bulk("00000000" + number);
-    writer.bulk("00000000" + number);
-    writer.bulk(list);
+    writer.bulk(
+        requestClass.idempotency() == Idempotency.IDEMPOTENT
+            ? PlatformProtocol.COMMAND_IDEMPOTENT
+            : PlatformProtocol.COMMAND_NOT_IDEMPOTENT);
+    writer.bulk(id);
+    writer.bulk(id);
+    writer.bulk(attributeList(requestClass, plan));
     return out;
   }
 
-  /** One client, a request at a time. */
+  private static String attributeList(RequestClass requestClass, Plan plan) {
+    boolean needsKey = requestClass.idempotency() == Idempotency.DEDUPLICATED;
+    return PlatformProtocol.FIELD_REQUEST_CLASS
+        + "="
+        + requestClass.name()
+        + ","
+        + PlatformProtocol.FIELD_PLAN
+        + "="
+        + plan.name()
+        + ","
+        + PlatformProtocol.FIELD_TIMEOUT_MILLIS
+        + "=1000"
+        + (needsKey ? "," + PlatformProtocol.FIELD_IDEMPOTENCY_KEY + "=0" : "")
+        + ","
+        + PlatformProtocol.FIELD_UNITS
+        + "=1,"
+        + PlatformProtocol.FIELD_INSTANCE_COUNT
+        + "=1,"
+        + PlatformProtocol.FIELD_FIRST_INSTANCE
+        + "=0";
+  }
+
+  /** One client with one request in flight at a time. */
   private final class Client extends ByteConnection {
     private final ReplyReader reader = new ReplyReader(64 << 10, 1_024, 0);
 
-    void ask() {
-      send(next());
+    void sendRequest() {
+      // A request that cannot be written has no response; the time limit ends the warm-up.
+      var unused = send(encodeNextRequest());
     }
 
     @Override
     void onBytes(ByteBuf in) {
       try {
         for (Reply reply = reader.next(in); reply != null; reply = reader.next(in)) {
-          answered++;
-          served += reply.isBulk() ? 1 : 0;
-          if (answered >= REQUESTS) {
-            done.tryComplete();
+          progress.onResponse(reply.isBulk());
+          if (progress.isComplete()) {
             close();
             return;
           }
-          send(next());
+          sendRequest();
         }
       } catch (ProtocolException e) {
-        done.tryComplete();
+        progress.complete();
       }
     }
 
     @Override
     void onDisconnected() {
-      // The others go on.
+      // The other clients go on.
     }
   }
 
-  /** Worker and counter in one. */
-  private static final class Back extends ByteConnection {
+  /** Backend and counter in one. */
+  private static final class Backend extends ByteConnection {
+    private static final String LOAD_REPORT = "recent_ms=7.25,throughput=2.5,backlog=0";
+    private static final String TOTAL = "0.5";
+
     private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
 
     @Override
     void onBytes(ByteBuf in) {
       try {
         for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-          ByteBuf out = Unpooled.buffer(96);
-          ReplyWriter writer = new ReplyWriter(out);
-          if (new String(words[0], StandardCharsets.ISO_8859_1).equals("ADDGET")) {
-            writer.bulk("0.5");
-          } else {
-            writer.array(3);
-            writer.bulk(words[2]);
-            writer.nil();
-            writer.bulk("recent_ms=7.25,throughput=2.5,backlog=0");
-          }
-          send(out);
+          // A client that does not get its response leaves the rest to the time limit.
+          var unused = send(response(words));
         }
       } catch (ProtocolException e) {
         close();
       }
     }
 
+    private static ByteBuf response(byte[][] words) {
+      ByteBuf out = Unpooled.buffer(96);
+      ReplyWriter writer = new ReplyWriter(out);
+      String command = new String(words[0], StandardCharsets.ISO_8859_1);
+      if (command.equals(PlatformProtocol.COMMAND_ADD_AND_GET)) {
+        writer.bulk(TOTAL);
+      } else {
+        writer.array(3);
+        writer.bulk(words[2]);
+        writer.nil();
+        writer.bulk(LOAD_REPORT);
+      }
+      return out;
+    }
+
     @Override
     void onDisconnected() {
-      // Nothing is kept.
+      // Nothing to release.
     }
   }
 }
--- a/src/main/java/fawndock/platform/package-info.java
+++ b/src/main/java/fawndock/platform/package-info.java
@@ -1,8 +1,7 @@
 /**
- * The platform's way in and out: RESP2 from clients and to workers, the ADDGET counter, the
- * catalog's watch, new configurations and stops. It translates and keeps time for {@link
- * fawndock.runtime.GatekeeperHost}; whether, where and when a request is sent, refused or given up
- * is the decisions' alone, and no tuned value of theirs may be here. Knows nothing of HTTP requests
- * of clients, of the gateway or of any tool.
+ * The gateway on the operators' platform: RESP2 clients and backends, the {@code ADDGET} counter,
+ * endpoint discovery, configuration reload and graceful shutdown. It translates for {@link
+ * fawndock.runtime.PolicyRunner}; the policy alone decides whether, where and when a request is
+ * sent, rejected or abandoned. Knows nothing of HTTP clients, of the HTTP gateway or of any tool.
  */
 package fawndock.platform;
--- a/src/test/java/fawndock/platform/ClientDisconnectTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -213,7 +213,7 @@
                       .gateway()
                       .runner()
                       .timers()
-                      .schedule(ClientListener.UNREAD_MICROS / 2, late::countDown));
+                      .schedule(ClientListener.UNREAD_TIMEOUT_MICROS / 2, late::countDown));
       client.close();
       Await.until(() -> service.daemon.gateway().runner().openCount() == 0);
       assertEquals(1, late.getCount());
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -66,10 +66,10 @@
 
   @Test
   void amountsHaveNoExponent() {
-    assertEquals("-2.5", CounterClient.number(-2.5));
-    assertEquals("0", CounterClient.number(0));
-    assertEquals("0.00000012", CounterClient.number(1.2e-7));
-    assertEquals("3", CounterClient.number(3));
+    assertEquals("-2.5", CounterCall.encodeAmount(-2.5));
+    assertEquals("0", CounterCall.encodeAmount(0));
+    assertEquals("0.00000012", CounterCall.encodeAmount(1.2e-7));
+    assertEquals("3", CounterCall.encodeAmount(3));
   }
 
   @Test
@@ -131,14 +131,14 @@
   void theWarmUpServes() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
-      PlatformConfig config = PlatformConfig.read(world.variables());
+      PlatformConfig config = PlatformConfigReader.read(world.variables());
       CompletableFuture<Integer> served = new CompletableFuture<>();
       vertx
           .getOrCreateContext()
           .runOnContext(
               v -> {
                 WarmUp warmUp = new WarmUp(vertx, config, DefaultGatewayPolicy::new);
-                warmUp.run().onComplete(done -> served.complete(warmUp.served()));
+                warmUp.run().onComplete(done -> served.complete(warmUp.servedCount()));
               });
       assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
       assertEquals(0, world.worker.accepted());
@@ -196,16 +196,15 @@
                     new MicroClock(),
                     new Timers(vertx),
                     new ActivitySummary(),
-                    250_000,
-                    50_000,
+                    new CounterClient.Timeouts(250_000, 50_000),
                     told::add);
-            counter[0].count(new AddToCounter("name", 1, 4_000_000));
+            counter[0].add(new AddToCounter("name", 1, 4_000_000));
           });
       Await.until(() -> told.size() == 1);
       assertEquals(CallResult.TIMEOUT, told.get(0).result());
       context.runOnContext(
           v -> {
-            counter[0].count(new AddToCounter("name", 1, 4_000_000));
+            counter[0].add(new AddToCounter("name", 1, 4_000_000));
             release.countDown();
           });
       Await.until(() -> told.size() == 2);
@@ -288,8 +287,7 @@
   void anUnusableConfigurationIsToldInOneLine() throws Exception {
     assertEquals(
         "RELAY_CONFIG is not set: the path of the configuration is expected",
-        assertThrows(
-                PlatformConfig.InvalidConfigException.class, () -> PlatformConfig.read(Map.of()))
+        assertThrows(InvalidConfigException.class, () -> PlatformConfigReader.read(Map.of()))
             .getMessage());
     try (FakePlatform world = new FakePlatform(FakeRespServer.worker(), FakeRespServer.counter())) {
       String file = world.variables().get("RELAY_CONFIG");
@@ -314,8 +312,8 @@
         world.write(each[0]);
         String line =
             assertThrows(
-                    PlatformConfig.InvalidConfigException.class,
-                    () -> PlatformConfig.read(world.variables()))
+                    InvalidConfigException.class,
+                    () -> PlatformConfigReader.read(world.variables()))
                 .getMessage();
         assertTrue(
             line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -59,7 +59,7 @@
       assertEquals(4, heard.lines);
     }
     assertEquals(List.of(first, second, indented), take(all.split("")).objects);
-    assertEquals(43, EndpointList.of(Json.parse(indented)).version());
+    assertEquals(43, EndpointListCodec.decode(Json.parse(indented)).version());
   }
 
   @Test
