--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
 import fawndock.counter.CounterServer;
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.CounterSettings;
 import fawndock.settings.CounterSettingsFile;
@@ -53,7 +53,7 @@
     }
     Logs.to(settings.log());
     try {
-      FileDisk disk = new FileDisk(settings.directory(), true);
+      FileStorage disk = new FileStorage(settings.directory(), true);
       CounterServer server = new CounterServer(settings, disk);
       ProgressBar bar = new ProgressBar("recovering", size(settings.directory()), System.err);
       int port = server.start(bar::at);
@@ -102,7 +102,7 @@
     public Integer call() {
       boolean all = true;
       for (String each : nodes) {
-        try (fawndock.scenario.CounterCaller caller = new fawndock.scenario.CounterCaller(each)) {
+        try (fawndock.scenario.CounterClient caller = new fawndock.scenario.CounterClient(each)) {
           Object told = caller.call("FD.STATUS");
           if (told instanceof java.util.List<?> lines) {
             lines.forEach(
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.counter.CounterServer;
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.fake.FakeCounterServer;
 import fawndock.policy.action.AddToCounter;
@@ -103,7 +103,7 @@
   /** Add, expiry and total are one command where the server knows it. */
   @Test
   void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
-    try (FileDisk disk = new FileDisk(directory, true)) {
+    try (FileStorage disk = new FileStorage(directory, true)) {
       CounterServer own =
           own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
       port = own.start(bytes -> {});
@@ -125,7 +125,7 @@
   /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
   @Test
   void silentNodesAreStoodInFor(@TempDir Path directory) throws Exception {
-    try (FileDisk disk = new FileDisk(directory, true);
+    try (FileStorage disk = new FileStorage(directory, true);
         ServerSocket one = new ServerSocket(0);
         ServerSocket two = new ServerSocket(0)) {
       CounterServer own =
@@ -158,8 +158,8 @@
    */
   @Test
   void aNewListOfNodesIsTaken(@TempDir Path directory) throws Exception {
-    try (FileDisk old = new FileDisk(directory.resolve("old"), true);
-        FileDisk fresh = new FileDisk(directory.resolve("fresh"), true)) {
+    try (FileStorage old = new FileStorage(directory.resolve("old"), true);
+        FileStorage fresh = new FileStorage(directory.resolve("fresh"), true)) {
       CounterServer off =
           own(
               old,
@@ -194,7 +194,7 @@
     }
   }
 
-  private static CounterServer own(FileDisk disk, Path directory, CounterSettings.Fleet fleet) {
+  private static CounterServer own(FileStorage disk, Path directory, CounterSettings.Fleet fleet) {
     return new CounterServer(
         new CounterSettings(
             new Address("127.0.0.1", 0),
@@ -219,10 +219,10 @@
   @Test
   void aLateTotalIsNotGivenToAnotherCall() throws Exception {
     connect(2_000_000, 4_096);
-    counter.slow(2_600);
+    counter.setDelayMillis(2_600);
     count("n", 100);
     assertEquals(CallResult.TIMEOUT, next().result());
-    counter.slow(0);
+    counter.setDelayMillis(0);
     count("n", 1);
     CounterReply second = next();
     assertEquals(CallResult.OK, second.result());
@@ -236,13 +236,13 @@
   @Test
   void aHalfOpenConnectionIsReplaced() throws Exception {
     connect(20_000, 4_096);
-    counter.silent(true);
+    counter.setUnresponsive(true);
     double[] many = new double[30];
     count("n", many);
     for (int i = 0; i < many.length; i++) {
       assertEquals(CallResult.TIMEOUT, next().result());
     }
-    counter.silent(false);
+    counter.setUnresponsive(false);
     List<CallResult> ends = new ArrayList<>();
     while (!ends.contains(CallResult.OK)) {
       count("after", 1);
@@ -254,14 +254,14 @@
   @Test
   void anErrorAddedNothingAndALostConnectionMayHave() throws Exception {
     connect(20_000_000, 4_096);
-    counter.refusing(true);
+    counter.setRejecting(true);
     count("n", 5);
     assertEquals(CallResult.SHED, next().result());
-    counter.refusing(false);
-    counter.silent(true);
-    long calls = counter.calls();
+    counter.setRejecting(false);
+    counter.setUnresponsive(true);
+    long calls = counter.addCount();
     count("n", 7);
-    Setup.until(() -> counter.calls() > calls); // It has reached the counter, so it is out.
+    Setup.until(() -> counter.addCount() > calls); // It has reached the counter, so it is out.
     counter.stop();
     assertEquals(CallResult.TIMEOUT, next().result());
     count("n", 1);
@@ -272,7 +272,7 @@
   @Test
   void callsBeyondTheMostWaitForTheirTurn() throws Exception {
     connect(5_000_000, 1);
-    counter.slow(60);
+    counter.setDelayMillis(60);
     count("n", 1, 1);
     assertEquals(CallResult.OK, next().result());
     assertEquals(CallResult.SHED, next().result());
