--- a/src/main/java/fawndock/counter/ClientConnection.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -4,27 +4,34 @@
 import fawndock.resp.ProtocolException;
 import fawndock.resp.ReplyWriter;
 import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.ArrayDeque;
 
 /**
- * One connection: commands in, answers out in their order. An answer to a change waits for its
- * group to be durable, and the answers after it wait with it. When answers wait or are not read, no
- * more is taken from the socket.
+ * One client's connection: commands in, replies out in their order. Used on the event loop.
+ *
+ * <p>Invariants: the reply to a change waits until its group is durable, and the replies after it
+ * wait with it; while replies wait or are not read, nothing more is taken from the socket.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-  /** Bytes of waiting answers beyond which nothing more is read. */
+  /** Bytes of waiting replies beyond which nothing more is read. */
   static final int MAX_PENDING_REPLY_BYTES = 256 << 10;
 
   /** Commands done in one turn, so that a deep pipeline does not keep the others waiting. */
   private static final int MAX_COMMANDS_PER_TURN = 1_024;
 
-  private record PendingReplies(long group, ByteBuf answers) {}
+  private static final int INITIAL_BUFFER_BYTES = 256;
+  private static final int INITIAL_REPLY_BYTES = 1_024;
+
+  /** Replies that go out once a group is durable. */
+  private record PendingReplies(long group, ByteBuf bytes) {}
 
   final long id;
-  final CommandExecutor engine;
+  private final CommandExecutor executor;
+  private final CommitScheduler scheduler;
   private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
   private final ArrayDeque<PendingReplies> pendingReplies = new ArrayDeque<>();
   private ChannelHandlerContext context;
@@ -34,22 +41,32 @@
   private long pendingReplyBytes;
   private boolean isClosing;
   private boolean isTurnScheduled;
+
+  /** Since when a command is incomplete, or replies are unread; 0 when neither is. */
   private long stalledSinceNanos;
+
+  /** Whether it may run all commands. */
   boolean isAuthenticated;
+
+  /** As the client has named itself; empty for none. */
   String name = "";
+
+  /** The commands since MULTI, or null outside a transaction. */
   Transaction transaction;
 
-  ClientConnection(CommandExecutor engine, long id) {
-    this.engine = engine;
+  ClientConnection(
+      CommandExecutor executor, CommitScheduler scheduler, long id, boolean isAuthenticated) {
+    this.executor = executor;
+    this.scheduler = scheduler;
     this.id = id;
-    isAuthenticated = engine.open();
+    this.isAuthenticated = isAuthenticated;
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext handler) {
     context = handler;
-    input = handler.alloc().buffer(256);
-    scratch = handler.alloc().buffer(256);
+    input = handler.alloc().buffer(INITIAL_BUFFER_BYTES);
+    scratch = handler.alloc().buffer(INITIAL_BUFFER_BYTES);
     reply = new ReplyWriter(scratch);
   }
 
@@ -70,21 +87,34 @@
   }
 
   private void process() {
-    long now = engine.now();
+    int commandCount = runCommands();
+    context.flush();
+    scheduler.commitSoon();
+    updateStall(commandCount);
+    context.channel().config().setAutoRead(!isBackpressured() && !isClosing);
+    if (commandCount == MAX_COMMANDS_PER_TURN && !isTurnScheduled) {
+      scheduleTurn();
+    }
+    closeIfDone();
+  }
+
+  /** Runs what has arrived, a turn's worth at most, and writes the replies that need not wait. */
+  private int runCommands() {
+    long nowMillis = executor.nowMillis();
     ByteBuf direct = null;
-    int many = 0;
+    int commandCount = 0;
     try {
-      while (!isClosing && !isBackpressured() && many < MAX_COMMANDS_PER_TURN) {
+      while (!isClosing && !isBackpressured() && commandCount < MAX_COMMANDS_PER_TURN) {
         byte[][] words = reader.next(input);
         if (words == null) {
           break;
         }
-        many++;
+        commandCount++;
         scratch.clear();
-        long group = engine.run(words, reply, this, now);
+        long group = executor.run(words, reply, this, nowMillis);
         direct = routeReply(group, direct);
         if (direct != null && direct.readableBytes() > MAX_PENDING_REPLY_BYTES) {
-          context.write(direct);
+          write(direct);
           direct = null;
         }
       }
@@ -95,38 +125,46 @@
       isClosing = true;
     }
     if (direct != null) {
-      context.write(direct);
+      write(direct);
     }
-    context.flush();
-    engine.pumpSoon();
-    // Only a command that is itself incomplete is stalled: one that waits for room here is not the
-    // client's fault.
-    boolean incomplete =
+    return commandCount;
+  }
+
+  private void write(ByteBuf bytes) {
+    var unused = context.write(bytes); // A failure closes the channel, which is handled.
+  }
+
+  /**
+   * Only a command that is itself incomplete is stalled: one that waits for capacity here is not
+   * the client's fault.
+   */
+  private void updateStall(int commandCount) {
+    boolean isIncomplete =
         !isBackpressured()
-            && many < MAX_COMMANDS_PER_TURN
+            && commandCount < MAX_COMMANDS_PER_TURN
             && (reader.isWithinCommand() || input.isReadable());
-    stalledSinceNanos =
-        !incomplete
-            ? 0
-            : many > 0 || stalledSinceNanos == 0 ? System.nanoTime() | 1 : stalledSinceNanos;
-    context.channel().config().setAutoRead(!isBackpressured() && !isClosing);
-    if (many == MAX_COMMANDS_PER_TURN && !isTurnScheduled) {
-      isTurnScheduled = true;
-      context
-          .executor()
-          .execute(
-              () -> {
-                isTurnScheduled = false;
-                if (context.channel().isActive()) {
-                  process();
-                }
-              });
+    if (!isIncomplete) {
+      stalledSinceNanos = 0;
+    } else if (commandCount > 0 || stalledSinceNanos == 0) {
+      stalledSinceNanos = System.nanoTime() | 1; // Never 0.
     }
-    closeIfDone();
+  }
+
+  private void scheduleTurn() {
+    isTurnScheduled = true;
+    context
+        .executor()
+        .execute(
+            () -> {
+              isTurnScheduled = false;
+              if (context.channel().isActive()) {
+                process();
+              }
+            });
   }
 
   /**
-   * Takes the answer in scratch: to what goes out at once, or to what waits for the group; returns
+   * Takes the reply in scratch: to what goes out at once, or to what waits for the group; returns
    * the former.
    */
   private ByteBuf routeReply(long group, ByteBuf direct) {
@@ -134,34 +172,36 @@
       addPending(group);
       return direct;
     }
-    return (direct == null ? context.alloc().buffer(1_024) : direct).writeBytes(scratch);
+    ByteBuf target = direct == null ? context.alloc().buffer(INITIAL_REPLY_BYTES) : direct;
+    return target.writeBytes(scratch);
   }
 
-  /** Keeps the answer in scratch until its group is durable. */
+  /** Keeps the reply in scratch until its group is durable. */
   private void addPending(long group) {
     long last = pendingReplies.isEmpty() ? 0 : pendingReplies.peekLast().group;
     if (pendingReplies.isEmpty() || group > last) {
-      pendingReplies.add(new PendingReplies(Math.max(group, last), context.alloc().buffer(1_024)));
-      engine.waits(this);
+      ByteBuf bytes = context.alloc().buffer(INITIAL_REPLY_BYTES);
+      pendingReplies.add(new PendingReplies(Math.max(group, last), bytes));
+      scheduler.addWaiting(this);
     }
-    pendingReplies.peekLast().answers.writeBytes(scratch);
+    pendingReplies.peekLast().bytes.writeBytes(scratch);
     pendingReplyBytes += scratch.readableBytes();
   }
 
-  /** Sends what waited for groups up to this one; whether more waits. */
+  /** Sends what waited for groups up to this one; returns whether more waits. */
   boolean releaseUpTo(long group) {
-    boolean was = isBackpressured();
-    boolean any = false;
+    boolean wasBackpressured = isBackpressured();
+    boolean hasWritten = false;
     while (!pendingReplies.isEmpty() && pendingReplies.peek().group <= group) {
-      ByteBuf answers = pendingReplies.poll().answers;
-      pendingReplyBytes -= answers.readableBytes();
-      context.write(answers);
-      any = true;
+      ByteBuf bytes = pendingReplies.poll().bytes;
+      pendingReplyBytes -= bytes.readableBytes();
+      write(bytes);
+      hasWritten = true;
     }
-    if (any) {
+    if (hasWritten) {
       context.flush();
     }
-    if (was && !isBackpressured()) {
+    if (wasBackpressured && !isBackpressured()) {
       process();
     }
     closeIfDone();
@@ -175,34 +215,34 @@
     }
   }
 
-  /** Takes no more commands and closes when the last answer has gone. */
+  /** Takes no more commands and closes when the last reply has gone. */
   void closeAfterReplies() {
     isClosing = true;
   }
 
   private void closeIfDone() {
     if (isClosing && pendingReplies.isEmpty() && context.channel().isActive()) {
-      context
-          .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
-          .addListener(ChannelFutureListener.CLOSE);
+      // The listener closes it, whether the write succeeded or not.
+      var unused =
+          context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  /** Closes when a command has been half here, or answers unread, for longer than this. */
-  void closeIfStalled(long now, long limitNanos) {
-    if (!context.channel().isWritable()) {
-      stalledSinceNanos = stalledSinceNanos == 0 ? now | 1 : stalledSinceNanos;
+  /** Closes when a command has been incomplete, or replies unread, for longer than the limit. */
+  void closeIfStalled(long nowNanos, long limitNanos) {
+    if (!context.channel().isWritable() && stalledSinceNanos == 0) {
+      stalledSinceNanos = nowNanos | 1; // Never 0.
     }
-    if (stalledSinceNanos != 0 && now - stalledSinceNanos > limitNanos) {
-      context.close();
+    if (stalledSinceNanos != 0 && nowNanos - stalledSinceNanos > limitNanos) {
+      var unused = context.close(); // channelInactive does the rest.
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext handler) {
     isClosing = true;
-    engine.gone(this);
-    pendingReplies.forEach(h -> h.answers.release());
+    scheduler.removeWaiting(this);
+    pendingReplies.forEach(each -> each.bytes.release());
     pendingReplies.clear();
     input.release();
     scratch.release();
@@ -210,6 +250,6 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    handler.close();
+    var unused = handler.close(); // channelInactive does the rest.
   }
 }
--- a/src/main/java/fawndock/counter/CommandExecutor.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -4,163 +4,96 @@
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
 import fawndock.counter.storage.GroupCommit;
-import fawndock.counter.storage.MonotonicWallClock;
 import fawndock.resp.ReplyWriter;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
-import java.util.concurrent.Executor;
-import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * The counts, the commands on them and the answers that wait for the log; all of it on one event
- * loop.
+ * Runs commands on the counts, alone or in transactions, and writes their replies. Used on the
+ * event loop.
  */
 final class CommandExecutor {
-  static final String VERSION = "0.2.0";
-
-  /** Sets a node's clock off in a drill. */
-  private static final long CLOCK_OFFSET = Long.getLong("fawndock.counter.clock-offset-ms", 0);
-
+  /** Slots of the table that one sweep looks at. */
   private static final int SWEEP_SLOTS = 20_000;
-  private final CounterOperations counts;
+
+  private final CounterOperations operations;
   private final GroupCommit commit;
-  private final MonotonicWallClock time;
-  private final Executor loop;
-  private final Map<String, Command> commands = new LinkedHashMap<>();
-  private final ConnectionCommands sessionCommands;
-  private final Set<ClientConnection> waiting = new LinkedHashSet<>();
-  private final long startedAt = System.nanoTime();
-  private final long runId = ThreadLocalRandom.current().nextLong();
-  private WriteAheadLogThread log;
-  private boolean pumping;
-  private long durable;
-  private long done;
-  private long refused;
-  private long expired;
-  int sessions;
-  String durability = "";
+  private final CommitScheduler scheduler;
+  private final CommandTable commands;
+  private final ServerClock clock;
+  private final ServerStats stats;
 
   CommandExecutor(
-      CounterOperations counts,
+      CounterOperations operations,
       GroupCommit commit,
-      MonotonicWallClock time,
-      Executor loop,
-      String password) {
-    this.counts = counts;
+      CommitScheduler scheduler,
+      CommandTable commands,
+      ServerClock clock,
+      ServerStats stats) {
+    this.operations = operations;
     this.commit = commit;
-    this.time = time;
-    this.loop = loop;
-    sessionCommands = new ConnectionCommands(this, password);
-    AmountCommands.all().forEach(c -> commands.put(c.name(), c));
-    NameCommands.all().forEach(c -> commands.put(c.name(), c));
-    sessionCommands.all().forEach(c -> commands.put(c.name(), c));
-    for (String name : new String[] {"MULTI", "EXEC", "DISCARD"}) {
-      commands.put(name, new Command(name, 1, false, 0, 0, null));
-    }
+    this.scheduler = scheduler;
+    this.commands = commands;
+    this.clock = clock;
+    this.stats = stats;
   }
 
-  void log(WriteAheadLogThread logThread) {
-    log = logThread;
-  }
-
-  /** Adds commands of a part of the service that is not always there. */
-  void add(java.util.List<Command> more) {
-    more.forEach(c -> commands.put(c.name(), c));
-  }
-
-  Map<String, Command> commands() {
-    return commands;
-  }
-
-  boolean open() {
-    return sessionCommands.isPasswordless();
-  }
-
-  long now() {
-    return time.nowMillis(System.currentTimeMillis() + CLOCK_OFFSET, System.nanoTime());
+  long nowMillis() {
+    return clock.nowMillis();
   }
 
   /**
-   * Does one command and writes its answer.
+   * Runs one command and writes its reply; errors are replies.
    *
-   * @return the group that the answer must wait for, or 0
+   * @return the group that the reply must wait for, or 0
    */
-  long run(byte[][] words, ReplyWriter reply, ClientConnection session, long now) {
-    openGroup();
-    long before = commit.pendingBytes();
+  long run(byte[][] words, ReplyWriter reply, ClientConnection connection, long nowMillis) {
+    scheduler.ensureGroupOpen();
+    long pendingBefore = commit.pendingBytes();
     try {
-      Command command = find(words);
-      if (!session.isAuthenticated && !ConnectionCommands.isAllowedUnauthenticated(command)) {
+      Command command = commands.find(words);
+      if (!connection.isAuthenticated && !ConnectionCommands.isAllowedUnauthenticated(command)) {
         throw new CommandException("NOAUTH Authentication required.");
       }
       if (command.action() == null) {
-        transaction(command.name(), reply, session, now);
-      } else if (session.transaction != null) {
-        queue(words, command, reply, session);
+        runTransactionCommand(command.name(), reply, connection, nowMillis);
+      } else if (connection.transaction != null) {
+        queue(words, command, reply, connection);
       } else {
-        perform(command, words, reply, session, now);
+        perform(command, words, reply, connection, nowMillis);
       }
     } catch (CommandException e) {
-      if (session.transaction != null) {
-        session.transaction.markFailed();
+      if (connection.transaction != null) {
+        connection.transaction.markFailed();
       }
       reply.error(e.getMessage());
     }
-    return commit.pendingBytes() != before ? commit.awaitedGroup() : 0;
-  }
-
-  private Command find(byte[][] words) throws CommandException {
-    String name =
-        new String(
-            words[0], 0, Math.min(words[0].length, 128), java.nio.charset.StandardCharsets.UTF_8);
-    Command command = commands.get(name);
-    if (command == null) {
-      command = commands.get(name.toUpperCase(Locale.ROOT));
-    }
-    if (command == null) {
-      StringBuilder begin = new StringBuilder();
-      for (int i = 1; i < words.length && begin.length() < 128; i++) {
-        begin
-            .append('\'')
-            .append(
-                new String(
-                    words[i],
-                    0,
-                    Math.min(words[i].length, 128 - begin.length()),
-                    java.nio.charset.StandardCharsets.UTF_8))
-            .append("' ");
-      }
-      throw new CommandException(
-          "ERR unknown command '" + name + "', with args beginning with: " + begin);
-    }
-    if (!command.acceptsWordCount(words.length)) {
-      throw ConnectionCommands.wrongArity(command.name());
-    }
-    return command;
+    return commit.pendingBytes() != pendingBefore ? commit.awaitedGroup() : 0;
   }
 
   private void perform(
-      Command command, byte[][] words, ReplyWriter reply, ClientConnection session, long now)
+      Command command,
+      byte[][] words,
+      ReplyWriter reply,
+      ClientConnection connection,
+      long nowMillis)
       throws CommandException {
-    ChangeRecord changes = command.isWrite() ? room(bytes(command, words)) : null;
-    done++;
-    command.action().run(new CommandInvocation(words, reply, session, counts, now, changes));
+    ChangeRecord changes = command.isWrite() ? reserve(maxChangeBytes(command, words)) : null;
+    stats.processedCommands++;
+    command
+        .action()
+        .run(new CommandInvocation(words, reply, connection, operations, nowMillis, changes));
   }
 
-  private ChangeRecord room(long bytes) throws CommandException {
+  private ChangeRecord reserve(long bytes) throws CommandException {
     try {
       return commit.reserve(bytes);
     } catch (CommandException e) {
-      refused++;
+      stats.rejectedCommands++;
       throw e;
     }
   }
 
   /** The most that a command with these words can note. */
-  private static long bytes(Command command, byte[][] words) {
+  private static long maxChangeBytes(Command command, byte[][] words) {
     long bytes = 0;
     for (byte[] word : words) {
       bytes += CounterOperations.maxChangeBytes(word);
@@ -168,12 +101,13 @@
     return command.changesPerWord() * bytes;
   }
 
-  private void queue(byte[][] words, Command command, ReplyWriter reply, ClientConnection session)
+  private void queue(
+      byte[][] words, Command command, ReplyWriter reply, ClientConnection connection)
       throws CommandException {
     if (command.name().equals("QUIT")) {
-      session.transaction = null;
-      perform(command, words, reply, session, 0);
-    } else if (session.transaction.add(words)) {
+      connection.transaction = null;
+      perform(command, words, reply, connection, 0);
+    } else if (connection.transaction.add(words)) {
       reply.simple("QUEUED");
     } else {
       throw new CommandException(
@@ -181,146 +115,56 @@
     }
   }
 
-  private void transaction(String name, ReplyWriter reply, ClientConnection session, long now)
+  private void runTransactionCommand(
+      String name, ReplyWriter reply, ClientConnection connection, long nowMillis)
       throws CommandException {
-    Transaction ending = session.transaction;
+    Transaction ending = connection.transaction;
     if (name.equals("MULTI")) {
       if (ending != null) {
         throw new CommandException("ERR MULTI calls can not be nested");
       }
-      session.transaction = new Transaction();
+      connection.transaction = new Transaction();
       reply.ok();
       return;
     }
     if (ending == null) {
       throw new CommandException("ERR " + name + " without MULTI");
     }
-    session.transaction = null;
+    connection.transaction = null;
     if (name.equals("DISCARD")) {
       reply.ok();
-      return;
+    } else {
+      execute(ending, reply, connection, nowMillis);
     }
-    if (ending.isFailed()) {
+  }
+
+  /** All commands in one turn, in one record of the log; none when the record cannot hold all. */
+  private void execute(
+      Transaction transaction, ReplyWriter reply, ClientConnection connection, long nowMillis)
+      throws CommandException {
+    if (transaction.isFailed()) {
       throw new CommandException("EXECABORT Transaction discarded because of previous errors.");
     }
     long bytes = 0;
-    for (byte[][] words : ending.commands()) {
-      Command command = find(words);
-      bytes += command.isWrite() ? bytes(command, words) : 0;
+    for (byte[][] words : transaction.commands()) {
+      Command command = commands.find(words);
+      bytes += command.isWrite() ? maxChangeBytes(command, words) : 0;
     }
     if (bytes > 0) {
-      room(bytes); // For all of them, or none is done.
+      reserve(bytes);
     }
-    reply.array(ending.commands().size());
-    for (byte[][] words : ending.commands()) {
+    reply.array(transaction.commands().size());
+    for (byte[][] words : transaction.commands()) {
       try {
-        perform(find(words), words, reply, session, now);
+        perform(commands.find(words), words, reply, connection, nowMillis);
       } catch (CommandException e) {
         reply.error(e.getMessage());
       }
     }
   }
 
-  /** Has the open group committed in a later turn, with what else comes in this one. */
-  void pumpSoon() {
-    if (!pumping) {
-      pumping = true;
-      loop.execute(
-          () -> {
-            pumping = false;
-            pump();
-          });
-    }
-  }
-
-  void pump() {
-    openGroup();
-    long now = now();
-    GroupCommit.LogWork work = commit.nextWork(now);
-    if (work != null) {
-      log.perform(work);
-    } else if ((work = commit.offerOpenGroup(now)) != null) {
-      log.offer(work);
-    }
-  }
-
-  /**
-   * Has a group open to note changes in: the one that was offered, or a new one when that was
-   * taken.
-   */
-  void openGroup() {
-    if (commit.offered()) {
-      if (log.withdraw()) {
-        commit.onOfferWithdrawn();
-      } else {
-        commit.onOfferTaken();
-      }
-    }
-  }
-
-  /** A session has an answer that waits. */
-  void waits(ClientConnection session) {
-    waiting.add(session);
-  }
-
-  void gone(ClientConnection session) {
-    waiting.remove(session);
-  }
-
-  /** All groups up to this one are durable. */
-  void release(long number) {
-    durable = Math.max(durable, number);
-    for (ClientConnection session : Set.copyOf(waiting)) {
-      if (!session.releaseUpTo(durable)) {
-        waiting.remove(session);
-      }
-    }
-  }
-
-  CounterOperations counts() {
-    return counts;
-  }
-
   /** Forgets some names that have expired. */
-  void sweep() {
-    expired += counts.table().sweepExpired(now(), SWEEP_SLOTS);
-  }
-
-  String info() {
-    Runtime runtime = Runtime.getRuntime();
-    String refusal = commit.rejection();
-    return "# Server\r\nredis_version:7.2.0\r\nredis_mode:standalone\r\nfawndock_version:"
-        + VERSION
-        + "\r\nprocess_id:"
-        + ProcessHandle.current().pid()
-        + "\r\nrun_id:"
-        + Long.toHexString(runId)
-        + "\r\nuptime_in_seconds:"
-        + (System.nanoTime() - startedAt) / 1_000_000_000
-        + "\r\n\r\n# Clients\r\nconnected_clients:"
-        + sessions
-        + "\r\n\r\n# Memory\r\nused_memory:"
-        + (runtime.totalMemory() - runtime.freeMemory())
-        + "\r\nmaxmemory:"
-        + runtime.maxMemory()
-        + "\r\n\r\n# Persistence\r\ndurability:"
-        + durability
-        + "\r\nlast_group:"
-        + (commit.openGroup() - 1)
-        + "\r\ndurable_group:"
-        + durable
-        + "\r\nwaiting_bytes:"
-        + commit.pendingBytes()
-        + "\r\nrefusing:"
-        + (refusal == null ? "" : refusal)
-        + "\r\n\r\n# Stats\r\ntotal_commands_processed:"
-        + done
-        + "\r\nrefused_commands:"
-        + refused
-        + "\r\nexpired_keys:"
-        + expired
-        + "\r\n\r\n# Keyspace\r\ndb0:keys="
-        + counts.table().size()
-        + "\r\n";
+  void sweepExpired() {
+    stats.expiredNames += operations.table().sweepExpired(clock.nowMillis(), SWEEP_SLOTS);
   }
 }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -6,18 +6,19 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 
-/** Commands on the connection and on the service itself. */
+/** Commands on the connection and on the service itself. Used on the event loop. */
 final class ConnectionCommands {
-  private final CommandExecutor engine;
+  private final CommandTable commands;
+  private final ServerInfo info;
   private final byte[] password;
 
   /**
    * @param password that a connection must give first; empty for none
    */
-  ConnectionCommands(CommandExecutor engine, String password) {
-    this.engine = engine;
+  ConnectionCommands(CommandTable commands, ServerInfo info, String password) {
+    this.commands = commands;
+    this.info = info;
     this.password = password.getBytes(StandardCharsets.UTF_8);
   }
 
@@ -40,10 +41,10 @@
             }),
         new Command("CLIENT", -2, false, 0, 0, ConnectionCommands::client),
         new Command("COMMAND", -1, false, 0, 0, this::command),
-        new Command("INFO", -1, false, 0, 0, c -> c.reply().bulk(engine.info())));
+        new Command("INFO", -1, false, 0, 0, c -> c.reply().bulk(info.text())));
   }
 
-  /** Whether a connection may ask before it has given the password. */
+  /** Whether a connection may run it before it has given the password. */
   static boolean isAllowedUnauthenticated(Command command) {
     return List.of("AUTH", "HELLO", "QUIT").contains(command.name());
   }
@@ -68,9 +69,10 @@
         "ERR wrong number of arguments for '" + command.toLowerCase(Locale.ROOT) + "' command");
   }
 
-  private void check(CommandInvocation c, int user, int word) throws CommandException {
-    boolean right = MessageDigest.isEqual(password, c.word(word));
-    if (!right || user > 0 && !c.text(user).equals("default")) {
+  private void authenticate(CommandInvocation c, int userPlace, int passwordPlace)
+      throws CommandException {
+    boolean isRight = MessageDigest.isEqual(password, c.word(passwordPlace));
+    if (!isRight || (userPlace > 0 && !c.text(userPlace).equals("default"))) {
       throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
     }
     c.connection().isAuthenticated = true;
@@ -85,26 +87,26 @@
           "ERR AUTH <password> called without any password configured for the default "
               + "user. Are you sure your configuration is correct?");
     }
-    check(c, c.words().length - 2, c.words().length - 1);
+    authenticate(c, c.words().length - 2, c.words().length - 1);
     c.reply().ok();
   }
 
   private void hello(CommandInvocation c) throws CommandException {
     int version = c.reply().version;
     if (c.words().length > 1) {
-      String told = c.text(1);
-      if (!told.matches("[0-9]{1,9}")) {
+      String requested = c.text(1);
+      if (!requested.matches("[0-9]{1,9}")) {
         throw new CommandException("ERR Protocol version is not an integer or out of range");
       }
-      if (!told.equals("2") && !told.equals("3")) {
+      if (!requested.equals("2") && !requested.equals("3")) {
         throw new CommandException("NOPROTO unsupported protocol version");
       }
-      version = Integer.parseInt(told);
+      version = Integer.parseInt(requested);
     }
     for (int i = 2; i < c.words().length; ) {
       if (c.option(i).equals("AUTH") && i + 2 < c.words().length) {
         if (!isPasswordless()) {
-          check(c, i + 1, i + 2);
+          authenticate(c, i + 1, i + 2);
         }
         i += 3;
       } else if (c.option(i).equals("SETNAME") && i + 1 < c.words().length) {
@@ -122,7 +124,7 @@
     }
     c.reply().version = version;
     c.reply().map(7);
-    for (String each : List.of("server", "fawndock", "version", CommandExecutor.VERSION)) {
+    for (String each : List.of("server", "fawndock", "version", ServerInfo.VERSION)) {
       c.reply().bulk(each);
     }
     c.reply().bulk("proto");
@@ -143,8 +145,8 @@
   }
 
   private static void client(CommandInvocation c) throws CommandException {
-    String what = c.option(1);
-    switch (what + " " + c.words().length) {
+    String subcommand = c.option(1);
+    switch (subcommand + " " + c.words().length) {
       case "ID 2" -> c.reply().integer(c.connection().id);
       case "GETNAME 2" -> {
         if (c.connection().name.isEmpty()) {
@@ -167,20 +169,20 @@
   }
 
   private void command(CommandInvocation c) throws CommandException {
-    Map<String, Command> all = engine.commands();
-    String what = c.words().length == 1 ? "" : c.option(1);
-    switch (what) {
-      case "" -> described(c, all.values());
+    Collection<Command> all = commands.all();
+    String subcommand = c.words().length == 1 ? "" : c.option(1);
+    switch (subcommand) {
+      case "" -> describeAll(c, all);
       case "COUNT" -> c.reply().integer(all.size());
       case "DOCS" -> c.reply().map(0);
       case "LIST" -> {
         c.reply().array(all.size());
-        all.keySet().forEach(n -> c.reply().bulk(n.toLowerCase(Locale.ROOT)));
+        all.forEach(each -> c.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
       }
       case "INFO" -> {
         c.reply().array(c.words().length - 2);
         for (int i = 2; i < c.words().length; i++) {
-          Command found = all.get(c.option(i));
+          Command found = commands.get(c.option(i));
           if (found == null) {
             c.reply().nil();
           } else {
@@ -194,7 +196,7 @@
     }
   }
 
-  private static void described(CommandInvocation c, Collection<Command> commands) {
+  private static void describeAll(CommandInvocation c, Collection<Command> commands) {
     c.reply().array(commands.size());
     commands.forEach(each -> describe(c, each));
   }
--- a/src/main/java/fawndock/counter/PeerConnection.java
+++ b/src/main/java/fawndock/counter/PeerConnection.java
@@ -17,92 +17,104 @@
 import java.util.function.Consumer;
 
 /**
- * The connection to another node, on the event loop; made again when it is lost. Answers are single
- * lines.
+ * The connection to a peer, made when it is first needed and again after it was lost. Used on the
+ * event loop. Replies are single lines, in the order of the commands.
  */
-final class PeerConnection {
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final long PAUSE_NANOS = 100_000_000;
-  private static final int LONGEST_LINE = 4_096;
-  private static final int MOST_OUT = 512;
+final class PeerConnection implements AutoCloseable {
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final long RECONNECT_DELAY_NANOS = 100_000_000;
+  private static final int MAX_LINE_BYTES = 4_096;
+  private static final int MAX_IN_FLIGHT = 512;
 
   private final Bootstrap bootstrap;
   private final Address address;
   private final String password;
-  private final Consumer<Boolean> answered;
-  private final Consumer<String> beaten;
-  private final Runnable lost;
+  private final Consumer<Boolean> onConfirmation;
+  private final Consumer<String> onReply;
+  private final Runnable onLost;
 
-  /** For each command that is out, whether its answer is waited for. */
-  private final ArrayDeque<Boolean> out = new ArrayDeque<>();
+  /** For each command in flight, whether its sender asked for a confirmation. */
+  private final ArrayDeque<Boolean> inFlight = new ArrayDeque<>();
 
   private Channel channel;
-  private boolean connecting;
-  private boolean closed;
-  private long tryAt = System.nanoTime();
+  private boolean isConnecting;
+  private boolean isClosed;
+  private long nextConnectNanos = System.nanoTime();
 
   /**
-   * A connection that is made when it is first asked for.
-   *
-   * @param answered told when what was to be confirmed was, or was refused
-   * @param beaten told the answer to what was not to be confirmed
-   * @param lost told when the connection is lost
+   * @param onConfirmation is called with whether a command that was to be confirmed was accepted
+   * @param onReply is called with the reply to each other command
+   * @param onLost is called when the connection is lost
    */
   PeerConnection(
       EventLoopGroup group,
       Address address,
       String password,
-      Consumer<Boolean> answered,
-      Consumer<String> beaten,
-      Runnable lost) {
+      Consumer<Boolean> onConfirmation,
+      Consumer<String> onReply,
+      Runnable onLost) {
     this.address = address;
     this.password = password;
-    this.answered = answered;
-    this.beaten = beaten;
-    this.lost = lost;
+    this.onConfirmation = onConfirmation;
+    this.onReply = onReply;
+    this.onLost = onLost;
     bootstrap =
         new Bootstrap()
             .group(group)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE), new Answers());
+                    made.pipeline()
+                        .addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new ReplyHandler());
                   }
                 });
   }
 
   /** Whether something can be sent now; begins to connect when there is no connection. */
-  boolean usable() {
-    if (channel == null && !connecting && !closed && System.nanoTime() - tryAt >= 0) {
-      connecting = true;
-      bootstrap
-          .connect(address.host(), address.port())
-          .addListener(
-              made -> {
-                connecting = false;
-                tryAt = System.nanoTime() + PAUSE_NANOS;
-              });
+  boolean isUsable() {
+    boolean mayConnect = !isConnecting && !isClosed && System.nanoTime() - nextConnectNanos >= 0;
+    if (channel == null && mayConnect) {
+      connect();
     }
-    return channel != null && channel.isWritable() && out.size() < MOST_OUT;
+    return channel != null && channel.isWritable() && inFlight.size() < MAX_IN_FLIGHT;
+  }
+
+  private void connect() {
+    isConnecting = true;
+    // The listener handles the result: a failure is tried again after the delay.
+    var unused =
+        bootstrap
+            .connect(address.host(), address.port())
+            .addListener(
+                made -> {
+                  isConnecting = false;
+                  nextConnectNanos = System.nanoTime() + RECONNECT_DELAY_NANOS;
+                });
   }
 
   Address address() {
     return address;
   }
 
-  /** Ends it for good; nothing is told after this. */
-  void close() {
-    closed = true;
+  /** Closes it for good; no callback runs after this. May be called again. */
+  @Override
+  public void close() {
+    isClosed = true;
     if (channel != null) {
-      channel.close();
+      var unused = channel.close(); // Nothing is left to do once it is closed.
     }
   }
 
-  void send(List<String> words, boolean confirmed) {
+  /**
+   * Sends a command; only while it {@linkplain #isUsable is usable}.
+   *
+   * @param isConfirmed whether the reply goes to {@code onConfirmation}
+   */
+  void send(List<String> words, boolean isConfirmed) {
     ByteBuf bytes = channel.alloc().buffer(256);
     bytes.writeCharSequence("*" + words.size() + "\r\n", StandardCharsets.US_ASCII);
     for (String word : words) {
@@ -110,19 +122,19 @@
       bytes.writeCharSequence("$" + text.length + "\r\n", StandardCharsets.US_ASCII);
       bytes.writeBytes(text).writeByte('\r').writeByte('\n');
     }
-    out.add(confirmed);
-    channel.writeAndFlush(bytes);
+    inFlight.add(isConfirmed);
+    var unused = channel.writeAndFlush(bytes); // A failure closes the channel, which is handled.
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      if (closed) {
-        context.close();
+      if (isClosed) {
+        var unused = context.close(); // It was closed while it connected.
         return;
       }
       channel = context.channel();
-      out.clear();
+      inFlight.clear();
       if (!password.isEmpty()) {
         send(List.of("AUTH", password), false);
       }
@@ -131,10 +143,10 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
       String text = line.toString(StandardCharsets.UTF_8);
-      if (!out.isEmpty() && out.poll()) {
-        answered.accept(!text.isEmpty() && text.charAt(0) != '-');
+      if (!inFlight.isEmpty() && inFlight.poll()) {
+        onConfirmation.accept(!text.isEmpty() && text.charAt(0) != '-');
       } else {
-        beaten.accept(text);
+        onReply.accept(text);
       }
     }
 
@@ -142,15 +154,15 @@
     public void channelInactive(ChannelHandlerContext context) {
       if (channel == context.channel()) {
         channel = null;
-        if (!closed) {
-          lost.run();
+        if (!isClosed) {
+          onLost.run();
         }
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      context.close();
+      var unused = context.close(); // The peer is connected to again, and sent the full state.
     }
   }
 }
--- a/src/main/java/fawndock/counter/SnapshotTask.java
+++ b/src/main/java/fawndock/counter/SnapshotTask.java
@@ -1,5 +1,6 @@
 package fawndock.counter;
 
+import fawndock.counter.storage.CounterTable;
 import fawndock.counter.storage.SnapshotIterator;
 import fawndock.counter.storage.SnapshotIterator.SnapshotPart;
 import fawndock.counter.storage.SnapshotWriter;
@@ -12,143 +13,151 @@
 import java.util.function.Consumer;
 
 /**
- * Writes one snapshot at a time: the event loop takes a piece of the table, the thread writes it,
- * and only then the next is taken. So one piece is in memory, and calls between the pieces wait for
- * none.
+ * Writes one snapshot at a time. The event loop takes a piece of the table, the snapshot thread
+ * writes it, and only then the next is taken: one piece is in memory, and commands run between the
+ * pieces. Its methods are called on the event loop.
  */
-final class SnapshotTask {
-  private final Storage disk;
+final class SnapshotTask implements AutoCloseable {
+  private final Storage storage;
   private final Executor loop;
-  private final CommandExecutor engine;
+  private final CounterTable table;
+  private final ServerClock clock;
   private final ExecutorService thread =
       Executors.newSingleThreadExecutor(r -> WriteAheadLogThread.daemon(r, "snapshot"));
   private Run current;
-  private Run last;
-  private volatile long lastSize;
+  private Run previous;
+  private volatile long lastSizeBytes;
 
-  SnapshotTask(Storage disk, Executor loop, CommandExecutor engine) {
-    this.disk = disk;
+  SnapshotTask(Storage storage, Executor loop, CounterTable table, ServerClock clock) {
+    this.storage = storage;
     this.loop = loop;
-    this.engine = engine;
+    this.table = table;
+    this.clock = clock;
   }
 
-  private void post(Runnable what) {
-    WriteAheadLogThread.post(loop, what);
+  private void post(Runnable task) {
+    WriteAheadLogThread.post(loop, task);
   }
 
-  /** Bytes of the last whole one. */
-  long lastSize() {
-    return lastSize;
+  /** Bytes of the last whole snapshot of this process, 0 for none. */
+  long lastSizeBytes() {
+    return lastSizeBytes;
   }
 
-  boolean active() {
+  boolean isActive() {
     return current != null;
   }
 
-  /** Gives up what is being written, if anything; its file goes before the next begins. */
+  /** Gives up what is being written, if anything; its file is removed before the next begins. */
   void abandon() {
     current = null;
   }
 
   /**
-   * Writes one.
+   * Begins a snapshot.
    *
-   * @param covered sequence of the last record before it
-   * @param settle called when all is written, with what to go on with once every change in it is
-   *     durable
-   * @param then told how it ended, null when well; not told when it was abandoned
+   * @param coveredSequence of the last record before it
+   * @param whenDurable is called when all is written, with what to go on with once every change in
+   *     the snapshot is durable in the log
+   * @param onEnd is called with the failure, or null; not when the snapshot was abandoned
    */
-  void begin(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
-    Run before = last;
-    if (before != null) {
-      thread.execute(before::remove);
+  void begin(long coveredSequence, Consumer<Runnable> whenDurable, Consumer<IOException> onEnd) {
+    Run unfinished = previous;
+    if (unfinished != null) {
+      thread.execute(unfinished::removeFile);
     }
-    current = new Run(covered, settle, then);
-    last = current;
-    current.next(List.of());
+    current = new Run(coveredSequence, whenDurable, onEnd);
+    previous = current;
+    current.write(List.of());
   }
 
-  void close() {
+  /** Gives up what is being written and ends the thread; may be called again. */
+  @Override
+  public void close() {
     current = null;
-    thread.shutdownNow();
+    var unused =
+        thread.shutdownNow(); // What did not run is the rest of a snapshot that is given up.
   }
 
+  /** One snapshot. */
   private final class Run {
-    private final long covered;
-    private final Consumer<Runnable> settle;
-    private final Consumer<IOException> then;
-    private final SnapshotIterator walk = new SnapshotIterator(engine.counts().table());
-    private SnapshotWriter writer; // Used on the thread alone.
-
-    Run(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
-      this.covered = covered;
-      this.settle = settle;
-      this.then = then;
+    private final long coveredSequence;
+    private final Consumer<Runnable> whenDurable;
+    private final Consumer<IOException> onEnd;
+    private final SnapshotIterator iterator = new SnapshotIterator(table);
+
+    /** Used on the snapshot thread alone; null before the first piece and after the end. */
+    private SnapshotWriter writer;
+
+    Run(long coveredSequence, Consumer<Runnable> whenDurable, Consumer<IOException> onEnd) {
+      this.coveredSequence = coveredSequence;
+      this.whenDurable = whenDurable;
+      this.onEnd = onEnd;
     }
 
     /** Writes these parts, then takes the next. */
-    private void next(List<SnapshotPart> parts) {
-      long time = engine.now();
+    private void write(List<SnapshotPart> parts) {
+      long nowMillis = clock.nowMillis();
       thread.execute(
           () -> {
             try {
-              writer = writer == null ? new SnapshotWriter(disk, covered) : writer;
+              writer = writer == null ? new SnapshotWriter(storage, coveredSequence) : writer;
               for (SnapshotPart part : parts) {
-                writer.write(part.changes(), part.nameCount(), time);
+                writer.write(part.changes(), part.nameCount(), nowMillis);
               }
-              post(this::written);
+              post(this::onWritten);
             } catch (IOException e) {
-              failed(e);
+              fail(e);
             }
           });
     }
 
-    private void written() {
+    private void onWritten() {
       if (current != this) {
         return;
       }
-      List<SnapshotPart> parts = walk.next(engine.now());
+      List<SnapshotPart> parts = iterator.next(clock.nowMillis());
       if (parts.isEmpty()) {
-        settle.accept(() -> finish(engine.now()));
+        whenDurable.accept(() -> finish(clock.nowMillis()));
       } else {
-        next(parts);
+        write(parts);
       }
     }
 
-    private void remove() {
+    private void removeFile() {
       if (writer != null) {
         writer.abandon();
         writer = null;
       }
     }
 
-    private void finish(long time) {
+    private void finish(long nowMillis) {
       if (current != this) {
         return;
       }
       thread.execute(
           () -> {
             try {
-              writer.finish(time);
-              lastSize = writer.sizeBytes();
+              writer.finish(nowMillis);
+              lastSizeBytes = writer.sizeBytes();
               writer = null;
-              SnapshotWriter.deleteObsoleteFiles(disk, covered);
+              SnapshotWriter.deleteObsoleteFiles(storage, coveredSequence);
               post(() -> end(null));
             } catch (IOException e) {
-              failed(e);
+              fail(e);
             }
           });
     }
 
-    private void failed(IOException e) {
-      remove();
+    private void fail(IOException e) {
+      removeFile();
       post(() -> end(e));
     }
 
     private void end(IOException failure) {
       if (current == this) {
         current = null;
-        then.accept(failure);
+        onEnd.accept(failure);
       }
     }
   }
--- a/src/main/java/fawndock/counter/WriteAheadLogThread.java
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -5,63 +5,76 @@
 import fawndock.counter.storage.SnapshotWriter;
 import fawndock.counter.storage.Storage;
 import java.io.IOException;
+import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
 
 /**
- * The thread that writes the log: one piece of work at a time, each told about on the event loop.
- * Work that the disk has no room for is tried again until it has.
+ * The thread that writes the write-ahead log, one piece of work at a time. Its methods are called
+ * on the event loop, and its results come back there. Work that the disk does not take is tried
+ * again until it does.
  */
 final class WriteAheadLogThread {
-  private static final long RETRY_MILLIS = 200;
+  private static final long RETRY_DELAY_MILLIS = 200;
   private static final int MAX_TASKS = 16;
 
-  /** Is told on the event loop what became of the work. */
+  /** Is called on the event loop with what became of the work. */
   interface Listener {
-    void onWorkDone(LogWork work, long appended);
+    /** The work is written, and synced if it was to be. */
+    void onWorkDone(LogWork work, long appendedBytes);
 
-    /** Not done yet, and being tried again. */
-    void onStalled(String why);
+    /** The work is not done yet, and is tried again. */
+    void onStalled(String reason);
 
-    /** The file is given up; the work is in memory only, as all that came since. */
-    void onSegmentAbandoned(LogWork work, long sequence, String why);
+    /** A sync failed and the segment is given up: the work is in memory only, as all since. */
+    void onSegmentAbandoned(LogWork work, long sequence, String reason);
   }
 
-  private final Storage disk;
+  private final Storage storage;
   private final AtomicReference<LogWork> offered = new AtomicReference<>();
   private final ThreadPoolExecutor executor =
       new ThreadPoolExecutor(
           1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_TASKS), r -> daemon(r, "log"));
-  private final java.util.concurrent.Executor loop;
-  private final Listener listener;
+  private final Executor loop;
+  private Listener listener;
+
+  /** Used on the log's thread alone. */
   private LogWriter writer;
+
   private volatile boolean isClosing;
 
-  WriteAheadLogThread(Storage disk, java.util.concurrent.Executor loop, Listener told) {
-    this.disk = disk;
+  WriteAheadLogThread(Storage storage, Executor loop) {
+    this.storage = storage;
     this.loop = loop;
-    this.listener = told;
   }
 
-  static Thread daemon(Runnable what, String name) {
-    Thread thread = new Thread(what, name);
+  /** Sets who is called with results; once, before the first work. */
+  void listen(Listener resultListener) {
+    listener = resultListener;
+  }
+
+  static Thread daemon(Runnable task, String name) {
+    Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     return thread;
   }
 
-  /** Tells the event loop, unless it has ended: then nobody is left to be told. */
-  static void post(java.util.concurrent.Executor loop, Runnable what) {
+  /** Runs a task on the event loop, unless that has ended: then nobody waits for it. */
+  static void post(Executor loop, Runnable task) {
     try {
-      loop.execute(what);
-    } catch (java.util.concurrent.RejectedExecutionException e) {
-      // Stopped meanwhile.
+      loop.execute(task);
+    } catch (RejectedExecutionException e) {
+      // The server has stopped meanwhile.
     }
   }
 
-  private void post(Runnable what) {
-    post(loop, what);
+  private void post(Runnable task) {
+    post(loop, task);
   }
 
   /** Does the work, then what was offered meanwhile, one after the other. */
@@ -107,13 +120,13 @@
         post(() -> listener.onWorkDone(work, bytes));
         return next;
       } catch (IOException e) {
-        String why = String.valueOf(e.getMessage());
+        String reason = String.valueOf(e.getMessage());
         if (writer.isAbandoned()) {
           long sequence = writer.lastSequence();
-          post(() -> listener.onSegmentAbandoned(work, sequence, why));
+          post(() -> listener.onSegmentAbandoned(work, sequence, reason));
           return null;
         }
-        post(() -> listener.onStalled(why));
+        post(() -> listener.onStalled(reason));
       }
       if (isClosing || !sleepBeforeRetry()) {
         return null;
@@ -123,7 +136,7 @@
 
   private static boolean sleepBeforeRetry() {
     try {
-      Thread.sleep(RETRY_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -135,29 +148,29 @@
    * Begins a new segment and tells, on the event loop, the sequence before it, or -1 when it cannot
    * be.
    */
-  void roll(java.util.function.LongConsumer then) {
+  void roll(LongConsumer callback) {
     executor.execute(
         () -> {
           long sequence = -1;
           try {
             sequence = writer.roll();
           } catch (IOException e) {
-            // Work that comes next tells what is wrong.
+            // The next work fails too, and its error is reported.
           }
           long found = sequence;
-          post(() -> then.accept(found));
+          post(() -> callback.accept(found));
         });
   }
 
   /** Syncs what was appended, then goes on, on the event loop; does not when it cannot. */
-  void syncThen(Runnable then) {
+  void syncThen(Runnable callback) {
     executor.execute(
         () -> {
           try {
             writer.sync();
-            post(then);
+            post(callback);
           } catch (IOException e) {
-            // Work that comes next tells what is wrong.
+            // The next work fails too, and its error is reported.
           }
         });
   }
@@ -166,7 +179,7 @@
    * Goes on in a new file after a snapshot that covers all up to a sequence; tells whether it
    * could.
    */
-  void startNewSegment(long covered, java.util.function.Consumer<IOException> then) {
+  void startNewSegment(long coveredSequence, Consumer<IOException> callback) {
     executor.execute(
         () -> {
           IOException failure = null;
@@ -174,13 +187,13 @@
             if (writer != null) {
               writer.close();
             }
-            writer = new LogWriter(disk, covered);
-            SnapshotWriter.deleteObsoleteFiles(disk, covered);
+            writer = new LogWriter(storage, coveredSequence);
+            SnapshotWriter.deleteObsoleteFiles(storage, coveredSequence);
           } catch (IOException e) {
             failure = e;
           }
           IOException found = failure;
-          post(() -> then.accept(found));
+          post(() -> callback.accept(found));
         });
   }
 
--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -3,9 +3,6 @@
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,74 +10,27 @@
 import java.util.Set;
 
 /**
- * A gatekeeper's side of several nodes: its own sums, which node a name is asked at, and the turn
- * to the next within a call's time.
+ * A gateway's side of several counter nodes: its own sums, which node a call goes to, and the
+ * hedged second attempt within the call's time. No I/O and no clock: what is to be done comes out
+ * as {@link ClientAction}s. Used from one thread.
  */
 public final class ReplicaClient {
-  /** How a call ended. */
-  public enum CallOutcome {
-    OK,
-    TIMEOUT,
-    UNREACHABLE,
-    REJECTED
-  }
-
-  /** What the client wants done. */
-  public sealed interface ClientAction
-      permits SendSum, SendHeartbeat, CallEnded, FetchMembership, PushMembership {}
-
-  /**
-   * Sends sums to a node and asks for the total; call 0 only tells, and nothing waits for its
-   * answer.
-   */
-  public record SendSum(String node, long callId, ReplicatedSum sum) implements ClientAction {}
-
-  /**
-   * Shows a node that this gatekeeper is there, and asks whether the node is ready; the stamp is a
-   * new one each time.
-   */
-  public record SendHeartbeat(String node, long stamp) implements ClientAction {}
-
-  /** Asks a node for the list of nodes that it goes by. */
-  public record FetchMembership(String node) implements ClientAction {}
-
-  /** Gives a node a newer list than it has; it may have lost it with all that it had. */
-  public record PushMembership(String node, MembershipList list) implements ClientAction {}
-
-  /** A call has ended; the total counts only when it is OK. */
-  public record CallEnded(long callId, String name, CallOutcome outcome, double total)
-      implements ClientAction {}
-
-  /**
-   * Times, in milliseconds.
-   *
-   * @param hedgeDelayMillis after which the next node is asked as well
-   * @param callTimeoutMillis after which a call has ended
-   * @param nodeTimeoutMillis of silence after which a node is not asked first any more
-   * @param heartbeatIntervalMillis between showing that it is there
-   */
-  public record ClientTimeouts(
-      long hedgeDelayMillis,
-      long callTimeoutMillis,
-      long nodeTimeoutMillis,
-      long heartbeatIntervalMillis) {}
-
   private static final int MAX_RESENDS_PER_TICK = 200;
-  private static final int MAX_NAMES = 200_000;
 
-  private static final class OwnSum {
-    DecimalAmount added = DecimalAmount.ZERO;
-    DecimalAmount withdrawn = DecimalAmount.ZERO;
-    long expiryMillis;
-  }
+  /** As {@code callId}: nothing waits for the answer. */
+  private static final long NO_CALL = 0;
 
   private static final class NodeHealth {
-    boolean isHealthy = true;
+    boolean isHealthy;
 
-    /** When something was sent that has had no answer since, or -1. */
+    /** Since when something sent has had no answer, or -1. */
     long unansweredSinceMillis = -1;
 
     long lastHeartbeatMillis = Long.MIN_VALUE / 2;
+
+    NodeHealth(boolean isHealthy) {
+      this.isHealthy = isHealthy;
+    }
   }
 
   private static final class InFlightCall {
@@ -91,220 +41,180 @@
     final Set<String> triedNodes = new HashSet<>();
     long lastSentMillis;
 
-    InFlightCall(long id, String name, DecimalAmount amount, long at) {
+    InFlightCall(long id, String name, DecimalAmount amount, long startedMillis) {
       this.id = id;
       this.name = name;
       this.amount = amount;
-      this.startedMillis = at;
+      this.startedMillis = startedMillis;
     }
   }
 
-  private final long origin;
   private final ClientTimeouts timeouts;
+  private final OwnSums ownSums;
   private final Map<String, NodeHealth> nodes = new LinkedHashMap<>();
-  private final Map<String, OwnSum> ownSums = new LinkedHashMap<>();
+  private final RendezvousOrder nodeOrder = new RendezvousOrder(nodes.keySet());
   private final Map<Long, InFlightCall> inFlightCalls = new LinkedHashMap<>();
   private final ArrayDeque<String> resendQueue = new ArrayDeque<>();
-  private final Map<String, List<String>> nodeOrders = new HashMap<>();
-  private long nextCall = 1;
-  private long stamp;
+  private long nextCallId = 1;
+  private long lastStamp;
   private MembershipList adoptedMembership;
 
   /**
-   * A client that takes every node for well until it hears otherwise.
+   * A client that takes every node for healthy until it learns otherwise.
    *
-   * @param origin this start of this gatekeeper; no other has it
+   * @param origin incarnation of this gateway; no other has it
    */
-  public ReplicaClient(long origin, List<String> nodes, ClientTimeouts times) {
-    this.origin = origin;
-    this.timeouts = times;
-    nodes.forEach(each -> this.nodes.put(each, new NodeHealth()));
+  public ReplicaClient(long origin, List<String> nodeIds, ClientTimeouts timeouts) {
+    this.timeouts = timeouts;
+    ownSums = new OwnSums(origin);
+    nodeIds.forEach(each -> nodes.put(each, new NodeHealth(true)));
   }
 
   /**
-   * Goes by a newer list of nodes, told by one of them: each that is new to it is asked once it is
-   * ready, and all sums are told anew.
+   * Uses a newer membership list: a node that is new on it is sent calls once it says that it is
+   * ready, and all sums are sent again.
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adoptMembership(MembershipList list, long now, List<ClientAction> out) {
+  public boolean adoptMembership(MembershipList list, long nowMillis, List<ClientAction> actions) {
     if (adoptedMembership != null && list.version() <= adoptedMembership.version()) {
       return false;
     }
     adoptedMembership = list;
     nodes.keySet().retainAll(list.addresses().keySet());
     for (String each : list.addresses().keySet()) {
-      nodes.computeIfAbsent(
-          each,
-          id -> {
-            NodeHealth node = new NodeHealth();
-            node.isHealthy = false; // Until it says that it has caught up.
-            return node;
-          });
+      nodes.computeIfAbsent(each, id -> new NodeHealth(false));
     }
-    nodeOrders.clear();
+    nodeOrder.clear();
     resendAll();
     for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
-      sendToNextNode(call, now, out); // The one that was asked may be off the list.
+      sendToNextNode(call, nowMillis, actions); // The node that has it may be off the list.
     }
     return true;
   }
 
-  /** The newest list that it was told, or null while it goes by the one in its settings. */
+  /** The newest list that it was given, or null while it uses the one in its settings. */
   public MembershipList adoptedMembership() {
     return adoptedMembership;
   }
 
-  /** Adds to a name, or takes back with a negative amount; returns the call's number. */
+  /**
+   * Adds to a name, or withdraws with a negative amount; returns the call's id.
+   *
+   * @throws CommandException when there are too many names, or the sum would overflow
+   */
   public long add(
-      String name, DecimalAmount amount, long keepMillis, long now, List<ClientAction> out)
+      String name,
+      DecimalAmount amount,
+      long timeToLiveMillis,
+      long nowMillis,
+      List<ClientAction> actions)
       throws CommandException {
-    OwnSum mine = ownSums.get(name);
-    if (mine == null || mine.expiryMillis <= now) {
-      if (ownSums.size() >= MAX_NAMES) {
-        ownSums.values().removeIf(o -> o.expiryMillis <= now);
-        if (ownSums.size() >= MAX_NAMES) {
-          throw new CommandException("OOM too many names");
-        }
-      }
-      mine = new OwnSum();
-      mine.expiryMillis = now + keepMillis;
-      ownSums.put(name, mine);
-    }
-    addToOwnSum(mine, amount);
-    InFlightCall call = new InFlightCall(nextCall++, name, amount, now);
+    ownSums.add(name, amount, timeToLiveMillis, nowMillis);
+    InFlightCall call = new InFlightCall(nextCallId++, name, amount, nowMillis);
     inFlightCalls.put(call.id, call);
-    if (!sendToNextNode(call, now, out)) {
-      endCall(call, CallOutcome.UNREACHABLE, 0, out);
+    if (!sendToNextNode(call, nowMillis, actions)) {
+      endCall(call, CallOutcome.UNREACHABLE, 0, actions);
     }
     return call.id;
   }
 
-  private static void addToOwnSum(OwnSum mine, DecimalAmount amount) throws CommandException {
-    if (amount.digits() >= 0) {
-      mine.added = mine.added.plus(amount);
-    } else {
-      mine.withdrawn = mine.withdrawn.plus(amount.negated());
-    }
-  }
-
-  /** Asks the first node that is well and was not asked for this call; false when there is none. */
-  private boolean sendToNextNode(InFlightCall call, long now, List<ClientAction> out) {
-    for (String id : nodesFor(call.name)) {
+  /** Sends to the first healthy node that this call was not sent to; false when there is none. */
+  private boolean sendToNextNode(InFlightCall call, long nowMillis, List<ClientAction> actions) {
+    for (String id : nodeOrder.nodesFor(call.name)) {
       if (nodes.get(id).isHealthy && call.triedNodes.add(id)) {
-        call.lastSentMillis = now;
-        sendOwnSum(id, call.id, call.name, now, out);
+        call.lastSentMillis = nowMillis;
+        sendOwnSum(id, call.id, call.name, nowMillis, actions);
         return true;
       }
     }
     return false;
   }
 
-  private void sendOwnSum(String id, long call, String name, long now, List<ClientAction> out) {
-    OwnSum mine = ownSums.get(name);
-    if (mine == null || mine.expiryMillis <= now) {
-      return;
-    }
-    NodeHealth node = nodes.get(id);
-    node.unansweredSinceMillis = node.unansweredSinceMillis < 0 ? now : node.unansweredSinceMillis;
-    out.add(
-        new SendSum(
-            id,
-            call,
-            new ReplicatedSum(name, origin, mine.added, mine.withdrawn, mine.expiryMillis - now)));
-  }
-
-  /**
-   * The nodes of a name, by rendezvous hashing: one that goes moves only the names that were its
-   * own.
-   */
-  private List<String> nodesFor(String name) {
-    String series = ReplicatedSum.series(name);
-    if (nodeOrders.size() > MAX_NAMES) {
-      nodeOrders.clear();
+  private void sendOwnSum(
+      String id, long callId, String name, long nowMillis, List<ClientAction> actions) {
+    ReplicatedSum sum = ownSums.current(name, nowMillis);
+    if (sum != null) {
+      expectAnswer(nodes.get(id), nowMillis);
+      actions.add(new ClientAction.SendSum(id, callId, sum));
     }
-    return nodeOrders.computeIfAbsent(
-        series,
-        s -> {
-          List<String> order = new ArrayList<>(nodes.keySet());
-          order.sort(Comparator.comparingLong(node -> weight(s, node)));
-          return order;
-        });
   }
 
-  private static long weight(String series, String node) {
-    long hash = 0xCBF29CE484222325L;
-    for (char c : (node + '/' + series).toCharArray()) {
-      hash = (hash ^ c) * 0x100000001B3L;
+  private static void expectAnswer(NodeHealth node, long nowMillis) {
+    if (node.unansweredSinceMillis < 0) {
+      node.unansweredSinceMillis = nowMillis;
     }
-    hash = (hash ^ hash >>> 33) * 0xFF51AFD7ED558CCDL;
-    return hash ^ hash >>> 33;
   }
 
-  /** A node answered a call, or a telling, with the total. */
-  public void onTotal(String node, long id, double total, List<ClientAction> out) {
+  /** A node answered a sum with the total. */
+  public void onTotal(String node, long callId, double total, List<ClientAction> actions) {
     healthOf(node).unansweredSinceMillis = -1;
-    InFlightCall call = inFlightCalls.get(id);
+    InFlightCall call = inFlightCalls.get(callId);
     if (call != null) {
-      endCall(call, CallOutcome.OK, total, out);
+      endCall(call, CallOutcome.OK, total, actions);
     }
   }
 
-  /** A node refused a call, such as one that has not caught up; it has kept nothing of it. */
-  public void onRejected(String node, long id, boolean notReady, long now, List<ClientAction> out) {
-    NodeHealth of = healthOf(node);
-    of.unansweredSinceMillis = -1;
-    if (notReady) {
-      markUnhealthy(of);
+  /** A node rejected a call, such as one that is catching up; it has kept nothing of it. */
+  public void onRejected(
+      String node, long callId, boolean isNotReady, long nowMillis, List<ClientAction> actions) {
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    if (isNotReady) {
+      markUnhealthy(health);
     }
-    InFlightCall call = inFlightCalls.get(id);
-    if (call != null && !sendToNextNode(call, now, out)) {
-      endCall(call, CallOutcome.REJECTED, 0, out);
+    InFlightCall call = inFlightCalls.get(callId);
+    if (call != null && !sendToNextNode(call, nowMillis, actions)) {
+      endCall(call, CallOutcome.REJECTED, 0, actions);
     }
   }
 
-  /** A node that is off the list by now has its answers taken, and nothing else of it matters. */
+  /** Of a node that is off the list by now, a throwaway: its answers change nothing else. */
   private NodeHealth healthOf(String node) {
-    return nodes.getOrDefault(node, new NodeHealth());
+    NodeHealth health = nodes.get(node);
+    return health == null ? new NodeHealth(true) : health;
   }
 
-  /**
-   * A node answered that it hears, whether it is ready, and by which version of the list of nodes
-   * it goes.
-   */
-  public void onHeartbeatReply(String node, boolean ready, long version, List<ClientAction> out) {
-    long mine =
+  /** A node answered a heartbeat: whether it is ready, and which membership list it uses. */
+  public void onHeartbeatReply(
+      String node, boolean isReady, long membershipVersion, List<ClientAction> actions) {
+    exchangeMembership(node, membershipVersion, actions);
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    if (isReady && !health.isHealthy) {
+      health.isHealthy = true;
+      resendAll(); // It may have come back with less than others have, or with nothing.
+    } else if (!isReady) {
+      markUnhealthy(health);
+    }
+  }
+
+  private void exchangeMembership(String node, long theirVersion, List<ClientAction> actions) {
+    // By the settings alone, addresses may differ between instances: only the epoch counts then.
+    long ownVersion =
         adoptedMembership == null
-            ? MembershipList.settingsVersion(MembershipList.epoch(version))
+            ? MembershipList.settingsVersion(MembershipList.epoch(theirVersion))
             : adoptedMembership.version();
-    if (version > mine) {
-      out.add(new FetchMembership(node));
-    } else if (version < mine) {
-      out.add(new PushMembership(node, adoptedMembership));
-    }
-    NodeHealth of = healthOf(node);
-    of.unansweredSinceMillis = -1;
-    if (ready && !of.isHealthy) {
-      of.isHealthy = true;
-      resendAll(); // It may have come back with less than others have, or with nothing.
-    } else if (!ready) {
-      markUnhealthy(of);
+    if (theirVersion > ownVersion) {
+      actions.add(new ClientAction.FetchMembership(node));
+    } else if (theirVersion < ownVersion) {
+      actions.add(new ClientAction.PushMembership(node, adoptedMembership));
     }
   }
 
-  /** The connection to a node is lost. */
-  public void onConnectionLost(String node, long now, List<ClientAction> out) {
-    NodeHealth of = healthOf(node);
-    of.unansweredSinceMillis = -1;
-    markUnhealthy(of);
+  /** The connection to a node is lost: its calls go to the next node at once. */
+  public void onConnectionLost(String node, long nowMillis, List<ClientAction> actions) {
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    markUnhealthy(health);
     for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
       if (call.triedNodes.contains(node)) {
-        sendToNextNode(call, now, out);
+        sendToNextNode(call, nowMillis, actions);
       }
     }
   }
 
-  // What only the lost node had heard from this gatekeeper is told to those that stand in for it.
+  /** What only this node had from this gateway is sent to the nodes that take its names over. */
   private void markUnhealthy(NodeHealth node) {
     if (node.isHealthy) {
       node.isHealthy = false;
@@ -314,39 +224,49 @@
 
   private void resendAll() {
     resendQueue.clear();
-    resendQueue.addAll(ownSums.keySet());
+    resendQueue.addAll(ownSums.names());
+  }
+
+  /** Ends and hedges calls, sends heartbeats and some of the sums that are to be sent again. */
+  public void tick(long nowMillis, List<ClientAction> actions) {
+    checkNodes(nowMillis, actions);
+    checkCalls(nowMillis, actions);
+    resendSome(nowMillis, actions);
   }
 
-  /** Time goes by. */
-  public void tick(long now, List<ClientAction> out) {
+  private void checkNodes(long nowMillis, List<ClientAction> actions) {
     nodes.forEach(
         (id, node) -> {
           if (node.unansweredSinceMillis >= 0
-              && now - node.unansweredSinceMillis > timeouts.nodeTimeoutMillis) {
+              && nowMillis - node.unansweredSinceMillis > timeouts.nodeTimeoutMillis()) {
             markUnhealthy(node);
           }
-          if (now - node.lastHeartbeatMillis >= timeouts.heartbeatIntervalMillis) {
-            node.lastHeartbeatMillis = now;
-            node.unansweredSinceMillis =
-                node.unansweredSinceMillis < 0 ? now : node.unansweredSinceMillis;
-            out.add(new SendHeartbeat(id, ++stamp));
+          if (nowMillis - node.lastHeartbeatMillis >= timeouts.heartbeatIntervalMillis()) {
+            node.lastHeartbeatMillis = nowMillis;
+            expectAnswer(node, nowMillis);
+            actions.add(new ClientAction.SendHeartbeat(id, ++lastStamp));
           }
         });
+  }
+
+  private void checkCalls(long nowMillis, List<ClientAction> actions) {
     for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
-      if (now - call.startedMillis >= timeouts.callTimeoutMillis) {
-        endCall(call, CallOutcome.TIMEOUT, 0, out);
-      } else if (now - call.lastSentMillis >= timeouts.hedgeDelayMillis) {
-        // Guards against the wait for a node that has stalled. It may ask a second one for nothing
-        // when the
-        // first is only slow; nothing is counted twice by that.
-        sendToNextNode(call, now, out);
+      if (nowMillis - call.startedMillis >= timeouts.callTimeoutMillis()) {
+        endCall(call, CallOutcome.TIMEOUT, 0, actions);
+      } else if (nowMillis - call.lastSentMillis >= timeouts.hedgeDelayMillis()) {
+        // Guards against the wait for a node that has stalled. It may send to a second node in vain
+        // when the first is only slow; nothing is counted twice by that.
+        sendToNextNode(call, nowMillis, actions);
       }
     }
+  }
+
+  private void resendSome(long nowMillis, List<ClientAction> actions) {
     for (int i = 0; i < MAX_RESENDS_PER_TICK && !resendQueue.isEmpty(); i++) {
       String name = resendQueue.poll();
-      for (String id : nodesFor(name)) {
+      for (String id : nodeOrder.nodesFor(name)) {
         if (nodes.get(id).isHealthy) {
-          sendOwnSum(id, 0, name, now, out);
+          sendOwnSum(id, NO_CALL, name, nowMillis, actions);
           break;
         }
       }
@@ -354,21 +274,17 @@
   }
 
   private void endCall(
-      InFlightCall call, CallOutcome result, double total, List<ClientAction> out) {
+      InFlightCall call, CallOutcome outcome, double total, List<ClientAction> actions) {
     inFlightCalls.remove(call.id);
-    if (result == CallOutcome.UNREACHABLE || result == CallOutcome.REJECTED) {
+    if (outcome == CallOutcome.UNREACHABLE || outcome == CallOutcome.REJECTED) {
       // The caller takes it for not added; it may have gone out with another call of the name
       // meanwhile.
-      try {
-        addToOwnSum(ownSums.get(call.name), call.amount.negated());
-      } catch (CommandException e) {
-        throw new IllegalStateException("a sum beyond all bounds", e);
-      }
+      ownSums.revert(call.name, call.amount);
     }
-    out.add(new CallEnded(call.id, call.name, result, total));
+    actions.add(new ClientAction.CallEnded(call.id, call.name, outcome, total));
   }
 
-  /** Whether a node is asked first for its names. */
+  /** Whether calls go to this node first for its names. */
   public boolean isHealthy(String node) {
     return healthOf(node).isHealthy;
   }
--- a/src/main/java/fawndock/gateway/CounterNodes.java
+++ b/src/main/java/fawndock/gateway/CounterNodes.java
@@ -1,13 +1,14 @@
 package fawndock.gateway;
 
+import fawndock.counter.replication.ClientAction;
+import fawndock.counter.replication.ClientAction.CallEnded;
+import fawndock.counter.replication.ClientAction.FetchMembership;
+import fawndock.counter.replication.ClientAction.PushMembership;
+import fawndock.counter.replication.ClientAction.SendHeartbeat;
+import fawndock.counter.replication.ClientAction.SendSum;
+import fawndock.counter.replication.ClientTimeouts;
 import fawndock.counter.replication.MembershipList;
 import fawndock.counter.replication.ReplicaClient;
-import fawndock.counter.replication.ReplicaClient.CallEnded;
-import fawndock.counter.replication.ReplicaClient.ClientAction;
-import fawndock.counter.replication.ReplicaClient.FetchMembership;
-import fawndock.counter.replication.ReplicaClient.PushMembership;
-import fawndock.counter.replication.ReplicaClient.SendHeartbeat;
-import fawndock.counter.replication.ReplicaClient.SendSum;
 import fawndock.counter.replication.ReplicatedSum;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
@@ -89,7 +90,7 @@
         new ReplicaClient(
             origin,
             List.copyOf(nodes.keySet()),
-            new ReplicaClient.ClientTimeouts(Math.max(1, limit / 5), limit, limit, limit));
+            new ClientTimeouts(Math.max(1, limit / 5), limit, limit, limit));
     alarms.schedule(TICK_MICROS, this::tick);
   }
 
--- a/src/test/java/fawndock/counter/replication/ClusterSimulation.java
+++ b/src/test/java/fawndock/counter/replication/ClusterSimulation.java
@@ -1,9 +1,8 @@
 package fawndock.counter.replication;
 
-import fawndock.counter.replication.ReplicaClient.CallEnded;
-import fawndock.counter.replication.ReplicaClient.ClientAction;
-import fawndock.counter.replication.ReplicaClient.SendHeartbeat;
-import fawndock.counter.replication.ReplicaClient.SendSum;
+import fawndock.counter.replication.ClientAction.CallEnded;
+import fawndock.counter.replication.ClientAction.SendHeartbeat;
+import fawndock.counter.replication.ClientAction.SendSum;
 import fawndock.counter.storage.ChangeRecord;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
@@ -29,10 +28,8 @@
   static final int LIMIT = 60;
   static final int NODES = 3;
   static final int GATEWAYS = 4;
-  static final ReplicaNode.FailureDetectorTimeouts NODE_TIMEOUTS =
-      new ReplicaNode.FailureDetectorTimeouts(150, 300);
-  static final ReplicaClient.ClientTimeouts CLIENT_TIMEOUTS =
-      new ReplicaClient.ClientTimeouts(25, 50, 100, 40);
+  static final FailureDetectorTimeouts NODE_TIMEOUTS = new FailureDetectorTimeouts(150, 300);
+  static final ClientTimeouts CLIENT_TIMEOUTS = new ClientTimeouts(25, 50, 100, 40);
 
   private record Event(long at, long number, Runnable what) {}
 
@@ -83,7 +80,7 @@
       if (!stalled) {
         node.tick(clock());
         for (String other : List.copyOf(node.peers())) {
-          ReplicaNode.Heartbeat beat = node.nextHeartbeat(clock());
+          Heartbeat beat = node.nextHeartbeat(clock());
           send(id, other, () -> at(other, n -> beaten(n, beat, mine)));
           give(other, mine);
         }
@@ -95,7 +92,7 @@
      * Another node has this one's beat: it goes by it, or answers that this one's list is old or
      * lacks it.
      */
-    private void beaten(SimulatedNode n, ReplicaNode.Heartbeat beat, int mine) {
+    private void beaten(SimulatedNode n, Heartbeat beat, int mine) {
       MembershipList newer = n.node.membershipNewerThan(beat.membershipVersion());
       boolean strange =
           newer == null
@@ -120,7 +117,7 @@
     }
 
     private void give(String other, int mine) {
-      ReplicaNode.DeltaBatch batch = node.nextBatch(other, 50, clock());
+      DeltaBatch batch = node.nextBatch(other, 50, clock());
       if (batch.isEmpty()) {
         return;
       }
@@ -264,7 +261,7 @@
                               carry(more);
                             });
                       }));
-        } else if (each instanceof ReplicaClient.FetchMembership fetch) {
+        } else if (each instanceof ClientAction.FetchMembership fetch) {
           send(
               id,
               fetch.node(),
@@ -282,18 +279,18 @@
                               carry(more);
                             });
                       }));
-        } else if (each instanceof ReplicaClient.PushMembership give) {
+        } else if (each instanceof ClientAction.PushMembership give) {
           send(
               id,
               give.node(),
               () -> at(give.node(), n -> n.node.adoptMembership(give.list(), n.clock())));
         } else if (each instanceof CallEnded end) {
           int amount = pending.remove(end.callId());
-          if (end.outcome() == ReplicaClient.CallOutcome.OK) {
+          if (end.outcome() == CallOutcome.OK) {
             totals.merge(end.name(), end.total(), (a, b) -> b);
             acknowledged.computeIfAbsent(end.name(), n -> new int[2])[amount > 0 ? 0 : 1] += 1;
           }
-          lastTotal = end.outcome() == ReplicaClient.CallOutcome.OK ? end.total() : -1;
+          lastTotal = end.outcome() == CallOutcome.OK ? end.total() : -1;
           told.remove(end.callId()).run();
         }
       }
--- a/src/test/java/fawndock/counter/replication/ReplicaClientTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaClientTest.java
@@ -4,12 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.replication.ReplicaClient.CallEnded;
-import fawndock.counter.replication.ReplicaClient.CallOutcome;
-import fawndock.counter.replication.ReplicaClient.ClientAction;
-import fawndock.counter.replication.ReplicaClient.FetchMembership;
-import fawndock.counter.replication.ReplicaClient.PushMembership;
-import fawndock.counter.replication.ReplicaClient.SendSum;
+import fawndock.counter.replication.ClientAction.CallEnded;
+import fawndock.counter.replication.ClientAction.FetchMembership;
+import fawndock.counter.replication.ClientAction.PushMembership;
+import fawndock.counter.replication.ClientAction.SendSum;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayList;
@@ -22,7 +20,7 @@
   private static final DecimalAmount ONE = new DecimalAmount(1, false);
   private static final long V1 = MembershipList.settingsVersion(1);
   private final ReplicaClient client =
-      new ReplicaClient(7, List.of("a", "b"), new ReplicaClient.ClientTimeouts(10, 50, 100, 1_000));
+      new ReplicaClient(7, List.of("a", "b"), new ClientTimeouts(10, 50, 100, 1_000));
 
   private final List<ClientAction> out = new ArrayList<>();
 
--- a/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.replication.ReplicaNode.Heartbeat;
 import fawndock.counter.storage.ChangeRecord;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.CounterOperations;
@@ -21,13 +20,7 @@
       new ReplicatedSums(new CounterOperations(new CounterTable(1, 2), Long.MAX_VALUE));
   private final ReplicaNode node =
       new ReplicaNode(
-          "a",
-          List.of("b", "c"),
-          1,
-          10,
-          new ReplicaNode.FailureDetectorTimeouts(150, 500),
-          sums,
-          0);
+          "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
 
   private void beat(String from, long version, long start, boolean ready, long now) {
     node.onHeartbeat(from, new Heartbeat(version, start, ready, Map.of()), now);
@@ -74,13 +67,7 @@
     assertTrue(node.isReady());
     ReplicaNode late =
         new ReplicaNode(
-            "a",
-            List.of("b", "c"),
-            1,
-            10,
-            new ReplicaNode.FailureDetectorTimeouts(150, 500),
-            sums,
-            0);
+            "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     late.onHeartbeat("b", new Heartbeat(V1, 1, false, Map.of()), 10);
     late.onFullStateReceived("b", 20);
     late.onHeartbeat("b", new Heartbeat(V1, 2, true, Map.of()), 30);
@@ -95,13 +82,7 @@
     assertTrue(node.isReady(), "nobody there");
     ReplicaNode beside =
         new ReplicaNode(
-            "a",
-            List.of("b", "c"),
-            1,
-            10,
-            new ReplicaNode.FailureDetectorTimeouts(150, 500),
-            sums,
-            0);
+            "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     for (long now = 100; now <= 4_900; now += 100) {
       beside.onHeartbeat("b", new Heartbeat(V1, 1, true, Map.of()), now);
       beside.tick(now);
@@ -111,25 +92,13 @@
     assertTrue(beside.isReady(), "told nothing for ten times as long: b cannot tell");
     ReplicaNode both =
         new ReplicaNode(
-            "a",
-            List.of("b", "c"),
-            1,
-            10,
-            new ReplicaNode.FailureDetectorTimeouts(150, 500),
-            sums,
-            0);
+            "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     both.onHeartbeat("b", new Heartbeat(V1, 1, false, Map.of()), 450);
     both.tick(600);
     assertFalse(both.isReady(), "b waits as well, and has not told what it has");
     ReplicaNode stranger =
         new ReplicaNode(
-            "a",
-            List.of("b", "c"),
-            1,
-            10,
-            new ReplicaNode.FailureDetectorTimeouts(150, 500),
-            sums,
-            0);
+            "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     for (long now = 0; now <= 20_000; now += 400) {
       stranger.onUnknownToPeer("b", now);
       stranger.tick(now);
--- a/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
@@ -117,7 +117,7 @@
               counts.add(name, new DecimalAmount(random.nextInt(-500, 500), true), 30, time, to);
           default -> counts.add(name, new DecimalAmount(random.nextInt(9), false), 0, time, to);
         }
-        states.put(commit.openGroup(), state(table, Long.MIN_VALUE));
+        states.put(commit.openGroupNumber(), state(table, Long.MIN_VALUE));
       } catch (CommandException e) {
         // Refused: nothing has changed.
       }
@@ -135,10 +135,10 @@
 
     /** As the event loop does: it withdraws what was offered, or finds it taken. */
     void openGroup() {
-      if (commit.offered() && offered != null) {
+      if (commit.hasOffer() && offered != null) {
         commit.onOfferWithdrawn();
         offered = null;
-      } else if (commit.offered()) {
+      } else if (commit.hasOffer()) {
         commit.onOfferTaken();
       }
     }
@@ -183,7 +183,7 @@
             snapshot = new SnapshotWriter(disk, covered);
             walk = new SnapshotIterator(table);
             parts = walk.next(time).iterator();
-            walkedTo = commit.openGroup();
+            walkedTo = commit.openGroupNumber();
           }
         } else if (parts.hasNext()) {
           SnapshotIterator.SnapshotPart part = parts.next();
