--- a/src/main/java/fawndock/policy/GatewayPolicy.java
+++ b/src/main/java/fawndock/policy/GatewayPolicy.java
@@ -6,12 +6,17 @@
 import java.util.List;
 
 /**
- * One gatekeeper's decisions, as a host sees them: it is made from {@link PolicyConfig}, is told
- * {@link Event}s in the order in which they happen, and answers each with the {@link PolicyAction}s
- * to carry out, in order. Times are in microseconds of a clock that all gatekeepers share. An
- * instance belongs to one thread at a time.
+ * The decisions of one gateway instance: made from a {@link PolicyConfig}, it is given {@link
+ * PolicyEvent}s in the order in which they happen, and answers each with the {@link PolicyAction}s
+ * to carry out, in order. An instance belongs to one thread at a time.
  */
 public interface GatewayPolicy {
-  /** Takes in one event at the time given and returns what is to be done now. */
+  /**
+   * Takes in one event.
+   *
+   * @param nowMicros when it happened, in microseconds of a clock that all instances share; never
+   *     less than before
+   * @return what is to be done now, in this order
+   */
   List<PolicyAction> onEvent(long nowMicros, PolicyEvent event);
 }
--- a/src/main/java/fawndock/policy/action/CancelAttempt.java
+++ b/src/main/java/fawndock/policy/action/CancelAttempt.java
@@ -1,4 +1,9 @@
 package fawndock.policy.action;
 
-/** Calls one attempt off. */
+/**
+ * Cancels an attempt in flight; its {@link fawndock.policy.event.AttemptCompleted} is still due.
+ *
+ * @param requestId the request
+ * @param attemptIndex the attempt, numbered from 0 in the order sent
+ */
 public record CancelAttempt(long requestId, int attemptIndex) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/FailRequest.java
+++ b/src/main/java/fawndock/policy/action/FailRequest.java
@@ -1,4 +1,8 @@
 package fawndock.policy.action;
 
-/** Final answer: failed, with no promise about its effect. */
+/**
+ * Final answer: the request failed, and may have taken effect.
+ *
+ * @param requestId the request
+ */
 public record FailRequest(long requestId) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/FetchEndpoints.java
+++ b/src/main/java/fawndock/policy/action/FetchEndpoints.java
@@ -1,4 +1,4 @@
 package fawndock.policy.action;
 
-/** Asks discovery once for the complete list. */
+/** Fetches the complete endpoint list from discovery once. */
 public record FetchEndpoints() implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/LogMessage.java
+++ b/src/main/java/fawndock/policy/action/LogMessage.java
@@ -1,4 +1,8 @@
 package fawndock.policy.action;
 
-/** A line for the operators. */
+/**
+ * A line for the operators' log.
+ *
+ * @param text the line
+ */
 public record LogMessage(String text) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/PolicyAction.java
+++ b/src/main/java/fawndock/policy/action/PolicyAction.java
@@ -1,6 +1,6 @@
 package fawndock.policy.action;
 
-/** Something to do. */
+/** Something that the policy has decided and its runner carries out. */
 public sealed interface PolicyAction
     permits StartAttempt,
         RejectRequest,
--- a/src/main/java/fawndock/policy/action/SendPeerMessage.java
+++ b/src/main/java/fawndock/policy/action/SendPeerMessage.java
@@ -1,4 +1,9 @@
 package fawndock.policy.action;
 
-/** Sends a text to one fellow gatekeeper, or to all of them when {@code toInstance} is below 0. */
+/**
+ * Sends a message to other gateway instances.
+ *
+ * @param toInstance the index of one instance, or less than 0 for all
+ * @param text the message
+ */
 public record SendPeerMessage(int toInstance, String text) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/StartHealthCheck.java
+++ b/src/main/java/fawndock/policy/action/StartHealthCheck.java
@@ -1,4 +1,8 @@
 package fawndock.policy.action;
 
-/** Probes a server. */
+/**
+ * Checks an endpoint's health; a {@link fawndock.policy.event.HealthCheckCompleted} is due.
+ *
+ * @param endpointId the endpoint, by its id in discovery
+ */
 public record StartHealthCheck(String endpointId) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/WatchEndpoints.java
+++ b/src/main/java/fawndock/policy/action/WatchEndpoints.java
@@ -1,4 +1,4 @@
 package fawndock.policy.action;
 
-/** Asks discovery to report changes from now on. */
+/** Has endpoint discovery report changes from now on. */
 public record WatchEndpoints() implements PolicyAction {}
--- a/src/main/java/fawndock/policy/config/DeduplicationScope.java
+++ b/src/main/java/fawndock/policy/config/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package fawndock.policy.config;
 
-/**
- * Which servers drop repeats of a deduplicated request: all, those of one zone, or those of one
- * cell.
- */
+/** Which endpoints drop repeats of a request of {@link Idempotency#DEDUPLICATED}. */
 public enum DeduplicationScope {
+  /** All endpoints. */
   ALL,
+  /** Those of the zone of the first attempt. */
   ZONE,
+  /** Those of the cell, in its zone, of the first attempt. */
   CELL
 }
--- /dev/null
+++ b/src/main/java/fawndock/policy/config/package-info.java
@@ -0,0 +1,2 @@
+/** What a policy is configured with; the values do not change while it runs. */
+package fawndock.policy.config;
--- a/src/main/java/fawndock/policy/event/CallResult.java
+++ b/src/main/java/fawndock/policy/event/CallResult.java
@@ -1,28 +1,28 @@
 package fawndock.policy.event;
 
-/** How an attempt, a probe or a counter call ended. */
+/** How an attempt, a health check or a counter call ended. */
 public enum CallResult {
   /** Served, or counted. */
   OK(true),
-  /** The server answered with an error. */
+  /** Answered with an error. */
   ERROR(true),
-  /** Turned away unseen. */
+  /** Rejected unread, for load. */
   SHED(false),
-  /** No answer in time. */
+  /** No answer in time, or none that can be read. */
   TIMEOUT(true),
-  /** No connection could be had. */
+  /** No connection could be opened. */
   CONNECT_FAILED(false),
-  /** The connection broke while the attempt was out. */
+  /** The connection broke while it was in flight. */
   RESET(true),
-  /** Called off by the gatekeeper. */
+  /** Cancelled by this instance. */
   CANCELLED(true),
   /** Never sent. */
   NOT_SENT(false);
 
-  /** Whether the work may have taken place. */
+  /** Whether the work may have been done. */
   public final boolean mayHaveTakenEffect;
 
-  CallResult(boolean mayHaveRun) {
-    this.mayHaveTakenEffect = mayHaveRun;
+  CallResult(boolean mayHaveTakenEffect) {
+    this.mayHaveTakenEffect = mayHaveTakenEffect;
   }
 }
--- a/src/main/java/fawndock/policy/event/ClientDisconnected.java
+++ b/src/main/java/fawndock/policy/event/ClientDisconnected.java
@@ -1,4 +1,8 @@
 package fawndock.policy.event;
 
-/** The client has left: no answer is owed any more. */
+/**
+ * The client has left: no answer is due any more.
+ *
+ * @param requestId the request
+ */
 public record ClientDisconnected(long requestId) implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/EndpointState.java
+++ b/src/main/java/fawndock/policy/event/EndpointState.java
@@ -1,8 +1,11 @@
 package fawndock.policy.event;
 
-/** What discovery says of a server. */
+/** What discovery says of an endpoint. */
 public enum EndpointState {
+  /** Takes requests. */
   RUNNING,
+  /** Finishes what it has; takes no new requests. */
   DRAINING,
+  /** Gone. */
   REMOVED
 }
--- a/src/main/java/fawndock/policy/event/EndpointUpdate.java
+++ b/src/main/java/fawndock/policy/event/EndpointUpdate.java
@@ -2,6 +2,11 @@
 
 import java.util.List;
 
-/** What discovery has to say about the servers. */
+/**
+ * What discovery says of the endpoints.
+ *
+ * @param kind how to read the list
+ * @param endpoints the endpoints
+ */
 public record EndpointUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints)
     implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/PolicyEvent.java
+++ b/src/main/java/fawndock/policy/event/PolicyEvent.java
@@ -1,6 +1,6 @@
 package fawndock.policy.event;
 
-/** Something that happened. */
+/** Something that happened, reported to the policy by its runner. */
 public sealed interface PolicyEvent
     permits EndpointUpdate,
         RequestArrived,
--- /dev/null
+++ b/src/main/java/fawndock/policy/event/package-info.java
@@ -0,0 +1,2 @@
+/** What has happened: the events that a policy's runner reports, in order. */
+package fawndock.policy.event;
