--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -9,48 +9,60 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one JSON value into maps, lists and plain values, and takes fields from them. */
+/** Parses JSON objects with typed access to their fields. Stateless; any thread. */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
 
-  /** One JSON object. */
+  /**
+   * One JSON object. Its accessors throw {@link MalformedMessageException} when a value is missing
+   * or of another type; those with a default return it when the value is missing or null.
+   */
   public record JsonObject(Map<String, Object> fields) {
+    /** Returns a required text. */
     public String text(String key) {
       return required(key, String.class);
     }
 
-    public String textOr(String key, String other) {
-      return has(key) ? required(key, String.class) : other;
+    /** Returns a text, or the default. */
+    public String textOr(String key, String defaultValue) {
+      return has(key) ? required(key, String.class) : defaultValue;
     }
 
+    /** Returns a required integer. */
     public long integer(String key) {
       return required(key, Number.class).longValue();
     }
 
-    public long integerOr(String key, long other) {
-      return has(key) ? integer(key) : other;
+    /** Returns an integer, or the default. */
+    public long integerOr(String key, long defaultValue) {
+      return has(key) ? integer(key) : defaultValue;
     }
 
-    public double numberOr(String key, double other) {
-      return has(key) ? required(key, Number.class).doubleValue() : other;
+    /** Returns a number, or the default. */
+    public double numberOr(String key, double defaultValue) {
+      return has(key) ? required(key, Number.class).doubleValue() : defaultValue;
     }
 
+    /** Returns a boolean; false when it is missing. */
     public boolean flag(String key) {
       return has(key) && required(key, Boolean.class);
     }
 
+    /** Returns a required object. */
     public JsonObject object(String key) {
       return required(key, JsonObject.class);
     }
 
+    /** Returns an object; an empty one when it is missing. */
     public JsonObject objectOr(String key) {
       return has(key) ? object(key) : new JsonObject(Map.of());
     }
 
+    /** Returns a required list of objects. */
     public List<JsonObject> objects(String key) {
       List<JsonObject> found = new ArrayList<>();
-      for (Object each : required(key, List.class)) {
-        if (!(each instanceof JsonObject obj)) {
+      for (Object element : required(key, List.class)) {
+        if (!(element instanceof JsonObject obj)) {
           throw new MalformedMessageException("'" + key + "' holds something other than an object");
         }
         found.add(obj);
@@ -58,15 +70,17 @@
       return found;
     }
 
+    /** Returns a list of objects; an empty one when it is missing. */
     public List<JsonObject> objectsOr(String key) {
       return has(key) ? objects(key) : List.of();
     }
 
+    /** Returns all fields. */
     public Map<String, Object> all() {
       return fields;
     }
 
-    /** Whether there is a value under this key. */
+    /** Returns whether there is a value, other than null, under this key. */
     public boolean has(String key) {
       return fields.get(key) != null;
     }
@@ -85,9 +99,14 @@
 
   private Json() {}
 
-  /** Reads a line that holds exactly one object. */
-  public static JsonObject parse(String line) throws IOException {
-    try (JsonParser parser = FACTORY.createParser(line)) {
+  /**
+   * Parses a text that holds exactly one object.
+   *
+   * @throws IOException when the text is not JSON
+   * @throws MalformedMessageException when it is something other than one object
+   */
+  public static JsonObject parse(String text) throws IOException {
+    try (JsonParser parser = FACTORY.createParser(text)) {
       parser.nextToken();
       Object value = value(parser);
       if (!(value instanceof JsonObject obj)) {
--- a/src/main/java/fawndock/platformconfig/MalformedMessageException.java
+++ b/src/main/java/fawndock/platformconfig/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package fawndock.platformconfig;
 
-/** What came in is not what the wire allows; the message says what is wrong. */
+/** A message or settings object that is not as its format has it; the message names the key. */
 public final class MalformedMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong, for a person. */
+  /** Creates an exception that says what was read and what is expected. */
   public MalformedMessageException(String message) {
     super(message);
   }
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -12,7 +12,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads the settings object and its words. */
+/**
+ * Reads the settings object, whose keys are in {@link SettingsKeys}, and the words that it shares
+ * with the protocols. Stateless.
+ */
 public final class SettingsReader {
   private static final Map<String, String> LOAD_NAMES =
       Map.of(
@@ -34,69 +37,85 @@
   /**
    * Reads the settings object.
    *
-   * @param seed of random numbers
+   * @param randomSeed of the policy's random numbers
+   * @throws MalformedMessageException when a required key is missing or a value is of another type
    */
-  public static PolicyConfig settings(JsonObject o, long seed) {
-    JsonObject caps = o.objectOr("caps");
-    JsonObject rules = o.objectOr("rules");
-    JsonObject extra = o.objectOr("extra");
+  public static PolicyConfig settings(JsonObject settings, long randomSeed) {
+    String discoveryMode =
+        settings.textOr(SettingsKeys.DISCOVERY_MODE, SettingsKeys.DISCOVERY_MODE_AUTOMATIC);
     return new PolicyConfig(
-        (int) o.integerOr("me", 0),
-        (int) o.integerOr("peers-total", 1),
-        seed,
-        o.integerOr("round-us", 1000),
-        o.textOr("locality", ""),
-        o.textOr("registry-mode", "automatic").equals("subscribe"),
-        o.objectsOr("classes").stream().map(SettingsReader::requestClass).toList(),
-        o.objectsOr("packages").stream().map(SettingsReader::plan).toList(),
-        new GatewayLimits(
-            (int) caps.integerOr("max-attempts", 1),
-            (int) caps.integerOr("max-open", Integer.MAX_VALUE),
-            caps.integerOr("max-retry-after-us", 0),
-            caps.flag("may-duplicate"),
-            caps.flag("cancel"),
-            caps.flag("probes"),
-            caps.flag("peers"),
-            caps.flag("retry-after")),
-        new ServiceRules(
-            rules.integerOr("grace-to-answer-us", 0),
-            rules.integerOr("drain-grace-us", 0),
-            rules.numberOr("cold-share", 1),
-            rules.integerOr("cold-us", 0),
-            rules.numberOr("fall-multiple", 1),
-            rules.integerOr("fall-us", 0),
-            rules.integerOr("ask-within-us", 0)),
-        new CounterConfig(
-            extra.flag("counter"), extra.integerOr("count-wait-us", 0), extra.flag("trued-up")));
+        (int) settings.integerOr(SettingsKeys.INSTANCE_INDEX, 0),
+        (int) settings.integerOr(SettingsKeys.INSTANCE_COUNT, 1),
+        randomSeed,
+        settings.integerOr(SettingsKeys.ROUND_TRIP_MICROS, 1_000),
+        settings.textOr(SettingsKeys.ZONE, ""),
+        discoveryMode.equals(SettingsKeys.DISCOVERY_MODE_WATCH),
+        settings.objectsOr(SettingsKeys.REQUEST_CLASSES).stream()
+            .map(SettingsReader::requestClass)
+            .toList(),
+        settings.objectsOr(SettingsKeys.PLANS).stream().map(SettingsReader::plan).toList(),
+        limits(settings.objectOr(SettingsKeys.LIMITS)),
+        rules(settings.objectOr(SettingsKeys.RULES)),
+        counter(settings.objectOr(SettingsKeys.EXTRAS)));
   }
 
-  private static RequestClass requestClass(JsonObject c) {
-    long deadline = c.integer("deadline-us");
+  private static GatewayLimits limits(JsonObject limits) {
+    return new GatewayLimits(
+        (int) limits.integerOr(SettingsKeys.MAX_ATTEMPTS, 1),
+        (int) limits.integerOr(SettingsKeys.MAX_IN_FLIGHT, Integer.MAX_VALUE),
+        limits.integerOr(SettingsKeys.MAX_RETRY_AFTER_MICROS, 0),
+        limits.flag(SettingsKeys.ALLOWS_HEDGING),
+        limits.flag(SettingsKeys.ALLOWS_CANCELLATION),
+        limits.flag(SettingsKeys.ALLOWS_HEALTH_CHECKS),
+        limits.flag(SettingsKeys.ALLOWS_PEER_MESSAGES),
+        limits.flag(SettingsKeys.ALLOWS_RETRY_AFTER));
+  }
+
+  private static ServiceRules rules(JsonObject rules) {
+    return new ServiceRules(
+        rules.integerOr(SettingsKeys.ANSWER_GRACE_MICROS, 0),
+        rules.integerOr(SettingsKeys.DRAIN_GRACE_MICROS, 0),
+        rules.numberOr(SettingsKeys.SLOW_START_INITIAL_RATIO, 1),
+        rules.integerOr(SettingsKeys.SLOW_START_MICROS, 0),
+        rules.numberOr(SettingsKeys.SLOW_START_OVERLOAD_RATIO, 1),
+        rules.integerOr(SettingsKeys.SLOW_START_OVERLOAD_WINDOW_MICROS, 0),
+        rules.integerOr(SettingsKeys.WATCH_WITHIN_MICROS, 0));
+  }
+
+  private static CounterConfig counter(JsonObject extras) {
+    return new CounterConfig(
+        extras.flag(SettingsKeys.HAS_COUNTER),
+        extras.integerOr(SettingsKeys.COUNTER_TIMEOUT_MICROS, 0),
+        extras.flag(SettingsKeys.SETTLES_UNITS));
+  }
+
+  private static RequestClass requestClass(JsonObject entry) {
+    long deadlineMicros = entry.integer(SettingsKeys.DEADLINE_MICROS);
     return new RequestClass(
-        c.text("name"),
-        c.integerOr("aim-us", deadline),
-        c.numberOr("aim-stretch", 0),
-        deadline,
-        c.numberOr("worth", 1),
-        c.numberOr("late-worth", 0),
-        constant(Idempotency.class, c.textOr("idempotency", "at_most_once")),
-        constant(DeduplicationScope.class, c.textOr("group", "cell")),
-        c.integerOr("window-us", 0),
-        c.flag("streaming"));
+        entry.text(SettingsKeys.NAME),
+        entry.integerOr(SettingsKeys.LATENCY_OBJECTIVE_MICROS, deadlineMicros),
+        entry.numberOr(SettingsKeys.LATENCY_OBJECTIVE_STRETCH, 0),
+        deadlineMicros,
+        entry.numberOr(SettingsKeys.CLASS_PRIORITY_WEIGHT, 1),
+        entry.numberOr(SettingsKeys.LATE_PRIORITY_WEIGHT, 0),
+        constant(Idempotency.class, entry.textOr(SettingsKeys.IDEMPOTENCY, "at_most_once")),
+        constant(DeduplicationScope.class, entry.textOr(SettingsKeys.DEDUPLICATION_SCOPE, "cell")),
+        entry.integerOr(SettingsKeys.DEDUPLICATION_WINDOW_MICROS, 0),
+        entry.flag(SettingsKeys.IS_STREAMED));
   }
 
-  private static Plan plan(JsonObject p) {
+  private static Plan plan(JsonObject entry) {
     return new Plan(
-        p.text("name"),
-        p.numberOr("rate", 0),
-        p.numberOr("store-size", 0),
-        (int) p.integerOr("concurrency", 0),
-        p.numberOr("pays", 1),
-        p.numberOr("extra-worth", 0),
-        p.numberOr("over-cost", 0),
-        p.numberOr("hard-rate", 0),
-        p.numberOr("ceiling-burst", 0),
-        p.numberOr("tolerance", 0));
+        entry.text(SettingsKeys.NAME),
+        entry.numberOr(SettingsKeys.UNITS_PER_SECOND, 0),
+        entry.numberOr(SettingsKeys.BURST_UNITS, 0),
+        (int) entry.integerOr(SettingsKeys.MAX_CONCURRENT, 0),
+        entry.numberOr(SettingsKeys.PLAN_PRIORITY_WEIGHT, 1),
+        entry.numberOr(SettingsKeys.OVER_QUOTA_VALUE, 0),
+        entry.numberOr(SettingsKeys.OVER_QUOTA_COST, 0),
+        entry.numberOr(SettingsKeys.CEILING_UNITS_PER_SECOND, 0),
+        entry.numberOr(SettingsKeys.CEILING_BURST_UNITS, 0),
+        entry.numberOr(SettingsKeys.CEILING_TOLERANCE_UNITS, 0));
   }
 
   /** A load report under the names that decisions know; what they do not know is left out. */
@@ -116,11 +135,15 @@
     return load;
   }
 
-  /** The constant that a word names, whatever its case. */
+  /**
+   * Returns the constant that a word names, whatever its case.
+   *
+   * @throws MalformedMessageException when there is none
+   */
   public static <T extends Enum<T>> T constant(Class<T> type, String word) {
-    for (T each : type.getEnumConstants()) {
-      if (each.name().equalsIgnoreCase(word)) {
-        return each;
+    for (T constant : type.getEnumConstants()) {
+      if (constant.name().equalsIgnoreCase(word)) {
+        return constant;
       }
     }
     throw new MalformedMessageException("unknown word '" + word + "'");
--- a/src/main/java/fawndock/platformconfig/package-info.java
+++ b/src/main/java/fawndock/platformconfig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings object that a gatekeeper is started with, and its words, as the simulator and the
- * platform both write them. Plain JSON in, the interface's types out; opens nothing.
+ * The JSON settings object that a gateway instance is started with, as the simulator and the
+ * platform both write it. JSON in, the policy's configuration out; opens nothing.
  */
 package fawndock.platformconfig;
--- a/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
@@ -1,5 +1,15 @@
 package fawndock.simulatoradapter;
 
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_ATTACH;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_KILLED;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ACTIONS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_EVENTS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_INSTANCE;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_NOW_MICROS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_RANDOM_SEED;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_SETTINGS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_TYPE;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -27,63 +37,68 @@
 import java.util.function.Function;
 
 /**
- * Hosts many gatekeepers on the simulator's wire: one line of events in, one line of actions out.
+ * Runs the policies of many gateway instances for the external simulator: one line of events in,
+ * one line of actions out. One thread at a time.
  */
 public final class SimulatorAdapter {
-  private static final int MALFORMED = 1;
-  private final JsonFactory factory = new JsonFactory();
+  private static final int EXIT_END_OF_INPUT = 0;
+  private static final int EXIT_MALFORMED_INPUT = 1;
+
+  private final JsonFactory jsonFactory = new JsonFactory();
   private final Map<Integer, GatewayPolicy> policies = new TreeMap<>();
   private final Function<PolicyConfig, GatewayPolicy> policyFactory;
 
-  /** Hosts the project's own module. */
+  /** Runs {@link DefaultGatewayPolicy}. */
   public SimulatorAdapter() {
     this(DefaultGatewayPolicy::new);
   }
 
-  /** Hosts the gatekeepers that the maker makes. */
-  SimulatorAdapter(Function<PolicyConfig, GatewayPolicy> maker) {
-    this.policyFactory = maker;
+  /** Runs the policies that the factory makes. */
+  SimulatorAdapter(Function<PolicyConfig, GatewayPolicy> policyFactory) {
+    this.policyFactory = policyFactory;
   }
 
-  /** Answers each line until the input ends; returns the exit code. */
+  /**
+   * Answers each line until the input ends or is malformed; the latter is reported on {@code err}
+   * in one line.
+   *
+   * @return the exit code
+   */
   public int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
     BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
     BufferedWriter replies =
         new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8));
-    long number = 0;
+    long lineNumber = 0;
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      number++;
+      lineNumber++;
       String reply;
       try {
-        reply = reply(line);
+        reply = process(line);
       } catch (JsonProcessingException e) {
-        err.println(
-            "line "
-                + number
-                + ": malformed JSON: "
-                + e.getOriginalMessage().lines().findFirst().orElse(""));
-        return MALFORMED;
+        String problem = e.getOriginalMessage().lines().findFirst().orElse("");
+        err.println("line " + lineNumber + ": malformed JSON: " + problem);
+        return EXIT_MALFORMED_INPUT;
       } catch (MalformedMessageException e) {
-        err.println("line " + number + ": " + e.getMessage());
-        return MALFORMED;
+        err.println("line " + lineNumber + ": " + e.getMessage());
+        return EXIT_MALFORMED_INPUT;
       }
       replies.write(reply);
       replies.write('\n');
       replies.flush();
     }
-    return 0;
+    return EXIT_END_OF_INPUT;
   }
 
-  private String reply(String line) throws IOException {
+  private String process(String line) throws IOException {
     JsonObject batch = Json.parse(line);
-    long now = batch.integer("now-us");
+    long nowMicros = batch.integer(FIELD_NOW_MICROS);
     StringWriter text = new StringWriter();
-    try (JsonGenerator json = factory.createGenerator(text)) {
+    try (JsonGenerator json = jsonFactory.createGenerator(text)) {
       json.writeStartObject();
-      json.writeArrayFieldStart("output");
+      json.writeArrayFieldStart(FIELD_ACTIONS);
       SimulatorActionWriter writer = new SimulatorActionWriter(json);
-      for (JsonObject event : batch.objects("happened")) {
-        answer(now, event, writer);
+      for (JsonObject event : batch.objects(FIELD_EVENTS)) {
+        process(nowMicros, event, writer);
       }
       json.writeEndArray();
       json.writeEndObject();
@@ -91,32 +106,44 @@
     return text.toString();
   }
 
-  private void answer(long now, JsonObject event, SimulatorActionWriter writer) throws IOException {
-    String what = event.text("what");
-    int instance = (int) event.integer("i");
-    if (what.equals("Killed")) {
-      policies.remove(instance);
+  private void process(long nowMicros, JsonObject event, SimulatorActionWriter writer)
+      throws IOException {
+    String type = event.text(FIELD_TYPE);
+    int instance = (int) event.integer(FIELD_INSTANCE);
+    switch (type) {
+      case EVENT_KILLED -> policies.remove(instance);
+      case EVENT_ATTACH -> {
+        PolicyConfig config =
+            SettingsReader.settings(
+                event.object(FIELD_SETTINGS), event.integerOr(FIELD_RANDOM_SEED, 0));
+        attach(instance, config, writer);
+      }
+      default -> dispatch(nowMicros, instance, SimulatorEventReader.decode(type, event), writer);
+    }
+  }
+
+  private void attach(int instance, PolicyConfig config, SimulatorActionWriter writer)
+      throws IOException {
+    try {
+      policies.put(instance, policyFactory.apply(config));
+    } catch (RuntimeException | StackOverflowError e) {
+      writer.writeException(instance, e); // The simulator judges a policy that throws.
+    }
+  }
+
+  private void dispatch(
+      long nowMicros, int instance, PolicyEvent event, SimulatorActionWriter writer)
+      throws IOException {
+    GatewayPolicy policy = policies.get(instance);
+    if (policy == null) {
       return;
     }
-    PolicyConfig settings =
-        what.equals("Attach")
-            ? SettingsReader.settings(event.object("options"), event.integerOr("rng-seed", 0))
-            : null;
-    PolicyEvent translated = settings == null ? SimulatorEventReader.event(what, event) : null;
     try {
-      if (settings != null) {
-        policies.put(instance, policyFactory.apply(settings));
-        return;
-      }
-      GatewayPolicy gatekeeper = policies.get(instance);
-      if (gatekeeper == null) {
-        return;
-      }
-      for (PolicyAction action : gatekeeper.onEvent(now, translated)) {
+      for (PolicyAction action : policy.onEvent(nowMicros, event)) {
         writer.write(instance, action);
       }
     } catch (RuntimeException | StackOverflowError e) {
-      writer.exception(instance, e);
+      writer.writeException(instance, e); // The simulator judges a policy that throws.
     }
   }
 }
--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -1,5 +1,57 @@
 package fawndock.simulatoradapter;
 
+import static fawndock.simulatoradapter.SimulatorProtocol.ATTRIBUTE_RETRY;
+import static fawndock.simulatoradapter.SimulatorProtocol.DEFAULT_ENDPOINT_STATE;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_ATTEMPT_COMPLETED;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_CLIENT_DISCONNECTED;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_COUNTER_REPLY;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_ENDPOINT_UPDATE;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_HEALTH_CHECK_COMPLETED;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_PEER_MESSAGE;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_REQUEST;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_RESPONSE_STARTED;
+import static fawndock.simulatoradapter.SimulatorProtocol.EVENT_TIMER_FIRED;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ATTEMPT_INDEX;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ATTRIBUTES;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_CELL;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_COUNTER;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_CUSTOMER;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_DURATION_MICROS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ENDPOINT;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ENDPOINTS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ENDPOINT_STATE;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_FIRST_INSTANCE;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_INSTANCE_COUNT;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_IS_REQUEST_COMPLETED;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_LIST_KIND;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_LOAD_REPORT;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_MESSAGE;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_PLAN;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_REQUEST_CLASS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_REQUEST_DEADLINE_MICROS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_REQUEST_ID;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_RESULT;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_SENDER;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_STARTED_AT_MICROS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_TIMER;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_TOTAL;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_UNITS;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_UNITS_USED;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_WEIGHT;
+import static fawndock.simulatoradapter.SimulatorProtocol.FIELD_ZONE;
+import static fawndock.simulatoradapter.SimulatorProtocol.LIST_CACHED;
+import static fawndock.simulatoradapter.SimulatorProtocol.LIST_CHANGES;
+import static fawndock.simulatoradapter.SimulatorProtocol.LIST_FAILED;
+import static fawndock.simulatoradapter.SimulatorProtocol.LIST_SNAPSHOT;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_CANCELLED;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_CONNECT_FAILED;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_ERROR;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_NOT_SENT;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_OK;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_RESET;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_SHED;
+import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_TIMEOUT;
+
 import fawndock.platformconfig.Json.JsonObject;
 import fawndock.platformconfig.MalformedMessageException;
 import fawndock.platformconfig.SettingsReader;
@@ -18,91 +70,102 @@
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
 
-/** Translates the wire's events into the interface's. */
+/** Decodes events of the simulator's line protocol into events of the policy. */
 final class SimulatorEventReader {
-  private static final int REPEAT_BIT = 2;
-
   private SimulatorEventReader() {}
 
-  static PolicyEvent event(String what, JsonObject e) {
-    return switch (what) {
-      case "Call" ->
+  /**
+   * Decodes an event.
+   *
+   * @param type the event's type on the wire
+   * @throws MalformedMessageException when the type or a field is not as the protocol has it
+   */
+  static PolicyEvent decode(String type, JsonObject event) {
+    return switch (type) {
+      case EVENT_REQUEST ->
           new RequestArrived(
-              e.integer("op-id"),
-              e.text("class"),
-              e.text("tariff"),
-              e.text("customer"),
-              e.integer("give-up-at-us"),
-              e.numberOr("price-units", 1),
-              (int) e.integerOr("doors", 1),
-              (int) e.integerOr("base", 0),
-              (e.integerOr("attrs", 0) & REPEAT_BIT) != 0);
-      case "AttemptEnd" ->
+              event.integer(FIELD_REQUEST_ID),
+              event.text(FIELD_REQUEST_CLASS),
+              event.text(FIELD_PLAN),
+              event.text(FIELD_CUSTOMER),
+              event.integer(FIELD_REQUEST_DEADLINE_MICROS),
+              event.numberOr(FIELD_UNITS, 1),
+              (int) event.integerOr(FIELD_INSTANCE_COUNT, 1),
+              (int) event.integerOr(FIELD_FIRST_INSTANCE, 0),
+              (event.integerOr(FIELD_ATTRIBUTES, 0) & ATTRIBUTE_RETRY) != 0);
+      case EVENT_ATTEMPT_COMPLETED ->
           new AttemptCompleted(
-              e.integer("op-id"),
-              (int) e.integerOr("try", 0),
-              e.text("worker"),
-              e.integerOr("duration-us", 0),
-              result(e.text("verdict")),
-              e.flag("terminal"),
-              e.numberOr("charged", 0),
-              SettingsReader.load(e.objectOr("stats")));
-      case "Started" ->
-          new ResponseStarted(e.integer("op-id"), (int) e.integerOr("try", 0), e.text("worker"));
-      case "HealthResult" ->
+              event.integer(FIELD_REQUEST_ID),
+              (int) event.integerOr(FIELD_ATTEMPT_INDEX, 0),
+              event.text(FIELD_ENDPOINT),
+              event.integerOr(FIELD_DURATION_MICROS, 0),
+              result(event.text(FIELD_RESULT)),
+              event.flag(FIELD_IS_REQUEST_COMPLETED),
+              event.numberOr(FIELD_UNITS_USED, 0),
+              SettingsReader.load(event.objectOr(FIELD_LOAD_REPORT)));
+      case EVENT_RESPONSE_STARTED ->
+          new ResponseStarted(
+              event.integer(FIELD_REQUEST_ID),
+              (int) event.integerOr(FIELD_ATTEMPT_INDEX, 0),
+              event.text(FIELD_ENDPOINT));
+      case EVENT_HEALTH_CHECK_COMPLETED ->
           new HealthCheckCompleted(
-              e.text("worker"),
-              e.integerOr("duration-us", 0),
-              result(e.text("verdict")),
-              SettingsReader.load(e.objectOr("stats")));
-      case "LedgerReply" ->
+              event.text(FIELD_ENDPOINT),
+              event.integerOr(FIELD_DURATION_MICROS, 0),
+              result(event.text(FIELD_RESULT)),
+              SettingsReader.load(event.objectOr(FIELD_LOAD_REPORT)));
+      case EVENT_COUNTER_REPLY ->
           new CounterReply(
-              e.text("book"),
-              result(e.text("verdict")),
-              e.numberOr("level", 0),
-              e.integerOr("duration-us", 0));
-      case "Expired" -> new ClientDisconnected(e.integer("op-id"));
-      case "Timer" -> new TimerFired(TimerCodec.decode(e.text("cookie")));
-      case "Mail" -> new PeerMessageReceived((int) e.integer("from"), e.text("body"));
-      case "Registry" ->
+              event.text(FIELD_COUNTER),
+              result(event.text(FIELD_RESULT)),
+              event.numberOr(FIELD_TOTAL, 0),
+              event.integerOr(FIELD_DURATION_MICROS, 0));
+      case EVENT_CLIENT_DISCONNECTED -> new ClientDisconnected(event.integer(FIELD_REQUEST_ID));
+      case EVENT_TIMER_FIRED -> new TimerFired(TimerCodec.decode(event.text(FIELD_TIMER)));
+      case EVENT_PEER_MESSAGE ->
+          new PeerMessageReceived((int) event.integer(FIELD_SENDER), event.text(FIELD_MESSAGE));
+      case EVENT_ENDPOINT_UPDATE ->
           new EndpointUpdate(
-              listing(e.text("kind")),
-              e.objectsOr("members-list").stream().map(SimulatorEventReader::server).toList());
-      default -> throw new MalformedMessageException("unknown event '" + what + "'");
+              updateKind(event.text(FIELD_LIST_KIND)),
+              event.objectsOr(FIELD_ENDPOINTS).stream()
+                  .map(SimulatorEventReader::endpoint)
+                  .toList());
+      default -> throw new MalformedMessageException("unknown event '" + type + "'");
     };
   }
 
-  private static Endpoint server(JsonObject s) {
+  private static Endpoint endpoint(JsonObject entry) {
     return new Endpoint(
-        s.text("worker"),
-        s.textOr("site", ""),
-        (int) s.integerOr("pod", 0),
-        SettingsReader.constant(EndpointState.class, s.textOr("availability", "Running")),
-        s.numberOr("power-hint", 1),
-        s.integerOr("start-time-us", 0));
+        entry.text(FIELD_ENDPOINT),
+        entry.textOr(FIELD_ZONE, ""),
+        (int) entry.integerOr(FIELD_CELL, 0),
+        SettingsReader.constant(
+            EndpointState.class, entry.textOr(FIELD_ENDPOINT_STATE, DEFAULT_ENDPOINT_STATE)),
+        entry.numberOr(FIELD_WEIGHT, 1),
+        entry.integerOr(FIELD_STARTED_AT_MICROS, 0));
   }
 
-  private static EndpointUpdateKind listing(String kind) {
+  private static EndpointUpdateKind updateKind(String kind) {
     return switch (kind) {
-      case "delta" -> EndpointUpdateKind.CHANGES;
-      case "full" -> EndpointUpdateKind.SNAPSHOT;
-      case "cached" -> EndpointUpdateKind.CACHED;
-      case "failed" -> EndpointUpdateKind.FAILED;
+      case LIST_CHANGES -> EndpointUpdateKind.CHANGES;
+      case LIST_SNAPSHOT -> EndpointUpdateKind.SNAPSHOT;
+      case LIST_CACHED -> EndpointUpdateKind.CACHED;
+      case LIST_FAILED -> EndpointUpdateKind.FAILED;
       default -> throw new MalformedMessageException("unknown list kind '" + kind + "'");
     };
   }
 
-  private static CallResult result(String verdict) {
-    return switch (verdict) {
-      case "delivered" -> CallResult.OK;
-      case "app_error" -> CallResult.ERROR;
-      case "shed" -> CallResult.SHED;
-      case "expired" -> CallResult.TIMEOUT;
-      case "dial_failed" -> CallResult.CONNECT_FAILED;
-      case "dropped" -> CallResult.RESET;
-      case "revoked" -> CallResult.CANCELLED;
-      case "unused" -> CallResult.NOT_SENT;
-      default -> throw new MalformedMessageException("unknown verdict '" + verdict + "'");
+  private static CallResult result(String word) {
+    return switch (word) {
+      case RESULT_OK -> CallResult.OK;
+      case RESULT_ERROR -> CallResult.ERROR;
+      case RESULT_SHED -> CallResult.SHED;
+      case RESULT_TIMEOUT -> CallResult.TIMEOUT;
+      case RESULT_CONNECT_FAILED -> CallResult.CONNECT_FAILED;
+      case RESULT_RESET -> CallResult.RESET;
+      case RESULT_CANCELLED -> CallResult.CANCELLED;
+      case RESULT_NOT_SENT -> CallResult.NOT_SENT;
+      default -> throw new MalformedMessageException("unknown verdict '" + word + "'");
     };
   }
 }
