--- a/src/main/java/fawndock/counter/FileStorage.java
+++ b/src/main/java/fawndock/counter/FileStorage.java
@@ -1,6 +1,7 @@
 package fawndock.counter;
 
 import fawndock.counter.storage.Storage;
+import fawndock.counter.storage.StorageInUseException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -44,7 +45,7 @@
     }
     if (lock == null) {
       lockFile.close();
-      throw new IOException(directory + " is in use by another counter");
+      throw new StorageInUseException(directory.toString());
     }
   }
 
--- a/src/main/java/fawndock/counter/storage/CounterOperations.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -38,7 +38,7 @@
 
   /** Most bytes of changes that a command on such a name notes. */
   public static long maxChangeBytes(byte[] name) {
-    return 19L + name.length;
+    return (long) ChangeRecord.AMOUNT_CHANGE_OVERHEAD_BYTES + name.length;
   }
 
   /**
--- a/src/main/java/fawndock/counter/storage/LogVerifier.java
+++ b/src/main/java/fawndock/counter/storage/LogVerifier.java
@@ -4,26 +4,23 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
-import java.util.TreeMap;
 
-/** Looks through a log without starting on it, and cuts a damaged one on the operator's word. */
+/**
+ * Checks a log without starting on it, by the rules of {@link Recovery}, and cuts a damaged one on
+ * the operator's word.
+ */
 public final class LogVerifier {
-  /** How a file is. */
-  public enum FileState {
-    WHOLE,
-    TORN,
-    DAMAGED,
-    UNFINISHED,
-    COVERED
-  }
-
   /**
    * What was found of one file.
    *
-   * @param firstRecord its first record, 0 for none
-   * @param lastRecord its last whole record
+   * @param file its name
+   * @param state by the rules of the log
+   * @param firstRecord its first record
+   * @param lastRecord its last whole record; below the first when there is none
    * @param wholeBytes where the first bytes are that are not whole, or its size
+   * @param sizeBytes its size
    * @param problem what is wrong, empty when nothing is
    */
   public record FileReport(
@@ -34,207 +31,202 @@
       long wholeBytes,
       long sizeBytes,
       String problem) {
-    /** The verdict as a line. */
+    static FileReport of(StoredFileScan scan, FileState state, String problem) {
+      return new FileReport(
+          scan.name(),
+          state,
+          scan.firstRecord(),
+          scan.lastRecord(),
+          scan.wholeBytes(),
+          scan.sizeBytes(),
+          problem);
+    }
+
+    FileReport withState(FileState other) {
+      return new FileReport(file, other, firstRecord, lastRecord, wholeBytes, sizeBytes, problem);
+    }
+
+    /** The report as a line. */
     public String describe() {
       return file
           + ": "
-          + state.name().toLowerCase(java.util.Locale.ROOT)
+          + state.name().toLowerCase(Locale.ROOT)
           + ", "
-          + (lastRecord < firstRecord
-              ? "no records"
-              : "records " + firstRecord + " to " + lastRecord)
+          + describeRecords()
           + ", "
           + sizeBytes
           + " bytes"
           + (problem.isEmpty() ? "" : ", " + problem + " at offset " + wholeBytes);
     }
+
+    String describeRecords() {
+      return lastRecord < firstRecord
+          ? "no records"
+          : "records " + firstRecord + " to " + lastRecord;
+    }
+
+    boolean isSegment() {
+      return LogFormat.FileKind.SEGMENT.sequenceOf(file) >= 0;
+    }
   }
 
-  /** Is told of each record before its changes. */
+  /** Is called with each record before its changes. */
+  @FunctionalInterface
   public interface RecordListener {
-    void onRecord(long sequence, long time);
+    void onRecord(long sequence, long timeMillis);
   }
 
-  private static final int PIECE = 1 << 20;
+  /** Added to the name of a file that is set aside. */
+  private static final String SET_ASIDE_SUFFIX = ".cut";
+
+  private static final int COPY_BUFFER_BYTES = 1 << 20;
+
+  private static final ChangeRecord.Visitor NO_VISITOR =
+      new ChangeRecord.Visitor() {
+        @Override
+        public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {}
+
+        @Override
+        public void onDeleted(byte[] name) {}
+
+        @Override
+        public void onSnapshotEnd(long names) {}
+      };
 
   private LogVerifier() {}
 
-  /** All files, snapshots first, each in the order of their sequences. */
-  public static List<FileReport> verify(Storage disk) throws IOException {
-    List<FileReport> all = new ArrayList<>();
-    long base = 0;
+  /** Reports on all files, snapshots first, each in the order of their sequences. */
+  public static List<FileReport> verify(Storage storage) throws IOException {
+    List<FileReport> reports = new ArrayList<>();
+    long baseSequence = verifySnapshots(storage, reports);
+    verifySegments(storage, baseSequence, reports);
+    if (storage.list().contains(SnapshotWriter.UNFINISHED_FILE)) {
+      reports.add(unfinishedSnapshot(storage));
+    }
+    return reports;
+  }
+
+  /** Returns the last record that the newest whole snapshot covers, 0 for none. */
+  private static long verifySnapshots(Storage storage, List<FileReport> reports)
+      throws IOException {
+    long baseSequence = 0;
     for (Map.Entry<Long, String> each :
-        Recovery.files(disk, LogFormat.FileKind.SNAPSHOT).entrySet()) {
-      FileReport v =
-          verifyFile(disk, each.getValue(), LogFormat.FileKind.SNAPSHOT, each.getKey(), 1);
-      boolean ended = v.state == FileState.WHOLE && hasMatchingEnd(disk, each.getValue());
-      all.add(
-          ended
-              ? v
-              : new FileReport(
-                  v.file,
-                  FileState.DAMAGED,
-                  v.firstRecord,
-                  v.lastRecord,
-                  v.wholeBytes,
-                  v.sizeBytes,
-                  v.problem.isEmpty() ? "no end" : v.problem));
-      base = ended ? each.getKey() : base;
+        LogFormat.FileKind.SNAPSHOT.filesBySequence(storage).entrySet()) {
+      FileReport report = verifySnapshot(storage, each.getValue());
+      reports.add(report);
+      baseSequence = report.state() == FileState.WHOLE ? each.getKey() : baseSequence;
     }
-    // An older whole snapshot makes up for a damaged one as long as its segments are there.
-    if (base > 0) {
-      long whole = base;
-      all.replaceAll(
-          v ->
-              v.state == FileState.DAMAGED && LogFormat.FileKind.SNAPSHOT.sequenceOf(v.file) < whole
-                  ? new FileReport(
-                      v.file,
-                      FileState.COVERED,
-                      v.firstRecord,
-                      v.lastRecord,
-                      v.wholeBytes,
-                      v.sizeBytes,
-                      v.problem)
-                  : v);
+    if (baseSequence > 0) {
+      // An older whole snapshot makes up for a damaged one as long as its segments are there.
+      long whole = baseSequence;
+      reports.replaceAll(
+          each ->
+              each.state() == FileState.DAMAGED
+                      && LogFormat.FileKind.SNAPSHOT.sequenceOf(each.file()) < whole
+                  ? each.withState(FileState.COVERED)
+                  : each);
     }
-    TreeMap<Long, String> segments = Recovery.files(disk, LogFormat.FileKind.SEGMENT);
-    Long from = segments.floorKey(base + 1);
-    long expected = from == null ? base + 1 : from;
-    for (Map.Entry<Long, String> each : segments.entrySet()) {
-      FileReport v =
-          verifyFile(
-              disk, each.getValue(), LogFormat.FileKind.SEGMENT, each.getKey(), each.getKey());
-      if (from != null && each.getKey() < from) {
-        v =
-            new FileReport(
-                v.file,
-                FileState.COVERED,
-                v.firstRecord,
-                v.lastRecord,
-                v.wholeBytes,
-                v.sizeBytes,
-                v.problem);
-      } else if (each.getKey() != expected) {
-        v =
-            new FileReport(
-                v.file,
-                FileState.DAMAGED,
-                v.firstRecord,
-                v.lastRecord,
-                0,
-                v.sizeBytes,
-                "records " + expected + " to " + (each.getKey() - 1) + " are missing before it,");
-      } else if (v.state == FileState.TORN && !each.getKey().equals(segments.lastKey())) {
-        v =
-            new FileReport(
-                v.file,
-                FileState.DAMAGED,
-                v.firstRecord,
-                v.lastRecord,
-                v.wholeBytes,
-                v.sizeBytes,
-                v.problem);
-      }
-      expected = v.state == FileState.COVERED ? expected : v.lastRecord + 1;
-      all.add(v);
+    return baseSequence;
+  }
+
+  private static FileReport verifySnapshot(Storage storage, String name) throws IOException {
+    SnapshotEndCheck check = new SnapshotEndCheck(NO_VISITOR);
+    boolean[] hasBadChange = {false};
+    StoredFileScan scan =
+        StoredFileScan.scan(
+            storage,
+            LogFormat.FileKind.SNAPSHOT,
+            name,
+            reader -> {
+              try {
+                ChangeRecord.visitBody(reader.body(), check);
+              } catch (IllegalArgumentException e) {
+                hasBadChange[0] = true; // Reported as a snapshot without its end.
+              }
+            });
+    if (scan.state() == FileState.WHOLE && check.isComplete() && !hasBadChange[0]) {
+      return FileReport.of(scan, FileState.WHOLE, "");
     }
-    if (disk.list().contains(SnapshotWriter.UNFINISHED_FILE)) {
-      try (Storage.File file = disk.open(SnapshotWriter.UNFINISHED_FILE)) {
-        all.add(
-            new FileReport(
-                SnapshotWriter.UNFINISHED_FILE,
-                FileState.UNFINISHED,
-                1,
-                0,
-                file.size(),
-                file.size(),
-                ""));
-      }
+    String problem = scan.state() == FileState.WHOLE ? "no end" : problem(scan);
+    return FileReport.of(scan, FileState.DAMAGED, problem);
+  }
+
+  private static String problem(StoredFileScan scan) {
+    if (!scan.hasHeader()) {
+      return "no file header";
     }
-    return all;
+    String what = scan.state() == FileState.DAMAGED ? "damaged" : "torn";
+    return what + " record " + (scan.lastRecord() + 1);
   }
 
-  private static FileReport verifyFile(
-      Storage disk, String name, LogFormat.FileKind kind, long sequence, long first)
+  private static void verifySegments(Storage storage, long baseSequence, List<FileReport> reports)
       throws IOException {
-    try (Storage.File file = disk.open(name)) {
-      RecordReader reader = new RecordReader(file, first);
-      if (!reader.matchesHeader(kind, sequence)) {
-        return new FileReport(
-            name,
-            reader.hasLaterWholeRecord() ? FileState.DAMAGED : FileState.TORN,
-            first,
-            first - 1,
-            0,
-            reader.sizeBytes(),
-            "no file header");
-      }
-      while (reader.next()) {
-        // Goes to the end, or to what is not whole.
+    SegmentChain chain = SegmentChain.after(storage, baseSequence);
+    long expectedFirst = chain.firstNeeded() == null ? baseSequence + 1 : chain.firstNeeded();
+    for (Map.Entry<Long, String> each : chain.all().entrySet()) {
+      FileReport report = verifySegment(storage, chain, each, expectedFirst);
+      if (report.state() != FileState.COVERED) {
+        expectedFirst = report.lastRecord() + 1;
       }
-      if (reader.offset() == reader.sizeBytes()) {
-        return new FileReport(
-            name,
-            FileState.WHOLE,
-            first,
-            reader.sequence(),
-            reader.sizeBytes(),
-            reader.sizeBytes(),
-            "");
-      }
-      boolean damaged = reader.hasLaterWholeRecord();
-      return new FileReport(
-          name,
-          damaged ? FileState.DAMAGED : FileState.TORN,
-          first,
-          reader.sequence(),
-          reader.offset(),
-          reader.sizeBytes(),
-          (damaged ? "damaged" : "torn") + " record " + (reader.sequence() + 1));
+      reports.add(report);
     }
   }
 
-  private static boolean hasMatchingEnd(Storage disk, String name) throws IOException {
-    long[] names = {0, -1};
-    dump(
-        disk,
-        name,
-        0,
-        (record, time) -> {},
-        new ChangeRecord.Visitor() {
-          @Override
-          public void onAmount(byte[] each, DecimalAmount amount, long expiry) {
-            names[0]++;
-          }
-
-          @Override
-          public void onDeleted(byte[] each) {}
+  private static FileReport verifySegment(
+      Storage storage, SegmentChain chain, Map.Entry<Long, String> segment, long expectedFirst)
+      throws IOException {
+    long first = segment.getKey();
+    StoredFileScan scan =
+        StoredFileScan.scan(storage, LogFormat.FileKind.SEGMENT, segment.getValue(), reader -> {});
+    String problem = scan.state() == FileState.WHOLE ? "" : problem(scan);
+    if (chain.isCovered(first)) {
+      return FileReport.of(scan, FileState.COVERED, problem);
+    }
+    if (first != expectedFirst) {
+      return new FileReport(
+          scan.name(),
+          FileState.DAMAGED,
+          scan.firstRecord(),
+          scan.lastRecord(),
+          0,
+          scan.sizeBytes(),
+          SegmentChain.missingRecords(expectedFirst, first) + "it,");
+    }
+    return FileReport.of(scan, scan.stateInLog(chain.isNewest(first)), problem);
+  }
 
-          @Override
-          public void onSnapshotEnd(long many) {
-            names[1] = many;
-          }
-        });
-    return names[0] == names[1];
+  private static FileReport unfinishedSnapshot(Storage storage) throws IOException {
+    try (Storage.File file = storage.open(SnapshotWriter.UNFINISHED_FILE)) {
+      long size = file.size();
+      return new FileReport(
+          SnapshotWriter.UNFINISHED_FILE, FileState.UNFINISHED, 1, 0, size, size, "");
+    }
   }
 
-  /** Tells the records of one file; returns what is wrong after the last whole one, or nothing. */
+  /**
+   * Shows the records of one file, from a sequence on; returns what is wrong after the last whole
+   * one, or an empty text.
+   */
   public static String dump(
-      Storage disk, String name, long from, RecordListener records, ChangeRecord.Visitor changes)
+      Storage storage,
+      String name,
+      long fromSequence,
+      RecordListener records,
+      ChangeRecord.Visitor changes)
       throws IOException {
-    boolean snapshot = LogFormat.FileKind.SNAPSHOT.sequenceOf(name) >= 0;
-    LogFormat.FileKind kind = snapshot ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
+    boolean isSnapshot = LogFormat.FileKind.SNAPSHOT.sequenceOf(name) >= 0;
+    LogFormat.FileKind kind = isSnapshot ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
     long sequence = kind.sequenceOf(name);
     if (sequence < 0) {
       return "expected a segment or a snapshot by its name";
     }
-    try (Storage.File file = disk.open(name)) {
-      RecordReader reader = new RecordReader(file, snapshot ? 1 : sequence);
+    try (Storage.File file = storage.open(name)) {
+      RecordReader reader = new RecordReader(file, isSnapshot ? 1 : sequence);
       if (!reader.matchesHeader(kind, sequence)) {
         return "no file header";
       }
       while (reader.next()) {
-        if (reader.sequence() >= from) {
+        if (reader.sequence() >= fromSequence) {
           records.onRecord(reader.sequence(), reader.body().getLong());
           try {
             ChangeRecord.visitBody(reader.body(), changes);
@@ -251,59 +243,60 @@
 
   /**
    * Cuts the log before its first damaged record, and sets aside the segments after it and damaged
-   * snapshots. Returns the steps, a line each; takes them only when told to.
+   * snapshots. Returns the steps, a line each.
+   *
+   * @param isConfirmed whether to take the steps
    */
-  public static List<String> truncate(Storage disk, boolean really) throws IOException {
+  public static List<String> truncate(Storage storage, boolean isConfirmed) throws IOException {
     List<String> steps = new ArrayList<>();
-    boolean cut = false;
-    for (FileReport v : verify(disk)) {
-      boolean segment = LogFormat.FileKind.SEGMENT.sequenceOf(v.file) >= 0;
-      if (v.state != FileState.DAMAGED && !(cut && segment)) {
+    boolean isCut = false;
+    for (FileReport report : verify(storage)) {
+      boolean isSegment = report.isSegment();
+      if (report.state() != FileState.DAMAGED && !(isCut && isSegment)) {
         continue;
       }
-      if (segment && !cut && v.wholeBytes > 0) {
-        steps.add(
-            v.file
-                + ": cut from "
-                + v.sizeBytes
-                + " to "
-                + v.wholeBytes
-                + " bytes, after record "
-                + v.lastRecord);
-        if (really) {
-          cutOff(disk, v);
+      if (isSegment && !isCut && report.wholeBytes() > 0) {
+        steps.add(describeCut(report));
+        if (isConfirmed) {
+          cutOff(storage, report);
         }
       } else {
-        steps.add(
-            v.file
-                + ": set aside, "
-                + (v.lastRecord < v.firstRecord
-                    ? "no records"
-                    : "records " + v.firstRecord + " to " + v.lastRecord));
-        if (really) {
-          disk.rename(v.file, v.file + ".cut");
+        steps.add(report.file() + ": set aside, " + report.describeRecords());
+        if (isConfirmed) {
+          storage.rename(report.file(), report.file() + SET_ASIDE_SUFFIX);
         }
       }
-      cut |= segment;
+      isCut |= isSegment;
     }
-    if (really) {
-      disk.sync();
+    if (isConfirmed) {
+      storage.sync();
     }
     return steps;
   }
 
-  /** Copies what is after the offset to a file beside it, then cuts it. */
-  private static void cutOff(Storage disk, FileReport v) throws IOException {
-    try (Storage.File file = disk.open(v.file);
-        Storage.File rest = disk.create(v.file + ".cut")) {
-      ByteBuffer piece = ByteBuffer.allocate(PIECE);
-      for (long at = v.wholeBytes; at < v.sizeBytes; at += piece.limit()) {
-        file.read(piece.clear(), at);
-        rest.write(piece.flip(), at - v.wholeBytes);
+  private static String describeCut(FileReport report) {
+    return report.file()
+        + ": cut from "
+        + report.sizeBytes()
+        + " to "
+        + report.wholeBytes()
+        + " bytes, after record "
+        + report.lastRecord();
+  }
+
+  /** Copies what is after the whole bytes to a file beside it, then cuts it. */
+  private static void cutOff(Storage storage, FileReport report) throws IOException {
+    try (Storage.File file = storage.open(report.file());
+        Storage.File rest = storage.create(report.file() + SET_ASIDE_SUFFIX)) {
+      ByteBuffer buffer = ByteBuffer.allocate(COPY_BUFFER_BYTES);
+      long from = report.wholeBytes();
+      for (long at = from; at < report.sizeBytes(); at += buffer.limit()) {
+        file.read(buffer.clear(), at);
+        rest.write(buffer.flip(), at - from);
       }
       rest.sync();
-      disk.sync();
-      file.truncate(v.wholeBytes);
+      storage.sync();
+      file.truncate(from);
       file.sync();
     }
   }
--- a/src/main/java/fawndock/counter/storage/LogWriter.java
+++ b/src/main/java/fawndock/counter/storage/LogWriter.java
@@ -107,9 +107,9 @@
     }
   }
 
-  private void requireUsable() throws IOException {
+  private void requireUsable() throws SegmentAbandonedException {
     if (isAbandoned) {
-      throw new IOException("this segment is given up: a sync of it failed");
+      throw new SegmentAbandonedException();
     }
   }
 
--- a/src/main/java/fawndock/counter/storage/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -2,193 +2,186 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
 
 /**
- * Finds again what was counted: the newest whole snapshot, then the log to its last whole record. A
- * record that is not whole, with none after it, is the tail of a crash and is cut off; anything
- * else that is not whole is damage. What was acknowledged last and is damaged since looks like the
- * tail of a crash too.
+ * Recovers the counts: the newest whole snapshot, then the log to its last whole record.
+ *
+ * <p>Rules: a record that is not whole, with none after it, is the tail of a crash and is cut off;
+ * anything else that is not whole, or is missing, is damage, and nothing is changed. A record that
+ * was acknowledged last and was damaged since looks like the tail of a crash too.
  */
-public final class Recovery implements ChangeRecord.Visitor {
+public final class Recovery {
   /**
-   * What was found.
+   * What was recovered.
    *
    * @param lastSequence of the last record
-   * @param latestTimeMillis the latest that a record tells, in milliseconds since 1970
-   * @param bytesRead read
+   * @param latestTimeMillis the latest that a record has, in milliseconds since 1970
+   * @param bytesRead of all records
    * @param warnings what the operator should know, a line each
    */
   public record Result(
       long lastSequence, long latestTimeMillis, long bytesRead, List<String> warnings) {}
 
-  private final Storage disk;
+  private final Storage storage;
   private final CounterTable table;
   private final LongConsumer progress;
-  private final List<String> reports = new ArrayList<>();
-  private long time;
-  private long bytes;
-  private long ended = -1;
+  private final TableFiller tableFiller;
+  private final List<String> warnings = new ArrayList<>();
+  private long latestTimeMillis;
+  private long bytesRead;
 
-  private Recovery(Storage disk, CounterTable table, LongConsumer progress) {
-    this.disk = disk;
+  private Recovery(Storage storage, CounterTable table, LongConsumer progress) {
+    this.storage = storage;
     this.table = table;
     this.progress = progress;
+    tableFiller = new TableFiller(table);
   }
 
   /**
-   * Fills an empty table from a disk, and cuts off what a crash left of a record.
+   * Fills an empty table from the storage, and cuts off what a crash left of a record.
    *
-   * @param progress is told the bytes read so far
-   * @throws CorruptLogException when a record before the end is not whole, or some are missing
+   * @param progress is called with the bytes read so far
+   * @throws CorruptLogException when a record before the end is not whole, or some are missing; the
+   *     storage is as it was then
    */
-  public static Result recover(Storage disk, CounterTable table, LongConsumer progress)
+  public static Result recover(Storage storage, CounterTable table, LongConsumer progress)
       throws IOException {
-    return new Recovery(disk, table, progress).recover();
+    return new Recovery(storage, table, progress).recover();
   }
 
   private Result recover() throws IOException {
-    TreeMap<Long, String> snapshots = files(disk, LogFormat.FileKind.SNAPSHOT);
-    long base = 0;
-    for (long sequence : snapshots.descendingKeySet()) {
-      if (snapshot(snapshots.get(sequence), sequence)) {
-        base = sequence;
-        break;
+    long baseSequence = recoverSnapshot();
+    long lastSequence = replaySegments(baseSequence);
+    return new Result(lastSequence, latestTimeMillis, bytesRead, warnings);
+  }
+
+  /** Loads the newest whole snapshot; returns the last record that it covers, 0 for none. */
+  private long recoverSnapshot() throws IOException {
+    TreeMap<Long, String> snapshots = LogFormat.FileKind.SNAPSHOT.filesBySequence(storage);
+    for (Map.Entry<Long, String> each : snapshots.descendingMap().entrySet()) {
+      if (loadSnapshot(each.getValue())) {
+        return each.getKey();
       }
-      reports.add(snapshots.get(sequence) + ": not whole, left aside");
+      warnings.add(each.getValue() + ": not whole, left aside");
       table.clear();
     }
-    TreeMap<Long, String> segments = files(disk, LogFormat.FileKind.SEGMENT);
-    Long from = segments.floorKey(base + 1);
-    if (from == null && !segments.isEmpty()) {
+    return 0;
+  }
+
+  /** Returns whether it is whole; when not, the table holds a part of it. */
+  private boolean loadSnapshot(String name) throws IOException {
+    SnapshotEndCheck check = new SnapshotEndCheck(tableFiller);
+    StoredFileScan scan =
+        StoredFileScan.scan(
+            storage, LogFormat.FileKind.SNAPSHOT, name, reader -> apply(reader, name, check));
+    return scan.state() == FileState.WHOLE
+        && check.isComplete()
+        && check.nameCount() == table.size();
+  }
+
+  /** Replays what follows the snapshot; returns the sequence of the last record. */
+  private long replaySegments(long baseSequence) throws IOException {
+    SegmentChain chain = SegmentChain.after(storage, baseSequence);
+    if (chain.all().isEmpty()) {
+      return baseSequence;
+    }
+    if (chain.firstNeeded() == null) {
+      Map.Entry<Long, String> earliest = chain.all().firstEntry();
       throw new CorruptLogException(
-          segments.firstEntry().getValue(),
+          earliest.getValue(),
           0,
-          "records "
-              + (base + 1)
-              + " to "
-              + (segments.firstKey() - 1)
-              + " are missing before this file, or the snapshot that holds them,");
+          SegmentChain.missingRecords(baseSequence + 1, earliest.getKey())
+              + "this file, or the snapshot that holds them,");
     }
-    long last = base;
-    if (from != null) {
-      long expected = from;
-      for (var segment : segments.tailMap(from).entrySet()) {
-        if (segment.getKey() != expected) {
-          throw new CorruptLogException(
-              segment.getValue(),
-              0,
-              "records "
-                  + expected
-                  + " to "
-                  + (segment.getKey() - 1)
-                  + " are missing before this file,");
-        }
-        expected =
-            segment(
-                    segment.getValue(),
-                    segment.getKey(),
-                    base,
-                    segment.getKey().equals(segments.lastKey()))
-                + 1;
+    long expectedFirst = chain.firstNeeded();
+    for (Map.Entry<Long, String> each : chain.all().tailMap(chain.firstNeeded(), true).entrySet()) {
+      if (each.getKey() != expectedFirst) {
+        throw new CorruptLogException(
+            each.getValue(),
+            0,
+            SegmentChain.missingRecords(expectedFirst, each.getKey()) + "this file,");
       }
-      last = Math.max(base, expected - 1);
+      expectedFirst =
+          replaySegment(each.getValue(), baseSequence, chain.isNewest(each.getKey())) + 1;
     }
-    return new Result(last, time, bytes, reports);
+    return Math.max(baseSequence, expectedFirst - 1);
   }
 
-  /** Files of a kind by their sequence. */
-  public static TreeMap<Long, String> files(Storage disk, LogFormat.FileKind kind)
-      throws IOException {
-    TreeMap<Long, String> found = new TreeMap<>(Comparator.naturalOrder());
-    for (String name : disk.list()) {
-      if (kind.sequenceOf(name) >= 0) {
-        found.put(kind.sequenceOf(name), name);
+  /** Replays a segment's records after the base; returns the last sequence in it. */
+  private long replaySegment(String name, long baseSequence, boolean isNewest) throws IOException {
+    StoredFileScan scan =
+        StoredFileScan.scan(
+            storage,
+            LogFormat.FileKind.SEGMENT,
+            name,
+            reader -> {
+              if (reader.sequence() > baseSequence) {
+                apply(reader, name, tableFiller);
+              }
+            });
+    switch (scan.stateInLog(isNewest)) {
+      case WHOLE -> {}
+      case TORN -> cutOffTail(scan);
+      default -> {
+        String what =
+            scan.hasHeader() ? "damaged record " + (scan.lastRecord() + 1) : "damaged file header";
+        throw new CorruptLogException(name, scan.wholeBytes(), what + " before the end of the log");
       }
     }
-    return found;
+    return scan.lastRecord();
   }
 
-  /** Whether it is whole; when not, the table holds a part of it. */
-  private boolean snapshot(String name, long sequence) throws IOException {
-    try (Storage.File file = disk.open(name)) {
-      RecordReader reader = new RecordReader(file, 1);
-      ended = -1;
-      if (!reader.matchesHeader(LogFormat.FileKind.SNAPSHOT, sequence)) {
-        return false;
-      }
-      while (ended < 0 && reader.next()) {
-        read(reader, name);
-      }
-      return ended == table.size() && reader.offset() == reader.sizeBytes();
+  private void cutOffTail(StoredFileScan scan) throws IOException {
+    warnings.add(
+        scan.name()
+            + ": cut off "
+            + (scan.sizeBytes() - scan.wholeBytes())
+            + " bytes of a torn record at offset "
+            + scan.wholeBytes());
+    if (!scan.hasHeader()) {
+      storage.delete(scan.name()); // Never begun: nothing was acknowledged in it.
+      return;
     }
-  }
-
-  /** Replays a segment's records after the base; returns the last sequence in it. */
-  private long segment(String name, long first, long base, boolean newest) throws IOException {
-    try (Storage.File file = disk.open(name)) {
-      RecordReader reader = new RecordReader(file, first);
-      boolean begins = reader.matchesHeader(LogFormat.FileKind.SEGMENT, first);
-      while (begins && reader.next()) {
-        if (reader.sequence() > base) {
-          read(reader, name);
-        }
-      }
-      if (begins && reader.offset() == reader.sizeBytes()) {
-        return reader.sequence();
-      }
-      long offset = begins ? reader.offset() : 0;
-      if (!newest || reader.hasLaterWholeRecord()) {
-        throw new CorruptLogException(
-            name,
-            offset,
-            (begins ? "damaged record " + (reader.sequence() + 1) : "damaged file header")
-                + " before the end of the log");
-      }
-      reports.add(
-          name
-              + ": cut off "
-              + (reader.sizeBytes() - offset)
-              + " bytes of a torn record at offset "
-              + offset);
-      if (begins) {
-        file.truncate(offset);
-        file.sync();
-      } else {
-        disk.delete(name); // Never begun: nothing was acknowledged in it.
-      }
-      return reader.sequence();
+    try (Storage.File file = storage.open(scan.name())) {
+      file.truncate(scan.wholeBytes());
+      file.sync();
     }
   }
 
-  private void read(RecordReader reader, String name) throws IOException {
+  private void apply(RecordReader reader, String name, ChangeRecord.Visitor visitor)
+      throws CorruptLogException {
     try {
-      time = Math.max(time, ChangeRecord.visitBody(reader.body(), this));
+      long timeMillis = ChangeRecord.visitBody(reader.body(), visitor);
+      latestTimeMillis = Math.max(latestTimeMillis, timeMillis);
     } catch (IllegalArgumentException e) {
       throw new CorruptLogException(
           name,
           reader.offset(),
           e.getMessage() + " in record " + reader.sequence() + ", which ends");
     }
-    bytes += reader.body().remaining() + LogFormat.RECORD_HEADER_BYTES;
-    progress.accept(bytes);
+    bytesRead += reader.body().remaining() + LogFormat.RECORD_HEADER_BYTES;
+    progress.accept(bytesRead);
   }
 
-  @Override
-  public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
-    table.put(name, amount, expiry);
-  }
+  /** Makes the table what the records say. */
+  private record TableFiller(CounterTable table) implements ChangeRecord.Visitor {
+    @Override
+    public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
+      table.put(name, amount, expiryMillis);
+    }
 
-  @Override
-  public void onDeleted(byte[] name) {
-    table.remove(name);
-  }
+    @Override
+    public void onDeleted(byte[] name) {
+      table.remove(name);
+    }
 
-  @Override
-  public void onSnapshotEnd(long names) {
-    ended = names;
+    @Override
+    public void onSnapshotEnd(long names) {
+      // Held by SnapshotEndCheck; a segment has none.
+    }
   }
 }
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -614,9 +614,7 @@
     }
     assertEquals(6_000, all);
     long newest =
-        fawndock.counter.storage.Recovery.files(
-                files, fawndock.counter.storage.LogFormat.FileKind.SNAPSHOT)
-            .lastKey();
+        fawndock.counter.storage.LogFormat.FileKind.SNAPSHOT.filesBySequence(files).lastKey();
     assertTrue(newest > 0, "no snapshot was taken");
     again("", 1_000);
     try (Jedis c = client()) {
--- a/src/test/java/fawndock/counter/storage/CounterStorageTest.java
+++ b/src/test/java/fawndock/counter/storage/CounterStorageTest.java
@@ -242,7 +242,7 @@
   void aTornLogIsNoDamageToTheAudit() throws IOException {
     SimulatedStorage disk = log(1);
     disk.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 147);
-    assertEquals(LogVerifier.FileState.TORN, LogVerifier.verify(disk).get(0).state());
+    assertEquals(FileState.TORN, LogVerifier.verify(disk).get(0).state());
     assertEquals(List.of(), LogVerifier.truncate(disk, true));
   }
 }
