--- a/src/test/java/fawndock/platform/PlatformHarness.java
+++ b/src/test/java/fawndock/platform/PlatformHarness.java
@@ -17,15 +17,16 @@
   private final AtomicInteger code = new AtomicInteger(-1);
   private long nextId = 1;
 
-  PlatformHarness(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter)
+  PlatformHarness(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
       throws Exception {
     this(worker, counter, 256);
   }
 
-  PlatformHarness(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
+  PlatformHarness(
+      FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
       throws Exception {
     world = new FakePlatform(worker, counter, sockets);
-    daemon = new PlatformProcess(world.variables());
+    daemon = new PlatformProcess(world.environment());
     thread =
         new Thread(
             () -> {
@@ -47,7 +48,7 @@
 
   /** The words of a new request. */
   String[] request(String type) {
-    return FakePlatform.request(type, "large", 7, nextId++, "");
+    return FakePlatform.requestCommand(type, "large", 7, nextId++, "");
   }
 
   /**
