--- a/src/main/java/fawndock/conformance/ConformanceLimits.java
+++ b/src/main/java/fawndock/conformance/ConformanceLimits.java
@@ -6,13 +6,12 @@
 import java.util.Map;
 
 /**
- * What the judge holds a trace against.
+ * The configured limits that a trace is checked against.
  *
- * @param requestClasses the request classes by name
- * @param rules the figures of the rules
- * @param customerPlans each customer's plan, for its ceiling
- * @param toleranceMicros allowed on top of each time limit, for the way between a socket and the
- *     record of it
+ * @param requestClasses by name
+ * @param rules durations and ratios of the five rules
+ * @param customerPlans each customer's plan, by the customer's name
+ * @param toleranceMicros added to each time limit, for the delay between a socket and its record
  */
 public record ConformanceLimits(
     Map<String, RequestClass> requestClasses,
--- a/src/main/java/fawndock/conformance/QuotaUsage.java
+++ b/src/main/java/fawndock/conformance/QuotaUsage.java
@@ -8,33 +8,31 @@
 import java.util.Map;
 
 /**
- * Holds what was sent on of each customer against its plan. A try counts once, when it is first
- * sent on. What was both asked and allowed is what one gatekeeper that saw all tries would have let
- * in: a store that begins full, fills at the plan's rate and gives each try its units or nothing.
+ * Compares what was forwarded for each customer with its plan. A try counts once, when it is first
+ * forwarded. A customer is entitled to what one gateway that saw all tries would have admitted: a
+ * token bucket that starts full and gives each try its units or nothing. Not thread-safe.
  */
 public final class QuotaUsage {
-  /** Whole windows are this long, and begin after {@link #SETTLED} seconds. */
+  /** Length of the windows over which the peak is taken; they begin after the settling time. */
   public static final int WINDOW_SECONDS = 60;
 
-  /**
-   * Seconds over which what a customer asks is taken, and the share of its plan's rate from which
-   * on it asks all of it.
-   */
+  /** Start of a run that does not count: buckets are full and nothing is known yet. */
+  public static final int SETTLING_SECONDS = 10;
+
+  /** Time constant with which the recent demand decays. */
   private static final double DEMAND_DECAY_SECONDS = 10;
 
+  /** Share of a plan's rate from which on a customer counts as using all of it. */
   private static final double NEAR_PLAN_RATIO = 0.95;
 
-  /** Seconds of a run that do not count: stores are full and nothing is known yet. */
-  public static final int SETTLING_SECONDS = 10;
-
   /**
    * Use of some customers.
    *
-   * @param peakPlanRatio most that all of them together used in any window, as a share of what
+   * @param peakPlanRatio the most that all of them together used in any window, as a share of what
    *     their plans allow in it
    * @param peakCustomerPlanRatio the same of the one customer that used most
-   * @param entitledUseRatio what was used of what was both asked and allowed, each customer by
-   *     itself, from 0 to 1
+   * @param entitledUseRatio what was used of what they were entitled to, each customer by itself,
+   *     from 0 to 1
    * @param excessRatio what was used beyond that, as a share of it
    */
   public record Summary(
@@ -47,11 +45,9 @@
     final Plan plan;
     final double[] usedUnits;
     final double[] entitledUnits;
+    final TokenBucket entitlement;
 
-    /** The store as one gatekeeper that saw all tries would keep it. */
-    double availableUnits;
-
-    /** What was asked of late, fading over {@link #LATELY} seconds. */
+    /** What was requested recently, decaying over {@link #DEMAND_DECAY_SECONDS}. */
     double recentDemandUnits;
 
     long updatedAtMicros;
@@ -60,15 +56,14 @@
       this.plan = plan;
       usedUnits = new double[seconds];
       entitledUnits = new double[seconds];
-      availableUnits = Math.max(plan.burstUnits(), 1);
+      entitlement = new TokenBucket(Math.max(plan.burstUnits(), 1), plan.unitsPerSecond(), 0);
     }
 
     void advanceTo(long atMicros) {
-      double passed = Math.max(0, atMicros - updatedAtMicros) / 1e6;
+      double elapsedSeconds = Math.max(0, atMicros - updatedAtMicros) / 1e6;
       updatedAtMicros = Math.max(updatedAtMicros, atMicros);
-      availableUnits =
-          Math.min(Math.max(plan.burstUnits(), 1), availableUnits + plan.unitsPerSecond() * passed);
-      recentDemandUnits *= Math.exp(-passed / DEMAND_DECAY_SECONDS);
+      entitlement.refillUntil(atMicros);
+      recentDemandUnits *= Math.exp(-elapsedSeconds / DEMAND_DECAY_SECONDS);
     }
   }
 
@@ -85,6 +80,7 @@
     this.durationSeconds = Math.max(1, seconds);
   }
 
+  /** The usage of a customer, or null when its plan has no rate. */
   private CustomerUsage usageOf(String customer) {
     Plan plan = plans.get(customer);
     return plan == null || plan.unitsPerSecond() <= 0
@@ -92,49 +88,48 @@
         : usageByCustomer.computeIfAbsent(customer, c -> new CustomerUsage(plan, durationSeconds));
   }
 
-  /** A customer asked; all that is told here is told in the order of time. */
+  /** A customer sent a try; all events must come in order of time. */
   public void onRequest(long atMicros, String customer, double units) {
-    CustomerUsage a = usageOf(customer);
-    if (a == null) {
+    CustomerUsage usage = usageOf(customer);
+    if (usage == null) {
       return;
     }
-    a.advanceTo(atMicros);
-    a.recentDemandUnits += units;
-    if (a.availableUnits >= units) {
-      a.availableUnits -= units;
-      add(a.entitledUnits, atMicros, units);
+    usage.advanceTo(atMicros);
+    usage.recentDemandUnits += units;
+    if (usage.entitlement.tryTake(units)) {
+      addAt(usage.entitledUnits, atMicros, units);
     }
   }
 
-  /** A try was first sent on. */
+  /** A try was first forwarded. */
   public void onForwarded(long atMicros, String customer, double units) {
-    CustomerUsage a = usageOf(customer);
-    if (a != null) {
-      add(a.usedUnits, atMicros, units);
+    CustomerUsage usage = usageOf(customer);
+    if (usage != null) {
+      addAt(usage.usedUnits, atMicros, units);
     }
   }
 
   /**
-   * Whether the customer asked less than its plan's rate of late, so that a refusal is none of its
-   * own making.
+   * Whether the customer recently requested less than its plan's rate, so that a rejection is not
+   * of its own making.
    */
   public boolean isBelowPlanRate(long atMicros, String customer) {
-    CustomerUsage a = usageOf(customer);
-    if (a == null) {
+    CustomerUsage usage = usageOf(customer);
+    if (usage == null) {
       return true;
     }
-    a.advanceTo(atMicros);
-    return a.recentDemandUnits
+    usage.advanceTo(atMicros);
+    return usage.recentDemandUnits
         < NEAR_PLAN_RATIO
-            * a.plan.unitsPerSecond()
+            * usage.plan.unitsPerSecond()
             * DEMAND_DECAY_SECONDS
-            * (1 - Math.exp(-a.updatedAtMicros / 1e6 / DEMAND_DECAY_SECONDS));
+            * (1 - Math.exp(-usage.updatedAtMicros / 1e6 / DEMAND_DECAY_SECONDS));
   }
 
-  private static void add(double[] to, long atMicros, double units) {
+  private static void addAt(double[] bySecond, long atMicros, double units) {
     int second = (int) (atMicros / 1_000_000);
-    if (second >= 0 && second < to.length) {
-      to[second] += units;
+    if (second >= 0 && second < bySecond.length) {
+      bySecond[second] += units;
     }
   }
 
@@ -147,64 +142,69 @@
         .sum();
   }
 
-  /** What was used each second by the customers whose names begin so. */
+  /** What the customers whose names begin so used in each second. */
   public double[] usedUnitsBySecond(String prefix) {
-    double[] all = new double[durationSeconds];
+    double[] total = new double[durationSeconds];
     usageByCustomer.forEach(
-        (name, a) -> {
-          for (int i = 0; name.startsWith(prefix) && i < durationSeconds; i++) {
-            all[i] += a.usedUnits[i];
+        (name, usage) -> {
+          if (name.startsWith(prefix)) {
+            addAll(total, usage.usedUnits);
           }
         });
-    return all;
+    return total;
   }
 
-  /**
-   * The use of the customers whose names begin so; of none at all when nothing was asked of them.
-   */
+  private static void addAll(double[] total, double[] bySecond) {
+    for (int i = 0; i < total.length; i++) {
+      total[i] += bySecond[i];
+    }
+  }
+
+  /** The use of the customers whose names begin so. */
   public Summary summarize(String prefix) {
-    int from = durationSeconds > SETTLING_SECONDS ? SETTLING_SECONDS : 0;
-    double rate = 0;
+    int fromSecond = durationSeconds > SETTLING_SECONDS ? SETTLING_SECONDS : 0;
+    double planRate = 0;
     double[] together = new double[durationSeconds];
-    double worstCustomer = 0;
-    double kept = 0;
+    double peakCustomerRatio = 0;
+    double usedWithin = 0;
     double entitled = 0;
-    double beyond = 0;
-    List<String> names = new ArrayList<>(usageByCustomer.keySet());
-    names.sort(null); // The sums must be the same to the digit in each run.
-    for (String name : names) {
-      if (!name.startsWith(prefix)) {
-        continue;
-      }
-      CustomerUsage a = usageByCustomer.get(name);
-      rate += a.plan.unitsPerSecond();
-      for (int i = 0; i < durationSeconds; i++) {
-        together[i] += a.usedUnits[i];
-      }
-      worstCustomer =
-          Math.max(worstCustomer, peakUnitsPerSecond(a.usedUnits, from) / a.plan.unitsPerSecond());
-      double used = Arrays.stream(a.usedUnits, from, durationSeconds).sum();
-      double may = Arrays.stream(a.entitledUnits, from, durationSeconds).sum();
-      kept += Math.min(used, may);
-      beyond += Math.max(0, used - may);
-      entitled += may;
+    double excess = 0;
+    for (CustomerUsage usage : sortedUsage(prefix)) {
+      double rate = usage.plan.unitsPerSecond();
+      planRate += rate;
+      addAll(together, usage.usedUnits);
+      peakCustomerRatio =
+          Math.max(peakCustomerRatio, peakUnitsPerSecond(usage.usedUnits, fromSecond) / rate);
+      double used = Arrays.stream(usage.usedUnits, fromSecond, durationSeconds).sum();
+      double allowed = Arrays.stream(usage.entitledUnits, fromSecond, durationSeconds).sum();
+      usedWithin += Math.min(used, allowed);
+      excess += Math.max(0, used - allowed);
+      entitled += allowed;
     }
     return new Summary(
-        rate == 0 ? 0 : peakUnitsPerSecond(together, from) / rate,
-        worstCustomer,
-        entitled == 0 ? 1 : kept / entitled,
-        entitled == 0 ? 0 : beyond / entitled);
+        planRate == 0 ? 0 : peakUnitsPerSecond(together, fromSecond) / planRate,
+        peakCustomerRatio,
+        entitled == 0 ? 1 : usedWithin / entitled,
+        entitled == 0 ? 0 : excess / entitled);
+  }
+
+  /** In order of the names, so that sums are the same to the digit in each run. */
+  private List<CustomerUsage> sortedUsage(String prefix) {
+    List<String> names = new ArrayList<>(usageByCustomer.keySet());
+    names.removeIf(name -> !name.startsWith(prefix));
+    names.sort(null);
+    return names.stream().map(usageByCustomer::get).toList();
   }
 
-  /** The highest mean rate of any window; of all that is there when it is shorter than one. */
-  private static double peakUnitsPerSecond(double[] bySecond, int from) {
-    int window = Math.min(WINDOW_SECONDS, bySecond.length - from);
-    double sum = Arrays.stream(bySecond, from, from + window).sum();
-    double worst = sum;
-    for (int end = from + window; end < bySecond.length; end++) {
+  /** The highest mean rate of any window; of the whole time when that is shorter than a window. */
+  private static double peakUnitsPerSecond(double[] bySecond, int fromSecond) {
+    int window = Math.min(WINDOW_SECONDS, bySecond.length - fromSecond);
+    double sum = Arrays.stream(bySecond, fromSecond, fromSecond + window).sum();
+    double peak = sum;
+    for (int end = fromSecond + window; end < bySecond.length; end++) {
       sum += bySecond[end] - bySecond[end - window];
-      worst = Math.max(worst, sum);
+      peak = Math.max(peak, sum);
     }
-    return worst / window;
+    return peak / window;
   }
 }
--- a/src/main/java/fawndock/conformance/TraceEvent.java
+++ b/src/main/java/fawndock/conformance/TraceEvent.java
@@ -1,11 +1,24 @@
 package fawndock.conformance;
 
-/** Something that crossed a socket, or that a stand-in did; times are wall-clock microseconds. */
+/**
+ * Something that crossed a socket or that a fake did. Times are microseconds of one clock: the wall
+ * clock in scenarios, simulated time in simulations.
+ */
 public sealed interface TraceEvent {
-  /** When. */
+  /** When it happened. */
   long atMicros();
 
-  /** A client sent a request to a gatekeeper; it gives up at the time given. */
+  /**
+   * The operation that a request belongs to: its id {@code OPERATION.TRY} without the number of the
+   * try. A client that retries keeps the operation, so that an effect of two tries is one effect
+   * twice.
+   */
+  static String operationOf(String requestId) {
+    int dot = requestId.lastIndexOf('.');
+    return dot < 0 ? requestId : requestId.substring(0, dot);
+  }
+
+  /** A client sent a request to a gateway. */
   record RequestSent(
       long atMicros,
       String requestId,
@@ -16,36 +29,48 @@
       long deadlineAtMicros)
       implements TraceEvent {}
 
-  /**
-   * A client got an answer: an HTTP status. A second one for the same request is recorded as well.
-   */
+  /** A client received a final response: its HTTP status. A second one is recorded as well. */
   record ResponseReceived(long atMicros, String requestId, int status) implements TraceEvent {}
 
-  /** A client's connection broke before it had its whole answer. */
+  /** A client's connection broke before it had its whole response. */
   record ConnectionLost(long atMicros, String requestId) implements TraceEvent {}
 
-  /** A client left of its own will before it was answered. */
+  /** A client disconnected by its own decision before it had its response. */
   record ClientDisconnected(long atMicros, String requestId) implements TraceEvent {}
 
   /**
-   * A worker received an attempt; {@code incarnation} tells its restarts apart; refused ones never
-   * run.
+   * An endpoint received an attempt.
+   *
+   * @param incarnation tells the endpoint's restarts apart
+   * @param isRejected whether the endpoint rejected it, so that it never ran
    */
   record AttemptArrived(
       long atMicros, String requestId, String endpointId, int incarnation, boolean isRejected)
       implements TraceEvent {}
 
-  /**
-   * A worker did the work of an attempt: its effect, by the key when it dropped a repeat already.
-   */
+  /** An attempt took effect at an endpoint; one that was dropped as a duplicate did not. */
   record EffectApplied(long atMicros, String requestId, String endpointId) implements TraceEvent {}
 
-  /** The roster told a gatekeeper of a worker; {@code startedAtMicros} 0 is long ago. */
+  /**
+   * A gateway was notified of an endpoint.
+   *
+   * @param state as discovery names it, in small letters
+   * @param startedAtMicros 0 when it started long ago
+   */
   record EndpointAnnounced(
       long atMicros, int gatewayIndex, String endpointId, String state, long startedAtMicros)
-      implements TraceEvent {}
+      implements TraceEvent {
+    /** Whether the endpoint may get new requests. */
+    public boolean isRunning() {
+      return state.equals("running");
+    }
+  }
 
-  /** A worker came up, cold when it says so, with room for so much work each second once warm. */
+  /**
+   * An endpoint started.
+   *
+   * @param attemptsPerSecond what it can do once it has warmed up
+   */
   record EndpointStarted(
       long atMicros,
       String endpointId,
@@ -54,6 +79,6 @@
       double attemptsPerSecond)
       implements TraceEvent {}
 
-  /** A gatekeeper's process was killed. */
+  /** A gateway's process was killed. */
   record GatewayKilled(long atMicros, int gatewayIndex) implements TraceEvent {}
 }
--- /dev/null
+++ b/src/main/java/fawndock/conformance/ViolationLog.java
@@ -0,0 +1,21 @@
+package fawndock.conformance;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Collects a line on each of the first violations; bounded, so that a bad run stays readable. */
+final class ViolationLog {
+  private static final int MAX_LINES = 20;
+  private final List<String> lines = new ArrayList<>();
+
+  /** Adds a line, unless the log is full. */
+  void add(String line) {
+    if (lines.size() < MAX_LINES) {
+      lines.add(line);
+    }
+  }
+
+  List<String> lines() {
+    return List.copyOf(lines);
+  }
+}
--- a/src/main/java/fawndock/conformance/WeightedGoodput.java
+++ b/src/main/java/fawndock/conformance/WeightedGoodput.java
@@ -12,58 +12,72 @@
 import java.util.Set;
 
 /**
- * How much worth was answered within its aim, as a share of the worth asked inside the quotas. Each
- * customer's store is replayed over its operations as one gateway that saw all first tries would
- * have it; a later try's answer counts for its operation, from the first try's time.
+ * Goodput weighted by priority: what was served within its latency objective, as a share of what
+ * was requested within quota. Each customer's token bucket is replayed over its operations as one
+ * gateway that saw all first tries would have it; a retry's response counts for its operation,
+ * timed from the first try.
  */
 public final class WeightedGoodput {
+  private static final int OK = 200;
+
   private WeightedGoodput() {}
 
-  /** Of a trace, from 0 to 1; 0 when nothing was asked inside the quotas. */
-  public static double shareOfOffered(List<TraceEvent> trace, ConformanceLimits figures) {
-    Map<String, Long> answered = new HashMap<>();
-    for (TraceEvent seen : trace) {
-      if (seen instanceof ResponseReceived a && a.status() == 200) {
-        answered.merge(InvariantChecker.operationOf(a.requestId()), a.atMicros(), Math::min);
-      }
-    }
-    Map<String, double[]> stores = new HashMap<>();
-    Set<String> taken = new HashSet<>();
+  /** The share for a trace, from 0 to 1; 0 when nothing was requested within quota. */
+  public static double shareOfOffered(List<TraceEvent> trace, ConformanceLimits limits) {
+    Map<String, Long> servedAtMicros = firstServedByOperation(trace);
+    Map<String, TokenBucket> quotas = new HashMap<>();
+    Set<String> counted = new HashSet<>();
     double offered = 0;
     double served = 0;
-    List<RequestSent> all =
-        trace.stream()
-            .filter(RequestSent.class::isInstance)
-            .map(RequestSent.class::cast)
-            .sorted(Comparator.comparingLong(RequestSent::atMicros))
-            .toList();
-    for (RequestSent a : all) {
-      String operation = InvariantChecker.operationOf(a.requestId());
-      Plan plan = figures.customerPlans().get(a.customer());
-      RequestClass type = figures.requestClasses().get(a.requestClass());
-      if (plan == null || type == null || !taken.add(operation)) {
+    for (RequestSent request : requestsByTime(trace)) {
+      String operation = TraceEvent.operationOf(request.requestId());
+      Plan plan = limits.customerPlans().get(request.customer());
+      RequestClass requestClass = limits.requestClasses().get(request.requestClass());
+      if (plan == null
+          || requestClass == null
+          || !counted.add(operation)
+          || !isWithinQuota(quotas, plan, request)) {
         continue;
       }
-      double worth = type.priorityWeight() * plan.priorityWeight() * a.units();
-      boolean inside = plan.unitsPerSecond() <= 0;
-      if (!inside) {
-        double[] store =
-            stores.computeIfAbsent(
-                a.customer(), c -> new double[] {plan.burstUnits(), a.atMicros()});
-        store[0] =
-            Math.min(
-                plan.burstUnits(),
-                store[0] + (a.atMicros() - store[1]) / 1e6 * plan.unitsPerSecond());
-        store[1] = a.atMicros();
-        inside = store[0] >= a.units();
-        store[0] -= inside ? a.units() : 0;
-      }
-      if (inside) {
-        offered += worth;
-        Long at = answered.get(operation);
-        served += at != null && at <= a.atMicros() + type.latencyObjectiveMicros() ? worth : 0;
-      }
+      double weight = requestClass.priorityWeight() * plan.priorityWeight() * request.units();
+      offered += weight;
+      Long atMicros = servedAtMicros.get(operation);
+      long objectiveAtMicros = request.atMicros() + requestClass.latencyObjectiveMicros();
+      served += atMicros != null && atMicros <= objectiveAtMicros ? weight : 0;
     }
     return offered == 0 ? 0 : served / offered;
   }
+
+  private static Map<String, Long> firstServedByOperation(List<TraceEvent> trace) {
+    Map<String, Long> servedAtMicros = new HashMap<>();
+    for (TraceEvent event : trace) {
+      if (event instanceof ResponseReceived response && response.status() == OK) {
+        String operation = TraceEvent.operationOf(response.requestId());
+        servedAtMicros.merge(operation, response.atMicros(), Math::min);
+      }
+    }
+    return servedAtMicros;
+  }
+
+  private static List<RequestSent> requestsByTime(List<TraceEvent> trace) {
+    return trace.stream()
+        .filter(RequestSent.class::isInstance)
+        .map(RequestSent.class::cast)
+        .sorted(Comparator.comparingLong(RequestSent::atMicros))
+        .toList();
+  }
+
+  private static boolean isWithinQuota(
+      Map<String, TokenBucket> quotas, Plan plan, RequestSent request) {
+    if (plan.unitsPerSecond() <= 0) {
+      return true;
+    }
+    TokenBucket quota =
+        quotas.computeIfAbsent(
+            request.customer(),
+            customer ->
+                new TokenBucket(plan.burstUnits(), plan.unitsPerSecond(), request.atMicros()));
+    quota.refillUntil(request.atMicros());
+    return quota.tryTake(request.units());
+  }
 }
--- a/src/main/java/fawndock/conformance/package-info.java
+++ b/src/main/java/fawndock/conformance/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The judge of the five rules: what was seen to cross the sockets, or in the emulator the ways, and
- * whether a rule was broken. Below drills, laboratory and stand-ins, which all use it; it opens
- * nothing, keeps no time and knows none of them.
+ * Checks traces of requests against the five rules that every gateway must keep. A trace is what
+ * crossed the sockets of a scenario's fakes, or the simulated network. Depends on none of the
+ * packages that use it; it does no input or output and reads no clock.
  */
 package fawndock.conformance;
--- a/src/main/java/fawndock/scenario/CounterPartitionScenario.java
+++ b/src/main/java/fawndock/scenario/CounterPartitionScenario.java
@@ -369,15 +369,15 @@
     for (TraceEvent seen : trace) {
       double at = (seen.atMicros() - start) / 1e6;
       if (seen instanceof TraceEvent.RequestSent a) {
-        customers.put(InvariantChecker.operationOf(a.requestId()), a.customer());
+        customers.put(TraceEvent.operationOf(a.requestId()), a.customer());
       } else if (seen instanceof TraceEvent.EffectApplied r
-          && ran.add(InvariantChecker.operationOf(r.requestId()))) {
-        String customer = customers.get(InvariantChecker.operationOf(r.requestId()));
+          && ran.add(TraceEvent.operationOf(r.requestId()))) {
+        String customer = customers.get(TraceEvent.operationOf(r.requestId()));
         used.computeIfAbsent(String.valueOf(customer), c -> new ArrayList<>()).add(at);
       } else if (seen instanceof TraceEvent.ResponseReceived a && a.status() == 429) {
         refused
             .computeIfAbsent(
-                String.valueOf(customers.get(InvariantChecker.operationOf(a.requestId()))),
+                String.valueOf(customers.get(TraceEvent.operationOf(a.requestId()))),
                 c -> new ArrayList<>())
             .add(at);
       }
--- a/src/test/java/fawndock/conformance/InvariantCheckerTest.java
+++ b/src/test/java/fawndock/conformance/InvariantCheckerTest.java
@@ -26,7 +26,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The judge itself is tried: a sound trace, then one for each way in which a rule is broken. */
+/** Checks the checker: a correct trace, then one for each way in which a rule is broken. */
 class InvariantCheckerTest {
   private static final long SECOND_MICROS = 1_000_000;
   private static final ConformanceLimits LIMITS =
@@ -47,7 +47,7 @@
               new Plan("t", 0, 0, 0, 1, 0, 0, 2, 3, 1)),
           50_000);
 
-  private static RequestClass requestClass(String name, Idempotency repeat) {
+  private static RequestClass requestClass(String name, Idempotency idempotency) {
     return new RequestClass(
         name,
         SECOND_MICROS,
@@ -55,7 +55,7 @@
         2 * SECOND_MICROS,
         1,
         0,
-        repeat,
+        idempotency,
         DeduplicationScope.ALL,
         SECOND_MICROS,
         false);
@@ -84,8 +84,8 @@
     return InvariantChecker.check(trace, LIMITS);
   }
 
-  private static String counts(ConformanceResult v) {
-    return v.summaryLine().replaceAll("[^0-9]+", " ").trim();
+  private static String counts(ConformanceResult result) {
+    return result.summaryLine().replaceAll("[^0-9]+", " ").trim();
   }
 
   @Test
@@ -97,7 +97,7 @@
                 served("d.0", "update", 3 * SECOND_MICROS))
             .flatMap(List::stream)
             .toList();
-    ConformanceResult verdict =
+    ConformanceResult result =
         check(
             sound,
             new EndpointAnnounced(0, 0, "w", "running", 0),
@@ -106,11 +106,11 @@
             sent("f.0", "lookup", SECOND_MICROS),
             new GatewayKilled(SECOND_MICROS + 5, 0),
             new ConnectionLost(SECOND_MICROS + 6, "f.0"));
-    assertTrue(verdict.isConformant());
+    assertTrue(result.isConformant());
     assertEquals(
         "rules kept: 5 requests, 0 unanswered, 0 answered twice, 0 late drains, 0 repeated effects, "
             + "0 cold falls, 0 ceilings passed",
-        verdict.summaryLine());
+        result.summaryLine());
   }
 
   @Test
@@ -153,20 +153,21 @@
 
   @Test
   void check_attemptToDrainingEndpointAfterGrace_countsLateDrain() {
-    EndpointAnnounced told = new EndpointAnnounced(0, 0, "w", "stopping", 0);
-    assertEquals("1 0 0 1 0 0 0", counts(check(served("a.0", "lookup", 2 * SECOND_MICROS), told)));
+    EndpointAnnounced draining = new EndpointAnnounced(0, 0, "w", "stopping", 0);
+    assertEquals(
+        "1 0 0 1 0 0 0", counts(check(served("a.0", "lookup", 2 * SECOND_MICROS), draining)));
     assertTrue(
-        check(served("a.0", "lookup", SECOND_MICROS), told).isConformant(), "within the grace");
+        check(served("a.0", "lookup", SECOND_MICROS), draining).isConformant(), "within the grace");
     assertTrue(
         check(
                 served("a.0", "lookup", 2 * SECOND_MICROS),
                 new EndpointAnnounced(0, 1, "w", "stopping", 0))
             .isConformant(),
-        "another gatekeeper was told");
+        "another gateway was notified");
     assertTrue(
         check(
                 served("a.0", "lookup", 2 * SECOND_MICROS),
-                told,
+                draining,
                 new EndpointAnnounced(SECOND_MICROS, 0, "w", "running", SECOND_MICROS))
             .isConformant(),
         "it is back");
@@ -175,9 +176,9 @@
         counts(
             check(
                 served("a.0", "lookup", 2 * SECOND_MICROS),
-                told,
+                draining,
                 new EndpointAnnounced(SECOND_MICROS + 900_000, 0, "w", "deleted", 0))),
-        "the first word counts");
+        "the first announcement counts");
   }
 
   @Test
@@ -207,7 +208,7 @@
                     sent("a.0", "charge", SECOND_MICROS),
                     arrived("a.0", "w", SECOND_MICROS + 5),
                     new ResponseReceived(SECOND_MICROS + 9, "a.0", 429)))),
-        "refused though it may have run");
+        "rejected though it may have run");
     assertTrue(
         check(
                 List.of(
@@ -215,7 +216,7 @@
                     new AttemptArrived(SECOND_MICROS + 5, "a.0", "w", 1, true),
                     new ResponseReceived(SECOND_MICROS + 9, "a.0", 429)))
             .isConformant(),
-        "the worker had refused it unrun");
+        "the endpoint had rejected it before it ran");
     List<TraceEvent> update =
         List.of(
             sent("a.0", "update", SECOND_MICROS),
