--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -8,7 +8,7 @@
 import fawndock.settings.ConfigurationException;
 import fawndock.simulation.Deployment;
 import fawndock.simulation.DeploymentFile;
-import fawndock.simulation.Simulation;
+import fawndock.simulation.SimulationResult;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -60,7 +60,7 @@
     }
     Deployment d = read.deployment();
     long begun = System.nanoTime();
-    Simulation.SimulationResult result = read.createSimulation(DefaultGatewayPolicy::new).run();
+    SimulationResult result = read.createSimulation(DefaultGatewayPolicy::new).run();
     double took = (System.nanoTime() - begun) / 1e9;
     System.out.printf(
         "simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
@@ -81,8 +81,8 @@
     return result.conformance().isConformant() ? 0 : 1;
   }
 
-  private static int beside(
-      DeploymentFile.ParsedDeployment read, Simulation.SimulationResult emulated) throws Exception {
+  private static int beside(DeploymentFile.ParsedDeployment read, SimulationResult emulated)
+      throws Exception {
     OverSockets real = new OverSockets(read, System.out);
     if (!real.beyond().isEmpty()) {
       real.beyond().forEach(System.err::println);
--- a/src/main/java/fawndock/experiment/Runner.java
+++ b/src/main/java/fawndock/experiment/Runner.java
@@ -5,7 +5,7 @@
 import fawndock.policy.config.PolicyConfig;
 import fawndock.settings.ConfigurationException;
 import fawndock.simulation.DeploymentFile;
-import fawndock.simulation.Simulation;
+import fawndock.simulation.SimulationResult;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -114,8 +114,7 @@
   }
 
   private Outcome outcome(Planned p) {
-    Simulation.SimulationResult result =
-        p.read.withSeed(p.run.seed()).createSimulation(maker).run();
+    SimulationResult result = p.read.withSeed(p.run.seed()).createSimulation(maker).run();
     Map<String, double[]> series = new LinkedHashMap<>();
     result
         .series()
--- a/src/main/java/fawndock/simulation/Faults.java
+++ b/src/main/java/fawndock/simulation/Faults.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Troubles that can be put together at will; each begins at a second of a run and ends at another.
- * They are made before the run, and several of one kind on the same part end with the first that
- * ends.
+ * Faults that can be combined at will; each begins at a second of a run and ends at another. They
+ * are scheduled before the run; when several of one kind overlap on the same target, all of them
+ * end with the first that ends.
  */
 public final class Faults {
   private static final double KILL_DELAY_SECONDS = 1;
@@ -16,250 +16,313 @@
   private Faults() {}
 
   private static void during(
-      Simulation in, double from, double to, Consumer<Simulation> on, Consumer<Simulation> off) {
-    in.scheduleAt(from, on).scheduleAt(to, off);
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      Consumer<Simulation> on,
+      Consumer<Simulation> off) {
+    simulation.scheduleAt(fromSecond, on).scheduleAt(untilSecond, off);
   }
 
-  private static void cutPaths(Simulation in, double from, double to, List<String> ways) {
+  private static void cutPaths(
+      Simulation simulation, double fromSecond, double untilSecond, List<String> paths) {
     during(
-        in,
-        from,
-        to,
-        e -> e.network.cutPaths.addAll(ways),
-        e -> ways.forEach(e.network.cutPaths::remove));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.network.cutPaths.addAll(paths),
+        e -> paths.forEach(e.network.cutPaths::remove));
   }
 
   /** Nothing reaches the counter, and nothing comes from it. */
-  public static void counterUnreachable(Simulation in, double from, double to) {
-    List<String> ways = new ArrayList<>();
-    in.counterPartitions.forEach(part -> ways.addAll(List.of("*>" + part.name, part.name + ">*")));
-    cutPaths(in, from, to, ways);
+  public static void counterUnreachable(
+      Simulation simulation, double fromSecond, double untilSecond) {
+    List<String> paths = new ArrayList<>();
+    simulation.counterPartitions.forEach(
+        partition -> paths.addAll(List.of("*>" + partition.name, partition.name + ">*")));
+    cutPaths(simulation, fromSecond, untilSecond, paths);
   }
 
-  /** The counter dies and comes back, with what it had or with nothing. */
-  public static void counterRestart(Simulation in, double from, double to, boolean empty) {
+  /** The counter is killed and starts again, with or without its state. */
+  public static void counterRestart(
+      Simulation simulation, double fromSecond, double untilSecond, boolean losesState) {
     during(
-        in,
-        from,
-        to,
-        e -> e.counterPartitions.forEach(part -> part.setRunning(false)),
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.counterPartitions.forEach(partition -> partition.setRunning(false)),
         e ->
             e.counterPartitions.forEach(
-                part -> {
-                  if (empty) {
-                    part.clear();
+                partition -> {
+                  if (losesState) {
+                    partition.clear();
                   }
-                  part.setRunning(true);
+                  partition.setRunning(true);
                 }));
   }
 
-  /** The counter loses all counts at once, and goes on. */
-  public static void counterLosesState(Simulation in, double from) {
-    in.scheduleAt(from, e -> e.counterPartitions.forEach(SimulatedCounter::clear));
+  /** The counter loses all counts and goes on. */
+  public static void counterLosesState(Simulation simulation, double fromSecond) {
+    simulation.scheduleAt(fromSecond, e -> e.counterPartitions.forEach(SimulatedCounter::clear));
   }
 
   /** Each call takes the counter so many times as long. */
-  public static void counterSlow(Simulation in, double from, double to, double times) {
+  public static void counterSlow(
+      Simulation simulation, double fromSecond, double untilSecond, double factor) {
     during(
-        in,
-        from,
-        to,
-        e -> e.counterPartitions.forEach(part -> part.serviceTimeFactor = times),
-        e -> e.counterPartitions.forEach(part -> part.serviceTimeFactor = 1));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.counterPartitions.forEach(partition -> partition.serviceTimeFactor = factor),
+        e -> e.counterPartitions.forEach(partition -> partition.serviceTimeFactor = 1));
   }
 
-  /** The counter refuses this share of the calls. */
-  public static void counterRejects(Simulation in, double from, double to, double share) {
-    double before = in.deployment.counter().rejectRatio();
+  /** The counter rejects this share of the calls. */
+  public static void counterRejects(
+      Simulation simulation, double fromSecond, double untilSecond, double ratio) {
+    double before = simulation.deployment.counter().rejectRatio();
     during(
-        in,
-        from,
-        to,
-        e -> e.counterPartitions.forEach(part -> part.rejectRatio = share),
-        e -> e.counterPartitions.forEach(part -> part.rejectRatio = before));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.counterPartitions.forEach(partition -> partition.rejectRatio = ratio),
+        e -> e.counterPartitions.forEach(partition -> partition.rejectRatio = before));
   }
 
   /**
-   * Some gatekeepers, from the first on, are cut off from the counter.
+   * Some gateways, from the first on, are partitioned from the counter.
    *
-   * @param part from one part of it, or from all when below 0
+   * @param partition one partition of the counter, or all of them when below 0
    */
   public static void counterPartitioned(
-      Simulation in, double from, double to, int gatekeepers, int part) {
-    List<String> ways = new ArrayList<>();
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      int gatewayCount,
+      int partition) {
+    List<String> paths = new ArrayList<>();
     for (SimulatedCounter each :
-        part < 0 ? in.counterPartitions : List.of(in.counterPartitions.get(part))) {
-      for (int i = 0; i < gatekeepers; i++) {
-        ways.add("g" + i + ">" + each.name);
+        partition < 0
+            ? simulation.counterPartitions
+            : List.of(simulation.counterPartitions.get(partition))) {
+      for (int i = 0; i < gatewayCount; i++) {
+        paths.add("g" + i + ">" + each.name);
       }
     }
-    cutPaths(in, from, to, ways);
+    cutPaths(simulation, fromSecond, untilSecond, paths);
   }
 
-  /** A worker's work takes so many times as long. */
+  /** A backend's work takes so many times as long. */
   public static void backendSlow(
-      Simulation in, double from, double to, String worker, double times) {
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      String endpointId,
+      double factor) {
     during(
-        in,
-        from,
-        to,
-        e -> e.backend(worker).workTimeFactor = times,
-        e -> e.backend(worker).workTimeFactor = 1);
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.backend(endpointId).workTimeFactor = factor,
+        e -> e.backend(endpointId).workTimeFactor = 1);
   }
 
-  /** A worker takes attempts and says nothing. */
-  public static void backendUnresponsive(Simulation in, double from, double to, String worker) {
+  /** A backend accepts attempts and does not respond. */
+  public static void backendUnresponsive(
+      Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
     during(
-        in,
-        from,
-        to,
-        e -> e.backend(worker).isUnresponsive = true,
-        e -> e.backend(worker).isUnresponsive = false);
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.backend(endpointId).isUnresponsive = true,
+        e -> e.backend(endpointId).isUnresponsive = false);
   }
 
-  /** A worker does its work and loses this share of its answers. */
+  /** A backend does its work and loses this share of its responses. */
   public static void backendLosesResponses(
-      Simulation in, double from, double to, String worker, double share) {
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      String endpointId,
+      double ratio) {
     during(
-        in,
-        from,
-        to,
-        e -> e.backend(worker).lostResponseRatio = share,
-        e -> e.backend(worker).lostResponseRatio = 0);
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.backend(endpointId).lostResponseRatio = ratio,
+        e -> e.backend(endpointId).lostResponseRatio = 0);
   }
 
-  /** A worker answers this share with an error. */
+  /** A backend answers this share of the attempts with an error. */
   public static void backendErrors(
-      Simulation in, double from, double to, String worker, double share) {
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      String endpointId,
+      double ratio) {
     during(
-        in,
-        from,
-        to,
-        e -> e.backend(worker).errorRatio = share,
-        e -> e.backend(worker).errorRatio = 0);
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.backend(endpointId).errorRatio = ratio,
+        e -> e.backend(endpointId).errorRatio = 0);
   }
 
   /**
-   * A worker's connections leak, so many a second, until it has none left to give; in the end it
-   * has them back.
+   * A backend leaks so many connections a second until none are left; they are returned at the end.
    */
   public static void backendLeaksConnections(
-      Simulation in, double from, double to, String worker, double aSecond) {
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      String endpointId,
+      double connectionsPerSecond) {
     during(
-        in,
-        from,
-        to,
-        e -> e.backend(worker).leakConnections(aSecond),
-        e -> e.backend(worker).leakConnections(0));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.backend(endpointId).leakConnections(connectionsPerSecond),
+        e -> e.backend(endpointId).leakConnections(0));
   }
 
-  /** A worker dies, is taken off the roster, and comes back cold. */
-  public static void backendRestart(Simulation in, double from, double to, String worker) {
+  /** A backend is killed, is removed from discovery, and starts again, warming up. */
+  public static void backendRestart(
+      Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
     during(
-        in,
-        from,
-        to,
+        simulation,
+        fromSecond,
+        untilSecond,
         e -> {
-          e.backend(worker).kill();
-          e.announceState(worker, EndpointState.REMOVED);
+          e.backend(endpointId).kill();
+          e.discovery.announceState(endpointId, EndpointState.REMOVED);
         },
         e -> {
-          e.backend(worker).start(true);
-          e.announceState(worker, EndpointState.RUNNING);
+          e.backend(endpointId).start(true);
+          e.discovery.announceState(endpointId, EndpointState.RUNNING);
         });
   }
 
-  /** A worker drains, is gone when its grace is over, and comes back cold. */
-  public static void backendDrains(Simulation in, double from, double to, String worker) {
-    double grace =
-        in.deployment.rules().drainGraceMicros() / 1e6
-            + in.deployment.discoveryDelayMicros() / 1e6
+  /** A backend drains, is killed after the drain grace, and starts again, warming up. */
+  public static void backendDrains(
+      Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
+    double graceSeconds =
+        simulation.deployment.rules().drainGraceMicros() / 1e6
+            + simulation.deployment.discoveryDelayMicros() / 1e6
             + KILL_DELAY_SECONDS;
-    in.scheduleAt(from, e -> e.announceState(worker, EndpointState.DRAINING));
-    backendRestart(in, Math.min(from + grace, to), to, worker);
+    simulation.scheduleAt(
+        fromSecond, e -> e.discovery.announceState(endpointId, EndpointState.DRAINING));
+    backendRestart(
+        simulation, Math.min(fromSecond + graceSeconds, untilSecond), untilSecond, endpointId);
   }
 
-  /**
-   * All workers are replaced, so many at a time, as a deploy does: each drains, ends and comes back
-   * cold.
-   */
-  public static void rollingDeploy(Simulation in, double from, double to, int atATime) {
-    int all = in.deployment.backendCount();
-    int batches = (all + atATime - 1) / atATime;
-    double step = (to - from) / batches;
-    for (int i = 0; i < all; i++) {
-      double begin = from + i / atATime * step;
-      backendDrains(in, begin, begin + step, "w" + i);
+  /** All backends are replaced, so many at a time, as a rolling deploy does. */
+  public static void rollingDeploy(
+      Simulation simulation, double fromSecond, double untilSecond, int batchSize) {
+    int backendCount = simulation.deployment.backendCount();
+    int batches = (backendCount + batchSize - 1) / batchSize;
+    double step = (untilSecond - fromSecond) / batches;
+    for (int i = 0; i < backendCount; i++) {
+      double begin = fromSecond + i / batchSize * step;
+      backendDrains(simulation, begin, begin + step, "w" + i);
     }
   }
 
-  /** All workers of a zone die at once, and come back cold at once. */
-  public static void zoneOutage(Simulation in, double from, double to, int zone) {
-    for (int i = zone; i < in.deployment.backendCount(); i += in.deployment.zoneCount()) {
-      backendRestart(in, from, to, "w" + i);
+  /** All backends of a zone are killed at once and start again at once, warming up. */
+  public static void zoneOutage(
+      Simulation simulation, double fromSecond, double untilSecond, int zone) {
+    for (int i = zone;
+        i < simulation.deployment.backendCount();
+        i += simulation.deployment.zoneCount()) {
+      backendRestart(simulation, fromSecond, untilSecond, "w" + i);
     }
   }
 
-  /** All ways take so many times as long. */
-  public static void networkSlow(Simulation in, double from, double to, double times) {
-    during(in, from, to, e -> e.network.delayFactor = times, e -> e.network.delayFactor = 1);
+  /** All messages take so many times as long. */
+  public static void networkSlow(
+      Simulation simulation, double fromSecond, double untilSecond, double factor) {
+    during(
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.network.delayFactor = factor,
+        e -> e.network.delayFactor = 1);
   }
 
-  /** The roster tells no change; all of them at the end. */
-  public static void discoveryMuted(Simulation in, double from, double to) {
+  /** Discovery sends no changes; each gateway gets a snapshot at the end. */
+  public static void discoveryMuted(Simulation simulation, double fromSecond, double untilSecond) {
     during(
-        in,
-        from,
-        to,
-        e -> e.isDiscoveryMuted = true,
-        e -> {
-          e.isDiscoveryMuted = false;
-          e.gateways.forEach(e::sendSnapshot);
-        });
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.discovery.setMuted(true),
+        e -> e.discovery.setMuted(false));
   }
 
   /**
-   * The clocks of some gatekeepers, from the first on, are ahead by so much, or behind when below
-   * 0.
+   * The clocks of some gateways, from the first on, are ahead by so much, or behind when below 0.
    */
   public static void clockSkew(
-      Simulation in, double from, double to, int gatekeepers, long micros) {
+      Simulation simulation,
+      double fromSecond,
+      double untilSecond,
+      int gatewayCount,
+      long offsetMicros) {
     during(
-        in,
-        from,
-        to,
-        e -> e.gateways.subList(0, gatekeepers).forEach(g -> g.setClockOffset(micros)),
-        e -> e.gateways.subList(0, gatekeepers).forEach(g -> g.setClockOffset(0)));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.gateways.subList(0, gatewayCount).forEach(g -> g.setClockOffset(offsetMicros)),
+        e -> e.gateways.subList(0, gatewayCount).forEach(g -> g.setClockOffset(0)));
   }
 
-  /** The processes of some gatekeepers, from the first on, are killed, and start again. */
-  public static void gatewaysKilled(Simulation in, double from, double to, int gatekeepers) {
+  /** The processes of some gateways, from the first on, are killed and start again. */
+  public static void gatewaysKilled(
+      Simulation simulation, double fromSecond, double untilSecond, int gatewayCount) {
     during(
-        in,
-        from,
-        to,
-        e -> e.gateways.subList(0, gatekeepers).forEach(e::killGateway),
-        e -> e.gateways.subList(0, gatekeepers).forEach(SimulatedGateway::start));
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.gateways.subList(0, gatewayCount).forEach(e::killGateway),
+        e -> e.gateways.subList(0, gatewayCount).forEach(SimulatedGateway::start));
   }
 
-  /** Customers of one demand, or of all, ask so many times as much. */
+  /** Customers of one demand, or of all when the name is empty, send so many times as much. */
   public static void demandBurst(
-      Simulation in, double from, double to, String demand, double times) {
-    in.scheduleAt(from, e -> e.addDemand(demand, times - 1, to - from));
+      Simulation simulation, double fromSecond, double untilSecond, String demand, double factor) {
+    simulation.scheduleAt(
+        fromSecond, e -> e.clients.addDemand(demand, factor - 1, untilSecond - fromSecond));
   }
 
-  /** This share of the clients leaves early. */
-  public static void clientsDisconnectEarly(Simulation in, double from, double to, double share) {
-    during(in, from, to, e -> e.earlyDisconnectRatio = share, e -> e.earlyDisconnectRatio = 0);
+  /** This share of the clients disconnects early. */
+  public static void clientsDisconnectEarly(
+      Simulation simulation, double fromSecond, double untilSecond, double ratio) {
+    during(
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.clients.earlyDisconnectRatio = ratio,
+        e -> e.clients.earlyDisconnectRatio = 0);
   }
 
-  /** Clients try again at once whatever they are told, up to so many tries of each request. */
-  public static void retryStorm(Simulation in, double from, double to, int tries) {
-    during(in, from, to, e -> e.retryStormAttempts = tries, e -> e.retryStormAttempts = 0);
+  /** Clients retry at once whatever the response, up to so many tries of each operation. */
+  public static void retryStorm(
+      Simulation simulation, double fromSecond, double untilSecond, int maxAttempts) {
+    during(
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.clients.retryStormAttempts = maxAttempts,
+        e -> e.clients.retryStormAttempts = 0);
   }
 
-  /** This share of the requests kills the process that works on it, in each of its attempts. */
-  public static void poisonRequests(Simulation in, double from, double to, double share) {
-    during(in, from, to, e -> e.poisonRatio = share, e -> e.poisonRatio = 0);
+  /** This share of the operations kills the backend that works on it, in each attempt. */
+  public static void poisonRequests(
+      Simulation simulation, double fromSecond, double untilSecond, double ratio) {
+    during(
+        simulation,
+        fromSecond,
+        untilSecond,
+        e -> e.clients.poisonRatio = ratio,
+        e -> e.clients.poisonRatio = 0);
   }
 }
--- /dev/null
+++ b/src/main/java/fawndock/simulation/SimulatedClients.java
@@ -0,0 +1,251 @@
+package fawndock.simulation;
+
+import fawndock.conformance.TraceEvent;
+import fawndock.loadgen.Arrivals;
+import fawndock.loadgen.Customers;
+import fawndock.loadgen.Manners;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.event.RequestArrived;
+import fawndock.simulation.Deployment.Demand;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/**
+ * The customers' clients: open-loop arrivals of each demand, and for each request its timeout and
+ * its retries. Single-threaded; random numbers are drawn in a fixed order, so that the same seed
+ * gives the same requests.
+ */
+final class SimulatedClients {
+  /** Spaces the first gateways of customers evenly over the fleet; a prime. */
+  private static final long CUSTOMER_STRIDE = 7_919L;
+
+  private static final int EARLY_DISCONNECT_MIN_MICROS = 5_000;
+  private static final int EARLY_DISCONNECT_RANGE_MICROS = 60_000;
+  private static final int TOO_MANY_REQUESTS = 429;
+
+  /**
+   * One operation of a customer, kept over its tries.
+   *
+   * @param isPoisoned whether each of its attempts kills the process that works on it
+   * @param random of the demand that it belongs to
+   */
+  private record Operation(
+      Demand demand, int customer, String id, boolean isPoisoned, SplittableRandom random) {
+    String customerName() {
+      return demand.name() + "-" + customer;
+    }
+  }
+
+  /** One request in flight from its client's view. */
+  private static final class ClientRequest {
+    final Operation operation;
+    final int attempt;
+    final String id;
+    boolean isCompleted;
+    long gatewayRequestId;
+
+    ClientRequest(Operation operation, int attempt) {
+      this.operation = operation;
+      this.attempt = attempt;
+      this.id = operation.id() + "." + attempt;
+    }
+  }
+
+  private final Simulation simulation;
+  private final List<TraceEvent> trace;
+  private final Map<String, RequestClass> requestClasses;
+  private final SplittableRandom random;
+  private final Set<String> poisonedRequests = new HashSet<>();
+  private long nextOperation;
+
+  /** Share of the clients that disconnect early; set by faults. */
+  double earlyDisconnectRatio;
+
+  /** Share of the operations that kill the process that works on them; set by faults. */
+  double poisonRatio;
+
+  /** Tries of each operation while clients retry at once; 0 for their usual behavior. */
+  int retryStormAttempts;
+
+  SimulatedClients(
+      Simulation simulation,
+      List<TraceEvent> trace,
+      Map<String, RequestClass> requestClasses,
+      SplittableRandom random) {
+    this.simulation = simulation;
+    this.trace = trace;
+    this.requestClasses = requestClasses;
+    this.random = random;
+  }
+
+  /** Whether a request kills the process that works on it. */
+  boolean isPoisoned(String requestId) {
+    return poisonedRequests.contains(requestId);
+  }
+
+  /** Starts a demand for the whole run. */
+  void startDemand(Demand demand) {
+    Arrivals arrivals =
+        new Arrivals(
+            demand.requestsPerSecond(),
+            demand.shape(),
+            false,
+            simulation.deployment.durationSeconds(),
+            random.split());
+    Customers customers = new Customers(demand.customerCount(), demand.skew());
+    scheduleNextArrival(demand, arrivals, 0, customers, random.split());
+  }
+
+  /**
+   * Adds a multiple of a demand for a while from now on; of all demands when the name is empty.
+   *
+   * @param factor of the demand's own rate
+   */
+  void addDemand(String name, double factor, double seconds) {
+    simulation.deployment.demands().stream()
+        .filter(demand -> name.isEmpty() || demand.name().equals(name))
+        .forEach(demand -> addDemand(demand, factor, seconds));
+  }
+
+  private void addDemand(Demand demand, double factor, double seconds) {
+    Arrivals arrivals =
+        new Arrivals(
+            demand.requestsPerSecond() * factor, demand.shape(), false, seconds, random.split());
+    scheduleNextArrival(
+        demand,
+        arrivals,
+        simulation.events.nowMicros(),
+        new Customers(demand.customerCount(), demand.skew()),
+        random.split());
+  }
+
+  private void scheduleNextArrival(
+      Demand demand,
+      Arrivals arrivals,
+      long startMicros,
+      Customers customers,
+      SplittableRandom demandRandom) {
+    long atMicros = arrivals.next();
+    if (atMicros < 0) {
+      return;
+    }
+    simulation.events.scheduleAt(
+        startMicros + atMicros,
+        () -> {
+          String id = "op" + nextOperation++;
+          boolean isPoisoned = poisonRatio > 0 && demandRandom.nextDouble() < poisonRatio;
+          int customer = customers.draw(demandRandom);
+          send(new Operation(demand, customer, id, isPoisoned, demandRandom), 1);
+          scheduleNextArrival(demand, arrivals, startMicros, customers, demandRandom);
+        });
+  }
+
+  /** A customer uses some gateways in a row, the first by the customer's number. */
+  private void send(Operation operation, int attempt) {
+    Demand demand = operation.demand();
+    int gatewayCount = simulation.gateways.size();
+    int gatewaysPerCustomer = Math.min(gatewayCount, demand.gatewaysPerCustomer());
+    long firstGateway = operation.customer() * CUSTOMER_STRIDE;
+    int chosen = operation.random().nextInt(gatewaysPerCustomer);
+    SimulatedGateway gateway =
+        simulation.firstRunningGateway((int) ((firstGateway + chosen) % gatewayCount));
+    ClientRequest request = new ClientRequest(operation, attempt);
+    long nowMicros = simulation.events.nowMicros();
+    long deadlineAtMicros = nowMicros + demand.timeoutMicros();
+    if (operation.isPoisoned()) {
+      poisonedRequests.add(request.id);
+    }
+    trace.add(
+        new TraceEvent.RequestSent(
+            nowMicros,
+            request.id,
+            gateway.instanceIndex,
+            demand.requestClass(),
+            operation.customerName(),
+            1,
+            deadlineAtMicros));
+    RequestArrived arrived =
+        new RequestArrived(
+            0,
+            demand.requestClass(),
+            demand.plan(),
+            operation.customerName(),
+            deadlineAtMicros,
+            1,
+            gatewaysPerCustomer,
+            (int) (firstGateway % gatewayCount),
+            attempt > 1);
+    simulation.network.send(() -> request.gatewayRequestId = deliver(gateway, arrived, request));
+    scheduleDisconnect(request, gateway);
+  }
+
+  private long deliver(SimulatedGateway gateway, RequestArrived arrived, ClientRequest request) {
+    return gateway.onRequest(
+        arrived,
+        request.id,
+        idempotencyKey(request.operation),
+        (status, retryAfterMicros) ->
+            simulation.network.send(() -> onResponse(request, status, retryAfterMicros)));
+  }
+
+  private String idempotencyKey(Operation operation) {
+    return idempotencyOf(operation) == Idempotency.DEDUPLICATED ? operation.id() : "";
+  }
+
+  private Idempotency idempotencyOf(Operation operation) {
+    return requestClasses.get(operation.demand().requestClass()).idempotency();
+  }
+
+  private void onResponse(ClientRequest request, int status, long retryAfterMicros) {
+    if (request.isCompleted) {
+      return;
+    }
+    request.isCompleted = true;
+    long nowMicros = simulation.events.nowMicros();
+    trace.add(
+        status == SimulatedGateway.CONNECTION_LOST
+            ? new TraceEvent.ConnectionLost(nowMicros, request.id)
+            : new TraceEvent.ResponseReceived(nowMicros, request.id, status));
+    retryIfAllowed(request, status, retryAfterMicros);
+  }
+
+  private void scheduleDisconnect(ClientRequest request, SimulatedGateway gateway) {
+    SplittableRandom demandRandom = request.operation.random();
+    long delayMicros =
+        earlyDisconnectRatio > 0 && demandRandom.nextDouble() < earlyDisconnectRatio
+            ? EARLY_DISCONNECT_MIN_MICROS + demandRandom.nextInt(EARLY_DISCONNECT_RANGE_MICROS)
+            : request.operation.demand().clientBehavior().giveUpMicros();
+    simulation.events.scheduleAfter(
+        delayMicros,
+        () -> {
+          if (!request.isCompleted) {
+            request.isCompleted = true;
+            trace.add(new TraceEvent.ClientDisconnected(simulation.events.nowMicros(), request.id));
+            simulation.network.send(() -> gateway.onClientDisconnected(request.gatewayRequestId));
+            retryIfAllowed(request, 0, 0);
+          }
+        });
+  }
+
+  private void retryIfAllowed(ClientRequest request, int status, long retryAfterMicros) {
+    Operation operation = request.operation;
+    boolean isSafe =
+        status == TOO_MANY_REQUESTS || idempotencyOf(operation) != Idempotency.AT_MOST_ONCE;
+    if (!isSafe) {
+      return;
+    }
+    Manners behavior =
+        retryStormAttempts == 0
+            ? operation.demand().clientBehavior()
+            : new Manners(0, Manners.Retry.AT_ONCE, 0, retryStormAttempts, false);
+    long retryAfterSeconds = (retryAfterMicros + 999_999) / 1_000_000;
+    long delayMicros = behavior.again(Math.max(0, status), retryAfterSeconds, request.attempt);
+    if (delayMicros >= 0) {
+      simulation.events.scheduleAfter(delayMicros, () -> send(operation, request.attempt + 1));
+    }
+  }
+}
--- a/src/main/java/fawndock/simulation/SimulatedGateway.java
+++ b/src/main/java/fawndock/simulation/SimulatedGateway.java
@@ -123,7 +123,7 @@
   void start() {
     policy = policyFactory.get();
     isRunning = true;
-    simulation.sendSnapshot(this);
+    simulation.discovery.sendSnapshot(this);
   }
 
   /** A request has arrived; returns its number. */
@@ -206,7 +206,7 @@
                   "g" + to.instanceIndex,
                   () -> to.onEvent(new PeerMessageReceived(instanceIndex, a.text()))));
     } else if (action instanceof FetchEndpoints) {
-      simulation.sendSnapshot(this);
+      simulation.discovery.sendSnapshot(this);
     }
   }
 
--- a/src/main/java/fawndock/simulation/Simulation.java
+++ b/src/main/java/fawndock/simulation/Simulation.java
@@ -5,21 +5,13 @@
 import fawndock.conformance.InvariantChecker;
 import fawndock.conformance.TraceEvent;
 import fawndock.conformance.WeightedGoodput;
-import fawndock.loadgen.Arrivals;
-import fawndock.loadgen.Customers;
-import fawndock.loadgen.Manners;
 import fawndock.measurement.Measures;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.CounterConfig;
-import fawndock.policy.config.Idempotency;
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.PolicyConfig;
 import fawndock.policy.config.RequestClass;
-import fawndock.policy.event.Endpoint;
 import fawndock.policy.event.EndpointState;
-import fawndock.policy.event.EndpointUpdate;
-import fawndock.policy.event.EndpointUpdateKind;
-import fawndock.policy.event.RequestArrived;
 import fawndock.simulation.Deployment.Demand;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -34,124 +26,116 @@
 import java.util.function.Function;
 
 /**
- * One run of a deployment. The same deployment, troubles and decisions give the same run, to the
- * digit, on every machine.
+ * One run of a deployment in simulated time, on the calling thread. The same deployment, faults and
+ * policy give the same result, to the digit, on every machine.
  */
 public final class Simulation {
-  /**
-   * What came of it.
-   *
-   * @param conformance on the five rules
-   * @param responsesByStatus answers by status; 0 for clients that left, -1 for connections that
-   *     broke
-   * @param figures of the whole run, by name
-   * @param series by name, a value for each second
-   * @param eventCount that happened
-   */
-  public record SimulationResult(
-      ConformanceResult conformance,
-      Map<Integer, Long> responsesByStatus,
-      Map<String, Double> figures,
-      Map<String, double[]> series,
-      long eventCount) {}
-
   private static final long ROUND_TRIP_MICROS = 5_000;
+
+  /** The run goes on so long after the last arrival, so that all requests are answered. */
   private static final long DRAIN_MICROS = 10_000_000;
+
   private static final long RESTART_MICROS = 5_000_000;
   final EventQueue events = new EventQueue();
   final Deployment deployment;
   final SimulatedNetwork network;
+  final SimulatedDiscovery discovery;
+  final SimulatedClients clients;
   final List<SimulatedCounter> counterPartitions = new ArrayList<>();
   final List<SimulatedGateway> gateways = new ArrayList<>();
   final Map<String, SimulatedBackend> backends = new LinkedHashMap<>();
   private final List<TraceEvent> trace = new ArrayList<>();
-  private final Map<String, EndpointState> endpointStates = new HashMap<>();
   private final Map<String, RequestClass> requestClasses = new HashMap<>();
-  private final Set<String> poisonedRequests = new HashSet<>();
-  private final SplittableRandom random;
-  private long nextOperation;
   private final double[] checkedRequestsBySecond;
-  private long requestCount;
+  private long admittedRequests;
 
   /**
-   * Set by troubles: shares of clients that leave early and of requests that kill, tries of a
-   * storm, a roster that is mute.
+   * @param policyFactory makes each gateway's policy
    */
-  double earlyDisconnectRatio;
-
-  double poisonRatio;
-  int retryStormAttempts;
-  boolean isDiscoveryMuted;
-
-  /**
-   * @param maker makes each gatekeeper's decisions
-   */
-  public Simulation(Deployment deployment, Function<PolicyConfig, GatewayPolicy> maker) {
+  public Simulation(Deployment deployment, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.deployment = deployment;
-    random = new SplittableRandom(deployment.seed());
-    checkedRequestsBySecond = new double[(int) Math.ceil(deployment.durationSeconds())];
+    // The order of the splits is part of what a seed means.
+    SplittableRandom random = new SplittableRandom(deployment.seed());
+    checkedRequestsBySecond = new double[seconds()];
     network = new SimulatedNetwork(events, deployment.network(), random.split());
+    discovery = new SimulatedDiscovery(this, trace);
+    clients = new SimulatedClients(this, trace, requestClasses, random);
+    deployment.requestClasses().forEach(c -> requestClasses.put(c.name(), c));
+    addCounterPartitions(random);
+    addBackends(random);
+    addGateways(policyFactory);
+  }
+
+  private int seconds() {
+    return (int) Math.ceil(deployment.durationSeconds());
+  }
+
+  private void addCounterPartitions(SplittableRandom random) {
     for (int i = 0; i < deployment.counter().partitionCount(); i++) {
       counterPartitions.add(
           new SimulatedCounter(
-              "counter" + i,
-              events,
-              deployment.counter(),
-              random.split(),
-              (int) Math.ceil(deployment.durationSeconds())));
+              "counter" + i, events, deployment.counter(), random.split(), seconds()));
     }
-    deployment.requestClasses().forEach(c -> requestClasses.put(c.name(), c));
-    Set<String> keys = new HashSet<>();
+  }
+
+  private void addBackends(SplittableRandom random) {
+    Set<String> appliedKeys = new HashSet<>();
     for (int i = 0; i < deployment.backendCount(); i++) {
-      SimulatedBackend worker =
+      SimulatedBackend backend =
           new SimulatedBackend(
               i,
               events,
               deployment,
               random.split(),
               trace,
-              keys,
-              poisonedRequests::contains,
+              appliedKeys,
+              clients::isPoisoned,
               this::onBackendCrash);
-      backends.put(worker.id, worker);
-      endpointStates.put(worker.id, EndpointState.RUNNING);
-      worker.start(false);
+      backends.put(backend.id, backend);
+      discovery.register(backend.id);
+      backend.start(false);
     }
+  }
+
+  private void addGateways(Function<PolicyConfig, GatewayPolicy> policyFactory) {
     for (int i = 0; i < deployment.gatewayCount(); i++) {
-      PolicyConfig settings =
-          new PolicyConfig(
-              i,
-              deployment.gatewayCount(),
-              deployment.seed() + i,
-              ROUND_TRIP_MICROS,
-              "",
-              false,
-              deployment.requestClasses(),
-              deployment.plans(),
-              deployment.limits(),
-              deployment.rules(),
-              new CounterConfig(true, deployment.counter().timeoutMicros(), false));
-      SimulatedGateway made = new SimulatedGateway(i, this, () -> maker.apply(settings));
-      gateways.add(made);
-      sendSnapshot(made);
+      PolicyConfig config = policyConfig(i);
+      SimulatedGateway gateway = new SimulatedGateway(i, this, () -> policyFactory.apply(config));
+      gateways.add(gateway);
+      discovery.sendSnapshot(gateway);
     }
   }
 
-  /** Something that happens at a second of the run. */
-  public Simulation scheduleAt(double second, Consumer<Simulation> what) {
-    events.scheduleAt((long) (second * 1e6), () -> what.accept(this));
+  private PolicyConfig policyConfig(int instanceIndex) {
+    return new PolicyConfig(
+        instanceIndex,
+        deployment.gatewayCount(),
+        deployment.seed() + instanceIndex,
+        ROUND_TRIP_MICROS,
+        "",
+        false,
+        deployment.requestClasses(),
+        deployment.plans(),
+        deployment.limits(),
+        deployment.rules(),
+        new CounterConfig(true, deployment.counter().timeoutMicros(), false));
+  }
+
+  /** Schedules an action at a second of the run; to be called before {@link #run}. */
+  public Simulation scheduleAt(double second, Consumer<Simulation> action) {
+    events.scheduleAt((long) (second * 1e6), () -> action.accept(this));
     return this;
   }
 
-  /** Runs all of it, until long after the last client asked. */
+  /** Runs until long after the last arrival. To be called once. */
   public SimulationResult run() {
-    Map<String, Plan> plans = deployment.customerPlans();
-    deployment.demands().forEach(this::startDemand);
+    deployment.demands().forEach(clients::startDemand);
     events.runUntil((long) (deployment.durationSeconds() * 1e6) + DRAIN_MICROS);
-    long slack =
-        2 * deployment.network().minDelayMicros()
-            + 40 * deployment.network().meanExtraDelayMicros();
-    Measures.Told told =
+    Map<String, Plan> plans = deployment.customerPlans();
+    ConformanceLimits limits =
+        new ConformanceLimits(requestClasses, deployment.rules(), plans, toleranceMicros());
+    ConformanceResult conformance = InvariantChecker.check(trace, limits);
+    Measures.Told measured =
         Measures.of(
             trace,
             requestClasses,
@@ -159,275 +143,103 @@
             deployment.demands().stream().map(Demand::name).toList(),
             0,
             deployment.durationSeconds());
-    ConformanceLimits judged =
-        new ConformanceLimits(requestClasses, deployment.rules(), plans, slack);
-    ConformanceResult verdict = InvariantChecker.check(trace, judged);
-    double[] calls = new double[(int) Math.ceil(deployment.durationSeconds())];
-    double[] queue = new double[calls.length];
-    for (SimulatedCounter part : counterPartitions) {
-      for (int i = 0; i < calls.length; i++) {
-        calls[i] += part.callsBySecond()[i];
-        queue[i] = Math.max(queue[i], part.queueMillisBySecond()[i]);
-      }
-    }
-    told.series().put("counter calls", calls);
-    told.series().put("tries asked", checkedRequestsBySecond);
-    told.figures()
-        .put(
-            "asked-a-try",
-            Arrays.stream(checkedRequestsBySecond).sum() / Math.max(1, requestCount));
-    told.series().put("counter queue ms", queue);
-    told.figures()
-        .put("calls-a-try", Arrays.stream(calls).sum() / Math.max(1, verdict.requestCount()));
-    told.figures().put("counter-queue-ms", Arrays.stream(queue).max().orElse(0));
-    told.figures().put("worth", WeightedGoodput.shareOfOffered(trace, judged));
-    told.figures().put("rules-broken", (double) verdict.violationCount());
+    addCounterFigures(measured, conformance.requestCount());
+    measured.figures().put("worth", WeightedGoodput.shareOfOffered(trace, limits));
+    measured.figures().put("rules-broken", (double) conformance.violationCount());
     return new SimulationResult(
-        verdict, told.statuses(), told.figures(), told.series(), events.scheduledCount());
-  }
-
-  /** A gatekeeper has taken in a try, and called the counter for it or not. */
-  void recordAdmission(boolean asked) {
-    requestCount++;
-    int second = (int) (events.nowMicros() / 1_000_000);
-    if (asked && second < checkedRequestsBySecond.length) {
-      checkedRequestsBySecond[second]++;
-    }
+        conformance,
+        measured.statuses(),
+        measured.figures(),
+        measured.series(),
+        events.scheduledCount());
   }
 
-  /** The counter's part that a name lies on. */
-  SimulatedCounter counterPartition(String name) {
-    return counterPartitions.get(Math.floorMod(name.hashCode(), counterPartitions.size()));
+  private long toleranceMicros() {
+    return 2 * deployment.network().minDelayMicros()
+        + 40 * deployment.network().meanExtraDelayMicros();
   }
 
-  /** A worker's process has ended by itself: it is taken off the roster, and starts again cold. */
-  private void onBackendCrash(SimulatedBackend worker) {
-    announceState(worker.id, EndpointState.REMOVED);
-    events.scheduleAfter(
-        RESTART_MICROS,
-        () -> {
-          if (!worker.isRunning()) {
-            worker.start(true);
-            announceState(worker.id, EndpointState.RUNNING);
-          }
-        });
+  private void addCounterFigures(Measures.Told measured, int requestCount) {
+    double[] calls = new double[seconds()];
+    double[] queueMillis = new double[calls.length];
+    for (SimulatedCounter partition : counterPartitions) {
+      for (int i = 0; i < calls.length; i++) {
+        calls[i] += partition.callsBySecond()[i];
+        queueMillis[i] = Math.max(queueMillis[i], partition.queueMillisBySecond()[i]);
+      }
+    }
+    double checked = Arrays.stream(checkedRequestsBySecond).sum();
+    measured.series().put("counter calls", calls);
+    measured.series().put("tries asked", checkedRequestsBySecond);
+    measured.figures().put("asked-a-try", checked / Math.max(1, admittedRequests));
+    measured.series().put("counter queue ms", queueMillis);
+    measured.figures().put("calls-a-try", Arrays.stream(calls).sum() / Math.max(1, requestCount));
+    measured.figures().put("counter-queue-ms", Arrays.stream(queueMillis).max().orElse(0));
   }
 
   /**
-   * The customers of a demand, of all of them when it is empty, ask so many times more for a while
-   * from now on.
+   * A gateway has received a request.
+   *
+   * @param isChecked whether it called the counter for it at once
    */
-  void addDemand(String name, double times, double seconds) {
-    deployment.demands().stream()
-        .filter(d -> name.isEmpty() || d.name().equals(name))
-        .forEach(
-            d ->
-                scheduleNextArrival(
-                    d,
-                    new Arrivals(
-                        d.requestsPerSecond() * times, d.shape(), false, seconds, random.split()),
-                    events.nowMicros(),
-                    new Customers(d.customerCount(), d.skew()),
-                    random.split()));
-  }
-
-  private void startDemand(Demand demand) {
-    Arrivals arrivals =
-        new Arrivals(
-            demand.requestsPerSecond(),
-            demand.shape(),
-            false,
-            deployment.durationSeconds(),
-            random.split());
-    Customers customers = new Customers(demand.customerCount(), demand.skew());
-    scheduleNextArrival(demand, arrivals, 0, customers, random.split());
+  void recordAdmission(boolean isChecked) {
+    admittedRequests++;
+    int second = (int) (events.nowMicros() / 1_000_000);
+    if (isChecked && second < checkedRequestsBySecond.length) {
+      checkedRequestsBySecond[second]++;
+    }
   }
 
-  private void scheduleNextArrival(
-      Demand demand, Arrivals arrivals, long from, Customers customers, SplittableRandom draw) {
-    long at = arrivals.next();
-    if (at >= 0) {
-      events.scheduleAt(
-          from + at,
-          () -> {
-            String operation = "op" + nextOperation++;
-            boolean kills = poisonRatio > 0 && draw.nextDouble() < poisonRatio;
-            sendRequest(demand, customers.draw(draw), operation, 1, kills, draw);
-            scheduleNextArrival(demand, arrivals, from, customers, draw);
-          });
-    }
+  /** The partition of the counter that holds a name. */
+  SimulatedCounter counterPartition(String counterName) {
+    return counterPartitions.get(Math.floorMod(counterName.hashCode(), counterPartitions.size()));
   }
 
-  /** A customer comes through some gatekeepers in a row, the first by its number. */
-  private void sendRequest(
-      Demand demand,
-      int customer,
-      String operation,
-      int tried,
-      boolean kills,
-      SplittableRandom draw) {
-    int all = gateways.size();
-    int spread = Math.min(all, demand.gatewaysPerCustomer());
-    SimulatedGateway to =
-        firstRunningGateway((int) ((customer * 7_919L + draw.nextInt(spread)) % all));
-    String name = demand.name() + "-" + customer;
-    String request = operation + "." + tried;
-    long asked = events.nowMicros();
-    long giveUpAt = asked + demand.timeoutMicros();
-    String key =
-        requestClasses.get(demand.requestClass()).idempotency() == Idempotency.DEDUPLICATED
-            ? operation
-            : "";
-    if (kills) {
-      poisonedRequests.add(request);
-    }
-    trace.add(
-        new TraceEvent.RequestSent(
-            asked, request, to.instanceIndex, demand.requestClass(), name, 1, giveUpAt));
-    boolean[] over = {false};
-    long[] id = {0};
-    network.send(
-        () ->
-            id[0] =
-                to.onRequest(
-                    new RequestArrived(
-                        0,
-                        demand.requestClass(),
-                        demand.plan(),
-                        name,
-                        giveUpAt,
-                        1,
-                        spread,
-                        (int) (customer * 7_919L % all),
-                        tried > 1),
-                    request,
-                    key,
-                    (status, wait) ->
-                        network.send(
-                            () -> {
-                              if (!over[0]) {
-                                over[0] = true;
-                                trace.add(
-                                    status == SimulatedGateway.CONNECTION_LOST
-                                        ? new TraceEvent.ConnectionLost(events.nowMicros(), request)
-                                        : new TraceEvent.ResponseReceived(
-                                            events.nowMicros(), request, status));
-                                retryIfAllowed(
-                                    demand, customer, operation, tried, status, wait, kills, draw);
-                              }
-                            })));
-    long leaves =
-        earlyDisconnectRatio > 0 && draw.nextDouble() < earlyDisconnectRatio
-            ? 5_000 + draw.nextInt(60_000)
-            : demand.clientBehavior().giveUpMicros();
+  /** A backend's process crashed: it is removed from discovery and starts again, warming up. */
+  private void onBackendCrash(SimulatedBackend backend) {
+    discovery.announceState(backend.id, EndpointState.REMOVED);
     events.scheduleAfter(
-        leaves,
+        RESTART_MICROS,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            trace.add(new TraceEvent.ClientDisconnected(events.nowMicros(), request));
-            network.send(() -> to.onClientDisconnected(id[0]));
-            retryIfAllowed(demand, customer, operation, tried, 0, 0, kills, draw);
+          if (!backend.isRunning()) {
+            backend.start(true);
+            discovery.announceState(backend.id, EndpointState.RUNNING);
           }
         });
   }
 
-  /** A gatekeeper by its number, or the next that is up. */
-  private SimulatedGateway firstRunningGateway(int first) {
+  /** A gateway by its index, or the next one that is running. */
+  SimulatedGateway firstRunningGateway(int index) {
     for (int i = 0; i < gateways.size(); i++) {
-      SimulatedGateway each = gateways.get((first + i) % gateways.size());
-      if (each.isRunning()) {
-        return each;
+      SimulatedGateway gateway = gateways.get((index + i) % gateways.size());
+      if (gateway.isRunning()) {
+        return gateway;
       }
     }
-    return gateways.get(first);
+    return gateways.get(index);
   }
 
-  void killGateway(SimulatedGateway gatekeeper) {
-    trace.add(new TraceEvent.GatewayKilled(events.nowMicros(), gatekeeper.instanceIndex));
-    gatekeeper.kill();
+  void killGateway(SimulatedGateway gateway) {
+    trace.add(new TraceEvent.GatewayKilled(events.nowMicros(), gateway.instanceIndex));
+    gateway.kill();
   }
 
-  private void retryIfAllowed(
-      Demand demand,
-      int customer,
-      String operation,
-      int tried,
-      int status,
-      long waitMicros,
-      boolean kills,
-      SplittableRandom draw) {
-    boolean harmless =
-        status == 429
-            || requestClasses.get(demand.requestClass()).idempotency() != Idempotency.AT_MOST_ONCE;
-    Manners manners =
-        retryStormAttempts == 0
-            ? demand.clientBehavior()
-            : new Manners(0, Manners.Retry.AT_ONCE, 0, retryStormAttempts, false);
-    long again =
-        harmless
-            ? manners.again(Math.max(0, status), (waitMicros + 999_999) / 1_000_000, tried)
-            : -1;
-    if (again >= 0) {
-      events.scheduleAfter(
-          again, () -> sendRequest(demand, customer, operation, tried + 1, kills, draw));
-    }
-  }
-
-  SimulatedBackend backend(String id) {
-    return backends.get(id);
+  /** The backend of an endpoint id, or null. */
+  SimulatedBackend backend(String endpointId) {
+    return backends.get(endpointId);
   }
 
   /**
-   * Tells a gatekeeper the whole list at once: only changes take the roster's time, and a
-   * gatekeeper that has no list is not ready.
+   * Applies an action to the peers of a gateway.
+   *
+   * @param toInstance one peer's index, or below 0 for all peers
    */
-  void sendSnapshot(SimulatedGateway to) {
-    events.scheduleAfter(
-        0,
-        () -> {
-          List<Endpoint> all = new ArrayList<>();
-          backends.values().forEach(worker -> all.add(endpointOf(worker)));
-          all.forEach(server -> recordAnnouncement(to, server));
-          to.onEvent(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, all));
-        });
-  }
-
-  private Endpoint endpointOf(SimulatedBackend worker) {
-    return new Endpoint(
-        worker.id, worker.zone, 0, endpointStates.get(worker.id), 1, worker.startedAtMicros);
-  }
-
-  private void recordAnnouncement(SimulatedGateway to, Endpoint server) {
-    trace.add(
-        new TraceEvent.EndpointAnnounced(
-            events.nowMicros(),
-            to.instanceIndex,
-            server.id(),
-            server.state().name().toLowerCase(java.util.Locale.ROOT),
-            server.startedAtMicros()));
-  }
-
-  /** The roster lists a worker otherwise, and tells all gatekeepers, each after its time. */
-  public void announceState(String worker, EndpointState as) {
-    endpointStates.put(worker, as);
-    if (isDiscoveryMuted) {
-      return;
-    }
-    Endpoint server = endpointOf(backends.get(worker));
-    gateways.forEach(
-        to ->
-            events.scheduleAfter(
-                deployment.discoveryDelayMicros(),
-                () -> {
-                  recordAnnouncement(to, server);
-                  to.onEvent(new EndpointUpdate(EndpointUpdateKind.CHANGES, List.of(server)));
-                }));
-  }
-
-  void forEachPeer(int from, int to, Consumer<SimulatedGateway> each) {
+  void forEachPeer(int fromInstance, int toInstance, Consumer<SimulatedGateway> action) {
     gateways.stream()
-        .filter(g -> g.instanceIndex != from && (to < 0 || g.instanceIndex == to))
-        .forEach(each);
+        .filter(
+            gateway ->
+                gateway.instanceIndex != fromInstance
+                    && (toInstance < 0 || gateway.instanceIndex == toInstance))
+        .forEach(action);
   }
 }
--- a/src/test/java/fawndock/simulation/SimulationTest.java
+++ b/src/test/java/fawndock/simulation/SimulationTest.java
@@ -88,7 +88,7 @@
         seed);
   }
 
-  private static Simulation.SimulationResult run(Simulation emulation) {
+  private static SimulationResult run(Simulation emulation) {
     return emulation.run();
   }
 
@@ -113,10 +113,8 @@
 
   @Test
   void run_sameSeed_givesSameResultWithinPlans() {
-    Simulation.SimulationResult first =
-        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
-    Simulation.SimulationResult again =
-        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    SimulationResult first = run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    SimulationResult again = run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
     assertEquals(first.figures(), again.figures());
     first
         .series()
@@ -140,7 +138,7 @@
             .get(200);
     Simulation silent = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
     Faults.counterUnreachable(silent, 5, 15);
-    Simulation.SimulationResult result = run(silent);
+    SimulationResult result = run(silent);
     assertTrue(
         result.responsesByStatus().get(200) > calm + 200,
         "let in while the counter is silent: " + result.responsesByStatus());
@@ -153,7 +151,7 @@
     Faults.counterRestart(bad, 9, 11, true);
     Faults.counterPartitioned(bad, 13, 16, 3, -1);
     Faults.networkSlow(bad, 14, 15, 5);
-    Simulation.SimulationResult many = run(bad);
+    SimulationResult many = run(bad);
     assertTrue(many.conformance().isConformant(), many.conformance().violations().toString());
     assertTrue(
         many.responsesByStatus().get(200) > 0.8 * calm,
@@ -267,7 +265,7 @@
             .figures()
             .get(figure);
     Files.writeString(file, base + "trouble " + trouble + "\n");
-    Simulation.SimulationResult result =
+    SimulationResult result =
         run(DeploymentFile.read(file).createSimulation(DefaultGatewayPolicy::new));
     double troubled = result.figures().get(figure);
     assertTrue(
@@ -292,8 +290,7 @@
                 trouble counter-silent from 5s until 15s
                 """);
     DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
-    Simulation.SimulationResult calm =
-        run(new Simulation(read.deployment(), DefaultGatewayPolicy::new));
+    SimulationResult calm = run(new Simulation(read.deployment(), DefaultGatewayPolicy::new));
     Simulation troubled = new Simulation(read.deployment(), DefaultGatewayPolicy::new);
     read.faults().forEach(trouble -> trouble.accept(troubled));
     assertTrue(
