--- a/src/main/java/fawndock/simulation/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -12,18 +12,18 @@
 import java.util.Map;
 
 /**
- * What is emulated.
+ * The deployment that a simulation runs.
  *
- * @param gatewayCount how many
- * @param backendCount how many
- * @param zoneCount that workers lie in, in turns
- * @param backend of each worker
- * @param queueingSlowdown by which work takes longer for each request that waits beyond one a core,
- *     as a share; 0 for not at all
- * @param network between all of them
- * @param counter that all gatekeepers ask
- * @param discoveryDelayMicros until a gatekeeper hears of a change
- * @param durationSeconds how long clients ask
+ * @param gatewayCount gateway instances
+ * @param backendCount backends
+ * @param zoneCount zones that backends are in, in turns
+ * @param backend how each backend is built
+ * @param queueingSlowdown by which work takes longer for each request that queues beyond one a
+ *     core, as a share; 0 for not at all
+ * @param network between all processes
+ * @param counter that all gateways share
+ * @param discoveryDelayMicros until a gateway is notified of a change
+ * @param durationSeconds how long clients send
  */
 public record Deployment(
     int gatewayCount,
@@ -42,23 +42,23 @@
     double durationSeconds,
     long seed) {
   /**
-   * Each way of each message by itself.
+   * The delay of each message, drawn for each by itself.
    *
-   * @param minDelayMicros that a way takes
-   * @param meanExtraDelayMicros that are added on average, exponentially
-   * @param lossRatio share of the messages to and from the counter that never arrive
+   * @param minDelayMicros the least delay
+   * @param meanExtraDelayMicros mean of what is added, exponentially distributed
+   * @param lossRatio share of the messages to and from the counter that are lost
    */
   public record NetworkModel(long minDelayMicros, long meanExtraDelayMicros, double lossRatio) {}
 
   /**
    * The counter.
    *
-   * @param callsPerSecond calls that each part takes, one after the other
-   * @param timeoutMicros after which a gatekeeper gives up a call
-   * @param partitionCount that names lie on, each name on one
-   * @param rejectRatio share of the calls that are refused uncounted
-   * @param maxQueueMicros how long the calls that wait may take; one more is refused uncounted; 0
-   *     for a second, and no answer
+   * @param callsPerSecond service rate of each partition
+   * @param timeoutMicros after which a gateway gives up a call
+   * @param partitionCount partitions, each name on one of them
+   * @param rejectRatio share of the calls that are rejected uncounted
+   * @param maxQueueMicros longest queueing time, beyond which a call is rejected uncounted; 0 for a
+   *     second, beyond which a call gets no reply
    */
   public record CounterModel(
       double callsPerSecond,
@@ -68,11 +68,13 @@
       long maxQueueMicros) {}
 
   /**
-   * What some customers ask.
+   * What a group of customers sends.
    *
-   * @param customerCount how many, named after the demand, with a number
-   * @param gatewaysPerCustomer gatekeepers that a customer comes through
-   * @param requestsPerSecond of all of them, a second
+   * @param customerCount customers, named after the demand, with a number
+   * @param skew of the customers' shares; 0 for equal shares
+   * @param gatewaysPerCustomer gateways that a customer uses
+   * @param requestsPerSecond of all customers together
+   * @param timeoutMicros from a request to its deadline
    */
   public record Demand(
       String name,
--- a/src/main/java/fawndock/simulation/EventQueue.java
+++ b/src/main/java/fawndock/simulation/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * What happens when, in simulated microseconds; what happens at the same time happens in the order
- * in which it was put here.
+ * The simulated clock and its events, in microseconds. Events at the same time run in the order in
+ * which they were scheduled. Single-threaded.
  */
 public final class EventQueue {
   private record ScheduledEvent(long atMicros, long sequence, Runnable action) {}
@@ -23,17 +23,17 @@
     return nowMicros;
   }
 
-  /** Puts something at a time; at the present when that has gone by. */
-  public void scheduleAt(long micros, Runnable what) {
-    scheduled.add(new ScheduledEvent(Math.max(nowMicros, micros), nextSequence++, what));
+  /** Schedules an action at a time; at the present when that is past. */
+  public void scheduleAt(long micros, Runnable action) {
+    scheduled.add(new ScheduledEvent(Math.max(nowMicros, micros), nextSequence++, action));
   }
 
-  /** Puts something after a time from now. */
-  public void scheduleAfter(long micros, Runnable what) {
-    scheduleAt(nowMicros + micros, what);
+  /** Schedules an action after a delay from now. */
+  public void scheduleAfter(long micros, Runnable action) {
+    scheduleAt(nowMicros + micros, action);
   }
 
-  /** Lets everything happen until a time, and what that brings about until then. */
+  /** Runs all events up to a time, with those that they schedule up to then. */
   public void runUntil(long until) {
     while (!scheduled.isEmpty() && scheduled.peek().atMicros <= until) {
       ScheduledEvent next = scheduled.poll();
@@ -43,7 +43,7 @@
     nowMicros = Math.max(nowMicros, until);
   }
 
-  /** How much has happened or is to happen. */
+  /** How many events were scheduled so far. */
   public long scheduledCount() {
     return nextSequence;
   }
--- a/src/main/java/fawndock/simulation/SimulatedBackend.java
+++ b/src/main/java/fawndock/simulation/SimulatedBackend.java
@@ -14,18 +14,24 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** A server: cores, a queue, warmth, and how it falls over when it is pushed while it is cold. */
+/**
+ * A backend: cores, a queue, slow start, and how it collapses when it is overloaded while warming
+ * up. Single-threaded.
+ */
 final class SimulatedBackend {
-  /** An attempt that it took. */
+  /** An attempt that it accepted. */
   private static final class BackendCall {
     final String requestId;
     final String idempotencyKey;
     final BiConsumer<CallResult, Map<String, Double>> onCompleted;
 
-    BackendCall(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
-      this.requestId = request;
-      this.idempotencyKey = key;
-      this.onCompleted = ended;
+    BackendCall(
+        String requestId,
+        String idempotencyKey,
+        BiConsumer<CallResult, Map<String, Double>> onCompleted) {
+      this.requestId = requestId;
+      this.idempotencyKey = idempotencyKey;
+      this.onCompleted = onCompleted;
     }
   }
 
@@ -46,56 +52,61 @@
   private boolean isRunning;
   long startedAtMicros;
 
-  /** Times the work, shares of lost and of wrong answers, and whether it says nothing. */
+  /** Multiplies the time of call; set by faults, as the next three. */
   double workTimeFactor = 1;
 
   double lostResponseRatio;
   double errorRatio;
   boolean isUnresponsive;
 
-  /** Connections that leak each second, and since when; a start gives them back. */
+  /** Connections that leak each second; a start returns them. */
   double leakedConnectionsPerSecond;
 
   private long leakingSinceMicros;
 
   /**
-   * @param deadly whether a request kills the process that works on it
-   * @param crashed told of a process that ended by itself
+   * @param appliedKeys idempotency keys of effects so far, shared by all backends
+   * @param isPoisoned whether a request kills the process that works on it
+   * @param onCrash called when the process onCompleted by itself
    */
   SimulatedBackend(
       int number,
-      EventQueue agenda,
-      Deployment of,
+      EventQueue events,
+      Deployment deployment,
       SplittableRandom random,
       List<TraceEvent> trace,
-      Set<String> keys,
-      Predicate<String> deadly,
-      Consumer<SimulatedBackend> crashed) {
+      Set<String> appliedKeys,
+      Predicate<String> isPoisoned,
+      Consumer<SimulatedBackend> onCrash) {
     this.id = "w" + number;
-    this.zone = of.zoneCount() > 1 ? "z" + number % of.zoneCount() : "";
-    this.isPoisoned = deadly;
-    this.onCrash = crashed;
-    this.events = agenda;
-    this.config = of.backend();
-    this.queueingSlowdown = of.queueingSlowdown();
+    this.zone = deployment.zoneCount() > 1 ? "z" + number % deployment.zoneCount() : "";
+    this.isPoisoned = isPoisoned;
+    this.onCrash = onCrash;
+    this.events = events;
+    this.config = deployment.backend();
+    this.queueingSlowdown = deployment.queueingSlowdown();
     this.random = random;
     this.trace = trace;
-    this.appliedKeys = keys;
+    this.appliedKeys = appliedKeys;
   }
 
-  void start(boolean cold) {
+  void start(boolean isWarmingUp) {
     incarnation++;
     isRunning = true;
     queue.clear();
     recentArrivals.clear();
     leakedConnectionsPerSecond = 0;
-    startedAtMicros = cold ? events.nowMicros() : 0;
+    startedAtMicros = isWarmingUp ? events.nowMicros() : 0;
     trace.add(
         new TraceEvent.EndpointStarted(
-            events.nowMicros(), id, incarnation, cold, config.cores() * 1e6 / config.workMicros()));
+            events.nowMicros(),
+            id,
+            incarnation,
+            isWarmingUp,
+            config.cores() * 1e6 / config.workMicros()));
   }
 
-  /** Dies: what it had is never answered, and its connections break. */
+  /** Kills its process: all attempts that it has end with a reset. */
   void kill() {
     isRunning = false;
     incarnation++;
@@ -103,48 +114,56 @@
     lost.addAll(queue);
     running.clear();
     queue.clear();
-    lost.forEach(work -> work.onCompleted.accept(CallResult.RESET, Map.of()));
+    lost.forEach(call -> call.onCompleted.accept(CallResult.RESET, Map.of()));
   }
 
   boolean isRunning() {
     return isRunning;
   }
 
-  /** An attempt has arrived; told its end, or nothing when it is silent. */
-  void onAttempt(String request, String key, BiConsumer<CallResult, Map<String, Double>> ended) {
+  /** Takes an attempt; its callback is never called while the backend is unresponsive. */
+  void onAttempt(
+      String requestId,
+      String idempotencyKey,
+      BiConsumer<CallResult, Map<String, Double>> onCompleted) {
     if (!isRunning) {
-      ended.accept(CallResult.CONNECT_FAILED, Map.of());
+      onCompleted.accept(CallResult.CONNECT_FAILED, Map.of());
       return;
     }
-    if (leakedConnectionsPerSecond > 0
-        && queue.size()
-                + running.size()
-                + leakedConnectionsPerSecond * (events.nowMicros() - leakingSinceMicros) / 1e6
-            >= config.cores() + config.queueCapacity()) {
-      ended.accept(CallResult.CONNECT_FAILED, Map.of());
+    if (isOutOfConnections()) {
+      onCompleted.accept(CallResult.CONNECT_FAILED, Map.of());
       return;
     }
-    boolean refuse = queue.size() >= config.queueCapacity();
-    trace.add(new TraceEvent.AttemptArrived(events.nowMicros(), request, id, incarnation, refuse));
+    boolean isRejected = queue.size() >= config.queueCapacity();
+    trace.add(
+        new TraceEvent.AttemptArrived(events.nowMicros(), requestId, id, incarnation, isRejected));
     if (isOverloaded()) {
       crash();
-      ended.accept(CallResult.RESET, Map.of());
-    } else if (refuse) {
-      ended.accept(CallResult.SHED, loadReport());
+      onCompleted.accept(CallResult.RESET, Map.of());
+    } else if (isRejected) {
+      onCompleted.accept(CallResult.SHED, loadReport());
     } else if (!isUnresponsive) {
-      queue.add(new BackendCall(request, key, ended));
+      queue.add(new BackendCall(requestId, idempotencyKey, onCompleted));
       startQueued();
     }
   }
 
+  private boolean isOutOfConnections() {
+    if (leakedConnectionsPerSecond <= 0) {
+      return false;
+    }
+    double leaked = leakedConnectionsPerSecond * (events.nowMicros() - leakingSinceMicros) / 1e6;
+    return queue.size() + running.size() + leaked >= config.cores() + config.queueCapacity();
+  }
+
   private void crash() {
     kill();
     onCrash.accept(this);
   }
 
-  /** So many of its connections leak each second from now on, none when 0. */
-  void leakConnections(double aSecond) {
-    leakedConnectionsPerSecond = aSecond;
+  /** Leaks so many connections a second from now on; none when 0. */
+  void leakConnections(double perSecond) {
+    leakedConnectionsPerSecond = perSecond;
     leakingSinceMicros = events.nowMicros();
   }
 
@@ -159,39 +178,39 @@
 
   private void startQueued() {
     while (isRunning && running.size() < config.cores() && !queue.isEmpty()) {
-      BackendCall work = queue.poll();
-      running.add(work);
-      double crowd = 1 + queueingSlowdown * Math.max(0, queue.size() - config.cores());
+      BackendCall call = queue.poll();
+      running.add(call);
+      double slowdown = 1 + queueingSlowdown * Math.max(0, queue.size() - config.cores());
       double micros =
           config.workMicros()
               * workTimeFactor
-              * crowd
+              * slowdown
               / config.slowStartFactor(startedAtMicros, events.nowMicros())
               * (0.5 + random.nextDouble());
       events.scheduleAfter(
           (long) micros,
           () -> {
-            if (running.remove(work)) {
-              finish(work);
+            if (running.remove(call)) {
+              finish(call);
               startQueued();
             }
           });
     }
   }
 
-  private void finish(BackendCall work) {
-    if (isPoisoned.test(work.requestId)) {
-      running.add(work); // It breaks with the others.
+  private void finish(BackendCall call) {
+    if (isPoisoned.test(call.requestId)) {
+      running.add(call); // Its connection breaks with the others.
       crash();
       return;
     }
-    if (work.idempotencyKey.isEmpty() || appliedKeys.add(work.idempotencyKey)) {
-      trace.add(new TraceEvent.EffectApplied(events.nowMicros(), work.requestId, id));
+    if (call.idempotencyKey.isEmpty() || appliedKeys.add(call.idempotencyKey)) {
+      trace.add(new TraceEvent.EffectApplied(events.nowMicros(), call.requestId, id));
     }
     if (random.nextDouble() < lostResponseRatio) {
       return;
     }
-    work.onCompleted.accept(
+    call.onCompleted.accept(
         random.nextDouble() < errorRatio ? CallResult.ERROR : CallResult.OK, loadReport());
   }
 
--- a/src/main/java/fawndock/simulation/SimulatedCounter.java
+++ b/src/main/java/fawndock/simulation/SimulatedCounter.java
@@ -10,11 +10,11 @@
 import java.util.SplittableRandom;
 
 /**
- * One part of the counter: the real table of counts behind a queue that takes so many calls a
- * second.
+ * One partition of the counter: the real counter table behind a queue of a fixed service rate.
+ * Single-threaded.
  */
 final class SimulatedCounter {
-  /** Told how a call ended, and the total. */
+  /** Receives the reply to a call. */
   interface CounterCallback {
     void onReply(CallResult result, double total);
   }
@@ -33,23 +33,24 @@
   private int incarnation;
   private boolean isRunning = true;
 
-  /** Times the time of a call, and the share that is turned away. */
+  /** Multiplies the service time of a call; set by faults. */
   double serviceTimeFactor = 1;
 
+  /** Share of the calls that are rejected; set by faults. */
   double rejectRatio;
 
   SimulatedCounter(
       String name,
-      EventQueue agenda,
-      Deployment.CounterModel figures,
+      EventQueue events,
+      Deployment.CounterModel model,
       SplittableRandom random,
       int seconds) {
     this.name = name;
-    this.events = agenda;
+    this.events = events;
     this.random = random;
-    microsPerCall = 1e6 / figures.callsPerSecond();
-    rejectRatio = figures.rejectRatio();
-    maxQueueMicros = figures.maxQueueMicros();
+    microsPerCall = 1e6 / model.callsPerSecond();
+    rejectRatio = model.rejectRatio();
+    maxQueueMicros = model.maxQueueMicros();
     callsBySecond = new double[seconds];
     queueMillisBySecond = new double[seconds];
   }
@@ -59,10 +60,10 @@
   }
 
   /**
-   * A call has arrived; told its end once it was its turn, or never when the counter is down or
-   * crowded.
+   * Takes a call, whose reply comes when it is the call's turn; there is none when the counter is
+   * down or its queue is too long.
    */
-  void add(String count, double amount, long keepMicros, CounterCallback ended) {
+  void add(String counterName, double amount, long timeToLiveMicros, CounterCallback callback) {
     if (!isRunning) {
       return;
     }
@@ -75,44 +76,44 @@
     if (maxQueueMicros == 0 && availableAtMicros - events.nowMicros() > DEFAULT_MAX_QUEUE_MICROS) {
       return;
     }
-    if (maxQueueMicros > 0 && availableAtMicros - events.nowMicros() > maxQueueMicros
-        || rejectRatio > 0 && random.nextDouble() < rejectRatio) {
-      ended.onReply(CallResult.SHED, 0);
+    if ((maxQueueMicros > 0 && availableAtMicros - events.nowMicros() > maxQueueMicros)
+        || (rejectRatio > 0 && random.nextDouble() < rejectRatio)) {
+      callback.onReply(CallResult.SHED, 0);
       return;
     }
     availableAtMicros =
         Math.max(events.nowMicros(), availableAtMicros)
             + (long) Math.ceil(microsPerCall * serviceTimeFactor);
-    int mine = incarnation;
+    int callIncarnation = incarnation;
     events.scheduleAt(
         availableAtMicros,
         () -> {
-          if (mine == incarnation) {
-            ended.onReply(CallResult.OK, addToTable(count, amount, keepMicros));
+          if (callIncarnation == incarnation) {
+            callback.onReply(CallResult.OK, addToTable(counterName, amount, timeToLiveMicros));
           }
         });
   }
 
-  private double addToTable(String count, double amount, long keepMicros) {
+  private double addToTable(String counterName, double amount, long timeToLiveMicros) {
     try {
       changeRecord.clear();
       return Double.parseDouble(
           operations
               .add(
-                  count.getBytes(StandardCharsets.UTF_8),
+                  counterName.getBytes(StandardCharsets.UTF_8),
                   DecimalAmount.of(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
-                  Math.max(1, keepMicros / 1_000),
+                  Math.max(1, timeToLiveMicros / 1_000),
                   events.nowMicros() / 1_000,
                   changeRecord)
               .toString());
     } catch (CommandException e) {
-      throw new IllegalStateException("count of " + count, e);
+      throw new IllegalStateException("count of " + counterName, e);
     }
   }
 
-  /** Dies, or comes back with what it had. */
-  void setRunning(boolean is) {
-    isRunning = is;
+  /** Stops, or starts again with the state that it had. */
+  void setRunning(boolean running) {
+    isRunning = running;
     incarnation++;
     availableAtMicros = events.nowMicros();
   }
@@ -122,12 +123,12 @@
     operations = emptyTable();
   }
 
-  /** Calls that arrived, each second. */
+  /** Calls that arrived, by second. */
   double[] callsBySecond() {
     return callsBySecond;
   }
 
-  /** The longest time that a call would have waited for its turn, in milliseconds, each second. */
+  /** The longest time that a call would have queued, in milliseconds, by second. */
   double[] queueMillisBySecond() {
     return queueMillisBySecond;
   }
--- a/src/main/java/fawndock/simulation/SimulatedGateway.java
+++ b/src/main/java/fawndock/simulation/SimulatedGateway.java
@@ -29,36 +29,46 @@
 import java.util.function.Supplier;
 
 /**
- * A gatekeeper's host in simulated time: carries out what the decisions say, as the gateway does
- * over sockets.
+ * A gateway instance in simulated time: passes events to the real policy and executes its actions,
+ * as the gateway does over sockets. Single-threaded.
  */
 final class SimulatedGateway {
-  /**
-   * A client's request, and where its final answer goes: a status, and the advice to wait in
-   * microseconds.
-   */
+  /** A client's request, and where its response goes: a status and a retry delay in micros. */
   private static final class InFlightRequest {
     final RequestArrived request;
     final String traceId;
     final String idempotencyKey;
     final BiConsumer<Integer, Long> onResponse;
 
-    /** Attempts that are out, each with its server. */
+    /** The endpoint of each attempt in flight, by the attempt's index. */
     final Map<Integer, String> endpointByAttempt = new HashMap<>();
 
     int attemptCount;
     boolean isAnswered;
 
     InFlightRequest(
-        RequestArrived request, String name, String key, BiConsumer<Integer, Long> answer) {
+        RequestArrived request,
+        String traceId,
+        String idempotencyKey,
+        BiConsumer<Integer, Long> onResponse) {
       this.request = request;
-      this.traceId = name;
-      this.idempotencyKey = key;
-      this.onResponse = answer;
+      this.traceId = traceId;
+      this.idempotencyKey = idempotencyKey;
+      this.onResponse = onResponse;
+    }
+  }
+
+  /** A counter call without a reply yet. */
+  private static final class PendingCounterCall {
+    final int gatewayIncarnation;
+    boolean isCompleted;
+
+    PendingCounterCall(int gatewayIncarnation) {
+      this.gatewayIncarnation = gatewayIncarnation;
     }
   }
 
-  /** In the place of a status: the connection broke. */
+  /** In place of a status: the connection broke. */
   static final int CONNECTION_LOST = -1;
 
   final int instanceIndex;
@@ -67,40 +77,29 @@
   private GatewayPolicy policy;
   private int incarnation;
   private boolean isRunning = true;
-  private long clockOffsetMicros;
-  private long lastClockMicros;
-  private long lastReadAtMicros;
+  private final SkewedClock clock;
   private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
   private final ArrayDeque<PolicyEvent> pendingEvents = new ArrayDeque<>();
   private boolean isDispatching;
   private long nextRequestId = 1;
 
-  SimulatedGateway(int me, Simulation in, Supplier<GatewayPolicy> maker) {
-    this.instanceIndex = me;
-    this.simulation = in;
-    this.policyFactory = maker;
-    this.policy = maker.get();
-  }
-
-  /** Its clock is so much ahead of the others' from now on, behind when below 0. */
-  void setClockOffset(long micros) {
-    clockMicros();
-    clockOffsetMicros = micros;
+  SimulatedGateway(
+      int instanceIndex, Simulation simulation, Supplier<GatewayPolicy> policyFactory) {
+    this.instanceIndex = instanceIndex;
+    this.simulation = simulation;
+    this.policyFactory = policyFactory;
+    this.clock = new SkewedClock(simulation.events);
+    this.policy = policyFactory.get();
   }
 
   /**
-   * As the gateway's: it never runs backwards, and goes on at half the speed until what it should
-   * show has caught up.
+   * Sets by how much its clock is ahead of simulated time from nowMicros on; behind when below 0.
    */
-  private long clockMicros() {
-    long now = simulation.events.nowMicros();
-    long shown = Math.max(now + clockOffsetMicros, lastClockMicros + (now - lastReadAtMicros) / 2);
-    lastClockMicros = shown;
-    lastReadAtMicros = now;
-    return shown;
+  void setClockOffset(long micros) {
+    clock.setOffset(micros);
   }
 
-  /** Its process is killed: clients' connections break, and what it knew is lost. */
+  /** Kills its process: clients' connections break, and its state is lost. */
   void kill() {
     isRunning = false;
     incarnation++;
@@ -108,11 +107,11 @@
     Map<Long, InFlightRequest> broken = new TreeMap<>(inFlight);
     inFlight.clear();
     broken.values().stream()
-        .filter(open -> !open.isAnswered)
+        .filter(pending -> !pending.isAnswered)
         .forEach(
-            open -> {
-              open.isAnswered = true;
-              open.onResponse.accept(CONNECTION_LOST, 0L);
+            pending -> {
+              pending.isAnswered = true;
+              pending.onResponse.accept(CONNECTION_LOST, 0L);
             });
   }
 
@@ -126,36 +125,40 @@
     simulation.discovery.sendSnapshot(this);
   }
 
-  /** A request has arrived; returns its number. */
-  long onRequest(RequestArrived asked, String name, String key, BiConsumer<Integer, Long> answer) {
+  /** Takes a request; returns the id that the gateway gave it. */
+  long onRequest(
+      RequestArrived arrived,
+      String traceId,
+      String idempotencyKey,
+      BiConsumer<Integer, Long> onResponse) {
     long id = nextRequestId++;
     if (!isRunning) {
-      answer.accept(CONNECTION_LOST, 0L);
+      onResponse.accept(CONNECTION_LOST, 0L);
       return id;
     }
     RequestArrived request =
         new RequestArrived(
             id,
-            asked.requestClass(),
-            asked.plan(),
-            asked.customer(),
-            asked.deadlineAtMicros() - simulation.events.nowMicros() + clockMicros(),
-            asked.units(),
-            asked.customerInstanceCount(),
-            asked.customerFirstInstanceIndex(),
-            asked.isRetry());
-    inFlight.put(id, new InFlightRequest(request, name, key, answer));
+            arrived.requestClass(),
+            arrived.plan(),
+            arrived.customer(),
+            arrived.deadlineAtMicros() - simulation.events.nowMicros() + clock.nowMicros(),
+            arrived.units(),
+            arrived.customerInstanceCount(),
+            arrived.customerFirstInstanceIndex(),
+            arrived.isRetry());
+    inFlight.put(id, new InFlightRequest(request, traceId, idempotencyKey, onResponse));
     onEvent(request);
     return id;
   }
 
-  /** The client of a request has left. */
-  void onClientDisconnected(long id) {
-    InFlightRequest open = inFlight.get(id);
-    if (open != null && !open.isAnswered) {
-      open.isAnswered = true;
-      onEvent(new ClientDisconnected(id));
-      removeIfDone(open);
+  /** Takes note that the client of a request disconnected. */
+  void onClientDisconnected(long requestId) {
+    InFlightRequest pending = inFlight.get(requestId);
+    if (pending != null && !pending.isAnswered) {
+      pending.isAnswered = true;
+      onEvent(new ClientDisconnected(requestId));
+      removeIfDone(pending);
     }
   }
 
@@ -169,7 +172,7 @@
     }
     isDispatching = true;
     for (PolicyEvent next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
-      List<PolicyAction> actions = policy.onEvent(clockMicros(), next);
+      List<PolicyAction> actions = policy.onEvent(clock.nowMicros(), next);
       if (next instanceof RequestArrived) {
         simulation.recordAdmission(actions.stream().anyMatch(AddToCounter.class::isInstance));
       }
@@ -190,9 +193,9 @@
     } else if (action instanceof ScheduleTimer a) {
       scheduleAfter(a.delayMicros(), () -> onEvent(new TimerFired(a.timer())));
     } else if (action instanceof CancelAttempt a) {
-      InFlightRequest open = inFlight.get(a.requestId());
-      if (open != null) {
-        completeAttempt(open, a.attemptIndex(), 0, CallResult.CANCELLED, Map.of());
+      InFlightRequest pending = inFlight.get(a.requestId());
+      if (pending != null) {
+        completeAttempt(pending, a.attemptIndex(), 0, CallResult.CANCELLED, Map.of());
       }
     } else if (action instanceof StartHealthCheck a) {
       startHealthCheck(a.endpointId());
@@ -210,145 +213,157 @@
     }
   }
 
-  /** Something of this process: nothing once it has been killed. */
-  private void scheduleAfter(long micros, Runnable what) {
-    int mine = incarnation;
+  /** Schedules an action of this process; it does not run once the process was killed. */
+  private void scheduleAfter(long micros, Runnable action) {
+    int callIncarnation = incarnation;
     simulation.events.scheduleAfter(
         micros,
         () -> {
-          if (mine == incarnation) {
-            what.run();
+          if (callIncarnation == incarnation) {
+            action.run();
           }
         });
   }
 
-  private void respond(long id, int status, long retryAfter) {
-    InFlightRequest open = inFlight.get(id);
-    if (open != null && !open.isAnswered) {
-      open.isAnswered = true;
-      open.onResponse.accept(status, retryAfter);
-      removeIfDone(open);
+  private void respond(long requestId, int status, long retryAfterMicros) {
+    InFlightRequest pending = inFlight.get(requestId);
+    if (pending != null && !pending.isAnswered) {
+      pending.isAnswered = true;
+      pending.onResponse.accept(status, retryAfterMicros);
+      removeIfDone(pending);
     }
   }
 
   private void startAttempt(StartAttempt a) {
-    InFlightRequest open = inFlight.get(a.requestId());
-    if (open == null) {
+    InFlightRequest pending = inFlight.get(a.requestId());
+    if (pending == null) {
       throw new IllegalStateException(
-          "an attempt for request " + a.requestId() + ", which is not held");
+          "an attempt for request " + a.requestId() + ", which is not in flight");
     }
-    int number = open.attemptCount++;
-    open.endpointByAttempt.put(number, a.endpointId());
-    long now = simulation.events.nowMicros();
-    long abandonAt =
-        now
-            - clockMicros()
+    int attemptIndex = pending.attemptCount++;
+    pending.endpointByAttempt.put(attemptIndex, a.endpointId());
+    long nowMicros = simulation.events.nowMicros();
+    long deadlineAtMicros =
+        nowMicros
+            - clock.nowMicros()
             + (a.deadlineAtMicros() <= 0
-                ? open.request.deadlineAtMicros()
-                : Math.min(a.deadlineAtMicros(), open.request.deadlineAtMicros()));
-    SimulatedBackend worker = simulation.backend(a.endpointId());
-    if (open.isAnswered
-        || worker == null
-        || number >= simulation.deployment.limits().maxAttempts()
-        || abandonAt <= now) {
-      scheduleAfter(0, () -> completeAttempt(open, number, 0, CallResult.NOT_SENT, Map.of()));
+                ? pending.request.deadlineAtMicros()
+                : Math.min(a.deadlineAtMicros(), pending.request.deadlineAtMicros()));
+    SimulatedBackend backend = simulation.backend(a.endpointId());
+    if (pending.isAnswered
+        || backend == null
+        || attemptIndex >= simulation.deployment.limits().maxAttempts()
+        || deadlineAtMicros <= nowMicros) {
+      scheduleAfter(
+          0, () -> completeAttempt(pending, attemptIndex, 0, CallResult.NOT_SENT, Map.of()));
       return;
     }
     simulation.network.send(
         () ->
-            worker.onAttempt(
-                open.traceId,
-                open.idempotencyKey,
+            backend.onAttempt(
+                pending.traceId,
+                pending.idempotencyKey,
                 (result, load) ->
                     simulation.network.send(
                         () ->
                             completeAttempt(
-                                open, number, simulation.events.nowMicros() - now, result, load))));
+                                pending,
+                                attemptIndex,
+                                simulation.events.nowMicros() - nowMicros,
+                                result,
+                                load))));
     simulation.events.scheduleAt(
-        abandonAt,
+        deadlineAtMicros,
         () ->
             completeAttempt(
-                open, number, simulation.events.nowMicros() - now, CallResult.TIMEOUT, Map.of()));
+                pending,
+                attemptIndex,
+                simulation.events.nowMicros() - nowMicros,
+                CallResult.TIMEOUT,
+                Map.of()));
   }
 
-  /** An attempt ended, unless it had already. */
+  /** Completes an attempt, unless it was completed before. */
   private void completeAttempt(
-      InFlightRequest open, int number, long took, CallResult result, Map<String, Double> load) {
-    String server = open.endpointByAttempt.remove(number);
-    if (server == null || inFlight.get(open.request.requestId()) != open) {
+      InFlightRequest pending,
+      int attemptIndex,
+      long latencyMicros,
+      CallResult result,
+      Map<String, Double> load) {
+    String endpointId = pending.endpointByAttempt.remove(attemptIndex);
+    if (endpointId == null || inFlight.get(pending.request.requestId()) != pending) {
       return;
     }
-    if (result == CallResult.OK && !open.isAnswered) {
-      open.isAnswered = true;
-      open.onResponse.accept(200, 0L);
+    if (result == CallResult.OK && !pending.isAnswered) {
+      pending.isAnswered = true;
+      pending.onResponse.accept(200, 0L);
     }
     onEvent(
         new AttemptCompleted(
-            open.request.requestId(), number, server, took, result, open.isAnswered, 0, load));
-    removeIfDone(open);
+            pending.request.requestId(),
+            attemptIndex,
+            endpointId,
+            latencyMicros,
+            result,
+            pending.isAnswered,
+            0,
+            load));
+    removeIfDone(pending);
   }
 
-  private void removeIfDone(InFlightRequest open) {
-    if (open.isAnswered && open.endpointByAttempt.isEmpty()) {
-      inFlight.remove(open.request.requestId());
+  private void removeIfDone(InFlightRequest pending) {
+    if (pending.isAnswered && pending.endpointByAttempt.isEmpty()) {
+      inFlight.remove(pending.request.requestId());
     }
   }
 
-  private void addToCounter(AddToCounter a) {
-    long at = simulation.events.nowMicros();
-    boolean[] over = {false};
-    int mine = incarnation;
-    SimulatedCounter part = simulation.counterPartition(a.counterName());
+  private void addToCounter(AddToCounter action) {
+    String name = action.counterName();
+    long sentAtMicros = simulation.events.nowMicros();
+    PendingCounterCall call = new PendingCounterCall(incarnation);
+    SimulatedCounter partition = simulation.counterPartition(name);
     simulation.network.sendLossy(
         "g" + instanceIndex,
-        part.name,
+        partition.name,
         () ->
-            part.add(
-                a.counterName(),
-                a.amount(),
-                a.timeToLiveMicros(),
+            partition.add(
+                name,
+                action.amount(),
+                action.timeToLiveMicros(),
                 (result, total) ->
                     simulation.network.sendLossy(
-                        part.name,
+                        partition.name,
                         "g" + instanceIndex,
                         () -> {
-                          if (mine == incarnation) {
-                            completeCounterCall(
-                                over,
-                                new CounterReply(
-                                    a.counterName(),
-                                    result,
-                                    total,
-                                    simulation.events.nowMicros() - at));
-                          }
+                          long latencyMicros = simulation.events.nowMicros() - sentAtMicros;
+                          complete(call, new CounterReply(name, result, total, latencyMicros));
                         })));
-    long wait = simulation.deployment.counter().timeoutMicros();
-    scheduleAfter(
-        wait,
-        () ->
-            completeCounterCall(
-                over, new CounterReply(a.counterName(), CallResult.TIMEOUT, 0, wait)));
+    long timeoutMicros = simulation.deployment.counter().timeoutMicros();
+    simulation.events.scheduleAfter(
+        timeoutMicros,
+        () -> complete(call, new CounterReply(name, CallResult.TIMEOUT, 0, timeoutMicros)));
   }
 
-  private void completeCounterCall(boolean[] over, CounterReply counted) {
-    if (!over[0]) {
-      over[0] = true;
-      onEvent(counted);
+  /** Passes a call's first reply on, unless the gateway was killed since the call. */
+  private void complete(PendingCounterCall call, CounterReply reply) {
+    if (!call.isCompleted && call.gatewayIncarnation == incarnation) {
+      call.isCompleted = true;
+      onEvent(reply);
     }
   }
 
-  private void startHealthCheck(String server) {
-    SimulatedBackend worker = simulation.backend(server);
-    long at = simulation.events.nowMicros();
+  private void startHealthCheck(String endpointId) {
+    SimulatedBackend backend = simulation.backend(endpointId);
+    long sentAtMicros = simulation.events.nowMicros();
     simulation.network.send(
         () ->
             simulation.network.send(
                 () ->
                     onEvent(
                         new HealthCheckCompleted(
-                            server,
-                            simulation.events.nowMicros() - at,
-                            worker != null && worker.isRunning() && !worker.isUnresponsive
+                            endpointId,
+                            simulation.events.nowMicros() - sentAtMicros,
+                            backend != null && backend.isRunning() && !backend.isUnresponsive
                                 ? CallResult.OK
                                 : CallResult.TIMEOUT,
                             Map.of()))));
--- a/src/main/java/fawndock/simulation/SimulatedNetwork.java
+++ b/src/main/java/fawndock/simulation/SimulatedNetwork.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Delays, losses and cuts between the parts, by their names. */
+/** Delays, losses and partitions between the simulated processes, by their names. */
 final class SimulatedNetwork {
   private final EventQueue events;
   private final Deployment.NetworkModel model;
   private final SplittableRandom random;
 
-  /** Ways that are cut, as FROM>TO. */
+  /** Paths that are cut, as FROM>TO; a star stands for any process. */
   final Set<String> cutPaths = new HashSet<>();
 
-  /** By which ways take longer. */
+  /** Multiplies each delay. */
   double delayFactor = 1;
 
-  SimulatedNetwork(EventQueue agenda, Deployment.NetworkModel figures, SplittableRandom random) {
-    this.events = agenda;
-    this.model = figures;
+  SimulatedNetwork(EventQueue events, Deployment.NetworkModel model, SplittableRandom random) {
+    this.events = events;
+    this.model = model;
     this.random = random;
   }
 
@@ -29,25 +29,26 @@
                 - model.meanExtraDelayMicros() * Math.log(1 - random.nextDouble())));
   }
 
-  /**
-   * Something that arrives, as a request and its answer do over a connection that repeats what is
-   * lost.
-   */
-  void send(Runnable arrives) {
-    events.scheduleAfter(drawDelayMicros(), arrives);
+  /** Delivers a message after a delay, as a connection does that retransmits what is lost. */
+  void send(Runnable onArrival) {
+    events.scheduleAfter(drawDelayMicros(), onArrival);
   }
 
-  /** Something that may be lost on its way, or cut off. */
-  void sendLossy(String from, String to, Runnable arrives) {
+  private boolean isCut(String from, String to) {
+    return cutPaths.contains(from + ">" + to)
+        || cutPaths.contains(from + ">*")
+        || cutPaths.contains("*>" + to);
+  }
+
+  /** Delivers a message after a delay, unless it is lost or its path is cut. */
+  void sendLossy(String from, String to, Runnable onArrival) {
     boolean lost =
-        random.nextDouble() < model.lossRatio()
-            || !cutPaths.isEmpty()
-                && (cutPaths.contains(from + ">" + to)
-                    || cutPaths.contains(from + ">*")
-                    || cutPaths.contains("*>" + to));
-    long way = drawDelayMicros();
+        random.nextDouble() < model.lossRatio() || (!cutPaths.isEmpty() && isCut(from, to));
+    long delayMicros =
+        drawDelayMicros(); // Drawn for lost messages too: the order of draws must not depend on
+    // losses.
     if (!lost) {
-      events.scheduleAfter(way, arrives);
+      events.scheduleAfter(delayMicros, onArrival);
     }
   }
 }
--- a/src/main/java/fawndock/simulation/package-info.java
+++ b/src/main/java/fawndock/simulation/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The emulator: a whole deployment in simulated time on one thread, by one seed, with the real
- * decisions of each gatekeeper and the real table of counts. No socket, no clock, no thread of its
- * own; what it models is in docs/design/lab.md. It records the same events as the stand-ins do, and
- * the drills' judge judges them.
+ * Runs a whole deployment in simulated time on one thread, from one seed, with each gateway's real
+ * policy and the real counter table. Opens no socket, reads no clock and starts no thread; what is
+ * modelled is in docs/design/lab.md. Its trace has the same events as that of the fakes and is
+ * checked by the same invariants.
  */
 package fawndock.simulation;
