--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -1,10 +1,10 @@
 package fawndock.cli;
 
 import fawndock.counter.CounterServer;
-import fawndock.counter.FileDisk;
+import fawndock.counter.FileStorage;
 import fawndock.counter.config.CounterSettings;
 import fawndock.counter.config.CounterSettingsFile;
-import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterClient;
 import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -58,7 +58,7 @@
     }
     LogConfigurator.configure(settings.log());
     try {
-      FileDisk disk = new FileDisk(settings.directory(), true);
+      FileStorage disk = new FileStorage(settings.directory(), true);
       CounterServer server = new CounterServer(settings, disk);
       ProgressBar bar = new ProgressBar("recovering", totalBytes(settings.directory()), System.err);
       int port = server.start(bar::update);
@@ -109,7 +109,7 @@
     public Integer call() {
       boolean isAllReady = true;
       for (String each : nodes) {
-        try (CounterCaller caller = new CounterCaller(each)) {
+        try (CounterClient caller = new CounterClient(each)) {
           Object reply = caller.call("FD.STATUS");
           if (reply instanceof List<?> lines) {
             lines.forEach(
--- a/src/main/java/fawndock/conformance/ConformanceLimits.java
+++ b/src/main/java/fawndock/conformance/ConformanceLimits.java
@@ -6,16 +6,15 @@
 import java.util.Map;
 
 /**
- * What the judge holds a trace against.
+ * The configured limits that a trace is checked against.
  *
- * @param classes the request classes by name
- * @param rules the figures of the rules
- * @param plans each customer's plan, for its ceiling
- * @param slackMicros allowed on top of each time limit, for the way between a socket and the record
- *     of it
+ * @param requestClasses by name
+ * @param rules durations and ratios of the five rules
+ * @param customerPlans each customer's plan, by the customer's name
+ * @param toleranceMicros added to each time limit, for the delay between a socket and its record
  */
 public record ConformanceLimits(
-    Map<String, RequestClass> classes,
+    Map<String, RequestClass> requestClasses,
     ServiceRules rules,
-    Map<String, Plan> plans,
-    long slackMicros) {}
+    Map<String, Plan> customerPlans,
+    long toleranceMicros) {}
--- a/src/main/java/fawndock/conformance/ConformanceResult.java
+++ b/src/main/java/fawndock/conformance/ConformanceResult.java
@@ -2,43 +2,59 @@
 
 import java.util.List;
 
-/** How often each rule was broken in a trace, with a line on each of the first breaches. */
+/**
+ * How often each rule was broken in a trace.
+ *
+ * @param requestCount requests in the trace
+ * @param unansweredCount requests without a final response in time (rule 1)
+ * @param answeredTwiceCount requests with a second response, or an attempt after the response (1)
+ * @param repeatedEffectCount effects that happened twice, or may have (2)
+ * @param lateDrainCount attempts to draining endpoints after the grace (3)
+ * @param warmUpOverloadCount starts of endpoints that were overloaded while warming up (4)
+ * @param ceilingExceededCount charges beyond a hard ceiling (5)
+ * @param violations a line on each of the first violations
+ */
 public record ConformanceResult(
-    int requests,
-    int unanswered,
-    int answeredTwice,
-    int lateDrains,
-    int repeatedEffects,
-    int coldFalls,
-    int ceilingsPassed,
-    List<String> breaches) {
+    int requestCount,
+    int unansweredCount,
+    int answeredTwiceCount,
+    int lateDrainCount,
+    int repeatedEffectCount,
+    int warmUpOverloadCount,
+    int ceilingExceededCount,
+    List<String> violations) {
 
-  /** Whether no rule was broken, and something was asked at all. */
-  public boolean kept() {
-    return requests > 0 && broken() == 0;
+  /** Whether no rule was broken, and there was a request at all. */
+  public boolean isConformant() {
+    return requestCount > 0 && violationCount() == 0;
   }
 
-  /** How often any rule was broken. */
-  public int broken() {
-    return unanswered + answeredTwice + lateDrains + repeatedEffects + coldFalls + ceilingsPassed;
+  /** How often any rule was broken, over all rules. */
+  public int violationCount() {
+    return unansweredCount
+        + answeredTwiceCount
+        + lateDrainCount
+        + repeatedEffectCount
+        + warmUpOverloadCount
+        + ceilingExceededCount;
   }
 
-  /** The last line of a drill. */
-  public String line() {
-    return (kept() ? "rules kept: " : "rules broken: ")
-        + requests
+  /** The summary that scenarios print last; its wording is part of their output format. */
+  public String summaryLine() {
+    return (isConformant() ? "rules kept: " : "rules broken: ")
+        + requestCount
         + " requests, "
-        + unanswered
+        + unansweredCount
         + " unanswered, "
-        + answeredTwice
+        + answeredTwiceCount
         + " answered twice, "
-        + lateDrains
+        + lateDrainCount
         + " late drains, "
-        + repeatedEffects
+        + repeatedEffectCount
         + " repeated effects, "
-        + coldFalls
+        + warmUpOverloadCount
         + " cold falls, "
-        + ceilingsPassed
+        + ceilingExceededCount
         + " ceilings passed";
   }
 }
--- a/src/main/java/fawndock/conformance/TraceEvent.java
+++ b/src/main/java/fawndock/conformance/TraceEvent.java
@@ -1,51 +1,84 @@
 package fawndock.conformance;
 
-/** Something that crossed a socket, or that a stand-in did; times are wall-clock microseconds. */
+/**
+ * Something that crossed a socket or that a fake did. Times are microseconds of one clock: the wall
+ * clock in scenarios, simulated time in simulations.
+ */
 public sealed interface TraceEvent {
-  /** When. */
-  long at();
-
-  /** A client sent a request to a gatekeeper; it gives up at the time given. */
-  record Asked(
-      long at,
-      String request,
-      int gatekeeper,
-      String type,
+  /** When it happened. */
+  long atMicros();
+
+  /**
+   * The operation that a request belongs to: its id {@code OPERATION.TRY} without the number of the
+   * try. A client that retries keeps the operation, so that an effect of two tries is one effect
+   * twice.
+   */
+  static String operationOf(String requestId) {
+    int dot = requestId.lastIndexOf('.');
+    return dot < 0 ? requestId : requestId.substring(0, dot);
+  }
+
+  /** A client sent a request to a gateway. */
+  record RequestSent(
+      long atMicros,
+      String requestId,
+      int gatewayIndex,
+      String requestClass,
       String customer,
       double units,
-      long giveUpAt)
+      long deadlineAtMicros)
       implements TraceEvent {}
 
-  /**
-   * A client got an answer: an HTTP status. A second one for the same request is recorded as well.
-   */
-  record Answered(long at, String request, int status) implements TraceEvent {}
+  /** A client received a final response: its HTTP status. A second one is recorded as well. */
+  record ResponseReceived(long atMicros, String requestId, int status) implements TraceEvent {}
 
-  /** A client's connection broke before it had its whole answer. */
-  record Broke(long at, String request) implements TraceEvent {}
+  /** A client's connection broke before it had its whole response. */
+  record ConnectionLost(long atMicros, String requestId) implements TraceEvent {}
 
-  /** A client left of its own will before it was answered. */
-  record Left(long at, String request) implements TraceEvent {}
+  /** A client disconnected by its own decision before it had its response. */
+  record ClientDisconnected(long atMicros, String requestId) implements TraceEvent {}
 
   /**
-   * A worker received an attempt; {@code life} tells its restarts apart; refused ones never run.
+   * An endpoint received an attempt.
+   *
+   * @param incarnation tells the endpoint's restarts apart
+   * @param isRejected whether the endpoint rejected it, so that it never ran
    */
-  record Arrived(long at, String request, String worker, int life, boolean refused)
+  record AttemptArrived(
+      long atMicros, String requestId, String endpointId, int incarnation, boolean isRejected)
       implements TraceEvent {}
 
+  /** An attempt took effect at an endpoint; one that was dropped as a duplicate did not. */
+  record EffectApplied(long atMicros, String requestId, String endpointId) implements TraceEvent {}
+
   /**
-   * A worker did the work of an attempt: its effect, by the key when it dropped a repeat already.
+   * A gateway was notified of an endpoint.
+   *
+   * @param state as discovery names it, in small letters
+   * @param startedAtMicros 0 when it started long ago
    */
-  record Ran(long at, String request, String worker) implements TraceEvent {}
-
-  /** The roster told a gatekeeper of a worker; {@code startedAt} 0 is long ago. */
-  record Told(long at, int gatekeeper, String worker, String state, long startedAt)
-      implements TraceEvent {}
+  record EndpointAnnounced(
+      long atMicros, int gatewayIndex, String endpointId, String state, long startedAtMicros)
+      implements TraceEvent {
+    /** Whether the endpoint may get new requests. */
+    public boolean isRunning() {
+      return state.equals("running");
+    }
+  }
 
-  /** A worker came up, cold when it says so, with room for so much work each second once warm. */
-  record Came(long at, String worker, int life, boolean cold, double perSecond)
+  /**
+   * An endpoint started.
+   *
+   * @param attemptsPerSecond what it can do once it has warmed up
+   */
+  record EndpointStarted(
+      long atMicros,
+      String endpointId,
+      int incarnation,
+      boolean isWarmingUp,
+      double attemptsPerSecond)
       implements TraceEvent {}
 
-  /** A gatekeeper's process was killed. */
-  record Killed(long at, int gatekeeper) implements TraceEvent {}
+  /** A gateway's process was killed. */
+  record GatewayKilled(long atMicros, int gatewayIndex) implements TraceEvent {}
 }
--- a/src/main/java/fawndock/counter/FileDisk.java
+++ b/src/main/java/fawndock/counter/FileStorage.java
@@ -1,6 +1,7 @@
 package fawndock.counter;
 
 import fawndock.counter.storage.Storage;
+import fawndock.counter.storage.StorageInUseException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -14,7 +15,7 @@
 import java.util.stream.Stream;
 
 /** A directory of the file system. */
-public final class FileDisk implements Storage, AutoCloseable {
+public final class FileStorage implements Storage, AutoCloseable {
   private final Path directory;
   private final FileChannel lockFile;
 
@@ -24,7 +25,7 @@
    * @param locked whether to take the lock; without it, only read
    * @throws IOException also when another process has the lock
    */
-  public FileDisk(Path directory, boolean locked) throws IOException {
+  public FileStorage(Path directory, boolean locked) throws IOException {
     this.directory = directory;
     if (!locked) {
       lockFile = null;
@@ -44,7 +45,7 @@
     }
     if (lock == null) {
       lockFile.close();
-      throw new IOException(directory + " is in use by another counter");
+      throw new StorageInUseException(directory.toString());
     }
   }
 
--- /dev/null
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -0,0 +1,226 @@
+package fawndock.counter;
+
+import fawndock.counter.storage.GroupCommit.LogWork;
+import fawndock.counter.storage.LogWriter;
+import fawndock.counter.storage.SnapshotWriter;
+import fawndock.counter.storage.Storage;
+import java.io.IOException;
+import java.util.concurrent.Executor;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+
+/**
+ * The thread that writes the write-ahead log, one piece of work at a time. Its methods are called
+ * on the event loop, and its results come back there. Work that the disk does not take is tried
+ * again until it does.
+ */
+final class WriteAheadLogThread {
+  private static final long RETRY_DELAY_MILLIS = 200;
+  private static final int MAX_TASKS = 16;
+
+  /** Is called on the event loop with what became of the work. */
+  interface Listener {
+    /** The work is written, and synced if it was to be. */
+    void onWorkDone(LogWork work, long appendedBytes);
+
+    /** The work is not done yet, and is tried again. */
+    void onStalled(String reason);
+
+    /** A sync failed and the segment is given up: the work is in memory only, as all since. */
+    void onSegmentAbandoned(LogWork work, long sequence, String reason);
+  }
+
+  private final Storage storage;
+  private final AtomicReference<LogWork> offered = new AtomicReference<>();
+  private final ThreadPoolExecutor executor =
+      new ThreadPoolExecutor(
+          1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_TASKS), r -> daemon(r, "log"));
+  private final Executor loop;
+  private Listener listener;
+
+  /** Used on the log's thread alone. */
+  private LogWriter writer;
+
+  private volatile boolean isClosing;
+
+  WriteAheadLogThread(Storage storage, Executor loop) {
+    this.storage = storage;
+    this.loop = loop;
+  }
+
+  /** Sets who is called with results; once, before the first work. */
+  void listen(Listener resultListener) {
+    listener = resultListener;
+  }
+
+  static Thread daemon(Runnable task, String name) {
+    Thread thread = new Thread(task, name);
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  /** Runs a task on the event loop, unless that has ended: then nobody waits for it. */
+  static void post(Executor loop, Runnable task) {
+    try {
+      loop.execute(task);
+    } catch (RejectedExecutionException e) {
+      // The server has stopped meanwhile.
+    }
+  }
+
+  private void post(Runnable task) {
+    post(loop, task);
+  }
+
+  /** Does the work, then what was offered meanwhile, one after the other. */
+  void perform(LogWork work) {
+    executor.execute(
+        () -> {
+          LogWork next = work;
+          while (next != null) {
+            next = performOne(next);
+          }
+        });
+  }
+
+  /**
+   * Has a group taken as soon as the one before is done, which spares two threads waking each
+   * other.
+   */
+  void offer(LogWork work) {
+    offered.set(work);
+  }
+
+  /** Takes back what was offered; false when it was taken. */
+  boolean withdraw() {
+    return offered.getAndSet(null) != null;
+  }
+
+  /** Does one piece of work; returns what is to be done after it, or null. */
+  private LogWork performOne(LogWork work) {
+    boolean appended = work.record() == null;
+    while (true) {
+      try {
+        if (!appended) {
+          writer.append(work.record());
+          appended = true;
+        }
+        if (work.shouldSync()) {
+          writer.sync();
+        }
+        long bytes = writer.appendedBytes();
+        // Others that wait, such as to begin a segment, go first: what was offered is then handed
+        // on by the loop.
+        LogWork next = executor.getQueue().isEmpty() ? offered.getAndSet(null) : null;
+        post(() -> listener.onWorkDone(work, bytes));
+        return next;
+      } catch (IOException e) {
+        String reason = String.valueOf(e.getMessage());
+        if (writer.isAbandoned()) {
+          long sequence = writer.lastSequence();
+          post(() -> listener.onSegmentAbandoned(work, sequence, reason));
+          return null;
+        }
+        post(() -> listener.onStalled(reason));
+      }
+      if (isClosing || !sleepBeforeRetry()) {
+        return null;
+      }
+    }
+  }
+
+  private static boolean sleepBeforeRetry() {
+    try {
+      Thread.sleep(RETRY_DELAY_MILLIS);
+      return true;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return false;
+    }
+  }
+
+  /**
+   * Begins a new segment and tells, on the event loop, the sequence before it, or -1 when it cannot
+   * be.
+   */
+  void roll(LongConsumer callback) {
+    executor.execute(
+        () -> {
+          long sequence = -1;
+          try {
+            sequence = writer.roll();
+          } catch (IOException e) {
+            // The next work fails too, and its error is reported.
+          }
+          long found = sequence;
+          post(() -> callback.accept(found));
+        });
+  }
+
+  /** Syncs what was appended, then goes on, on the event loop; does not when it cannot. */
+  void syncThen(Runnable callback) {
+    executor.execute(
+        () -> {
+          try {
+            writer.sync();
+            post(callback);
+          } catch (IOException e) {
+            // The next work fails too, and its error is reported.
+          }
+        });
+  }
+
+  /**
+   * Goes on in a new file after a snapshot that covers all up to a sequence; tells whether it
+   * could.
+   */
+  void startNewSegment(long coveredSequence, Consumer<IOException> callback) {
+    executor.execute(
+        () -> {
+          IOException failure = null;
+          try {
+            if (writer != null) {
+              writer.close();
+            }
+            writer = new LogWriter(storage, coveredSequence);
+            SnapshotWriter.deleteObsoleteFiles(storage, coveredSequence);
+          } catch (IOException e) {
+            failure = e;
+          }
+          IOException found = failure;
+          post(() -> callback.accept(found));
+        });
+  }
+
+  /** Ends after what was asked; syncs what is not yet. */
+  void close(long millis) {
+    isClosing = true;
+    executor.execute(
+        () -> {
+          try {
+            if (writer != null && !writer.isAbandoned()) {
+              writer.sync();
+            }
+            if (writer != null) {
+              writer.close();
+            }
+          } catch (IOException e) {
+            // What was acknowledged under `always` is synced by now.
+          }
+        });
+    executor.shutdown();
+    try {
+      if (!executor.awaitTermination(millis, TimeUnit.MILLISECONDS)) {
+        executor.shutdownNow();
+      }
+    } catch (InterruptedException e) {
+      executor.shutdownNow();
+      Thread.currentThread().interrupt();
+    }
+  }
+}
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -1,13 +1,15 @@
 package fawndock.gateway;
 
+import fawndock.counter.replication.CallOutcome;
+import fawndock.counter.replication.ClientAction;
+import fawndock.counter.replication.ClientAction.CallEnded;
+import fawndock.counter.replication.ClientAction.FetchMembership;
+import fawndock.counter.replication.ClientAction.PushMembership;
+import fawndock.counter.replication.ClientAction.SendHeartbeat;
+import fawndock.counter.replication.ClientAction.SendSum;
+import fawndock.counter.replication.ClientTimeouts;
 import fawndock.counter.replication.MembershipList;
 import fawndock.counter.replication.ReplicaClient;
-import fawndock.counter.replication.ReplicaClient.Ask;
-import fawndock.counter.replication.ReplicaClient.End;
-import fawndock.counter.replication.ReplicaClient.Fetch;
-import fawndock.counter.replication.ReplicaClient.Give;
-import fawndock.counter.replication.ReplicaClient.Here;
-import fawndock.counter.replication.ReplicaClient.Out;
 import fawndock.counter.replication.ReplicatedSum;
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
@@ -133,7 +135,7 @@
         new ReplicaClient(
             origin,
             List.copyOf(nodes.keySet()),
-            new ReplicaClient.Times(
+            new ClientTimeouts(
                 Math.max(1, timeoutMillis / HEDGE_DIVISOR),
                 timeoutMillis,
                 timeoutMillis,
@@ -161,8 +163,8 @@
     if (nodes.get(node.id) != node) {
       return;
     }
-    List<Out> actions = new ArrayList<>();
-    client.lost(node.id, nowMillis(), actions);
+    List<ClientAction> actions = new ArrayList<>();
+    client.onConnectionLost(node.id, nowMillis(), actions);
     execute(actions);
   }
 
@@ -175,69 +177,70 @@
     CounterReplySequencer.PendingCall call =
         new CounterReplySequencer.PendingCall(command.counterName(), clock.now());
     sequencer.begin(call);
-    List<Out> actions = new ArrayList<>();
+    List<ClientAction> actions = new ArrayList<>();
     try {
       if (pendingCalls.size() >= settings.maxCallsInFlight()) {
         throw new CommandException("too many calls are in flight");
       }
       DecimalAmount amount =
-          DecimalAmount.of(Double.toString(command.amount()).getBytes(StandardCharsets.US_ASCII));
+          DecimalAmount.parse(
+              Double.toString(command.amount()).getBytes(StandardCharsets.US_ASCII));
       long timeToLiveMillis = Math.max(1, (command.timeToLiveMicros() + 999) / 1_000);
-      long id = client.call(command.counterName(), amount, timeToLiveMillis, nowMillis(), actions);
+      long id = client.add(command.counterName(), amount, timeToLiveMillis, nowMillis(), actions);
       pendingCalls.put(id, call);
     } catch (CommandException e) {
       // In a later turn, since the policy is still handling the event that led to this call.
       context.runOnContext(later -> complete(call, CallResult.SHED, 0));
       return;
     }
-    if (actions.stream().anyMatch(End.class::isInstance)) {
+    if (actions.stream().anyMatch(CallEnded.class::isInstance)) {
       context.runOnContext(later -> execute(actions));
     } else {
       execute(actions);
     }
   }
 
-  private void execute(List<Out> actions) {
-    for (Out each : actions) {
-      if (each instanceof Ask ask) {
-        sendSum(ask);
-      } else if (each instanceof Here here) {
-        sendHere(here);
-      } else if (each instanceof Fetch fetch) {
+  private void execute(List<ClientAction> actions) {
+    for (ClientAction each : actions) {
+      if (each instanceof SendSum action) {
+        sendSum(action);
+      } else if (each instanceof SendHeartbeat heartbeat) {
+        sendHeartbeat(heartbeat);
+      } else if (each instanceof FetchMembership fetch) {
         exchangeMembershipList(fetch.node(), Request.cmd(NODES));
-      } else if (each instanceof Give give) {
+      } else if (each instanceof PushMembership push) {
         Request request = Request.cmd(NODES);
-        for (String word : give.list().toString().split(" ", 0)) {
+        for (String word : push.list().toString().split(" ", 0)) {
           request.arg(word);
         }
-        exchangeMembershipList(give.node(), request);
-      } else if (each instanceof End end) {
-        CounterReplySequencer.PendingCall call = pendingCalls.remove(end.call());
+        exchangeMembershipList(push.node(), request);
+      } else if (each instanceof CallEnded end) {
+        CounterReplySequencer.PendingCall call = pendingCalls.remove(end.callId());
         if (call != null) {
-          complete(call, callResult(end.result()), end.total());
+          complete(call, callResult(end.outcome()), end.total());
         }
       }
     }
   }
 
-  private static CallResult callResult(ReplicaClient.Result result) {
-    return switch (result) {
+  private static CallResult callResult(CallOutcome outcome) {
+    return switch (outcome) {
       case OK -> CallResult.OK;
       case TIMEOUT -> CallResult.TIMEOUT;
       case UNREACHABLE -> CallResult.CONNECT_FAILED;
-      case REFUSED -> CallResult.SHED;
+      case REJECTED -> CallResult.SHED;
     };
   }
 
-  private void sendHere(Here here) {
+  private void sendHeartbeat(SendHeartbeat heartbeat) {
     send(
-        here.node(),
-        Request.cmd(HERE).arg(origin).arg(here.stamp()),
+        heartbeat.node(),
+        Request.cmd(HERE).arg(origin).arg(heartbeat.stamp()),
         reply -> {
           if (reply.succeeded()) {
-            List<Out> actions = new ArrayList<>();
-            client.hereAnswered(
-                here.node(),
+            List<ClientAction> actions = new ArrayList<>();
+            client.onHeartbeatReply(
+                heartbeat.node(),
                 reply.result().get(0).toInteger() == 1,
                 reply.result().get(1).toLong(),
                 actions);
@@ -254,14 +257,14 @@
         reply -> {
           String text = reply.succeeded() ? reply.result().toString() : "";
           if (!text.isEmpty()) {
-            adopt(MembershipList.of(text));
+            adopt(MembershipList.parse(text));
           }
         });
   }
 
   private void adopt(MembershipList list) {
-    List<Out> actions = new ArrayList<>();
-    if (!client.adopt(list, nowMillis(), actions)) {
+    List<ClientAction> actions = new ArrayList<>();
+    if (!client.adoptMembership(list, nowMillis(), actions)) {
       return;
     }
     LOG.info("counter membership list adopted: list=\"{}\"", list);
@@ -294,36 +297,36 @@
     }
   }
 
-  private void sendSum(Ask ask) {
-    ReplicatedSum sum = ask.sum();
+  private void sendSum(SendSum action) {
+    ReplicatedSum sum = action.sum();
     send(
-        ask.node(),
+        action.node(),
         Request.cmd(SUM)
             .arg(sum.name())
             .arg(sum.origin())
-            .arg(sum.plus().toString())
-            .arg(sum.minus().toString())
-            .arg(sum.keepMillis()),
-        reply -> onSumReply(ask, reply));
+            .arg(sum.added().toString())
+            .arg(sum.withdrawn().toString())
+            .arg(sum.timeToLiveMillis()),
+        reply -> onSumReply(action, reply));
   }
 
-  private void onSumReply(Ask ask, AsyncResult<Response> reply) {
-    List<Out> actions = new ArrayList<>();
+  private void onSumReply(SendSum action, AsyncResult<Response> reply) {
+    List<ClientAction> actions = new ArrayList<>();
     if (reply.succeeded()) {
       double total = Double.parseDouble(reply.result().toString());
-      client.answered(ask.node(), ask.call(), total, actions);
+      client.onTotal(action.node(), action.callId(), total, actions);
     } else if (CounterConnection.isErrorReply(reply.cause())) {
       String text = String.valueOf(reply.cause().getMessage());
       boolean isNotReady =
           text.startsWith("LOADING") || text.startsWith("FENCED") || text.startsWith("MISCONF");
-      client.refused(ask.node(), ask.call(), isNotReady, nowMillis(), actions);
+      client.onRejected(action.node(), action.callId(), isNotReady, nowMillis(), actions);
     }
     execute(actions);
   }
 
   private void tick() {
     if (!isClosed) {
-      List<Out> actions = new ArrayList<>();
+      List<ClientAction> actions = new ArrayList<>();
       client.tick(nowMillis(), actions);
       execute(actions);
       timers.schedule(TICK_INTERVAL_MICROS, this::tick);
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -7,6 +7,7 @@
 import fawndock.policy.config.PolicyConfig;
 import fawndock.policy.event.CallResult;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.runtime.InFlightAttempt;
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.MicroClock;
@@ -20,7 +21,6 @@
 import io.vertx.core.VerticleBase;
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.RequestOptions;
-import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import org.slf4j.Logger;
@@ -216,7 +216,8 @@
     long startedAtMicros = policyRunner.clock().now();
     RequestOptions options = requestOptions(endpointId);
     if (options == null) {
-      policyRunner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, Map.of()));
+      policyRunner.onEvent(
+          new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, LoadReport.NONE));
       return;
     }
     options.setURI("/healthz").setTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
@@ -237,7 +238,7 @@
                 ? CallResult.TIMEOUT
                 : CallResults.ofStatus(response.result().statusCode()),
             response.failed()
-                ? Map.of()
+                ? LoadReport.NONE
                 : LoadReportParser.parse(response.result().getHeader(LoadReportParser.HEADER))
                     .load()));
   }
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -16,6 +16,7 @@
 import fawndock.policy.event.EndpointState;
 import fawndock.policy.event.EndpointUpdate;
 import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.TimerFired;
@@ -162,7 +163,8 @@
   private void settle(long id, double units) {
     String endpointId = allowed.remove(id);
     if (endpointId != null) {
-      submit(new AttemptCompleted(id, 0, endpointId, 1, CallResult.OK, true, units, Map.of()));
+      submit(
+          new AttemptCompleted(id, 0, endpointId, 1, CallResult.OK, true, units, LoadReport.NONE));
     }
   }
 
--- a/src/main/java/fawndock/simulation/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -12,83 +12,89 @@
 import java.util.Map;
 
 /**
- * What is emulated.
+ * The deployment that a simulation runs.
  *
- * @param gatekeepers how many
- * @param workers how many
- * @param zones that workers lie in, in turns
- * @param build of each worker
- * @param thrash by which work takes longer for each request that waits beyond one a core, as a
- *     share; 0 for not at all
- * @param network between all of them
- * @param counter that all gatekeepers ask
- * @param rosterMicros until a gatekeeper hears of a change
- * @param seconds how long clients ask
+ * @param gatewayCount gateway instances
+ * @param backendCount backends
+ * @param zoneCount zones that backends are in, in turns
+ * @param backend how each backend is built
+ * @param queueingSlowdown by which work takes longer for each request that queues beyond one a
+ *     core, as a share; 0 for not at all
+ * @param network between all processes
+ * @param counter that all gateways share
+ * @param discoveryDelayMicros until a gateway is notified of a change
+ * @param durationSeconds how long clients send
  */
 public record Deployment(
-    int gatekeepers,
-    int workers,
-    int zones,
-    FakeBackend.Build build,
-    double thrash,
-    Network network,
-    Counter counter,
-    long rosterMicros,
-    List<RequestClass> classes,
+    int gatewayCount,
+    int backendCount,
+    int zoneCount,
+    FakeBackend.BackendConfig backend,
+    double queueingSlowdown,
+    NetworkModel network,
+    CounterModel counter,
+    long discoveryDelayMicros,
+    List<RequestClass> requestClasses,
     List<Plan> plans,
     GatewayLimits limits,
     ServiceRules rules,
     List<Demand> demands,
-    double seconds,
+    double durationSeconds,
     long seed) {
   /**
-   * Each way of each message by itself.
+   * The delay of each message, drawn for each by itself.
    *
-   * @param leastMicros that a way takes
-   * @param moreMicros that are added on average, exponentially
-   * @param loss share of the messages to and from the counter that never arrive
+   * @param minDelayMicros the least delay
+   * @param meanExtraDelayMicros mean of what is added, exponentially distributed
+   * @param lossRatio share of the messages to and from the counter that are lost
    */
-  public record Network(long leastMicros, long moreMicros, double loss) {}
+  public record NetworkModel(long minDelayMicros, long meanExtraDelayMicros, double lossRatio) {}
 
   /**
    * The counter.
    *
-   * @param perSecond calls that each part takes, one after the other
-   * @param waitMicros after which a gatekeeper gives up a call
-   * @param parts that names lie on, each name on one
-   * @param turnsAway share of the calls that are refused uncounted
-   * @param queueMicros how long the calls that wait may take; one more is refused uncounted; 0 for
-   *     a second, and no answer
+   * @param callsPerSecond service rate of each partition
+   * @param timeoutMicros after which a gateway gives up a call
+   * @param partitionCount partitions, each name on one of them
+   * @param rejectRatio share of the calls that are rejected uncounted
+   * @param maxQueueMicros longest queueing time, beyond which a call is rejected uncounted; 0 for a
+   *     second, beyond which a call gets no reply
    */
-  public record Counter(
-      double perSecond, long waitMicros, int parts, double turnsAway, long queueMicros) {}
+  public record CounterModel(
+      double callsPerSecond,
+      long timeoutMicros,
+      int partitionCount,
+      double rejectRatio,
+      long maxQueueMicros) {}
 
   /**
-   * What some customers ask.
+   * What a group of customers sends.
    *
-   * @param customers how many, named after the demand, with a number
-   * @param spread gatekeepers that a customer comes through
-   * @param rate of all of them, a second
+   * @param customerCount customers, named after the demand, with a number
+   * @param skew of the customers' shares; 0 for equal shares
+   * @param gatewaysPerCustomer gateways that a customer uses
+   * @param requestsPerSecond of all customers together
+   * @param timeoutMicros from a request to its deadline
    */
   public record Demand(
       String name,
       String requestClass,
       String plan,
-      int customers,
+      int customerCount,
       double skew,
-      int spread,
-      double rate,
+      int gatewaysPerCustomer,
+      double requestsPerSecond,
       Shape shape,
-      long remainingMicros,
-      Manners manners) {}
+      long timeoutMicros,
+      Manners clientBehavior) {}
 
   /** Each customer's plan, by the customer's name. */
-  public Map<String, Plan> plansOfCustomers() {
+  public Map<String, Plan> customerPlans() {
     Map<String, Plan> all = new HashMap<>();
     for (Demand demand : demands) {
       Plan plan =
           plans.stream().filter(p -> p.name().equals(demand.plan())).findFirst().orElseThrow();
-      for (int i = 0; i < demand.customers(); i++) {
+      for (int i = 0; i < demand.customerCount(); i++) {
         all.put(demand.name() + "-" + i, plan);
       }
     }
--- a/src/test/java/fawndock/gateway/BackendAttemptTest.java
+++ b/src/test/java/fawndock/gateway/BackendAttemptTest.java
@@ -126,7 +126,7 @@
           "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
       AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
       assertEquals(CallResult.ERROR, outcome.result());
-      assertEquals(0.5, outcome.load().get("utilization"));
+      assertEquals(0.5, outcome.load().utilization());
     }
   }
 
--- a/src/test/java/fawndock/gateway/EndpointWatchTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -82,22 +82,22 @@
   void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
     FakeEndpointFeed roster = new FakeEndpointFeed(vertx, new TraceRecorder());
-    roster.tell(
-        new FakeEndpointFeed.Entry("a", 1, "", 0, "running", 0),
-        new FakeEndpointFeed.Entry("b", 2, "", 0, "running", 0));
+    roster.publish(
+        new FakeEndpointFeed.EndpointEntry("a", 1, "", 0, "running", 0),
+        new FakeEndpointFeed.EndpointEntry("b", 2, "", 0, "running", 0));
     int port = GatewayHarness.await(roster.listen(0));
     try (GatewayHarness s =
         new GatewayHarness(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
       s.policy.await(
           EndpointUpdate.class,
           e -> e.kind() == EndpointUpdateKind.SNAPSHOT && e.endpoints().size() == 2);
-      roster.cut(true);
-      roster.cut(false);
+      roster.setDisconnected(true);
+      roster.setDisconnected(false);
       GatewayHarness.awaitTrue(
           () -> complete(s) >= 2); // It connects again and has the complete list once more.
-      roster.raw("{\"list\":\"complete\",\"servers\":[]}");
+      roster.publishRaw("{\"list\":\"complete\",\"servers\":[]}");
       s.policy.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
-      roster.raw("nonsense");
+      roster.publishRaw("nonsense");
       GatewayHarness.awaitTrue(() -> complete(s) >= 3);
       assertEquals(
           0,
--- a/src/test/java/fawndock/gateway/GatewayPartsTest.java
+++ b/src/test/java/fawndock/gateway/GatewayPartsTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PeerMessageReceived;
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
@@ -88,7 +89,8 @@
 
   @Test
   void loadReportsInBothFormsAndNonsense() {
-    Map<String, Double> expected = Map.of("utilization", 0.3, "throughput", 90.0, "queue", 4.0);
+    LoadReport expected =
+        new LoadReport.Builder().utilization(0.3).requestsPerSecond(90).queuedRequests(4).build();
     assertEquals(
         expected,
         LoadReportParser.parse(
@@ -109,9 +111,9 @@
             "TEXT cpu_utilization=NaN,eps=-1",
             "BIN x",
             "TEXT " + "x".repeat(5_000))) {
-      assertEquals(Map.of(), LoadReportParser.parse(bad).load(), bad);
+      assertEquals(LoadReport.NONE, LoadReportParser.parse(bad).load(), bad);
     }
-    assertEquals(Map.of(), LoadReportParser.parse(null).load());
+    assertEquals(LoadReport.NONE, LoadReportParser.parse(null).load());
   }
 
   @Test
