--- a/src/test/java/fawndock/gateway/BackendAttemptTest.java
+++ b/src/test/java/fawndock/gateway/BackendAttemptTest.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Each line of the table of ends in docs/design/gateway.md, on sockets. */
+/** Each line of the table of attempt results in docs/design/gateway.md, on sockets. */
 class BackendAttemptTest {
   @Test
-  void noConnectionNeverRan() throws Exception {
+  void noConnection_isConnectFailed() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
       GatewayHarness.await(s.backend.close());
       assertEquals(502, s.get("/lookup").statusCode());
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void refusedStreamNeverRan() throws Exception {
+  void refusedStream_isShed() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(r -> r.response().reset(CallResults.REFUSED_STREAM))) {
       assertEquals(502, s.get("/lookup").statusCode());
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void streamsAboveTheLastOfAGoAwayNeverRanAndThoseBelowGoOn() throws Exception {
+  void goAway_shedsStreamsAboveItsLastAndLeavesTheOthers() throws Exception {
     List<HttpServerRequest> held = new ArrayList<>();
     try (GatewayHarness s =
         new GatewayHarness(
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void streamsBelowTheLastOfAGoAwayMayHaveRunWhenTheConnectionBreaks() throws Exception {
+  void connectionLostAfterGoAway_isResetForStreamsBelowItsLast() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(
             r -> {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void anotherResetMayHaveRun() throws Exception {
+  void streamResetWithAnotherCode_isReset() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().reset(2))) {
       assertEquals(502, s.get("/lookup").statusCode());
       assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void anAnswerThatBreaksHalfwayMayHaveRunAndIsNotServed() throws Exception {
+  void responseThatBreaksHalfway_isResetAndNotServed() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(
             r ->
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void errorStatusIsAnError() throws Exception {
+  void status5xx_isError() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(
             r ->
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void statusesBelowFiveHundredAreServed() throws Exception {
+  void statusBelow500_isServed() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(
             r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
@@ -147,7 +147,7 @@
 
   /** Also a worker that answers after the attempt was abandoned: nobody gets that answer. */
   @Test
-  void silenceIsATimeOutAndALaterAnswerIsDropped() throws Exception {
+  void noResponseByTheDeadline_isTimeoutAndALateOneIsDropped() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
     CountDownLatch reset = new CountDownLatch(1);
     try (GatewayHarness s =
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void cancelMayHaveRunAndItsWorkerIsTold() throws Exception {
+  void cancel_resetsTheStream() throws Exception {
     CountDownLatch reset = new CountDownLatch(1);
     try (GatewayHarness s =
         new GatewayHarness(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
@@ -203,7 +203,7 @@
    * them counts.
    */
   @Test
-  void answerAndTimeOutInOneTurnEndTheAttemptOnce() throws Exception {
+  void responseAndTimeoutInOneTurn_completeTheAttemptOnce() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
     try (GatewayHarness s = new GatewayHarness(held::complete)) {
@@ -243,7 +243,7 @@
   }
 
   @Test
-  void streamedAnswerStartsAndHasNoDeadlineAfterwards() throws Exception {
+  void streamedResponse_hasNoDeadlineOnceStarted() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
     try (GatewayHarness s =
         new GatewayHarness(
@@ -269,7 +269,7 @@
   }
 
   @Test
-  void anAnswerBeyondTheBufferIsStreamed() throws Exception {
+  void responseBeyondTheBuffer_isStreamed() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
       assertEquals(100_000, s.get("/lookup").body().length());
--- a/src/test/java/fawndock/gateway/CounterClientTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -35,9 +35,9 @@
 class CounterClientTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
-  private final BlockingQueue<CounterReply> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<CounterReply> replies = new LinkedBlockingQueue<>();
   private FakeCounterServer counter;
-  private CounterClient link;
+  private CounterClient client;
   private int port;
   private Map<String, Address> nodes = Map.of();
 
@@ -49,7 +49,7 @@
 
   @AfterEach
   void stop() throws Exception {
-    link.close();
+    client.close();
     GatewayHarness.await(vertx.close());
     counter.close();
   }
@@ -57,7 +57,7 @@
   private void connect(long timeoutMicros, int most) throws Exception {
     context.runOnContext(
         v ->
-            link =
+            client =
                 new CounterClient(
                     vertx,
                     context,
@@ -69,7 +69,7 @@
                         most),
                     new MicroClock(),
                     new Timers(vertx),
-                    told::add));
+                    replies::add));
     while (true) { // Until the connection is there: each probe is told exactly once.
       count("probe", 0);
       if (next().result() == CallResult.OK) {
@@ -82,19 +82,19 @@
     context.runOnContext(
         v -> {
           for (double amount : amounts) {
-            link.add(new AddToCounter(name, amount, 60_000_000));
+            client.add(new AddToCounter(name, amount, 60_000_000));
           }
         });
   }
 
   private CounterReply next() throws InterruptedException {
-    CounterReply next = told.poll(20, TimeUnit.SECONDS);
+    CounterReply next = replies.poll(20, TimeUnit.SECONDS);
     assertTrue(next != null, "a call was never told");
     return next;
   }
 
   @Test
-  void totalsComeInTheOrderOfTheCalls() throws Exception {
+  void totals_comeInTheOrderOfTheCalls() throws Exception {
     connect(20_000_000, 4_096);
     count("n", 1, 0.5, -1);
     assertEquals(List.of(1.0, 1.5, 0.5), List.of(next().total(), next().total(), next().total()));
@@ -102,10 +102,10 @@
 
   /** Add, expiry and total are one command where the server knows it. */
   @Test
-  void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
+  void ownCounter_isCalledWithOneCommand(@TempDir Path directory) throws Exception {
     try (FileStorage disk = new FileStorage(directory, true)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
+          ownCounter(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       port = own.start(bytes -> {});
       connect(20_000_000, 4_096);
       count("n", 1, 0.1, -0.1);
@@ -124,12 +124,12 @@
 
   /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
   @Test
-  void silentNodesAreStoodInFor(@TempDir Path directory) throws Exception {
+  void unresponsiveNodes_costNoCallItsReply(@TempDir Path directory) throws Exception {
     try (FileStorage disk = new FileStorage(directory, true);
         ServerSocket one = new ServerSocket(0);
         ServerSocket two = new ServerSocket(0)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
+          ownCounter(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       nodes =
           Map.of(
               "n0",
@@ -157,17 +157,17 @@
    * goes.
    */
   @Test
-  void aNewListOfNodesIsTaken(@TempDir Path directory) throws Exception {
+  void newMembershipList_isAdopted(@TempDir Path directory) throws Exception {
     try (FileStorage old = new FileStorage(directory.resolve("old"), true);
         FileStorage fresh = new FileStorage(directory.resolve("fresh"), true)) {
       CounterServer off =
-          own(
+          ownCounter(
               old,
               directory.resolve("old"),
               new CounterSettings.Cluster("n0", 1, 150, 200, Map.of()));
       int offPort = off.start(bytes -> {});
       CounterServer on =
-          own(
+          ownCounter(
               fresh,
               directory.resolve("fresh"),
               new CounterSettings.Cluster(
@@ -194,7 +194,7 @@
     }
   }
 
-  private static CounterServer own(
+  private static CounterServer ownCounter(
       FileStorage disk, Path directory, CounterSettings.Cluster fleet) {
     return new CounterServer(
         new CounterSettings(
@@ -218,7 +218,7 @@
 
   /** The answer to a call that timed out comes while another call of the same name is out. */
   @Test
-  void aLateTotalIsNotGivenToAnotherCall() throws Exception {
+  void lateTotal_isNotGivenToAnotherCall() throws Exception {
     connect(2_000_000, 4_096);
     counter.setDelayMillis(2_600);
     count("n", 100);
@@ -228,14 +228,14 @@
     CounterReply second = next();
     assertEquals(CallResult.OK, second.result());
     assertEquals(101, second.total());
-    assertTrue(told.isEmpty());
+    assertTrue(replies.isEmpty());
   }
 
   /**
    * A connection that is open and silent is given up, and calls are answered again on a new one.
    */
   @Test
-  void aHalfOpenConnectionIsReplaced() throws Exception {
+  void halfOpenConnection_isReplaced() throws Exception {
     connect(20_000, 4_096);
     counter.setUnresponsive(true);
     double[] many = new double[30];
@@ -253,7 +253,7 @@
   }
 
   @Test
-  void anErrorAddedNothingAndALostConnectionMayHave() throws Exception {
+  void errorReply_isShedAndLostConnectionIsTimeout() throws Exception {
     connect(20_000_000, 4_096);
     counter.setRejecting(true);
     count("n", 5);
@@ -272,7 +272,7 @@
 
   /** One call too many is turned away, but told after the older call of its name. */
   @Test
-  void callsBeyondTheMostWaitForTheirTurn() throws Exception {
+  void callBeyondTheLimit_completesAfterOlderCallsOfItsName() throws Exception {
     connect(5_000_000, 1);
     counter.setDelayMillis(60);
     count("n", 1, 1);
--- a/src/test/java/fawndock/gateway/EndpointWatchTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aServerNamedTwiceCountsAsTheOneNearerToItsEnd() {
+  void endpointListedTwice_countsAsTheEntryNearerToRemoval() {
     for (String order :
         List.of(
             entry("w", "stopping") + "," + entry("w", "running"),
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void whatCannotBeReadSaysWhy() {
+  void unreadableLine_isRejected() {
     for (String bad :
         List.of(
             "{",
@@ -49,7 +49,7 @@
    * followed.
    */
   @Test
-  void aStreamThatBeginsWithChangesIsNotFollowed() throws Exception {
+  void streamThatBeginsWithChanges_isReopened() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
     int[] connections = {0};
     int port =
@@ -79,7 +79,7 @@
    * Cut off, back, nobody listed, nonsense: the gatekeeper is never told that the fleet is empty.
    */
   @Test
-  void aLostOrEmptyRosterNeverEmptiesTheFleet() throws Exception {
+  void lostOrEmptyList_neverRemovesAllEndpoints() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
     FakeEndpointFeed roster = new FakeEndpointFeed(vertx, new TraceRecorder());
     roster.publish(
--- a/src/test/java/fawndock/gateway/GatewayHarness.java
+++ b/src/test/java/fawndock/gateway/GatewayHarness.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A daemon with a scripted gatekeeper and one worker, on free loopback ports. */
+/** A gateway with a scripted policy and one backend, on free loopback ports. */
 final class GatewayHarness implements AutoCloseable {
   final Vertx vertx = Vertx.vertx();
   final ScriptedPolicy policy = new ScriptedPolicy();
@@ -70,12 +70,12 @@
     return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  /** Waits for something that can only be asked for. */
+  /** Polls a condition until it holds, 20 s at most. */
   static void awaitTrue(java.util.function.BooleanSupplier what) {
     long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!what.getAsBoolean()) {
       if (System.nanoTime() > limit) {
-        throw new AssertionError("it never came");
+        throw new AssertionError("the condition never held");
       }
       Thread.onSpinWait();
     }
--- a/src/test/java/fawndock/gateway/GatewayPartsTest.java
+++ b/src/test/java/fawndock/gateway/GatewayPartsTest.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The small parts: clock, alarms, load reports, header fields, peer messages. */
+/** The small parts: clock, timers, shards, load reports, header fields, peer messages. */
 class GatewayPartsTest {
   @Test
-  void theClockNeverRunsBackwardsAndStillMoves() {
+  void clock_neverRunsBackwardsAndStillMoves() {
     long[] wall = {1_000_000};
     long[] nanos = {0};
     MicroClock clock = new MicroClock(() -> wall[0], () -> nanos[0]);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void alarmsRingInOrderOnceAndNotWhenCancelled() throws Exception {
+  void timers_fireOnceInOrderUnlessCancelled() throws Exception {
     Vertx vertx = Vertx.vertx();
     List<Integer> rung = new ArrayList<>();
     CompletableFuture<Void> last = new CompletableFuture<>();
@@ -73,7 +73,7 @@
    * others.
    */
   @Test
-  void namesAreSpreadOverThePartsOfTheCounter() {
+  void counterNames_areSpreadEvenlyOverShards() {
     int[] names = new int[3];
     for (int i = 0; i < 3_000; i++) {
       String name = "customer-" + i + ":" + i % 7;
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void loadReportsInBothFormsAndNonsense() {
+  void loadReports_areReadInBothFormsAndNonsenseIsSkipped() {
     LoadReport expected =
         new LoadReport.Builder().utilization(0.3).requestsPerSecond(90).queuedRequests(4).build();
     assertEquals(
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void fieldsOfOneConnectionStay() {
+  void hopByHopFields_areNotForwarded() {
     MultiMap passed =
         ForwardedHeaders.filter(
             MultiMap.caseInsensitiveMultiMap()
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void peersAreHeardWithinTheirLimits() throws Exception {
+  void peerMessages_areReceivedWithinTheirLimits() throws Exception {
     Vertx vertx = Vertx.vertx();
     LinkedBlockingQueue<PeerMessageReceived> heard = new LinkedBlockingQueue<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
--- a/src/test/java/fawndock/gateway/HttpServerListenerTest.java
+++ b/src/test/java/fawndock/gateway/HttpServerListenerTest.java
@@ -33,7 +33,7 @@
 
 class HttpServerListenerTest {
   @Test
-  void theGatekeeperIsToldWhoAsksAndHowLongIsLeft() throws Exception {
+  void requestHead_givesThePolicyCustomerClassAndDeadline() throws Exception {
     try (GatewayHarness s =
         new GatewayHarness(
             r ->
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsAnsweredAndNeverCounted() throws Exception {
+  void unreadableRequest_isAnsweredAndNeverCounted() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB")) {
       assertEquals(
           401, s.send(s.to("/lookup").setHeader("x-api-key", "nobody's")).get().statusCode());
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aBodyOfUnstatedSizeIsCutOffAtTheLimit() throws Exception {
+  void chunkedBodyBeyondTheLimit_isAnsweredWith413() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB");
         Socket socket = new Socket("127.0.0.1", s.port)) {
       socket.setSoTimeout(20_000);
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void aRefusalSaysWhenToComeAgain() throws Exception {
+  void rejection_hasRetryAfterAndRateLimitFields() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
       s.policy.respondWith(
           (now, e) ->
@@ -153,7 +153,7 @@
    * answer.
    */
   @Test
-  void theHostAnswersWhatItsGatekeeperDoesNot() throws Exception {
+  void policyThatThrows_isBackedUpBy504AtTheDeadline() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
       s.policy.respondWith(
           (now, e) -> {
@@ -172,7 +172,7 @@
   }
 
   @Test
-  void aClientThatLeavesWhileItsCounterCallIsOutIsGoneAndTheCallIsStillTold() throws Exception {
+  void disconnectDuringCounterCall_isReportedAndTheReplyStillGiven() throws Exception {
     try (FakeCounterServer counter = new FakeCounterServer().start()) {
       try (GatewayHarness s =
           new GatewayHarness(
@@ -205,7 +205,7 @@
   }
 
   @Test
-  void aClientThatResetsItsStreamIsGone() throws Exception {
+  void streamReset_countsAsDisconnect() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> {})) {
       var client =
           s.vertx.createHttpClient(
@@ -228,7 +228,7 @@
   }
 
   @Test
-  void tenThousandRequestsAreOpenAtOnceAndAllAreAnswered() throws Exception {
+  void tenThousandRequestsInFlight_areAllAnswered() throws Exception {
     int count = 10_000;
     List<HttpServerRequest> held = new ArrayList<>();
     try (GatewayHarness s =
@@ -273,7 +273,7 @@
   }
 
   @Test
-  void beyondTheMostThatMayBeOpenIsTurnedAwayUnasked() throws Exception {
+  void requestBeyondTheInFlightLimit_isAnsweredWith503WithoutThePolicy() throws Exception {
     try (GatewayHarness s = new GatewayHarness(r -> {}, "limits open 1")) {
       CompletableFuture<HttpResponse<String>> first =
           s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
@@ -285,7 +285,7 @@
   }
 
   @Test
-  void stoppingAnswersWhatIsOpenAndLetsNobodyIn() throws Exception {
+  void draining_answersRequestsInFlightAndRefusesConnections() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
     GatewayHarness s = new GatewayHarness(held::complete, "stop 30s");
     CompletableFuture<HttpResponse<String>> open = s.send(s.to("/lookup"));
--- a/src/test/java/fawndock/gateway/ScriptedPolicy.java
+++ b/src/test/java/fawndock/gateway/ScriptedPolicy.java
@@ -13,13 +13,13 @@
 import java.util.function.BiFunction;
 import java.util.function.Predicate;
 
-/** A gatekeeper that does what a test says and remembers what it was told. */
+/** A policy whose actions a test scripts; records its events. Any thread. */
 final class ScriptedPolicy implements GatewayPolicy {
   private final List<PolicyEvent> events = new ArrayList<>();
   private volatile BiFunction<Long, PolicyEvent, List<PolicyAction>> script =
       ScriptedPolicy::forwardOnce;
 
-  /** Sends each request to the server "w" once, and fails it when that did not serve it. */
+  /** Starts one attempt at the endpoint "w" for each request, and fails it when that fails. */
   static List<PolicyAction> forwardOnce(long now, PolicyEvent event) {
     if (event instanceof RequestArrived r) {
       return List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()));
@@ -64,7 +64,7 @@
         long left = limit - System.nanoTime();
         if (left <= 0) {
           throw new AssertionError(
-              "never told such a " + type.getSimpleName() + "; told: " + events);
+              "no matching " + type.getSimpleName() + " among the events: " + events);
         }
         try {
           TimeUnit.NANOSECONDS.timedWait(events, left);
--- a/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
@@ -34,8 +34,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A client made from the public definitions, against two gatekeepers' rate limit services and one
- * counter.
+ * A client made from the public definitions, against the rate limit services of two instances and
+ * one counter.
  */
 class RateLimitServiceTest {
   private static final ServiceMethod<RateLimitResponse, RateLimitRequest> CALL =
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void oneQuotaThroughTwoGatekeepers() throws Exception {
+  void twoInstances_chargeOneQuota() throws Exception {
     for (int i = 0; i < 4; i++) {
       assertEquals(Code.OK, code(i % 2, lookup("one")), "question " + i);
     }
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void unitsAndHitsCount() throws Exception {
+  void unitsAndHitsAddend_areCharged() throws Exception {
     assertEquals(Code.OK, code(0, descriptor("agency", "one", "class", "quote")));
     RateLimitDescriptor twice = lookup("one").toBuilder().setHitsAddend(UInt64Value.of(2)).build();
     assertEquals(Code.OK, code(0, twice));
@@ -175,7 +175,7 @@
   }
 
   @Test
-  void aBatchIsAllOrNothing() throws Exception {
+  void callWithSeveralDescriptors_isAllOrNothing() throws Exception {
     for (int i = 0; i < 4; i++) {
       code(0, lookup("full"));
     }
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void whatFitsNoLineIsNotLimitedAndWhatIsWrongIsSaid() throws Exception {
+  void unmatchedDescriptorIsNotLimited_andWrongOneIsInvalidArgument() throws Exception {
     assertEquals(Code.OK, code(0, descriptor("path", "/")));
     RateLimitDescriptor override =
         lookup("one").toBuilder()
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void aSilentCounterLetsInInTime() throws Exception {
+  void unreachableCounter_failsOpenInTime() throws Exception {
     counter.setUnresponsive(true);
     for (int i = 0;
         i < 10;
@@ -226,7 +226,7 @@
   }
 
   @Test
-  void mistakesInDescriptorsAreToldAtOnce() {
+  void descriptorErrors_areReportedTogether() {
     String told =
         assertThrows(
                 ConfigurationException.class,
--- a/src/test/java/fawndock/settings/GatewaySettingsFileTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsFileTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void everyMistakeIsToldAtOnceWithItsPlace() throws Exception {
+  void everyError_isReportedWithFileAndLine() throws Exception {
     assertEquals(
         List.of(
             "bad.conf:0: no roster and no server, expected roster HOST:PORT, or server lines",
@@ -79,19 +79,19 @@
   }
 
   @Test
-  void unknownKeywordIsAMistake() throws Exception {
+  void unknownKeyword_isAnError() throws Exception {
     assertEquals(1, errors(GOOD + "lisden 127.0.0.1:1\n").size());
   }
 
   @Test
-  void keyOfAPlanThatIsNotThereIsAMistake() throws Exception {
+  void keyOfAnUnknownPlan_isAnError() throws Exception {
     assertEquals(
         List.of("bad.conf:8: there is no plan 'gold', expected the name of a plan line"),
         errors(GOOD + "key k2 customer two plan gold\n"));
   }
 
   @Test
-  void aFileThatIncludesItselfOrIsNotThereEndsWithOneMistake() throws Exception {
+  void fileThatIncludesItselfOrIsMissing_isOneError() throws Exception {
     assertEquals(
         1, errors("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
     assertEquals(
