--- a/src/main/java/fawndock/cli/ProgressBar.java
+++ b/src/main/java/fawndock/cli/ProgressBar.java
@@ -35,6 +35,8 @@
     this.out = out;
   }
 
+  // Java 17 is what it runs on, where console() is null without a terminal.
+  @SuppressWarnings("SystemConsoleNull")
   void update(long done) {
     long now = System.nanoTime();
     if (System.console() != null && now - shownAtNanos >= STEP_NANOS) {
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -51,6 +51,8 @@
   /** Receives a decision, once, unless the request was cancelled before. */
   public interface DecisionListener {
     /**
+     * Called on the context of the service.
+     *
      * @param retryAfterMicros after which a rejected caller may ask again, else 0
      */
     void onDecision(Decision decision, long retryAfterMicros);
