--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -1,11 +1,11 @@
 package fawndock.cli;
 
-import fawndock.gateway.Daemon;
+import fawndock.gateway.GatewayServer;
 import fawndock.policy.DefaultGatewayPolicy;
-import fawndock.ratelimit.RateLimitNode;
+import fawndock.ratelimit.RateLimitService;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
-import fawndock.settings.SettingsFile;
+import fawndock.settings.GatewaySettingsFile;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
@@ -36,17 +36,17 @@
   public Integer call() throws Exception {
     GatewaySettings settings;
     try {
-      settings = SettingsFile.read(file);
+      settings = GatewaySettingsFile.read(file);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
     Logs.to(settings.log());
-    Daemon daemon = new Daemon(settings);
+    GatewayServer daemon = new GatewayServer(settings);
     try {
       if (settings.rateLimit().listen() != null) {
         daemon
-            .beside(new RateLimitNode(settings, DefaultGatewayPolicy::new))
+            .deployBeside(new RateLimitService(settings, DefaultGatewayPolicy::new))
             .toCompletionStage()
             .toCompletableFuture()
             .get(30, TimeUnit.SECONDS);
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -1,11 +1,11 @@
 package fawndock.counter;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.CounterOperations;
 import fawndock.counter.storage.CounterTable;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.counter.storage.Recovery;
 import fawndock.counter.storage.Storage;
-import fawndock.settings.CounterSettings;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -71,7 +71,7 @@
   public CounterServer(CounterSettings settings, Storage storage) {
     this.settings = settings;
     this.storage = storage;
-    commit = new GroupCommit(settings.durability(), settings.intervalMillis());
+    commit = new GroupCommit(settings.durability(), settings.syncIntervalMillis());
   }
 
   /**
@@ -105,13 +105,14 @@
   }
 
   private void assemble(CounterTable table, Recovery.Result recovered) {
-    CounterOperations operations = new CounterOperations(table, settings.maxMemory());
+    CounterOperations operations = new CounterOperations(table, settings.maxMemoryBytes());
     ServerClock clock = new ServerClock(recovered.latestTimeMillis());
     log = new WriteAheadLogThread(storage, loop);
     snapshots = new SnapshotTask(storage, loop, table, clock);
     scheduler = new CommitScheduler(commit, log, clock, loop);
     supervisor =
-        new LogSupervisor(settings.snapshotAfter(), loop, commit, scheduler, log, snapshots, table);
+        new LogSupervisor(
+            settings.snapshotAfterLogBytes(), loop, commit, scheduler, log, snapshots, table);
     log.listen(supervisor);
     executor = new CommandExecutor(operations, commit, scheduler, commands, clock, stats);
     cluster = new ClusterNode(settings, operations, clock, group);
@@ -173,7 +174,7 @@
   }
 
   private void scheduleRepeated() {
-    repeat(scheduler::commitNow, Math.max(1, settings.intervalMillis()));
+    repeat(scheduler::commitNow, Math.max(1, settings.syncIntervalMillis()));
     repeat(cluster::tick, ClusterNode.TICK_MILLIS);
     repeat(executor::sweepExpired, SWEEP_INTERVAL_MILLIS);
     repeat(this::closeStalledConnections, STALL_CHECK_INTERVAL_MILLIS);
@@ -213,7 +214,7 @@
 
   private void closeStalledConnections() {
     long nowNanos = System.nanoTime();
-    long limitNanos = settings.stallMillis() * 1_000_000;
+    long limitNanos = settings.stalledClientTimeoutMillis() * 1_000_000;
     Set.copyOf(connections).forEach(each -> each.closeIfStalled(nowNanos, limitNanos));
   }
 
