--- a/src/main/java/fawndock/policy/config/Plan.java
+++ b/src/main/java/fawndock/policy/config/Plan.java
@@ -12,7 +12,8 @@
  * @param overQuotaCost cost of serving a request over quota, in the same measure
  * @param ceilingUnitsPerSecond rate that is never passed, in units per second
  * @param ceilingBurstUnits units that may be used at once under that rate
- * @param ceilingToleranceUnits units by which the ceiling may be passed; used by the conformance checks
+ * @param ceilingToleranceUnits units by which the ceiling may be passed; used by the conformance
+ *     checks
  */
 public record Plan(
     String name,
--- a/src/test/java/fawndock/policy/EmbeddingExampleTest.java
+++ b/src/test/java/fawndock/policy/EmbeddingExampleTest.java
@@ -32,9 +32,9 @@
 /** Compiles and runs the example in docs/embedding.md, and keeps the two the same. */
 class EmbeddingExampleTest {
   @Test
-  void theExampleSendsTheRequest() throws Exception {
+  void example_sendsTheRequestAndIsThatOfThePage() throws Exception {
     // example
-    PolicyConfig settings =
+    PolicyConfig config =
         new PolicyConfig(
             0,
             2,
@@ -58,32 +58,34 @@
             new GatewayLimits(3, 1_000, 1_000_000, false, true, false, false, true),
             new ServiceRules(10_000, 1_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000),
             new CounterConfig(true, 50_000, false));
-    GatewayPolicy policy = new DefaultGatewayPolicy(settings);
-    long now = 1_000_000;
+    GatewayPolicy policy = new DefaultGatewayPolicy(config);
+    long nowMicros = 1_000_000;
     policy.onEvent(
-        now,
+        nowMicros,
         new EndpointUpdate(
             EndpointUpdateKind.CACHED,
-            List.of(new Endpoint("server-1", "here", 0, EndpointState.RUNNING, 1, 0))));
+            List.of(new Endpoint("endpoint-1", "here", 0, EndpointState.RUNNING, 1, 0))));
     Deque<PolicyAction> todo =
         new ArrayDeque<>(
             policy.onEvent(
-                now,
+                nowMicros,
                 new RequestArrived(
-                    1, "lookup", "basic", "customer-1", now + 2_000_000, 1, 2, 0, false)));
+                    1, "lookup", "basic", "customer-1", nowMicros + 2_000_000, 1, 2, 0, false)));
     List<PolicyAction> others = new ArrayList<>();
     while (!todo.isEmpty()) {
       PolicyAction action = todo.poll();
-      if (action instanceof AddToCounter count) { // ask your counter service, then tell the total:
+      if (action instanceof AddToCounter count) {
+        // Call your counter service, then report the total.
         todo.addAll(
             policy.onEvent(
-                now, new CounterReply(count.counterName(), CallResult.OK, count.amount(), 900)));
+                nowMicros,
+                new CounterReply(count.counterName(), CallResult.OK, count.amount(), 900)));
       } else {
-        others.add(action); // attempts to send, timers to set, answers to give
+        others.add(action); // attempts to send, timers to schedule, answers to give
       }
     }
     // end of example
-    assertEquals("server-1", PolicyHarness.single(StartAttempt.class, others).endpointId());
+    assertEquals("endpoint-1", PolicyHarness.single(StartAttempt.class, others).endpointId());
     String page = Files.readString(Path.of("docs/embedding.md"));
     String source =
         Files.readString(Path.of("src/test/java/fawndock/policy/EmbeddingExampleTest.java"));
--- a/src/test/java/fawndock/policy/PolicyHarness.java
+++ b/src/test/java/fawndock/policy/PolicyHarness.java
@@ -21,39 +21,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Settings, events and a short hand for the tests of one gatekeeper. */
-final class PolicyHarness {
-  static final long SECOND_MICROS = 1_000_000;
-  final DefaultGatewayPolicy policy;
-  long nowMicros = 100 * SECOND_MICROS;
+/** One gateway instance under test: configurations, events and what to find in the actions. */
+public final class PolicyHarness {
+  public static final long SECOND_MICROS = 1_000_000;
+  public final DefaultGatewayPolicy policy;
+  public long nowMicros = 100 * SECOND_MICROS;
 
-  PolicyHarness(PolicyConfig settings, String... servers) {
-    policy = new DefaultGatewayPolicy(settings);
+  public PolicyHarness(PolicyConfig config, String... endpointIds) {
+    policy = new DefaultGatewayPolicy(config);
     List<Endpoint> list = new ArrayList<>();
-    for (String id : servers) {
+    for (String id : endpointIds) {
       list.add(endpoint(id, EndpointState.RUNNING, 0));
     }
     onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, list));
   }
 
-  static Plan ratePlan(double rate, double store) {
-    return new Plan("plan", rate, store, 0, 1, 0, 1, 0, 0, 0);
+  public static Plan ratePlan(double rate, double burst) {
+    return new Plan("plan", rate, burst, 0, 1, 0, 1, 0, 0, 0);
   }
 
-  static Plan concurrencyPlan(int open) {
-    return new Plan("plan", 0, 0, open, 1, 0, 1, 0, 0, 0);
+  public static Plan concurrencyPlan(int maxConcurrent) {
+    return new Plan("plan", 0, 0, maxConcurrent, 1, 0, 1, 0, 0, 0);
   }
 
-  static Plan ceilingPlan(double rate, double burst) {
+  public static Plan ceilingPlan(double rate, double burst) {
     return new Plan("plan", 0, 0, 0, 1, 0, 1, rate, burst, burst / 10);
   }
 
-  static PolicyConfig config(Plan plan, Idempotency repeat, boolean counter, boolean settled) {
-    return config(plan, repeat, counter, settled, false);
+  public static PolicyConfig config(
+      Plan plan, Idempotency idempotency, boolean counter, boolean settled) {
+    return config(plan, idempotency, counter, settled, false);
   }
 
-  static PolicyConfig config(
-      Plan plan, Idempotency repeat, boolean counter, boolean settled, boolean mustAsk) {
+  public static PolicyConfig config(
+      Plan plan, Idempotency idempotency, boolean counter, boolean settled, boolean mustWatch) {
     RequestClass type =
         new RequestClass(
             "class",
@@ -62,7 +63,7 @@
             3 * SECOND_MICROS,
             1,
             0,
-            repeat,
+            idempotency,
             DeduplicationScope.ALL,
             SECOND_MICROS,
             false);
@@ -72,7 +73,7 @@
         7,
         2_000,
         "here",
-        mustAsk,
+        mustWatch,
         List.of(type),
         List.of(plan),
         new GatewayLimits(3, 1000, SECOND_MICROS, false, true, false, false, true),
@@ -87,35 +88,36 @@
         new CounterConfig(counter, 50_000, settled));
   }
 
-  static Endpoint endpoint(String id, EndpointState availability, long started) {
-    return new Endpoint(id, "here", 0, availability, 1, started);
+  public static Endpoint endpoint(String id, EndpointState state, long startedAtMicros) {
+    return new Endpoint(id, "here", 0, state, 1, startedAtMicros);
   }
 
-  List<PolicyAction> onEvent(PolicyEvent event) {
+  public List<PolicyAction> onEvent(PolicyEvent event) {
     return policy.onEvent(nowMicros, event);
   }
 
-  List<PolicyAction> request(long id) {
+  public List<PolicyAction> request(long id) {
     return request(id, 1);
   }
 
-  List<PolicyAction> request(long id, double units) {
+  public List<PolicyAction> request(long id, double units) {
     return onEvent(
         new RequestArrived(
             id, "class", "plan", "customer", nowMicros + 3 * SECOND_MICROS, units, 2, 0, false));
   }
 
-  List<PolicyAction> completeAttempt(
-      long id, int attempt, String server, CallResult result, boolean over) {
+  public List<PolicyAction> completeAttempt(
+      long id, int attempt, String endpointId, CallResult result, boolean isFinal) {
     return onEvent(
-        new AttemptCompleted(id, attempt, server, 100_000, result, over, 0, LoadReport.NONE));
+        new AttemptCompleted(
+            id, attempt, endpointId, 100_000, result, isFinal, 0, LoadReport.NONE));
   }
 
-  static <T extends PolicyAction> List<T> allOf(Class<T> type, List<PolicyAction> actions) {
+  public static <T extends PolicyAction> List<T> allOf(Class<T> type, List<PolicyAction> actions) {
     return actions.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  static <T extends PolicyAction> T single(Class<T> type, List<PolicyAction> actions) {
+  public static <T extends PolicyAction> T single(Class<T> type, List<PolicyAction> actions) {
     List<T> found = allOf(type, actions);
     if (found.size() != 1) {
       throw new AssertionError("one " + type.getSimpleName() + " expected in " + actions);
--- /dev/null
+++ b/src/test/java/fawndock/policy/quota/QuotaTableTest.java
@@ -0,0 +1,42 @@
+package fawndock.policy.quota;
+
+import static fawndock.policy.PolicyHarness.single;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fawndock.policy.PolicyHarness;
+import fawndock.policy.PolicyTables;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.RequestArrived;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** The table of customers. */
+class QuotaTableTest extends QuotaFixture {
+  /** Tables do not grow with each customer ever seen. */
+  @Test
+  void customersSeenOnce_areForgotten() throws Exception {
+    for (long id = 1; id <= 100_000; id++) {
+      harness.nowMicros += 5_000;
+      List<PolicyAction> actions =
+          harness.onEvent(
+              new RequestArrived(
+                  id,
+                  "class",
+                  "plan",
+                  "customer" + id,
+                  harness.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
+                  1,
+                  2,
+                  0,
+                  false));
+      StartAttempt a = single(StartAttempt.class, answerCalls(actions));
+      harness.completeAttempt(id, 0, a.endpointId(), CallResult.OK, true);
+    }
+    Map<String, Integer> tables = PolicyTables.sizes(harness.policy);
+    assertTrue(tables.size() >= 9, tables.toString());
+    tables.forEach((table, size) -> assertTrue(size < 30_000, table + " holds " + size));
+  }
+}
--- /dev/null
+++ b/src/test/java/fawndock/policy/quota/TokenBucketReplayTest.java
@@ -0,0 +1,28 @@
+package fawndock.policy.quota;
+
+import static fawndock.policy.PolicyHarness.allOf;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import fawndock.policy.PolicyHarness;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.event.CallResult;
+import org.junit.jupiter.api.Test;
+
+/** The refilled burst, where the estimate alone would reject. */
+class TokenBucketReplayTest extends QuotaFixture {
+  @Test
+  void refilledBurst_isGrantedThoughTheEstimateIsAtTheLimit() {
+    for (long id = 1; id <= 5; id++) {
+      for (StartAttempt a : allOf(StartAttempt.class, answerCalls(harness.request(id)))) {
+        harness.completeAttempt(id, 0, a.endpointId(), CallResult.OK, true);
+      }
+    }
+    harness.nowMicros += PolicyHarness.SECOND_MICROS + PolicyHarness.SECOND_MICROS / 2;
+    assertEquals(1, allOf(StartAttempt.class, answerCalls(harness.request(6))).size());
+    assertEquals(
+        1,
+        allOf(RejectRequest.class, answerCalls(harness.request(7))).size(),
+        "one unit has come in, not two");
+  }
+}
--- /dev/null
+++ b/src/test/java/fawndock/policy/retry/IdempotencyRulesTest.java
@@ -0,0 +1,109 @@
+package fawndock.policy.retry;
+
+import static fawndock.policy.PolicyHarness.allOf;
+import static fawndock.policy.PolicyHarness.single;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import fawndock.policy.PolicyHarness;
+import fawndock.policy.action.FailRequest;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.RejectRequest;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.PolicyTimer;
+import fawndock.policy.event.TimerFired;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What may be sent again, and where. */
+class IdempotencyRulesTest {
+  @Test
+  void atMostOnceThatMayHaveRun_failsAndIsNotSentAgain() {
+    PolicyHarness harness = gateway(Idempotency.AT_MOST_ONCE, "a", "b");
+    String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
+    List<PolicyAction> after = harness.completeAttempt(1, 0, endpointId, CallResult.RESET, false);
+    single(FailRequest.class, after);
+    assertTrue(allOf(StartAttempt.class, after).isEmpty());
+  }
+
+  @Test
+  void atMostOnceThatNeverRan_isSentToAnotherEndpoint() {
+    PolicyHarness harness = gateway(Idempotency.AT_MOST_ONCE, "a", "b");
+    String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
+    assertNotEquals(
+        endpointId,
+        single(
+                StartAttempt.class,
+                harness.completeAttempt(1, 0, endpointId, CallResult.SHED, false))
+            .endpointId());
+  }
+
+  @Test
+  void deduplicated_isSentAgainWithinItsWindowOnly() {
+    PolicyHarness harness = gateway(Idempotency.DEDUPLICATED, "a", "b", "c");
+    String first = single(StartAttempt.class, harness.request(1)).endpointId();
+    harness.nowMicros += 100_000;
+    single(StartAttempt.class, harness.completeAttempt(1, 0, first, CallResult.ERROR, false));
+    String other = single(StartAttempt.class, harness.request(2)).endpointId();
+    harness.nowMicros += PolicyHarness.SECOND_MICROS;
+    List<PolicyAction> late = harness.completeAttempt(2, 0, other, CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, late).isEmpty());
+    single(RejectRequest.class, late);
+  }
+
+  @Test
+  void deduplicatedInZone_isNotSentToAnotherZone() {
+    PolicyConfig all =
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), Idempotency.DEDUPLICATED, false, false);
+    RequestClass c = all.requestClasses().get(0);
+    PolicyHarness harness =
+        new PolicyHarness(
+            new PolicyConfig(
+                0,
+                2,
+                7,
+                2_000,
+                "here",
+                false,
+                List.of(
+                    new RequestClass(
+                        c.name(),
+                        c.latencyObjectiveMicros(),
+                        0,
+                        c.deadlineMicros(),
+                        1,
+                        0,
+                        c.idempotency(),
+                        DeduplicationScope.ZONE,
+                        c.deduplicationWindowMicros(),
+                        false)),
+                all.plans(),
+                all.limits(),
+                all.rules(),
+                all.counter()),
+            "a");
+    single(StartAttempt.class, harness.request(1));
+    harness.onEvent(
+        new EndpointUpdate(
+            EndpointUpdateKind.CHANGES,
+            List.of(new Endpoint("b", "there", 0, EndpointState.RUNNING, 1, 0))));
+    List<PolicyAction> after = harness.completeAttempt(1, 0, "a", CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, after).isEmpty(), "b is in another zone");
+    harness.nowMicros += PolicyHarness.SECOND_MICROS / 2;
+    single(FailRequest.class, harness.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))));
+  }
+
+  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+    return new PolicyHarness(
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+  }
+}
--- a/src/test/java/fawndock/policy/ColdFleetTest.java
+++ b/src/test/java/fawndock/policy/routing/SlowStartBudgetTest.java
@@ -1,7 +1,8 @@
-package fawndock.policy;
+package fawndock.policy.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.policy.action.PolicyAction;
 import fawndock.policy.action.ScheduleTimer;
 import fawndock.policy.action.StartAttempt;
@@ -32,38 +33,38 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Thirty gatekeepers together: what reaches a server that has just started, counted as the rule
- * counts it.
+ * Thirty instances together: the attempts that reach an endpoint in slow start, counted as the rule
+ * counts them.
  */
-class ColdFleetTest {
+class SlowStartBudgetTest {
   private static final int FLEET = 30;
-  private static final int SERVERS = 12;
+  private static final int ENDPOINTS = 12;
   private static final long SECOND = 1_000_000;
   private static final ServiceRules RULES =
       new ServiceRules(16_000, SECOND, 0.2, 10 * SECOND, 1.5, 2 * SECOND, 10 * SECOND);
 
-  /** Tries a second of the fleet, and what a warm server can do: it is loaded by four fifths. */
+  /** Requests a second of the fleet; a warm endpoint is loaded by four fifths of its capacity. */
   private static final double RATE = 900;
 
-  private static final double CAPACITY = RATE / SERVERS / 0.8;
+  private static final double CAPACITY = RATE / ENDPOINTS / 0.8;
 
-  /** One play of the thirty. */
-  private static final class Play {
+  /** One simulated run of the thirty. */
+  private static final class Run {
     private record Due(long at, int to, PolicyEvent event) {}
 
     private final Random random;
     private final DefaultGatewayPolicy[] fleet = new DefaultGatewayPolicy[FLEET];
     private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final List<Long> reached = new ArrayList<>();
-    private final Map<Long, Integer> tries = new HashMap<>();
+    private final Map<Long, Integer> attempts = new HashMap<>();
     private final long begin = 100 * SECOND;
     private long id;
 
-    Play(long seed) {
+    Run(long seed) {
       random = new Random(seed);
     }
 
-    private DefaultGatewayPolicy start(int me, long now, long coldSince) {
+    private DefaultGatewayPolicy start(int me, long now, long startedAtMicros) {
       RequestClass type =
           new RequestClass(
               "class",
@@ -76,7 +77,7 @@
               DeduplicationScope.ALL,
               SECOND,
               false);
-      DefaultGatewayPolicy logic =
+      DefaultGatewayPolicy policy =
           new DefaultGatewayPolicy(
               new PolicyConfig(
                   me,
@@ -91,19 +92,20 @@
                   RULES,
                   new CounterConfig(false, 50_000, false)));
       List<Endpoint> list = new ArrayList<>();
-      for (int i = 0; i < SERVERS; i++) {
+      for (int i = 0; i < ENDPOINTS; i++) {
         list.add(
-            new Endpoint("s" + i, "here", 0, EndpointState.RUNNING, 1, i == 4 ? coldSince : 0));
+            new Endpoint(
+                "s" + i, "here", 0, EndpointState.RUNNING, 1, i == 4 ? startedAtMicros : 0));
       }
-      logic.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, list));
-      return logic;
+      policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, list));
+      return policy;
     }
 
     private void run() {
       for (int i = 0; i < FLEET; i++) {
         fleet[i] = start(i, begin, 0);
       }
-      // Some gatekeepers get several times the mean; a burst comes with the start. The server comes
+      // Some instances get several times the mean; a burst comes with the start. The endpoint comes
       // back under its old name.
       for (double at = 0;
           at < 14e6;
@@ -126,39 +128,39 @@
                     0,
                     false)));
       }
-      long cold = begin + 3 * SECOND;
+      long restartedAt = begin + 3 * SECOND;
       for (int i = 0; i < FLEET; i++) {
         due.add(
             new Due(
-                cold + random.nextInt(1_000_000),
+                restartedAt + random.nextInt(1_000_000),
                 i,
                 new EndpointUpdate(
                     EndpointUpdateKind.CHANGES,
-                    List.of(new Endpoint("s4", "here", 0, EndpointState.RUNNING, 1, cold)))));
+                    List.of(
+                        new Endpoint("s4", "here", 0, EndpointState.RUNNING, 1, restartedAt)))));
       }
       boolean restarted = false;
       for (Due next = due.poll();
           next != null && next.at < begin + 14 * SECOND;
           next = due.poll()) {
-        if (!restarted && next.at > cold + 2 * SECOND) {
-          restarted =
-              true; // A third of the gatekeepers start over, from the list as it is by then.
+        if (!restarted && next.at > restartedAt + 2 * SECOND) {
+          restarted = true; // A third of the instances start over, from the list as it is by then.
           for (int i = 0; i < FLEET; i += 3) {
-            fleet[i] = start(i, next.at, cold);
+            fleet[i] = start(i, next.at, restartedAt);
           }
         }
-        take(next, fleet[next.to].onEvent(next.at, next.event), cold + SECOND);
+        take(next, fleet[next.to].onEvent(next.at, next.event), restartedAt + SECOND);
       }
     }
 
-    private void take(Due from, List<PolicyAction> actions, long told) {
+    private void take(Due from, List<PolicyAction> actions, long countFrom) {
       for (PolicyAction action : actions) {
         if (action instanceof ScheduleTimer w) {
           due.add(new Due(from.at + w.delayMicros(), from.to, new TimerFired(w.timer())));
         } else if (action instanceof StartAttempt a) {
-          int number = tries.merge(a.requestId(), 1, Integer::sum) - 1;
+          int number = attempts.merge(a.requestId(), 1, Integer::sum) - 1;
           long took = (long) (60_000 + random.nextInt(120_000));
-          boolean good = random.nextInt(20) > 0;
+          boolean isOk = random.nextInt(20) > 0;
           due.add(
               new Due(
                   from.at + took,
@@ -168,11 +170,11 @@
                       number,
                       a.endpointId(),
                       took,
-                      good ? CallResult.OK : CallResult.ERROR,
-                      good,
+                      isOk ? CallResult.OK : CallResult.ERROR,
+                      isOk,
                       0,
                       LoadReport.NONE)));
-          if (a.endpointId().equals("s4") && from.at >= told) {
+          if (a.endpointId().equals("s4") && from.at >= countFrom) {
             reached.add(from.at);
           }
         }
@@ -181,26 +183,26 @@
   }
 
   @Test
-  void theFleetKeepsToTheBudgetOfAColdServer() {
+  void thirtyInstances_keepToTheBudgetOfAnEndpointInSlowStart() {
     long all = 0;
     for (long seed = 1; seed <= 12; seed++) {
-      Play play = new Play(seed);
-      play.run();
-      long cold = play.begin + 3 * SECOND;
-      for (int i = 0; i < play.reached.size(); i++) {
-        long from = play.reached.get(i);
+      Run run = new Run(seed);
+      run.run();
+      long restartedAt = run.begin + 3 * SECOND;
+      for (int i = 0; i < run.reached.size(); i++) {
+        long from = run.reached.get(i);
         long to = from + RULES.slowStartOverloadWindowMicros();
-        long sent = play.reached.stream().filter(at -> at >= from && at < to).count();
-        double warmth =
+        long sent = run.reached.stream().filter(at -> at >= from && at < to).count();
+        double factor =
             Math.min(
                 1,
                 RULES.slowStartInitialRatio()
                     + (1 - RULES.slowStartInitialRatio())
-                        * (from - cold)
+                        * (from - restartedAt)
                         / RULES.slowStartMicros());
         double budget =
             RULES.slowStartOverloadRatio()
-                * warmth
+                * factor
                 * CAPACITY
                 * RULES.slowStartOverloadWindowMicros()
                 / 1e6;
@@ -208,8 +210,8 @@
             sent <= budget + 2 * Math.sqrt(budget) + 2,
             "seed " + seed + ": " + sent + " of " + budget);
       }
-      all += play.reached.size();
+      all += run.reached.size();
     }
-    assertTrue(all > 12 * 150, "it is not left out: " + all);
+    assertTrue(all > 12 * 150, "it is used: " + all);
   }
 }
