--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -62,7 +62,7 @@
           .addShutdownHook(
               new Thread(
                   () -> {
-                    server.stop();
+                    server.close();
                     Logs.flush();
                   },
                   "stop"));
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock counter-log}: looks at a counter's log, and mends it on the operator's word. */
+/** {@code fawndock counter-log}: verifies and dumps a counter's log, and cuts a damaged one. */
 @Command(
     name = "counter-log",
     mixinStandardHelpOptions = true,
@@ -36,7 +36,7 @@
     return true;
   }
 
-  /** Every file and what is wrong with it. */
+  /** Reports on every file. */
   @Command(
       name = "verify",
       mixinStandardHelpOptions = true,
@@ -52,18 +52,18 @@
       if (!isDirectory(directory)) {
         return 2;
       }
-      List<FileReport> all = LogVerifier.verify(new FileStorage(directory, false));
-      all.forEach(v -> System.out.println(v.describe()));
-      boolean damaged = all.stream().anyMatch(v -> v.state() == FileState.DAMAGED);
+      List<FileReport> reports = LogVerifier.verify(new FileStorage(directory, false));
+      reports.forEach(each -> System.out.println(each.describe()));
+      boolean isDamaged = reports.stream().anyMatch(each -> each.state() == FileState.DAMAGED);
       System.out.println(
-          damaged
+          isDamaged
               ? "damaged: a counter does not start on it; see counter-log truncate"
               : "a counter starts on it");
-      return damaged ? 1 : 0;
+      return isDamaged ? 1 : 0;
     }
   }
 
-  /** Every change as a line. */
+  /** Prints every change of a file as a line. */
   @Command(
       name = "dump",
       mixinStandardHelpOptions = true,
@@ -77,7 +77,7 @@
         paramLabel = "RECORD",
         defaultValue = "0",
         description = "the first record shown")
-    private long from;
+    private long fromSequence;
 
     @Override
     public Integer call() throws IOException {
@@ -86,30 +86,31 @@
         return 2;
       }
       Path directory = file.toAbsolutePath().getParent();
-      String bad =
+      String problem =
           LogVerifier.dump(
               new FileStorage(directory, false),
               file.getFileName().toString(),
-              from,
-              (record, time) ->
-                  System.out.println("record " + record + " at " + Instant.ofEpochMilli(time)),
+              fromSequence,
+              (sequence, timeMillis) ->
+                  System.out.println(
+                      "record " + sequence + " at " + Instant.ofEpochMilli(timeMillis)),
               new Printer());
-      if (!bad.isEmpty()) {
-        System.err.println(file + ": " + bad);
+      if (!problem.isEmpty()) {
+        System.err.println(file + ": " + problem);
       }
-      return bad.isEmpty() ? 0 : 1;
+      return problem.isEmpty() ? 0 : 1;
     }
   }
 
   private static final class Printer implements ChangeRecord.Visitor {
     @Override
-    public void onAmount(byte[] name, DecimalAmount amount, long expiry) {
+    public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
       System.out.println(
           "  set "
               + text(name)
               + " "
               + amount
-              + (expiry == 0 ? "" : " until " + Instant.ofEpochMilli(expiry)));
+              + (expiryMillis == 0 ? "" : " until " + Instant.ofEpochMilli(expiryMillis)));
     }
 
     @Override
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Gives up what is damaged and all after it. */
+  /** Cuts off what is damaged and all after it. */
   @Command(
       name = "truncate",
       mixinStandardHelpOptions = true,
@@ -141,20 +142,20 @@
     private Path directory;
 
     @Option(names = "--yes", description = "do it; without, only what would be done is told")
-    private boolean yes;
+    private boolean isConfirmed;
 
     @Override
     public Integer call() throws IOException {
       if (!isDirectory(directory)) {
         return 2;
       }
-      try (FileStorage disk = new FileStorage(directory, true)) {
-        List<String> steps = LogVerifier.truncate(disk, yes);
+      try (FileStorage storage = new FileStorage(directory, true)) {
+        List<String> steps = LogVerifier.truncate(storage, isConfirmed);
         steps.forEach(System.out::println);
         System.out.println(
             steps.isEmpty()
                 ? "nothing is damaged, nothing was done"
-                : yes ? "done" : "nothing was done; --yes does it");
+                : isConfirmed ? "done" : "nothing was done; --yes does it");
         return 0;
       }
     }
--- a/src/main/java/fawndock/cli/NodesCommand.java
+++ b/src/main/java/fawndock/cli/NodesCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code fawndock counter nodes HOST:PORT [NAME=HOST:PORT ...]}: shows or gives the list of nodes
- * that stand in for each other.
+ * {@code fawndock counter nodes HOST:PORT [NAME=HOST:PORT ...]}: shows or gives the membership list
+ * of a counter's nodes.
  */
 @Command(
     name = "nodes",
@@ -25,10 +25,10 @@
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {"0:done", "1:not reached, refused, or not all ready in time"})
 final class NodesCommand implements Callable<Integer> {
-  private static final long PAUSE_MILLIS = 50;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
   @Parameters(index = "0", paramLabel = "HOST:PORT", description = "a node that answers gateways")
-  private String asked;
+  private String address;
 
   @Parameters(
       index = "1..*",
@@ -46,10 +46,10 @@
   @Override
   public Integer call() throws InterruptedException {
     MembershipList list;
-    try (CounterClient caller = new CounterClient(asked)) {
-      String now = text(caller.call("FD.NODES"));
+    try (CounterClient caller = new CounterClient(address)) {
+      String current = text(caller.call("FD.NODES"));
       if (nodes.isEmpty()) {
-        System.out.println(now.isEmpty() ? "the list in the settings" : now);
+        System.out.println(current.isEmpty() ? "the list in the settings" : current);
         return 0;
       }
       String status = String.valueOf(((List<?>) caller.call("FD.STATUS")).get(0));
@@ -59,43 +59,45 @@
       String epoch = status.replaceFirst(".* epoch ([0-9]+) .*", "$1");
       list = MembershipList.parse((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
       List<String> words = new ArrayList<>(List.of("FD.NODES"));
-      words.addAll(List.of(list.toString().split(" ")));
-      String taken = text(caller.call(words.toArray(String[]::new)));
-      if (!taken.equals(list.toString())) {
-        throw new IOException("goes by '" + taken + "', which was given meanwhile");
+      words.addAll(List.of(list.toString().split(" ", 0)));
+      String adopted = text(caller.call(words.toArray(String[]::new)));
+      if (!adopted.equals(list.toString())) {
+        throw new IOException("goes by '" + adopted + "', which was given meanwhile");
       }
     } catch (IOException | IllegalArgumentException e) {
-      System.err.println(asked + ": " + e.getMessage());
+      System.err.println(address + ": " + e.getMessage());
       return 1;
     }
     return await(list);
   }
 
-  private static String text(Object told) throws IOException {
-    if (told instanceof CounterClient.ErrorReply refused) {
-      throw new IOException(refused.text());
+  private static String text(Object reply) throws IOException {
+    if (reply instanceof CounterClient.ErrorReply error) {
+      throw new IOException(error.text());
     }
-    return String.valueOf(told);
+    return String.valueOf(reply);
   }
 
   private int await(MembershipList list) throws InterruptedException {
     Map<String, String> states = new TreeMap<>();
-    long limit = System.nanoTime() + seconds * 1_000_000_000L;
-    boolean all = false;
-    while (!all && System.nanoTime() - limit < 0) {
-      all = true;
+    long deadlineNanos = System.nanoTime() + seconds * 1_000_000_000L;
+    boolean areAllReady = false;
+    while (!areAllReady && System.nanoTime() - deadlineNanos < 0) {
+      areAllReady = true;
       for (Map.Entry<String, String> each : list.addresses().entrySet()) {
         String state = state(each.getValue());
         if (!state.equals(states.put(each.getKey(), state))) {
           System.out.println(each.getKey() + " " + each.getValue() + ": " + state);
         }
-        all &= state.endsWith("epoch " + list.epoch() + " ready");
+        areAllReady &= state.endsWith("epoch " + list.epoch() + " ready");
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
     System.out.println(
-        all ? "all nodes go by " + list : "not all nodes are ready within " + seconds + " s");
-    return all ? 0 : 1;
+        areAllReady
+            ? "all nodes go by " + list
+            : "not all nodes are ready within " + seconds + " s");
+    return areAllReady ? 0 : 1;
   }
 
   private static String state(String address) {
--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -111,7 +111,7 @@
     if (!replica.adoptMembership(list, clock.nowMillis())) {
       return;
     }
-    LOG.info("goes by a new list of nodes: {}", list);
+    LOG.info("membership list adopted: {}", list);
     for (String id : List.copyOf(peers.keySet())) {
       PeerConnection connection = peers.get(id).connection;
       if (!connection.address().toString().equals(list.addresses().get(id))) {
@@ -144,7 +144,7 @@
         });
     if (wasReady != replica.isReady()) {
       wasReady = replica.isReady();
-      LOG.info(wasReady ? "caught up: answers gatekeepers" : "answers gatekeepers no more");
+      LOG.info(wasReady ? "caught up: answers gateways" : "answers gateways no more");
     }
   }
 
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -3,7 +3,7 @@
 import fawndock.counter.storage.CommandException;
 
 /**
- * One command, as clients ask for its description.
+ * A command, with what {@code COMMAND} shows of it.
  *
  * @param name in capitals
  * @param arity words with the name itself; below 0 for at least so many
--- a/src/main/java/fawndock/counter/CommandInvocation.java
+++ b/src/main/java/fawndock/counter/CommandInvocation.java
@@ -9,7 +9,8 @@
 import java.util.Locale;
 
 /**
- * A command being done.
+ * One run of a command. The words are not copied, for their cost on the hot path; nobody changes
+ * them.
  *
  * @param words the command's name and arguments
  * @param reply where its answer goes
@@ -18,6 +19,7 @@
  * @param nowMillis milliseconds since 1970
  * @param changes where changes are noted; null for a command that makes none
  */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy a command would cost.
 record CommandInvocation(
     byte[][] words,
     ReplyWriter reply,
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -34,10 +34,10 @@
 
 /**
  * The running counter service: recovers the counts, listens, and stops. One event loop owns
- * connections and counts; {@link #start} and {@link #stop} are called from outside it.
+ * connections and counts; {@link #start} and {@link #close} are called from outside it.
  * Specification: docs/design/counter.md.
  */
-public final class CounterServer {
+public final class CounterServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterServer.class);
   private static final long STOP_TIMEOUT_MILLIS = 5_000;
   private static final long FIRST_LOG_TIMEOUT_SECONDS = 600;
@@ -64,6 +64,7 @@
   private ClusterNode cluster;
   private Channel listener;
   private long nextConnectionId = 1;
+  private boolean isClosed;
 
   /**
    * @param storage where log and snapshots are; nobody else uses it
@@ -221,7 +222,12 @@
    * Accepts no more calls, commits what was accepted, and closes; waits some seconds at most. May
    * be called again, and when {@link #start} has failed.
    */
-  public void stop() {
+  @Override
+  public void close() {
+    if (isClosed) {
+      return;
+    }
+    isClosed = true;
     try {
       if (listener != null) {
         listener.close().sync();
--- a/src/main/java/fawndock/counter/GlobPattern.java
+++ b/src/main/java/fawndock/counter/GlobPattern.java
@@ -33,17 +33,15 @@
 
   /** The place after the element at a place when it is of the character, or -1. */
   private static int one(byte[] pattern, int at, byte c) {
-    switch (pattern[at]) {
-      case '?':
-        return at + 1;
-      case '\\':
-        int of = at + 1 < pattern.length ? at + 1 : at;
-        return pattern[of] == c ? of + 1 : -1;
-      case '[':
-        return set(pattern, at + 1, c & 0xFF);
-      default:
-        return pattern[at] == c ? at + 1 : -1;
-    }
+    return switch (pattern[at]) {
+      case '?' -> at + 1;
+      case '\\' -> {
+        int literal = at + 1 < pattern.length ? at + 1 : at;
+        yield pattern[literal] == c ? literal + 1 : -1;
+      }
+      case '[' -> set(pattern, at + 1, c & 0xFF);
+      default -> pattern[at] == c ? at + 1 : -1;
+    };
   }
 
   private static int set(byte[] pattern, int from, int c) {
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Commands on the names: whether they are there, and for how long. */
+/** Commands on the names: whether they are there, and for how long. Used on the event loop. */
 final class NameCommands {
   private NameCommands() {}
 
@@ -62,20 +62,27 @@
     c.reply().integer(many);
   }
 
-  /** The moment that a word tells in some unit of milliseconds from a start. */
-  static long time(CommandInvocation c, int place, long unit, long start, String command)
+  /**
+   * Reads an expiry.
+   *
+   * @param unitMillis of the word
+   * @param startMillis that it is relative to, 0 for an absolute one
+   * @return milliseconds since 1970
+   */
+  static long parseExpiry(
+      CommandInvocation c, int place, long unitMillis, long startMillis, String command)
       throws CommandException {
-    long told = c.integer(place);
-    if (Math.abs(told) > CounterOperations.MAX_EXPIRY_MILLIS / unit - start
-        || told == Long.MIN_VALUE) {
+    long value = c.integer(place);
+    if (Math.abs(value) > CounterOperations.MAX_EXPIRY_MILLIS / unitMillis - startMillis
+        || value == Long.MIN_VALUE) {
       throw new CommandException("ERR invalid expire time in '" + command + "' command");
     }
-    return start + told * unit;
+    return startMillis + value * unitMillis;
   }
 
   private static void expire(CommandInvocation c, long unit) throws CommandException {
     byte[] name = c.requireName(1);
-    long at = time(c, 2, unit, c.nowMillis(), c.text(0).toLowerCase(Locale.ROOT));
+    long at = parseExpiry(c, 2, unit, c.nowMillis(), c.text(0).toLowerCase(Locale.ROOT));
     Set<String> options = new HashSet<>();
     for (int i = 3; i < c.words().length; i++) {
       if (!Set.of("NX", "XX", "GT", "LT").contains(c.option(i))) {
--- a/src/main/java/fawndock/counter/Transaction.java
+++ b/src/main/java/fawndock/counter/Transaction.java
@@ -11,9 +11,7 @@
   private int bytes;
   private boolean isFailed;
 
-  /**
-   * Queues a command; false when there is no room, and the transaction can then only be discarded.
-   */
+  /** Queues a command; false when it is full, and the transaction can then only be discarded. */
   boolean add(byte[][] words) {
     for (byte[] word : words) {
       bytes += word.length + 16;
@@ -28,7 +26,7 @@
     return true;
   }
 
-  /** A command of it was refused when it was queued. */
+  /** A command of it was rejected when it was queued. */
   void markFailed() {
     isFailed = true;
   }
--- a/src/main/java/fawndock/counter/WriteAheadLogThread.java
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -77,7 +77,7 @@
     post(loop, task);
   }
 
-  /** Does the work, then what was offered meanwhile, one after the other. */
+  /** Does the work, then each group that was offered meanwhile. */
   void perform(LogWork work) {
     executor.execute(
         () -> {
@@ -145,8 +145,10 @@
   }
 
   /**
-   * Begins a new segment and tells, on the event loop, the sequence before it, or -1 when it cannot
-   * be.
+   * Begins a new segment.
+   *
+   * @param callback is called on the event loop with the sequence before it, or -1 when it could
+   *     not be begun
    */
   void roll(LongConsumer callback) {
     executor.execute(
@@ -162,7 +164,11 @@
         });
   }
 
-  /** Syncs what was appended, then goes on, on the event loop; does not when it cannot. */
+  /**
+   * Syncs what was appended.
+   *
+   * @param callback is called on the event loop once that is done; never when it cannot be
+   */
   void syncThen(Runnable callback) {
     executor.execute(
         () -> {
@@ -176,8 +182,10 @@
   }
 
   /**
-   * Goes on in a new file after a snapshot that covers all up to a sequence; tells whether it
-   * could.
+   * Goes on in a new segment after a snapshot.
+   *
+   * @param coveredSequence the last record that the snapshot covers
+   * @param callback is called on the event loop with the failure, or null
    */
   void startNewSegment(long coveredSequence, Consumer<IOException> callback) {
     executor.execute(
@@ -197,8 +205,12 @@
         });
   }
 
-  /** Ends after what was asked; syncs what is not yet. */
-  void close(long millis) {
+  /**
+   * Syncs what is not yet, and ends after the work that was given; once.
+   *
+   * @param timeoutMillis after which the thread is interrupted
+   */
+  void close(long timeoutMillis) {
     isClosing = true;
     executor.execute(
         () -> {
@@ -215,11 +227,11 @@
         });
     executor.shutdown();
     try {
-      if (!executor.awaitTermination(millis, TimeUnit.MILLISECONDS)) {
-        executor.shutdownNow();
+      if (!executor.awaitTermination(timeoutMillis, TimeUnit.MILLISECONDS)) {
+        var unused = executor.shutdownNow(); // What did not run was not acknowledged.
       }
     } catch (InterruptedException e) {
-      executor.shutdownNow();
+      var unused = executor.shutdownNow(); // What did not run was not acknowledged.
       Thread.currentThread().interrupt();
     }
   }
--- a/src/main/java/fawndock/counter/package-info.java
+++ b/src/main/java/fawndock/counter/package-info.java
@@ -1,7 +1,8 @@
 /**
  * The counter service: the Redis serialization protocol in front of {@link
- * fawndock.counter.storage}. One event loop owns connections and counts; one thread writes the log
- * and another the snapshots, each with at most one thing to do. Nothing here knows gatekeepers,
- * drills or stand-ins.
+ * fawndock.counter.storage}, and the connections between the nodes of {@link
+ * fawndock.counter.replication}. One event loop owns connections and counts; one thread writes the
+ * write-ahead log and another the snapshots. Nothing here knows gateways, scenarios or fakes.
+ * Specification: docs/design/counter.md.
  */
 package fawndock.counter;
--- a/src/main/java/fawndock/counter/replication/Heartbeat.java
+++ b/src/main/java/fawndock/counter/replication/Heartbeat.java
@@ -8,7 +8,7 @@
  * @param membershipVersion of the membership list that the sender uses
  * @param incarnation of the sender, a random number for each start
  * @param isReady whether the sender answers gateways
- * @param originStamps highest stamp of each origin that the sender heard of lately
+ * @param originStamps highest stamp of each origin that the sender saw alive lately
  */
 public record Heartbeat(
     long membershipVersion, long incarnation, boolean isReady, Map<Long, Long> originStamps) {}
--- a/src/main/java/fawndock/counter/replication/MembershipList.java
+++ b/src/main/java/fawndock/counter/replication/MembershipList.java
@@ -1,30 +1,32 @@
 package fawndock.counter.replication;
 
+import java.util.Collections;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * The nodes that stand in for each other, as an operator gave them to one of them. Every node and
- * gatekeeper that hears of a newer list takes it and passes it on, so that it need not be given to
- * each.
+ * The replicas of a counter, with their membership epoch, as an operator gave them to one of them.
+ * Each node and gateway that gets a newer list adopts it and passes it on. Immutable.
  *
- * @param epoch of the list, 1 to {@link #HIGHEST_EPOCH}
- * @param addresses of the nodes by name, as HOST:PORT, one to {@link #MOST}
+ * @param epoch of the list, 1 to {@link #MAX_EPOCH}
+ * @param addresses of the nodes by name, as HOST:PORT, one to {@link #MAX_NODES}
  */
 public record MembershipList(long epoch, Map<String, String> addresses) {
   /** Nodes on a list. */
   public static final int MAX_NODES = 16;
 
+  /** Highest epoch of a list. */
   public static final long MAX_EPOCH = 999_999_999;
+
   private static final int HASH_BITS = 20;
   private static final Pattern NODE =
       Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
 
   /** Copies the addresses, in the order of their names. */
   public MembershipList {
-    addresses = java.util.Collections.unmodifiableMap(new TreeMap<>(addresses));
+    addresses = Collections.unmodifiableMap(new TreeMap<>(addresses));
   }
 
   /**
@@ -33,7 +35,7 @@
    * @throws IllegalArgumentException that says what is wrong with the text
    */
   public static MembershipList parse(String text) {
-    String[] words = text.trim().split(" +");
+    String[] words = text.trim().split(" +", 0);
     if (!words[0].matches("[0-9]{1,9}") || Long.parseLong(words[0]) < 1) {
       throw new IllegalArgumentException("epoch '" + words[0] + "', expected 1 to " + MAX_EPOCH);
     }
--- a/src/main/java/fawndock/counter/replication/OriginTable.java
+++ b/src/main/java/fawndock/counter/replication/OriginTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Which origins (gateway incarnations) were heard of, and when. Only a stamp above the highest seen
- * counts as a sign of life: otherwise two nodes that tell each other of an origin that neither
+ * Which origins (gateway incarnations) were seen alive, and when. Only a stamp above the highest
+ * seen counts as a sign of life: otherwise two nodes that tell each other of an origin that neither
  * hears would keep it alive for ever. Used from one thread.
  */
 final class OriginTable {
@@ -18,12 +18,12 @@
   private static final long RETENTION_MILLIS = 3_600_000;
 
   /** The highest stamp of an origin, and when it was first seen here. */
-  private record OriginState(long stamp, long heardAtMillis) {}
+  private record OriginState(long stamp, long lastSeenMillis) {}
 
-  /** Is shown an origin and when it was last heard of. */
+  /** Is shown an origin and when it was last seen. */
   @FunctionalInterface
   interface SilentOriginVisitor {
-    void onSilentOrigin(long origin, long heardAtMillis);
+    void onSilentOrigin(long origin, long lastSeenMillis);
   }
 
   private final Map<Long, OriginState> origins = new HashMap<>();
@@ -36,25 +36,25 @@
     }
   }
 
-  /** The stamps to tell peers; forgets origins that have long been silent. */
+  /** The stamps to announce to peers; forgets origins that have long been silent. */
   Map<Long, Long> announcedStamps(long nowMillis) {
-    origins.values().removeIf(each -> nowMillis - each.heardAtMillis > RETENTION_MILLIS);
+    origins.values().removeIf(each -> nowMillis - each.lastSeenMillis > RETENTION_MILLIS);
     Map<Long, Long> stamps = new HashMap<>();
     origins.forEach(
         (origin, state) -> {
-          if (nowMillis - state.heardAtMillis <= ANNOUNCED_MILLIS) {
+          if (nowMillis - state.lastSeenMillis <= ANNOUNCED_MILLIS) {
             stamps.put(origin, state.stamp);
           }
         });
     return stamps;
   }
 
-  /** Shows the origins that were last heard of longer ago than a timeout. */
+  /** Shows the origins that were last seen longer ago than a timeout. */
   void visitSilent(long nowMillis, long timeoutMillis, SilentOriginVisitor visitor) {
     origins.forEach(
         (origin, state) -> {
-          if (nowMillis - state.heardAtMillis > timeoutMillis) {
-            visitor.onSilentOrigin(origin, state.heardAtMillis);
+          if (nowMillis - state.lastSeenMillis > timeoutMillis) {
+            visitor.onSilentOrigin(origin, state.lastSeenMillis);
           }
         });
   }
--- a/src/main/java/fawndock/counter/replication/PeerState.java
+++ b/src/main/java/fawndock/counter/replication/PeerState.java
@@ -34,7 +34,7 @@
   private long batchSentMillis = NONE_IN_FLIGHT;
 
   /**
-   * A peer that was not heard yet.
+   * A peer without a heartbeat yet.
    *
    * @param lastHeartbeatMillis long enough ago for it to count as dead
    */
--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -277,7 +277,7 @@
       InFlightCall call, CallOutcome outcome, double total, List<ClientAction> actions) {
     inFlightCalls.remove(call.id);
     if (outcome == CallOutcome.UNREACHABLE || outcome == CallOutcome.REJECTED) {
-      // The caller takes it for not added; it may have gone out with another call of the name
+      // To the caller it was not added; it may have gone out with another call of the name
       // meanwhile.
       ownSums.revert(call.name, call.amount);
     }
--- a/src/main/java/fawndock/counter/replication/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -187,8 +187,8 @@
   }
 
   /**
-   * The total, and while a peer is dead or cut off an estimate of what origins that are not heard
-   * may have added there. When all peers are alive a silent origin counts nowhere: no estimate.
+   * The total, and while a peer is dead or cut off an estimate of what origins that are silent may
+   * have added there. When all peers are alive a silent origin counts nowhere: no estimate.
    */
   private DecimalAmount totalWithEstimate(String name, long nowMillis) throws CommandException {
     DecimalAmount total = sums.total(name, nowMillis);
@@ -199,8 +199,8 @@
     origins.visitSilent(
         nowMillis,
         timeouts.peerTimeoutMillis(),
-        (origin, heardAtMillis) ->
-            estimate[0] += rates.estimateSince(name, origin, heardAtMillis, nowMillis));
+        (origin, lastSeenMillis) ->
+            estimate[0] += rates.estimateSince(name, origin, lastSeenMillis, nowMillis));
     if (estimate[0] <= 0) {
       return total;
     }
--- a/src/main/java/fawndock/counter/replication/package-info.java
+++ b/src/main/java/fawndock/counter/replication/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Several counter nodes that stand in for each other, as far as it is decided: sums of gatekeepers
- * merged by maximum, the estimate of what cannot be heard, when a node may answer, and which node a
- * gatekeeper asks. No I/O, no clock, no thread.
+ * Replicated sums of several counter nodes: a PN-counter with one entry an origin (gateway
+ * incarnation), merged by maximum; heartbeats, the failure detector, membership, when a node may
+ * answer, the estimate for what is cut off, and the client that a gateway uses. No I/O, no clock,
+ * no thread. Specification: docs/design/counter-replication.md.
  */
 package fawndock.counter.replication;
--- a/src/main/java/fawndock/counter/storage/CommandException.java
+++ b/src/main/java/fawndock/counter/storage/CommandException.java
@@ -1,9 +1,9 @@
 package fawndock.counter.storage;
 
 /**
- * A command that cannot be done; the message is what the client is told, in the words of the public
- * command documentation. Nothing has been changed when it is thrown. It has no stack trace: it is
- * an answer, not a fault.
+ * A command that cannot be done; the message is the error that the client gets, in the words of the
+ * public command documentation. Nothing has been changed when it is thrown. It has no stack trace:
+ * it is an answer, not a fault.
  */
 public final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -14,7 +14,7 @@
       "OOM command not allowed when used memory > 'maxmemory'.";
   public static final String SYNTAX = "ERR syntax error";
 
-  public CommandException(String told) {
-    super(told, null, false, false);
+  public CommandException(String message) {
+    super(message, null, false, false);
   }
 }
--- a/src/main/java/fawndock/counter/storage/CounterOperations.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -25,11 +25,11 @@
   private final long maxMemoryBytes;
 
   /**
-   * @param mostBytes of memory for names; a new name beyond it is refused
+   * @param maxMemoryBytes of memory for names; a new name beyond it is rejected
    */
-  public CounterOperations(CounterTable table, long mostBytes) {
+  public CounterOperations(CounterTable table, long maxMemoryBytes) {
     this.table = table;
-    this.maxMemoryBytes = mostBytes;
+    this.maxMemoryBytes = maxMemoryBytes;
   }
 
   public CounterTable table() {
@@ -44,26 +44,30 @@
   /**
    * Adds to a name; one that is not there begins at zero.
    *
-   * @param keep milliseconds after which it expires if it has no expiry yet, or 0 for none
+   * @param timeToLiveMillis after which it expires if it has no expiry yet, or 0 for none
    * @return the total
    */
-  public DecimalAmount add(byte[] name, DecimalAmount by, long keep, long now, ChangeRecord to)
+  public DecimalAmount add(
+      byte[] name, DecimalAmount by, long timeToLiveMillis, long nowMillis, ChangeRecord changes)
       throws CommandException {
-    DecimalAmount was = table.get(name, now);
-    long expiry = was == null ? 0 : table.expiryMillis(name, now);
-    DecimalAmount sum = was == null ? by : was.plus(by);
-    if (was == null) {
+    DecimalAmount current = table.get(name, nowMillis);
+    long expiryMillis = current == null ? 0 : table.expiryMillis(name, nowMillis);
+    DecimalAmount total = current == null ? by : current.plus(by);
+    if (current == null) {
       requireMemoryFor(name);
     }
-    put(name, sum, expiry == 0 && keep > 0 ? now + keep : expiry, to);
-    return sum;
+    if (expiryMillis == 0 && timeToLiveMillis > 0) {
+      expiryMillis = nowMillis + timeToLiveMillis;
+    }
+    put(name, total, expiryMillis, changes);
+    return total;
   }
 
   /**
-   * Guards against names that fill the heap, which ends the service for all. May refuse new names
+   * Guards against names that fill the heap, which ends the service for all. May reject new names
    * while expired ones are not swept yet.
    *
-   * @throws CommandException when there is no room for one more name
+   * @throws CommandException when there is no memory for one more name
    */
   public void requireMemoryFor(byte[] name) throws CommandException {
     if (table.memoryBytes() + name.length + CounterTable.NAME_OVERHEAD_BYTES > maxMemoryBytes) {
@@ -72,50 +76,52 @@
   }
 
   /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
-  public void put(byte[] name, DecimalAmount amount, long expiry, ChangeRecord to) {
-    table.put(name, amount, expiry);
-    to.putAmount(name, amount, expiry);
+  public void put(byte[] name, DecimalAmount amount, long expiryMillis, ChangeRecord changes) {
+    table.put(name, amount, expiryMillis);
+    changes.putAmount(name, amount, expiryMillis);
   }
 
   /** Forgets a name; returns whether it was there. */
-  public boolean delete(byte[] name, long now, ChangeRecord to) {
-    if (table.get(name, now) == null) {
+  public boolean delete(byte[] name, long nowMillis, ChangeRecord changes) {
+    if (table.get(name, nowMillis) == null) {
       return false;
     }
     table.remove(name);
-    to.putDeleted(name);
+    changes.putDeleted(name);
     return true;
   }
 
   /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
-  public boolean expire(byte[] name, long at, ExpiryCondition when, long now, ChangeRecord to) {
-    DecimalAmount amount = table.get(name, now);
+  public boolean expire(
+      byte[] name, long atMillis, ExpiryCondition condition, long nowMillis, ChangeRecord changes) {
+    DecimalAmount amount = table.get(name, nowMillis);
     if (amount == null) {
       return false;
     }
-    long has = table.expiryMillis(name, now);
-    boolean does =
-        switch (when) {
+    long current = table.expiryMillis(name, nowMillis);
+    boolean applies =
+        switch (condition) {
           case ALWAYS -> true;
-          case NX -> has == 0;
-          case XX -> has != 0;
-          case GT -> has != 0 && at > has; // None counts as never, and nothing is later.
-          case LT -> has == 0 || at < has;
+          case NX -> current == 0;
+          case XX -> current != 0;
+          case GT ->
+              current != 0 && atMillis > current; // None counts as never, and nothing is later.
+          case LT -> current == 0 || atMillis < current;
         };
-    if (does && at <= now) {
-      delete(name, now, to);
-    } else if (does) {
-      put(name, amount, at, to);
+    if (applies && atMillis <= nowMillis) {
+      delete(name, nowMillis, changes);
+    } else if (applies) {
+      put(name, amount, atMillis, changes);
     }
-    return does;
+    return applies;
   }
 
   /** Lets a name stay for good; returns whether it had an expiry. */
-  public boolean persist(byte[] name, long now, ChangeRecord to) {
-    boolean had = table.expiryMillis(name, now) > 0;
-    if (had) {
-      put(name, table.get(name, now), 0, to);
+  public boolean persist(byte[] name, long nowMillis, ChangeRecord changes) {
+    boolean hadExpiry = table.expiryMillis(name, nowMillis) > 0;
+    if (hadExpiry) {
+      put(name, table.get(name, nowMillis), 0, changes);
     }
-    return had;
+    return hadExpiry;
   }
 }
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -74,7 +74,9 @@
     return size;
   }
 
-  /** About the bytes of memory that the names take: their own and {@link #NAME_COST} each. */
+  /**
+   * About the bytes of memory that the names take: their own and {@link #NAME_OVERHEAD_BYTES} each.
+   */
   public long memoryBytes() {
     return nameBytes + size * NAME_OVERHEAD_BYTES;
   }
--- a/src/main/java/fawndock/counter/storage/LogFormat.java
+++ b/src/main/java/fawndock/counter/storage/LogFormat.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
 
@@ -47,7 +48,6 @@
   private static final int SEQUENCE_OFFSET = 8;
   private static final int VERSION = 1;
   private static final int SEQUENCE_DIGITS = 20;
-  private static final String SEQUENCE_FORMAT = "%020d";
 
   private LogFormat() {}
 
@@ -68,7 +68,7 @@
 
     /** The name of the file with this sequence. */
     public String fileName(long sequence) {
-      return prefix + String.format(SEQUENCE_FORMAT, sequence) + suffix;
+      return prefix + String.format("%020d", sequence) + suffix;
     }
 
     /** The sequence in a file's name, or -1 when it is not one of this kind. */
@@ -84,8 +84,8 @@
     }
 
     /** The names of the files of this kind in a storage, by their sequences. */
-    public TreeMap<Long, String> filesBySequence(Storage storage) throws IOException {
-      TreeMap<Long, String> files = new TreeMap<>();
+    public NavigableMap<Long, String> filesBySequence(Storage storage) throws IOException {
+      NavigableMap<Long, String> files = new TreeMap<>();
       for (String name : storage.list()) {
         long sequence = sequenceOf(name);
         if (sequence >= 0) {
--- a/src/main/java/fawndock/counter/storage/LogWriter.java
+++ b/src/main/java/fawndock/counter/storage/LogWriter.java
@@ -4,13 +4,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * Appends records to the newest segment. A record that could not be written is tried again at the
- * same place. After a sync that failed nothing more is written to that file: the system may have
- * dropped the dirty pages and told it once, so that a later success would prove nothing. The way on
- * is a new file, after a snapshot that holds all.
+ * Appends records to the newest segment of the write-ahead log. Used from one thread.
+ *
+ * <p>Invariants: a record that could not be written may be tried again, at the same place; after a
+ * sync that failed nothing more is written to the segment, since the system may have dropped the
+ * dirty pages and reported it once, so that a later success would prove nothing. The way on is a
+ * snapshot of what is in memory, and a new segment.
  */
-public final class LogWriter {
-  private final Storage disk;
+public final class LogWriter implements AutoCloseable {
+  private final Storage storage;
   private Storage.File file;
   private long position;
   private long lastSequence;
@@ -23,18 +25,18 @@
    *
    * @param sequence of the last record before it
    */
-  public LogWriter(Storage disk, long sequence) throws IOException {
-    this.disk = disk;
+  public LogWriter(Storage storage, long sequence) throws IOException {
+    this.storage = storage;
     this.lastSequence = sequence;
     file = createSegment(sequence + 1);
     position = LogFormat.FILE_HEADER_BYTES;
   }
 
   private Storage.File createSegment(long first) throws IOException {
-    Storage.File made = disk.create(LogFormat.FileKind.SEGMENT.fileName(first));
+    Storage.File made = storage.create(LogFormat.FileKind.SEGMENT.fileName(first));
     try {
       made.write(LogFormat.FileKind.SEGMENT.header(first), 0);
-      disk.sync(); // Else records in it could be acknowledged, and the file itself be lost.
+      storage.sync(); // Else records in it could be acknowledged, and the file itself be lost.
       return made;
     } catch (IOException e) {
       made.close();
@@ -46,7 +48,7 @@
    * Writes one record, sealed with the next sequence.
    *
    * @throws IOException when it could not be written; the same record may be tried again unless
-   *     {@link #failed}
+   *     {@link #isAbandoned}
    */
   public void append(ByteBuffer record) throws IOException {
     requireUsable();
@@ -59,7 +61,7 @@
     hasUnsyncedRecords = true;
   }
 
-  /** Makes all that was appended outlast a crash. After an error the file is given up. */
+  /** Makes all that was appended outlast a crash. After an error the segment is given up. */
   public void sync() throws IOException {
     requireUsable();
     if (!hasUnsyncedRecords) {
@@ -91,17 +93,18 @@
     return lastSequence;
   }
 
-  // Guards against a segment that was made in vain and stays, while this one goes on past its first
-  // sequence: which
-  // of the two has those records could not be told. When it cannot be removed for good, this one is
-  // given up.
+  /**
+   * Guards against a segment that was made in vain and stays while this one goes on past its first
+   * sequence: two files would claim the same records. When it cannot be removed for good, this one
+   * is given up.
+   */
   private Storage.File createNextSegment() throws IOException {
     try {
       return createSegment(lastSequence + 1);
     } catch (IOException e) {
       isAbandoned = true;
-      disk.delete(LogFormat.FileKind.SEGMENT.fileName(lastSequence + 1));
-      disk.sync();
+      storage.delete(LogFormat.FileKind.SEGMENT.fileName(lastSequence + 1));
+      storage.sync();
       isAbandoned = false;
       throw e;
     }
@@ -113,7 +116,7 @@
     }
   }
 
-  /** Whether the file is given up. */
+  /** Whether the segment is given up. */
   public boolean isAbandoned() {
     return isAbandoned;
   }
@@ -128,7 +131,8 @@
     return appendedBytes;
   }
 
-  /** Closes without syncing. */
+  /** Closes without syncing; may be called again. */
+  @Override
   public void close() throws IOException {
     file.close();
   }
--- a/src/main/java/fawndock/counter/storage/RecordReader.java
+++ b/src/main/java/fawndock/counter/storage/RecordReader.java
@@ -4,8 +4,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the records of a log or snapshot file one after the other, a piece of the file in memory at
- * a time.
+ * Reads the records of a segment or snapshot in order, through a window of the file in memory. Used
+ * from one thread.
+ *
+ * <p>Invariant: a record counts as whole only when its length is possible, it ends within the file,
+ * its sequence is the next, and its checksum matches.
  */
 public final class RecordReader {
   private static final int WINDOW_BYTES = LogFormat.MAX_BODY_BYTES + LogFormat.RECORD_HEADER_BYTES;
@@ -35,7 +38,7 @@
 
   /**
    * Goes to the next record; false at the end of the file and at a record that is not whole or out
-   * of sequence. Then {@link #offset} is where that is.
+   * of sequence. Then {@link #offset()} is where that is.
    */
   public boolean next() throws IOException {
     int length = wholeRecordLength(offset, sequence + 1, sequence + 1);
--- a/src/main/java/fawndock/counter/storage/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.NavigableMap;
 import java.util.function.LongConsumer;
 
 /**
@@ -61,7 +61,7 @@
 
   /** Loads the newest whole snapshot; returns the last record that it covers, 0 for none. */
   private long recoverSnapshot() throws IOException {
-    TreeMap<Long, String> snapshots = LogFormat.FileKind.SNAPSHOT.filesBySequence(storage);
+    NavigableMap<Long, String> snapshots = LogFormat.FileKind.SNAPSHOT.filesBySequence(storage);
     for (Map.Entry<Long, String> each : snapshots.descendingMap().entrySet()) {
       if (loadSnapshot(each.getValue())) {
         return each.getKey();
--- a/src/main/java/fawndock/counter/storage/SegmentChain.java
+++ b/src/main/java/fawndock/counter/storage/SegmentChain.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.util.NavigableMap;
-import java.util.TreeMap;
 
 /**
  * The segments of a log after a snapshot: which of them are needed, and what is missing. Recovery
@@ -10,10 +9,10 @@
  * the record after the snapshot, and each later one begins right after the one before it ended.
  */
 final class SegmentChain {
-  private final TreeMap<Long, String> segments;
+  private final NavigableMap<Long, String> segments;
   private final Long firstNeeded;
 
-  private SegmentChain(TreeMap<Long, String> segments, long baseSequence) {
+  private SegmentChain(NavigableMap<Long, String> segments, long baseSequence) {
     this.segments = segments;
     firstNeeded = segments.floorKey(baseSequence + 1);
   }
--- a/src/main/java/fawndock/counter/storage/Storage.java
+++ b/src/main/java/fawndock/counter/storage/Storage.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * One directory of a disk, as far as the log needs it. What is not yet synced may be lost at a
- * crash, in any part.
+ * A directory, as far as the log needs it. What is not yet synced may be lost at a crash, in any
+ * part.
  */
 public interface Storage {
   /** Names of all files, in no order. */
--- a/src/test/java/fawndock/counter/CommandCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/CommandCompatibilityTest.java
@@ -60,7 +60,7 @@
   @AfterEach
   void stop() throws IOException {
     if (server != null) {
-      server.stop();
+      server.close();
       storage.close();
     }
   }
--- a/src/test/java/fawndock/counter/CounterClusterTest.java
+++ b/src/test/java/fawndock/counter/CounterClusterTest.java
@@ -80,7 +80,7 @@
   }
 
   private void stop(int node) throws IOException {
-    servers.remove(node).stop();
+    servers.remove(node).close();
     disks.remove(node).close();
   }
 
--- a/src/test/java/fawndock/counter/CounterServerTest.java
+++ b/src/test/java/fawndock/counter/CounterServerTest.java
@@ -76,7 +76,7 @@
 
   @AfterEach
   void stop() throws IOException {
-    server.stop();
+    server.close();
     files.close();
   }
 
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterLinkTest.java
@@ -117,7 +117,7 @@
         assertEquals(before + 4, commands(asked), "and one INFO");
         assertTrue(asked.pttl("n") > 50_000 && asked.pttl("n") <= 60_000);
       } finally {
-        own.stop();
+        own.close();
       }
     }
   }
@@ -147,7 +147,7 @@
           assertEquals(1.0, next().total());
         }
       } finally {
-        own.stop();
+        own.close();
       }
     }
   }
@@ -185,11 +185,11 @@
           counted = next();
         } while (counted.result() != CallResult.OK); // The old one answers no more.
         assertEquals(5, counted.total());
-        off.stop();
+        off.close();
         count("a.1", 1);
         assertEquals(6, next().total());
       } finally {
-        on.stop();
+        on.close();
       }
     }
   }
