--- a/src/test/java/fawndock/counter/CounterClusterTest.java
+++ b/src/test/java/fawndock/counter/CounterClusterTest.java
@@ -24,7 +24,7 @@
 import redis.clients.jedis.Jedis;
 import redis.clients.jedis.exceptions.JedisDataException;
 
-/** Three counters that stand in for each other, as gatekeepers see them. */
+/** Three replicas of a counter, as gateways see them. */
 class CounterClusterTest {
   private static final int NODES = 3;
   @TempDir private Path directory;
@@ -45,10 +45,10 @@
   }
 
   private void start(int node, long epoch) throws IOException {
-    Map<String, Address> fellows = new TreeMap<>();
+    Map<String, Address> peers = new TreeMap<>();
     for (int i = 0; i < NODES; i++) {
       if (i != node) {
-        fellows.put("n" + i, new Address("127.0.0.1", ports.get(i)));
+        peers.put("n" + i, new Address("127.0.0.1", ports.get(i)));
       }
     }
     Path of = directory.resolve("n" + node);
@@ -67,7 +67,7 @@
                 1 << 20,
                 10_000,
                 new GatewaySettings.Log(false, "error"),
-                new CounterSettings.Fleet("n" + node, epoch, 300, 600, fellows)),
+                new CounterSettings.Fleet("n" + node, epoch, 300, 600, peers)),
             disks.get(node)));
     servers.get(node).start(b -> {});
   }
@@ -87,20 +87,20 @@
   private String call(int node, String... words) {
     try (Jedis c = new Jedis("127.0.0.1", ports.get(node), 20_000)) {
       String[] rest = java.util.Arrays.copyOfRange(words, 1, words.length);
-      Object told =
+      Object answer =
           c.sendCommand(() -> words[0].getBytes(java.nio.charset.StandardCharsets.UTF_8), rest);
-      return told instanceof byte[] bytes
+      return answer instanceof byte[] bytes
           ? new String(bytes, java.nio.charset.StandardCharsets.UTF_8)
-          : String.valueOf(told);
+          : String.valueOf(answer);
     }
   }
 
-  /** Asks again until a node has caught up, or has heard of it. */
+  /** Repeats a call until the node has caught up, or has the list. */
   private void until(int node, String expected, String... words) {
-    String told = "";
-    while (!expected.equals(told)) { // The test's own time limit ends it.
+    String answer = "";
+    while (!expected.equals(answer)) { // The test's own time limit ends it.
       try {
-        told = call(node, words);
+        answer = call(node, words);
       } catch (JedisDataException e) {
         assertTrue(
             e.getMessage().matches("(LOADING|FENCED).*"),
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void aSumToldAnywhereAndAgainCountsOnceEverywhere() {
+  void sum_sentToAnyNodeAndAgain_countsOnceEverywhere() {
     until(0, "5", "FD.SUM", "a.1", "7", "5", "0", "60000");
     until(1, "5", "GET", "a.1");
     until(1, "6", "FD.SUM", "a.1", "7", "7", "1", "60000");
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void aNodeThatComesBackEmptyAnswersWhenItHasEverything() throws IOException {
+  void emptyNode_answersOnceItHasTheFullState() throws IOException {
     for (int i = 0; i < 500; i++) {
       until(0, "1", "FD.SUM", "name-" + i + ".1", "7", "1", "0", "60000");
     }
@@ -150,13 +150,13 @@
   }
 
   @Test
-  void aNodeWithAnOldListIsFencedOff() throws IOException {
+  void node_withAnOldMembershipList_isFenced() throws IOException {
     until(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
     stop(2);
     start(2, 2);
-    String told = "";
-    while (!told.startsWith("FENCED")) {
-      told =
+    String answer = "";
+    while (!answer.startsWith("FENCED")) {
+      answer =
           assertThrows(
                   JedisDataException.class,
                   () -> {
@@ -170,7 +170,7 @@
   }
 
   @Test
-  void aListGivenToOneNodeReachesAllAndFencesTheOneThatIsOff() throws IOException {
+  void membershipList_givenToOneNode_reachesAllAndFencesTheRemovedOne() throws IOException {
     until(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
     try (ServerSocket free = new ServerSocket(0)) {
       ports.add(free.getLocalPort());
--- a/src/test/java/fawndock/counter/FaultInjectingStorage.java
+++ b/src/test/java/fawndock/counter/FaultInjectingStorage.java
@@ -8,7 +8,7 @@
 
 /** A directory whose log can be full, slow to sync, or fail a sync. */
 final class FaultInjectingStorage implements Storage {
-  private final Storage disk;
+  private final Storage delegate;
   volatile boolean isFull;
   volatile boolean failNextSync;
 
@@ -18,44 +18,44 @@
   /** Whether each sync of a file takes a permit for good. */
   volatile boolean isStepping;
 
-  FaultInjectingStorage(Storage disk) {
-    this.disk = disk;
+  FaultInjectingStorage(Storage delegate) {
+    this.delegate = delegate;
   }
 
   @Override
   public List<String> list() throws IOException {
-    return disk.list();
+    return delegate.list();
   }
 
   @Override
   public File create(String name) throws IOException {
-    return new Faulty(disk.create(name));
+    return new FaultInjectingFile(delegate.create(name));
   }
 
   @Override
   public File open(String name) throws IOException {
-    return disk.open(name);
+    return delegate.open(name);
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    disk.rename(from, to);
+    delegate.rename(from, to);
   }
 
   @Override
   public void delete(String name) throws IOException {
-    disk.delete(name);
+    delegate.delete(name);
   }
 
   @Override
   public void sync() throws IOException {
-    disk.sync();
+    delegate.sync();
   }
 
-  private final class Faulty implements File {
+  private final class FaultInjectingFile implements File {
     private final File file;
 
-    Faulty(File file) {
+    FaultInjectingFile(File file) {
       this.file = file;
     }
 
--- a/src/test/java/fawndock/counter/ProtocolTest.java
+++ b/src/test/java/fawndock/counter/ProtocolTest.java
@@ -21,7 +21,7 @@
 class ProtocolTest {
   /** However a stream of commands is cut, the same commands come out. */
   @Property(tries = 300, seed = "15")
-  void cutsDoNotMatter(@ForAll long seed) throws ProtocolException {
+  void commands_arrivingInAnyPieces_areTheSame(@ForAll long seed) throws ProtocolException {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> sent = new ArrayList<>();
     StringBuilder stream = new StringBuilder();
@@ -60,7 +60,7 @@
   }
 
   @Example
-  void inlineCommandsHaveQuotes() throws ProtocolException {
+  void inlineCommands_mayHaveQuotedWords() throws ProtocolException {
     assertArrayEquals(
         new String[] {"SET", "a b", "", "1"},
         Arrays.stream(read("\r\n SET 'a b' \"\"  1\r\n"))
@@ -70,7 +70,7 @@
   }
 
   @Example
-  void whatIsNoCommandIsTold() {
+  void malformedCommands_areReported() {
     for (String[] each :
         new String[][] {
           {"*1\r\n+x\r\n", "expected '$', got '+'"},
@@ -89,7 +89,7 @@
   }
 
   @Example
-  void patternsMatchWholeNames() {
+  void globPatterns_matchWholeNames() {
     String[][] yes = {
       {"*", ""},
       {"a*c", "abbc"},
--- a/src/test/java/fawndock/counter/replication/ClusterSimulation.java
+++ b/src/test/java/fawndock/counter/replication/ClusterSimulation.java
@@ -19,9 +19,8 @@
 import java.util.TreeMap;
 
 /**
- * Nodes, gatekeepers and the network between them in virtual milliseconds, all by one seed. A
- * gatekeeper admits while the weighted estimate over two windows is within the limit, as the
- * gateway's does.
+ * Nodes, gateways and the network between them in virtual milliseconds, all by one seed. A gateway
+ * admits while the weighted estimate over two windows is within the limit, as the gateway's does.
  */
 final class ClusterSimulation {
   static final long WINDOW = 1_000;
@@ -80,8 +79,8 @@
       if (!stalled) {
         node.tick(clock());
         for (String other : List.copyOf(node.peers())) {
-          Heartbeat beat = node.nextHeartbeat(clock());
-          send(id, other, () -> at(other, n -> beaten(n, beat, mine)));
+          Heartbeat heartbeat = node.nextHeartbeat(clock());
+          send(id, other, () -> at(other, n -> receiveHeartbeat(n, heartbeat, mine)));
           give(other, mine);
         }
       }
@@ -89,17 +88,17 @@
     }
 
     /**
-     * Another node has this one's beat: it goes by it, or answers that this one's list is old or
-     * lacks it.
+     * Another node has this one's heartbeat: it goes by it, or answers that this one's list is old
+     * or lacks it.
      */
-    private void beaten(SimulatedNode n, Heartbeat beat, int mine) {
-      MembershipList newer = n.node.membershipNewerThan(beat.membershipVersion());
-      boolean strange =
+    private void receiveHeartbeat(SimulatedNode n, Heartbeat heartbeat, int mine) {
+      MembershipList newer = n.node.membershipNewerThan(heartbeat.membershipVersion());
+      boolean isUnknown =
           newer == null
-              && beat.membershipVersion() <= n.node.membershipVersion()
+              && heartbeat.membershipVersion() <= n.node.membershipVersion()
               && !n.node.peers().contains(id);
-      n.node.onHeartbeat(id, beat, n.clock());
-      if (newer != null || strange) {
+      n.node.onHeartbeat(id, heartbeat, n.clock());
+      if (newer != null || isUnknown) {
         send(
             n.id,
             id,
@@ -156,11 +155,11 @@
     }
   }
 
-  /** A gatekeeper that customers ask in an even flow, each at its rate. */
+  /** A gateway that customers call in an even flow, each at its rate. */
   final class SimulatedGateway {
     final String id;
     final ReplicaClient client;
-    final Map<Long, Runnable> told = new HashMap<>();
+    final Map<Long, Runnable> callbacks = new HashMap<>();
     final Map<String, Double> totals = new HashMap<>();
 
     /** What was acknowledged to it, added and taken back, by name. */
@@ -195,12 +194,12 @@
         return;
       }
       after(every - every / 4 + random.nextInt((int) every / 2 + 1), () -> ask(customer, every));
-      asked.merge(customer, 1L, Long::sum);
+      requested.merge(customer, 1L, Long::sum);
       long number = now / WINDOW;
       String name = customer + "." + number;
       double before = totals.getOrDefault(customer + "." + (number - 1), 0.0);
       double part = 1 - (double) (now % WINDOW) / WINDOW;
-      // What the total lacks is this gatekeeper's own calls that are out.
+      // What the total lacks is this gateway's own calls in flight.
       if (before * part + totals.getOrDefault(name, 0.0) >= LIMIT && random.nextInt(8) > 0) {
         refused.computeIfAbsent(customer, c -> new ArrayList<>()).add(now);
         return;
@@ -225,7 +224,7 @@
       List<ClientAction> out = new ArrayList<>();
       try {
         long call = client.add(name, new DecimalAmount(amount, false), 2 * WINDOW, now, out);
-        told.put(call, () -> then.accept(lastTotal));
+        callbacks.put(call, () -> then.accept(lastTotal));
         pending.put(call, amount);
       } catch (CommandException e) {
         throw new AssertionError(e);
@@ -239,7 +238,7 @@
     private void carry(List<ClientAction> out) {
       for (ClientAction each : out) {
         if (each instanceof SendSum ask) {
-          send(id, ask.node(), () -> at(ask.node(), n -> asked(ask, n)));
+          send(id, ask.node(), () -> at(ask.node(), n -> receive(ask, n)));
         } else if (each instanceof SendHeartbeat here) {
           long origin = origin();
           send(
@@ -291,12 +290,12 @@
             acknowledged.computeIfAbsent(end.name(), n -> new int[2])[amount > 0 ? 0 : 1] += 1;
           }
           lastTotal = end.outcome() == CallOutcome.OK ? end.total() : -1;
-          told.remove(end.callId()).run();
+          callbacks.remove(end.callId()).run();
         }
       }
     }
 
-    private void asked(SendSum ask, SimulatedNode n) {
+    private void receive(SendSum ask, SimulatedNode n) {
       List<ClientAction> out = new ArrayList<>();
       try {
         double total =
@@ -332,9 +331,9 @@
   /** The list that holds now. */
   List<String> list = settings;
 
-  final List<SimulatedGateway> gates = new ArrayList<>();
+  final List<SimulatedGateway> gateways = new ArrayList<>();
   final Map<String, Double> demand = new TreeMap<>();
-  final Map<String, Long> asked = new HashMap<>();
+  final Map<String, Long> requested = new HashMap<>();
   final Map<String, List<Long>> admitted = new HashMap<>();
   final Map<String, List<Long>> refused = new HashMap<>();
   final Set<String> cut = new HashSet<>();
@@ -361,25 +360,25 @@
     }
     nodes.values().forEach(n -> n.start(true));
     for (int i = 0; i < GATEWAYS; i++) {
-      gates.add(new SimulatedGateway("g" + i, i));
+      gateways.add(new SimulatedGateway("g" + i, i));
     }
-    gates.forEach(SimulatedGateway::start);
+    gateways.forEach(SimulatedGateway::start);
   }
 
   /**
    * Starts a new node in the place of another, and gives one of those that stay the list with it.
    */
-  void replace(String gone, String told, long untilGone) {
+  void replace(String removed, String recipient, long untilRemoved) {
     SimulatedNode made = new SimulatedNode("n" + nodes.size());
     nodes.put(made.id, made);
     made.start(true);
     list = new ArrayList<>(list);
-    list.remove(gone);
+    list.remove(removed);
     list.add(made.id);
     Map<String, String> addresses = new TreeMap<>();
     list.forEach(id -> addresses.put(id, id + ":1"));
-    after(400, () -> give(told, new MembershipList(2, addresses)));
-    after(400 + untilGone, nodes.get(gone)::die);
+    after(400, () -> give(recipient, new MembershipList(2, addresses)));
+    after(400 + untilRemoved, nodes.get(removed)::die);
   }
 
   /** An operator gives a list, again until the node is there. */
--- a/src/test/java/fawndock/counter/replication/ReplicaClientTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaClientTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which node a gatekeeper asks, step by step. */
+/** Which node a gateway sends to, step by step. */
 class ReplicaClientTest {
   private static final DecimalAmount ONE = new DecimalAmount(1, false);
   private static final long V1 = MembershipList.settingsVersion(1);
@@ -27,10 +27,10 @@
   private SendSum call(long now) throws CommandException {
     out.clear();
     client.add("n.1", ONE, 60_000, now, out);
-    return asked();
+    return sent();
   }
 
-  private SendSum asked() {
+  private SendSum sent() {
     return out.stream()
         .filter(SendSum.class::isInstance)
         .map(SendSum.class::cast)
@@ -56,23 +56,23 @@
   }
 
   @Test
-  void aSilentNodeIsStoodInForWithinTheCall() throws CommandException {
+  void silentNode_isHedgedWithinTheCall() throws CommandException {
     SendSum first = call(0);
     tick(9);
-    assertEquals(null, asked());
+    assertEquals(null, sent());
     tick(10);
-    assertEquals(other(first.node()), asked().node());
-    assertEquals(first.callId(), asked().callId());
+    assertEquals(other(first.node()), sent().node());
+    assertEquals(first.callId(), sent().callId());
     out.clear();
     client.onTotal(other(first.node()), first.callId(), 5, out);
     assertEquals(CallOutcome.OK, ended().outcome());
     out.clear();
     client.onTotal(first.node(), first.callId(), 5, out);
-    assertEquals(null, ended(), "told once");
+    assertEquals(null, ended(), "ended once");
   }
 
   @Test
-  void oneThatStaysSilentIsNotAskedFirstUntilItSaysThatItIsReady() throws CommandException {
+  void silentNode_isSkippedUntilItIsReadyAgain() throws CommandException {
     SendSum first = call(0);
     tick(101);
     assertFalse(client.isHealthy(first.node()));
@@ -83,7 +83,7 @@
                     o instanceof SendSum a
                         && a.callId() == 0
                         && a.node().equals(other(first.node()))),
-        "what only the lost one had is told to the next: " + out);
+        "what only the lost one had is sent to the next: " + out);
     assertEquals(other(first.node()), call(110).node());
     client.onHeartbeatReply(first.node(), true, V1, out);
     assertEquals(first.node(), call(120).node());
@@ -98,33 +98,33 @@
   }
 
   @Test
-  void aLostConnectionOrARefusalIsAskedElsewhereAtOnce() throws CommandException {
+  void lostConnectionOrRejection_goesToTheNextNodeAtOnce() throws CommandException {
     SendSum first = call(0);
     out.clear();
     client.onConnectionLost(first.node(), 1, out);
-    assertEquals(other(first.node()), asked().node());
+    assertEquals(other(first.node()), sent().node());
     client.onHeartbeatReply(first.node(), true, V1, out);
     SendSum second = call(2);
     out.clear();
     client.onRejected(second.node(), second.callId(), true, 3, out);
-    assertEquals(other(second.node()), asked().node());
+    assertEquals(other(second.node()), sent().node());
     assertFalse(client.isHealthy(second.node()));
   }
 
   @Test
-  void whatWasNotAddedIsTakenBack() throws CommandException {
+  void unreachableCall_isWithdrawn() throws CommandException {
     client.onConnectionLost("a", 0, out);
     client.onConnectionLost("b", 0, out);
     assertEquals(null, call(1));
     assertEquals(CallOutcome.UNREACHABLE, ended().outcome());
     client.onHeartbeatReply("a", true, V1, out);
-    ReplicatedSum told = call(2).sum();
-    assertEquals("2", told.added().toString());
-    assertEquals("1", told.withdrawn().toString());
+    ReplicatedSum sum = call(2).sum();
+    assertEquals("2", sum.added().toString());
+    assertEquals("1", sum.withdrawn().toString());
   }
 
   @Test
-  void aNewerListIsFetchedAndGivenBack() throws CommandException {
+  void newerMembershipList_isFetchedAndPushedBack() throws CommandException {
     SendSum first = call(0);
     MembershipList list = new MembershipList(2, Map.of("b", "h:1", "c", "h:2"));
     out.clear();
@@ -133,7 +133,7 @@
     out.clear();
     assertTrue(client.adoptMembership(list, 1, out));
     if (first.node().equals("a")) {
-      assertEquals("b", asked().node(), "the one that was asked is off the list");
+      assertEquals("b", sent().node(), "the one that was sent to is off the list");
     }
     assertFalse(client.isHealthy("c"), "until it says that it is ready");
     assertFalse(client.adoptMembership(list, 2, out));
--- a/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When a node answers, with what, and what it tells others, step by step. */
+/** When a node answers, with what, and what it sends peers, step by step. */
 class ReplicaNodeTest {
   private static final long V1 = MembershipList.settingsVersion(1);
   private final ReplicatedSums sums =
@@ -22,13 +22,13 @@
       new ReplicaNode(
           "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
 
-  private void beat(String from, long version, long start, boolean ready, long now) {
+  private void heartbeat(String from, long version, long start, boolean ready, long now) {
     node.onHeartbeat(from, new Heartbeat(version, start, ready, Map.of()), now);
   }
 
   private void upWithAll(long now) {
-    beat("b", V1, 1, true, now);
-    beat("c", V1, 1, true, now);
+    heartbeat("b", V1, 1, true, now);
+    heartbeat("c", V1, 1, true, now);
     node.onFullStateReceived("b", now);
     node.onFullStateReceived("c", now);
     assertTrue(node.isReady());
@@ -45,15 +45,15 @@
     try {
       return node.mergeAndTotal(sum, now, new ChangeRecord(64)).toString();
     } catch (CommandException e) {
-      return e.getMessage().split(" ")[0];
+      return e.getMessage().split(" ", 0)[0];
     }
   }
 
   @Test
-  void itAnswersWhenEachThatIsReadyHasToldAll() {
+  void node_isReadyOnceEachReadyPeerHasSentItsFullState() {
     assertEquals("LOADING", ask(sum("n.1", 7, 1), 0));
-    beat("b", V1, 1, true, 10);
-    beat("c", V1, 1, true, 10);
+    heartbeat("b", V1, 1, true, 10);
+    heartbeat("c", V1, 1, true, 10);
     node.onFullStateReceived("b", 20);
     assertEquals("LOADING", ask(sum("n.1", 7, 1), 20), "b may lag behind c");
     node.onFullStateReceived("c", 30);
@@ -61,8 +61,8 @@
   }
 
   @Test
-  void whatWasToldByAnEarlierStartIsNotAll() {
-    beat("b", V1, 1, true, 10);
+  void fullState_ofAnEarlierIncarnation_doesNotCount() {
+    heartbeat("b", V1, 1, true, 10);
     node.onFullStateReceived("b", 20);
     assertTrue(node.isReady());
     ReplicaNode late =
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void itBeginsByItselfOnlyWhereNobodyElseCan() {
+  void node_startsAloneOnlyWhereNoPeerCanHelp() {
     node.tick(499);
     assertFalse(node.isReady());
     node.tick(500);
@@ -86,33 +86,33 @@
     for (long now = 100; now <= 4_900; now += 100) {
       beside.onHeartbeat("b", new Heartbeat(V1, 1, true, Map.of()), now);
       beside.tick(now);
-      assertFalse(beside.isReady(), "b is ready, and still telling, at " + now);
+      assertFalse(beside.isReady(), "b is ready, and still sending, at " + now);
     }
     beside.tick(5_000);
-    assertTrue(beside.isReady(), "told nothing for ten times as long: b cannot tell");
+    assertTrue(beside.isReady(), "got nothing for ten times as long: b cannot send");
     ReplicaNode both =
         new ReplicaNode(
             "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     both.onHeartbeat("b", new Heartbeat(V1, 1, false, Map.of()), 450);
     both.tick(600);
-    assertFalse(both.isReady(), "b waits as well, and has not told what it has");
-    ReplicaNode stranger =
+    assertFalse(both.isReady(), "b waits as well, and has not sent what it has");
+    ReplicaNode unknown =
         new ReplicaNode(
             "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     for (long now = 0; now <= 20_000; now += 400) {
-      stranger.onUnknownToPeer("b", now);
-      stranger.tick(now);
-      assertFalse(stranger.isReady(), "b does not know it yet, at " + now);
+      unknown.onUnknownToPeer("b", now);
+      unknown.tick(now);
+      assertFalse(unknown.isReady(), "b does not know it yet, at " + now);
     }
-    stranger.tick(30_000);
-    assertTrue(stranger.isReady());
+    unknown.tick(30_000);
+    assertTrue(unknown.isReady());
   }
 
   @Test
-  void aNewerListFencesUntilItIsTaken() {
+  void newerMembershipList_fencesUntilItIsAdopted() {
     upWithAll(10);
     MembershipList without = new MembershipList(2, Map.of("b", "h:1", "d", "h:2"));
-    beat("b", without.version(), 1, true, 20);
+    heartbeat("b", without.version(), 1, true, 20);
     assertEquals("FENCED", ask(sum("n.1", 7, 1), 20));
     MembershipList with = new MembershipList(2, Map.of("a", "h:3", "b", "h:1"));
     MembershipList newer =
@@ -128,28 +128,28 @@
   }
 
   @Test
-  void anOlderListIsNotHeard() {
+  void heartbeat_withAnOlderList_doesNotCount() {
     assertTrue(node.adoptMembership(new MembershipList(2, Map.of("a", "h:1", "b", "h:2")), 0));
-    beat("b", V1, 1, true, 10);
+    heartbeat("b", V1, 1, true, 10);
     assertFalse(node.isPeerAlive("b", 10));
   }
 
   @Test
-  void theEstimateIsOfGatekeepersThatMayCountWhereOneIsNotHeard() throws CommandException {
+  void estimate_coversOriginsThatMayCountAtADeadPeer() throws CommandException {
     upWithAll(0);
     long now = 0;
-    for (int i = 1; i <= 200; i++) { // 100 a second by gatekeeper 8, told by b.
+    for (int i = 1; i <= 200; i++) { // 100 a second by origin 8, sent by b.
       now += 10;
       node.mergeFromPeer("b", sum("n.1", 8, i), now, new ChangeRecord(64));
-      beat("b", V1, 1, true, now);
-      beat("c", V1, 1, true, now);
+      heartbeat("b", V1, 1, true, now);
+      heartbeat("c", V1, 1, true, now);
       node.onOriginStamp(8, i, now);
     }
     assertEquals("200", ask(sum("n.1", 7, 0), now));
-    beat("b", V1, 1, true, now + 1_000);
-    beat("c", V1, 1, true, now + 1_000);
+    heartbeat("b", V1, 1, true, now + 1_000);
+    heartbeat("c", V1, 1, true, now + 1_000);
     node.onOriginStamp(8, 200, now + 1_000); // An echo.
-    assertEquals("200", ask(sum("n.1", 7, 0), now + 1_000), "all nodes are heard: it is dead");
+    assertEquals("200", ask(sum("n.1", 7, 0), now + 1_000), "all nodes are alive: it is dead");
     assertEquals(
         400, Double.parseDouble(ask(sum("n.1", 7, 0), now + 2_000)), 30, "b and c are not");
     assertEquals("0", ask(sum("n.2", 7, 0), now + 2_000), "the newest window begins with nothing");
@@ -164,21 +164,21 @@
   }
 
   @Test
-  void aGatekeeperThatHadCeasedToCountIsEstimatedAtLittle() throws CommandException {
+  void estimate_ofAnOriginThatHadStopped_isSmall() throws CommandException {
     upWithAll(0);
     for (int now = 10;
         now <= 24_000;
         now += 10) { // 100 a second for 2 s, then it is there and counts nothing.
       node.mergeFromPeer("b", sum("n.1", 8, Math.min(200, now / 10)), now, new ChangeRecord(64));
       node.onOriginStamp(8, now, now);
-      beat("b", V1, 1, true, now);
-      beat("c", V1, 1, true, now);
+      heartbeat("b", V1, 1, true, now);
+      heartbeat("c", V1, 1, true, now);
     }
     assertEquals(200, Double.parseDouble(ask(sum("n.1", 7, 0), 25_000)), 10);
   }
 
   @Test
-  void everythingIsToldAgainToOneThatWasAwayOrForgot() throws CommandException {
+  void fullState_isSentAgainToAPeerThatWasAwayOrRestarted() throws CommandException {
     upWithAll(0);
     ask(sum("n.1", 7, 1), 10);
     assertEquals(
@@ -190,19 +190,19 @@
     assertEquals(
         List.of("n.2"),
         node.nextBatch("b", 100, 50).sums().stream().map(ReplicatedSum::name).toList());
-    beat("b", V1, 1, true, 140);
+    heartbeat("b", V1, 1, true, 140);
     node.tick(201); // Not confirmed within the time to miss it.
     assertTrue(node.nextBatch("b", 100, 201).completesFullState());
     node.onBatchAcknowledged("b");
-    beat("b", V1, 2, true, 210);
+    heartbeat("b", V1, 2, true, 210);
     assertTrue(node.nextBatch("b", 100, 210).completesFullState(), "it has started again");
     node.onBatchAcknowledged("b");
-    beat("b", V1, 2, true, 400);
+    heartbeat("b", V1, 2, true, 400);
     assertTrue(node.nextBatch("b", 100, 400).completesFullState(), "it was away");
   }
 
   @Test
-  void aSumNeverShrinksAndItsPartsAreForgottenAtOnce() {
+  void sum_neverShrinks_andAllItsKeysExpireAtOnce() {
     upWithAll(0);
     assertEquals("5", ask(sum("n.1", 7, 5), 10));
     assertEquals("5", ask(sum("n.1", 7, 3), 20), "an older one, overtaken");
--- a/src/test/java/fawndock/counter/replication/ReplicationPropertyTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicationPropertyTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Schedules of breaks by seed; a failing one is told by its seed, and {@code new Schedule(seed)}
- * plays it again.
+ * Schedules of breaks by seed; a failing one is reported with its seed, and {@code new
+ * Schedule(seed)} plays it again.
  */
 class ReplicationPropertyTest {
   private static final long SPAN = 3 * ClusterSimulation.WINDOW;
@@ -27,8 +27,8 @@
 
   /**
    * The claim of docs/design/counter-replication.md for these times, as a share of what a span
-   * allows: demand over the limit, until gatekeepers turn, delay between nodes, two calls; for each
-   * break.
+   * allows: demand over the limit, until gateways turn to another node, delay between nodes, two
+   * calls; for each break.
    */
   private static final double CLAIMED = 1.5 * (0.110 + 0.030 + 2 * 0.010) / (SPAN / 1e3);
 
@@ -44,13 +44,11 @@
   private static final class Schedule {
     final ClusterSimulation fleet;
     final SplittableRandom random;
-    final long seed;
     long splitMillis;
     final List<String> wrong = new ArrayList<>();
     final List<String> breaks = new ArrayList<>();
 
     Schedule(long seed) {
-      this.seed = seed;
       fleet = new ClusterSimulation(seed);
       random = new SplittableRandom(~seed);
     }
@@ -80,10 +78,10 @@
     private void strike() {
       String id = "n" + random.nextInt(ClusterSimulation.NODES);
       ClusterSimulation.SimulatedNode node = fleet.nodes.get(id);
-      long length = 100 + random.nextInt(2_000);
+      long length = 100L + random.nextInt(2_000);
       int kind = random.nextInt(8);
       breaks.add(
-          "dies,stalls,split,one way,empty,clock,slow,list".split(",")[kind]
+          "dies,stalls,split,one way,empty,clock,slow,list".split(",", 0)[kind]
               + " "
               + id
               + " for "
@@ -146,8 +144,8 @@
         }
         ReplicatedSums sums = new ReplicatedSums(new CounterOperations(node.table, Long.MAX_VALUE));
         double all = 0;
-        for (ClusterSimulation.SimulatedGateway gate : fleet.gates) {
-          int[] told = gate.acknowledged.getOrDefault(name, new int[2]);
+        for (ClusterSimulation.SimulatedGateway gate : fleet.gateways) {
+          int[] acknowledged = gate.acknowledged.getOrDefault(name, new int[2]);
           ReplicatedSum has = sums.sumOf(name, gate.origin(), node.clock());
           ReplicatedSum other =
               new ReplicatedSums(new CounterOperations(first.table, Long.MAX_VALUE))
@@ -155,7 +153,7 @@
           long plus = has == null ? 0 : has.added().digits();
           long minus = has == null ? 0 : has.withdrawn().digits();
           all += plus - minus;
-          if (plus < told[0] || minus < told[1]) {
+          if (plus < acknowledged[0] || minus < acknowledged[1]) {
             wrong.add(
                 node.id
                     + " lost of "
@@ -167,9 +165,9 @@
                     + " and "
                     + minus
                     + ", acknowledged "
-                    + told[0]
+                    + acknowledged[0]
                     + " and "
-                    + told[1]);
+                    + acknowledged[1]);
           }
           if (has != null
               && other != null
@@ -207,8 +205,8 @@
   }
 
   /**
-   * Two nodes of one half that tell each other of gatekeepers which neither hears must not take
-   * them for heard.
+   * Two nodes of one half that announce to each other origins that neither hears must not take them
+   * for alive.
    */
   @Test
   void aSplitOfAMinute() {
--- a/src/test/java/fawndock/counter/storage/CounterStorageTest.java
+++ b/src/test/java/fawndock/counter/storage/CounterStorageTest.java
@@ -29,7 +29,7 @@
 
   /** Sums are those of decimal arithmetic, and what is withdrawn leaves nothing. */
   @Property(tries = 1_000, seed = "15")
-  void amountsAddExactly(
+  void amounts_addExactly(
       @ForAll @BigRange(min = "-4000000000", max = "4000000000") @Scale(12) BigDecimal a,
       @ForAll @BigRange(min = "-4000000000", max = "4000000000") @Scale(9) BigDecimal b)
       throws CommandException {
@@ -41,7 +41,7 @@
   }
 
   @Example
-  void amountsHaveBounds() throws CommandException {
+  void amounts_beyondTheirBounds_areRejected() throws CommandException {
     assertEquals(
         "9223372036854775807", DecimalAmount.parse(bytes("9223372036854775807")).toString());
     assertEquals("0.000000001", DecimalAmount.parse(bytes("1e-9")).toString());
@@ -65,7 +65,7 @@
   }
 
   @Example
-  void timeNeverRunsBackwards() {
+  void time_neverRunsBackwards() {
     MonotonicWallClock time = new MonotonicWallClock(5_000, 4_000, 0);
     assertEquals(5_000, time.nowMillis(4_000, 0));
     assertEquals(
@@ -77,7 +77,7 @@
 
   /** The table does what a plain map does, also while names expire, move and are swept. */
   @Property(tries = 200, seed = "15")
-  void theTableIsAMap(@ForAll long seed) {
+  void table_behavesAsAMap(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     CounterTable table = new CounterTable(seed, 2);
     Map<String, long[]> model = new HashMap<>();
@@ -114,7 +114,7 @@
   }
 
   @Example
-  void oneSyncServesAllThatCameMeanwhile() throws CommandException {
+  void oneSync_servesAllChangesThatCameMeanwhile() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
     assertThrows(CommandException.class, () -> commit.reserve(10));
     commit.onResumed();
@@ -136,7 +136,7 @@
 
   /** What is offered gathers on until it is taken; what comes after is in the next group. */
   @Example
-  void anOfferedGroupIsTakenOrWithdrawn() throws CommandException {
+  void offeredGroup_isTakenOrWithdrawn() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
     commit.onResumed();
     commit.reserve(10).putDeleted(bytes("a"));
@@ -160,7 +160,7 @@
   }
 
   @Example
-  void aFullGroupTurnsAway() throws CommandException {
+  void fullGroup_rejectsChanges() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.ALWAYS, 0);
     commit.onResumed();
     byte[] name = new byte[1_000];
@@ -181,7 +181,7 @@
   }
 
   @Example
-  void byIntervalItSyncsWhenOneHasPassed() throws CommandException {
+  void intervalDurability_syncsOnceTheIntervalHasPassed() throws CommandException {
     GroupCommit commit = new GroupCommit(Durability.INTERVAL, 100);
     commit.onResumed();
     commit.reserve(10).putDeleted(bytes("a"));
@@ -198,8 +198,8 @@
   }
 
   private static SimulatedStorage log(int segments) throws IOException {
-    SimulatedStorage disk = new SimulatedStorage(1);
-    LogWriter log = new LogWriter(disk, 0);
+    SimulatedStorage storage = new SimulatedStorage(1);
+    LogWriter log = new LogWriter(storage, 0);
     for (int i = 0; i < 3 * segments; i++) {
       ChangeRecord changes = new ChangeRecord(64);
       changes.putAmount(bytes("n"), new DecimalAmount(i + 1, false), 0);
@@ -209,7 +209,7 @@
         log.roll();
       }
     }
-    return disk;
+    return storage;
   }
 
   /**
@@ -217,32 +217,32 @@
    * it.
    */
   @Example
-  void aDamagedLogIsCutOnTheOperatorsWord() throws IOException {
-    SimulatedStorage disk = log(3);
+  void damagedLog_isCutWhenConfirmed() throws IOException {
+    SimulatedStorage storage = log(3);
     String second = LogFormat.FileKind.SEGMENT.fileName(4);
-    disk.flipBit(second, 16 + 44 + 20);
+    storage.flipBit(second, 16 + 44 + 20);
     assertThrows(
-        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
+        CorruptLogException.class, () -> Recovery.recover(storage, new CounterTable(1), b -> {}));
     assertEquals(
         second + ": damaged, records 4 to 4, 148 bytes, damaged record 5 at offset 60",
-        LogVerifier.verify(disk).get(1).describe());
-    List<String> steps = LogVerifier.truncate(disk, false);
+        LogVerifier.verify(storage).get(1).describe());
+    List<String> steps = LogVerifier.truncate(storage, false);
     assertEquals(second + ": cut from 148 to 60 bytes, after record 4", steps.get(0));
     assertThrows(
-        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
-    assertEquals(steps, LogVerifier.truncate(disk, true));
+        CorruptLogException.class, () -> Recovery.recover(storage, new CounterTable(1), b -> {}));
+    assertEquals(steps, LogVerifier.truncate(storage, true));
     CounterTable table = new CounterTable(1);
-    assertEquals(4, Recovery.recover(disk, table, b -> {}).lastSequence());
+    assertEquals(4, Recovery.recover(storage, table, b -> {}).lastSequence());
     assertEquals(new DecimalAmount(4, false), table.get(bytes("n"), 0));
-    assertEquals(88, disk.open(second + ".cut").size());
-    assertTrue(disk.list().contains(LogFormat.FileKind.SEGMENT.fileName(7) + ".cut"));
+    assertEquals(88, storage.open(second + ".cut").size());
+    assertTrue(storage.list().contains(LogFormat.FileKind.SEGMENT.fileName(7) + ".cut"));
   }
 
   @Example
-  void aTornLogIsNoDamageToTheAudit() throws IOException {
-    SimulatedStorage disk = log(1);
-    disk.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 147);
-    assertEquals(FileState.TORN, LogVerifier.verify(disk).get(0).state());
-    assertEquals(List.of(), LogVerifier.truncate(disk, true));
+  void tornLog_isNotReportedAsDamaged() throws IOException {
+    SimulatedStorage storage = log(1);
+    storage.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 147);
+    assertEquals(FileState.TORN, LogVerifier.verify(storage).get(0).state());
+    assertEquals(List.of(), LogVerifier.truncate(storage, true));
   }
 }
--- a/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
@@ -16,16 +16,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Counts, group commit, log, snapshots and recovery together, on a disk that fails. */
+/** Counts, group commit, log, snapshots and recovery together, on a storage that fails. */
 class CrashRecoveryTest {
   private static final int NAMES = 40;
 
   /**
-   * One life of a counter, driven by chance as the host drives it; any call to the disk may be its
-   * last.
+   * One life of a counter, driven by chance as the host drives it; any call to the storage may be
+   * its last.
    */
-  private static final class Life {
-    final SimulatedStorage disk;
+  private static final class CounterRun {
+    final SimulatedStorage storage;
     final SplittableRandom random;
     final CounterTable table;
     final CounterOperations counts;
@@ -52,12 +52,12 @@
     long covered;
     long walkedTo = -1;
 
-    Life(SimulatedStorage disk, SplittableRandom random, long time) throws IOException {
-      this.disk = disk;
+    CounterRun(SimulatedStorage storage, SplittableRandom random, long time) throws IOException {
+      this.storage = storage;
       this.random = random;
       table = new CounterTable(random.nextLong(), 8);
       counts = new CounterOperations(table, Long.MAX_VALUE);
-      Recovery.Result found = Recovery.recover(disk, table, bytes -> {});
+      Recovery.Result found = Recovery.recover(storage, table, bytes -> {});
       this.time = Math.max(time, found.latestTimeMillis());
       states.put(0L, state(table, this.time));
       acknowledged.add(0L);
@@ -70,7 +70,7 @@
      */
     void anew(long sequence) throws IOException {
       anew.add(state(table, Long.MIN_VALUE));
-      SnapshotWriter all = new SnapshotWriter(disk, sequence);
+      SnapshotWriter all = new SnapshotWriter(storage, sequence);
       SnapshotIterator through = new SnapshotIterator(table);
       for (List<SnapshotIterator.SnapshotPart> piece = through.next(time);
           !piece.isEmpty();
@@ -80,8 +80,8 @@
         }
       }
       all.finish(time);
-      log = new LogWriter(disk, sequence);
-      SnapshotWriter.deleteObsoleteFiles(disk, sequence);
+      log = new LogWriter(storage, sequence);
+      SnapshotWriter.deleteObsoleteFiles(storage, sequence);
       commit.onResumed();
     }
 
@@ -92,8 +92,8 @@
         case 1, 2 -> perform();
         case 3 -> snapshot();
         case 4 -> {
-          disk.failingSyncs = random.nextInt(40) == 0 ? 1 : disk.failingSyncs;
-          disk.freeBytes = random.nextInt(10) > 0 ? Long.MAX_VALUE : random.nextInt(200);
+          storage.failingSyncs = random.nextInt(40) == 0 ? 1 : storage.failingSyncs;
+          storage.freeBytes = random.nextInt(10) > 0 ? Long.MAX_VALUE : random.nextInt(200);
         }
         default -> change();
       }
@@ -167,8 +167,8 @@
           snapshot = null;
         }
         openGroup();
-        disk.freeBytes = Long.MAX_VALUE;
-        disk.failingSyncs = 0;
+        storage.freeBytes = Long.MAX_VALUE;
+        storage.failingSyncs = 0;
         anew(log.lastSequence());
       }
       acknowledged.add(work.groupNumber());
@@ -180,7 +180,7 @@
         if (snapshot == null) {
           if (work == null && !log.isAbandoned()) {
             covered = log.roll();
-            snapshot = new SnapshotWriter(disk, covered);
+            snapshot = new SnapshotWriter(storage, covered);
             walk = new SnapshotIterator(table);
             parts = walk.next(time).iterator();
             walkedTo = commit.openGroupNumber();
@@ -192,13 +192,13 @@
           SnapshotWriter ending = snapshot;
           snapshot = null;
           ending.finish(time);
-          SnapshotWriter.deleteObsoleteFiles(disk, covered);
+          SnapshotWriter.deleteObsoleteFiles(storage, covered);
         }
       } catch (IOException e) {
         snapshot = null;
         if (log.isAbandoned()) {
-          disk.freeBytes = Long.MAX_VALUE;
-          disk.failingSyncs = 0;
+          storage.freeBytes = Long.MAX_VALUE;
+          storage.failingSyncs = 0;
           anew(log.lastSequence());
         }
       }
@@ -230,17 +230,17 @@
    * acknowledged one.
    */
   @Property(tries = 1_000, seed = "15", edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
-  void whatWasAcknowledgedIsFoundAgain(@ForAll long seed) throws IOException {
+  void acknowledgedChanges_surviveEveryCrash(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedStorage disk = new SimulatedStorage(random.nextLong());
-    Life life = null;
+    SimulatedStorage storage = new SimulatedStorage(random.nextLong());
+    CounterRun life = null;
     long time = 1_000;
     for (int crash = 0; crash < 5; crash++) {
-      Life before = life;
-      disk.callsUntilCrash = -1;
-      disk.freeBytes = Long.MAX_VALUE;
-      disk.failingSyncs = 0;
-      life = new Life(disk, random, time);
+      CounterRun before = life;
+      storage.callsUntilCrash = -1;
+      storage.freeBytes = Long.MAX_VALUE;
+      storage.failingSyncs = 0;
+      life = new CounterRun(storage, random, time);
       if (before != null) {
         long from = before.acknowledged.get(before.acknowledged.size() - 1);
         long now = life.time;
@@ -251,7 +251,7 @@
         before.states.tailMap(from, false).values().forEach(s -> may.add(alive(s, now)));
         assertTrue(may.contains(found), () -> "found " + found + "\nwhich is none of " + may);
       }
-      disk.callsUntilCrash = random.nextInt(300);
+      storage.callsUntilCrash = random.nextInt(300);
       try {
         for (int i = 0; i < 400; i++) {
           life.step();
@@ -260,55 +260,56 @@
         // Gone.
       }
       time = life.time - random.nextInt(50); // The wall clock may have been set back.
-      disk.crash();
+      storage.crash();
     }
   }
 
   private static SimulatedStorage written(int records) throws IOException {
-    SimulatedStorage disk = new SimulatedStorage(1);
-    LogWriter log = new LogWriter(disk, 0);
+    SimulatedStorage storage = new SimulatedStorage(1);
+    LogWriter log = new LogWriter(storage, 0);
     for (int i = 0; i < records; i++) {
       ChangeRecord changes = new ChangeRecord(64);
       changes.putAmount(new byte[] {'n'}, new DecimalAmount(i + 1, false), 0);
       log.append(changes.toRecord(i));
       log.sync();
     }
-    return disk;
+    return storage;
   }
 
   @Example
-  void aTornLastRecordIsCutOffAndReported() throws IOException {
-    SimulatedStorage disk = written(3);
+  void tornLastRecord_isCutOffAndReported() throws IOException {
+    SimulatedStorage storage = written(3);
     String name = LogFormat.FileKind.SEGMENT.fileName(1);
-    disk.flipBit(name, (int) disk.open(name).size() - 1);
+    storage.flipBit(name, (int) storage.open(name).size() - 1);
     CounterTable table = new CounterTable(1);
-    Recovery.Result found = Recovery.recover(disk, table, b -> {});
+    Recovery.Result found = Recovery.recover(storage, table, b -> {});
     assertEquals(2, found.lastSequence());
     assertEquals(new DecimalAmount(2, false), table.get(new byte[] {'n'}, 0));
     assertEquals(
         List.of(name + ": cut off 44 bytes of a torn record at offset 104"), found.warnings());
-    assertEquals(104, disk.open(name).size());
+    assertEquals(104, storage.open(name).size());
   }
 
   @Example
-  void damageBeforeTheEndIsNotStartedOn() throws IOException {
-    SimulatedStorage disk = written(3);
-    disk.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 16 + 44 + 30);
+  void damageBeforeTheEnd_isRejected() throws IOException {
+    SimulatedStorage storage = written(3);
+    storage.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 16 + 44 + 30);
     IOException e =
         assertThrows(
-            CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
+            CorruptLogException.class,
+            () -> Recovery.recover(storage, new CounterTable(1), b -> {}));
     assertEquals(
         "segment-00000000000000000001.log: damaged record 2 before the end of the log at offset 60",
         e.getMessage());
   }
 
   @Example
-  void aMissingSegmentIsDamage() throws IOException {
-    SimulatedStorage disk = written(2);
-    LogWriter later = new LogWriter(disk, 5);
+  void missingSegment_isDamage() throws IOException {
+    SimulatedStorage storage = written(2);
+    LogWriter later = new LogWriter(storage, 5);
     later.close();
     assertThrows(
-        CorruptLogException.class, () -> Recovery.recover(disk, new CounterTable(1), b -> {}));
+        CorruptLogException.class, () -> Recovery.recover(storage, new CounterTable(1), b -> {}));
   }
 
   /**
@@ -316,30 +317,30 @@
    * hole.
    */
   @Example
-  void aSegmentIsDurableBeforeTheNextBegins() throws IOException {
-    SimulatedStorage disk = new SimulatedStorage(1);
-    LogWriter log = new LogWriter(disk, 0);
+  void segment_isDurableBeforeTheNextBegins() throws IOException {
+    SimulatedStorage storage = new SimulatedStorage(1);
+    LogWriter log = new LogWriter(storage, 0);
     for (int i = 0; i < 40; i++) {
       ChangeRecord changes = new ChangeRecord(64);
       changes.putAmount(new byte[] {(byte) i}, DecimalAmount.ZERO, 0);
       log.append(changes.toRecord(i));
     }
     log.roll();
-    disk.crash();
-    assertEquals(40, Recovery.recover(disk, new CounterTable(1), b -> {}).lastSequence());
+    storage.crash();
+    assertEquals(40, Recovery.recover(storage, new CounterTable(1), b -> {}).lastSequence());
   }
 
   @Example
-  void aDamagedSnapshotIsLeftAsideAndTheLogReadInstead() throws IOException {
-    SimulatedStorage disk = written(3);
+  void damagedSnapshot_isLeftAsideAndTheLogRead() throws IOException {
+    SimulatedStorage storage = written(3);
     CounterTable table = new CounterTable(1);
-    Recovery.recover(disk, table, b -> {});
-    SnapshotWriter snapshot = new SnapshotWriter(disk, 3);
+    Recovery.recover(storage, table, b -> {});
+    SnapshotWriter snapshot = new SnapshotWriter(storage, 3);
     snapshot.write(new SnapshotIterator(table).next(0).get(0).changes(), 1, 0);
     snapshot.finish(0);
-    disk.flipBit(LogFormat.FileKind.SNAPSHOT.fileName(3), 16 + 44 + 30); // In its end.
+    storage.flipBit(LogFormat.FileKind.SNAPSHOT.fileName(3), 16 + 44 + 30); // In its end.
     CounterTable again = new CounterTable(1);
-    Recovery.Result found = Recovery.recover(disk, again, b -> {});
+    Recovery.Result found = Recovery.recover(storage, again, b -> {});
     assertEquals(3, found.lastSequence());
     assertEquals(
         List.of("snapshot-00000000000000000003.snap: not whole, left aside"), found.warnings());
@@ -347,13 +348,13 @@
   }
 
   @Example
-  void nothingIsAppendedAfterAFailedSync() throws IOException {
-    SimulatedStorage disk = new SimulatedStorage(1);
-    LogWriter log = new LogWriter(disk, 0);
+  void afterAFailedSync_nothingIsAppended() throws IOException {
+    SimulatedStorage storage = new SimulatedStorage(1);
+    LogWriter log = new LogWriter(storage, 0);
     ChangeRecord changes = new ChangeRecord(64);
     changes.putDeleted(new byte[] {'n'});
     log.append(changes.toRecord(0));
-    disk.failingSyncs = 1;
+    storage.failingSyncs = 1;
     assertThrows(IOException.class, log::sync);
     assertThrows(IOException.class, log::sync);
     assertThrows(IOException.class, () -> log.append(changes.toRecord(0)));
