--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -2,6 +2,7 @@
 
 import fawndock.platformconfig.SettingsReader;
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import fawndock.resp.Reply;
 import java.util.HashMap;
 import java.util.List;
@@ -13,22 +14,18 @@
  * table is a failed attempt that may have run; a malformed load report or usage is ignored.
  *
  * @param value the response to the client, or null
- * @param load the load report under the policy's names
+ * @param load the load report
  * @param units the units that the request has used, or 0 where none are reported
  * @param isConnectionReusable whether further replies on the connection can be trusted
  */
 record BackendReply(
-    CallResult result,
-    byte[] value,
-    Map<String, Double> load,
-    double units,
-    boolean isConnectionReusable) {
+    CallResult result, byte[] value, LoadReport load, double units, boolean isConnectionReusable) {
   /** Value, usage and load report. */
   private static final int ELEMENTS = 3;
 
   private static final int MAX_FIELDS = 32;
   private static final BackendReply MALFORMED =
-      new BackendReply(CallResult.ERROR, null, Map.of(), 0, false);
+      new BackendReply(CallResult.ERROR, null, LoadReport.NONE, 0, false);
 
   /** Interprets a reply. */
   static BackendReply of(Reply reply) {
@@ -54,7 +51,7 @@
 
   private static BackendReply ofError(String text) {
     String lastWord = text.substring(text.lastIndexOf(' ') + 1);
-    Map<String, Double> load = SettingsReader.load(parseNumbers(lastWord));
+    LoadReport load = SettingsReader.load(parseNumbers(lastWord));
     if (text.equals(PlatformProtocol.ERROR_REJECTED)
         || text.startsWith(PlatformProtocol.ERROR_REJECTED + " ")) {
       return new BackendReply(CallResult.SHED, null, load, 0, true);
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -7,6 +7,7 @@
 import fawndock.policy.event.CallResult;
 import fawndock.policy.event.EndpointUpdateKind;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.runtime.InFlightAttempt;
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.MicroClock;
@@ -16,7 +17,6 @@
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import org.slf4j.Logger;
@@ -243,6 +243,6 @@
   /** The platform has no health checks: the policy is told that none was sent. */
   @Override
   public void startHealthCheck(String endpointId) {
-    runner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, Map.of()));
+    runner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, LoadReport.NONE));
   }
 }
