--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -202,18 +202,18 @@
 
   private void execute(List<ClientAction> actions) {
     for (ClientAction each : actions) {
-      if (each instanceof SendSum ask) {
-        sendSum(ask);
-      } else if (each instanceof SendHeartbeat here) {
-        sendHeartbeat(here);
+      if (each instanceof SendSum action) {
+        sendSum(action);
+      } else if (each instanceof SendHeartbeat heartbeat) {
+        sendHeartbeat(heartbeat);
       } else if (each instanceof FetchMembership fetch) {
         exchangeMembershipList(fetch.node(), Request.cmd(NODES));
-      } else if (each instanceof PushMembership give) {
+      } else if (each instanceof PushMembership push) {
         Request request = Request.cmd(NODES);
-        for (String word : give.list().toString().split(" ", 0)) {
+        for (String word : push.list().toString().split(" ", 0)) {
           request.arg(word);
         }
-        exchangeMembershipList(give.node(), request);
+        exchangeMembershipList(push.node(), request);
       } else if (each instanceof CallEnded end) {
         CounterReplySequencer.PendingCall call = pendingCalls.remove(end.callId());
         if (call != null) {
@@ -223,8 +223,8 @@
     }
   }
 
-  private static CallResult callResult(CallOutcome result) {
-    return switch (result) {
+  private static CallResult callResult(CallOutcome outcome) {
+    return switch (outcome) {
       case OK -> CallResult.OK;
       case TIMEOUT -> CallResult.TIMEOUT;
       case UNREACHABLE -> CallResult.CONNECT_FAILED;
@@ -232,15 +232,15 @@
     };
   }
 
-  private void sendHeartbeat(SendHeartbeat here) {
+  private void sendHeartbeat(SendHeartbeat heartbeat) {
     send(
-        here.node(),
-        Request.cmd(HERE).arg(origin).arg(here.stamp()),
+        heartbeat.node(),
+        Request.cmd(HERE).arg(origin).arg(heartbeat.stamp()),
         reply -> {
           if (reply.succeeded()) {
             List<ClientAction> actions = new ArrayList<>();
             client.onHeartbeatReply(
-                here.node(),
+                heartbeat.node(),
                 reply.result().get(0).toInteger() == 1,
                 reply.result().get(1).toLong(),
                 actions);
@@ -297,29 +297,29 @@
     }
   }
 
-  private void sendSum(SendSum ask) {
-    ReplicatedSum sum = ask.sum();
+  private void sendSum(SendSum action) {
+    ReplicatedSum sum = action.sum();
     send(
-        ask.node(),
+        action.node(),
         Request.cmd(SUM)
             .arg(sum.name())
             .arg(sum.origin())
             .arg(sum.added().toString())
             .arg(sum.withdrawn().toString())
             .arg(sum.timeToLiveMillis()),
-        reply -> onSumReply(ask, reply));
+        reply -> onSumReply(action, reply));
   }
 
-  private void onSumReply(SendSum ask, AsyncResult<Response> reply) {
+  private void onSumReply(SendSum action, AsyncResult<Response> reply) {
     List<ClientAction> actions = new ArrayList<>();
     if (reply.succeeded()) {
       double total = Double.parseDouble(reply.result().toString());
-      client.onTotal(ask.node(), ask.callId(), total, actions);
+      client.onTotal(action.node(), action.callId(), total, actions);
     } else if (CounterConnection.isErrorReply(reply.cause())) {
       String text = String.valueOf(reply.cause().getMessage());
       boolean isNotReady =
           text.startsWith("LOADING") || text.startsWith("FENCED") || text.startsWith("MISCONF");
-      client.onRejected(ask.node(), ask.callId(), isNotReady, nowMillis(), actions);
+      client.onRejected(action.node(), action.callId(), isNotReady, nowMillis(), actions);
     }
     execute(actions);
   }
