--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -39,7 +39,7 @@
   private static void amount(CommandInvocation c, int place) {
     DecimalAmount amount = c.operations().table().get(c.word(place), c.nowMillis());
     if (amount == null) {
-      c.reply().nil();
+      c.reply().nullBulk();
     } else {
       c.reply().bulk(amount.toString());
     }
@@ -137,7 +137,7 @@
     if (get && was != null) {
       c.reply().bulk(was.toString());
     } else if (get || !does) {
-      c.reply().nil();
+      c.reply().nullBulk();
     } else {
       c.reply().ok();
     }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -148,7 +148,7 @@
       case "ID 2" -> c.reply().integer(c.connection().id);
       case "GETNAME 2" -> {
         if (c.connection().name.isEmpty()) {
-          c.reply().nil();
+          c.reply().nullBulk();
         } else {
           c.reply().bulk(c.connection().name);
         }
@@ -182,7 +182,7 @@
         for (int i = 2; i < c.words().length; i++) {
           Command found = all.get(c.option(i));
           if (found == null) {
-            c.reply().nil();
+            c.reply().nullBulk();
           } else {
             describe(c, found);
           }
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -227,7 +227,7 @@
       } else {
         writer.array(3);
         writer.bulk(words[2]);
-        writer.nil();
+        writer.nullBulk();
         writer.bulk(LOAD_REPORT);
       }
       return out;
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -66,7 +66,7 @@
     bulk(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  public void nil() {
+  public void nullBulk() {
     to.writeCharSequence(version == 3 ? "_\r\n" : "$-1\r\n", StandardCharsets.US_ASCII);
   }
 
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -6,6 +6,9 @@
 
 import fawndock.fake.FakeRespServer;
 import fawndock.fake.RespClient;
+import fawndock.resp.Reply;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
@@ -13,62 +16,60 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/**
- * The platform's table of outcomes, row by row, and spoilt answers; each worker answers as its case
- * says.
- */
+/** The platform's table of attempt outcomes, row by row, and malformed replies. */
 class AttemptOutcomeTest {
-  /** Answers the first attempt of all as given, and the others well. */
-  private static FakeRespServer.CommandHandler first(FakeRespServer.CommandHandler odd) {
+  /** Handles the first attempt as given, and all others well. */
+  private static FakeRespServer.CommandHandler handlerWithFirstReply(
+      FakeRespServer.CommandHandler first) {
     AtomicInteger many = new AtomicInteger();
-    return (words, link) -> {
+    return (command, connection) -> {
       if (many.getAndIncrement() == 0) {
-        odd.onCommand(words, link);
+        first.onCommand(command, connection);
       } else {
-        FakeRespServer.backendHandler().onCommand(words, link);
+        FakeRespServer.backendHandler().onCommand(command, connection);
       }
     };
   }
 
   /**
-   * What a client is answered when the first attempt ends so, by class, and how many commands the
-   * worker read.
+   * Returns the client's response when the first attempt ends like this, and how many attempts the
+   * backend read.
    */
-  private static Map.Entry<String, Integer> answer(String type, FakeRespServer.CommandHandler odd)
-      throws Exception {
-    try (PlatformHarness service =
-            new PlatformHarness(first(odd), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      String[] words = service.request(type);
-      String answer = client.call(words);
+  private static Map.Entry<String, Integer> responseAndAttempts(
+      String type, FakeRespServer.CommandHandler first) throws Exception {
+    try (PlatformHarness harness =
+            new PlatformHarness(handlerWithFirstReply(first), FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
+      String[] command = harness.newRequest(type);
+      String answer = client.call(command);
       return Map.entry(
-          answer.equals("value of " + words[2]) ? "served" : answer.split(" ")[0],
-          service.world.backend.commandCount());
+          answer.equals("value of " + command[2]) ? "served" : answer.split(" ", 0)[0],
+          harness.platform.backend.commandCount());
     }
   }
 
   @Test
-  void servedIsTheValueAndTheCommandIsUnchangedButForTheTime() throws Exception {
+  void servedRequest_returnsValueAndForwardsCommandUnchangedButForTimeout() throws Exception {
     Map<String, String> lists = new ConcurrentHashMap<>();
-    try (PlatformHarness service =
+    try (PlatformHarness harness =
             new PlatformHarness(
-                (words, link) -> {
-                  lists.put(words.get(2), String.join(" ", words));
-                  FakeRespServer.backendHandler().onCommand(words, link);
+                (command, connection) -> {
+                  lists.put(command.get(2), String.join(" ", command));
+                  FakeRespServer.backendHandler().onCommand(command, connection);
                 },
                 FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      String[] words = service.request("note");
+        RespClient client = harness.connectClient()) {
+      String[] command = harness.newRequest("note");
       assertEquals(
-          "value of " + words[2],
-          client.call(words[0], words[1], words[2], words[3], "BODY \r\n $5"));
-      String sent = lists.get(words[2]);
+          "value of " + command[2],
+          client.call(command[0], command[1], command[2], command[3], "BODY \r\n $5"));
+      String sent = lists.get(command[2]);
       assertTrue(
           sent.matches(
               "Q\\.DO "
-                  + words[1]
+                  + command[1]
                   + " "
-                  + words[2]
+                  + command[2]
                   + " c=note,t=large,d=1[0-9]{3},k=5c0f6e1a2b3d4c59,units=1,"
                   + "spread=1,first=0 BODY \r\n \\$5"),
           sent);
@@ -76,49 +77,56 @@
   }
 
   @Test
-  void anErrorMayHaveRun() throws Exception {
+  void errorReply_isNotRetriedAsItMayHaveRun() throws Exception {
     assertEquals(
         Map.entry("-ERR", 1),
-        answer("pay", (words, link) -> link.send("-ERR failed backlog=3\r\n")));
+        responseAndAttempts(
+            "pay", (command, connection) -> connection.send("-ERR failed backlog=3\r\n")));
   }
 
   @Test
-  void busyNeverRanSoThatItIsSentAgain() throws Exception {
+  void busyReply_isRetriedAsItNeverRan() throws Exception {
     assertEquals(
-        Map.entry("served", 2), answer("pay", (words, link) -> link.send("-BUSY backlog=9\r\n")));
+        Map.entry("served", 2),
+        responseAndAttempts(
+            "pay", (command, connection) -> connection.send("-BUSY backlog=9\r\n")));
   }
 
   @Test
-  void aBreakAfterTheLastByteMayHaveRun() throws Exception {
-    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.close(true)));
-    assertEquals(Map.entry("-ERR", 1), answer("pay", (words, link) -> link.close(false)));
+  void connectionLossAfterLastByte_isNotRetriedAsItMayHaveRun() throws Exception {
+    assertEquals(
+        Map.entry("-ERR", 1),
+        responseAndAttempts("pay", (command, connection) -> connection.close(true)));
+    assertEquals(
+        Map.entry("-ERR", 1),
+        responseAndAttempts("pay", (command, connection) -> connection.close(false)));
   }
 
   @Test
-  void noConnectionNeverRan() throws Exception {
-    try (PlatformHarness service =
+  void refusedConnection_isRejectedAsItNeverRan() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      service.world.backend.close();
-      assertTrue(client.call(service.request("pay")).startsWith("-BUSY"));
+        RespClient client = harness.connectClient()) {
+      harness.platform.backend.close();
+      assertTrue(client.call(harness.newRequest("pay")).startsWith("-BUSY"));
     }
   }
 
   @Test
-  void spoiltAnswersMayHaveRunAndEndTheConnection() throws Exception {
+  void malformedReplies_failTheRequestAndCloseTheConnection() throws Exception {
     AtomicReference<String> next = new AtomicReference<>();
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          String spoilt = next.getAndSet(null);
-          link.send(
-              spoilt == null
-                  ? FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0")
-                  : spoilt);
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          String malformed = next.getAndSet(null);
+          connection.send(
+              malformed == null
+                  ? FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0")
+                  : malformed);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
       int connections = 0;
-      for (String spoilt :
+      for (String malformed :
           new String[] {
             "noise\r\n",
             "$3000000000\r\nabc",
@@ -131,82 +139,82 @@
             "+" + "x".repeat(3_000),
             "*2\r\n$1\r\nv\r\n$-1\r\n"
           }) {
-        next.set(spoilt);
-        assertTrue(client.call(service.request("pay")).startsWith("-ERR"), spoilt);
-        assertTrue(service.world.backend.acceptedCount() > connections, spoilt);
-        connections = service.world.backend.acceptedCount();
+        next.set(malformed);
+        assertTrue(client.call(harness.newRequest("pay")).startsWith("-ERR"), malformed);
+        assertTrue(harness.platform.backend.acceptedCount() > connections, malformed);
+        connections = harness.platform.backend.acceptedCount();
       }
-      Await.until(() -> service.world.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openCount() == 0);
     }
   }
 
   @Test
-  void aSecondCopyNeverAnswersTheNextRequest() throws Exception {
-    FakeRespServer.CommandHandler twice =
-        (words, link) -> {
+  void duplicateReply_isNeverTakenForTheNextRequests() throws Exception {
+    FakeRespServer.CommandHandler duplicating =
+        (command, connection) -> {
           String answer =
-              FakeRespServer.backendResponse("value of " + words.get(2), "queue=x,noise");
-          link.send(answer + answer);
+              FakeRespServer.backendResponse("value of " + command.get(2), "queue=x,noise");
+          connection.send(answer + answer);
         };
-    try (PlatformHarness service = new PlatformHarness(twice, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+    try (PlatformHarness harness =
+            new PlatformHarness(duplicating, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
       for (int i = 0; i < 5; i++) {
-        String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.call(words));
+        String[] command = harness.newRequest("pay");
+        assertEquals("value of " + command[2], client.call(command));
       }
-      assertEquals(5, service.world.backend.acceptedCount());
+      assertEquals(5, harness.platform.backend.acceptedCount());
     }
   }
 
-  /**
-   * What stands behind an answer may be the beginning of something; it is no part of the next one.
-   */
+  /** Bytes behind a reply may be the beginning of another; they are no part of the next one. */
   @Test
-  void halfAReplyBehindAnAnswerIsNoPartOfTheNext() throws Exception {
+  void partialReplyBehindAReply_isNeverPartOfTheNext() throws Exception {
     FakeRespServer.CommandHandler more =
-        (words, link) ->
-            link.send(
-                FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0")
+        (command, connection) ->
+            connection.send(
+                FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0")
                     + "*3\r\n$5\r\nva");
-    try (PlatformHarness service = new PlatformHarness(more, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+    try (PlatformHarness harness = new PlatformHarness(more, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
       for (int i = 0; i < 3; i++) {
-        String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.call(words));
-        Thread.sleep(10); // Longer than a connection rests: it would be used again.
+        String[] command = harness.newRequest("pay");
+        assertEquals("value of " + command[2], client.call(command));
+        Thread.sleep(10); // Long enough for the next request to be a new one.
       }
-      assertEquals(3, service.world.backend.acceptedCount());
+      assertEquals(3, harness.platform.backend.acceptedCount());
     }
   }
 
-  /** The worker would close at 3 s; a request that met that would end as a reset. */
+  /** The backend closes after 3 s; a request that crossed that would end as a reset. */
   @Test
-  void idleConnectionsAreClosedBeforeTheWorkerDoes() throws Exception {
-    try (PlatformHarness service =
+  void idleConnections_areClosedBeforeTheBackendClosesThem() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      client.call(service.request("look"));
-      assertEquals(1, service.world.backend.openCount());
-      Await.until(() -> service.world.backend.openCount() == 0);
+        RespClient client = harness.connectClient()) {
+      client.call(harness.newRequest("look"));
+      assertEquals(1, harness.platform.backend.openCount());
+      Await.until(() -> harness.platform.backend.openCount() == 0);
     }
   }
 
   @Test
-  void anAttemptGivenUpEndsItsConnection() throws Exception {
+  void abandonedAttempt_closesItsConnection() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
-    try (PlatformHarness service =
+    try (PlatformHarness harness =
         new PlatformHarness(
-            first((words, link) -> asked.countDown()), FakeRespServer.counterHandler())) {
-      RespClient client = service.client();
-      client.send(RespClient.encodeCommand(service.request("pay")));
+            handlerWithFirstReply((command, connection) -> asked.countDown()),
+            FakeRespServer.counterHandler())) {
+      RespClient client = harness.connectClient();
+      client.send(RespClient.encodeCommand(harness.newRequest("pay")));
       asked.await();
       client.close();
-      Await.until(() -> service.world.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openCount() == 0);
     }
   }
 
   @Test
-  void anUnreadableReportCostsNothingButItself() {
+  void malformedLoadReport_isIgnored() {
     assertEquals(
         Map.of("queue", 2.0),
         BackendReply.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
@@ -214,15 +222,11 @@
     assertNotEquals(null, BackendReply.of(reply("")).value());
   }
 
-  private static fawndock.resp.Reply reply(String load) {
-    return new fawndock.resp.Reply(
-        '*',
-        null,
-        java.util.List.of(bulk("value"), new fawndock.resp.Reply('$', null, null), bulk(load)));
+  private static Reply reply(String load) {
+    return new Reply('*', null, List.of(bulk("value"), new Reply('$', null, null), bulk(load)));
   }
 
-  private static fawndock.resp.Reply bulk(String text) {
-    return new fawndock.resp.Reply(
-        '$', text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), null);
+  private static Reply bulk(String text) {
+    return new Reply('$', text.getBytes(StandardCharsets.ISO_8859_1), null);
   }
 }
--- a/src/test/java/fawndock/platform/Await.java
+++ b/src/test/java/fawndock/platform/Await.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.Callable;
 
-/** Waits for what is to come about, within a limit that only a failure reaches. */
+/** Waits for a condition, within a limit that only a failure reaches. */
 final class Await {
   private static final long LIMIT_NANOS = 20_000_000_000L;
 
   private Await() {}
 
-  static void until(Callable<Boolean> what) throws Exception {
+  static void until(Callable<Boolean> condition) throws Exception {
     long end = System.nanoTime() + LIMIT_NANOS;
-    while (!what.call()) {
+    while (!condition.call()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("it did not come about within 20 s");
+        throw new AssertionError("condition not met within 20 s");
       }
       Thread.sleep(5);
     }
--- a/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
+++ b/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
@@ -12,121 +12,122 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ends of attempts: late copies, connections that the worker ends, and what a further attempt is
- * told.
+ * Reuse of backend connections: late duplicates, closes by the backend, and the timeout of retries.
  */
 class BackendConnectionReuseTest {
   private static final long RESTED_MILLIS = 80;
 
-  /** A second copy some milliseconds behind an answer is no answer to the next request. */
+  /** A duplicate some milliseconds behind a reply is not the next request's. */
   @Test
-  void aSecondCopyAfterAPauseAnswersNobody() throws Exception {
+  void lateDuplicateReply_isDropped() throws Exception {
     AtomicInteger many = new AtomicInteger();
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          String answer = FakeRespServer.backendResponse("value of " + words.get(2), "backlog=0");
-          link.send(answer);
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          String answer = FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0");
+          connection.send(answer);
           if (many.getAndIncrement() == 0) {
             Thread.sleep(20);
-            link.send(answer);
+            connection.send(answer);
           }
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
       for (int i = 0; i < 4; i++) {
-        String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.call(words));
+        String[] command = harness.newRequest("pay");
+        assertEquals("value of " + command[2], client.call(command));
         Thread.sleep(10);
       }
     }
   }
 
   /**
-   * The connection to be used again has ended by then: its close is found in the turn of the
+   * The close of the connection to be reused is read in the same turn of the event loop as the
    * request.
    */
   @Test
-  void aRequestThatMeetsAWorkersCloseGetsAnotherConnection() throws Exception {
-    CopyOnWriteArrayList<FakeRespServer.Connection> links = new CopyOnWriteArrayList<>();
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          links.add(link);
-          FakeRespServer.backendHandler().onCommand(words, link);
+  void requestCrossingABackendClose_getsAnotherConnection() throws Exception {
+    CopyOnWriteArrayList<FakeRespServer.Connection> connections = new CopyOnWriteArrayList<>();
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          connections.add(connection);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      client.call(service.request("pay"));
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
+      client.call(harness.newRequest("pay"));
       Thread.sleep(RESTED_MILLIS);
       for (boolean reset : new boolean[] {false, true}) {
-        CountDownLatch release = service.hold();
-        String[] words = service.request("pay");
-        client.send(RespClient.encodeCommand(words));
+        CountDownLatch release = harness.blockEventLoop();
+        String[] command = harness.newRequest("pay");
+        client.send(RespClient.encodeCommand(command));
         Thread.sleep(20);
-        links.get(links.size() - 1).close(reset);
+        connections.get(connections.size() - 1).close(reset);
         Thread.sleep(20);
         release.countDown();
-        assertEquals("value of " + words[2], client.readReply());
+        assertEquals("value of " + command[2], client.readReply());
         Thread.sleep(RESTED_MILLIS);
       }
     }
   }
 
-  /** Noise that came on the connection to be used again, half a reply too. */
+  /** Bytes on a connection that would be reused, even if they are part of a reply. */
   @Test
-  void bytesOnAnIdleConnectionEndIt() throws Exception {
-    CopyOnWriteArrayList<FakeRespServer.Connection> links = new CopyOnWriteArrayList<>();
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          links.add(link);
-          FakeRespServer.backendHandler().onCommand(words, link);
+  void bytesOnAnIdleConnection_closeIt() throws Exception {
+    CopyOnWriteArrayList<FakeRespServer.Connection> connections = new CopyOnWriteArrayList<>();
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          connections.add(connection);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
       for (int i = 0; i < 3; i++) {
-        String[] words = service.request("pay");
-        assertEquals("value of " + words[2], client.call(words));
+        String[] command = harness.newRequest("pay");
+        assertEquals("value of " + command[2], client.call(command));
         Thread.sleep(RESTED_MILLIS);
-        links.get(i).send("*3\r\n$5\r\nva");
-        Await.until(() -> service.world.backend.openCount() == 0);
+        connections.get(i).send("*3\r\n$5\r\nva");
+        Await.until(() -> harness.platform.backend.openCount() == 0);
       }
-      assertEquals(3, service.world.backend.acceptedCount());
+      assertEquals(3, harness.platform.backend.acceptedCount());
     }
   }
 
-  /** What is left to the client, not what there was at first. */
+  /** What is left of the client's timeout, not all of it. */
   @Test
-  void aFurtherAttemptTellsWhatIsLeft() throws Exception {
-    List<Integer> told = new CopyOnWriteArrayList<>();
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          told.add(Integer.parseInt(words.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
-          if (told.size() == 1) {
+  void retry_forwardsTheRemainingTimeout() throws Exception {
+    List<Integer> timeouts = new CopyOnWriteArrayList<>();
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          timeouts.add(Integer.parseInt(command.get(3).replaceAll(".*,d=([0-9]+).*", "$1")));
+          if (timeouts.size() == 1) {
             Thread.sleep(100);
-            link.send("-BUSY\r\n");
+            connection.send("-BUSY\r\n");
           } else {
-            FakeRespServer.backendHandler().onCommand(words, link);
+            FakeRespServer.backendHandler().onCommand(command, connection);
           }
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], client.call(words));
-      assertTrue(told.get(0) <= 1_500 && told.get(1) <= told.get(0) - 100, told.toString());
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], client.call(command));
+      assertTrue(
+          timeouts.get(0) <= 1_500 && timeouts.get(1) <= timeouts.get(0) - 100,
+          timeouts.toString());
     }
   }
 
-  /** No attempt begins for a request whose time was up while the loop was held. */
+  /** No attempt starts for a request whose deadline has passed. */
   @Test
-  void noAttemptBeginsWithNoTimeLeft() throws Exception {
-    try (PlatformHarness service =
+  void expiredRequest_isNotForwarded() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      client.call(service.request("look"));
+        RespClient client = harness.connectClient()) {
+      client.call(harness.newRequest("look"));
       Thread.sleep(RESTED_MILLIS);
-      String[] words = service.request("look");
-      words[3] = words[3].replace("d=1500", "d=1");
-      assertTrue(client.call(words).startsWith("-"));
-      assertEquals(1, service.world.backend.commandCount());
+      String[] command = harness.newRequest("look");
+      command[3] = command[3].replace("d=1500", "d=1");
+      assertTrue(client.call(command).startsWith("-"));
+      assertEquals(1, harness.platform.backend.commandCount());
     }
   }
 }
--- a/src/test/java/fawndock/platform/ClientCommandTest.java
+++ b/src/test/java/fawndock/platform/ClientCommandTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Clients, usual and bad ones: a bad one gets an error or a close and takes nothing from the usual
- * ones.
+ * Clients that keep to the protocol and others: the latter get an error or a close, and cost the
+ * former nothing.
  */
 class ClientCommandTest {
   @Test
-  void answersComeInTheOrderOfTheCommands() throws Exception {
+  void responsesComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          if (words.get(0).equals("Q.DO")) {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          if (command.get(0).equals("Q.DO")) {
             release.await();
           }
-          FakeRespServer.backendHandler().onCommand(words, link);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      String[] slow = service.request("pay");
-      String[] quick = service.request("look");
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient client = harness.connectClient()) {
+      String[] slow = harness.newRequest("pay");
+      String[] quick = harness.newRequest("look");
       client.send(
           RespClient.encodeCommand(slow)
               + RespClient.encodeCommand(quick)
               + RespClient.encodeCommand("PING"));
-      Await.until(() -> service.world.backend.commandCount() == 2);
+      Await.until(() -> harness.platform.backend.commandCount() == 2);
       release.countDown();
       assertEquals("value of " + slow[2], client.readReply());
       assertEquals("value of " + quick[2], client.readReply());
@@ -43,12 +43,12 @@
   }
 
   @Test
-  void badInputGetsAnErrorOrACloseAndReachesNobody() throws Exception {
-    try (PlatformHarness service =
+  void invalidInput_getsAnErrorAndIsNotForwarded() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient usual = service.client()) {
+        RespClient wellBehaved = harness.connectClient()) {
       String good = "c=look,t=large,d=900,units=1,spread=1,first=0";
-      List<String[]> unfit = new ArrayList<>();
+      List<String[]> invalidCommands = new ArrayList<>();
       for (String list :
           new String[] {
             "",
@@ -68,20 +68,20 @@
             "=" + good,
             good + "\n"
           }) {
-        unfit.add(new String[] {"Q.ASK", "0000000000000007", "00000000000000aa", list});
+        invalidCommands.add(new String[] {"Q.ASK", "0000000000000007", "00000000000000aa", list});
       }
-      unfit.add(new String[] {"Q.ASK", "0000000000000007", "", good});
-      unfit.add(new String[] {"Q.ASK", "0000000200000000", "00000000000000aa", good});
-      unfit.add(new String[] {"Q.ASK", "-000000000000007", "00000000000000aa", good});
-      unfit.add(new String[] {"Q.ASK", "0000000000000007", "00000000000000aa"});
-      unfit.add(new String[] {"Q.DO", "0000000000000007", "00000000000000aa", good});
-      unfit.add(
+      invalidCommands.add(new String[] {"Q.ASK", "0000000000000007", "", good});
+      invalidCommands.add(new String[] {"Q.ASK", "0000000200000000", "00000000000000aa", good});
+      invalidCommands.add(new String[] {"Q.ASK", "-000000000000007", "00000000000000aa", good});
+      invalidCommands.add(new String[] {"Q.ASK", "0000000000000007", "00000000000000aa"});
+      invalidCommands.add(new String[] {"Q.DO", "0000000000000007", "00000000000000aa", good});
+      invalidCommands.add(
           new String[] {
             "Q.DO", "0000000000000007", "00000000000000aa", good.replace("look", "note")
           });
-      unfit.add(new String[] {"GET", "x"});
-      for (String[] each : unfit) {
-        assertTrue(usual.call(each).startsWith("-ERR"), String.join(" ", each));
+      invalidCommands.add(new String[] {"GET", "x"});
+      for (String[] each : invalidCommands) {
+        assertTrue(wellBehaved.call(each).startsWith("-ERR"), String.join(" ", each));
       }
       for (String noise :
           new String[] {
@@ -95,63 +95,63 @@
             "\u0000\u0001\u0002",
             "*" + "1".repeat(200)
           }) {
-        try (RespClient bad = service.client()) {
+        try (RespClient bad = harness.connectClient()) {
           assertTrue(bad.send(noise).readReply().startsWith("-ERR"), noise);
           assertNull(bad.readReply(), noise);
         }
       }
-      assertEquals(0, service.world.backend.commandCount());
-      assertEquals(0, service.world.counter.commandCount());
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.call(words));
+      assertEquals(0, harness.platform.backend.commandCount());
+      assertEquals(0, harness.platform.counter.commandCount());
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], wellBehaved.call(command));
     }
   }
 
   @Test
-  void halfACommandAndSilenceEnd() throws Exception {
-    try (PlatformHarness service =
+  void incompleteCommandAndSilentConnection_areClosed() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient half = service.client();
-        RespClient silent = service.client();
-        RespClient usual = service.client()) {
-      usual.call("PING");
+        RespClient half = harness.connectClient();
+        RespClient silent = harness.connectClient();
+        RespClient wellBehaved = harness.connectClient()) {
+      wellBehaved.call("PING");
       half.send("*4\r\n$5\r\nQ.A");
       assertTrue(half.readReply().startsWith("-ERR"));
       assertNull(half.readReply());
       assertNull(silent.readReply());
-      assertEquals("+PONG", usual.call("PING"));
+      assertEquals("+PONG", wellBehaved.call("PING"));
     }
   }
 
   @Test
-  void anIdThatIsOpenIsNotTakenTwice() throws Exception {
+  void idInFlight_isRejected() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
           release.await();
-          FakeRespServer.backendHandler().onCommand(words, link);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient usual = service.client();
-        RespClient bad = service.client()) {
-      String[] words = service.request("pay");
-      usual.send(RespClient.encodeCommand(words));
-      Await.until(() -> service.world.backend.commandCount() == 1);
-      assertEquals("-ERR the id is open already", bad.call(words));
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient wellBehaved = harness.connectClient();
+        RespClient bad = harness.connectClient()) {
+      String[] command = harness.newRequest("pay");
+      wellBehaved.send(RespClient.encodeCommand(command));
+      Await.until(() -> harness.platform.backend.commandCount() == 1);
+      assertEquals("-ERR the id is open already", bad.call(command));
       release.countDown();
-      assertEquals("value of " + words[2], usual.readReply());
-      assertEquals(1, service.world.backend.commandCount());
+      assertEquals("value of " + command[2], wellBehaved.readReply());
+      assertEquals(1, harness.platform.backend.commandCount());
     }
   }
 
   @Test
-  void tooManyCommandsAtOnceEndTheConnectionAfterTheFirst() throws Exception {
-    try (PlatformHarness service =
+  void tooManyCommandsAtOnce_closeTheConnectionAfterTheFirstResponses() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient bad = service.client()) {
+        RespClient bad = harness.connectClient()) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 200; i++) {
-        all.append(RespClient.encodeCommand(service.request("look")));
+        all.append(RespClient.encodeCommand(harness.newRequest("look")));
       }
       bad.send(all.toString());
       int answers = 0;
@@ -162,24 +162,24 @@
       }
       assertEquals("-ERR too many commands at once", last);
       assertTrue(answers < 200, answers + " answers");
-      assertEquals("+PONG", service.client().call("PING"));
+      assertEquals("+PONG", harness.connectClient().call("PING"));
     }
   }
 
   @Test
-  void whenConnectionsAreSpentTheSilentOnesGo() throws Exception {
-    try (PlatformHarness service =
+  void connectionLimit_evictsSilentConnections() throws Exception {
+    try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
-      RespClient usual = service.client();
-      usual.call("PING");
+      RespClient wellBehaved = harness.connectClient();
+      wellBehaved.call("PING");
       List<RespClient> silent = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        silent.add(service.client());
+        silent.add(harness.connectClient());
       }
-      RespClient late = service.client();
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], late.call(words));
-      assertEquals("+PONG", usual.call("PING"));
+      RespClient late = harness.connectClient();
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], late.call(command));
+      assertEquals("+PONG", wellBehaved.call("PING"));
       assertNull(silent.get(0).readReply());
     }
   }
--- a/src/test/java/fawndock/platform/ClientDisconnectTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ends of clients' connections, with bytes or requests that cross them: the event loop is held
- * until both have happened.
+ * Ends of client connections that cross bytes or requests: the event loop is blocked until both
+ * have happened.
  */
 class ClientDisconnectTest {
-  /** Longer than a connection to a worker rests: it is used again. */
+  /** Long enough for a backend connection to be reused. */
   private static final long RESTED_MILLIS = 80;
 
-  private static Socket socket(PlatformHarness service) throws Exception {
-    Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), service.world.port());
+  private static Socket socket(PlatformHarness harness) throws Exception {
+    Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), harness.platform.port());
     socket.setSoTimeout(10_000);
     return socket;
   }
@@ -32,7 +32,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** The line that comes; any exception is a failure. */
+  /** Reads a line; any exception is a failure. */
   private static String line(InputStream in) throws Exception {
     StringBuilder line = new StringBuilder();
     for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void aCloseOverUnreadBytesIsNoReset() throws Exception {
-    try (PlatformHarness service =
+  void closeOverUnreadBytes_isNoReset() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        Socket bad = socket(service)) {
-      CountDownLatch release = service.hold();
+        Socket bad = socket(harness)) {
+      CountDownLatch release = harness.blockEventLoop();
       send(bad, "*x\r\n" + "y".repeat(100_000));
       release.countDown();
       assertTrue(line(bad.getInputStream()).startsWith("-ERR"));
@@ -55,147 +55,147 @@
   }
 
   @Test
-  void whatIsReadAfterTheHalfCloseIsNotSentOn() throws Exception {
-    try (PlatformHarness service =
+  void requestAfterHalfClose_isNotForwarded() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        Socket bad = socket(service);
-        RespClient usual = service.client()) {
+        Socket bad = socket(harness);
+        RespClient wellBehaved = harness.connectClient()) {
       send(bad, "*x\r\n");
       assertTrue(line(bad.getInputStream()).startsWith("-ERR"));
       assertEquals(-1, bad.getInputStream().read());
-      send(bad, RespClient.encodeCommand(service.request("pay")));
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.call(words));
-      assertEquals(1, service.world.backend.commandCount());
+      send(bad, RespClient.encodeCommand(harness.newRequest("pay")));
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], wellBehaved.call(command));
+      assertEquals(1, harness.platform.backend.commandCount());
     }
   }
 
   /**
-   * A connection that is evicted in the turn in which its request comes: answered, or closed
-   * unread; never both or neither.
+   * A connection is evicted in the turn in which its request comes: the request is answered, or
+   * closed unread; never both or neither.
    */
   @Test
-  void aRequestThatCrossesAnEvictionIsAnsweredOrNeverSentOn() throws Exception {
-    try (PlatformHarness service =
+  void requestCrossingAnEviction_isServedOrNeverForwarded() throws Exception {
+    try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
-      RespClient silent = service.client();
-      Await.until(() -> service.daemon.gateway().clientListener().connectionCount() == 1);
+      RespClient silent = harness.connectClient();
+      Await.until(() -> harness.process.gateway().clientListener().connectionCount() == 1);
       int most = (int) (0.45 * 64);
-      CountDownLatch release = service.hold();
+      CountDownLatch release = harness.blockEventLoop();
       RespClient[] others = new RespClient[most];
       for (int i = 0; i < most; i++) {
-        others[i] = service.client();
+        others[i] = harness.connectClient();
       }
-      String[] words = service.request("pay");
-      silent.send(RespClient.encodeCommand(words));
+      String[] command = harness.newRequest("pay");
+      silent.send(RespClient.encodeCommand(command));
       release.countDown();
       String answer = silent.readReply();
       others[most - 1].call("PING");
-      assertEquals(answer == null ? 0 : 1, service.world.backend.commandCount());
-      assertTrue(answer == null || answer.equals("value of " + words[2]), answer);
+      assertEquals(answer == null ? 0 : 1, harness.platform.backend.commandCount());
+      assertTrue(answer == null || answer.equals("value of " + command[2]), answer);
     }
   }
 
   @Test
-  void nothingIsSentForAClientThatLeftWhileItWasCounted() throws Exception {
+  void disconnectDuringTheCounterCall_isNotForwarded() throws Exception {
     CountDownLatch[] counting = {null};
     FakeRespServer.CommandHandler counter =
-        (words, link) -> {
+        (command, connection) -> {
           if (counting[0] != null) {
             counting[0].await();
           }
-          FakeRespServer.counterHandler().onCommand(words, link);
+          FakeRespServer.counterHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(FakeRespServer.backendHandler(), counter);
-        RespClient usual = service.client()) {
-      usual.call(service.request("pay"));
+    try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
+        RespClient wellBehaved = harness.connectClient()) {
+      wellBehaved.call(harness.newRequest("pay"));
       Thread.sleep(RESTED_MILLIS);
       counting[0] = new CountDownLatch(1);
-      RespClient leaving = service.client();
-      int calls = service.world.counter.commandCount();
-      leaving.send(RespClient.encodeCommand(service.request("pay")));
-      Await.until(() -> service.world.counter.commandCount() > calls);
-      CountDownLatch release = service.hold();
-      counting[0]
-          .countDown(); // Its answer comes first, then the close; both are found in one turn.
+      RespClient leaving = harness.connectClient();
+      int calls = harness.platform.counter.commandCount();
+      leaving.send(RespClient.encodeCommand(harness.newRequest("pay")));
+      Await.until(() -> harness.platform.counter.commandCount() > calls);
+      CountDownLatch release = harness.blockEventLoop();
+      counting[0].countDown(); // Its reply comes first, then the close; both are read in one turn.
       Thread.sleep(20);
       leaving.close();
       Thread.sleep(20);
       release.countDown();
       counting[0] = null;
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.call(words));
-      assertEquals(2, service.world.backend.commandCount());
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], wellBehaved.call(command));
+      assertEquals(2, harness.platform.backend.commandCount());
     }
   }
 
   @Test
-  void nothingIsSentAgainForAClientThatLeftMeanwhile() throws Exception {
+  void disconnectDuringTheAttempt_isNotRetried() throws Exception {
     CountDownLatch[] working = {null};
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
           if (working[0] != null) {
             working[0].await();
-            link.send("-ERR failed\r\n");
+            connection.send("-ERR failed\r\n");
           } else {
-            FakeRespServer.backendHandler().onCommand(words, link);
+            FakeRespServer.backendHandler().onCommand(command, connection);
           }
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
-        RespClient usual = service.client();
-        FakeRespServer second = new FakeRespServer(worker)) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      service.world.discovery.sendEvent(
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
+        RespClient wellBehaved = harness.connectClient();
+        FakeRespServer second = new FakeRespServer(backend)) {
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
               9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
-            usual.call(service.request("look"));
-            return second.commandCount() > 0 && service.world.backend.commandCount() > 0;
+            wellBehaved.call(harness.newRequest("look"));
+            return second.commandCount() > 0 && harness.platform.backend.commandCount() > 0;
           });
       Thread.sleep(RESTED_MILLIS);
       working[0] = new CountDownLatch(1);
-      int before = second.commandCount() + service.world.backend.commandCount();
-      RespClient leaving = service.client();
-      leaving.send(RespClient.encodeCommand(service.request("look")));
-      Await.until(() -> second.commandCount() + service.world.backend.commandCount() == before + 1);
-      CountDownLatch release = service.hold();
+      int before = second.commandCount() + harness.platform.backend.commandCount();
+      RespClient leaving = harness.connectClient();
+      leaving.send(RespClient.encodeCommand(harness.newRequest("look")));
+      Await.until(
+          () -> second.commandCount() + harness.platform.backend.commandCount() == before + 1);
+      CountDownLatch release = harness.blockEventLoop();
       working[0].countDown();
       Thread.sleep(20);
       leaving.close();
       Thread.sleep(20);
       release.countDown();
       working[0] = null;
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], usual.call(words));
-      assertEquals(before + 2, second.commandCount() + service.world.backend.commandCount());
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], wellBehaved.call(command));
+      assertEquals(before + 2, second.commandCount() + harness.platform.backend.commandCount());
     }
   }
 
-  /** One that does not read its answers is seen to leave before the time for that is up. */
+  /** The disconnect is noticed before the time limit for clients that do not read. */
   @Test
-  void leavingIsSeenWhileAnswersAreNotRead() throws Exception {
+  void disconnectOfAClientThatDoesNotRead_isNoticed() throws Exception {
     CountDownLatch hang = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
     String large = "v".repeat(60_000);
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          if (words.get(0).equals("Q.DO")) {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          if (command.get(0).equals("Q.DO")) {
             asked.countDown();
             hang.await();
           }
-          link.send(FakeRespServer.backendResponse(large, "backlog=0"));
+          connection.send(FakeRespServer.backendResponse(large, "backlog=0"));
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler());
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
         Socket client = new Socket()) {
       client.setReceiveBufferSize(4_096);
-      client.connect(new java.net.InetSocketAddress("127.0.0.1", service.world.port()));
+      client.connect(new java.net.InetSocketAddress("127.0.0.1", harness.platform.port()));
       for (int i = 0; i < 60; i++) {
-        send(client, RespClient.encodeCommand(service.request("look")));
+        send(client, RespClient.encodeCommand(harness.newRequest("look")));
       }
-      String[] words = service.request("pay");
-      words[3] = words[3].replace("d=1500", "d=60000");
-      send(client, RespClient.encodeCommand(words));
+      String[] command = harness.newRequest("pay");
+      command[3] = command[3].replace("d=1500", "d=60000");
+      send(client, RespClient.encodeCommand(command));
       assertTrue(
           asked.await(
               10,
@@ -204,82 +204,82 @@
       // is slow.
       Thread.sleep(200); // All 3.6 MB have been written, as far as they go.
       CountDownLatch late = new CountDownLatch(1);
-      service
-          .daemon
+      harness
+          .process
           .context()
           .runOnContext(
               v ->
-                  service
-                      .daemon
+                  harness
+                      .process
                       .gateway()
                       .runner()
                       .timers()
                       .schedule(ClientListener.UNREAD_TIMEOUT_MICROS / 2, late::countDown));
       client.close();
-      Await.until(() -> service.daemon.gateway().runner().openCount() == 0);
+      Await.until(() -> harness.process.gateway().runner().openCount() == 0);
       assertEquals(1, late.getCount());
       hang.countDown();
     }
   }
 
   @Test
-  void aStopAnswersAllThatCameAndEndsConnectionsInOrder() throws Exception {
+  void shutdown_answersAllRequestsAndClosesAllConnections() throws Exception {
     CountDownLatch hang = new CountDownLatch(1);
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          if (words.get(0).equals("Q.DO")) {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          if (command.get(0).equals("Q.DO")) {
             hang.await();
           }
-          FakeRespServer.backendHandler().onCommand(words, link);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler())) {
-      Socket resting = socket(service);
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler())) {
+      Socket resting = socket(harness);
       send(resting, "*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", line(resting.getInputStream()));
-      Socket half = socket(service);
+      Socket half = socket(harness);
       send(half, "*4\r\n$5\r\nQ.A");
-      RespClient waiting = service.client();
-      waiting.send(RespClient.encodeCommand(service.request("pay")));
-      Await.until(() -> service.world.backend.commandCount() == 1);
-      service.daemon.stop();
-      service.daemon.stop();
-      RespClient late = service.client();
-      String[] words = service.request("look");
-      assertEquals("value of " + words[2], late.call(words));
+      RespClient waiting = harness.connectClient();
+      waiting.send(RespClient.encodeCommand(harness.newRequest("pay")));
+      Await.until(() -> harness.platform.backend.commandCount() == 1);
+      harness.process.stop();
+      harness.process.stop();
+      RespClient late = harness.connectClient();
+      String[] command = harness.newRequest("look");
+      assertEquals("value of " + command[2], late.call(command));
       assertTrue(waiting.readReply().startsWith("-ERR"));
       assertNull(waiting.readReply());
       assertEquals(-1, resting.getInputStream().read());
       assertEquals(-1, half.getInputStream().read());
-      assertEquals(0, service.stop());
+      assertEquals(0, harness.stop());
       hang.countDown();
     }
   }
 
-  /** A request that comes in the turn in which the stop closes what is quiet. */
+  /** A request comes in the turn in which the shutdown closes idle connections. */
   @Test
-  void aRequestThatCrossesAStopIsAnsweredOrNeverSentOn() throws Exception {
-    try (PlatformHarness service =
+  void requestCrossingAShutdown_isServedOrNeverForwarded() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
+        RespClient client = harness.connectClient()) {
       client.call("PING");
-      service.daemon.stop();
-      CountDownLatch release = service.hold();
-      String[] words = service.request("pay");
+      harness.process.stop();
+      CountDownLatch release = harness.blockEventLoop();
+      String[] command = harness.newRequest("pay");
       CountDownLatch drained = new CountDownLatch(1);
-      service
-          .daemon
+      harness
+          .process
           .context()
           .runOnContext(
               v -> {
-                client.sendUnchecked(RespClient.encodeCommand(words));
-                service.daemon.gateway().clientListener().drain(drained::countDown);
+                client.sendUnchecked(RespClient.encodeCommand(command));
+                harness.process.gateway().clientListener().drain(drained::countDown);
               });
       release.countDown();
       String answer = client.readReply();
       client.close();
       drained.await();
-      assertEquals(answer == null ? 0 : 1, service.world.backend.commandCount());
-      assertTrue(answer == null || answer.equals("value of " + words[2]), answer);
+      assertEquals(answer == null ? 0 : 1, harness.platform.backend.commandCount());
+      assertTrue(answer == null || answer.equals("value of " + command[2]), answer);
     }
   }
 }
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -14,192 +14,193 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The catalog falls silent, comes back, ends its watches or writes in other forms: no drain is
- * missed.
+ * Discovery falls silent, recovers, ends its watches or uses other layouts: no draining is missed.
  */
 class EndpointDiscoveryTest {
-  private static void served(PlatformHarness service, RespClient client) throws Exception {
-    String[] words = service.request("look");
-    assertEquals("value of " + words[2], client.call(words));
+  private static void assertServed(PlatformHarness harness, RespClient client) throws Exception {
+    String[] command = harness.newRequest("look");
+    assertEquals("value of " + command[2], client.call(command));
   }
 
-  /** The first worker drains and the second is ready, as the whole list and as a change. */
-  private static String drained(PlatformHarness service, FakeRespServer second, boolean whole) {
+  /** A list in which the first backend is draining and the second is running. */
+  private static String listWithDrainingFirst(
+      PlatformHarness harness, FakeRespServer second, boolean whole) {
     return FakeDiscoveryServer.endpointListJson(
         20,
         whole,
         "w1",
-        "127.0.0.1:" + service.world.backend.port(),
+        "127.0.0.1:" + harness.platform.backend.port(),
         "draining",
         "w2",
         "127.0.0.1:" + second.port(),
         "ready");
   }
 
-  private static void goesToSecond(
-      PlatformHarness service, RespClient client, FakeRespServer second) throws Exception {
+  private static void assertOnlySecondIsUsed(
+      PlatformHarness harness, RespClient client, FakeRespServer second) throws Exception {
     Await.until(
         () -> {
-          served(service, client);
+          assertServed(harness, client);
           return second.commandCount() > 0;
         });
-    int before = service.world.backend.commandCount();
+    int before = harness.platform.backend.commandCount();
     for (int i = 0; i < 5; i++) {
-      served(service, client);
+      assertServed(harness, client);
     }
-    assertEquals(before, service.world.backend.commandCount());
+    assertEquals(before, harness.platform.backend.commandCount());
   }
 
   @Test
-  void aChangeIsReadInAnyFormAndPieces() throws Exception {
-    try (PlatformHarness service =
+  void change_isReadInAnyLayoutAndPieces() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
       String indented =
           "\n"
-              + drained(service, second, false).replace(",", ",\n    ").replace("{", "{\n  ")
+              + listWithDrainingFirst(harness, second, false)
+                  .replace(",", ",\n    ")
+                  .replace("{", "{\n  ")
               + "\n";
       for (int i = 0; i < indented.length(); i += 7) {
-        service.world.discovery.sendChunk(
+        harness.platform.discovery.sendChunk(
             indented.substring(i, Math.min(indented.length(), i + 7)));
       }
-      goesToSecond(service, client, second);
-      assertEquals(1, service.world.discovery.watchCount());
+      assertOnlySecondIsUsed(harness, client, second);
+      assertEquals(1, harness.platform.discovery.watchCount());
     }
   }
 
-  /**
-   * No moment without a call that waits: what a catalog that was silent tells at its return is
-   * heard.
-   */
+  /** A change that discovery sends when it recovers reaches a call that waits there. */
   @Test
-  void aCallWaitsAllTheWhileThatTheCatalogIsSilent() throws Exception {
-    try (PlatformHarness service =
+  void silentDiscovery_hasACallOpenAtEveryMoment() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      served(service, client);
-      service.world.discovery.setUnresponsive(true);
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      assertServed(harness, client);
+      harness.platform.discovery.setUnresponsive(true);
       AtomicBoolean waited = new AtomicBoolean(true);
       AtomicBoolean watching = new AtomicBoolean(true);
       Thread watcher =
           new Thread(
               () -> {
                 while (watching.get()) {
-                  waited.compareAndSet(true, service.world.discovery.openCount() > 0);
+                  waited.compareAndSet(true, harness.platform.discovery.openCount() > 0);
                   Thread.onSpinWait();
                 }
               });
       watcher.start();
-      int before = service.world.discovery.acceptedCount();
-      Await.until(() -> service.world.discovery.acceptedCount() >= before + 3);
-      service.world.discovery.setSnapshot(drained(service, second, true));
-      service.world.discovery.setUnresponsive(false);
-      Await.until(() -> service.world.discovery.watchCount() >= 2);
+      int before = harness.platform.discovery.acceptedCount();
+      Await.until(() -> harness.platform.discovery.acceptedCount() >= before + 3);
+      harness.platform.discovery.setSnapshot(listWithDrainingFirst(harness, second, true));
+      harness.platform.discovery.setUnresponsive(false);
+      Await.until(() -> harness.platform.discovery.watchCount() >= 2);
       watching.set(false);
       watcher.join();
       assertTrue(waited.get());
-      service.world.discovery.sendEvent(drained(service, second, false));
-      goesToSecond(service, client, second);
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
+      assertOnlySecondIsUsed(harness, client, second);
     }
   }
 
   /**
-   * The counter's answer is read first, the drain in the same turn: the worker was chosen before it
-   * was told to drain.
+   * The counter's reply is read first, the draining in the same turn: the endpoint was selected
+   * before it was known to drain.
    */
   @Test
-  void aDrainThatCameWithTheChoiceIsKept() throws Exception {
+  void drainInTheTurnOfTheSelection_isObeyed() throws Exception {
     AtomicReference<CountDownLatch> counting = new AtomicReference<>(new CountDownLatch(0));
     FakeRespServer.CommandHandler counter =
-        (words, link) -> {
+        (command, connection) -> {
           counting.get().await();
-          FakeRespServer.counterHandler().onCommand(words, link);
+          FakeRespServer.counterHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(FakeRespServer.backendHandler(), counter);
-        RespClient client = service.client();
+    try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      served(service, client);
-      Thread.sleep(80); // The connection has rested and is used again.
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      assertServed(harness, client);
+      Thread.sleep(80); // The backend connection will be reused.
       CountDownLatch counted = new CountDownLatch(1);
       counting.set(counted);
-      int calls = service.world.counter.commandCount();
-      String[] words = service.request("look");
-      client.send(RespClient.encodeCommand(words));
-      Await.until(() -> service.world.counter.commandCount() > calls);
-      CountDownLatch release = service.hold();
+      int calls = harness.platform.counter.commandCount();
+      String[] command = harness.newRequest("look");
+      client.send(RespClient.encodeCommand(command));
+      Await.until(() -> harness.platform.counter.commandCount() > calls);
+      CountDownLatch release = harness.blockEventLoop();
       counted.countDown();
       Thread.sleep(20);
-      service.world.discovery.sendEvent(drained(service, second, false));
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
       Thread.sleep(20);
       release.countDown();
-      assertEquals("value of " + words[2], client.readReply());
-      assertEquals(1, service.world.backend.commandCount());
+      assertEquals("value of " + command[2], client.readReply());
+      assertEquals(1, harness.platform.backend.commandCount());
       assertEquals(1, second.commandCount());
     }
   }
 
   @Test
-  void aWatchThatEndsInsteadOfTellingIsMadeAgain() throws Exception {
-    try (PlatformHarness service =
+  void endedWatch_isReopened() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
       for (int i = 1; i <= 5; i++) {
         int many = i;
-        Await.until(() -> service.world.discovery.watchCount() == many);
-        service.world.discovery.endWatches();
+        Await.until(() -> harness.platform.discovery.watchCount() == many);
+        harness.platform.discovery.endWatches();
       }
-      Await.until(() -> service.world.discovery.watchCount() == 6);
-      service.world.discovery.sendEvent(drained(service, second, true));
-      goesToSecond(service, client, second);
+      Await.until(() -> harness.platform.discovery.watchCount() == 6);
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, true));
+      assertOnlySecondIsUsed(harness, client, second);
     }
   }
 
   @Test
-  void anOlderListIsNotTaken() throws Exception {
-    try (PlatformHarness service =
+  void outdatedList_isIgnored() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      service.world.discovery.sendEvent(drained(service, second, false));
-      service.world.discovery.sendEvent(
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
+      harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
-              8, false, "w1", "127.0.0.1:" + service.world.backend.port(), "ready"));
-      goesToSecond(service, client, second);
+              8, false, "w1", "127.0.0.1:" + harness.platform.backend.port(), "ready"));
+      assertOnlySecondIsUsed(harness, client, second);
     }
   }
 
   /**
-   * A reload, and another before the first address has spoken: both are left when the newest
-   * speaks.
+   * A reload, and another before the first address has brought a list: both earlier addresses are
+   * left once the newest brings one.
    */
   @Test
-  void addressesOfBeforeAreLeftWhenTheNewestSpeaks() throws Exception {
-    try (PlatformHarness service =
+  void earlierAddresses_areLeftOnceTheNewestBringsAList() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler());
-        FakeDiscoveryServer mute = new FakeDiscoveryServer(drained(service, second, true));
-        FakeDiscoveryServer last = new FakeDiscoveryServer(drained(service, second, true))) {
+        FakeDiscoveryServer mute =
+            new FakeDiscoveryServer(listWithDrainingFirst(harness, second, true));
+        FakeDiscoveryServer last =
+            new FakeDiscoveryServer(listWithDrainingFirst(harness, second, true))) {
       mute.setUnresponsive(true);
       last.setUnresponsive(true);
-      service.world.writeConfiguration(mute.port(), service.world.counter.port());
-      service.daemon.reload();
+      harness.platform.writeConfiguration(mute.port(), harness.platform.counter.port());
+      harness.process.reload();
       Await.until(() -> mute.acceptedCount() > 0);
-      service.world.writeConfiguration(last.port(), service.world.counter.port());
-      service.daemon.reload();
+      harness.platform.writeConfiguration(last.port(), harness.platform.counter.port());
+      harness.process.reload();
       Await.until(() -> last.acceptedCount() > 0);
-      served(service, client);
-      assertTrue(service.world.discovery.openCount() > 0);
+      assertServed(harness, client);
+      assertTrue(harness.platform.discovery.openCount() > 0);
       last.setUnresponsive(false);
-      Await.until(() -> last.watchCount() > 0 && service.world.discovery.openCount() == 0);
-      goesToSecond(service, client, second);
+      Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openCount() == 0);
+      assertOnlySecondIsUsed(harness, client, second);
       int calls = mute.acceptedCount();
       mute.setUnresponsive(false);
       Await.until(() -> mute.openCount() == 0);
@@ -208,19 +209,20 @@
   }
 
   @Test
-  void aWatchIsMadeAnewWhileClientsFillTheirDescriptors() throws Exception {
-    try (PlatformHarness service =
+  void watch_isReopenedWhileClientsHoldTheirDescriptors() throws Exception {
+    try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      CountDownLatch release = service.hold();
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      CountDownLatch release = harness.blockEventLoop();
       List<RespClient> idle = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        idle.add(service.client());
+        idle.add(harness.connectClient());
       }
-      service.world.discovery.endWatches();
+      harness.platform.discovery.endWatches();
       release.countDown();
-      Await.until(() -> service.world.discovery.watchCount() == 2);
-      served(service, service.client());
+      Await.until(() -> harness.platform.discovery.watchCount() == 2);
+      assertServed(harness, harness.connectClient());
+      assertEquals(60, idle.size()); // Referenced until here: none of them is closed before.
     }
   }
 }
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -30,42 +30,40 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/**
- * The counter, the catalog, new configurations and stops, each with its trouble, under requests.
- */
+/** Faults of counter and discovery, reloads and shutdowns, each with requests. */
 class FaultTest {
-  private static String ask(PlatformHarness service, RespClient client, String type)
+  private static String ask(PlatformHarness harness, RespClient client, String type)
       throws Exception {
-    String[] words = service.request(type);
-    String answer = client.call(words);
-    return answer.equals("value of " + words[2]) ? "served" : answer;
+    String[] command = harness.newRequest(type);
+    String answer = client.call(command);
+    return answer.equals("value of " + command[2]) ? "served" : answer;
   }
 
   @Test
-  void aCounterInTroubleCostsARequestNothingButItsWait() throws Exception {
+  void faultyCounter_delaysRequestsButFailsNone() throws Exception {
     for (FakeRespServer.CommandHandler counter :
         new FakeRespServer.CommandHandler[] {
-          (words, link) -> {},
-          (words, link) -> link.send("-BUSY\r\n"),
-          (words, link) -> link.send("-ERR no such call\r\n"),
-          (words, link) -> link.close(true),
-          (words, link) -> link.send("$3000000000\r\n"),
-          (words, link) -> link.send("$5\r\nnoise\r\n"),
-          (words, link) -> link.send("+OK\r\n"),
-          (words, link) -> link.send("$1\r\n1\r\n$1\r\n1\r\n")
+          (command, connection) -> {},
+          (command, connection) -> connection.send("-BUSY\r\n"),
+          (command, connection) -> connection.send("-ERR no such call\r\n"),
+          (command, connection) -> connection.close(true),
+          (command, connection) -> connection.send("$3000000000\r\n"),
+          (command, connection) -> connection.send("$5\r\nnoise\r\n"),
+          (command, connection) -> connection.send("+OK\r\n"),
+          (command, connection) -> connection.send("$1\r\n1\r\n$1\r\n1\r\n")
         }) {
-      try (PlatformHarness service = new PlatformHarness(FakeRespServer.backendHandler(), counter);
-          RespClient client = service.client()) {
+      try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
+          RespClient client = harness.connectClient()) {
         for (int i = 0; i < 3; i++) {
-          assertEquals("served", ask(service, client, "look"));
+          assertEquals("served", ask(harness, client, "look"));
         }
-        assertTrue(service.world.counter.commandCount() > 0);
+        assertTrue(harness.platform.counter.commandCount() > 0);
       }
     }
   }
 
   @Test
-  void amountsHaveNoExponent() {
+  void amountsAreEncodedWithoutExponent() {
     assertEquals("-2.5", CounterCall.encodeAmount(-2.5));
     assertEquals("0", CounterCall.encodeAmount(0));
     assertEquals("0.00000012", CounterCall.encodeAmount(1.2e-7));
@@ -73,47 +71,46 @@
   }
 
   @Test
-  void aWorkerIsReplacedAtItsAddressAndADrainIsKept() throws Exception {
-    try (PlatformHarness service =
+  void endpointReplacedAtItsAddress_isUsedAndDrainingOneIsNot() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      assertEquals("served", ask(service, client, "look"));
-      String at = "127.0.0.1:" + service.world.backend.port();
-      service.world.discovery.sendEvent("what is no JSON");
-      service.world.discovery.setSnapshot(
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      assertEquals("served", ask(harness, client, "look"));
+      String at = "127.0.0.1:" + harness.platform.backend.port();
+      harness.platform.discovery.sendEvent("what is no JSON");
+      harness.platform.discovery.setSnapshot(
           FakeDiscoveryServer.endpointListJson(9, true, "w9", at, "ready"));
-      Await.until(() -> service.world.discovery.watchCount() == 2);
-      assertEquals("served", ask(service, client, "look"));
-      service.world.discovery.sendEvent(
+      Await.until(() -> harness.platform.discovery.watchCount() == 2);
+      assertEquals("served", ask(harness, client, "look"));
+      harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
               10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
       Await.until(
           () -> {
-            assertEquals("served", ask(service, client, "look"));
+            assertEquals("served", ask(harness, client, "look"));
             return second.commandCount() > 0;
           });
-      int before = service.world.backend.commandCount();
+      int before = harness.platform.backend.commandCount();
       for (int i = 0; i < 5; i++) {
-        assertEquals("served", ask(service, client, "look"));
+        assertEquals("served", ask(harness, client, "look"));
       }
-      assertEquals(before, service.world.backend.commandCount());
+      assertEquals(before, harness.platform.backend.commandCount());
     }
   }
 
   /**
-   * It answers its own requests in memory: no socket but TCP, no file, no request to a worker or
-   * the counter.
+   * Its requests stay in memory: no Unix socket, no file, no request to a backend or the counter.
    */
   @Test
-  void theWarmUpLeavesNothingBehind() throws Exception {
-    try (PlatformHarness service =
+  void warmUp_leavesNoSocketFileOrConnection() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      assertEquals(0, service.world.backend.acceptedCount());
-      assertEquals(0, service.world.counter.acceptedCount());
-      assertEquals("served", ask(service, client, "look"));
+        RespClient client = harness.connectClient()) {
+      assertEquals(0, harness.platform.backend.acceptedCount());
+      assertEquals(0, harness.platform.counter.acceptedCount());
+      assertEquals("served", ask(harness, client, "look"));
       assertTrue(
           Files.readAllLines(Path.of("/proc/net/unix")).stream()
               .noneMatch(line -> line.contains("fawndock")));
@@ -129,7 +126,7 @@
   }
 
   @Test
-  void theWarmUpServes() throws Exception {
+  void warmUp_servesItsRequests() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (FakePlatform world =
         new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
@@ -149,43 +146,43 @@
     }
   }
 
-  /** Connections to a counter that is no longer told about, and says nothing, are not kept. */
+  /** Connections to a silent counter that is no longer configured are closed. */
   @Test
-  void connectionsToACounterOfBeforeEnd() throws Exception {
-    try (PlatformHarness service =
-            new PlatformHarness(FakeRespServer.backendHandler(), (words, link) -> {});
-        RespClient client = service.client();
+  void connectionsToAnEarlierCounter_areClosed() throws Exception {
+    try (PlatformHarness harness =
+            new PlatformHarness(FakeRespServer.backendHandler(), (command, connection) -> {});
+        RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler())) {
-      assertEquals("served", ask(service, client, "look"));
-      assertTrue(service.world.counter.openCount() > 0);
-      service.world.writeConfiguration(service.world.discovery.port(), counter.port());
-      service.daemon.reload();
-      Await.until(() -> service.world.counter.openCount() == 0);
+      assertEquals("served", ask(harness, client, "look"));
+      assertTrue(harness.platform.counter.openCount() > 0);
+      harness.platform.writeConfiguration(harness.platform.discovery.port(), counter.port());
+      harness.process.reload();
+      Await.until(() -> harness.platform.counter.openCount() == 0);
     }
   }
 
-  /** The stand-in sends no empty lines: to its client its watches are dead after a while. */
+  /** The fake sends no empty lines, so its watches are taken to be dead after a while. */
   @Test
-  void aSilentWatchIsMadeAgain() throws Exception {
-    try (PlatformHarness service =
+  void silentWatch_isReopened() throws Exception {
+    try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
-      Await.until(() -> service.world.discovery.watchCount() >= 2);
-      assertEquals("served", ask(service, service.client(), "look"));
+      Await.until(() -> harness.platform.discovery.watchCount() >= 2);
+      assertEquals("served", ask(harness, harness.connectClient(), "look"));
     }
   }
 
-  /** A call that has timed out keeps its place: the next one is not told its total. */
+  /** A call that has timed out keeps its place: the next one does not get its total. */
   @Test
-  void aLateTotalIsNobodyElses() throws Exception {
+  void lateTotal_isNotTakenForTheNextCalls() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
     AtomicInteger many = new AtomicInteger();
     Vertx vertx = Vertx.vertx();
-    List<CounterReply> told = new CopyOnWriteArrayList<>();
+    List<CounterReply> replies = new CopyOnWriteArrayList<>();
     try (FakeRespServer server =
         new FakeRespServer(
-            (words, link) -> {
+            (command, connection) -> {
               release.await();
-              link.send("$1\r\n" + many.incrementAndGet() + "\r\n");
+              connection.send("$1\r\n" + many.incrementAndGet() + "\r\n");
             })) {
       Context context = vertx.getOrCreateContext();
       CounterClient[] counter = new CounterClient[1];
@@ -199,94 +196,94 @@
                     new Timers(vertx),
                     new ActivitySummary(),
                     new CounterClient.Timeouts(250_000, 50_000),
-                    told::add);
+                    replies::add);
             counter[0].add(new AddToCounter("name", 1, 4_000_000));
           });
-      Await.until(() -> told.size() == 1);
-      assertEquals(CallResult.TIMEOUT, told.get(0).result());
+      Await.until(() -> replies.size() == 1);
+      assertEquals(CallResult.TIMEOUT, replies.get(0).result());
       context.runOnContext(
           v -> {
             counter[0].add(new AddToCounter("name", 1, 4_000_000));
             release.countDown();
           });
-      Await.until(() -> told.size() == 2);
-      assertEquals(2.0, told.get(1).total());
+      Await.until(() -> replies.size() == 2);
+      assertEquals(2.0, replies.get(1).total());
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
   }
 
   @Test
-  void anEmptyListEmptiesNothing() throws Exception {
-    try (PlatformHarness service =
+  void emptyList_isIgnored() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client()) {
-      Await.until(() -> service.world.discovery.watchCount() == 1);
-      service.world.discovery.setSnapshot(FakeDiscoveryServer.endpointListJson(11, true));
-      service.world.discovery.sendEvent(FakeDiscoveryServer.endpointListJson(11, true));
-      assertEquals("served", ask(service, client, "look"));
-      service.world.discovery.endWatches();
-      assertEquals("served", ask(service, client, "look"));
+        RespClient client = harness.connectClient()) {
+      Await.until(() -> harness.platform.discovery.watchCount() == 1);
+      harness.platform.discovery.setSnapshot(FakeDiscoveryServer.endpointListJson(11, true));
+      harness.platform.discovery.sendEvent(FakeDiscoveryServer.endpointListJson(11, true));
+      assertEquals("served", ask(harness, client, "look"));
+      harness.platform.discovery.endWatches();
+      assertEquals("served", ask(harness, client, "look"));
     }
   }
 
   @Test
-  void aNewConfigurationIsTakenUpAndADamagedOneIsNot() throws Exception {
-    try (PlatformHarness service =
+  void reload_takesANewConfigurationButNoDamagedOne() throws Exception {
+    try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        RespClient client = service.client();
+        RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler());
         FakeDiscoveryServer catalog =
             new FakeDiscoveryServer(
                 FakeDiscoveryServer.endpointListJson(
-                    3, true, "w1", "127.0.0.1:" + service.world.backend.port(), "ready"))) {
-      assertEquals("served", ask(service, client, "look"));
-      service.world.writeFile("{\"name\":");
-      service.daemon.reload();
-      assertEquals("served", ask(service, client, "look"));
+                    3, true, "w1", "127.0.0.1:" + harness.platform.backend.port(), "ready"))) {
+      assertEquals("served", ask(harness, client, "look"));
+      harness.platform.writeFile("{\"name\":");
+      harness.process.reload();
+      assertEquals("served", ask(harness, client, "look"));
       assertEquals(0, counter.commandCount());
-      service.world.writeConfiguration(catalog.port(), counter.port());
-      service.daemon.reload();
-      service.daemon.reload();
+      harness.platform.writeConfiguration(catalog.port(), counter.port());
+      harness.process.reload();
+      harness.process.reload();
       Await.until(
           () -> {
-            assertEquals("served", ask(service, client, "look"));
+            assertEquals("served", ask(harness, client, "look"));
             return counter.commandCount() > 0 && catalog.watchCount() == 1;
           });
-      service.world.counter.close();
-      service.world.discovery.close();
+      harness.platform.counter.close();
+      harness.platform.discovery.close();
       int before = counter.commandCount();
-      assertEquals("served", ask(service, client, "look"));
+      assertEquals("served", ask(harness, client, "look"));
       assertTrue(counter.commandCount() > before);
     }
   }
 
   @Test
-  void aStopAnswersWhatIsOpenAndWhatStillComes() throws Exception {
+  void shutdown_servesRequestsInFlightAndNewOnes() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    FakeRespServer.CommandHandler worker =
-        (words, link) -> {
-          if (words.get(0).equals("Q.DO")) {
+    FakeRespServer.CommandHandler backend =
+        (command, connection) -> {
+          if (command.get(0).equals("Q.DO")) {
             release.await();
           }
-          FakeRespServer.backendHandler().onCommand(words, link);
+          FakeRespServer.backendHandler().onCommand(command, connection);
         };
-    try (PlatformHarness service = new PlatformHarness(worker, FakeRespServer.counterHandler())) {
-      RespClient open = service.client();
-      String[] words = service.request("pay");
-      open.send(RespClient.encodeCommand(words));
-      Await.until(() -> service.world.backend.commandCount() == 1);
-      service.daemon.stop();
-      assertEquals("served", ask(service, service.client(), "look"));
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler())) {
+      RespClient open = harness.connectClient();
+      String[] command = harness.newRequest("pay");
+      open.send(RespClient.encodeCommand(command));
+      Await.until(() -> harness.platform.backend.commandCount() == 1);
+      harness.process.stop();
+      assertEquals("served", ask(harness, harness.connectClient(), "look"));
       release.countDown();
-      assertEquals("value of " + words[2], open.readReply());
+      assertEquals("value of " + command[2], open.readReply());
       assertNull(open.readReply());
-      assertEquals(0, service.stop());
+      assertEquals(0, harness.stop());
     }
   }
 
   @Test
-  void anUnusableConfigurationIsToldInOneLine() throws Exception {
+  void invalidConfiguration_isReportedInOneLine() throws Exception {
     assertEquals(
         "RELAY_CONFIG is not set: the path of the configuration is expected",
         assertThrows(InvalidConfigException.class, () -> PlatformConfigReader.read(Map.of()))
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -13,10 +13,10 @@
 
 /** Objects are found however the bytes are cut, indented and spread over lines. */
 class JsonFramerTest {
-  private static final class Heard implements JsonFramer.Listener {
+  private static final class RecordingListener implements JsonFramer.Listener {
     final List<String> objects = new ArrayList<>();
-    int lines;
-    String wrong;
+    int lineEnds;
+    String malformedReason;
 
     @Override
     public void onObject(String text) {
@@ -25,28 +25,28 @@
 
     @Override
     public void onLineEnd() {
-      lines++;
+      lineEnds++;
     }
 
     @Override
     public void onMalformed(String why) {
-      wrong = why;
+      malformedReason = why;
     }
   }
 
-  private static Heard take(String... parts) {
-    Heard heard = new Heard();
+  private static RecordingListener read(String... parts) {
+    RecordingListener listener = new RecordingListener();
     JsonFramer framer = new JsonFramer(2_000);
     for (String part : parts) {
       ByteBuf bytes = Unpooled.copiedBuffer(part, StandardCharsets.UTF_8);
-      framer.read(bytes, heard);
+      framer.read(bytes, listener);
       assertEquals(0, bytes.readableBytes());
     }
-    return heard;
+    return listener;
   }
 
   @Test
-  void everyCutOfTwoListsGivesTheSame() throws Exception {
+  void objectsAreFoundHoweverTheBytesAreCut() throws Exception {
     String first =
         FakeDiscoveryServer.endpointListJson(
             41, true, "a", "127.0.0.1:1", "ready", "b{\\\"}", "127.0.0.1:2", "draining");
@@ -54,18 +54,19 @@
     String indented = "{\n  \"index\": 43,\n  \"snapshot\": false,\n  \"endpoints\": [\n\n  ]\n}";
     String all = first + "\n\n" + second + "\r\n" + indented + "\n";
     for (int cut = 0; cut <= all.length(); cut++) {
-      Heard heard = take(all.substring(0, cut), all.substring(cut));
-      assertEquals(List.of(first, second, indented), heard.objects);
-      assertEquals(4, heard.lines);
+      RecordingListener listener = read(all.substring(0, cut), all.substring(cut));
+      assertEquals(List.of(first, second, indented), listener.objects);
+      assertEquals(4, listener.lineEnds);
     }
-    assertEquals(List.of(first, second, indented), take(all.split("")).objects);
+    assertEquals(List.of(first, second, indented), read(all.split("")).objects);
     assertEquals(43, EndpointListCodec.decode(Json.parse(indented)).version());
   }
 
   @Test
-  void noiseAndEndlessObjectsAreToldOnce() {
-    assertEquals("no JSON object", take("\n", "what{\"index\":1}", "{}").wrong);
-    assertEquals(0, take("[1]", "{}").objects.size());
-    assertEquals("an object of more than 2000 bytes", take("{\"a\":\"" + "x".repeat(3_000)).wrong);
+  void malformedInput_isReportedOnce() {
+    assertEquals("no JSON object", read("\n", "what{\"index\":1}", "{}").malformedReason);
+    assertEquals(0, read("[1]", "{}").objects.size());
+    assertEquals(
+        "an object of more than 2000 bytes", read("{\"a\":\"" + "x".repeat(3_000)).malformedReason);
   }
 }
--- a/src/test/java/fawndock/platform/PlatformHarness.java
+++ b/src/test/java/fawndock/platform/PlatformHarness.java
@@ -9,56 +9,56 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** One gatekeeper of the platform's way in, in service among stand-ins, for one test. */
+/** One gateway process on a fake platform, for one test. */
 final class PlatformHarness implements AutoCloseable {
-  final FakePlatform world;
-  final PlatformProcess daemon;
+  final FakePlatform platform;
+  final PlatformProcess process;
   private final Thread thread;
-  private final AtomicInteger code = new AtomicInteger(-1);
+  private final AtomicInteger exitCode = new AtomicInteger(-1);
   private long nextId = 1;
 
-  PlatformHarness(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
+  PlatformHarness(FakeRespServer.CommandHandler backend, FakeRespServer.CommandHandler counter)
       throws Exception {
-    this(worker, counter, 256);
+    this(backend, counter, 256);
   }
 
   PlatformHarness(
-      FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
+      FakeRespServer.CommandHandler backend, FakeRespServer.CommandHandler counter, int maxSockets)
       throws Exception {
-    world = new FakePlatform(worker, counter, sockets);
-    daemon = new PlatformProcess(world.environment());
+    platform = new FakePlatform(backend, counter, maxSockets);
+    process = new PlatformProcess(platform.environment());
     thread =
         new Thread(
             () -> {
               try {
-                code.set(daemon.run(DefaultGatewayPolicy::new));
+                exitCode.set(process.run(DefaultGatewayPolicy::new));
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
     thread.start();
-    if (!daemon.awaitReady(30, TimeUnit.SECONDS)) {
+    if (!process.awaitReady(30, TimeUnit.SECONDS)) {
       throw new IllegalStateException("not ready within 30 s");
     }
   }
 
-  RespClient client() throws IOException {
-    return new RespClient(world.port());
+  RespClient connectClient() throws IOException {
+    return new RespClient(platform.port());
   }
 
-  /** The words of a new request. */
-  String[] request(String type) {
+  /** Returns the words of a new request command. */
+  String[] newRequest(String type) {
     return FakePlatform.requestCommand(type, "large", 7, nextId++, "");
   }
 
   /**
-   * Holds the event loop until the latch is counted down: what comes meanwhile is found all at
-   * once.
+   * Blocks the event loop until the latch is counted down: all that comes meanwhile is read in one
+   * turn.
    */
-  CountDownLatch hold() throws InterruptedException {
+  CountDownLatch blockEventLoop() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
-    daemon
+    process
         .context()
         .runOnContext(
             v -> {
@@ -73,16 +73,16 @@
     return release;
   }
 
-  /** Tells it to stop and waits for its end; returns the exit code. */
+  /** Stops the process and waits for its end; returns the exit code. */
   int stop() throws InterruptedException {
-    daemon.stop();
+    process.stop();
     thread.join(30_000);
-    return code.get();
+    return exitCode.get();
   }
 
   @Override
   public void close() throws Exception {
     stop();
-    world.close();
+    platform.close();
   }
 }
--- a/src/test/java/fawndock/platform/PlatformProtocolTest.java
+++ b/src/test/java/fawndock/platform/PlatformProtocolTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Holds the words of the platform's protocols and of its configuration file. */
+/** Holds the command of the platform's protocols and of its configuration file. */
 class PlatformProtocolTest {
   @Test
   void commandWordsAreThoseOfThePlatform() throws Exception {
--- a/src/test/java/fawndock/resp/ReplyReaderTest.java
+++ b/src/test/java/fawndock/resp/ReplyReaderTest.java
@@ -38,7 +38,7 @@
   }
 
   @Property(tries = 200)
-  void cutsDoNotMatter(@ForAll long seed) throws ProtocolException {
+  void repliesAreReadHoweverTheBytesAreCut(@ForAll long seed) throws ProtocolException {
     Random random = new Random(seed);
     StringBuilder all = new StringBuilder();
     List<String> sent = new ArrayList<>();
@@ -66,7 +66,7 @@
   }
 
   @Property(tries = 500)
-  void noNoiseIsKeptBeyondTheLimit(@ForAll byte[] noise, @ForAll long seed) {
+  void malformedReplies_areBufferedWithinTheLimit(@ForAll byte[] noise, @ForAll long seed) {
     ReplyReader reader = new ReplyReader(64, 64, 4);
     ByteBuf in = Unpooled.buffer();
     Random random = new Random(seed);
@@ -81,12 +81,12 @@
             "kept " + in.readableBytes());
       }
     } catch (ProtocolException e) {
-      // Told as soon as it was seen.
+      // Rejected as soon as it was seen.
     }
   }
 
   @Property(tries = 500)
-  void noCommandIsKeptBeyondItsLimit(@ForAll byte[] noise, @ForAll long seed) {
+  void commands_areBufferedWithinTheLimit(@ForAll byte[] noise, @ForAll long seed) {
     CommandReader reader = new CommandReader(new CommandReader.Limits(200, 8, 0));
     ByteBuf in = Unpooled.buffer();
     Random random = new Random(seed);
@@ -104,12 +104,12 @@
         assertTrue(in.readableBytes() <= 200 + noise.length + 64, "kept " + in.readableBytes());
       }
     } catch (ProtocolException e) {
-      // Told as soon as it was seen.
+      // Rejected as soon as it was seen.
     }
   }
 
   @Example
-  void lengthsAreCheckedBeforeTheirBytesCome() {
+  void invalidLengths_areRejectedBeforeTheirBytesCome() {
     for (String each :
         new String[] {
           "$3000000000\r\n",
@@ -136,7 +136,7 @@
   }
 
   @Example
-  void halfAReplyIsLeftWhereItStands() throws ProtocolException {
+  void partialReply_staysInTheBuffer() throws ProtocolException {
     ByteBuf in = Unpooled.copiedBuffer("*2\r\n$2\r\nhi\r\n$5\r\nab", StandardCharsets.ISO_8859_1);
     assertNull(new ReplyReader(64, 64, 4).next(in));
     assertEquals(0, in.readerIndex());
--- a/src/test/java/fawndock/simulatoradapter/SimulatorAdapterTest.java
+++ b/src/test/java/fawndock/simulatoradapter/SimulatorAdapterTest.java
@@ -29,15 +29,15 @@
     return "{\"now-us\":" + now + ",\"happened\":[" + String.join(",", events) + "]}\n";
   }
 
-  private int run(SimulatorAdapter link, String input) throws IOException {
-    return link.run(
+  private int run(SimulatorAdapter adapter, String input) throws IOException {
+    return adapter.run(
         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         out,
         new PrintStream(err, true, StandardCharsets.UTF_8));
   }
 
   @Test
-  void carriesARequestThere() throws IOException {
+  void request_isForwardedAfterItsCounterReply() throws IOException {
     int code =
         run(
             new SimulatorAdapter(),
@@ -48,7 +48,7 @@
                     "{\"what\":\"LedgerReply\",\"i\":3,\"book\":\"r91f03b7c55d20a64.0\","
                         + "\"verdict\":\"delivered\",\"level\":1,\"duration-us\":900}"));
     assertEquals(0, code);
-    String[] replies = out.toString(StandardCharsets.UTF_8).split("\n");
+    String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", 0);
     assertEquals("{\"output\":[]}", replies[0]);
     assertTrue(
         replies[1].contains(
@@ -63,16 +63,16 @@
   }
 
   @Test
-  void aKilledInstanceForgets() throws IOException {
+  void killedInstance_losesItsState() throws IOException {
     run(
         new SimulatorAdapter(),
         batch(1_000_000, ATTACH, CALL, "{\"what\":\"Killed\",\"i\":3}", ATTACH)
             + batch(2_000_000, "{\"what\":\"Timer\",\"i\":3,\"cookie\":\"end:7\"}"));
-    assertEquals("{\"output\":[]}", out.toString(StandardCharsets.UTF_8).split("\n")[1]);
+    assertEquals("{\"output\":[]}", out.toString(StandardCharsets.UTF_8).split("\n", 0)[1]);
   }
 
   @Test
-  void saysWhatIsWrongWithALine() throws IOException {
+  void malformedLine_isReportedWithItsNumber() throws IOException {
     String[][] bad = {
       {"{\"now-us\":", "malformed JSON"},
       {"[]", "not a JSON object"},
@@ -97,14 +97,14 @@
   }
 
   @Test
-  void aThrowInTheModuleBecomesAnException() throws IOException {
-    SimulatorAdapter link =
+  void exceptionOfThePolicy_becomesAnExceptionAction() throws IOException {
+    SimulatorAdapter adapter =
         new SimulatorAdapter(
             settings ->
                 (now, event) -> {
                   throw new IllegalStateException("broken");
                 });
-    assertEquals(0, run(link, batch(1, ATTACH)));
+    assertEquals(0, run(adapter, batch(1, ATTACH)));
     assertTrue(
         out.toString(StandardCharsets.UTF_8)
             .contains(
