--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -231,7 +231,7 @@
 
     @Override
     public Integer call() throws Exception {
-      PlainLog.use();
+      PlainLog.install();
       return new PlatformScenario(Math.max(20, Math.min(100_000, requests)), System.out).run()
           ? 0
           : 1;
--- a/src/main/java/fawndock/cli/PlainLog.java
+++ b/src/main/java/fawndock/cli/PlainLog.java
@@ -17,46 +17,50 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The log of the platform's way in: lines of text on standard error, from a bounded queue by a
- * thread of its own, so that a reader who stops does not stop the event loop. Where a machine is a
- * third of a core, the logging library alone took a sixth of a start.
+ * slf4j provider of {@code fawndock platform}: one line of text each on standard error, with time,
+ * level, simple class name and message. Lines pass through a bounded queue to a thread of their
+ * own, so that a reader who stops does not stop the event loop; when the queue is full, lines are
+ * dropped. Used in place of logback, which takes a sixth of the start on a small core. Loggers may
+ * be used from any thread.
  */
 public final class PlainLog implements SLF4JServiceProvider {
-  private static final int QUEUE = 1_024;
-  private static final long FLUSH_MILLIS = 300;
-  private static final ArrayBlockingQueue<String> LINES = new ArrayBlockingQueue<>(QUEUE);
+  private static final int MAX_QUEUED_LINES = 1_024;
+  private static final long FLUSH_TIMEOUT_MILLIS = 300;
+  private static final ArrayBlockingQueue<String> LINES =
+      new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private static Thread writer;
+
   private final Map<String, Logger> loggers = new ConcurrentHashMap<>();
   private final IMarkerFactory markers = new BasicMarkerFactory();
   private final MDCAdapter context = new NOPMDCAdapter();
 
-  /** Has slf4j use this; to be called before the first logger is asked for. */
-  static void use() {
+  /** Makes slf4j use this provider; to be called before the first logger is created. */
+  static void install() {
     System.setProperty("slf4j.provider", PlainLog.class.getName());
-    writer =
-        new Thread(
-            () -> {
-              try {
-                while (true) {
-                  System.err.print(LINES.take());
-                }
-              } catch (InterruptedException e) {
-                for (String line = LINES.poll(); line != null; line = LINES.poll()) {
-                  System.err.print(line);
-                }
-              }
-            },
-            "log");
+    writer = new Thread(PlainLog::writeLines, "log");
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** Writes out what is queued, within a moment. */
+  private static void writeLines() {
+    try {
+      while (true) {
+        System.err.print(LINES.take());
+      }
+    } catch (InterruptedException e) {
+      // Interrupted by flush(): what is queued is written, and then the thread ends.
+      for (String line = LINES.poll(); line != null; line = LINES.poll()) {
+        System.err.print(line);
+      }
+    }
+  }
+
+  /** Writes what is queued, within a moment, and stops writing. Idempotent. */
   static void flush() {
     if (writer != null) {
       writer.interrupt();
       try {
-        writer.join(FLUSH_MILLIS);
+        writer.join(FLUSH_TIMEOUT_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -65,7 +69,7 @@
 
   @Override
   public ILoggerFactory getLoggerFactory() {
-    return name -> loggers.computeIfAbsent(name, Line::new);
+    return name -> loggers.computeIfAbsent(name, PlainLogger::new);
   }
 
   @Override
@@ -85,17 +89,19 @@
 
   @Override
   public void initialize() {
-    // Nothing is to be set up.
+    // Nothing to set up.
   }
 
-  /** One logger: information of the program's own, warnings of the libraries. */
-  private static final class Line extends LegacyAbstractLogger {
+  /** Logs information of this program, but only warnings and errors of the libraries. */
+  private static final class PlainLogger extends LegacyAbstractLogger {
     private static final long serialVersionUID = 1L;
-    private final boolean own;
+    private static final String OWN_PACKAGE = "fawndock";
+
+    private final boolean isOwn;
 
-    Line(String name) {
+    PlainLogger(String name) {
       this.name = name.substring(name.lastIndexOf('.') + 1);
-      this.own = name.startsWith("fawndock");
+      this.isOwn = name.startsWith(OWN_PACKAGE);
     }
 
     @Override
@@ -105,23 +111,24 @@
 
     @Override
     protected void handleNormalizedLoggingCall(
-        Level level, Marker marker, String message, Object[] values, Throwable cause) {
-      StringBuilder line =
-          new StringBuilder(Instant.now().toString())
-              .append(' ')
-              .append(level)
-              .append(' ')
-              .append(name)
-              .append(' ')
-              .append(MessageFormatter.basicArrayFormat(message, values))
-              .append('\n');
+        Level level, Marker marker, String message, Object[] arguments, Throwable cause) {
+      StringBuilder line = new StringBuilder(Instant.now().toString());
+      line.append(' ').append(level);
+      line.append(' ').append(name);
+      line.append(' ').append(MessageFormatter.basicArrayFormat(message, arguments));
+      line.append('\n');
       for (Throwable each = cause; each != null; each = each.getCause()) {
-        line.append("  ").append(each).append('\n');
-        for (StackTraceElement at : each.getStackTrace()) {
-          line.append("    at ").append(at).append('\n');
-        }
+        appendStackTrace(line, each);
+      }
+      // A full queue drops the line: see the class comment.
+      boolean unused = LINES.offer(line.toString());
+    }
+
+    private static void appendStackTrace(StringBuilder line, Throwable cause) {
+      line.append("  ").append(cause).append('\n');
+      for (StackTraceElement frame : cause.getStackTrace()) {
+        line.append("    at ").append(frame).append('\n');
       }
-      LINES.offer(line.toString());
     }
 
     @Override
@@ -136,7 +143,7 @@
 
     @Override
     public boolean isInfoEnabled() {
-      return own;
+      return isOwn;
     }
 
     @Override
--- a/src/main/java/fawndock/cli/PlatformCommand.java
+++ b/src/main/java/fawndock/cli/PlatformCommand.java
@@ -5,19 +5,17 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/**
- * {@code fawndock platform}: one gatekeeper on the operators' platform, told all by RELAY_CONFIG.
- */
+/** {@code fawndock platform}: one gateway instance on the platform, configured by RELAY_CONFIG. */
 @Command(
     name = "platform",
     mixinStandardHelpOptions = true,
     description =
-        "Runs one gatekeeper on the platform, as RELAY_CONFIG says. SIGHUP reads it anew, SIGTERM stops.",
+        "Runs one gateway on the platform, as RELAY_CONFIG says. SIGHUP reads it again, SIGTERM stops.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "0:stopped by SIGTERM after answering what was open",
+      "0:stopped by SIGTERM after answering all requests",
       "1:could not listen",
-      "2:a configuration that cannot be used"
+      "2:unusable configuration"
     })
 public final class PlatformCommand implements Callable<Integer> {
   @Override
@@ -25,14 +23,15 @@
     return run();
   }
 
-  /** Serves until it is told to stop; returns the exit code. */
+  /** Serves until the process is stopped; returns the exit code. */
   public static int run() {
-    PlainLog.use();
-    PlatformProcess daemon = new PlatformProcess(System.getenv());
+    PlainLog.install();
+    PlatformProcess process = new PlatformProcess(System.getenv());
     try {
-      return daemon.run(DefaultGatewayPolicy::new);
+      return process.run(DefaultGatewayPolicy::new);
     } catch (InterruptedException e) {
-      return 1;
+      // Not interrupted again: the log is still to be flushed, and the process ends after it.
+      return PlatformProcess.EXIT_CANNOT_LISTEN;
     } finally {
       PlainLog.flush();
     }
--- a/src/main/java/fawndock/resp/CommandReader.java
+++ b/src/main/java/fawndock/resp/CommandReader.java
@@ -6,154 +6,210 @@
 import java.util.List;
 
 /**
- * Takes commands off a stream: arrays of bulk strings, or inline words. It goes on where it stood,
- * so that a command that comes byte by byte is not read again from its start, and holds no more of
- * a command than the limit.
+ * Reads RESP commands from a byte stream: arrays of bulk strings, or inline commands. It resumes
+ * where it stopped, so that a command that comes byte by byte is not read again from its start, and
+ * holds no more of a command than its limits allow. One thread at a time.
  */
 public final class CommandReader {
   /**
-   * What is taken of one command; more is no command, and the connection cannot go on.
+   * Limits of one command; a command that exceeds them is a protocol error.
    *
    * @param maxCommandBytes bytes of all words
    * @param maxWords words of a command
-   * @param maxInlineBytes bytes of a command on one line; 0 where there are none, nor empty arrays
+   * @param maxInlineBytes bytes of an inline command; 0 to reject inline commands and empty arrays
    */
   public record Limits(int maxCommandBytes, int maxWords, int maxInlineBytes) {
-    /** What a server that people type to takes. */
+    /** Limits of a server that people may type commands to. */
     public static final Limits SERVER = new Limits(512 << 10, 16_384, 64 << 10);
+
+    private boolean allowsInline() {
+      return maxInlineBytes > 0;
+    }
   }
 
+  private static final int MAX_NUMBER_LINE_BYTES = 32;
+  private static final int MAX_DIGITS = 10;
+  private static final int LINE_END_BYTES = 2;
+  private static final byte[][] INCOMPLETE = null;
+  private static final long INCOMPLETE_NUMBER = Long.MIN_VALUE;
+  private static final int NO_LENGTH = -1;
+
   private final Limits limits;
-  private static final int LONGEST_NUMBER = 32;
+
+  /** The words of the command that is being read; null between commands. */
   private byte[][] words;
-  private int have;
-  private int bulk = -1;
-  private int bytes;
 
-  /** A reader within limits. */
+  private int wordCount;
+
+  /** Length of the next word, once it is known. */
+  private int wordLength = NO_LENGTH;
+
+  private int commandBytes;
+
+  /** Creates a reader with limits. */
   public CommandReader(Limits limits) {
     this.limits = limits;
   }
 
-  /** The next whole command, or null when more must come first. */
+  /**
+   * Returns the words of the next command, or null while it is incomplete.
+   *
+   * @throws ProtocolException when the bytes are no command or exceed a limit; the reader must not
+   *     be used afterwards
+   */
   public byte[][] next(ByteBuf in) throws ProtocolException {
     while (words == null) {
       if (!in.isReadable()) {
-        return null;
+        return INCOMPLETE;
       }
-      if (in.getByte(in.readerIndex()) != '*') {
-        if (limits.maxInlineBytes == 0) {
-          throw new ProtocolException("expected '*'");
-        }
-        int end = line(in, limits.maxInlineBytes, "too big inline request");
-        if (end < 0) {
-          return null;
+      if (in.getByte(in.readerIndex()) == '*') {
+        if (!beginArray(in)) {
+          return INCOMPLETE;
         }
-        byte[][] inline = inline(in, end);
-        if (inline.length > 0) {
+      } else {
+        byte[][] inline = readInline(in);
+        if (inline == INCOMPLETE || inline.length > 0) {
           return inline;
         }
-        continue;
-      }
-      long many = number(in, "invalid multibulk length", limits.maxWords);
-      if (many == Long.MIN_VALUE) {
-        return null;
-      }
-      if (many <= 0 && limits.maxInlineBytes == 0) {
-        throw new ProtocolException("invalid multibulk length");
-      }
-      if (many > 0) {
-        words = new byte[(int) many][];
-        have = 0;
-        bytes = 0;
       }
     }
-    while (have < words.length) {
-      if (bulk < 0) {
-        if (!in.isReadable()) {
-          return null;
-        }
-        if (in.getByte(in.readerIndex()) != '$') {
-          throw new ProtocolException(
-              "expected '$', got '" + (char) in.getByte(in.readerIndex()) + "'");
-        }
-        // Guards against a length that would have memory set aside for what never comes.
-        long length = number(in, "invalid bulk length", limits.maxCommandBytes - bytes);
-        if (length == Long.MIN_VALUE) {
-          return null;
-        }
-        if (length < 0) {
-          throw new ProtocolException("invalid bulk length");
-        }
-        bulk = (int) length;
-        bytes += bulk;
+    while (wordCount < words.length) {
+      if (!readWord(in)) {
+        return INCOMPLETE;
       }
-      if (in.readableBytes() < bulk + 2) {
-        return null;
-      }
-      byte[] word = new byte[bulk];
-      in.readBytes(word);
-      // Guards against a length that is wrong: the rest of the word would be read as the next one.
-      if (in.readByte() != '\r' || in.readByte() != '\n') {
-        throw new ProtocolException("expected the end of a bulk string");
-      }
-      words[have++] = word;
-      bulk = -1;
     }
-    byte[][] whole = words;
+    byte[][] command = words;
     words = null;
-    return whole;
+    return command;
   }
 
-  /** Whether a command has begun and not ended. */
+  /** Returns whether a command has begun and is incomplete. */
   public boolean isWithinCommand() {
     return words != null;
   }
 
-  /** Where the line ends that begins here, or -1 when its end has not come. */
-  private static int line(ByteBuf in, int longest, String tooLong) throws ProtocolException {
+  /** Reads the head of an array; returns false while it is incomplete. */
+  private boolean beginArray(ByteBuf in) throws ProtocolException {
+    long count = readNumber(in, "invalid multibulk length", limits.maxWords);
+    if (count == INCOMPLETE_NUMBER) {
+      return false;
+    }
+    if (count <= 0 && !limits.allowsInline()) {
+      throw new ProtocolException("invalid multibulk length");
+    }
+    if (count > 0) {
+      words = new byte[(int) count][];
+      wordCount = 0;
+      commandBytes = 0;
+    }
+    return true;
+  }
+
+  /** Reads one word of an array; returns false while it is incomplete. */
+  private boolean readWord(ByteBuf in) throws ProtocolException {
+    if (wordLength == NO_LENGTH && !readWordLength(in)) {
+      return false;
+    }
+    if (in.readableBytes() < wordLength + LINE_END_BYTES) {
+      return false;
+    }
+    byte[] word = new byte[wordLength];
+    in.readBytes(word);
+    // Without this check the rest of a word with a wrong length would be read as the next word.
+    if (in.readByte() != '\r' || in.readByte() != '\n') {
+      throw new ProtocolException("expected the end of a bulk string");
+    }
+    words[wordCount++] = word;
+    wordLength = NO_LENGTH;
+    return true;
+  }
+
+  private boolean readWordLength(ByteBuf in) throws ProtocolException {
+    if (!in.isReadable()) {
+      return false;
+    }
+    byte type = in.getByte(in.readerIndex());
+    if (type != '$') {
+      throw new ProtocolException("expected '$', got '" + (char) type + "'");
+    }
+    // Checked before memory is allocated for bytes that may never come.
+    long length = readNumber(in, "invalid bulk length", limits.maxCommandBytes - commandBytes);
+    if (length == INCOMPLETE_NUMBER) {
+      return false;
+    }
+    if (length < 0) {
+      throw new ProtocolException("invalid bulk length");
+    }
+    wordLength = (int) length;
+    commandBytes += wordLength;
+    return true;
+  }
+
+  /**
+   * Returns the index of the line end of the line that begins here, or -1 while it has not come.
+   *
+   * @param error of a line that is too long
+   */
+  private static int findLineEnd(ByteBuf in, int maxBytes, String error) throws ProtocolException {
     int readable = in.readableBytes();
-    int at = in.bytesBefore(Math.min(readable, longest), (byte) '\n');
-    if (at < 0 && readable >= longest) {
-      throw new ProtocolException(tooLong);
+    int offset = in.bytesBefore(Math.min(readable, maxBytes), (byte) '\n');
+    if (offset < 0 && readable >= maxBytes) {
+      throw new ProtocolException(error);
     }
-    return at < 0 ? -1 : in.readerIndex() + at;
+    return offset < 0 ? -1 : in.readerIndex() + offset;
   }
 
-  /** The number on a line after its first byte, or the least long when the line has not ended. */
-  private static long number(ByteBuf in, String wrong, long most) throws ProtocolException {
-    int end = line(in, LONGEST_NUMBER, wrong);
-    if (end < 0) {
-      return Long.MIN_VALUE;
+  /**
+   * Reads the number on a line, after the type byte; {@link #INCOMPLETE_NUMBER} while the line is
+   * incomplete.
+   *
+   * @param error of a line that holds no number, or one above the maximum
+   */
+  private static long readNumber(ByteBuf in, String error, long max) throws ProtocolException {
+    int lineEnd = findLineEnd(in, MAX_NUMBER_LINE_BYTES, error);
+    if (lineEnd < 0) {
+      return INCOMPLETE_NUMBER;
     }
-    int at = in.readerIndex() + 1;
-    int to = end > at && in.getByte(end - 1) == '\r' ? end - 1 : end;
-    boolean negative = at < to && in.getByte(at) == '-';
+    int start = in.readerIndex() + 1;
+    int end = lineEnd > start && in.getByte(lineEnd - 1) == '\r' ? lineEnd - 1 : lineEnd;
+    boolean isNegative = start < end && in.getByte(start) == '-';
     long number = 0;
     int digits = 0;
-    for (int i = negative ? at + 1 : at; i < to; i++) {
+    for (int i = isNegative ? start + 1 : start; i < end; i++) {
       byte b = in.getByte(i);
-      if (b < '0' || b > '9' || ++digits > 10) {
-        throw new ProtocolException(wrong);
+      if (b < '0' || b > '9' || ++digits > MAX_DIGITS) {
+        throw new ProtocolException(error);
       }
       number = number * 10 + b - '0';
     }
-    if (digits == 0 || number > most) {
-      throw new ProtocolException(wrong);
+    if (digits == 0 || number > max) {
+      throw new ProtocolException(error);
+    }
+    in.readerIndex(lineEnd + 1);
+    return isNegative ? -number : number;
+  }
+
+  /** Reads an inline command, which may have no words; null while it is incomplete. */
+  private byte[][] readInline(ByteBuf in) throws ProtocolException {
+    if (!limits.allowsInline()) {
+      throw new ProtocolException("expected '*'");
+    }
+    int lineEnd = findLineEnd(in, limits.maxInlineBytes, "too big inline request");
+    if (lineEnd < 0) {
+      return INCOMPLETE;
     }
-    in.readerIndex(end + 1);
-    return negative ? -number : number;
+    int length = lineEnd - in.readerIndex();
+    String line = in.toString(in.readerIndex(), length, StandardCharsets.ISO_8859_1);
+    in.readerIndex(lineEnd + 1);
+    return splitInline(line);
   }
 
-  /** Words between blanks; one in quotes may have blanks. */
-  private static byte[][] inline(ByteBuf in, int end) throws ProtocolException {
-    String text =
-        in.toString(in.readerIndex(), end - in.readerIndex(), StandardCharsets.ISO_8859_1);
-    in.readerIndex(end + 1);
-    List<byte[]> found = new ArrayList<>();
+  /** Splits a line at its blanks, other than those in quotes. */
+  private static byte[][] splitInline(String line) throws ProtocolException {
+    List<byte[]> inlineWords = new ArrayList<>();
     StringBuilder word = null;
     char quote = 0;
-    for (char c : (text + " ").toCharArray()) {
+    for (char c : (line + " ").toCharArray()) {
       if (quote != 0 && c != quote) {
         word.append(c);
       } else if (quote != 0) {
@@ -164,13 +220,13 @@
       } else if (c != ' ' && c != '\t' && c != '\r') {
         word = (word == null ? new StringBuilder() : word).append(c);
       } else if (word != null) {
-        found.add(word.toString().getBytes(StandardCharsets.ISO_8859_1));
+        inlineWords.add(word.toString().getBytes(StandardCharsets.ISO_8859_1));
         word = null;
       }
     }
     if (quote != 0) {
       throw new ProtocolException("unbalanced quotes in request");
     }
-    return found.toArray(new byte[0][]);
+    return inlineWords.toArray(new byte[0][]);
   }
 }
--- a/src/main/java/fawndock/resp/ProtocolException.java
+++ b/src/main/java/fawndock/resp/ProtocolException.java
@@ -1,11 +1,16 @@
 package fawndock.resp;
 
-/** What comes is not the protocol, or beyond the limits; the connection cannot go on. */
+/** Bytes that are not RESP, or exceed a limit; the connection cannot be used any further. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** With what is told of it. */
-  public ProtocolException(String told) {
-    super("ERR Protocol error: " + told, null, false, false);
+  /**
+   * Creates an exception whose message is a complete error reply. Without a stack trace: the other
+   * side is at fault.
+   *
+   * @param problem what was read and what is expected
+   */
+  public ProtocolException(String problem) {
+    super("ERR Protocol error: " + problem, null, false, false);
   }
 }
--- a/src/main/java/fawndock/resp/Reply.java
+++ b/src/main/java/fawndock/resp/Reply.java
@@ -9,20 +9,20 @@
  * @param type {@code +}, {@code -}, {@code :}, {@code $} or {@code *}
  * @param bytes the text of a line or a bulk string; null for a null bulk string, an array and a
  *     null array
- * @param elements an array's elements, or null
+ * @param elements an array's elements; null for all else
  */
 public record Reply(char type, byte[] bytes, List<Reply> elements) {
-  /** Its text; empty where there is none. */
+  /** Returns the text; empty where there is none. */
   public String text() {
     return bytes == null ? "" : new String(bytes, StandardCharsets.UTF_8);
   }
 
-  /** Whether it is a bulk string that is not null. */
+  /** Returns whether this is a bulk string that is not null. */
   public boolean isBulk() {
     return type == '$' && bytes != null;
   }
 
-  /** Whether it is an error line. */
+  /** Returns whether this is an error reply. */
   public boolean isError() {
     return type == '-';
   }
--- a/src/main/java/fawndock/resp/ReplyReader.java
+++ b/src/main/java/fawndock/resp/ReplyReader.java
@@ -1,147 +1,158 @@
 package fawndock.resp;
 
 import io.netty.buffer.ByteBuf;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Takes replies off a stream. What is not whole yet is left in the buffer and looked at again when
- * more has come: only lines and lengths are, never the inside of a bulk string. Holds nothing
- * itself; the buffer that it reads needs to take {@link #most()} bytes at most.
+ * Reads RESP2 replies from a byte stream. An incomplete reply stays in the buffer and is read again
+ * when more bytes have come: only its lines and lengths are, never the inside of a bulk string.
+ * Stateless; any thread.
  */
 public final class ReplyReader {
-  private static final int LONGEST_NUMBER = 20;
+  /** Characters of a length or element count. */
+  private static final int MAX_NUMBER_BYTES = 20;
+
+  private static final int LINE_END_BYTES = 2;
   private final int maxBulkBytes;
   private final int maxLineBytes;
   private final int maxElements;
 
   /**
-   * A reader within limits.
+   * Creates a reader with limits.
    *
-   * @param longestBulk bytes of a bulk string
-   * @param longestLine bytes of a line
-   * @param mostParts elements of an array; arrays in arrays are not taken
+   * @param maxBulkBytes of a bulk string
+   * @param maxLineBytes of a line
+   * @param maxElements of an array; nested arrays are rejected
    */
-  public ReplyReader(int longestBulk, int longestLine, int mostParts) {
-    this.maxBulkBytes = longestBulk;
-    this.maxLineBytes = longestLine;
-    this.maxElements = mostParts;
+  public ReplyReader(int maxBulkBytes, int maxLineBytes, int maxElements) {
+    this.maxBulkBytes = maxBulkBytes;
+    this.maxLineBytes = maxLineBytes;
+    this.maxElements = maxElements;
   }
 
-  /** Bytes that one reply takes at most. */
+  /** Returns the most bytes of one reply: the buffer never has to hold more. */
   public int maxReplyBytes() {
-    return LONGEST_NUMBER
-        + Math.max(1, maxElements) * (Math.max(maxBulkBytes + LONGEST_NUMBER, maxLineBytes) + 4);
+    int maxElementBytes = Math.max(maxBulkBytes + MAX_NUMBER_BYTES, maxLineBytes) + 4;
+    return MAX_NUMBER_BYTES + Math.max(1, maxElements) * maxElementBytes;
   }
 
   /**
-   * The next whole reply, or null when more must come first; the buffer then stands where it stood.
+   * Reads the next reply; returns null, and leaves the buffer as it was, while it is incomplete.
+   *
+   * @throws ProtocolException when the bytes are no reply or exceed a limit
    */
   public Reply next(ByteBuf in) throws ProtocolException {
-    int from = in.readerIndex();
-    Reply whole = read(in, true);
-    if (whole == null) {
-      in.readerIndex(from);
+    int start = in.readerIndex();
+    Reply reply = read(in, true);
+    if (reply == null) {
+      in.readerIndex(start);
     }
-    return whole;
+    return reply;
   }
 
-  private Reply read(ByteBuf in, boolean outer) throws ProtocolException {
+  private Reply read(ByteBuf in, boolean mayBeArray) throws ProtocolException {
     if (!in.isReadable()) {
       return null;
     }
     char type = (char) in.readByte();
     switch (type) {
       case '+', '-', ':' -> {
-        byte[] line = line(in, maxLineBytes);
-        if (line != null && type == ':') {
-          number(line, Long.MIN_VALUE, Long.MAX_VALUE);
-        }
-        return line == null ? null : new Reply(type, line, null);
+        return readLineReply(in, type);
       }
       case '$' -> {
-        return bulk(in);
+        return readBulk(in);
       }
       case '*' -> {
-        if (outer) {
-          return array(in);
+        if (mayBeArray) {
+          return readArray(in);
         }
-        throw new ProtocolException("an array in an array");
+        throw new ProtocolException("nested array");
       }
-      default -> throw new ProtocolException("no reply begins so");
+      default -> throw new ProtocolException("unknown reply type");
+    }
+  }
+
+  private Reply readLineReply(ByteBuf in, char type) throws ProtocolException {
+    byte[] line = readLine(in, maxLineBytes);
+    if (line != null && type == ':') {
+      parseNumber(line, Long.MIN_VALUE, Long.MAX_VALUE);
     }
+    return line == null ? null : new Reply(type, line, null);
   }
 
-  private Reply bulk(ByteBuf in) throws ProtocolException {
-    byte[] line = line(in, LONGEST_NUMBER);
+  private Reply readBulk(ByteBuf in) throws ProtocolException {
+    byte[] line = readLine(in, MAX_NUMBER_BYTES);
     if (line == null) {
       return null;
     }
-    int length = (int) number(line, -1, maxBulkBytes);
+    int length = (int) parseNumber(line, -1, maxBulkBytes);
     if (length < 0) {
       return new Reply('$', null, null);
     }
-    if (in.readableBytes() < length + 2) {
-      // Guards against waiting for an end that is there and does not fit.
+    if (in.readableBytes() < length + LINE_END_BYTES) {
+      // Without this check a wrong length would wait for an end that has already come.
       if (in.readableBytes() > length && in.getByte(in.readerIndex() + length) != '\r') {
-        throw new ProtocolException("a length that does not fit");
+        throw new ProtocolException("bulk string longer than its length");
       }
       return null;
     }
     byte[] bytes = new byte[length];
     in.readBytes(bytes);
     if (in.readByte() != '\r' || in.readByte() != '\n') {
-      throw new ProtocolException("a length that does not fit");
+      throw new ProtocolException("bulk string longer than its length");
     }
     return new Reply('$', bytes, null);
   }
 
-  private Reply array(ByteBuf in) throws ProtocolException {
-    byte[] line = line(in, LONGEST_NUMBER);
+  private Reply readArray(ByteBuf in) throws ProtocolException {
+    byte[] line = readLine(in, MAX_NUMBER_BYTES);
     if (line == null) {
       return null;
     }
-    int many = (int) number(line, -1, maxElements);
-    if (many < 0) {
+    int count = (int) parseNumber(line, -1, maxElements);
+    if (count < 0) {
       return new Reply('*', null, null);
     }
-    List<Reply> parts = new ArrayList<>(many);
-    for (int i = 0; i < many; i++) {
-      Reply part = read(in, false);
-      if (part == null) {
+    List<Reply> elements = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      Reply element = read(in, false);
+      if (element == null) {
         return null;
       }
-      parts.add(part);
+      elements.add(element);
     }
-    return new Reply('*', null, parts);
+    return new Reply('*', null, elements);
   }
 
-  /** The bytes up to the end of the line, or null when it has not come. */
-  private static byte[] line(ByteBuf in, int longest) throws ProtocolException {
-    int length = in.bytesBefore(Math.min(in.readableBytes(), longest + 2), (byte) '\n');
+  /** Reads up to the end of the line; returns null when it has not come. */
+  private static byte[] readLine(ByteBuf in, int maxBytes) throws ProtocolException {
+    int searchedBytes = Math.min(in.readableBytes(), maxBytes + LINE_END_BYTES);
+    int length = in.bytesBefore(searchedBytes, (byte) '\n');
     if (length < 0) {
-      if (in.readableBytes() >= longest + 2) {
-        throw new ProtocolException("a line without end");
+      if (in.readableBytes() >= maxBytes + LINE_END_BYTES) {
+        throw new ProtocolException("line of more than " + maxBytes + " bytes");
       }
       return null;
     }
     if (length == 0 || in.getByte(in.readerIndex() + length - 1) != '\r') {
-      throw new ProtocolException("a line that ends wrongly");
+      throw new ProtocolException("line that does not end with CR LF");
     }
     byte[] line = new byte[length - 1];
-    in.readBytes(line).skipBytes(2);
+    in.readBytes(line).skipBytes(LINE_END_BYTES);
     return line;
   }
 
-  private static long number(byte[] line, long least, long most) throws ProtocolException {
+  private static long parseNumber(byte[] line, long min, long max) throws ProtocolException {
     try {
-      long number = Long.parseLong(new String(line, java.nio.charset.StandardCharsets.ISO_8859_1));
-      if (number >= least && number <= most) {
+      long number = Long.parseLong(new String(line, StandardCharsets.ISO_8859_1));
+      if (number >= min && number <= max) {
         return number;
       }
     } catch (NumberFormatException e) {
-      // Told below.
+      // Rejected below, together with numbers out of range.
     }
-    throw new ProtocolException("a number that is none, or beyond what is taken");
+    throw new ProtocolException("invalid number or number out of range");
   }
 }
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -3,78 +3,86 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Writes answers in the protocol's version 2 or 3. */
+/** Writes replies and commands in RESP version 2 or 3 to a buffer. One thread at a time. */
 public final class ReplyWriter {
-  private final ByteBuf to;
+  private final ByteBuf out;
 
-  /** 2 or 3. */
+  /** The protocol version that is written: 2 or 3. */
   public int version = 2;
 
-  /** Writes to the end of the buffer. */
-  public ReplyWriter(ByteBuf to) {
-    this.to = to;
+  /** Appends to this buffer. */
+  public ReplyWriter(ByteBuf out) {
+    this.out = out;
   }
 
-  private ReplyWriter head(char type, long number) {
-    to.writeByte(type);
+  private void head(char type, long number) {
+    out.writeByte(type);
     digits(number);
-    to.writeByte('\r').writeByte('\n');
-    return this;
+    out.writeByte('\r').writeByte('\n');
   }
 
   private void digits(long number) {
     if (number >= 0 && number < 10) {
-      to.writeByte('0' + (int) number);
+      out.writeByte('0' + (int) number);
     } else {
-      to.writeCharSequence(Long.toString(number), StandardCharsets.US_ASCII);
+      out.writeCharSequence(Long.toString(number), StandardCharsets.US_ASCII);
     }
   }
 
   private void line(char type, String text) {
-    to.writeByte(type);
-    // A line break in an echoed word would end the answer early.
-    to.writeCharSequence(text.replace('\r', ' ').replace('\n', ' '), StandardCharsets.UTF_8);
-    to.writeByte('\r').writeByte('\n');
+    out.writeByte(type);
+    // A line break in an echoed word would end the reply early.
+    out.writeCharSequence(text.replace('\r', ' ').replace('\n', ' '), StandardCharsets.UTF_8);
+    out.writeByte('\r').writeByte('\n');
   }
 
+  /** Writes a simple string. */
   public void simple(String text) {
     line('+', text);
   }
 
+  /** Writes the simple string OK. */
   public void ok() {
     simple("OK");
   }
 
+  /** Writes an error; the text begins with its code. */
   public void error(String text) {
     line('-', text);
   }
 
+  /** Writes an integer. */
   public void integer(long number) {
     head(':', number);
   }
 
-  public void flag(boolean is) {
-    integer(is ? 1 : 0);
+  /** Writes a boolean as the integer 1 or 0. */
+  public void flag(boolean value) {
+    integer(value ? 1 : 0);
   }
 
+  /** Writes a bulk string. */
   public void bulk(byte[] bytes) {
     head('$', bytes.length);
-    to.writeBytes(bytes).writeByte('\r').writeByte('\n');
+    out.writeBytes(bytes).writeByte('\r').writeByte('\n');
   }
 
+  /** Writes a bulk string in UTF-8. */
   public void bulk(String text) {
     bulk(text.getBytes(StandardCharsets.UTF_8));
   }
 
+  /** Writes the null value. */
   public void nullBulk() {
-    to.writeCharSequence(version == 3 ? "_\r\n" : "$-1\r\n", StandardCharsets.US_ASCII);
+    out.writeCharSequence(version == 3 ? "_\r\n" : "$-1\r\n", StandardCharsets.US_ASCII);
   }
 
+  /** Begins an array; its elements are to be written next. */
   public void array(int elements) {
     head('*', elements);
   }
 
-  /** Begins a map of so many pairs; version 2 has an array of twice as many. */
+  /** Begins a map of this many pairs; version 2 writes an array of twice as many elements. */
   public void map(int pairs) {
     head(version == 3 ? '%' : '*', version == 3 ? pairs : 2L * pairs);
   }
--- a/src/main/java/fawndock/resp/package-info.java
+++ b/src/main/java/fawndock/resp/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The Redis serialization protocol, version 2 (the writer also 3): commands and replies read and
- * written within limits. Every length is checked before memory is taken for it. Opens nothing and
- * knows no caller: buffers in, values out.
+ * The Redis serialization protocol (RESP), version 2, and 3 for writing: commands and replies are
+ * read and written within limits. Every length is checked before memory is allocated for it. Opens
+ * nothing: buffers in, values out.
  */
 package fawndock.resp;
