--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -1,10 +1,10 @@
 package fawndock.platform;
 
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import fawndock.runtime.InFlightAttempt;
 import fawndock.runtime.InFlightRequest;
 import fawndock.runtime.PolicyRunner;
-import java.util.Map;
 
 /**
  * One attempt at a backend, on a connection that carries nothing else meanwhile: abandoning the
@@ -160,10 +160,10 @@
   }
 
   private void finish(CallResult outcome) {
-    finish(outcome, Map.of(), 0);
+    finish(outcome, LoadReport.NONE, 0);
   }
 
-  private void finish(CallResult outcome, Map<String, Double> load, double units) {
+  private void finish(CallResult outcome, LoadReport load, double units) {
     if (result() == null) {
       pools.activity().recordAttempt(endpointId, outcome);
       complete(outcome, load, units);
--- a/src/main/java/fawndock/platform/GracefulShutdown.java
+++ b/src/main/java/fawndock/platform/GracefulShutdown.java
@@ -35,7 +35,8 @@
    * Prepares a shutdown.
    *
    * @param longestDeadlineMicros the longest deadline of any request class
-   * @param finishedListener is called when all clients are gone or time is up; perhaps twice
+   * @param finishedListener is called when all clients have disconnected or time is up; perhaps
+   *     twice
    */
   GracefulShutdown(
       Vertx vertx,
