--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -23,7 +23,7 @@
   private static void replyAmount(CommandInvocation c, int place) {
     DecimalAmount amount = c.operations().table().get(c.word(place), c.nowMillis());
     if (amount == null) {
-      c.reply().nil();
+      c.reply().nullBulk();
     } else {
       c.reply().bulk(amount.toString());
     }
@@ -89,7 +89,7 @@
     if (options.returnsPrevious() && previous != null) {
       c.reply().bulk(previous.toString());
     } else if (options.returnsPrevious() || !shouldSet) {
-      c.reply().nil();
+      c.reply().nullBulk();
     } else {
       c.reply().ok();
     }
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -29,10 +29,10 @@
 import java.util.function.Function;
 
 /**
- * Sends requests of its own through a throw-away gatekeeper to a throw-away worker, all in this
- * process, before the first client is let in. Guards against the first clients waiting for classes
- * to load while their time runs out: about 350 ms was seen. May delay a start by its time limit; it
- * touches neither roster, counter nor real workers.
+ * Sends requests through a temporary gateway to a temporary endpoint, all in this process, before
+ * the first client is accepted. Without it the first clients wait about 350 ms for classes to load.
+ * Delays the start by its time limit at most; calls neither discovery, counter nor real endpoints.
+ * Confined to one event loop.
  */
 final class WarmUp implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
   private static final int REQUESTS = 200;
@@ -52,7 +52,7 @@
     this.maker = maker;
   }
 
-  /** Never fails: a warm-up that does not work out is no reason not to start. */
+  /** Runs the warm-up; the future never fails. */
   Future<Void> run() {
     GatewaySettings own =
         new GatewaySettings(
@@ -74,10 +74,10 @@
             settings.http(),
             settings.log(),
             settings.rateLimit());
-    Timers alarms = new Timers(vertx);
+    Timers timers = new Timers(vertx);
     pools = new BackendPools(vertx, own);
     AccessLog silent = new AccessLog(-1, false);
-    host = new PolicyRunner(new MicroClock(), alarms, this, 1, 1, silent);
+    host = new PolicyRunner(new MicroClock(), timers, this, 1, 1, silent);
     host.setPolicy(
         maker.apply(
             new PolicyConfig(
@@ -126,7 +126,7 @@
               front.close();
               worker.close();
               pools.close();
-              vertx.setTimer(LIMIT_MILLIS, id -> alarms.close());
+              vertx.setTimer(LIMIT_MILLIS, id -> timers.close());
             });
   }
 
@@ -157,38 +157,38 @@
   }
 
   @Override
-  public void addToCounter(AddToCounter count) {
-    throw new IllegalStateException("there is no counter here");
+  public void addToCounter(AddToCounter action) {
+    throw new IllegalStateException("the warm-up has no counter");
   }
 
   @Override
-  public void sendPeerMessage(SendPeerMessage tell) {
-    // There is nobody to tell.
+  public void sendPeerMessage(SendPeerMessage action) {
+    // The warm-up has no peers.
   }
 
   @Override
   public void watchEndpoints() {
-    // There is no roster here.
+    // The warm-up has no endpoint discovery.
   }
 
   @Override
   public void fetchEndpoints() {
-    // There is no roster here.
+    // The warm-up has no endpoint discovery.
   }
 
   @Override
-  public RequestOptions requestOptions(String server) {
+  public RequestOptions requestOptions(String endpointId) {
     return new RequestOptions().setHost("127.0.0.1").setPort(workerPort);
   }
 
   @Override
-  public InFlightAttempt createAttempt(InFlightRequest request, int number, String server) {
-    return new BackendAttempt(host, request, number, server, this);
+  public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
+    return new BackendAttempt(host, request, index, endpointId, this);
   }
 
   @Override
-  public void startHealthCheck(String server) {
-    throw new IllegalStateException("nothing is probed here");
+  public void startHealthCheck(String endpointId) {
+    throw new IllegalStateException("the warm-up has no health checks");
   }
 
   @Override
--- a/src/main/java/fawndock/platform/CounterConnection.java
+++ b/src/main/java/fawndock/platform/CounterConnection.java
@@ -18,7 +18,7 @@
   private static final int MAX_REPLY_BYTES = 512;
   private static final ReplyReader READER = new ReplyReader(MAX_REPLY_BYTES, MAX_REPLY_BYTES, 0);
 
-  /** Learns how calls end and when the connection is gone. */
+  /** Learns how calls end and when the connection is closed. */
   interface Listener {
     /** The connection is up. */
     void onConnected();
