--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -23,30 +23,30 @@
 import java.util.function.Function;
 
 /**
- * Reads a deployment to be emulated, with its troubles; what each keyword means is in
- * docs/operations/emulate.md.
+ * Reads a deployment file: the deployment to simulate and its faults. The meaning of each keyword
+ * is in docs/operations/emulate.md.
  */
 public final class DeploymentFile extends ConfigurationFile {
   /**
    * What was read.
    *
-   * @param faults put into a run before it begins, in the order of the file
-   * @param faultWindows when which trouble was
-   * @param effectiveSettings all lines as they were taken, variables put in
+   * @param faults scheduled before a run, in the order of the file
+   * @param faultWindows when each fault happens, in the same order
+   * @param effectiveSettings all lines that were read, with variables replaced
    */
   public record ParsedDeployment(
       Deployment deployment,
       List<Consumer<Simulation>> faults,
       List<FaultWindow> faultWindows,
       String effectiveSettings) {
-    /** The run that the file describes, ready to begin. */
-    public Simulation createSimulation(Function<PolicyConfig, GatewayPolicy> maker) {
-      Simulation made = new Simulation(deployment, maker);
-      faults.forEach(trouble -> trouble.accept(made));
-      return made;
+    /** The run that the file describes, ready to start. */
+    public Simulation createSimulation(Function<PolicyConfig, GatewayPolicy> policyFactory) {
+      Simulation simulation = new Simulation(deployment, policyFactory);
+      faults.forEach(fault -> fault.accept(simulation));
+      return simulation;
     }
 
-    /** The same with another seed. */
+    /** The same deployment with another seed. */
     public ParsedDeployment withSeed(long seed) {
       Deployment d = deployment;
       return new ParsedDeployment(
@@ -73,8 +73,12 @@
   }
 
   /**
-   * A trouble of a kind, from a second to another; on so many workers from one on, of such a size
-   * where its kind has one.
+   * When a fault happens, and on what.
+   *
+   * @param kind as the file names it
+   * @param firstBackend the first of the backends that it affects, where its kind has any
+   * @param factor its size, where its kind has a factor
+   * @param ratio its size, where its kind has a share
    */
   public record FaultWindow(
       String kind,
@@ -118,80 +122,81 @@
   private double durationSeconds = 60;
   private long seed = 1;
 
-  private DeploymentFile(Map<String, String> given) {
+  private DeploymentFile(Map<String, String> overrides) {
     super(Set.of("class", "plan", "demand", "trouble", "let"));
-    this.overrides = given;
-    keywords.put("let", this::let);
+    this.overrides = overrides;
+    // The keywords of the file format stand here and in FaultLine alone.
+    keywords.put("let", this::readVariable);
     keywords.put("gatekeepers", line -> gatewayCount = whole(line, 1, 10_000));
-    keywords.put("workers", this::backendCount);
-    keywords.put(
-        "network",
-        line -> {
-          LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
-          network =
-              new Deployment.NetworkModel(
-                  a.time("way", 1, SECOND_MICROS, 200),
-                  a.time("more", 0, SECOND_MICROS, 100),
-                  a.number("loss", 0, 1, 0));
-          a.finish();
-        });
-    keywords.put(
-        "counter",
-        line -> {
-          LineArguments a =
-              args(
-                  line,
-                  0,
-                  "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
-          counter =
-              new Deployment.CounterModel(
-                  a.number("rate", 1, 1e9, 20_000),
-                  a.time("wait", 1_000, 10 * SECOND_MICROS, 50_000),
-                  a.whole("parts", 1, 1_000, 1),
-                  a.number("turns-away", 0, 1, 0),
-                  a.time("queue", 0, SECOND_MICROS, 0));
-          a.finish();
-        });
+    keywords.put("workers", this::readBackends);
+    keywords.put("network", this::readNetwork);
+    keywords.put("counter", this::readCounter);
     keywords.put("roster", line -> discoveryDelayMicros = time(line, HOUR_MICROS));
     keywords.put(
         "for", line -> durationSeconds = time(line, 24 * HOUR_MICROS) / (double) SECOND_MICROS);
     keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
-    keywords.put(
-        "class",
-        line -> {
-          LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
-          RequestClass c = Entries.requestClass(a);
-          if (requestClasses.putIfAbsent(c.name(), c) != null) {
-            a.wrong("class " + c.name() + " is given twice", "each class once");
-          }
-          a.finish();
-        });
-    keywords.put(
-        "plan",
-        line -> {
-          LineArguments a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
-          Plan p = Entries.plan(a);
-          if (plans.putIfAbsent(p.name(), p) != null) {
-            a.wrong("plan " + p.name() + " is given twice", "each plan once");
-          }
-          a.finish();
-        });
-    keywords.put(
-        "limits",
-        line -> {
-          LineArguments a = args(line, 0, "limits [ARGUMENT VALUE ...]");
-          limits = Entries.limits(a);
-          a.finish();
-        });
-    keywords.put(
-        "rules",
-        line -> {
-          LineArguments a = args(line, 0, "rules [ARGUMENT VALUE ...]");
-          rules = Entries.rules(a);
-          a.finish();
-        });
-    keywords.put("demand", this::demand);
-    keywords.put("trouble", this::trouble);
+    keywords.put("class", this::readRequestClass);
+    keywords.put("plan", this::readPlan);
+    keywords.put("limits", this::readLimits);
+    keywords.put("rules", this::readRules);
+    keywords.put("demand", this::readDemand);
+    keywords.put("trouble", this::readFault);
+  }
+
+  private void readNetwork(ConfigurationLine line) {
+    LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+    network =
+        new Deployment.NetworkModel(
+            a.time("way", 1, SECOND_MICROS, 200),
+            a.time("more", 0, SECOND_MICROS, 100),
+            a.number("loss", 0, 1, 0));
+    a.finish();
+  }
+
+  private void readCounter(ConfigurationLine line) {
+    LineArguments a =
+        args(
+            line,
+            0,
+            "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
+    counter =
+        new Deployment.CounterModel(
+            a.number("rate", 1, 1e9, 20_000),
+            a.time("wait", 1_000, 10 * SECOND_MICROS, 50_000),
+            a.whole("parts", 1, 1_000, 1),
+            a.number("turns-away", 0, 1, 0),
+            a.time("queue", 0, SECOND_MICROS, 0));
+    a.finish();
+  }
+
+  private void readRequestClass(ConfigurationLine line) {
+    LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+    RequestClass requestClass = Entries.requestClass(a);
+    if (requestClasses.putIfAbsent(requestClass.name(), requestClass) != null) {
+      a.wrong("class " + requestClass.name() + " is given twice", "each class once");
+    }
+    a.finish();
+  }
+
+  private void readPlan(ConfigurationLine line) {
+    LineArguments a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+    Plan plan = Entries.plan(a);
+    if (plans.putIfAbsent(plan.name(), plan) != null) {
+      a.wrong("plan " + plan.name() + " is given twice", "each plan once");
+    }
+    a.finish();
+  }
+
+  private void readLimits(ConfigurationLine line) {
+    LineArguments a = args(line, 0, "limits [ARGUMENT VALUE ...]");
+    limits = Entries.limits(a);
+    a.finish();
+  }
+
+  private void readRules(ConfigurationLine line) {
+    LineArguments a = args(line, 0, "rules [ARGUMENT VALUE ...]");
+    rules = Entries.rules(a);
+    a.finish();
   }
 
   private long time(ConfigurationLine line, long most) {
@@ -201,7 +206,7 @@
     return time;
   }
 
-  private void backendCount(ConfigurationLine line) {
+  private void readBackends(ConfigurationLine line) {
     LineArguments a =
         args(
             line,
@@ -223,7 +228,7 @@
     a.finish();
   }
 
-  private void demand(ConfigurationLine line) {
+  private void readDemand(ConfigurationLine line) {
     LineArguments a =
         args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
     String type = a.word("class", "");
@@ -264,10 +269,10 @@
   }
 
   /**
-   * What stands in the place of {@code $NAME} in later lines, unless whoever reads the file gives
-   * another.
+   * Takes a variable, whose value replaces {@code $NAME} in later lines, unless the caller gave
+   * another value.
    */
-  private void let(ConfigurationLine line) {
+  private void readVariable(ConfigurationLine line) {
     LineArguments a = args(line, 2, "let NAME VALUE");
     if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
       a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
@@ -280,43 +285,53 @@
   protected ConfigurationLine prepared(ConfigurationLine line) {
     List<String> words = line.words();
     if (line.keyword().equals("when")) {
-      String name = words.size() > 3 ? words.get(1) : "";
-      if (!variables.containsKey(name)) {
-        wrong(
-            line,
-            words.size() > 3
-                ? "there is no variable '" + name + "'"
-                : "when has " + (words.size() - 1) + " arguments",
-            "when NAME VALUE|VALUE LINE, after let NAME VALUE");
-        return null;
-      }
-      if (!List.of(words.get(2).split("\\|")).contains(variables.get(name))) {
+      if (!holds(line)) {
         return null;
       }
       words = words.subList(3, words.size());
     }
-    List<String> put = new ArrayList<>();
+    List<String> expanded = expand(line, words);
+    if (expanded == null) {
+      return null;
+    }
+    if (!expanded.get(0).equals("let")) {
+      effectiveSettings.append(String.join(" ", expanded)).append('\n');
+    }
+    return new ConfigurationLine(line.file(), line.number(), expanded);
+  }
+
+  /** Whether the condition of a {@code when} line holds; an error in it counts as no. */
+  private boolean holds(ConfigurationLine line) {
+    List<String> words = line.words();
+    boolean isComplete = words.size() > 3;
+    String name = isComplete ? words.get(1) : "";
+    if (!variables.containsKey(name)) {
+      wrong(
+          line,
+          isComplete
+              ? "there is no variable '" + name + "'"
+              : "when has " + (words.size() - 1) + " arguments",
+          "when NAME VALUE|VALUE LINE, after let NAME VALUE");
+      return false;
+    }
+    return List.of(words.get(2).split("\\|", 0)).contains(variables.get(name));
+  }
+
+  /** The words with variables replaced by their values, or null after an error. */
+  private List<String> expand(ConfigurationLine line, List<String> words) {
+    List<String> expanded = new ArrayList<>();
     for (String word : words) {
-      if (word.startsWith("$")) {
-        if (!variables.containsKey(word.substring(1))) {
-          wrong(
-              line,
-              "there is no variable '" + word + "'",
-              "let " + word.substring(1) + " VALUE before it");
-          return null;
-        }
-        put.add(variables.get(word.substring(1)));
-      } else {
-        put.add(word);
+      String name = word.startsWith("$") ? word.substring(1) : null;
+      if (name != null && !variables.containsKey(name)) {
+        wrong(line, "there is no variable '" + word + "'", "let " + name + " VALUE before it");
+        return null;
       }
+      expanded.add(name == null ? word : variables.get(name));
     }
-    if (!put.get(0).equals("let")) {
-      effectiveSettings.append(String.join(" ", put)).append('\n');
-    }
-    return new ConfigurationLine(line.file(), line.number(), put);
+    return expanded;
   }
 
-  private void trouble(ConfigurationLine line) {
+  private void readFault(ConfigurationLine line) {
     LineArguments a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
     FaultLine read = FaultLine.read(a);
     int last = read.window().firstBackend() + read.window().backendCount() - 1;
@@ -355,22 +370,22 @@
   /**
    * Reads a deployment file and all that it includes.
    *
-   * @throws ConfigurationException with every mistake when there is any
+   * @throws ConfigurationException with every error in the file, when there is any
    */
   public static ParsedDeployment read(Path file) throws ConfigurationException {
     return read(file, Map.of());
   }
 
   /**
-   * The same with other values of its variables.
+   * Reads a deployment file with other values of its variables.
    *
-   * @param given by name; each must have a {@code let} line
+   * @param overrides by name; each must have a {@code let} line
    */
-  public static ParsedDeployment read(Path file, Map<String, String> given)
+  public static ParsedDeployment read(Path file, Map<String, String> overrides)
       throws ConfigurationException {
-    DeploymentFile f = new DeploymentFile(given);
+    DeploymentFile f = new DeploymentFile(overrides);
     f.lines(file);
-    given
+    overrides
         .keySet()
         .forEach(
             name ->
--- a/src/main/java/fawndock/simulation/FaultLine.java
+++ b/src/main/java/fawndock/simulation/FaultLine.java
@@ -1,16 +1,17 @@
 package fawndock.simulation;
 
 import fawndock.settings.LineArguments;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
 /**
- * What a {@code trouble} line says: a kind, when, and on what.
+ * A {@code trouble} line of a deployment file: the kind of a fault, when it happens, and on what.
  *
- * @param gatewayCount how many it names; 0 for none
+ * @param gatewayCount how many gateways it names; 0 for none
  * @param counterPartition of the counter; below 0 for all
+ * @param fault schedules the fault in a simulation; null after an error
  */
 record FaultLine(
     DeploymentFile.FaultWindow window,
@@ -19,10 +20,10 @@
     int zone,
     String demand,
     Consumer<Simulation> fault) {
-  private static final double SECOND = 1e6;
-  private static final long DAY = 86_400_000_000L;
+  private static final double SECOND_MICROS = 1e6;
+  private static final long DAY_MICROS = 86_400_000_000L;
 
-  /** What a line may name beside its kind and times. */
+  /** The arguments of a line; each kind uses some of them. */
   private record Arguments(
       double fromSecond,
       double untilSecond,
@@ -37,40 +38,55 @@
       boolean losesState,
       String demand) {}
 
-  /** Reads a line; notes what is wrong with it. */
+  /** Reads a line and records its errors. */
   static FaultLine read(LineArguments a) {
-    double from = a.time("from", 0, DAY, 0) / SECOND;
-    double until = a.time("until", 0, DAY, (long) (from * SECOND) + 1) / SECOND;
-    int worker = a.whole("worker", 0, 9_999, 0);
-    int count = a.whole("count", 1, 10_000, 1);
-    int some = a.whole("gatekeepers", 0, 10_000, 0);
-    int part = a.whole("part", 0, 999, -1);
+    double fromSecond = a.time("from", 0, DAY_MICROS, 0) / SECOND_MICROS;
+    double untilSecond =
+        a.time("until", 0, DAY_MICROS, (long) (fromSecond * SECOND_MICROS) + 1) / SECOND_MICROS;
+    int firstBackend = a.whole("worker", 0, 9_999, 0);
+    int backendCount = a.whole("count", 1, 10_000, 1);
+    int gatewayCount = a.whole("gatekeepers", 0, 10_000, 0);
+    int counterPartition = a.whole("part", 0, 999, -1);
     int zone = a.whole("zone", 0, 999, 0);
-    double times = a.number("times", 1, 1_000, 10);
-    double share = a.number("share", 0, 1, 0.5);
-    long by = a.time("by", 0, DAY, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
-    int many = a.whole("many", 1, 10_000, 10);
-    boolean empty = a.flag("empty", false);
+    double factor = a.number("times", 1, 1_000, 10);
+    double ratio = a.number("share", 0, 1, 0.5);
+    long clockOffsetMicros =
+        a.time("by", 0, DAY_MICROS, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
+    int itemCount = a.whole("many", 1, 10_000, 10);
+    boolean losesState = a.flag("empty", false);
     String demand = a.word("demand", "");
-    if (a.good() && until <= from) {
+    if (a.good() && untilSecond <= fromSecond) {
       a.wrong("trouble " + a.place(0) + " ends before it begins", "until after from");
     }
-    List<String> workers = IntStream.range(worker, worker + count).mapToObj(i -> "w" + i).toList();
-    Consumer<Simulation> made =
+    List<String> backendIds =
+        IntStream.range(firstBackend, firstBackend + backendCount).mapToObj(i -> "w" + i).toList();
+    Consumer<Simulation> fault =
         fault(
             a.place(0),
             new Arguments(
-                from, until, workers, some, part, zone, times, share, by, many, empty, demand));
-    if (made == null) {
+                fromSecond,
+                untilSecond,
+                backendIds,
+                gatewayCount,
+                counterPartition,
+                zone,
+                factor,
+                ratio,
+                clockOffsetMicros,
+                itemCount,
+                losesState,
+                demand));
+    if (fault == null) {
       a.wrong("trouble '" + a.place(0) + "'", "one of " + String.join(" ", KINDS));
     }
     return new FaultLine(
-        new DeploymentFile.FaultWindow(a.place(0), from, until, worker, count, times, share),
-        some,
-        part,
+        new DeploymentFile.FaultWindow(
+            a.place(0), fromSecond, untilSecond, firstBackend, backendCount, factor, ratio),
+        gatewayCount,
+        counterPartition,
         zone,
         demand,
-        made);
+        fault);
   }
 
   private static final List<String> KINDS =
@@ -99,50 +115,56 @@
           "retry-storm",
           "poison");
 
-  private static Consumer<Simulation> fault(String kind, Arguments n) {
-    double from = n.fromSecond;
-    double to = n.untilSecond;
+  private static Consumer<Simulation> fault(String kind, Arguments args) {
+    double from = args.fromSecond;
+    double until = args.untilSecond;
     return switch (kind) {
-      case "counter-silent" -> in -> Faults.counterUnreachable(in, from, to);
-      case "counter-dies" -> in -> Faults.counterRestart(in, from, to, n.losesState);
-      case "counter-loses" -> in -> Faults.counterLosesState(in, from);
-      case "counter-slow" -> in -> Faults.counterSlow(in, from, to, n.factor);
-      case "counter-turns-away" -> in -> Faults.counterRejects(in, from, to, n.ratio);
+      case "counter-silent" -> sim -> Faults.counterUnreachable(sim, from, until);
+      case "counter-dies" -> sim -> Faults.counterRestart(sim, from, until, args.losesState);
+      case "counter-loses" -> sim -> Faults.counterLosesState(sim, from);
+      case "counter-slow" -> sim -> Faults.counterSlow(sim, from, until, args.factor);
+      case "counter-turns-away" -> sim -> Faults.counterRejects(sim, from, until, args.ratio);
       case "counter-split" ->
-          in ->
+          sim ->
               Faults.counterPartitioned(
-                  in, from, to, Math.max(1, n.gatewayCount), n.counterPartition);
+                  sim, from, until, Math.max(1, args.gatewayCount), args.counterPartition);
       case "worker-slow" ->
-          forEachBackend(n, (in, w) -> Faults.backendSlow(in, from, to, w, n.factor));
+          forEachBackend(args, (sim, id) -> Faults.backendSlow(sim, from, until, id, args.factor));
       case "worker-silent" ->
-          forEachBackend(n, (in, w) -> Faults.backendUnresponsive(in, from, to, w));
+          forEachBackend(args, (sim, id) -> Faults.backendUnresponsive(sim, from, until, id));
       case "worker-loses-answers" ->
-          forEachBackend(n, (in, w) -> Faults.backendLosesResponses(in, from, to, w, n.ratio));
+          forEachBackend(
+              args, (sim, id) -> Faults.backendLosesResponses(sim, from, until, id, args.ratio));
       case "worker-errs" ->
-          forEachBackend(n, (in, w) -> Faults.backendErrors(in, from, to, w, n.ratio));
+          forEachBackend(args, (sim, id) -> Faults.backendErrors(sim, from, until, id, args.ratio));
       case "worker-leaks" ->
-          forEachBackend(n, (in, w) -> Faults.backendLeaksConnections(in, from, to, w, n.count));
-      case "worker-dies" -> forEachBackend(n, (in, w) -> Faults.backendRestart(in, from, to, w));
-      case "worker-drains" -> forEachBackend(n, (in, w) -> Faults.backendDrains(in, from, to, w));
-      case "deploy" -> in -> Faults.rollingDeploy(in, from, to, n.count);
-      case "zone-dies" -> in -> Faults.zoneOutage(in, from, to, n.zone);
-      case "network-slow" -> in -> Faults.networkSlow(in, from, to, n.factor);
-      case "roster-mute" -> in -> Faults.discoveryMuted(in, from, to);
+          forEachBackend(
+              args, (sim, id) -> Faults.backendLeaksConnections(sim, from, until, id, args.count));
+      case "worker-dies" ->
+          forEachBackend(args, (sim, id) -> Faults.backendRestart(sim, from, until, id));
+      case "worker-drains" ->
+          forEachBackend(args, (sim, id) -> Faults.backendDrains(sim, from, until, id));
+      case "deploy" -> sim -> Faults.rollingDeploy(sim, from, until, args.count);
+      case "zone-dies" -> sim -> Faults.zoneOutage(sim, from, until, args.zone);
+      case "network-slow" -> sim -> Faults.networkSlow(sim, from, until, args.factor);
+      case "roster-mute" -> sim -> Faults.discoveryMuted(sim, from, until);
       case "clock-skew" ->
-          in -> Faults.clockSkew(in, from, to, Math.max(1, n.gatewayCount), n.clockOffsetMicros);
+          sim ->
+              Faults.clockSkew(
+                  sim, from, until, Math.max(1, args.gatewayCount), args.clockOffsetMicros);
       case "gatekeeper-dies" ->
-          in -> Faults.gatewaysKilled(in, from, to, Math.max(1, n.gatewayCount));
-      case "burst" -> in -> Faults.demandBurst(in, from, to, n.demand, n.factor);
-      case "give-up" -> in -> Faults.clientsDisconnectEarly(in, from, to, n.ratio);
-      case "retry-storm" -> in -> Faults.retryStorm(in, from, to, n.count);
-      case "poison" -> in -> Faults.poisonRequests(in, from, to, n.ratio);
+          sim -> Faults.gatewaysKilled(sim, from, until, Math.max(1, args.gatewayCount));
+      case "burst" -> sim -> Faults.demandBurst(sim, from, until, args.demand, args.factor);
+      case "give-up" -> sim -> Faults.clientsDisconnectEarly(sim, from, until, args.ratio);
+      case "retry-storm" -> sim -> Faults.retryStorm(sim, from, until, args.count);
+      case "poison" -> sim -> Faults.poisonRequests(sim, from, until, args.ratio);
       default -> null;
     };
   }
 
   private static Consumer<Simulation> forEachBackend(
-      Arguments n, java.util.function.BiConsumer<Simulation, String> one) {
-    List<String> workers = new ArrayList<>(n.backendIds);
-    return in -> workers.forEach(w -> one.accept(in, w));
+      Arguments args, BiConsumer<Simulation, String> one) {
+    List<String> backendIds = args.backendIds;
+    return sim -> backendIds.forEach(id -> one.accept(sim, id));
   }
 }
--- a/src/test/java/fawndock/simulation/SimulationTest.java
+++ b/src/test/java/fawndock/simulation/SimulationTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.fake.FakeBackend;
@@ -22,6 +23,7 @@
 import fawndock.policy.config.ServiceRules;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
+import fawndock.settings.ConfigurationException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -31,6 +33,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class SimulationTest {
   private static final Manners PATIENT_CLIENT =
@@ -300,9 +303,7 @@
         "let rate 20\nwhen rate 20 demand x class a plan b\ntrouble rain from 3s until 2s\nworkers $n\n"
             + "when rate 21 nonsense\n");
     String told =
-        org.junit.jupiter.api.Assertions.assertThrows(
-                fawndock.settings.ConfigurationException.class, () -> DeploymentFile.read(file))
-            .getMessage();
+        assertThrows(ConfigurationException.class, () -> DeploymentFile.read(file)).getMessage();
     for (String each :
         List.of(
             ":2: demand x has no rate",
@@ -314,4 +315,58 @@
       assertTrue(told.contains(each), each + " in " + told);
     }
   }
+
+  /** The file format is the users': its keywords stay while names in the code change. */
+  @Test
+  void read_unknownKeywordOrFault_listsAllThatTheFormatHas(@TempDir Path directory)
+      throws Exception {
+    Path file = directory.resolve("d.emu");
+    Files.writeString(file, "unknown\ntrouble unknown from 1s until 2s\n");
+    String message =
+        assertThrows(ConfigurationException.class, () -> DeploymentFile.read(file)).getMessage();
+    assertTrue(
+        message.contains(
+            "one of let gatekeepers workers network counter roster for seed class plan limits rules "
+                + "demand trouble include"),
+        message);
+    assertTrue(
+        message.contains(
+            "one of counter-silent counter-dies counter-loses counter-slow counter-turns-away "
+                + "counter-split worker-slow worker-silent worker-loses-answers worker-errs "
+                + "worker-leaks worker-dies worker-drains deploy zone-dies network-slow roster-mute "
+                + "clock-skew gatekeeper-dies burst give-up retry-storm poison"),
+        message);
+  }
+
+  /** Each argument of the file format is known to its line. */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "workers 8 cores 2 work 20ms queue 9 cold-share 0.2 cold-time 2s fall-multiple 2 fall-time 2s "
+            + "thrash 0.1 zones 2",
+        "network way 200us more 100us loss 0.01",
+        "counter rate 20000 wait 50ms parts 2 turns-away 0.1 queue 20ms",
+        "roster 100ms",
+        "trouble counter-split from 1s until 2s gatekeepers 2 part 0",
+        "trouble worker-slow from 1s until 2s worker 1 count 2 times 3",
+        "trouble counter-dies from 1s until 2s empty yes",
+        "trouble clock-skew from 1s until 2s gatekeepers 2 by 1s behind yes",
+        "trouble worker-leaks from 1s until 2s many 2",
+        "trouble zone-dies from 1s until 2s zone 0",
+        "trouble burst from 1s until 2s demand d times 2"
+      })
+  void read_eachArgumentOfTheFormat_isAccepted(String line, @TempDir Path directory)
+      throws Exception {
+    Path file = directory.resolve("d.emu");
+    Files.writeString(
+        file,
+        """
+        class lookup aim 500ms deadline 2s repeat idempotent
+        plan seat rate 20 store 40
+        demand d class lookup plan seat rate 10 each 5 skew 1 spread 2 remaining 1s
+        """
+            + line
+            + "\n");
+    assertEquals(1, DeploymentFile.read(file).deployment().demands().size());
+  }
 }
