--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -3,9 +3,6 @@
 import fawndock.counter.storage.CommandException;
 import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,351 +10,282 @@
 import java.util.Set;
 
 /**
- * A gatekeeper's side of several nodes: its own sums, which node a name is asked at, and the turn
- * to the next within a call's time.
+ * A gateway's side of several counter nodes: its own sums, which node a call goes to, and the
+ * hedged second attempt within the call's time. No I/O and no clock: what is to be done comes out
+ * as {@link ClientAction}s. Used from one thread.
  */
 public final class ReplicaClient {
-  /** How a call ended. */
-  public enum Result {
-    OK,
-    TIMEOUT,
-    UNREACHABLE,
-    REFUSED
-  }
-
-  /** What the client wants done. */
-  public sealed interface Out permits Ask, Here, End, Fetch, Give {}
-
-  /**
-   * Sends sums to a node and asks for the total; call 0 only tells, and nothing waits for its
-   * answer.
-   */
-  public record Ask(String node, long call, ReplicatedSum sum) implements Out {}
-
-  /**
-   * Shows a node that this gatekeeper is there, and asks whether the node is ready; the stamp is a
-   * new one each time.
-   */
-  public record Here(String node, long stamp) implements Out {}
-
-  /** Asks a node for the list of nodes that it goes by. */
-  public record Fetch(String node) implements Out {}
-
-  /** Gives a node a newer list than it has; it may have lost it with all that it had. */
-  public record Give(String node, MembershipList list) implements Out {}
-
-  /** A call has ended; the total counts only when it is OK. */
-  public record End(long call, String name, Result result, double total) implements Out {}
+  private static final int MAX_RESENDS_PER_TICK = 200;
 
-  /**
-   * Times, in milliseconds.
-   *
-   * @param next after which the next node is asked as well
-   * @param limit after which a call has ended
-   * @param missing of silence after which a node is not asked first any more
-   * @param here between showing that it is there
-   */
-  public record Times(long next, long limit, long missing, long here) {}
+  /** As {@code callId}: nothing waits for the answer. */
+  private static final long NO_CALL = 0;
 
-  private static final int TOLD_A_TICK = 200;
-  private static final int MOST_NAMES = 200_000;
+  private static final class NodeHealth {
+    boolean isHealthy;
 
-  private static final class Own {
-    DecimalAmount plus = DecimalAmount.ZERO;
-    DecimalAmount minus = DecimalAmount.ZERO;
-    long until;
-  }
-
-  private static final class Node {
-    boolean well = true;
+    /** Since when something sent has had no answer, or -1. */
+    long unansweredSinceMillis = -1;
 
-    /** When something was sent that has had no answer since, or -1. */
-    long waitsSince = -1;
+    long lastHeartbeatMillis = Long.MIN_VALUE / 2;
 
-    long hereAt = Long.MIN_VALUE / 2;
+    NodeHealth(boolean isHealthy) {
+      this.isHealthy = isHealthy;
+    }
   }
 
-  private static final class Call {
+  private static final class InFlightCall {
     final long id;
     final String name;
     final DecimalAmount amount;
-    final long at;
-    final Set<String> asked = new HashSet<>();
-    long askedAt;
+    final long startedMillis;
+    final Set<String> triedNodes = new HashSet<>();
+    long lastSentMillis;
 
-    Call(long id, String name, DecimalAmount amount, long at) {
+    InFlightCall(long id, String name, DecimalAmount amount, long startedMillis) {
       this.id = id;
       this.name = name;
       this.amount = amount;
-      this.at = at;
+      this.startedMillis = startedMillis;
     }
   }
 
-  private final long origin;
-  private final Times times;
-  private final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final Map<String, Own> own = new LinkedHashMap<>();
-  private final Map<Long, Call> calls = new LinkedHashMap<>();
-  private final ArrayDeque<String> toTell = new ArrayDeque<>();
-  private final Map<String, List<String>> orders = new HashMap<>();
-  private long nextCall = 1;
-  private long stamp;
-  private MembershipList given;
+  private final ClientTimeouts timeouts;
+  private final OwnSums ownSums;
+  private final Map<String, NodeHealth> nodes = new LinkedHashMap<>();
+  private final RendezvousOrder nodeOrder = new RendezvousOrder(nodes.keySet());
+  private final Map<Long, InFlightCall> inFlightCalls = new LinkedHashMap<>();
+  private final ArrayDeque<String> resendQueue = new ArrayDeque<>();
+  private long nextCallId = 1;
+  private long lastStamp;
+  private MembershipList adoptedMembership;
 
   /**
-   * A client that takes every node for well until it hears otherwise.
+   * A client that takes every node for healthy until it learns otherwise.
    *
-   * @param origin this start of this gatekeeper; no other has it
+   * @param origin incarnation of this gateway; no other has it
    */
-  public ReplicaClient(long origin, List<String> nodes, Times times) {
-    this.origin = origin;
-    this.times = times;
-    nodes.forEach(each -> this.nodes.put(each, new Node()));
+  public ReplicaClient(long origin, List<String> nodeIds, ClientTimeouts timeouts) {
+    this.timeouts = timeouts;
+    ownSums = new OwnSums(origin);
+    nodeIds.forEach(each -> nodes.put(each, new NodeHealth(true)));
   }
 
   /**
-   * Goes by a newer list of nodes, told by one of them: each that is new to it is asked once it is
-   * ready, and all sums are told anew.
+   * Uses a newer membership list: a node that is new on it is sent calls once it says that it is
+   * ready, and all sums are sent again.
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adopt(MembershipList list, long now, List<Out> out) {
-    if (given != null && list.version() <= given.version()) {
+  public boolean adoptMembership(MembershipList list, long nowMillis, List<ClientAction> actions) {
+    if (adoptedMembership != null && list.version() <= adoptedMembership.version()) {
       return false;
     }
-    given = list;
+    adoptedMembership = list;
     nodes.keySet().retainAll(list.addresses().keySet());
     for (String each : list.addresses().keySet()) {
-      nodes.computeIfAbsent(
-          each,
-          id -> {
-            Node node = new Node();
-            node.well = false; // Until it says that it has caught up.
-            return node;
-          });
+      nodes.computeIfAbsent(each, id -> new NodeHealth(false));
     }
-    orders.clear();
-    tellAll();
-    for (Call call : List.copyOf(calls.values())) {
-      ask(call, now, out); // The one that was asked may be off the list.
+    nodeOrder.clear();
+    resendAll();
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      sendToNextNode(call, nowMillis, actions); // The node that has it may be off the list.
     }
     return true;
   }
 
-  /** The newest list that it was told, or null while it goes by the one in its settings. */
-  public MembershipList given() {
-    return given;
+  /** The newest list that it was given, or null while it uses the one in its settings. */
+  public MembershipList adoptedMembership() {
+    return adoptedMembership;
   }
 
-  /** Adds to a name, or takes back with a negative amount; returns the call's number. */
-  public long call(String name, DecimalAmount amount, long keepMillis, long now, List<Out> out)
+  /**
+   * Adds to a name, or withdraws with a negative amount; returns the call's id.
+   *
+   * @throws CommandException when there are too many names, or the sum would overflow
+   */
+  public long add(
+      String name,
+      DecimalAmount amount,
+      long timeToLiveMillis,
+      long nowMillis,
+      List<ClientAction> actions)
       throws CommandException {
-    Own mine = own.get(name);
-    if (mine == null || mine.until <= now) {
-      if (own.size() >= MOST_NAMES) {
-        own.values().removeIf(o -> o.until <= now);
-        if (own.size() >= MOST_NAMES) {
-          throw new CommandException("OOM too many names");
-        }
-      }
-      mine = new Own();
-      mine.until = now + keepMillis;
-      own.put(name, mine);
-    }
-    add(mine, amount);
-    Call call = new Call(nextCall++, name, amount, now);
-    calls.put(call.id, call);
-    if (!ask(call, now, out)) {
-      end(call, Result.UNREACHABLE, 0, out);
+    ownSums.add(name, amount, timeToLiveMillis, nowMillis);
+    InFlightCall call = new InFlightCall(nextCallId++, name, amount, nowMillis);
+    inFlightCalls.put(call.id, call);
+    if (!sendToNextNode(call, nowMillis, actions)) {
+      endCall(call, CallOutcome.UNREACHABLE, 0, actions);
     }
     return call.id;
   }
 
-  private static void add(Own mine, DecimalAmount amount) throws CommandException {
-    if (amount.digits() >= 0) {
-      mine.plus = mine.plus.plus(amount);
-    } else {
-      mine.minus = mine.minus.plus(amount.negated());
-    }
-  }
-
-  /** Asks the first node that is well and was not asked for this call; false when there is none. */
-  private boolean ask(Call call, long now, List<Out> out) {
-    for (String id : order(call.name)) {
-      if (nodes.get(id).well && call.asked.add(id)) {
-        call.askedAt = now;
-        send(id, call.id, call.name, now, out);
+  /** Sends to the first healthy node that this call was not sent to; false when there is none. */
+  private boolean sendToNextNode(InFlightCall call, long nowMillis, List<ClientAction> actions) {
+    for (String id : nodeOrder.nodesFor(call.name)) {
+      if (nodes.get(id).isHealthy && call.triedNodes.add(id)) {
+        call.lastSentMillis = nowMillis;
+        sendOwnSum(id, call.id, call.name, nowMillis, actions);
         return true;
       }
     }
     return false;
   }
 
-  private void send(String id, long call, String name, long now, List<Out> out) {
-    Own mine = own.get(name);
-    if (mine == null || mine.until <= now) {
-      return;
+  private void sendOwnSum(
+      String id, long callId, String name, long nowMillis, List<ClientAction> actions) {
+    ReplicatedSum sum = ownSums.current(name, nowMillis);
+    if (sum != null) {
+      expectAnswer(nodes.get(id), nowMillis);
+      actions.add(new ClientAction.SendSum(id, callId, sum));
     }
-    Node node = nodes.get(id);
-    node.waitsSince = node.waitsSince < 0 ? now : node.waitsSince;
-    out.add(
-        new Ask(
-            id, call, new ReplicatedSum(name, origin, mine.plus, mine.minus, mine.until - now)));
   }
 
-  /**
-   * The nodes of a name, by rendezvous hashing: one that goes moves only the names that were its
-   * own.
-   */
-  private List<String> order(String name) {
-    String series = ReplicatedSum.series(name);
-    if (orders.size() > MOST_NAMES) {
-      orders.clear();
+  private static void expectAnswer(NodeHealth node, long nowMillis) {
+    if (node.unansweredSinceMillis < 0) {
+      node.unansweredSinceMillis = nowMillis;
     }
-    return orders.computeIfAbsent(
-        series,
-        s -> {
-          List<String> order = new ArrayList<>(nodes.keySet());
-          order.sort(Comparator.comparingLong(node -> weight(s, node)));
-          return order;
-        });
   }
 
-  private static long weight(String series, String node) {
-    long hash = 0xCBF29CE484222325L;
-    for (char c : (node + '/' + series).toCharArray()) {
-      hash = (hash ^ c) * 0x100000001B3L;
-    }
-    hash = (hash ^ hash >>> 33) * 0xFF51AFD7ED558CCDL;
-    return hash ^ hash >>> 33;
-  }
-
-  /** A node answered a call, or a telling, with the total. */
-  public void answered(String node, long id, double total, List<Out> out) {
-    known(node).waitsSince = -1;
-    Call call = calls.get(id);
+  /** A node answered a sum with the total. */
+  public void onTotal(String node, long callId, double total, List<ClientAction> actions) {
+    healthOf(node).unansweredSinceMillis = -1;
+    InFlightCall call = inFlightCalls.get(callId);
     if (call != null) {
-      end(call, Result.OK, total, out);
+      endCall(call, CallOutcome.OK, total, actions);
     }
   }
 
-  /** A node refused a call, such as one that has not caught up; it has kept nothing of it. */
-  public void refused(String node, long id, boolean notReady, long now, List<Out> out) {
-    Node of = known(node);
-    of.waitsSince = -1;
-    if (notReady) {
-      unwell(of);
+  /** A node rejected a call, such as one that is catching up; it has kept nothing of it. */
+  public void onRejected(
+      String node, long callId, boolean isNotReady, long nowMillis, List<ClientAction> actions) {
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    if (isNotReady) {
+      markUnhealthy(health);
     }
-    Call call = calls.get(id);
-    if (call != null && !ask(call, now, out)) {
-      end(call, Result.REFUSED, 0, out);
+    InFlightCall call = inFlightCalls.get(callId);
+    if (call != null && !sendToNextNode(call, nowMillis, actions)) {
+      endCall(call, CallOutcome.REJECTED, 0, actions);
     }
   }
 
-  /** A node that is off the list by now has its answers taken, and nothing else of it matters. */
-  private Node known(String node) {
-    return nodes.getOrDefault(node, new Node());
+  /** Of a node that is off the list by now, a throwaway: its answers change nothing else. */
+  private NodeHealth healthOf(String node) {
+    NodeHealth health = nodes.get(node);
+    return health == null ? new NodeHealth(true) : health;
   }
 
-  /**
-   * A node answered that it hears, whether it is ready, and by which version of the list of nodes
-   * it goes.
-   */
-  public void hereAnswered(String node, boolean ready, long version, List<Out> out) {
-    long mine =
-        given == null
-            ? MembershipList.settingsVersion(MembershipList.epoch(version))
-            : given.version();
-    if (version > mine) {
-      out.add(new Fetch(node));
-    } else if (version < mine) {
-      out.add(new Give(node, given));
+  /** A node answered a heartbeat: whether it is ready, and which membership list it uses. */
+  public void onHeartbeatReply(
+      String node, boolean isReady, long membershipVersion, List<ClientAction> actions) {
+    exchangeMembership(node, membershipVersion, actions);
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    if (isReady && !health.isHealthy) {
+      health.isHealthy = true;
+      resendAll(); // It may have come back with less than others have, or with nothing.
+    } else if (!isReady) {
+      markUnhealthy(health);
     }
-    Node of = known(node);
-    of.waitsSince = -1;
-    if (ready && !of.well) {
-      of.well = true;
-      tellAll(); // It may have come back with less than others have, or with nothing.
-    } else if (!ready) {
-      unwell(of);
+  }
+
+  private void exchangeMembership(String node, long theirVersion, List<ClientAction> actions) {
+    // By the settings alone, addresses may differ between instances: only the epoch counts then.
+    long ownVersion =
+        adoptedMembership == null
+            ? MembershipList.settingsVersion(MembershipList.epoch(theirVersion))
+            : adoptedMembership.version();
+    if (theirVersion > ownVersion) {
+      actions.add(new ClientAction.FetchMembership(node));
+    } else if (theirVersion < ownVersion) {
+      actions.add(new ClientAction.PushMembership(node, adoptedMembership));
     }
   }
 
-  /** The connection to a node is lost. */
-  public void lost(String node, long now, List<Out> out) {
-    Node of = known(node);
-    of.waitsSince = -1;
-    unwell(of);
-    for (Call call : List.copyOf(calls.values())) {
-      if (call.asked.contains(node)) {
-        ask(call, now, out);
+  /** The connection to a node is lost: its calls go to the next node at once. */
+  public void onConnectionLost(String node, long nowMillis, List<ClientAction> actions) {
+    NodeHealth health = healthOf(node);
+    health.unansweredSinceMillis = -1;
+    markUnhealthy(health);
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      if (call.triedNodes.contains(node)) {
+        sendToNextNode(call, nowMillis, actions);
       }
     }
   }
 
-  // What only the lost node had heard from this gatekeeper is told to those that stand in for it.
-  private void unwell(Node node) {
-    if (node.well) {
-      node.well = false;
-      tellAll();
+  /** What only this node had from this gateway is sent to the nodes that take its names over. */
+  private void markUnhealthy(NodeHealth node) {
+    if (node.isHealthy) {
+      node.isHealthy = false;
+      resendAll();
     }
   }
 
-  private void tellAll() {
-    toTell.clear();
-    toTell.addAll(own.keySet());
+  private void resendAll() {
+    resendQueue.clear();
+    resendQueue.addAll(ownSums.names());
+  }
+
+  /** Ends and hedges calls, sends heartbeats and some of the sums that are to be sent again. */
+  public void tick(long nowMillis, List<ClientAction> actions) {
+    checkNodes(nowMillis, actions);
+    checkCalls(nowMillis, actions);
+    resendSome(nowMillis, actions);
   }
 
-  /** Time goes by. */
-  public void tick(long now, List<Out> out) {
+  private void checkNodes(long nowMillis, List<ClientAction> actions) {
     nodes.forEach(
         (id, node) -> {
-          if (node.waitsSince >= 0 && now - node.waitsSince > times.missing) {
-            unwell(node);
+          if (node.unansweredSinceMillis >= 0
+              && nowMillis - node.unansweredSinceMillis > timeouts.nodeTimeoutMillis()) {
+            markUnhealthy(node);
           }
-          if (now - node.hereAt >= times.here) {
-            node.hereAt = now;
-            node.waitsSince = node.waitsSince < 0 ? now : node.waitsSince;
-            out.add(new Here(id, ++stamp));
+          if (nowMillis - node.lastHeartbeatMillis >= timeouts.heartbeatIntervalMillis()) {
+            node.lastHeartbeatMillis = nowMillis;
+            expectAnswer(node, nowMillis);
+            actions.add(new ClientAction.SendHeartbeat(id, ++lastStamp));
           }
         });
-    for (Call call : List.copyOf(calls.values())) {
-      if (now - call.at >= times.limit) {
-        end(call, Result.TIMEOUT, 0, out);
-      } else if (now - call.askedAt >= times.next) {
-        // Guards against the wait for a node that has stalled. It may ask a second one for nothing
-        // when the
-        // first is only slow; nothing is counted twice by that.
-        ask(call, now, out);
+  }
+
+  private void checkCalls(long nowMillis, List<ClientAction> actions) {
+    for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
+      if (nowMillis - call.startedMillis >= timeouts.callTimeoutMillis()) {
+        endCall(call, CallOutcome.TIMEOUT, 0, actions);
+      } else if (nowMillis - call.lastSentMillis >= timeouts.hedgeDelayMillis()) {
+        // Guards against the wait for a node that has stalled. It may send to a second node in vain
+        // when the first is only slow; nothing is counted twice by that.
+        sendToNextNode(call, nowMillis, actions);
       }
     }
-    for (int i = 0; i < TOLD_A_TICK && !toTell.isEmpty(); i++) {
-      String name = toTell.poll();
-      for (String id : order(name)) {
-        if (nodes.get(id).well) {
-          send(id, 0, name, now, out);
+  }
+
+  private void resendSome(long nowMillis, List<ClientAction> actions) {
+    for (int i = 0; i < MAX_RESENDS_PER_TICK && !resendQueue.isEmpty(); i++) {
+      String name = resendQueue.poll();
+      for (String id : nodeOrder.nodesFor(name)) {
+        if (nodes.get(id).isHealthy) {
+          sendOwnSum(id, NO_CALL, name, nowMillis, actions);
           break;
         }
       }
     }
   }
 
-  private void end(Call call, Result result, double total, List<Out> out) {
-    calls.remove(call.id);
-    if (result == Result.UNREACHABLE || result == Result.REFUSED) {
+  private void endCall(
+      InFlightCall call, CallOutcome outcome, double total, List<ClientAction> actions) {
+    inFlightCalls.remove(call.id);
+    if (outcome == CallOutcome.UNREACHABLE || outcome == CallOutcome.REJECTED) {
       // The caller takes it for not added; it may have gone out with another call of the name
       // meanwhile.
-      try {
-        add(own.get(call.name), call.amount.negated());
-      } catch (CommandException e) {
-        throw new IllegalStateException("a sum beyond all bounds", e);
-      }
+      ownSums.revert(call.name, call.amount);
     }
-    out.add(new End(call.id, call.name, result, total));
+    actions.add(new ClientAction.CallEnded(call.id, call.name, outcome, total));
   }
 
-  /** Whether a node is asked first for its names. */
-  public boolean well(String node) {
-    return known(node).well;
+  /** Whether calls go to this node first for its names. */
+  public boolean isHealthy(String node) {
+    return healthOf(node).isHealthy;
   }
 }
--- a/src/main/java/fawndock/simulation/SimulatedBackend.java
+++ b/src/main/java/fawndock/simulation/SimulatedBackend.java
@@ -3,11 +3,11 @@
 import fawndock.conformance.TraceEvent;
 import fawndock.fake.FakeBackend.BackendConfig;
 import fawndock.policy.event.CallResult;
+import fawndock.policy.event.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
@@ -23,12 +23,10 @@
   private static final class BackendCall {
     final String requestId;
     final String idempotencyKey;
-    final BiConsumer<CallResult, Map<String, Double>> onCompleted;
+    final BiConsumer<CallResult, LoadReport> onCompleted;
 
     BackendCall(
-        String requestId,
-        String idempotencyKey,
-        BiConsumer<CallResult, Map<String, Double>> onCompleted) {
+        String requestId, String idempotencyKey, BiConsumer<CallResult, LoadReport> onCompleted) {
       this.requestId = requestId;
       this.idempotencyKey = idempotencyKey;
       this.onCompleted = onCompleted;
@@ -114,7 +112,7 @@
     lost.addAll(queue);
     running.clear();
     queue.clear();
-    lost.forEach(call -> call.onCompleted.accept(CallResult.RESET, Map.of()));
+    lost.forEach(call -> call.onCompleted.accept(CallResult.RESET, LoadReport.NONE));
   }
 
   boolean isRunning() {
@@ -123,15 +121,13 @@
 
   /** Takes an attempt; its callback is never called while the backend is unresponsive. */
   void onAttempt(
-      String requestId,
-      String idempotencyKey,
-      BiConsumer<CallResult, Map<String, Double>> onCompleted) {
+      String requestId, String idempotencyKey, BiConsumer<CallResult, LoadReport> onCompleted) {
     if (!isRunning) {
-      onCompleted.accept(CallResult.CONNECT_FAILED, Map.of());
+      onCompleted.accept(CallResult.CONNECT_FAILED, LoadReport.NONE);
       return;
     }
     if (isOutOfConnections()) {
-      onCompleted.accept(CallResult.CONNECT_FAILED, Map.of());
+      onCompleted.accept(CallResult.CONNECT_FAILED, LoadReport.NONE);
       return;
     }
     boolean isRejected = queue.size() >= config.queueCapacity();
@@ -139,7 +135,7 @@
         new TraceEvent.AttemptArrived(events.nowMicros(), requestId, id, incarnation, isRejected));
     if (isOverloaded()) {
       crash();
-      onCompleted.accept(CallResult.RESET, Map.of());
+      onCompleted.accept(CallResult.RESET, LoadReport.NONE);
     } else if (isRejected) {
       onCompleted.accept(CallResult.SHED, loadReport());
     } else if (!isUnresponsive) {
@@ -214,13 +210,11 @@
         random.nextDouble() < errorRatio ? CallResult.ERROR : CallResult.OK, loadReport());
   }
 
-  private Map<String, Double> loadReport() {
-    return Map.of(
-        "utilization",
-        (double) running.size() / config.cores(),
-        "queue",
-        (double) queue.size(),
-        "inFlight",
-        (double) running.size() + queue.size());
+  private LoadReport loadReport() {
+    return new LoadReport.Builder()
+        .utilization((double) running.size() / config.cores())
+        .queuedRequests(queue.size())
+        .inFlightRequests((double) running.size() + queue.size())
+        .build();
   }
 }
--- a/src/main/java/fawndock/simulation/SimulatedCounter.java
+++ b/src/main/java/fawndock/simulation/SimulatedCounter.java
@@ -101,7 +101,7 @@
           operations
               .add(
                   counterName.getBytes(StandardCharsets.UTF_8),
-                  DecimalAmount.of(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
+                  DecimalAmount.parse(Double.toString(amount).getBytes(StandardCharsets.US_ASCII)),
                   Math.max(1, timeToLiveMicros / 1_000),
                   events.nowMicros() / 1_000,
                   changeRecord)
--- a/src/main/java/fawndock/simulation/SimulatedGateway.java
+++ b/src/main/java/fawndock/simulation/SimulatedGateway.java
@@ -16,6 +16,7 @@
 import fawndock.policy.event.ClientDisconnected;
 import fawndock.policy.event.CounterReply;
 import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
 import fawndock.policy.event.PeerMessageReceived;
 import fawndock.policy.event.PolicyEvent;
 import fawndock.policy.event.RequestArrived;
@@ -195,7 +196,7 @@
     } else if (action instanceof CancelAttempt a) {
       InFlightRequest pending = inFlight.get(a.requestId());
       if (pending != null) {
-        completeAttempt(pending, a.attemptIndex(), 0, CallResult.CANCELLED, Map.of());
+        completeAttempt(pending, a.attemptIndex(), 0, CallResult.CANCELLED, LoadReport.NONE);
       }
     } else if (action instanceof StartHealthCheck a) {
       startHealthCheck(a.endpointId());
@@ -255,7 +256,7 @@
         || attemptIndex >= simulation.deployment.limits().maxAttempts()
         || deadlineAtMicros <= nowMicros) {
       scheduleAfter(
-          0, () -> completeAttempt(pending, attemptIndex, 0, CallResult.NOT_SENT, Map.of()));
+          0, () -> completeAttempt(pending, attemptIndex, 0, CallResult.NOT_SENT, LoadReport.NONE));
       return;
     }
     simulation.network.send(
@@ -280,7 +281,7 @@
                 attemptIndex,
                 simulation.events.nowMicros() - nowMicros,
                 CallResult.TIMEOUT,
-                Map.of()));
+                LoadReport.NONE));
   }
 
   /** Completes an attempt, unless it was completed before. */
@@ -289,7 +290,7 @@
       int attemptIndex,
       long latencyMicros,
       CallResult result,
-      Map<String, Double> load) {
+      LoadReport load) {
     String endpointId = pending.endpointByAttempt.remove(attemptIndex);
     if (endpointId == null || inFlight.get(pending.request.requestId()) != pending) {
       return;
@@ -366,6 +367,6 @@
                             backend != null && backend.isRunning() && !backend.isUnresponsive
                                 ? CallResult.OK
                                 : CallResult.TIMEOUT,
-                            Map.of()))));
+                            LoadReport.NONE))));
   }
 }
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -66,10 +66,10 @@
 
   @Test
   void amountsHaveNoExponent() {
-    assertEquals("-2.5", CounterClient.number(-2.5));
-    assertEquals("0", CounterClient.number(0));
-    assertEquals("0.00000012", CounterClient.number(1.2e-7));
-    assertEquals("3", CounterClient.number(3));
+    assertEquals("-2.5", CounterCall.encodeAmount(-2.5));
+    assertEquals("0", CounterCall.encodeAmount(0));
+    assertEquals("0.00000012", CounterCall.encodeAmount(1.2e-7));
+    assertEquals("3", CounterCall.encodeAmount(3));
   }
 
   @Test
@@ -133,14 +133,14 @@
     Vertx vertx = Vertx.vertx();
     try (FakePlatform world =
         new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
-      PlatformConfig config = PlatformConfig.read(world.environment());
+      PlatformConfig config = PlatformConfigReader.read(world.environment());
       CompletableFuture<Integer> served = new CompletableFuture<>();
       vertx
           .getOrCreateContext()
           .runOnContext(
               v -> {
                 WarmUp warmUp = new WarmUp(vertx, config, DefaultGatewayPolicy::new);
-                warmUp.run().onComplete(done -> served.complete(warmUp.served()));
+                warmUp.run().onComplete(done -> served.complete(warmUp.servedCount()));
               });
       assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
       assertEquals(0, world.backend.acceptedCount());
@@ -198,16 +198,15 @@
                     new MicroClock(),
                     new Timers(vertx),
                     new ActivitySummary(),
-                    250_000,
-                    50_000,
+                    new CounterClient.Timeouts(250_000, 50_000),
                     told::add);
-            counter[0].count(new AddToCounter("name", 1, 4_000_000));
+            counter[0].add(new AddToCounter("name", 1, 4_000_000));
           });
       Await.until(() -> told.size() == 1);
       assertEquals(CallResult.TIMEOUT, told.get(0).result());
       context.runOnContext(
           v -> {
-            counter[0].count(new AddToCounter("name", 1, 4_000_000));
+            counter[0].add(new AddToCounter("name", 1, 4_000_000));
             release.countDown();
           });
       Await.until(() -> told.size() == 2);
@@ -290,8 +289,7 @@
   void anUnusableConfigurationIsToldInOneLine() throws Exception {
     assertEquals(
         "RELAY_CONFIG is not set: the path of the configuration is expected",
-        assertThrows(
-                PlatformConfig.InvalidConfigException.class, () -> PlatformConfig.read(Map.of()))
+        assertThrows(InvalidConfigException.class, () -> PlatformConfigReader.read(Map.of()))
             .getMessage());
     try (FakePlatform world =
         new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
@@ -317,8 +315,8 @@
         world.writeFile(each[0]);
         String line =
             assertThrows(
-                    PlatformConfig.InvalidConfigException.class,
-                    () -> PlatformConfig.read(world.environment()))
+                    InvalidConfigException.class,
+                    () -> PlatformConfigReader.read(world.environment()))
                 .getMessage();
         assertTrue(
             line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
