--- a/src/test/java/fawndock/counter/CounterServerFixture.java
+++ b/src/test/java/fawndock/counter/CounterServerFixture.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
-import fawndock.counter.config.CounterSettings;
 import fawndock.settings.LogSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
