--- a/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
+++ b/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
@@ -43,7 +43,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One try through the module: asked, counted, sent, ended, and its timers when they are due. */
+/** One request through the policy: counted, sent, answered, and its timers when they are due. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -53,7 +53,7 @@
 public class PolicyBenchmark {
   private static final int CUSTOMERS = 200;
 
-  /** Gatekeepers x servers. */
+  /** Gateway instances x endpoints. */
   @Param({"3x14", "190x300"})
   public String size;
 
@@ -77,12 +77,12 @@
 
   @Setup
   public void start() {
-    int gatekeepers = Integer.parseInt(size.split("x")[0]);
+    int instances = Integer.parseInt(size.split("x", 0)[0]);
     policy =
         new DefaultGatewayPolicy(
             new PolicyConfig(
                 0,
-                gatekeepers,
+                instances,
                 42,
                 5_000,
                 "here",
@@ -103,18 +103,18 @@
                 new GatewayLimits(3, 10_000, 30_000_000, false, true, false, true, true),
                 new ServiceRules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000),
                 new CounterConfig(true, 50_000, false)));
-    List<Endpoint> servers = new ArrayList<>();
-    for (int i = 0; i < Integer.parseInt(size.split("x")[1]); i++) {
-      servers.add(new Endpoint("s" + i, "here", i / 4, EndpointState.RUNNING, 1, 0));
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (int i = 0; i < Integer.parseInt(size.split("x", 0)[1]); i++) {
+      endpoints.add(new Endpoint("s" + i, "here", i / 4, EndpointState.RUNNING, 1, 0));
     }
-    take(policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, servers)));
+    take(policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)));
   }
 
   private void take(List<PolicyAction> actions) {
     todo.addAll(actions);
   }
 
-  /** A request a millisecond; the counter takes half of one, the server five. */
+  /** A request a millisecond; the counter takes half of one, the endpoint five. */
   @Benchmark
   public int request() {
     now += 1_000;
@@ -148,10 +148,8 @@
                     a.requestId(), 0, a.endpointId(), 5_000, CallResult.OK, true, 0, load)));
       } else if (action instanceof ScheduleTimer w
           && w.timer() instanceof PolicyTimer.AnswerDeadline) {
-        due.add(
-            now + w.delayMicros()); // The longest timers; they come due in the order in which they
-        // are
-        // set.
+        // The longest timers: due in the order in which they are scheduled.
+        due.add(now + w.delayMicros());
         timers.add(w.timer());
       }
     }
--- a/src/main/java/fawndock/policy/deadline/Deadlines.java
+++ b/src/main/java/fawndock/policy/deadline/Deadlines.java
@@ -31,7 +31,7 @@
    */
   public long answerAtMicros(long deadlineAtMicros, long nowMicros) {
     double marginMicros =
-        Math.max(answerMarginMicros, ANSWER_MARGIN_RATIO * (deadlineAtMicros - nowMicros));
+        Math.max((double) answerMarginMicros, ANSWER_MARGIN_RATIO * (deadlineAtMicros - nowMicros));
     return Math.max(nowMicros, deadlineAtMicros - (long) marginMicros);
   }
 
--- a/src/main/java/fawndock/policy/quota/CounterCall.java
+++ b/src/main/java/fawndock/policy/quota/CounterCall.java
@@ -1,15 +1,43 @@
 package fawndock.policy.quota;
 
 import fawndock.policy.PendingRequest;
+import java.util.ArrayList;
 import java.util.List;
 
-/**
- * A counter call in flight.
- *
- * @param counter the counter that it adds to
- * @param addedUnits all that it adds, with what was pending
- * @param requestUnits what it adds for the request that caused it
- * @param waiters requests that wait for it
- */
-public record CounterCall(
-    WindowCounter counter, double addedUnits, double requestUnits, List<PendingRequest> waiters) {}
+/** A counter call in flight, and the requests that wait for it. */
+public final class CounterCall {
+  private final WindowCounter counter;
+  private final double addedUnits;
+  private final double requestUnits;
+  private final List<PendingRequest> waiters = new ArrayList<>(1);
+
+  /**
+   * A call that is being sent.
+   *
+   * @param counter the counter that it adds to
+   * @param addedUnits all that it adds, with what was pending
+   * @param requestUnits what it adds for the request that caused it
+   */
+  CounterCall(WindowCounter counter, double addedUnits, double requestUnits) {
+    this.counter = counter;
+    this.addedUnits = addedUnits;
+    this.requestUnits = requestUnits;
+  }
+
+  WindowCounter counter() {
+    return counter;
+  }
+
+  double addedUnits() {
+    return addedUnits;
+  }
+
+  double requestUnits() {
+    return requestUnits;
+  }
+
+  /** The requests that wait for it, in the order in which they began to. */
+  public List<PendingRequest> waiters() {
+    return waiters;
+  }
+}
--- a/src/main/java/fawndock/policy/quota/CounterCalls.java
+++ b/src/main/java/fawndock/policy/quota/CounterCalls.java
@@ -3,7 +3,6 @@
 import fawndock.policy.EventContext;
 import fawndock.policy.action.AddToCounter;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -25,8 +24,7 @@
 
   /** Adds to a counter, with all that is pending for it; adding 0 only reads. */
   CounterCall send(WindowCounter counter, double units) {
-    CounterCall call =
-        new CounterCall(counter, units + counter.takePending(), units, new ArrayList<>(1));
+    CounterCall call = new CounterCall(counter, units + counter.takePending(), units);
     inFlight.computeIfAbsent(counter.name(), name -> new ArrayDeque<>(2)).add(call);
     long windowMicros = counter.quota().windowMicros();
     context.emit(
--- a/src/main/java/fawndock/policy/quota/CounterProbe.java
+++ b/src/main/java/fawndock/policy/quota/CounterProbe.java
@@ -49,7 +49,8 @@
   void recordFailure(boolean isShed) {
     double nextMicros =
         isShed ? backoffMicros : Math.max(backoffMicros, lastIntervalMicros) / BACKOFF_FACTOR;
-    backoffMicros = (long) Math.min(maxBackoffMicros, Math.max(nextMicros, minBackoffMicros));
+    backoffMicros =
+        (long) Math.min(maxBackoffMicros, Math.max(nextMicros, (double) minBackoffMicros));
   }
 
   void recordPromptReply(boolean isRampingUp) {
--- a/src/main/java/fawndock/policy/quota/RetryAfter.java
+++ b/src/main/java/fawndock/policy/quota/RetryAfter.java
@@ -1,6 +1,6 @@
 package fawndock.policy.quota;
 
-/** When a rejected client is told to come back. */
+/** When a rejected client may try again. */
 public final class RetryAfter {
   private static final long SECOND_MICROS = 1_000_000;
 
--- a/src/test/java/fawndock/policy/PolicySourceTest.java
+++ b/src/test/java/fawndock/policy/PolicySourceTest.java
@@ -114,7 +114,7 @@
               visitor.visit(
                   unit, trees, path == null ? new TreePath(unit) : new TreePath(path, tree));
             }
-            return super.scan(tree, unused);
+            return super.scan(tree, null);
           }
         }.scan(new TreePath(unit), null);
       }
