--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -18,6 +18,8 @@
  * @param units the units that the request has used, or 0 where none are reported
  * @param isConnectionReusable whether further replies on the connection can be trusted
  */
+// The value is passed on without a copy, and replies are never compared.
+@SuppressWarnings("ArrayRecordComponent")
 record BackendReply(
     CallResult result, byte[] value, LoadReport load, double units, boolean isConnectionReusable) {
   /** Value, usage and load report. */
--- a/src/main/java/fawndock/platform/ByteConnection.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -45,8 +45,8 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    // A reset, most often; channelInactive reports the disconnect.
-    handler.close();
+    // A reset, most often.
+    closeChannel();
   }
 
   @Override
@@ -77,7 +77,7 @@
   private void drop(int bytes) {
     droppedBytes += bytes;
     if (droppedBytes > LINGER_BYTES) {
-      context.close();
+      closeChannel();
     }
   }
 
@@ -112,32 +112,40 @@
     }
     markClosed();
     if (!(context.channel() instanceof DuplexChannel channel) || !channel.isActive()) {
-      context.close();
+      closeChannel();
       return;
     }
     // Within this turn where all has been written, as it mostly has; else as soon as it is.
-    send(Unpooled.EMPTY_BUFFER)
-        .addListener(
-            written -> {
-              if (written.isSuccess()) {
-                channel.shutdownOutput();
-              } else {
-                channel.close();
-              }
-            });
+    var unusedShutdown =
+        send(Unpooled.EMPTY_BUFFER)
+            .addListener(written -> shutDownOutput(channel, written.isSuccess()));
     var lingerTimer =
-        context.executor().schedule(() -> context.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
-    channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
+        context.executor().schedule(this::closeChannel, LINGER_MILLIS, TimeUnit.MILLISECONDS);
+    var unusedCancel = channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
+  }
+
+  private void shutDownOutput(DuplexChannel channel, boolean isWritten) {
+    if (isWritten) {
+      // Should it fail, the linger timer closes the channel.
+      var unused = channel.shutdownOutput();
+    } else {
+      closeChannel();
+    }
+  }
+
+  private void closeChannel() {
+    // Needs no follow-up: channelInactive reports the close.
+    var unused = context.close();
   }
 
   /** Closes the channel at once, also after {@link #halfClose}. */
   final void closeNow() {
-    context.close();
+    closeChannel();
   }
 
   /** Calls the listener when the connection is closed in both directions. */
   final void whenClosed(Runnable listener) {
-    context.channel().closeFuture().addListener(closed -> listener.run());
+    var unused = context.channel().closeFuture().addListener(closed -> listener.run());
   }
 
   /**
@@ -148,7 +156,7 @@
   public final void close() {
     if (!isClosed) {
       markClosed();
-      context.close();
+      closeChannel();
     }
   }
 
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -191,7 +191,8 @@
     }
     if (out != null) {
       idleSinceMicros = listener.nowMicros();
-      send(out);
+      // A write that fails closes the connection, which is reported as a disconnect.
+      var unused = send(out);
       if (!isWritable() && unwritableSinceMicros == NEVER) {
         unwritableSinceMicros = idleSinceMicros;
       }
--- a/src/main/java/fawndock/platform/ClientListener.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -198,7 +198,8 @@
 
   private void stopAccepting() {
     if (serverChannel != null) {
-      serverChannel.close();
+      // Nothing follows on it: connections are closed one by one.
+      var unused = serverChannel.close();
     }
   }
 
--- a/src/main/java/fawndock/platform/DiscoveryCall.java
+++ b/src/main/java/fawndock/platform/DiscoveryCall.java
@@ -74,7 +74,7 @@
               if (!connected.isSuccess()) {
                 end("no connection", false);
               } else if (isClosed) {
-                context.close();
+                closeChannel();
               }
             });
   }
@@ -172,7 +172,12 @@
     isClosed = true;
     framer.close();
     if (context != null) {
-      context.close();
+      closeChannel();
     }
   }
+
+  private void closeChannel() {
+    // Needs no follow-up: nothing of this call is reported any more.
+    var unused = context.close();
+  }
 }
--- a/src/main/java/fawndock/platform/InMemoryTransport.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -52,7 +52,8 @@
       eventLoop.execute(
           () -> {
             if (peer != null) {
-              peer.close();
+              // Closes in memory cannot fail.
+              var unused = peer.close();
             }
           });
     }
--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -129,8 +129,8 @@
       case START_ARRAY -> array(parser);
       case VALUE_STRING -> parser.getText();
       case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-      case VALUE_TRUE -> Boolean.TRUE;
-      case VALUE_FALSE -> Boolean.FALSE;
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
       default -> null;
     };
   }
--- a/src/main/java/fawndock/resp/Reply.java
+++ b/src/main/java/fawndock/resp/Reply.java
@@ -11,6 +11,8 @@
  *     null array
  * @param elements an array's elements; null for all else
  */
+// The bytes are passed on without a copy, and replies are never compared.
+@SuppressWarnings("ArrayRecordComponent")
 public record Reply(char type, byte[] bytes, List<Reply> elements) {
   /** Returns the text; empty where there is none. */
   public String text() {
