--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -1,5 +1,6 @@
 package fawndock.counter;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.replication.DeltaBatch;
 import fawndock.counter.replication.FailureDetectorTimeouts;
 import fawndock.counter.replication.Heartbeat;
@@ -8,7 +9,6 @@
 import fawndock.counter.replication.ReplicatedSums;
 import fawndock.counter.storage.CounterOperations;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
 import io.netty.channel.EventLoopGroup;
 import java.util.ArrayList;
 import java.util.List;
@@ -55,19 +55,19 @@
       EventLoopGroup group) {
     this.clock = clock;
     this.group = group;
-    CounterSettings.Fleet cluster = settings.fleet();
+    CounterSettings.Cluster cluster = settings.cluster();
     name = cluster.node();
     password = settings.password();
     replica =
         new ReplicaNode(
             name,
-            List.copyOf(cluster.fellows().keySet()),
+            List.copyOf(cluster.peers().keySet()),
             cluster.epoch(),
             ThreadLocalRandom.current().nextLong(),
-            new FailureDetectorTimeouts(cluster.missingMillis(), cluster.aloneMillis()),
+            new FailureDetectorTimeouts(cluster.failureTimeoutMillis(), cluster.startAloneMillis()),
             new ReplicatedSums(operations),
             clock.nowMillis());
-    cluster.fellows().forEach(this::addPeer);
+    cluster.peers().forEach(this::addPeer);
     wasReady = replica.isReady();
   }
 
@@ -111,7 +111,7 @@
     if (!replica.adoptMembership(list, clock.nowMillis())) {
       return;
     }
-    LOG.info("goes by a new list of nodes: {}", list);
+    LOG.info("membership list adopted: {}", list);
     for (String id : List.copyOf(peers.keySet())) {
       PeerConnection connection = peers.get(id).connection;
       if (!connection.address().toString().equals(list.addresses().get(id))) {
@@ -144,7 +144,7 @@
         });
     if (wasReady != replica.isReady()) {
       wasReady = replica.isReady();
-      LOG.info(wasReady ? "caught up: answers gatekeepers" : "answers gatekeepers no more");
+      LOG.info(wasReady ? "caught up: answers gateways" : "answers gateways no more");
     }
   }
 
--- /dev/null
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -0,0 +1,234 @@
+package fawndock.gateway;
+
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.runtime.Timers;
+import fawndock.settings.Address;
+import fawndock.settings.GatewaySettings.EndpointDiscovery;
+import fawndock.settings.GatewaySettings.StaticEndpoint;
+import io.vertx.core.AsyncResult;
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpClientOptions;
+import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.http.HttpMethod;
+import io.vertx.core.http.RequestOptions;
+import io.vertx.core.parsetools.RecordParser;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Watch of the endpoints at the discovery server: {@code GET /roster} answers with lines of JSON
+ * that never end, first a snapshot, then changes and snapshots; an empty line is a heartbeat. A
+ * stream that is lost, idle or unreadable is reopened, and the endpoints known stay meanwhile. An
+ * empty snapshot is reported as a failed update, since a discovery server that has just started
+ * knows no endpoint; endpoints that are to go are listed as draining and removed. One context.
+ */
+final class EndpointWatch implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
+  private static final int MAX_LINE_BYTES = 8 << 20;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+  private static final long INITIAL_BACKOFF_MICROS = 100_000;
+  private static final long MAX_BACKOFF_MICROS = 2_000_000;
+
+  private final EndpointDiscovery settings;
+  private final Timers timers;
+  private final Consumer<EndpointUpdate> listener;
+  private final HttpClient httpClient;
+  private final Map<String, Address> addresses = new HashMap<>();
+
+  /** The stream that counts, or that is to be opened after the backoff; events of others do not. */
+  private WatchStream current = new WatchStream();
+
+  private boolean isStarted;
+  private boolean isClosed;
+  private long backoffMicros = INITIAL_BACKOFF_MICROS;
+  private Timers.Timer idleTimer;
+
+  /** One stream, from connecting to its end. */
+  private static final class WatchStream {
+    /** Null until the response head is there. */
+    HttpClientRequest request;
+
+    boolean hasSnapshot;
+
+    void reset() {
+      if (request != null) {
+        var unused = request.reset(); // It may be half open or unreadable: nothing is expected.
+        request = null;
+      }
+    }
+  }
+
+  /** A watch that {@link #start} starts; updates are given to the listener on its context. */
+  EndpointWatch(
+      Vertx vertx, EndpointDiscovery settings, Timers timers, Consumer<EndpointUpdate> listener) {
+    this.settings = settings;
+    this.timers = timers;
+    this.listener = listener;
+    this.httpClient =
+        vertx.createHttpClient(
+            new HttpClientOptions().setKeepAlive(false).setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
+  }
+
+  /** Reports the settings' own endpoints, then watches unless the policy is to ask for that. */
+  void start() {
+    if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
+      List<Endpoint> endpoints = new ArrayList<>();
+      for (StaticEndpoint each : settings.staticEndpoints()) {
+        addresses.put(each.id(), each.address());
+        endpoints.add(
+            new Endpoint(
+                each.id(), each.zone(), each.cell(), EndpointState.RUNNING, each.weight(), 0));
+      }
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
+    }
+    if (!settings.mustWatchEndpoints()) {
+      watch();
+    }
+  }
+
+  /** The address of an endpoint, or null when it is not known. */
+  Address address(String endpointId) {
+    return addresses.get(endpointId);
+  }
+
+  /** Opens the stream, or reopens it: the discovery server begins with a snapshot. */
+  void watch() {
+    if (settings.address() != null && !isClosed) {
+      isStarted = true;
+      connect();
+    }
+  }
+
+  private void connect() {
+    WatchStream previous = current;
+    WatchStream stream = new WatchStream();
+    current = stream; // First, so that what resetting the previous one causes is ignored.
+    previous.reset();
+    restartIdleTimer(stream);
+    httpClient
+        .request(
+            new RequestOptions()
+                .setMethod(HttpMethod.GET)
+                .setHost(settings.address().host())
+                .setPort(settings.address().port())
+                .setURI("/roster"))
+        .compose(request -> request.send())
+        .onComplete(response -> onResponse(stream, response));
+  }
+
+  private void onResponse(WatchStream stream, AsyncResult<HttpClientResponse> response) {
+    if (current != stream) {
+      if (response.succeeded()) {
+        var unused = response.result().request().reset(); // Another stream counts by now.
+      }
+    } else if (response.failed()) {
+      onLost(stream, response.cause().getMessage());
+    } else if (response.result().statusCode() != 200) {
+      stream.request = response.result().request();
+      onLost(stream, "status " + response.result().statusCode());
+    } else {
+      stream.request = response.result().request();
+      readLines(stream, response.result());
+    }
+  }
+
+  private void readLines(WatchStream stream, HttpClientResponse response) {
+    RecordParser lines = RecordParser.newDelimited("\n", response).maxRecordSize(MAX_LINE_BYTES);
+    lines.exceptionHandler(e -> onLost(stream, e.getMessage()));
+    lines.endHandler(end -> onLost(stream, "closed"));
+    lines.handler(
+        line -> {
+          if (current == stream) {
+            restartIdleTimer(stream);
+            onLine(stream, line);
+          }
+        });
+  }
+
+  private void onLine(WatchStream stream, Buffer line) {
+    if (line.length() == 0) {
+      return; // A heartbeat.
+    }
+    try {
+      EndpointWatchCodec.Message message = EndpointWatchCodec.decode(line.toString());
+      if (!stream.hasSnapshot && message.kind() != EndpointUpdateKind.SNAPSHOT) {
+        throw new IllegalArgumentException("changes before a complete list");
+      }
+      stream.hasSnapshot = true;
+      backoffMicros = INITIAL_BACKOFF_MICROS;
+      onMessage(message);
+    } catch (IllegalArgumentException e) {
+      onLost(stream, e.getMessage());
+    }
+  }
+
+  private void onMessage(EndpointWatchCodec.Message message) {
+    boolean isSnapshot = message.kind() == EndpointUpdateKind.SNAPSHOT;
+    if (isSnapshot && message.endpoints().isEmpty()) {
+      LOG.warn("empty endpoint list ignored: address={}", settings.address());
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
+      return;
+    }
+    if (!message.duplicateIds().isEmpty()) {
+      LOG.warn("endpoints listed twice: ids={}", message.duplicateIds());
+    }
+    addresses.putAll(message.addresses());
+    if (isSnapshot) {
+      addresses.keySet().retainAll(message.addresses().keySet());
+    }
+    message.endpoints().stream()
+        .filter(endpoint -> endpoint.state() == EndpointState.REMOVED)
+        .forEach(endpoint -> addresses.remove(endpoint.id()));
+    listener.accept(new EndpointUpdate(message.kind(), message.endpoints()));
+  }
+
+  private void restartIdleTimer(WatchStream stream) {
+    timers.cancel(idleTimer);
+    idleTimer = timers.schedule(settings.watchIdleTimeoutMicros(), () -> onLost(stream, "silent"));
+  }
+
+  private void onLost(WatchStream stream, String reason) {
+    if (current != stream || isClosed || !isStarted) {
+      return;
+    }
+    WatchStream next = new WatchStream();
+    current = next; // First, so that what resetting the lost one causes is ignored.
+    timers.cancel(idleTimer);
+    stream.reset();
+    LOG.warn(
+        "endpoint watch lost, reconnecting: address={} reason=\"{}\" backoff_ms={}",
+        settings.address(),
+        reason,
+        backoffMicros / 1_000);
+    timers.schedule(
+        backoffMicros,
+        () -> {
+          if (current == next && !isClosed) {
+            connect();
+          }
+        });
+    backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
+    if (settings.mustWatchEndpoints()) {
+      listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
+    }
+  }
+
+  /** Closes the stream and the client; closing it again has no effect. */
+  @Override
+  public void close() {
+    isClosed = true;
+    timers.cancel(idleTimer);
+    var unused = httpClient.close(); // The process or the event loop ends with it.
+  }
+}
--- /dev/null
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -0,0 +1,245 @@
+package fawndock.gateway;
+
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.SendPeerMessage;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.HealthCheckCompleted;
+import fawndock.policy.event.LoadReport;
+import fawndock.runtime.InFlightAttempt;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.Timers;
+import fawndock.settings.Address;
+import fawndock.settings.GatewaySettings;
+import io.vertx.core.AsyncResult;
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import io.vertx.core.VerticleBase;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.http.RequestOptions;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Function;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * One gateway instance on one event loop: the policy, the listener for clients, and the connections
+ * to backends, counter, discovery and peers. A process runs one or several.
+ */
+public final class GatewayVerticle extends VerticleBase
+    implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
+  /** How often the policy's timers are looked at: the least gap between two batches of events. */
+  private static final long TIMER_RESOLUTION_MICROS = 5_000;
+
+  private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 1_000;
+  private static final Logger LOG = LoggerFactory.getLogger(GatewayVerticle.class);
+  private final GatewaySettings settings;
+  private final int instanceIndex;
+  private final int listenPort;
+  private final AtomicInteger openConnections;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
+  private HttpServerListener listener;
+  private BackendPools backendPools;
+  private Timers timers;
+  private PolicyRunner policyRunner;
+  private CounterClient counterClient;
+  private PeerMessenger peerMessenger;
+  private EndpointWatch endpointWatch;
+
+  /**
+   * An instance that is not started yet.
+   *
+   * @param instanceIndex its index in the fleet
+   * @param listenPort that of the settings, or the free one that the first instance got
+   * @param openConnections of the process, all instances together
+   * @param policyFactory makes the policy from its configuration
+   */
+  GatewayVerticle(
+      GatewaySettings settings,
+      int instanceIndex,
+      int listenPort,
+      AtomicInteger openConnections,
+      Function<PolicyConfig, GatewayPolicy> policyFactory) {
+    this.settings = settings;
+    this.instanceIndex = instanceIndex;
+    this.listenPort = listenPort;
+    this.openConnections = openConnections;
+    this.policyFactory = policyFactory;
+  }
+
+  @Override
+  public Future<?> start() {
+    MicroClock clock = new MicroClock();
+    timers = new Timers(vertx);
+    AccessLog accessLog = new AccessLog(instanceIndex, true);
+    backendPools = new BackendPools(vertx, settings);
+    policyRunner =
+        new PolicyRunner(
+            clock, timers, this, settings.limits().maxAttempts(), clock.now(), accessLog);
+    policyRunner.setPolicy(policyFactory.apply(policyConfig()));
+    counterClient =
+        new CounterClient(vertx, context, settings.counter(), clock, timers, policyRunner::onEvent);
+    peerMessenger =
+        settings.peers().listen() == null
+            ? null
+            : new PeerMessenger(
+                vertx, settings.peers(), instanceIndex, clock, policyRunner::onEvent);
+    endpointWatch = new EndpointWatch(vertx, settings.discovery(), timers, policyRunner::onEvent);
+    endpointWatch.start();
+    listener =
+        new HttpServerListener(
+            vertx,
+            settings,
+            openConnections,
+            new RequestHandler(settings, policyRunner, accessLog));
+    Future<?> peersListening =
+        peerMessenger == null ? Future.succeededFuture() : peerMessenger.start();
+    // Discovery and counter connect during the warm-up, so that the policy knows both when the
+    // first client connects.
+    return peersListening
+        .compose(any -> new WarmUp(vertx, settings, policyFactory).run())
+        .compose(any -> listener.listen(listenPort))
+        .onSuccess(
+            port ->
+                LOG.info(
+                    "gateway listening: instance={} fleet_size={} address={}:{}",
+                    instanceIndex,
+                    settings.fleetSize(),
+                    settings.listen().host(),
+                    port));
+  }
+
+  private PolicyConfig policyConfig() {
+    return new PolicyConfig(
+        instanceIndex,
+        settings.fleetSize(),
+        settings.seed() + instanceIndex,
+        TIMER_RESOLUTION_MICROS,
+        settings.zone(),
+        settings.discovery().mustWatchEndpoints(),
+        settings.classes(),
+        settings.plans(),
+        settings.limits(),
+        settings.rules(),
+        new CounterConfig(
+            !settings.counter().isAbsent(),
+            settings.counter().timeoutMicros(),
+            settings.counter().settlesUnits()));
+  }
+
+  int port() {
+    return listener.port();
+  }
+
+  /**
+   * Takes no new connections; completes when the requests in flight have their answers, or after
+   * the settings' drain timeout.
+   */
+  Future<Void> drain() {
+    Promise<Void> drained = Promise.promise();
+    context.runOnContext(
+        v -> {
+          long timeoutMillis = Math.max(1, settings.http().drainTimeoutMicros() / 1_000);
+          LOG.info(
+              "gateway draining: instance={} in_flight={}",
+              instanceIndex,
+              policyRunner.openCount());
+          Future<Void> closing = listener.shutdown(timeoutMillis);
+          policyRunner.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
+          vertx.setTimer(timeoutMillis, id -> drained.tryComplete());
+        });
+    return drained.future();
+  }
+
+  @Override
+  public Future<?> stop() {
+    counterClient.close();
+    endpointWatch.close();
+    if (peerMessenger != null) {
+      peerMessenger.close();
+    }
+    timers.close();
+    return backendPools.close();
+  }
+
+  @Override
+  public void addToCounter(AddToCounter action) {
+    counterClient.add(action);
+  }
+
+  @Override
+  public void sendPeerMessage(SendPeerMessage action) {
+    if (peerMessenger != null) {
+      peerMessenger.send(action);
+    }
+  }
+
+  @Override
+  public void watchEndpoints() {
+    endpointWatch.watch();
+  }
+
+  @Override
+  public void fetchEndpoints() {
+    endpointWatch.watch();
+  }
+
+  @Override
+  public RequestOptions requestOptions(String endpointId) {
+    Address address = endpointWatch.address(endpointId);
+    return address == null
+        ? null
+        : new RequestOptions().setHost(address.host()).setPort(address.port());
+  }
+
+  @Override
+  public BackendPools backendPools() {
+    return backendPools;
+  }
+
+  @Override
+  public int maxBufferedResponseBytes() {
+    return settings.http().maxBufferedResponseBytes();
+  }
+
+  @Override
+  public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
+    return new BackendAttempt(policyRunner, request, index, endpointId, this);
+  }
+
+  @Override
+  public void startHealthCheck(String endpointId) {
+    long startedAtMicros = policyRunner.clock().now();
+    RequestOptions options = requestOptions(endpointId);
+    if (options == null) {
+      policyRunner.onEvent(
+          new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, LoadReport.NONE));
+      return;
+    }
+    options.setURI("/healthz").setTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
+    backendPools
+        .request(options)
+        .compose(request -> request.send())
+        .onComplete(response -> onHealthCheckResponse(endpointId, startedAtMicros, response));
+  }
+
+  private void onHealthCheckResponse(
+      String endpointId, long startedAtMicros, AsyncResult<HttpClientResponse> response) {
+    long latencyMicros = policyRunner.clock().now() - startedAtMicros;
+    policyRunner.onEvent(
+        new HealthCheckCompleted(
+            endpointId,
+            latencyMicros,
+            response.failed()
+                ? CallResult.TIMEOUT
+                : CallResults.ofStatus(response.result().statusCode()),
+            response.failed()
+                ? LoadReport.NONE
+                : LoadReportParser.parse(response.result().getHeader(LoadReportParser.HEADER))
+                    .load()));
+  }
+}
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -34,7 +34,7 @@
  * Delays the start by its time limit at most; calls neither discovery, counter nor real endpoints.
  * Confined to one event loop.
  */
-final class WarmUp implements PolicyRunner.GatewayConnections, WorkerAttempt.Ways {
+final class WarmUp implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
   private static final int REQUESTS = 200;
   private static final int AT_ONCE = 10;
   private static final long LIMIT_MILLIS = 3_000;
@@ -43,7 +43,7 @@
   private final GatewaySettings settings;
   private final Function<PolicyConfig, GatewayPolicy> maker;
   private int workerPort;
-  private WorkerPools pools;
+  private BackendPools pools;
   private PolicyRunner host;
 
   WarmUp(Vertx vertx, GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
@@ -64,19 +64,19 @@
             settings.zone(),
             settings.classes(),
             settings.plans(),
-            Map.of(KEY, new GatewaySettings.Key(KEY, KEY, 0, 1)),
+            Map.of(KEY, new GatewaySettings.ApiKey(KEY, KEY, 0, 1)),
             settings.routes(),
             settings.limits(),
             settings.rules(),
             settings.counter(),
-            settings.roster(),
+            settings.discovery(),
             settings.peers(),
             settings.http(),
             settings.log(),
             settings.rateLimit());
     Timers timers = new Timers(vertx);
-    pools = new WorkerPools(vertx, own);
-    AnswerLog silent = new AnswerLog(-1, false);
+    pools = new BackendPools(vertx, own);
+    AccessLog silent = new AccessLog(-1, false);
     host = new PolicyRunner(new MicroClock(), timers, this, 1, 1, silent);
     host.setPolicy(
         maker.apply(
@@ -99,10 +99,10 @@
                 request ->
                     request
                         .response()
-                        .putHeader(LoadReport.HEADER, "TEXT cpu_utilization=0")
+                        .putHeader(LoadReportParser.HEADER, "TEXT cpu_utilization=0")
                         .end());
     HttpServer front =
-        vertx.createHttpServer().requestHandler(new Front(own, host, silent)::handle);
+        vertx.createHttpServer().requestHandler(new RequestHandler(own, host, silent)::handle);
     HttpClient client = vertx.createHttpClient();
     WarmUpProgress progress = new WarmUpProgress(vertx, REQUESTS, LIMIT_MILLIS);
     worker
@@ -177,13 +177,13 @@
   }
 
   @Override
-  public RequestOptions target(String endpointId) {
+  public RequestOptions requestOptions(String endpointId) {
     return new RequestOptions().setHost("127.0.0.1").setPort(workerPort);
   }
 
   @Override
   public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
-    return new WorkerAttempt(host, request, index, endpointId, this);
+    return new BackendAttempt(host, request, index, endpointId, this);
   }
 
   @Override
@@ -192,12 +192,12 @@
   }
 
   @Override
-  public WorkerPools workers() {
+  public BackendPools backendPools() {
     return pools;
   }
 
   @Override
-  public int answerLimit() {
-    return settings.http().answerLimit();
+  public int maxBufferedResponseBytes() {
+    return settings.http().maxBufferedResponseBytes();
   }
 }
--- /dev/null
+++ b/src/main/java/fawndock/ratelimit/RateLimitService.java
@@ -0,0 +1,174 @@
+package fawndock.ratelimit;
+
+import fawndock.gateway.QuotaService;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.ratelimit.DescriptorMatcher.QuotaRequest;
+import fawndock.ratelimit.proto.RateLimitDescriptor;
+import fawndock.ratelimit.proto.RateLimitRequest;
+import fawndock.ratelimit.proto.RateLimitResponse;
+import fawndock.settings.Address;
+import fawndock.settings.GatewaySettings;
+import io.vertx.core.Future;
+import io.vertx.core.VerticleBase;
+import io.vertx.core.http.HttpServer;
+import io.vertx.core.http.HttpServerOptions;
+import io.vertx.grpc.common.GrpcMessageDecoder;
+import io.vertx.grpc.common.GrpcMessageEncoder;
+import io.vertx.grpc.common.GrpcStatus;
+import io.vertx.grpc.common.ServiceMethod;
+import io.vertx.grpc.common.ServiceName;
+import io.vertx.grpc.server.GrpcServer;
+import io.vertx.grpc.server.GrpcServerOptions;
+import io.vertx.grpc.server.GrpcServerRequest;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The gRPC rate limit service ({@code envoy.service.ratelimit.v3.RateLimitService}) on an event
+ * loop of its own, so that many calls do not delay forwarded requests.
+ */
+public final class RateLimitService extends VerticleBase {
+  /** The service's one method. */
+  public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
+      ServiceMethod.server(
+          ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
+          "ShouldRateLimit",
+          GrpcMessageEncoder.encoder(),
+          GrpcMessageDecoder.decoder(RateLimitRequest.newBuilder()));
+
+  private static final Logger LOG = LoggerFactory.getLogger(RateLimitService.class);
+  private static final long MAX_MESSAGE_BYTES = 64 << 10;
+  private static final int MAX_DESCRIPTORS = 64;
+  private static final long DEFAULT_TIMEOUT_MILLIS = 1_000;
+  private final GatewaySettings settings;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
+  private final DescriptorMatcher descriptorMatcher;
+  private final Map<String, Plan> plans = new HashMap<>();
+  private QuotaService quotaService;
+  private HttpServer server;
+
+  /**
+   * A service that is not started yet.
+   *
+   * @param policyFactory makes the policy from its configuration
+   */
+  public RateLimitService(
+      GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> policyFactory) {
+    this.settings = settings;
+    this.policyFactory = policyFactory;
+    this.descriptorMatcher = new DescriptorMatcher(settings.rateLimit().descriptors());
+    settings.plans().forEach(plan -> plans.put(plan.name(), plan));
+  }
+
+  @Override
+  public Future<?> start() {
+    quotaService =
+        new QuotaService(vertx, context, settings, settings.firstInstance(), policyFactory);
+    GrpcServer grpc =
+        GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(MAX_MESSAGE_BYTES));
+    grpc.callHandler(
+        SHOULD_RATE_LIMIT, call -> call.handler(request -> shouldRateLimit(call, request)));
+    server =
+        vertx
+            .createHttpServer(
+                new HttpServerOptions().setHttp2ClearTextEnabled(true).setTcpNoDelay(true))
+            .requestHandler(grpc);
+    Address listen = settings.rateLimit().listen();
+    return server
+        .listen(listen.port(), listen.host())
+        .onSuccess(
+            listening ->
+                LOG.info(
+                    "rate limit service listening: address={}:{}",
+                    listen.host(),
+                    listening.actualPort()));
+  }
+
+  /** The port that it listens on. */
+  public int port() {
+    return server.actualPort();
+  }
+
+  @Override
+  public Future<?> stop() {
+    quotaService.close();
+    return server.close();
+  }
+
+  private void shouldRateLimit(
+      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest request) {
+    List<QuotaRequest> quotaRequests;
+    try {
+      quotaRequests = quotaRequests(request);
+    } catch (IllegalArgumentException e) {
+      end(call, GrpcStatus.INVALID_ARGUMENT, e.getMessage());
+      return;
+    }
+    RateLimitCall rateLimitCall =
+        new RateLimitCall(
+            plans,
+            quotaRequests,
+            quotaService,
+            response -> {
+              if (response == null) {
+                end(call, GrpcStatus.UNAVAILABLE, "not decided in time");
+              } else {
+                call.response().end(response);
+              }
+            });
+    call.exceptionHandler(e -> rateLimitCall.cancel());
+    long timeoutMillis = call.timeout() > 0 ? call.timeout() : DEFAULT_TIMEOUT_MILLIS;
+    rateLimitCall.start(timeoutMillis * 1_000);
+  }
+
+  private static void end(
+      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call,
+      GrpcStatus status,
+      String message) {
+    call.response().status(status).statusMessage(message).end();
+  }
+
+  /** One for each descriptor; null for one that is not limited. */
+  private List<QuotaRequest> quotaRequests(RateLimitRequest request) {
+    int count = request.getDescriptorsCount();
+    if (request.getDomain().isEmpty() || count == 0 || count > MAX_DESCRIPTORS) {
+      throw new IllegalArgumentException(
+          "a domain and 1 to "
+              + MAX_DESCRIPTORS
+              + " descriptors are expected, there are "
+              + count
+              + " in domain '"
+              + request.getDomain()
+              + "'");
+    }
+    List<QuotaRequest> quotaRequests = new ArrayList<>();
+    for (RateLimitDescriptor each : request.getDescriptorsList()) {
+      quotaRequests.add(quotaRequest(request, each));
+    }
+    return quotaRequests;
+  }
+
+  private QuotaRequest quotaRequest(RateLimitRequest request, RateLimitDescriptor descriptor) {
+    if (descriptor.hasLimit()) {
+      throw new IllegalArgumentException(
+          "a descriptor overrides its limit; limits are those of the plans");
+    }
+    long hitsAddend =
+        descriptor.hasHitsAddend()
+            ? descriptor.getHitsAddend().getValue()
+            : request.getHitsAddend();
+    return descriptorMatcher.match(
+        request.getDomain(),
+        descriptor.getEntriesList().stream()
+            .map(entry -> Map.entry(entry.getKey(), entry.getValue()))
+            .toList(),
+        hitsAddend);
+  }
+}
