--- a/deploy/platform.sh
+++ b/deploy/platform.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Starts one gatekeeper on the platform, in this process: no other program is started on the way, and none is forked.
-# All of the process, not the heap alone, has to stay below the machine's limit: what the JVM takes beside the heap is
-# held down here, and the heap gets a share of the limit. A file that cannot be read is told by the program itself.
+# Starts one gateway on the platform, in this process: no other program is started on the way, and none is forked.
+# The whole process, not the heap alone, has to stay below the machine's memory limit: what the JVM takes beside the heap
+# is bounded here, and the heap gets a share of the limit. The program itself reports a file that cannot be read.
 mb=
 if [ -r "${RELAY_CONFIG:-}" ]; then
   set -f
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -67,7 +67,7 @@
           .addShutdownHook(
               new Thread(
                   () -> {
-                    server.stop();
+                    server.close();
                     LogConfigurator.flush();
                   },
                   "stop"));
