--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/LogConfigurator.java
@@ -8,37 +8,36 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.Encoder;
-import fawndock.settings.GatewaySettings.Log;
+import fawndock.settings.LogSettings;
 import java.util.TimeZone;
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging on standard error, as text or JSON lines. Lines pass through a bounded queue, so
- * that a reader who stops does not stop an event loop: when it is full, lines are dropped rather
- * than waited for.
+ * Configures the log on standard error, as text or JSON lines. Lines pass through a bounded queue
+ * and are dropped when it is full, so that a reader who stops does not block an event loop.
  */
-final class Logs {
-  private static final int QUEUE = 16_384;
+final class LogConfigurator {
+  private static final int QUEUE_LINES = 16_384;
 
-  private Logs() {}
+  private LogConfigurator() {}
 
   /** Warnings and errors as text, for tools that print their own results. */
-  static void quiet() {
-    to(new Log(false, "warn"));
+  static void configureForTool() {
+    configure(new LogSettings(false, "warn"));
   }
 
-  static void to(Log log) {
+  static void configure(LogSettings log) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
     console.setContext(context);
     console.setTarget("System.err");
-    console.setEncoder(log.json() ? json(context) : text(context));
+    console.setEncoder(log.isJson() ? json(context) : text(context));
     console.start();
     AsyncAppender queue = new AsyncAppender();
     queue.setContext(context);
-    queue.setQueueSize(QUEUE);
+    queue.setQueueSize(QUEUE_LINES);
     queue.setDiscardingThreshold(0);
     queue.setNeverBlock(true);
     queue.addAppender(console);
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -1,11 +1,11 @@
 package fawndock.counter;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.CounterOperations;
 import fawndock.counter.storage.CounterTable;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.counter.storage.Recovery;
 import fawndock.counter.storage.Storage;
-import fawndock.settings.CounterSettings;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -34,10 +34,10 @@
 
 /**
  * The running counter service: recovers the counts, listens, and stops. One event loop owns
- * connections and counts; {@link #start} and {@link #stop} are called from outside it.
+ * connections and counts; {@link #start} and {@link #close} are called from outside it.
  * Specification: docs/design/counter.md.
  */
-public final class CounterServer {
+public final class CounterServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterServer.class);
   private static final long STOP_TIMEOUT_MILLIS = 5_000;
   private static final long FIRST_LOG_TIMEOUT_SECONDS = 600;
@@ -64,6 +64,7 @@
   private ClusterNode cluster;
   private Channel listener;
   private long nextConnectionId = 1;
+  private boolean isClosed;
 
   /**
    * @param storage where log and snapshots are; nobody else uses it
@@ -71,7 +72,7 @@
   public CounterServer(CounterSettings settings, Storage storage) {
     this.settings = settings;
     this.storage = storage;
-    commit = new GroupCommit(settings.durability(), settings.intervalMillis());
+    commit = new GroupCommit(settings.durability(), settings.syncIntervalMillis());
   }
 
   /**
@@ -105,13 +106,14 @@
   }
 
   private void assemble(CounterTable table, Recovery.Result recovered) {
-    CounterOperations operations = new CounterOperations(table, settings.maxMemory());
+    CounterOperations operations = new CounterOperations(table, settings.maxMemoryBytes());
     ServerClock clock = new ServerClock(recovered.latestTimeMillis());
     log = new WriteAheadLogThread(storage, loop);
     snapshots = new SnapshotTask(storage, loop, table, clock);
     scheduler = new CommitScheduler(commit, log, clock, loop);
     supervisor =
-        new LogSupervisor(settings.snapshotAfter(), loop, commit, scheduler, log, snapshots, table);
+        new LogSupervisor(
+            settings.snapshotAfterLogBytes(), loop, commit, scheduler, log, snapshots, table);
     log.listen(supervisor);
     executor = new CommandExecutor(operations, commit, scheduler, commands, clock, stats);
     cluster = new ClusterNode(settings, operations, clock, group);
@@ -173,7 +175,7 @@
   }
 
   private void scheduleRepeated() {
-    repeat(scheduler::commitNow, Math.max(1, settings.intervalMillis()));
+    repeat(scheduler::commitNow, Math.max(1, settings.syncIntervalMillis()));
     repeat(cluster::tick, ClusterNode.TICK_MILLIS);
     repeat(executor::sweepExpired, SWEEP_INTERVAL_MILLIS);
     repeat(this::closeStalledConnections, STALL_CHECK_INTERVAL_MILLIS);
@@ -213,7 +215,7 @@
 
   private void closeStalledConnections() {
     long nowNanos = System.nanoTime();
-    long limitNanos = settings.stallMillis() * 1_000_000;
+    long limitNanos = settings.stalledClientTimeoutMillis() * 1_000_000;
     Set.copyOf(connections).forEach(each -> each.closeIfStalled(nowNanos, limitNanos));
   }
 
@@ -221,7 +223,12 @@
    * Accepts no more calls, commits what was accepted, and closes; waits some seconds at most. May
    * be called again, and when {@link #start} has failed.
    */
-  public void stop() {
+  @Override
+  public void close() {
+    if (isClosed) {
+      return;
+    }
+    isClosed = true;
     try {
       if (listener != null) {
         listener.close().sync();
--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -90,7 +90,7 @@
    * @throws MalformedMessageException when the text is none
    */
   static Address address(String key, String text) {
-    Address address = Address.read(text);
+    Address address = Address.parse(text);
     if (address != null && address.port() > 0) {
       return address;
     }
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -11,8 +11,8 @@
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.ConfigurationFile;
 import fawndock.settings.ConfigurationLine;
-import fawndock.settings.Entries;
 import fawndock.settings.LineArguments;
+import fawndock.settings.PolicyConfigReader;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -127,14 +127,14 @@
     this.overrides = overrides;
     // The keywords of the file format stand here and in FaultLine alone.
     keywords.put("let", this::readVariable);
-    keywords.put("gatekeepers", line -> gatewayCount = whole(line, 1, 10_000));
+    keywords.put("gatekeepers", line -> gatewayCount = readInt(line, 1, 10_000));
     keywords.put("workers", this::readBackends);
     keywords.put("network", this::readNetwork);
     keywords.put("counter", this::readCounter);
     keywords.put("roster", line -> discoveryDelayMicros = time(line, HOUR_MICROS));
     keywords.put(
         "for", line -> durationSeconds = time(line, 24 * HOUR_MICROS) / (double) SECOND_MICROS);
-    keywords.put("seed", line -> seed = whole(line, 0, 999_999_999));
+    keywords.put("seed", line -> seed = readInt(line, 0, 999_999_999));
     keywords.put("class", this::readRequestClass);
     keywords.put("plan", this::readPlan);
     keywords.put("limits", this::readLimits);
@@ -144,124 +144,124 @@
   }
 
   private void readNetwork(ConfigurationLine line) {
-    LineArguments a = args(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+    LineArguments a = arguments(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
     network =
         new Deployment.NetworkModel(
-            a.time("way", 1, SECOND_MICROS, 200),
-            a.time("more", 0, SECOND_MICROS, 100),
+            a.micros("way", 1, SECOND_MICROS, 200),
+            a.micros("more", 0, SECOND_MICROS, 100),
             a.number("loss", 0, 1, 0));
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void readCounter(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             0,
             "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
     counter =
         new Deployment.CounterModel(
             a.number("rate", 1, 1e9, 20_000),
-            a.time("wait", 1_000, 10 * SECOND_MICROS, 50_000),
-            a.whole("parts", 1, 1_000, 1),
+            a.micros("wait", 1_000, 10 * SECOND_MICROS, 50_000),
+            a.integer("parts", 1, 1_000, 1),
             a.number("turns-away", 0, 1, 0),
-            a.time("queue", 0, SECOND_MICROS, 0));
-    a.finish();
+            a.micros("queue", 0, SECOND_MICROS, 0));
+    a.rejectUnknown();
   }
 
   private void readRequestClass(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
-    RequestClass requestClass = Entries.requestClass(a);
+    LineArguments a = arguments(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+    RequestClass requestClass = PolicyConfigReader.readRequestClass(a);
     if (requestClasses.putIfAbsent(requestClass.name(), requestClass) != null) {
-      a.wrong("class " + requestClass.name() + " is given twice", "each class once");
+      a.addError("class " + requestClass.name() + " is given twice", "each class once");
     }
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void readPlan(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
-    Plan plan = Entries.plan(a);
+    LineArguments a = arguments(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+    Plan plan = PolicyConfigReader.readPlan(a);
     if (plans.putIfAbsent(plan.name(), plan) != null) {
-      a.wrong("plan " + plan.name() + " is given twice", "each plan once");
+      a.addError("plan " + plan.name() + " is given twice", "each plan once");
     }
-    a.finish();
+    a.rejectUnknown();
   }
 
   private void readLimits(ConfigurationLine line) {
-    LineArguments a = args(line, 0, "limits [ARGUMENT VALUE ...]");
-    limits = Entries.limits(a);
-    a.finish();
+    LineArguments a = arguments(line, 0, "limits [ARGUMENT VALUE ...]");
+    limits = PolicyConfigReader.readLimits(a);
+    a.rejectUnknown();
   }
 
   private void readRules(ConfigurationLine line) {
-    LineArguments a = args(line, 0, "rules [ARGUMENT VALUE ...]");
-    rules = Entries.rules(a);
-    a.finish();
+    LineArguments a = arguments(line, 0, "rules [ARGUMENT VALUE ...]");
+    rules = PolicyConfigReader.readRules(a);
+    a.rejectUnknown();
   }
 
   private long time(ConfigurationLine line, long most) {
-    LineArguments a = args(line, 1, line.keyword() + " TIME");
-    long time = a.timeOf(line.keyword(), a.place(0), 0, most, SECOND_MICROS);
-    a.finish();
+    LineArguments a = arguments(line, 1, line.keyword() + " TIME");
+    long time = a.parseMicros(line.keyword(), a.positional(0), 0, most, SECOND_MICROS);
+    a.rejectUnknown();
     return time;
   }
 
   private void readBackends(ConfigurationLine line) {
     LineArguments a =
-        args(
+        arguments(
             line,
             1,
             "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-    backendCount = a.wholeOf("workers", a.place(0), 1, 10_000, 1);
+    backendCount = a.parseInteger("workers", a.positional(0), 1, 10_000, 1);
     backend =
         new BackendConfig(
-            a.whole("cores", 1, 1_000, 4),
-            a.time("work", 1, HOUR_MICROS, 20_000),
-            a.whole("queue", 1, 1_000_000, 200),
+            a.integer("cores", 1, 1_000, 4),
+            a.micros("work", 1, HOUR_MICROS, 20_000),
+            a.integer("queue", 1, 1_000_000, 200),
             a.number("cold-share", 0.01, 1, 0.2),
-            a.time("cold-time", 0, HOUR_MICROS, 10 * SECOND_MICROS),
+            a.micros("cold-time", 0, HOUR_MICROS, 10 * SECOND_MICROS),
             a.number("fall-multiple", 1, 1_000, 2),
-            a.time("fall-time", 1_000, HOUR_MICROS, 2 * SECOND_MICROS));
+            a.micros("fall-time", 1_000, HOUR_MICROS, 2 * SECOND_MICROS));
     queueingSlowdown = a.number("thrash", 0, 10, 0);
-    zoneCount = a.whole("zones", 1, 1_000, 1);
-    a.finish();
+    zoneCount = a.integer("zones", 1, 1_000, 1);
+    a.rejectUnknown();
   }
 
   private void readDemand(ConfigurationLine line) {
     LineArguments a =
-        args(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
+        arguments(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
     String type = a.word("class", "");
     String plan = a.word("plan", "");
     double rate = a.number("rate", 0.001, 1_000_000, 0);
-    if (a.good() && rate == 0) {
-      a.wrong("demand " + a.place(0) + " has no rate", "rate NUMBER");
+    if (a.isValid() && rate == 0) {
+      a.addError("demand " + a.positional(0) + " has no rate", "rate NUMBER");
     }
     double each = a.number("each", 0.001, 1_000_000, 0);
-    int customers = a.whole("customers", 1, 1_000_000, 1);
+    int customers = a.integer("customers", 1, 1_000_000, 1);
     if (each > 0) {
       customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / each)));
       rate = customers * each;
     }
     demands.add(
         new Deployment.Demand(
-            a.place(0),
+            a.positional(0),
             type,
             plan,
             customers,
             a.number("skew", 0, 10, 0),
-            a.whole("spread", 1, 10_000, 10_000),
+            a.integer("spread", 1, 10_000, 10_000),
             rate,
             Words.shape(a),
-            a.time("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
+            a.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
             Words.manners(a)));
-    a.finish();
-    check(
+    a.rejectUnknown();
+    crossCheck(
         a,
         () -> requestClasses.containsKey(type),
         "there is no class '" + type + "'",
         "the name of a class line");
-    check(
+    crossCheck(
         a,
         () -> plans.containsKey(plan),
         "there is no plan '" + plan + "'",
@@ -273,16 +273,16 @@
    * another value.
    */
   private void readVariable(ConfigurationLine line) {
-    LineArguments a = args(line, 2, "let NAME VALUE");
-    if (a.good() && !a.place(0).matches("[a-z][a-z0-9-]*")) {
-      a.wrong("the name '" + a.place(0) + "'", "small letters, digits and -");
+    LineArguments a = arguments(line, 2, "let NAME VALUE");
+    if (a.isValid() && !a.positional(0).matches("[a-z][a-z0-9-]*")) {
+      a.addError("the name '" + a.positional(0) + "'", "small letters, digits and -");
     }
-    variables.put(a.place(0), overrides.getOrDefault(a.place(0), a.place(1)));
-    a.finish();
+    variables.put(a.positional(0), overrides.getOrDefault(a.positional(0), a.positional(1)));
+    a.rejectUnknown();
   }
 
   @Override
-  protected ConfigurationLine prepared(ConfigurationLine line) {
+  protected ConfigurationLine prepare(ConfigurationLine line) {
     List<String> words = line.words();
     if (line.keyword().equals("when")) {
       if (!holds(line)) {
@@ -306,7 +306,7 @@
     boolean isComplete = words.size() > 3;
     String name = isComplete ? words.get(1) : "";
     if (!variables.containsKey(name)) {
-      wrong(
+      addError(
           line,
           isComplete
               ? "there is no variable '" + name + "'"
@@ -323,7 +323,7 @@
     for (String word : words) {
       String name = word.startsWith("$") ? word.substring(1) : null;
       if (name != null && !variables.containsKey(name)) {
-        wrong(line, "there is no variable '" + word + "'", "let " + name + " VALUE before it");
+        addError(line, "there is no variable '" + word + "'", "let " + name + " VALUE before it");
         return null;
       }
       expanded.add(name == null ? word : variables.get(name));
@@ -332,30 +332,31 @@
   }
 
   private void readFault(ConfigurationLine line) {
-    LineArguments a = args(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
+    LineArguments a =
+        arguments(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
     FaultLine read = FaultLine.read(a);
     int last = read.window().firstBackend() + read.window().backendCount() - 1;
-    check(
+    crossCheck(
         a,
         () -> last < backendCount,
         "there is no worker " + last,
         "a number below " + backendCount);
-    check(
+    crossCheck(
         a,
         () -> read.gatewayCount() <= gatewayCount,
         "there are not " + read.gatewayCount() + " gatekeepers",
         "at most " + gatewayCount);
-    check(
+    crossCheck(
         a,
         () -> read.counterPartition() < counter.partitionCount(),
         "the counter has no part " + read.counterPartition(),
         "a number below " + counter.partitionCount());
-    check(
+    crossCheck(
         a,
         () -> read.zone() < zoneCount,
         "there is no zone " + read.zone(),
         "a number below " + zoneCount);
-    check(
+    crossCheck(
         a,
         () ->
             read.demand().isEmpty()
@@ -364,7 +365,7 @@
         "the name of a demand line");
     faults.add(read.fault());
     faultWindows.add(read.window());
-    a.finish();
+    a.rejectUnknown();
   }
 
   /**
@@ -384,17 +385,18 @@
   public static ParsedDeployment read(Path file, Map<String, String> overrides)
       throws ConfigurationException {
     DeploymentFile f = new DeploymentFile(overrides);
-    f.lines(file);
+    f.readLines(file);
     overrides
         .keySet()
         .forEach(
             name ->
-                f.missing(
+                f.addFileErrorIf(
                     !f.variables.containsKey(name),
                     "no variable '" + name + "'",
                     "let " + name + " VALUE"));
-    f.missing(f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
-    f.finish();
+    f.addFileErrorIf(
+        f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
+    f.throwIfErrors();
     return new ParsedDeployment(
         new Deployment(
             f.gatewayCount,
--- a/src/main/java/fawndock/simulation/FaultLine.java
+++ b/src/main/java/fawndock/simulation/FaultLine.java
@@ -40,29 +40,29 @@
 
   /** Reads a line and records its errors. */
   static FaultLine read(LineArguments a) {
-    double fromSecond = a.time("from", 0, DAY_MICROS, 0) / SECOND_MICROS;
+    double fromSecond = a.micros("from", 0, DAY_MICROS, 0) / SECOND_MICROS;
     double untilSecond =
-        a.time("until", 0, DAY_MICROS, (long) (fromSecond * SECOND_MICROS) + 1) / SECOND_MICROS;
-    int firstBackend = a.whole("worker", 0, 9_999, 0);
-    int backendCount = a.whole("count", 1, 10_000, 1);
-    int gatewayCount = a.whole("gatekeepers", 0, 10_000, 0);
-    int counterPartition = a.whole("part", 0, 999, -1);
-    int zone = a.whole("zone", 0, 999, 0);
+        a.micros("until", 0, DAY_MICROS, (long) (fromSecond * SECOND_MICROS) + 1) / SECOND_MICROS;
+    int firstBackend = a.integer("worker", 0, 9_999, 0);
+    int backendCount = a.integer("count", 1, 10_000, 1);
+    int gatewayCount = a.integer("gatekeepers", 0, 10_000, 0);
+    int counterPartition = a.integer("part", 0, 999, -1);
+    int zone = a.integer("zone", 0, 999, 0);
     double factor = a.number("times", 1, 1_000, 10);
     double ratio = a.number("share", 0, 1, 0.5);
     long clockOffsetMicros =
-        a.time("by", 0, DAY_MICROS, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
-    int itemCount = a.whole("many", 1, 10_000, 10);
+        a.micros("by", 0, DAY_MICROS, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
+    int itemCount = a.integer("many", 1, 10_000, 10);
     boolean losesState = a.flag("empty", false);
     String demand = a.word("demand", "");
-    if (a.good() && untilSecond <= fromSecond) {
-      a.wrong("trouble " + a.place(0) + " ends before it begins", "until after from");
+    if (a.isValid() && untilSecond <= fromSecond) {
+      a.addError("trouble " + a.positional(0) + " ends before it begins", "until after from");
     }
     List<String> backendIds =
         IntStream.range(firstBackend, firstBackend + backendCount).mapToObj(i -> "w" + i).toList();
     Consumer<Simulation> fault =
         fault(
-            a.place(0),
+            a.positional(0),
             new Arguments(
                 fromSecond,
                 untilSecond,
@@ -77,11 +77,11 @@
                 losesState,
                 demand));
     if (fault == null) {
-      a.wrong("trouble '" + a.place(0) + "'", "one of " + String.join(" ", KINDS));
+      a.addError("trouble '" + a.positional(0) + "'", "one of " + String.join(" ", KINDS));
     }
     return new FaultLine(
         new DeploymentFile.FaultWindow(
-            a.place(0), fromSecond, untilSecond, firstBackend, backendCount, factor, ratio),
+            a.positional(0), fromSecond, untilSecond, firstBackend, backendCount, factor, ratio),
         gatewayCount,
         counterPartition,
         zone,
--- a/src/test/java/fawndock/counter/CommandCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/CommandCompatibilityTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit.Durability;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.GatewaySettings;
+import fawndock.settings.LogSettings;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -30,14 +30,14 @@
  */
 class CommandCompatibilityTest {
   private static final int TIMEOUT_MILLIS = 20_000;
-  private static final CounterSettings.Fleet ALONE =
-      new CounterSettings.Fleet("", 1, 150, 2_000, Map.of());
+  private static final CounterSettings.Cluster ALONE =
+      new CounterSettings.Cluster("", 1, 150, 2_000, Map.of());
   @TempDir private Path directory;
   private FileStorage storage;
   private CounterServer server;
   private int port;
 
-  private void start(CounterSettings.Fleet fleet) throws IOException {
+  private void start(CounterSettings.Cluster fleet) throws IOException {
     storage = new FileStorage(directory, true);
     server =
         new CounterServer(
@@ -51,7 +51,7 @@
                 1_100,
                 300_000,
                 10_000,
-                new GatewaySettings.Log(false, "warn"),
+                new LogSettings(false, "warn"),
                 fleet),
             storage);
     port = server.start(bytes -> {});
@@ -60,7 +60,7 @@
   @AfterEach
   void stop() throws IOException {
     if (server != null) {
-      server.stop();
+      server.close();
       storage.close();
     }
   }
@@ -242,7 +242,7 @@
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       listener.setSoTimeout(TIMEOUT_MILLIS);
       Address peer = new Address("127.0.0.1", listener.getLocalPort());
-      start(new CounterSettings.Fleet("n0", 1, 300, 600, Map.of("n1", peer)));
+      start(new CounterSettings.Cluster("n0", 1, 300, 600, Map.of("n1", peer)));
       try (Connection fromNode = new Connection(listener.accept());
           Connection client = connect()) {
         List<String> heartbeat = fromNode.command();
--- a/src/test/java/fawndock/gateway/CounterLinkTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -5,6 +5,7 @@
 
 import fawndock.counter.CounterServer;
 import fawndock.counter.FileStorage;
+import fawndock.counter.config.CounterSettings;
 import fawndock.counter.storage.GroupCommit;
 import fawndock.fake.FakeCounterServer;
 import fawndock.policy.action.AddToCounter;
@@ -13,9 +14,8 @@
 import fawndock.runtime.MicroClock;
 import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.CounterSettings;
-import fawndock.settings.GatewaySettings;
-import fawndock.settings.GatewaySettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterService;
+import fawndock.settings.LogSettings;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.net.ServerSocket;
@@ -32,12 +32,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import redis.clients.jedis.Jedis;
 
-class CounterLinkTest {
+class CounterClientTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
   private final BlockingQueue<CounterReply> told = new LinkedBlockingQueue<>();
   private FakeCounterServer counter;
-  private CounterLink link;
+  private CounterClient link;
   private int port;
   private Map<String, Address> nodes = Map.of();
 
@@ -50,7 +50,7 @@
   @AfterEach
   void stop() throws Exception {
     link.close();
-    Setup.wait(vertx.close());
+    GatewayHarness.await(vertx.close());
     counter.close();
   }
 
@@ -58,10 +58,10 @@
     context.runOnContext(
         v ->
             link =
-                new CounterLink(
+                new CounterClient(
                     vertx,
                     context,
-                    new CounterParts(
+                    new CounterService(
                         nodes.isEmpty() ? List.of(new Address("127.0.0.1", port)) : List.of(),
                         nodes,
                         timeoutMicros,
@@ -82,7 +82,7 @@
     context.runOnContext(
         v -> {
           for (double amount : amounts) {
-            link.count(new AddToCounter(name, amount, 60_000_000));
+            link.add(new AddToCounter(name, amount, 60_000_000));
           }
         });
   }
@@ -105,7 +105,7 @@
   void theProjectsOwnCounterIsAskedInOneCall(@TempDir Path directory) throws Exception {
     try (FileStorage disk = new FileStorage(directory, true)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       port = own.start(bytes -> {});
       connect(20_000_000, 4_096);
       count("n", 1, 0.1, -0.1);
@@ -117,7 +117,7 @@
         assertEquals(before + 4, commands(asked), "and one INFO");
         assertTrue(asked.pttl("n") > 50_000 && asked.pttl("n") <= 60_000);
       } finally {
-        own.stop();
+        own.close();
       }
     }
   }
@@ -129,7 +129,7 @@
         ServerSocket one = new ServerSocket(0);
         ServerSocket two = new ServerSocket(0)) {
       CounterServer own =
-          own(disk, directory, new CounterSettings.Fleet("", 1, 150, 2_000, Map.of()));
+          own(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       nodes =
           Map.of(
               "n0",
@@ -147,7 +147,7 @@
           assertEquals(1.0, next().total());
         }
       } finally {
-        own.stop();
+        own.close();
       }
     }
   }
@@ -164,13 +164,13 @@
           own(
               old,
               directory.resolve("old"),
-              new CounterSettings.Fleet("n0", 1, 150, 200, Map.of()));
+              new CounterSettings.Cluster("n0", 1, 150, 200, Map.of()));
       int offPort = off.start(bytes -> {});
       CounterServer on =
           own(
               fresh,
               directory.resolve("fresh"),
-              new CounterSettings.Fleet(
+              new CounterSettings.Cluster(
                   "n1", 1, 150, 200, Map.of("n0", new Address("127.0.0.1", offPort))));
       int onPort = on.start(bytes -> {});
       nodes = Map.of("n0", new Address("127.0.0.1", offPort));
@@ -185,16 +185,17 @@
           counted = next();
         } while (counted.result() != CallResult.OK); // The old one answers no more.
         assertEquals(5, counted.total());
-        off.stop();
+        off.close();
         count("a.1", 1);
         assertEquals(6, next().total());
       } finally {
-        on.stop();
+        on.close();
       }
     }
   }
 
-  private static CounterServer own(FileStorage disk, Path directory, CounterSettings.Fleet fleet) {
+  private static CounterServer own(
+      FileStorage disk, Path directory, CounterSettings.Cluster fleet) {
     return new CounterServer(
         new CounterSettings(
             new Address("127.0.0.1", 0),
@@ -206,7 +207,7 @@
             10,
             1 << 20,
             10_000,
-            new GatewaySettings.Log(false, "warn"),
+            new LogSettings(false, "warn"),
             fleet),
         disk);
   }
@@ -261,7 +262,8 @@
     counter.setUnresponsive(true);
     long calls = counter.addCount();
     count("n", 7);
-    Setup.until(() -> counter.addCount() > calls); // It has reached the counter, so it is out.
+    GatewayHarness.awaitTrue(
+        () -> counter.addCount() > calls); // It has reached the counter, so it is out.
     counter.stop();
     assertEquals(CallResult.TIMEOUT, next().result());
     count("n", 1);
