--- a/src/test/java/fawndock/ArchitectureTest.java
+++ b/src/test/java/fawndock/ArchitectureTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.base.DescribedPredicate;
 import com.tngtech.archunit.core.domain.JavaClass;
@@ -38,6 +39,11 @@
                           || c.isPrimitive()
                           || c.isArray()));
 
+  /** Read from any package, the arrows of docs/architecture.md never lead back to it. */
+  @ArchTest
+  static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
+      slices().matching("fawndock.(*)..").should().beFreeOfCycles();
+
   @ArchTest
   static final ArchRule NO_CLOCK_OF_THEIR_OWN =
       noClasses()
