--- a/src/main/java/fawndock/benchmark/CounterLoad.java
+++ b/src/main/java/fawndock/benchmark/CounterLoad.java
@@ -90,7 +90,7 @@
         + "\r\n$1\r\n1\r\n$7\r\n3600000\r\n";
   }
 
-  /** As {@link #runClosedLoop}, with the growing sums of a gatekeeper on each connection. */
+  /** As {@link #runClosedLoop}, with the growing sums of a gateway on each connection. */
   LoadResult runClosedLoopSums(int outstanding, double seconds, long seed) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
     AtomicLong refused = new AtomicLong();
--- a/src/main/java/fawndock/benchmark/PassthroughBench.java
+++ b/src/main/java/fawndock/benchmark/PassthroughBench.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the gateway adds: the same worker behind a bare proxy and behind one gatekeeper with its
+ * What the gateway adds: the same backend behind a bare proxy and behind one gateway with its
  * counter, each in a process of its own on one event loop, in turns. First the most that each
- * passes, then latencies of both at half of what the gatekeeper passes.
+ * passes, then latencies of both at half of what the gateway passes.
  */
 public final class PassthroughBench {
   private static final int MAX_IN_FLIGHT = 200;
@@ -35,7 +35,7 @@
   /**
    * @param seconds of each turn
    * @param turns of each kind of measurement
-   * @param counted whether the gatekeeper has a counter to ask
+   * @param counted whether the gateway has a counter to ask
    */
   public PassthroughBench(double seconds, int turns, boolean counted, PrintStream out) {
     this.seconds = seconds;
@@ -48,11 +48,11 @@
   public void run() throws Exception {
     Path folder = Files.createTempDirectory("fawndock-bench");
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    // Worker and load each have a loop of their own: a shared one made every figure depend on
+    // Backend and load each have a loop of their own: a shared one made every figure depend on
     // chance.
     Vertx workers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Process proxy = null;
-    try (GatewayProcesses gatekeepers = new GatewayProcesses(folder, new TraceRecorder(), JVM);
+    try (GatewayProcesses gateways = new GatewayProcesses(folder, new TraceRecorder(), JVM);
         CounterProcess counter = new CounterProcess(folder, "log text level warn\n", JVM)) {
       counter.start().get(30, TimeUnit.SECONDS);
       int worker =
@@ -73,7 +73,7 @@
               .get(10, TimeUnit.SECONDS)
               .actualPort();
       int port = GatewayProcesses.freePort();
-      gatekeepers.writeSettings(
+      gateways.writeSettings(
           0,
           port,
           "listen 127.0.0.1:"
@@ -85,7 +85,7 @@
               + "server w 127.0.0.1:"
               + worker
               + "\n");
-      gatekeepers.start(0).get(30, TimeUnit.SECONDS);
+      gateways.start(0).get(30, TimeUnit.SECONDS);
       proxy = startProxy(worker);
       int bare = readPort(proxy);
       out.println("warming up both");
--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -27,8 +27,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a small deployment over loopback: gatekeepers and counter in processes of their own,
- * workers and clients as stand-ins.
+ * Plays a small deployment over loopback: gateways and counter in processes of their own, backends
+ * and clients as fakes.
  */
 public final class SocketRun {
   private static final int MOST_GATEKEEPERS = 8;
@@ -172,7 +172,7 @@
     return new SocketRunResult(told, verdict);
   }
 
-  /** The deployment's lines that a gatekeeper knows too, and a key for each customer. */
+  /** The deployment's lines that a gateway knows too, and a key for each customer. */
   private String settings() {
     StringBuilder text = new StringBuilder();
     read.effectiveSettings()
--- a/src/main/java/fawndock/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -174,7 +174,7 @@
   /**
    * Reads an experiment and its scenario, with the first value of each variable.
    *
-   * @throws ConfigurationException with every mistake when there is any
+   * @throws ConfigurationException with every error when there is any
    */
   public static Experiment read(Path file) throws ConfigurationException {
     Experiment read = asRun(file);
--- a/src/main/java/fawndock/experiment/ExperimentRunner.java
+++ b/src/main/java/fawndock/experiment/ExperimentRunner.java
@@ -32,7 +32,7 @@
    * Plans all runs.
    *
    * @param build that tells results of other decisions apart
-   * @throws ConfigurationException when the scenario has mistakes
+   * @throws ConfigurationException when the scenario has errors
    */
   public ExperimentRunner(
       Experiment experiment, Function<PolicyConfig, GatewayPolicy> maker, String build)
--- a/src/main/java/fawndock/experiment/RunResult.java
+++ b/src/main/java/fawndock/experiment/RunResult.java
@@ -12,7 +12,7 @@
  * @param settings the deployment as it was run, line by line
  * @param build of the decisions and of the model, in short
  * @param series by name, a value for each second
- * @param marks when which trouble was
+ * @param marks when which fault was
  * @param verdict on the five rules
  */
 public record RunResult(
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -124,7 +124,7 @@
   /**
    * Reads a load file and all that it includes.
    *
-   * @throws ConfigurationException with every mistake when there is any
+   * @throws ConfigurationException with every error when there is any
    */
   public static LoadPlan read(Path file) throws ConfigurationException {
     LoadFile read = new LoadFile(file);
--- a/src/main/java/fawndock/loadgen/RequestTrace.java
+++ b/src/main/java/fawndock/loadgen/RequestTrace.java
@@ -22,7 +22,7 @@
 /**
  * Recorded requests, each with when it began: a CSV file with the columns {@code at} (seconds),
  * {@code method}, {@code path} and {@code key}, of which only the first must be there, or a
- * gatekeeper's log in JSON. Bursts stay as they were, to the microsecond.
+ * gateway's log in JSON. Bursts stay as they were, to the microsecond.
  */
 public final class RequestTrace {
   /**
--- a/src/main/java/fawndock/loadgen/package-info.java
+++ b/src/main/java/fawndock/loadgen/package-info.java
@@ -3,6 +3,6 @@
  * theirs, and what became of each request counted from when it was meant to start. {@code
  * RateShape}, {@code ArrivalProcess}, {@code CustomerSelector}, {@code ClientBehavior} and {@code
  * RequestTrace} decide, free of I/O and clock; {@code LoadGenerator} sends. It knows nothing of a
- * gatekeeper.
+ * gateway.
  */
 package fawndock.loadgen;
--- a/src/main/java/fawndock/scenario/BadDayScenario.java
+++ b/src/main/java/fawndock/scenario/BadDayScenario.java
@@ -20,8 +20,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The scripted bad day: three gatekeepers, eight workers and a counter through overlapping
- * troubles.
+ * The scripted bad day: three gateways, eight backends and a counter through overlapping faults.
  */
 public final class BadDayScenario {
   static final int GATEWAYS = 3;
@@ -60,7 +59,7 @@
     this.out = out;
   }
 
-  /** Plays it, prints each trouble and the verdict; returns whether every rule was kept. */
+  /** Plays it, prints each fault and the verdict; returns whether every rule was kept. */
   public boolean run() throws Exception {
     long began = System.nanoTime();
     try (FleetFixture scene = new FleetFixture(BACKENDS, BACKEND_CONFIG, seed)) {
@@ -228,7 +227,7 @@
     } while (traffic.inFlightCount() > 0 && System.nanoTime() < limit);
   }
 
-  /** The figures that the judge uses are those that the gatekeepers were given. */
+  /** The figures that the conformance check uses are those that the gateways were given. */
   static ConformanceLimits conformanceLimits(FleetFixture scene) throws Exception {
     GatewaySettings s = GatewaySettingsFile.read(scene.directory().resolve("gatekeeper-0.conf"));
     Map<String, Plan> plans = s.plans().stream().collect(Collectors.toMap(Plan::name, p -> p));
--- a/src/main/java/fawndock/scenario/ChaosScenario.java
+++ b/src/main/java/fawndock/scenario/ChaosScenario.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Troubles drawn at random over the bad day's gatekeepers, workers, counter and roster, as many at
- * once as come about. A seed draws the same troubles at the same times; what the machine makes of
- * them differs.
+ * Faults drawn at random over the bad day's gateways, backends, counter and endpoint discovery, as
+ * many at once as come about. A seed draws the same faults at the same times; what the machine
+ * makes of them differs.
  */
 public final class ChaosScenario {
   private static final double MEAN_GAP_SECONDS = 0.8;
@@ -90,16 +90,16 @@
     double end = Math.min(at + length, seconds - QUIET_END_SECONDS);
     int worker = random.nextInt(BadDayScenario.BACKENDS);
     double share = 0.1 + 0.5 * random.nextDouble();
-    int gatekeeper = random.nextInt(BadDayScenario.GATEWAYS);
+    int gateway = random.nextInt(BadDayScenario.GATEWAYS);
     switch (random.nextInt(13)) {
       case 0, 1 ->
           scheduleFault(
               "gatekeeper",
-              "gatekeeper " + gatekeeper + " is killed",
+              "gatekeeper " + gateway + " is killed",
               at,
               end,
-              () -> s.gateways.kill(gatekeeper),
-              () -> s.gateways.restart(gatekeeper));
+              () -> s.gateways.kill(gateway),
+              () -> s.gateways.restart(gateway));
       case 2 ->
           scheduleBackendFault(
               s,
@@ -210,7 +210,7 @@
         });
   }
 
-  /** Each node may have its trouble while others have theirs; a split takes all of them. */
+  /** Each node may have its fault while others have theirs; a split takes all of them. */
   private void drawNodeFault(double at, double end, double share) {
     int node = random.nextInt(nodes);
     int other = (node + 1 + random.nextInt(nodes - 1)) % nodes;
@@ -265,7 +265,7 @@
         () -> s.backends.get(worker).injectFaults(off));
   }
 
-  /** One thing has one trouble at a time; what is drawn for it meanwhile falls away. */
+  /** One thing has one fault at a time; what is drawn for it meanwhile falls away. */
   private void scheduleFault(
       String whom,
       String what,
--- a/src/main/java/fawndock/scenario/CounterFleetFixture.java
+++ b/src/main/java/fawndock/scenario/CounterFleetFixture.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Counter nodes as processes, with a relay for every way between two of them and between a
- * gatekeeper and a node.
+ * Counter nodes as processes, with a relay for every way between two of them and between a gateway
+ * and a node.
  */
 final class CounterFleetFixture implements AutoCloseable {
   private static final String[] JVM = {"-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"};
@@ -27,9 +27,9 @@
   private final List<CounterProcess> replaced = new ArrayList<>();
   private boolean closed;
 
-  CounterFleetFixture(Vertx vertx, Path folder, int count, int gatekeepers)
+  CounterFleetFixture(Vertx vertx, Path folder, int count, int gateways)
       throws IOException, InterruptedException {
-    this.gatewayCount = gatekeepers;
+    this.gatewayCount = gateways;
     this.directory = folder;
     List<Integer> ports = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -41,7 +41,7 @@
           addProxy(vertx, "n" + from, to, ports.get(to));
         }
       }
-      for (int from = 0; from < gatekeepers; from++) {
+      for (int from = 0; from < gateways; from++) {
         addProxy(vertx, "g" + from, to, ports.get(to));
       }
     }
@@ -77,7 +77,7 @@
     return proxies.get(from + ">n" + to);
   }
 
-  /** Counts from now on how often gatekeepers send a word to the nodes. */
+  /** Counts from now on how often gateways send a word to the nodes. */
   void countCommands(String word) {
     proxies.forEach(
         (way, relay) -> {
@@ -95,14 +95,14 @@
         .sum();
   }
 
-  /** The settings lines of a gatekeeper. */
-  String gatewaySettings(int gatekeeper) {
+  /** The settings lines of a gateway. */
+  String gatewaySettings(int gateway) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < nodes.size(); i++) {
       text.append("counter-node n")
           .append(i)
           .append(" 127.0.0.1:")
-          .append(proxy("g" + gatekeeper, i).port())
+          .append(proxy("g" + gateway, i).port())
           .append('\n');
     }
     return text.toString();
@@ -180,7 +180,7 @@
         });
   }
 
-  /** Cuts one node and the first half of the gatekeepers off from the others. */
+  /** Cuts one node and the first half of the gateways off from the others. */
   void partition(int node, boolean on) {
     proxies.forEach(
         (way, relay) -> {
--- a/src/main/java/fawndock/scenario/CounterPartitionScenario.java
+++ b/src/main/java/fawndock/scenario/CounterPartitionScenario.java
@@ -20,7 +20,7 @@
 
 /**
  * Counter nodes that die, stall, are split and come back, under agencies that ask one and a half
- * times their allowance and some that ask less. Use is what the workers ran.
+ * times their allowance and some that ask less. Use is what the backends ran.
  */
 public final class CounterPartitionScenario {
   private static final int GATEWAYS = 4;
@@ -32,7 +32,7 @@
    */
   private static final double SETTLING_SECONDS = 7;
 
-  /** Before long breaks: the counter's rates and the workers' caches are even by then. */
+  /** Before long breaks: the counter's rates and the backends' caches are even by then. */
   private static final double LONG_SETTLING_SECONDS = 30;
 
   private static final double LONG_FAULT_SECONDS = 5;
@@ -53,7 +53,7 @@
   private static final double CHANCE_RATIO =
       2 / Math.sqrt(2 * PLAN_UNITS_PER_SECOND * RATE_ESTIMATE_SECONDS);
 
-  /** Seconds until nodes that start empty answer, and gatekeepers ask about every request again. */
+  /** Seconds until nodes that start empty answer, and gateways ask about every request again. */
   private static final double RECOVERY_SECONDS = 3;
 
   private static final String COMMON_SETTINGS =
@@ -247,7 +247,7 @@
               () -> counterFleet.replaceLast(),
               () -> {});
     }
-    // Last, since gatekeepers take some time to ask about every request again after a counter that
+    // Last, since gateways take some time to ask about every request again after a counter that
     // was gone.
     scheduleFault(
         script,
--- a/src/main/java/fawndock/scenario/DayFile.java
+++ b/src/main/java/fawndock/scenario/DayFile.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 
 /**
- * What a drill needs of a day that the bench drew: its size, classes, plans, load and troubles.
- * Sizes stay those of the day; {@link DayScenario} scales them.
+ * What a drill needs of a day that the bench drew: its size, classes, plans, load and faults. Sizes
+ * stay those of the day; {@link DayScenario} scales them.
  */
 public record DayFile(
     String name,
@@ -51,7 +51,7 @@
 
   /**
    * A plan with its share of the use inside quotas, and its customers; each comes through so many
-   * gatekeepers.
+   * gateways.
    */
   public record DayPlan(
       String name,
@@ -64,14 +64,14 @@
       int gatewaysPerCustomer) {}
 
   /**
-   * The counter: parts, calls that each takes a second, microseconds that a gatekeeper waits, and
-   * that its line may take.
+   * The counter: parts, calls that each takes a second, microseconds that a gateway waits, and that
+   * its line may take.
    */
   public record DayCounter(
       int partitionCount, double callsPerSecond, double timeoutMicros, double maxQueueMicros) {}
 
   /**
-   * A trouble: when, how long, on what part of the servers and of what size; steps hold what stops
+   * A fault: when, how long, on what part of the servers and of what size; steps hold what stops
    * when.
    */
   public record DayFault(
--- a/src/main/java/fawndock/scenario/DayScenario.java
+++ b/src/main/java/fawndock/scenario/DayScenario.java
@@ -17,9 +17,9 @@
 import java.util.function.Consumer;
 
 /**
- * Plays the kinds of trouble of a bench day on loopback, at the day's own speed: four gatekeepers
- * and twelve workers stand for all of them; parts of the fleet, sizes, times, plans and load are
- * the day's.
+ * Plays the kinds of fault of a bench day on loopback, at the day's own speed: four gateways and
+ * twelve backends stand for all of them; parts of the fleet, sizes, times, plans and load are the
+ * day's.
  */
 public final class DayScenario {
   private static final int GATEWAYS = 4;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Plays the day; prints its troubles, how it was served and the verdict. */
+  /** Plays the day; prints its faults, how it was served and the verdict. */
   public boolean run() throws Exception {
     double work =
         day.requestClasses().stream().mapToDouble(k -> k.share() * k.workMicros()).sum()
@@ -304,7 +304,7 @@
         });
   }
 
-  /** Workers drain and end, in the day's steps; in a deploy a cold one takes each one's place. */
+  /** Backends drain and end, in the day's steps; in a deploy a cold one takes each one's place. */
   private void scheduleFleetChange(
       DayFile.DayFault t,
       String what,
@@ -376,7 +376,7 @@
     on.forEach(i -> s.backends.get(i).injectFaults(how));
   }
 
-  /** So large a part of the workers; those that no trouble has had yet come first. */
+  /** So large a part of the backends; those that no fault has had yet come first. */
   private List<Integer> pickBackends(double part) {
     int count = part <= 0 ? 0 : (int) Math.min(BACKENDS, Math.max(1, Math.round(part * BACKENDS)));
     List<Integer> picked = new ArrayList<>();
--- a/src/main/java/fawndock/scenario/DemoScenario.java
+++ b/src/main/java/fawndock/scenario/DemoScenario.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * One gatekeeper, a counter, a roster and eight workers, with customers under, at and over their
- * plans.
+ * One gateway, a counter, endpoint discovery and eight backends, with customers under, at and over
+ * their plans.
  */
 public final class DemoScenario {
   private static final String COMMON =
--- a/src/main/java/fawndock/scenario/FaultSchedule.java
+++ b/src/main/java/fawndock/scenario/FaultSchedule.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Troubles by the second, played in order on the calling thread. */
+/** Faults by the second, played in order on the calling thread. */
 public final class FaultSchedule {
   /** Something that a script does. */
   @FunctionalInterface
--- a/src/main/java/fawndock/scenario/FleetFixture.java
+++ b/src/main/java/fawndock/scenario/FleetFixture.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.IntFunction;
 
-/** Everything that surrounds the gatekeepers of a drill, and the gatekeepers' processes. */
+/** Everything that surrounds the gateways of a drill, and the gateways' processes. */
 public final class FleetFixture implements AutoCloseable {
   private static final int TIMEOUT_SECONDS = 20;
   public final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
@@ -32,14 +32,14 @@
   private final Path directory;
   private boolean closed;
 
-  /** Workers of one build, warm and listed as running, and a counter. */
+  /** Backends of one build, warm and listed as running, and a counter. */
   public FleetFixture(int count, FakeBackend.BackendConfig build, long seed)
       throws IOException, InterruptedException {
     this(count, build, seed, true);
   }
 
   /**
-   * @param counted whether there is a counter; without, the settings must name what the gatekeepers
+   * @param counted whether there is a counter; without, the settings must name what the gateways
    *     ask
    */
   public FleetFixture(int count, FakeBackend.BackendConfig build, long seed, boolean counted)
@@ -60,7 +60,7 @@
     }
   }
 
-  /** How the roster lists a worker. */
+  /** How endpoint discovery lists a backend. */
   public FakeEndpointFeed.EndpointEntry endpointEntry(int worker, String state) {
     FakeBackend w = backends.get(worker);
     return new FakeEndpointFeed.EndpointEntry(
@@ -68,7 +68,8 @@
   }
 
   /**
-   * Adds gatekeepers, each with a port of its own, a roster of its own and the others as peers.
+   * Adds gateways, each with a port of its own, endpoint discovery of its own and the others as
+   * peers.
    *
    * @param common lines that all of their settings have
    */
@@ -76,7 +77,7 @@
     addGateways(count, i -> "counter 127.0.0.1:" + counter.port() + "\n" + common);
   }
 
-  /** Adds gatekeepers, each with lines of its own. */
+  /** Adds gateways, each with lines of its own. */
   public void addGateways(int count, IntFunction<String> lines) throws IOException {
     List<Integer> ports = new ArrayList<>();
     List<Integer> peerPorts = new ArrayList<>();
@@ -106,8 +107,8 @@
   }
 
   /**
-   * Adds processes with several gatekeepers of one fleet in each, which share its port, and lines
-   * of its own.
+   * Adds processes with several gateways of one fleet in each, which share its port, and lines of
+   * its own.
    */
   public void addMultiInstanceGateways(int count, int instances, IntFunction<String> lines)
       throws IOException {
@@ -131,7 +132,7 @@
     }
   }
 
-  /** Waits for something of the stand-ins. */
+  /** Waits for something of the fakes. */
   public static <T> T await(Future<T> what) throws IOException {
     try {
       return what.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -143,14 +144,14 @@
     }
   }
 
-  /** Where the settings and logs of the gatekeepers are. */
+  /** Where the settings and logs of the gateways are. */
   public Path directory() {
     return directory;
   }
 
   /**
    * Ends a drill: prints the breaches, closes everything, and prints the verdict last. The
-   * gatekeepers' settings and logs stay when a rule was broken.
+   * gateways' settings and logs stay when a rule was broken.
    */
   public boolean conclude(ConformanceResult verdict, PrintStream out) throws IOException {
     verdict.violations().forEach(b -> out.println("  " + b));
--- a/src/main/java/fawndock/scenario/GatewayProcesses.java
+++ b/src/main/java/fawndock/scenario/GatewayProcesses.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Gatekeepers in processes of their own, each with a settings file in one folder. Ends its own
+ * Gateways in processes of their own, each with a settings file in one folder. Ends its own
  * processes only.
  */
 public final class GatewayProcesses implements AutoCloseable {
@@ -32,7 +32,7 @@
   private final Thread shutdownHook = new Thread(this::destroyAll, "end gatekeepers");
 
   /**
-   * No gatekeepers yet.
+   * No gateways yet.
    *
    * @param jvmOptions of each process
    */
@@ -45,7 +45,7 @@
 
   /**
    * A loopback port that is free now, from below the range that systems take for outgoing
-   * connections: one from that range was seen taken by a client's connection before its gatekeeper
+   * connections: one from that range was seen taken by a client's connection before its gateway
    * came to listen.
    */
   public static int freePort() throws IOException {
@@ -60,7 +60,7 @@
     throw new IOException("no free port found in " + MAX_PORT_ATTEMPTS + " tries");
   }
 
-  /** Keeps the settings of a gatekeeper and the port on which they say that it listens. */
+  /** Keeps the settings of a gateway and the port on which they say that it listens. */
   public void writeSettings(int number, int port, String text) throws IOException {
     ports.put(number, port);
     Files.writeString(directory.resolve("gatekeeper-" + number + ".conf"), text);
--- a/src/main/java/fawndock/scenario/LargeFleetScenario.java
+++ b/src/main/java/fawndock/scenario/LargeFleetScenario.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 
 /**
- * Sixty gatekeepers with a request a second each, through all of which each customer comes, and
- * three counter nodes: quotas hold though none of the gatekeepers meets a customer more than once
- * in many windows.
+ * Sixty gateways with a request a second each, through all of which each customer comes, and three
+ * counter nodes: quotas hold though none of the gateways meets a customer more than once in many
+ * windows.
  */
 public final class LargeFleetScenario {
   private static final int PROCESSES = 6;
@@ -119,12 +119,12 @@
     }
   }
 
-  static String resultLine(double worst, int gatekeepers, double calls) {
+  static String resultLine(double worst, int gateways, double calls) {
     return String.format(
         Locale.ROOT,
         "used %.1f%% of plan at most, %d gatekeepers, %.2f calls a try",
         100 * worst,
-        gatekeepers,
+        gateways,
         calls);
   }
 }
--- a/src/main/java/fawndock/scenario/PlatformScenario.java
+++ b/src/main/java/fawndock/scenario/PlatformScenario.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One gatekeeper of the platform's way in among stand-ins in one process: requests of every class,
+ * One gateway of the platform's way in among fakes in one process: requests of every class,
  * refusals, bad input, a new configuration, a stop. Prints what became of them. The build has the
  * classes that it loads archived, so it goes through all that a day does.
  */
--- a/src/main/java/fawndock/scenario/TrafficGenerator.java
+++ b/src/main/java/fawndock/scenario/TrafficGenerator.java
@@ -12,9 +12,9 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Open-loop traffic of a few customers: Poisson arrivals, each to a gatekeeper by chance, and
- * clients that try again as their class allows, some of which leave early. A generator of its own
- * for drills and the demo.
+ * Open-loop traffic of a few customers: Poisson arrivals, each to a gateway by chance, and clients
+ * that try again as their class allows, some of which leave early. A generator of its own for
+ * drills and the demo.
  */
 public final class TrafficGenerator {
   /** A customer and how much it asks, requests a second. */
@@ -56,21 +56,21 @@
   private long timer = -1;
 
   /**
-   * @param port of each gatekeeper by its number
+   * @param port of each gateway by its number
    */
   public TrafficGenerator(
       Vertx vertx,
       RawHttpClient client,
       List<RequestKind> kinds,
       List<Customer> customers,
-      int gatekeepers,
+      int gateways,
       IntUnaryOperator port,
       long seed) {
     this.vertx = vertx;
     this.client = client;
     this.kinds = kinds;
     this.customers = customers;
-    this.gatewayCount = gatekeepers;
+    this.gatewayCount = gateways;
     this.port = port;
     this.random = new SplittableRandom(seed);
   }
@@ -105,12 +105,12 @@
     factorByPrefix.put(prefix, times);
   }
 
-  /** This share of the requests goes to the busiest gatekeeper of its customer from now on. */
+  /** This share of the requests goes to the busiest gateway of its customer from now on. */
   public void setHotGatewayRatio(double share) {
     hotGatewayRatio = share;
   }
 
-  /** Other gatekeepers become the busiest of their customers. */
+  /** Other gateways become the busiest of their customers. */
   public void shiftHotGateways() {
     shifts.incrementAndGet();
   }
@@ -132,7 +132,7 @@
     return this;
   }
 
-  /** Each customer comes through so many gatekeepers in a row, unevenly; the first by its name. */
+  /** Each customer comes through so many gateways in a row, unevenly; the first by its name. */
   public TrafficGenerator withGatewaysPerCustomer(int some) {
     gatewaysPerCustomer = some;
     return this;
@@ -214,7 +214,7 @@
       return; // Over, or not offered: the machine is behind.
     }
     inFlightCount.incrementAndGet();
-    int gatekeeper = pickGateway(customer);
+    int gateway = pickGateway(customer);
     boolean leaves =
         kind.idempotency() != Idempotency.AT_MOST_ONCE
             && random.nextDouble() < earlyDisconnectRatio;
@@ -222,8 +222,8 @@
     client.send(
         new RawHttpClient.RequestSpec(
             operation + "." + attempt,
-            gatekeeper,
-            port.applyAsInt(gatekeeper),
+            gateway,
+            port.applyAsInt(gateway),
             kind.method(),
             kind.path(),
             kind.requestClass(),
--- a/src/test/java/fawndock/gateway/BackendAttemptTest.java
+++ b/src/test/java/fawndock/gateway/BackendAttemptTest.java
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Also a worker that answers after the attempt was abandoned: nobody gets that answer. */
+  /** Also a backend that answers after the attempt was abandoned: nobody gets that answer. */
   @Test
   void noResponseByTheDeadline_isTimeoutAndALateOneIsDropped() throws Exception {
     CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
@@ -199,7 +199,7 @@
   }
 
   /**
-   * The loop is held until the worker's answer is there and the time-out is due: exactly one of
+   * The loop is held until the backend's answer is there and the time-out is due: exactly one of
    * them counts.
    */
   @Test
--- a/src/test/java/fawndock/gateway/EndpointWatchTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -75,9 +75,7 @@
     GatewayHarness.await(vertx.close());
   }
 
-  /**
-   * Cut off, back, nobody listed, nonsense: the gatekeeper is never told that the fleet is empty.
-   */
+  /** Cut off, back, nobody listed, nonsense: the gateway is never told that the fleet is empty. */
   @Test
   void lostOrEmptyList_neverRemovesAllEndpoints() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
--- a/src/test/java/fawndock/gateway/HttpServerListenerTest.java
+++ b/src/test/java/fawndock/gateway/HttpServerListenerTest.java
@@ -149,8 +149,7 @@
   }
 
   /**
-   * A gatekeeper that forgets a request, or fails on it, does not leave its client without an
-   * answer.
+   * A gateway that forgets a request, or fails on it, does not leave its client without an answer.
    */
   @Test
   void policyThatThrows_isBackedUpBy504AtTheDeadline() throws Exception {
--- a/src/test/java/fawndock/measurement/MeasuresTest.java
+++ b/src/test/java/fawndock/measurement/MeasuresTest.java
@@ -87,7 +87,9 @@
     trace.add(new TraceEvent.ResponseReceived(S + 20_000, "r0.1", 200));
     trace.add(
         new TraceEvent.ResponseReceived(
-            S + 30_000, "r0.1", 200)); // A second answer is the judge's, and does not count here.
+            S + 30_000,
+            "r0.1",
+            200)); // A second answer is the conformance check's, and does not count here.
     trace.add(new TraceEvent.ResponseReceived(2 * S + 10_000, "r1.1", 504));
     trace.add(new TraceEvent.ClientDisconnected(3 * S + 10_000, "r2.1"));
     trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "r3.1", 429));
