--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -51,6 +51,9 @@
 import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_RESET;
 import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_SHED;
 import static fawndock.simulatoradapter.SimulatorProtocol.RESULT_TIMEOUT;
+import static fawndock.simulatoradapter.SimulatorProtocol.STATE_DRAINING;
+import static fawndock.simulatoradapter.SimulatorProtocol.STATE_REMOVED;
+import static fawndock.simulatoradapter.SimulatorProtocol.STATE_RUNNING;
 
 import fawndock.platformconfig.Json.JsonObject;
 import fawndock.platformconfig.MalformedMessageException;
@@ -69,6 +72,7 @@
 import fawndock.policy.event.RequestArrived;
 import fawndock.policy.event.ResponseStarted;
 import fawndock.policy.event.TimerFired;
+import java.util.Locale;
 
 /** Decodes events of the simulator's line protocol into events of the policy. */
 final class SimulatorEventReader {
@@ -139,12 +143,20 @@
         entry.text(FIELD_ENDPOINT),
         entry.textOr(FIELD_ZONE, ""),
         (int) entry.integerOr(FIELD_CELL, 0),
-        SettingsReader.constant(
-            EndpointState.class, entry.textOr(FIELD_ENDPOINT_STATE, DEFAULT_ENDPOINT_STATE)),
+        endpointState(entry.textOr(FIELD_ENDPOINT_STATE, DEFAULT_ENDPOINT_STATE)),
         entry.numberOr(FIELD_WEIGHT, 1),
         entry.integerOr(FIELD_STARTED_AT_MICROS, 0));
   }
 
+  private static EndpointState endpointState(String word) {
+    return switch (word.toLowerCase(Locale.ROOT)) {
+      case STATE_RUNNING -> EndpointState.RUNNING;
+      case STATE_DRAINING -> EndpointState.DRAINING;
+      case STATE_REMOVED -> EndpointState.REMOVED;
+      default -> throw new MalformedMessageException("unknown word '" + word + "'");
+    };
+  }
+
   private static EndpointUpdateKind updateKind(String kind) {
     return switch (kind) {
       case LIST_CHANGES -> EndpointUpdateKind.CHANGES;
--- a/src/main/java/fawndock/simulatoradapter/SimulatorProtocol.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorProtocol.java
@@ -168,6 +168,12 @@
   static final String LIST_FAILED = "failed";
   static final String DEFAULT_ENDPOINT_STATE = "Running";
 
+  /** Words for an endpoint's state, in whatever case; here in small letters. */
+  static final String STATE_RUNNING = "running";
+
+  static final String STATE_DRAINING = "stopping";
+  static final String STATE_REMOVED = "deleted";
+
   // Action types.
 
   static final String ACTION_START_ATTEMPT = "Route";
