--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -9,22 +9,35 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code fawndock check FILE}: tells every mistake in a settings file and starts nothing. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Tells every mistake in a settings file.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:no mistakes", "2:mistakes"})
+@Command(
+    name = "check",
+    mixinStandardHelpOptions = true,
+    description = "Tells every mistake in a settings file.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {"0:no mistakes", "2:mistakes"})
 final class CheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the settings")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "the settings")
+  private Path file;
 
-    @Override
-    public Integer call() {
-        try {
-            DaemonSettings s = SettingsFile.read(file);
-            System.out.println(file + ": no mistakes: " + s.classes().size() + " classes, " + s.plans().size()
-                    + " plans, " + s.keys().size() + " keys, " + s.routes().size() + " routes");
-            return 0;
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return 2;
-        }
+  @Override
+  public Integer call() {
+    try {
+      DaemonSettings s = SettingsFile.read(file);
+      System.out.println(
+          file
+              + ": no mistakes: "
+              + s.classes().size()
+              + " classes, "
+              + s.plans().size()
+              + " plans, "
+              + s.keys().size()
+              + " keys, "
+              + s.routes().size()
+              + " routes");
+      return 0;
+    } catch (SettingsException e) {
+      System.err.println(e.getMessage());
+      return 2;
     }
+  }
 }
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -18,111 +18,145 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code fawndock counter-log}: looks at a counter's log, and mends it on the operator's word. */
-@Command(name = "counter-log", mixinStandardHelpOptions = true, description = "Shows and mends a counter's log.",
-        subcommands = {CounterLogCommand.Verify.class, CounterLogCommand.Dump.class,
-            CounterLogCommand.Truncate.class})
+@Command(
+    name = "counter-log",
+    mixinStandardHelpOptions = true,
+    description = "Shows and mends a counter's log.",
+    subcommands = {
+      CounterLogCommand.Verify.class,
+      CounterLogCommand.Dump.class,
+      CounterLogCommand.Truncate.class
+    })
 final class CounterLogCommand extends Group {
-    private static boolean isDirectory(Path directory) {
-        if (!Files.isDirectory(directory)) {
-            System.err.println(directory + ": not a directory, expected the counter's");
-            return false;
-        }
-        return true;
+  private static boolean isDirectory(Path directory) {
+    if (!Files.isDirectory(directory)) {
+      System.err.println(directory + ": not a directory, expected the counter's");
+      return false;
     }
+    return true;
+  }
 
-    /** Every file and what is wrong with it. */
-    @Command(name = "verify", mixinStandardHelpOptions = true,
-            description = "Checks every record; changes nothing, also beside a running counter.",
-            exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:it can be started on",
-                "1:damaged: a counter refuses to start on it"})
-    static final class Verify implements Callable<Integer> {
-        @Parameters(paramLabel = "DIRECTORY")
-        private Path directory;
+  /** Every file and what is wrong with it. */
+  @Command(
+      name = "verify",
+      mixinStandardHelpOptions = true,
+      description = "Checks every record; changes nothing, also beside a running counter.",
+      exitCodeListHeading = "Exit codes:%n",
+      exitCodeList = {"0:it can be started on", "1:damaged: a counter refuses to start on it"})
+  static final class Verify implements Callable<Integer> {
+    @Parameters(paramLabel = "DIRECTORY")
+    private Path directory;
 
-        @Override
-        public Integer call() throws IOException {
-            if (!isDirectory(directory)) {
-                return 2;
-            }
-            List<Verdict> all = LogAudit.verify(new FileDisk(directory, false));
-            all.forEach(v -> System.out.println(v.line()));
-            boolean damaged = all.stream().anyMatch(v -> v.state() == State.DAMAGED);
-            System.out.println(damaged ? "damaged: a counter does not start on it; see counter-log truncate"
-                    : "a counter starts on it");
-            return damaged ? 1 : 0;
-        }
+    @Override
+    public Integer call() throws IOException {
+      if (!isDirectory(directory)) {
+        return 2;
+      }
+      List<Verdict> all = LogAudit.verify(new FileDisk(directory, false));
+      all.forEach(v -> System.out.println(v.line()));
+      boolean damaged = all.stream().anyMatch(v -> v.state() == State.DAMAGED);
+      System.out.println(
+          damaged
+              ? "damaged: a counter does not start on it; see counter-log truncate"
+              : "a counter starts on it");
+      return damaged ? 1 : 0;
     }
+  }
 
-    /** Every change as a line. */
-    @Command(name = "dump", mixinStandardHelpOptions = true, description = "Prints the changes of a file's records.")
-    static final class Dump implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "a segment or a snapshot")
-        private Path file;
-        @Option(names = "--from", paramLabel = "RECORD", defaultValue = "0", description = "the first record shown")
-        private long from;
+  /** Every change as a line. */
+  @Command(
+      name = "dump",
+      mixinStandardHelpOptions = true,
+      description = "Prints the changes of a file's records.")
+  static final class Dump implements Callable<Integer> {
+    @Parameters(paramLabel = "FILE", description = "a segment or a snapshot")
+    private Path file;
 
-        @Override
-        public Integer call() throws IOException {
-            if (!Files.isRegularFile(file)) {
-                System.err.println(file + ": not a file, expected a segment or a snapshot");
-                return 2;
-            }
-            Path directory = file.toAbsolutePath().getParent();
-            String bad = LogAudit.dump(new FileDisk(directory, false), file.getFileName().toString(), from,
-                    (record, time) -> System.out.println("record " + record + " at " + Instant.ofEpochMilli(time)),
-                    new Printer());
-            if (!bad.isEmpty()) {
-                System.err.println(file + ": " + bad);
-            }
-            return bad.isEmpty() ? 0 : 1;
-        }
+    @Option(
+        names = "--from",
+        paramLabel = "RECORD",
+        defaultValue = "0",
+        description = "the first record shown")
+    private long from;
+
+    @Override
+    public Integer call() throws IOException {
+      if (!Files.isRegularFile(file)) {
+        System.err.println(file + ": not a file, expected a segment or a snapshot");
+        return 2;
+      }
+      Path directory = file.toAbsolutePath().getParent();
+      String bad =
+          LogAudit.dump(
+              new FileDisk(directory, false),
+              file.getFileName().toString(),
+              from,
+              (record, time) ->
+                  System.out.println("record " + record + " at " + Instant.ofEpochMilli(time)),
+              new Printer());
+      if (!bad.isEmpty()) {
+        System.err.println(file + ": " + bad);
+      }
+      return bad.isEmpty() ? 0 : 1;
     }
+  }
 
-    private static final class Printer implements Changes.Reader {
-        @Override
-        public void set(byte[] name, Amount amount, long expiry) {
-            System.out.println("  set " + text(name) + " " + amount
-                    + (expiry == 0 ? "" : " until " + Instant.ofEpochMilli(expiry)));
-        }
+  private static final class Printer implements Changes.Reader {
+    @Override
+    public void set(byte[] name, Amount amount, long expiry) {
+      System.out.println(
+          "  set "
+              + text(name)
+              + " "
+              + amount
+              + (expiry == 0 ? "" : " until " + Instant.ofEpochMilli(expiry)));
+    }
 
-        @Override
-        public void deleted(byte[] name) {
-            System.out.println("  delete " + text(name));
-        }
+    @Override
+    public void deleted(byte[] name) {
+      System.out.println("  delete " + text(name));
+    }
 
-        @Override
-        public void end(long names) {
-            System.out.println("  end of a snapshot of " + names + " names");
-        }
+    @Override
+    public void end(long names) {
+      System.out.println("  end of a snapshot of " + names + " names");
+    }
 
-        /** Names may be any bytes; a terminal gets only what is printable. */
-        private static String text(byte[] name) {
-            return new String(name, StandardCharsets.UTF_8).replaceAll("\\p{Cntrl}", "?");
-        }
+    /** Names may be any bytes; a terminal gets only what is printable. */
+    private static String text(byte[] name) {
+      return new String(name, StandardCharsets.UTF_8).replaceAll("\\p{Cntrl}", "?");
     }
+  }
 
-    /** Gives up what is damaged and all after it. */
-    @Command(name = "truncate", mixinStandardHelpOptions = true, description = {
+  /** Gives up what is damaged and all after it. */
+  @Command(
+      name = "truncate",
+      mixinStandardHelpOptions = true,
+      description = {
         "Cuts a damaged log before its first damaged record, so that a counter starts on it.",
-        "What is cut off is kept beside it in files that end in .cut; the counts in it are lost to the counter."})
-    static final class Truncate implements Callable<Integer> {
-        @Parameters(paramLabel = "DIRECTORY")
-        private Path directory;
-        @Option(names = "--yes", description = "do it; without, only what would be done is told")
-        private boolean yes;
+        "What is cut off is kept beside it in files that end in .cut; the counts in it are lost to the counter."
+      })
+  static final class Truncate implements Callable<Integer> {
+    @Parameters(paramLabel = "DIRECTORY")
+    private Path directory;
+
+    @Option(names = "--yes", description = "do it; without, only what would be done is told")
+    private boolean yes;
 
-        @Override
-        public Integer call() throws IOException {
-            if (!isDirectory(directory)) {
-                return 2;
-            }
-            try (FileDisk disk = new FileDisk(directory, true)) {
-                List<String> steps = LogAudit.truncate(disk, yes);
-                steps.forEach(System.out::println);
-                System.out.println(steps.isEmpty() ? "nothing is damaged, nothing was done"
-                        : yes ? "done" : "nothing was done; --yes does it");
-                return 0;
-            }
-        }
+    @Override
+    public Integer call() throws IOException {
+      if (!isDirectory(directory)) {
+        return 2;
+      }
+      try (FileDisk disk = new FileDisk(directory, true)) {
+        List<String> steps = LogAudit.truncate(disk, yes);
+        steps.forEach(System.out::println);
+        System.out.println(
+            steps.isEmpty()
+                ? "nothing is damaged, nothing was done"
+                : yes ? "done" : "nothing was done; --yes does it");
+        return 0;
+      }
     }
+  }
 }
--- a/src/main/java/fawndock/cli/DemoCommand.java
+++ b/src/main/java/fawndock/cli/DemoCommand.java
@@ -5,19 +5,28 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fawndock demo}: everything on loopback, with customers over their plans, and a live summary. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = "Shows the gateway at work on loopback.")
+/**
+ * {@code fawndock demo}: everything on loopback, with customers over their plans, and a live
+ * summary.
+ */
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true,
+    description = "Shows the gateway at work on loopback.")
 final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--seconds", defaultValue = "20", description = "how long, default ${DEFAULT-VALUE}")
-    private int seconds;
+  @Option(
+      names = "--seconds",
+      defaultValue = "20",
+      description = "how long, default ${DEFAULT-VALUE}")
+  private int seconds;
 
-    @Override
-    public Integer call() throws Exception {
-        if (seconds < 1 || seconds > 3_600) {
-            System.err.println("--seconds is from 1 to 3600");
-            return 2;
-        }
-        Logs.quiet();
-        return new Demo(System.out).run(seconds) ? 0 : 1;
+  @Override
+  public Integer call() throws Exception {
+    if (seconds < 1 || seconds > 3_600) {
+      System.err.println("--seconds is from 1 to 3600");
+      return 2;
     }
+    Logs.quiet();
+    return new Demo(System.out).run(seconds) ? 0 : 1;
+  }
 }
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -12,151 +12,226 @@
 import picocli.CommandLine.Command;
 
 /** {@code fawndock drill NAME}: troubles on loopback, judged by what crossed the sockets. */
-@Command(name = "drill", mixinStandardHelpOptions = true, description = "Plays troubles and judges the rules.",
-        subcommands = {DrillCommand.BadDayDrill.class, DrillCommand.Day.class,
-            DrillCommand.ChaosDrill.class, DrillCommand.CounterCrashDrill.class,
-            DrillCommand.CounterSplitDrill.class, DrillCommand.LargeFleetDrill.class,
-            DrillCommand.PlatformWayIn.class})
+@Command(
+    name = "drill",
+    mixinStandardHelpOptions = true,
+    description = "Plays troubles and judges the rules.",
+    subcommands = {
+      DrillCommand.BadDayDrill.class,
+      DrillCommand.Day.class,
+      DrillCommand.ChaosDrill.class,
+      DrillCommand.CounterCrashDrill.class,
+      DrillCommand.CounterSplitDrill.class,
+      DrillCommand.LargeFleetDrill.class,
+      DrillCommand.PlatformWayIn.class
+    })
 final class DrillCommand extends Group {
-    /** Three gatekeepers through overlapping troubles. */
-    @Command(name = "bad-day", mixinStandardHelpOptions = true,
-            description = "Three gatekeepers through overlapping troubles, in under 40 s.")
-    static final class BadDayDrill implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the traffic and faults")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            Logs.quiet();
-            return new BadDay(seed, System.out).run() ? 0 : 1;
-        }
+  /** Three gatekeepers through overlapping troubles. */
+  @Command(
+      name = "bad-day",
+      mixinStandardHelpOptions = true,
+      description = "Three gatekeepers through overlapping troubles, in under 40 s.")
+  static final class BadDayDrill implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the traffic and faults")
+    private long seed;
+
+    @Override
+    public Integer call() throws Exception {
+      Logs.quiet();
+      return new BadDay(seed, System.out).run() ? 0 : 1;
     }
+  }
+
+  /** A day that the bench drew. */
+  @Command(
+      name = "day",
+      mixinStandardHelpOptions = true,
+      description = "Plays the troubles of a day file of lbsim draw, scaled to loopback.")
+  static final class Day implements Callable<Integer> {
+    @picocli.CommandLine.Parameters(paramLabel = "FILE", description = "the day file")
+    private java.nio.file.Path file;
 
-    /** A day that the bench drew. */
-    @Command(name = "day", mixinStandardHelpOptions = true,
-            description = "Plays the troubles of a day file of lbsim draw, scaled to loopback.")
-    static final class Day implements Callable<Integer> {
-        @picocli.CommandLine.Parameters(paramLabel = "FILE", description = "the day file")
-        private java.nio.file.Path file;
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the customers' demand")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            Logs.quiet();
-            DayFile day;
-            try {
-                day = DayFile.read(file);
-            } catch (java.io.IOException e) {
-                System.err.println(e.getMessage());
-                return 2;
-            }
-            return new DayDrill(day, seed, System.out).run() ? 0 : 1;
-        }
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the customers' demand")
+    private long seed;
+
+    @Override
+    public Integer call() throws Exception {
+      Logs.quiet();
+      DayFile day;
+      try {
+        day = DayFile.read(file);
+      } catch (java.io.IOException e) {
+        System.err.println(e.getMessage());
+        return 2;
+      }
+      return new DayDrill(day, seed, System.out).run() ? 0 : 1;
     }
+  }
+
+  /** Troubles at random. */
+  @Command(
+      name = "chaos",
+      mixinStandardHelpOptions = true,
+      description = "Random troubles, the killing of gatekeepers among them.")
+  static final class ChaosDrill implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--seconds",
+        defaultValue = "60",
+        description = "from 10 to 900")
+    private int seconds;
 
-    /** Troubles at random. */
-    @Command(name = "chaos", mixinStandardHelpOptions = true,
-            description = "Random troubles, the killing of gatekeepers among them.")
-    static final class ChaosDrill implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--seconds", defaultValue = "60", description = "from 10 to 900")
-        private int seconds;
-        @picocli.CommandLine.Option(names = "--nodes", defaultValue = "1", description = "counter nodes, 1 or 3")
-        private int nodes;
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the troubles")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            if (seconds < 10 || seconds > 900 || nodes != 1 && nodes != 3) {
-                System.err.println("--seconds is from 10 to 900, --nodes is 1 or 3");
-                return 2;
-            }
-            Logs.quiet();
-            return new Chaos(seconds, nodes, seed, System.out).run() ? 0 : 1;
-        }
+    @picocli.CommandLine.Option(
+        names = "--nodes",
+        defaultValue = "1",
+        description = "counter nodes, 1 or 3")
+    private int nodes;
+
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the troubles")
+    private long seed;
+
+    @Override
+    public Integer call() throws Exception {
+      if (seconds < 10 || seconds > 900 || nodes != 1 && nodes != 3) {
+        System.err.println("--seconds is from 10 to 900, --nodes is 1 or 3");
+        return 2;
+      }
+      Logs.quiet();
+      return new Chaos(seconds, nodes, seed, System.out).run() ? 0 : 1;
     }
+  }
+
+  /** The counter killed under load. */
+  @Command(
+      name = "counter-crash",
+      mixinStandardHelpOptions = true,
+      description =
+          "Kills the counter under load and holds its totals against what it acknowledged.")
+  static final class CounterCrashDrill implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--kills",
+        defaultValue = "10",
+        description = "from 1 to 10000")
+    private int kills;
+
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the adds and the moments")
+    private long seed;
 
-    /** The counter killed under load. */
-    @Command(name = "counter-crash", mixinStandardHelpOptions = true,
-            description = "Kills the counter under load and holds its totals against what it acknowledged.")
-    static final class CounterCrashDrill implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--kills", defaultValue = "10", description = "from 1 to 10000")
-        private int kills;
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the adds and the moments")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            if (kills < 1 || kills > 10_000) {
-                System.err.println("--kills is from 1 to 10000");
-                return 2;
-            }
-            Logs.quiet();
-            return new CounterCrash(kills, seed, System.out).run() ? 0 : 1;
-        }
+    @Override
+    public Integer call() throws Exception {
+      if (kills < 1 || kills > 10_000) {
+        System.err.println("--kills is from 1 to 10000");
+        return 2;
+      }
+      Logs.quiet();
+      return new CounterCrash(kills, seed, System.out).run() ? 0 : 1;
     }
+  }
 
-    /** Counter nodes that die, stall and are split. */
-    @Command(name = "counter-split", mixinStandardHelpOptions = true,
-            description = "Three counter nodes die, stall, are split and come back, under agencies beyond their allowance.")
-    static final class CounterSplitDrill implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--nodes", defaultValue = "3", description = "3, or 1 to compare with")
-        private int nodes;
-        @picocli.CommandLine.Option(names = "--only", defaultValue = "", description = "breaks with this in their names")
-        private String only;
-        @picocli.CommandLine.Option(names = "--seconds", defaultValue = "1.6", description = "of a break, from 1 to 60")
-        private double seconds;
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the traffic")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            CounterSplit drill = new CounterSplit(nodes, seconds, only, seed, System.out);
-            if (drill.breaks() == 0) {
-                System.err.println("no break has '" + only + "' in its name");
-                return 2;
-            }
-            if (nodes != 1 && nodes != 3 || seconds < 1 || seconds > 60) {
-                System.err.println("--nodes is 1 or 3, --seconds from 1 to 60");
-                return 2;
-            }
-            Logs.quiet();
-            return drill.run() ? 0 : 1;
-        }
+  /** Counter nodes that die, stall and are split. */
+  @Command(
+      name = "counter-split",
+      mixinStandardHelpOptions = true,
+      description =
+          "Three counter nodes die, stall, are split and come back, under agencies beyond their allowance.")
+  static final class CounterSplitDrill implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--nodes",
+        defaultValue = "3",
+        description = "3, or 1 to compare with")
+    private int nodes;
+
+    @picocli.CommandLine.Option(
+        names = "--only",
+        defaultValue = "",
+        description = "breaks with this in their names")
+    private String only;
+
+    @picocli.CommandLine.Option(
+        names = "--seconds",
+        defaultValue = "1.6",
+        description = "of a break, from 1 to 60")
+    private double seconds;
+
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the traffic")
+    private long seed;
+
+    @Override
+    public Integer call() throws Exception {
+      CounterSplit drill = new CounterSplit(nodes, seconds, only, seed, System.out);
+      if (drill.breaks() == 0) {
+        System.err.println("no break has '" + only + "' in its name");
+        return 2;
+      }
+      if (nodes != 1 && nodes != 3 || seconds < 1 || seconds > 60) {
+        System.err.println("--nodes is 1 or 3, --seconds from 1 to 60");
+        return 2;
+      }
+      Logs.quiet();
+      return drill.run() ? 0 : 1;
     }
+  }
 
-    /** Many gatekeepers with few requests each. */
-    @Command(name = "large-fleet", mixinStandardHelpOptions = true,
-            description = "60 gatekeepers with a request a second each and three counter nodes hold quotas.")
-    static final class LargeFleetDrill implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--seconds", defaultValue = "70", description = "from 20 to 300")
-        private int seconds;
-        @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the traffic")
-        private long seed;
-
-        @Override
-        public Integer call() throws Exception {
-            if (seconds < 20 || seconds > 300) {
-                System.err.println("--seconds is from 20 to 300");
-                return 2;
-            }
-            Logs.quiet();
-            return new LargeFleet(seconds, seed, System.out).run() ? 0 : 1;
-        }
+  /** Many gatekeepers with few requests each. */
+  @Command(
+      name = "large-fleet",
+      mixinStandardHelpOptions = true,
+      description =
+          "60 gatekeepers with a request a second each and three counter nodes hold quotas.")
+  static final class LargeFleetDrill implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--seconds",
+        defaultValue = "70",
+        description = "from 20 to 300")
+    private int seconds;
+
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "of the traffic")
+    private long seed;
+
+    @Override
+    public Integer call() throws Exception {
+      if (seconds < 20 || seconds > 300) {
+        System.err.println("--seconds is from 20 to 300");
+        return 2;
+      }
+      Logs.quiet();
+      return new LargeFleet(seconds, seed, System.out).run() ? 0 : 1;
     }
+  }
+
+  /** One gatekeeper of the platform's way in. */
+  @Command(
+      name = "platform",
+      mixinStandardHelpOptions = true,
+      description = "One gatekeeper of the platform's way in among stand-ins, in this process.")
+  static final class PlatformWayIn implements Callable<Integer> {
+    @picocli.CommandLine.Option(
+        names = "--requests",
+        defaultValue = "600",
+        description = "from 20 to 100000")
+    private int requests;
 
-    /** One gatekeeper of the platform's way in. */
-    @Command(name = "platform", mixinStandardHelpOptions = true,
-            description = "One gatekeeper of the platform's way in among stand-ins, in this process.")
-    static final class PlatformWayIn implements Callable<Integer> {
-        @picocli.CommandLine.Option(names = "--requests", defaultValue = "600", description = "from 20 to 100000")
-        private int requests;
-
-        @Override
-        public Integer call() throws Exception {
-            PlainLog.use();
-            return new PlatformDrill(Math.max(20, Math.min(100_000, requests)), System.out).run() ? 0 : 1;
-        }
+    @Override
+    public Integer call() throws Exception {
+      PlainLog.use();
+      return new PlatformDrill(Math.max(20, Math.min(100_000, requests)), System.out).run() ? 0 : 1;
     }
+  }
 }
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -16,65 +16,93 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock emulate FILE}: a whole deployment in simulated time, judged by the five rules. */
-@Command(name = "emulate", mixinStandardHelpOptions = true,
-        description = "Runs a deployment in simulated time with the real decisions, and judges it.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:rules kept", "1:a rule was broken", "2:mistakes in the file"})
+/**
+ * {@code fawndock emulate FILE}: a whole deployment in simulated time, judged by the five rules.
+ */
+@Command(
+    name = "emulate",
+    mixinStandardHelpOptions = true,
+    description = "Runs a deployment in simulated time with the real decisions, and judges it.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {"0:rules kept", "1:a rule was broken", "2:mistakes in the file"})
 final class EmulateCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the deployment; docs/operations/emulate.md")
-    private Path file;
-    @Option(names = "--set", paramLabel = "NAME=VALUE", description = "another value for a let line of the file")
-    private Map<String, String> values = Map.of();
+  @Parameters(paramLabel = "FILE", description = "the deployment; docs/operations/emulate.md")
+  private Path file;
 
-    @Option(names = "--describe", description = "FILE is a day of 'lbsim draw'; tells it as a deployment, and runs nothing")
-    private boolean describe;
-    @Option(names = "--sockets", description = "plays it over sockets too, and tells both side by side; for small deployments")
-    private boolean sockets;
+  @Option(
+      names = "--set",
+      paramLabel = "NAME=VALUE",
+      description = "another value for a let line of the file")
+  private Map<String, String> values = Map.of();
 
-    @Override
-    public Integer call() throws Exception {
-        if (describe) {
-            System.out.print(DayDescribed.of(DayFile.read(file)));
-            return 0;
-        }
-        DeploymentFile.Read read;
-        try {
-            read = DeploymentFile.read(file, values);
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return 2;
-        }
-        Deployment d = read.deployment();
-        long begun = System.nanoTime();
-        Emulation.Result result = read.emulation(Logic::new).run();
-        double took = (System.nanoTime() - begun) / 1e9;
-        System.out.printf("simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
-                d.gatekeepers(), d.workers(), d.seconds(), result.events(), took);
-        result.statuses().forEach((status, many) -> System.out.printf("%-14s %9d%n", status == 0 ? "client left" : status < 0
-                ? "broke" : "answer " + status, many));
-        result.figures().forEach((name, value) -> System.out.printf("%-28s %10.3f%n", name, value));
-        if (sockets) {
-            return beside(read, result);
-        }
-        result.verdict().breaches().forEach(b -> System.out.println("  " + b));
-        System.out.println(result.verdict().line());
-        return result.verdict().kept() ? 0 : 1;
+  @Option(
+      names = "--describe",
+      description = "FILE is a day of 'lbsim draw'; tells it as a deployment, and runs nothing")
+  private boolean describe;
+
+  @Option(
+      names = "--sockets",
+      description = "plays it over sockets too, and tells both side by side; for small deployments")
+  private boolean sockets;
+
+  @Override
+  public Integer call() throws Exception {
+    if (describe) {
+      System.out.print(DayDescribed.of(DayFile.read(file)));
+      return 0;
+    }
+    DeploymentFile.Read read;
+    try {
+      read = DeploymentFile.read(file, values);
+    } catch (SettingsException e) {
+      System.err.println(e.getMessage());
+      return 2;
+    }
+    Deployment d = read.deployment();
+    long begun = System.nanoTime();
+    Emulation.Result result = read.emulation(Logic::new).run();
+    double took = (System.nanoTime() - begun) / 1e9;
+    System.out.printf(
+        "simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
+        d.gatekeepers(), d.workers(), d.seconds(), result.events(), took);
+    result
+        .statuses()
+        .forEach(
+            (status, many) ->
+                System.out.printf(
+                    "%-14s %9d%n",
+                    status == 0 ? "client left" : status < 0 ? "broke" : "answer " + status, many));
+    result.figures().forEach((name, value) -> System.out.printf("%-28s %10.3f%n", name, value));
+    if (sockets) {
+      return beside(read, result);
     }
+    result.verdict().breaches().forEach(b -> System.out.println("  " + b));
+    System.out.println(result.verdict().line());
+    return result.verdict().kept() ? 0 : 1;
+  }
 
-    private static int beside(DeploymentFile.Read read, Emulation.Result emulated) throws Exception {
-        OverSockets real = new OverSockets(read, System.out);
-        if (!real.beyond().isEmpty()) {
-            real.beyond().forEach(System.err::println);
-            return 2;
-        }
-        Logs.quiet();
-        OverSockets.Played played = real.play();
-        System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
-        Beside.rows(emulated.figures(), played.told().figures()).forEach(row -> System.out.printf("%-28s %10.3f %10.3f %8.1f%%%s%n",
-                row.figure(), row.emulated(), row.real(), 100 * row.differs(), row.much() ? " *" : ""));
-        played.verdict().breaches().forEach(b -> System.out.println("  " + b));
-        System.out.println("emulated: " + emulated.verdict().line());
-        System.out.println("over sockets: " + played.verdict().line());
-        return emulated.verdict().kept() && played.verdict().kept() ? 0 : 1;
+  private static int beside(DeploymentFile.Read read, Emulation.Result emulated) throws Exception {
+    OverSockets real = new OverSockets(read, System.out);
+    if (!real.beyond().isEmpty()) {
+      real.beyond().forEach(System.err::println);
+      return 2;
     }
+    Logs.quiet();
+    OverSockets.Played played = real.play();
+    System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
+    Beside.rows(emulated.figures(), played.told().figures())
+        .forEach(
+            row ->
+                System.out.printf(
+                    "%-28s %10.3f %10.3f %8.1f%%%s%n",
+                    row.figure(),
+                    row.emulated(),
+                    row.real(),
+                    100 * row.differs(),
+                    row.much() ? " *" : ""));
+    played.verdict().breaches().forEach(b -> System.out.println("  " + b));
+    System.out.println("emulated: " + emulated.verdict().line());
+    System.out.println("over sockets: " + played.verdict().line());
+    return emulated.verdict().kept() && played.verdict().kept() ? 0 : 1;
+  }
 }
--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -25,97 +25,153 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock load FILE}: an open load on targets, and what became of each request from its intended start. */
-@Command(name = "load", mixinStandardHelpOptions = true,
-        description = "Sends the load that a file describes, whatever its answers, and tells their latencies.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:done", "1:a trace could not be read", "2:mistakes in the file",
-            "3:the generator could not keep its schedule, the figures are unusable"})
+/**
+ * {@code fawndock load FILE}: an open load on targets, and what became of each request from its
+ * intended start.
+ */
+@Command(
+    name = "load",
+    mixinStandardHelpOptions = true,
+    description =
+        "Sends the load that a file describes, whatever its answers, and tells their latencies.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {
+      "0:done",
+      "1:a trace could not be read",
+      "2:mistakes in the file",
+      "3:the generator could not keep its schedule, the figures are unusable"
+    })
 final class LoadCommand implements Callable<Integer> {
-    private static final int UNUSABLE = 3;
-    @Parameters(paramLabel = "FILE", description = "what to send; docs/operations/load.md")
-    private Path file;
-    @Option(names = "--json", paramLabel = "FILE", description = "writes all figures there")
-    private Path json;
-    @Option(names = "--hdr", paramLabel = "FILE", description = "writes an HdrHistogram interval log there")
-    private Path hdr;
-    @Option(names = "--quiet", description = "no lines while it runs")
-    private boolean quiet;
+  private static final int UNUSABLE = 3;
 
-    @Override
-    public Integer call() throws IOException, InterruptedException {
-        Logs.quiet();
-        LoadPlan plan;
-        try {
-            plan = LoadFile.read(file);
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return 2;
-        }
-        List<String> names = Stream.concat(plan.flows().stream().map(f -> f.request().name()),
-                plan.traces().stream().map(t -> t.request().name())).toList();
-        List<Trace.Read> traces = new ArrayList<>();
-        for (LoadPlan.Played each : plan.traces()) {
-            try (BufferedReader from = Files.newBufferedReader(each.file())) {
-                Trace.Read read = Trace.read(from, each.file().toString());
-                System.out.printf("%s: %d requests over %.1f s, %d out of order, %d other lines%n", each.file(),
-                        read.entries().size(), read.entries().get(read.entries().size() - 1).atMicros() / 1e6,
-                        read.moved(), read.skipped());
-                traces.add(read);
-            }
-        }
-        Vertx vertx = Vertx.vertx();
-        try (HdrLog log = hdr == null ? null : new HdrLog(hdr, names)) {
-            Generator generator = new Generator(vertx, plan, traces, quiet ? p -> { } : p -> line(p, plan), log == null
-                    ? t -> { } : log::interval);
-            Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "stop"));
-            List<Tally> tallies = generator.run().get();
-            return report(plan, names, tallies);
-        } catch (ExecutionException e) {
-            throw new IOException(e.getCause());
-        } finally {
-            vertx.close();
-        }
-    }
+  @Parameters(paramLabel = "FILE", description = "what to send; docs/operations/load.md")
+  private Path file;
 
-    private static void line(Generator.Progress p, LoadPlan plan) {
-        int done = (int) Math.min(20, 20 * p.seconds() / plan.seconds());
-        System.out.printf("[%s%s] %6.1f s  due %d  good %d  other %d  out %d  p50 %.1f ms  p99 %.1f ms%n", "#".repeat(done),
-                " ".repeat(20 - done), p.seconds(), p.due(), p.good(), p.other(), p.out(), p.p50Micros() / 1e3,
-                p.p99Micros() / 1e3);
-    }
+  @Option(names = "--json", paramLabel = "FILE", description = "writes all figures there")
+  private Path json;
+
+  @Option(
+      names = "--hdr",
+      paramLabel = "FILE",
+      description = "writes an HdrHistogram interval log there")
+  private Path hdr;
 
-    private int report(LoadPlan plan, List<String> names, List<Tally> tallies) throws IOException {
-        boolean unusable = false;
-        Map<String, Object> all = new LinkedHashMap<>();
-        System.out.printf("%-16s %9s %9s %9s %9s %9s %9s %9s %9s %10s%n", "latency, ms", "due", "good", "p50", "p90", "p99",
-                "p99.9", "max", "left", "no answer");
-        for (int i = 0; i < names.size(); i++) {
-            Tally tally = tallies.get(i);
-            Map<String, Object> told = tally.told();
-            all.put(names.get(i), told);
-            @SuppressWarnings("unchecked")
-            Map<String, Number> p = (Map<String, Number>) told.get("latency_us");
-            System.out.printf("%-16s %9s %9d %9.1f %9.1f %9.1f %9.1f %9.1f %9s %10s%n", names.get(i), told.get("due"),
-                    tally.good(), ms(p, "p50"), ms(p, "p90"), ms(p, "p99"), ms(p, "p999"), ms(p, "max"),
-                    told.get("client_left"), told.get("no_answer"));
-            if (tally.unusable()) {
-                unusable = true;
-                System.out.printf("%s: UNUSABLE: of %s due, %s left more than %d ms late and %s were not sent%n", names.get(i),
-                        told.get("due"), told.get("sent_late"), plan.slackMicros() / 1_000, told.get("not_sent"));
-            }
-        }
-        if (json != null) {
-            Map<String, Object> run = new LinkedHashMap<>();
-            run.put("usable", !unusable);
-            run.put("seconds", plan.seconds());
-            run.put("seed", plan.seed());
-            run.put("flows", all);
-            Files.writeString(json, new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(run) + "\n");
-        }
-        return unusable ? UNUSABLE : 0;
+  @Option(names = "--quiet", description = "no lines while it runs")
+  private boolean quiet;
+
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    Logs.quiet();
+    LoadPlan plan;
+    try {
+      plan = LoadFile.read(file);
+    } catch (SettingsException e) {
+      System.err.println(e.getMessage());
+      return 2;
+    }
+    List<String> names =
+        Stream.concat(
+                plan.flows().stream().map(f -> f.request().name()),
+                plan.traces().stream().map(t -> t.request().name()))
+            .toList();
+    List<Trace.Read> traces = new ArrayList<>();
+    for (LoadPlan.Played each : plan.traces()) {
+      try (BufferedReader from = Files.newBufferedReader(each.file())) {
+        Trace.Read read = Trace.read(from, each.file().toString());
+        System.out.printf(
+            "%s: %d requests over %.1f s, %d out of order, %d other lines%n",
+            each.file(),
+            read.entries().size(),
+            read.entries().get(read.entries().size() - 1).atMicros() / 1e6,
+            read.moved(),
+            read.skipped());
+        traces.add(read);
+      }
     }
+    Vertx vertx = Vertx.vertx();
+    try (HdrLog log = hdr == null ? null : new HdrLog(hdr, names)) {
+      Generator generator =
+          new Generator(
+              vertx,
+              plan,
+              traces,
+              quiet ? p -> {} : p -> line(p, plan),
+              log == null ? t -> {} : log::interval);
+      Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "stop"));
+      List<Tally> tallies = generator.run().get();
+      return report(plan, names, tallies);
+    } catch (ExecutionException e) {
+      throw new IOException(e.getCause());
+    } finally {
+      vertx.close();
+    }
+  }
+
+  private static void line(Generator.Progress p, LoadPlan plan) {
+    int done = (int) Math.min(20, 20 * p.seconds() / plan.seconds());
+    System.out.printf(
+        "[%s%s] %6.1f s  due %d  good %d  other %d  out %d  p50 %.1f ms  p99 %.1f ms%n",
+        "#".repeat(done),
+        " ".repeat(20 - done),
+        p.seconds(),
+        p.due(),
+        p.good(),
+        p.other(),
+        p.out(),
+        p.p50Micros() / 1e3,
+        p.p99Micros() / 1e3);
+  }
 
-    private static double ms(Map<String, Number> micros, String which) {
-        return micros.get(which).doubleValue() / 1e3;
+  private int report(LoadPlan plan, List<String> names, List<Tally> tallies) throws IOException {
+    boolean unusable = false;
+    Map<String, Object> all = new LinkedHashMap<>();
+    System.out.printf(
+        "%-16s %9s %9s %9s %9s %9s %9s %9s %9s %10s%n",
+        "latency, ms", "due", "good", "p50", "p90", "p99", "p99.9", "max", "left", "no answer");
+    for (int i = 0; i < names.size(); i++) {
+      Tally tally = tallies.get(i);
+      Map<String, Object> told = tally.told();
+      all.put(names.get(i), told);
+      @SuppressWarnings("unchecked")
+      Map<String, Number> p = (Map<String, Number>) told.get("latency_us");
+      System.out.printf(
+          "%-16s %9s %9d %9.1f %9.1f %9.1f %9.1f %9.1f %9s %10s%n",
+          names.get(i),
+          told.get("due"),
+          tally.good(),
+          ms(p, "p50"),
+          ms(p, "p90"),
+          ms(p, "p99"),
+          ms(p, "p999"),
+          ms(p, "max"),
+          told.get("client_left"),
+          told.get("no_answer"));
+      if (tally.unusable()) {
+        unusable = true;
+        System.out.printf(
+            "%s: UNUSABLE: of %s due, %s left more than %d ms late and %s were not sent%n",
+            names.get(i),
+            told.get("due"),
+            told.get("sent_late"),
+            plan.slackMicros() / 1_000,
+            told.get("not_sent"));
+      }
     }
+    if (json != null) {
+      Map<String, Object> run = new LinkedHashMap<>();
+      run.put("usable", !unusable);
+      run.put("seconds", plan.seconds());
+      run.put("seed", plan.seed());
+      run.put("flows", all);
+      Files.writeString(
+          json,
+          new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(run)
+              + "\n");
+    }
+    return unusable ? UNUSABLE : 0;
+  }
+
+  private static double ms(Map<String, Number> micros, String which) {
+    return micros.get(which).doubleValue() / 1e3;
+  }
 }
--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/Logs.java
@@ -14,59 +14,59 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging on standard error, as text or JSON lines. Lines pass through a bounded queue, so that a reader who
- * stops does not stop an event loop: when it is full, lines are dropped rather than waited for.
+ * Sets up logging on standard error, as text or JSON lines. Lines pass through a bounded queue, so
+ * that a reader who stops does not stop an event loop: when it is full, lines are dropped rather
+ * than waited for.
  */
 final class Logs {
-    private static final int QUEUE = 16_384;
+  private static final int QUEUE = 16_384;
 
-    private Logs() {
-    }
+  private Logs() {}
 
-    /** Warnings and errors as text, for tools that print their own results. */
-    static void quiet() {
-        to(new Log(false, "warn"));
-    }
+  /** Warnings and errors as text, for tools that print their own results. */
+  static void quiet() {
+    to(new Log(false, "warn"));
+  }
 
-    static void to(Log log) {
-        LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-        context.reset();
-        ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
-        console.setContext(context);
-        console.setTarget("System.err");
-        console.setEncoder(log.json() ? json(context) : text(context));
-        console.start();
-        AsyncAppender queue = new AsyncAppender();
-        queue.setContext(context);
-        queue.setQueueSize(QUEUE);
-        queue.setDiscardingThreshold(0);
-        queue.setNeverBlock(true);
-        queue.addAppender(console);
-        queue.start();
-        Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.WARN);
-        root.addAppender(queue);
-        context.getLogger("fawndock").setLevel(Level.toLevel(log.level()));
-    }
+  static void to(Log log) {
+    LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
+    context.reset();
+    ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
+    console.setContext(context);
+    console.setTarget("System.err");
+    console.setEncoder(log.json() ? json(context) : text(context));
+    console.start();
+    AsyncAppender queue = new AsyncAppender();
+    queue.setContext(context);
+    queue.setQueueSize(QUEUE);
+    queue.setDiscardingThreshold(0);
+    queue.setNeverBlock(true);
+    queue.addAppender(console);
+    queue.start();
+    Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
+    root.setLevel(Level.WARN);
+    root.addAppender(queue);
+    context.getLogger("fawndock").setLevel(Level.toLevel(log.level()));
+  }
 
-    /** Writes out what is still queued. */
-    static void flush() {
-        ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
-    }
+  /** Writes out what is still queued. */
+  static void flush() {
+    ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
+  }
 
-    private static Encoder<ILoggingEvent> json(LoggerContext context) {
-        LogstashEncoder encoder = new LogstashEncoder();
-        encoder.setContext(context);
-        encoder.setTimeZone(TimeZone.getTimeZone("UTC").getID());
-        encoder.start();
-        return encoder;
-    }
+  private static Encoder<ILoggingEvent> json(LoggerContext context) {
+    LogstashEncoder encoder = new LogstashEncoder();
+    encoder.setContext(context);
+    encoder.setTimeZone(TimeZone.getTimeZone("UTC").getID());
+    encoder.start();
+    return encoder;
+  }
 
-    private static Encoder<ILoggingEvent> text(LoggerContext context) {
-        PatternLayoutEncoder encoder = new PatternLayoutEncoder();
-        encoder.setContext(context);
-        encoder.setPattern("%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %-5level %logger{0} %msg%n");
-        encoder.start();
-        return encoder;
-    }
+  private static Encoder<ILoggingEvent> text(LoggerContext context) {
+    PatternLayoutEncoder encoder = new PatternLayoutEncoder();
+    encoder.setContext(context);
+    encoder.setPattern("%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %-5level %logger{0} %msg%n");
+    encoder.start();
+    return encoder;
+  }
 }
--- a/src/main/java/fawndock/cli/NodesCommand.java
+++ b/src/main/java/fawndock/cli/NodesCommand.java
@@ -12,79 +12,99 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock counter nodes HOST:PORT [NAME=HOST:PORT ...]}: shows or gives the list of nodes that stand in for each other. */
-@Command(name = "nodes", mixinStandardHelpOptions = true,
-        description = "Shows the list of nodes that a node goes by, or gives it a new one, which all nodes and gateways take "
-                + "from it; waits until all nodes on it answer gateways.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:done", "1:not reached, refused, or not all ready in time"})
+/**
+ * {@code fawndock counter nodes HOST:PORT [NAME=HOST:PORT ...]}: shows or gives the list of nodes
+ * that stand in for each other.
+ */
+@Command(
+    name = "nodes",
+    mixinStandardHelpOptions = true,
+    description =
+        "Shows the list of nodes that a node goes by, or gives it a new one, which all nodes and gateways take "
+            + "from it; waits until all nodes on it answer gateways.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {"0:done", "1:not reached, refused, or not all ready in time"})
 final class NodesCommand implements Callable<Integer> {
-    private static final long PAUSE_MILLIS = 50;
-    @Parameters(index = "0", paramLabel = "HOST:PORT", description = "a node that answers gateways")
-    private String asked;
-    @Parameters(index = "1..*", arity = "0..*", paramLabel = "NAME=HOST:PORT", description = "all nodes of the new list")
-    private List<String> nodes = List.of();
-    @Option(names = "--seconds", defaultValue = "60", description = "how long to wait, default ${DEFAULT-VALUE}")
-    private int seconds;
+  private static final long PAUSE_MILLIS = 50;
 
-    @Override
-    public Integer call() throws InterruptedException {
-        NodeList list;
-        try (CounterCaller caller = new CounterCaller(asked)) {
-            String now = text(caller.call("FD.NODES"));
-            if (nodes.isEmpty()) {
-                System.out.println(now.isEmpty() ? "the list in the settings" : now);
-                return 0;
-            }
-            String status = String.valueOf(((List<?>) caller.call("FD.STATUS")).get(0));
-            if (!status.endsWith(" ready")) {
-                throw new IOException("says '" + status + "', expected a node that is ready");
-            }
-            String epoch = status.replaceFirst(".* epoch ([0-9]+) .*", "$1");
-            list = NodeList.of((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
-            List<String> words = new ArrayList<>(List.of("FD.NODES"));
-            words.addAll(List.of(list.toString().split(" ")));
-            String taken = text(caller.call(words.toArray(String[]::new)));
-            if (!taken.equals(list.toString())) {
-                throw new IOException("goes by '" + taken + "', which was given meanwhile");
-            }
-        } catch (IOException | IllegalArgumentException e) {
-            System.err.println(asked + ": " + e.getMessage());
-            return 1;
-        }
-        return await(list);
+  @Parameters(index = "0", paramLabel = "HOST:PORT", description = "a node that answers gateways")
+  private String asked;
+
+  @Parameters(
+      index = "1..*",
+      arity = "0..*",
+      paramLabel = "NAME=HOST:PORT",
+      description = "all nodes of the new list")
+  private List<String> nodes = List.of();
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "60",
+      description = "how long to wait, default ${DEFAULT-VALUE}")
+  private int seconds;
+
+  @Override
+  public Integer call() throws InterruptedException {
+    NodeList list;
+    try (CounterCaller caller = new CounterCaller(asked)) {
+      String now = text(caller.call("FD.NODES"));
+      if (nodes.isEmpty()) {
+        System.out.println(now.isEmpty() ? "the list in the settings" : now);
+        return 0;
+      }
+      String status = String.valueOf(((List<?>) caller.call("FD.STATUS")).get(0));
+      if (!status.endsWith(" ready")) {
+        throw new IOException("says '" + status + "', expected a node that is ready");
+      }
+      String epoch = status.replaceFirst(".* epoch ([0-9]+) .*", "$1");
+      list = NodeList.of((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
+      List<String> words = new ArrayList<>(List.of("FD.NODES"));
+      words.addAll(List.of(list.toString().split(" ")));
+      String taken = text(caller.call(words.toArray(String[]::new)));
+      if (!taken.equals(list.toString())) {
+        throw new IOException("goes by '" + taken + "', which was given meanwhile");
+      }
+    } catch (IOException | IllegalArgumentException e) {
+      System.err.println(asked + ": " + e.getMessage());
+      return 1;
     }
+    return await(list);
+  }
 
-    private static String text(Object told) throws IOException {
-        if (told instanceof CounterCaller.Refused refused) {
-            throw new IOException(refused.text());
-        }
-        return String.valueOf(told);
+  private static String text(Object told) throws IOException {
+    if (told instanceof CounterCaller.Refused refused) {
+      throw new IOException(refused.text());
     }
+    return String.valueOf(told);
+  }
 
-    private int await(NodeList list) throws InterruptedException {
-        Map<String, String> states = new TreeMap<>();
-        long limit = System.nanoTime() + seconds * 1_000_000_000L;
-        boolean all = false;
-        while (!all && System.nanoTime() - limit < 0) {
-            all = true;
-            for (Map.Entry<String, String> each : list.addresses().entrySet()) {
-                String state = state(each.getValue());
-                if (!state.equals(states.put(each.getKey(), state))) {
-                    System.out.println(each.getKey() + " " + each.getValue() + ": " + state);
-                }
-                all &= state.endsWith("epoch " + list.epoch() + " ready");
-            }
-            Thread.sleep(PAUSE_MILLIS);
+  private int await(NodeList list) throws InterruptedException {
+    Map<String, String> states = new TreeMap<>();
+    long limit = System.nanoTime() + seconds * 1_000_000_000L;
+    boolean all = false;
+    while (!all && System.nanoTime() - limit < 0) {
+      all = true;
+      for (Map.Entry<String, String> each : list.addresses().entrySet()) {
+        String state = state(each.getValue());
+        if (!state.equals(states.put(each.getKey(), state))) {
+          System.out.println(each.getKey() + " " + each.getValue() + ": " + state);
         }
-        System.out.println(all ? "all nodes go by " + list : "not all nodes are ready within " + seconds + " s");
-        return all ? 0 : 1;
+        all &= state.endsWith("epoch " + list.epoch() + " ready");
+      }
+      Thread.sleep(PAUSE_MILLIS);
     }
+    System.out.println(
+        all ? "all nodes go by " + list : "not all nodes are ready within " + seconds + " s");
+    return all ? 0 : 1;
+  }
 
-    private static String state(String address) {
-        try (CounterCaller caller = new CounterCaller(address)) {
-            return caller.call("FD.STATUS") instanceof List<?> lines ? String.valueOf(lines.get(0)) : "refused";
-        } catch (IOException e) {
-            return String.valueOf(e.getMessage());
-        }
+  private static String state(String address) {
+    try (CounterCaller caller = new CounterCaller(address)) {
+      return caller.call("FD.STATUS") instanceof List<?> lines
+          ? String.valueOf(lines.get(0))
+          : "refused";
+    } catch (IOException e) {
+      return String.valueOf(e.getMessage());
     }
+  }
 }
--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -15,29 +15,38 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code fawndock report DIR}: a page with plots of an experiment's results. */
-@Command(name = "report", mixinStandardHelpOptions = true,
-        description = "Writes DIR/report.html, one page with all plots inside, and each plot as DIR/plots/*.png.")
+@Command(
+    name = "report",
+    mixinStandardHelpOptions = true,
+    description =
+        "Writes DIR/report.html, one page with all plots inside, and each plot as DIR/plots/*.png.")
 final class ReportCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "results of 'fawndock experiment'")
-    private Path folder;
-    @Option(names = "--before", paramLabel = "DIR", description = "results that these are held against, seed by seed")
-    private Path before;
+  @Parameters(paramLabel = "DIR", description = "results of 'fawndock experiment'")
+  private Path folder;
 
-    @Override
-    public Integer call() throws IOException {
-        System.setProperty("java.awt.headless", "true");
-        List<Outcome> after = Results.read(folder);
-        List<Outcome> was = before == null ? List.of() : Results.read(before);
-        if (after.isEmpty() || before != null && was.isEmpty()) {
-            throw new IOException((after.isEmpty() ? folder : before) + ": no run is done yet, expected at least one");
-        }
-        try {
-            Experiment experiment = ExperimentFile.asRun(folder.resolve(Results.EXPERIMENT));
-            System.out.println(new Page(experiment, experiment.inOrder(after), experiment.inOrder(was), folder).write());
-            return 0;
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return 2;
-        }
+  @Option(
+      names = "--before",
+      paramLabel = "DIR",
+      description = "results that these are held against, seed by seed")
+  private Path before;
+
+  @Override
+  public Integer call() throws IOException {
+    System.setProperty("java.awt.headless", "true");
+    List<Outcome> after = Results.read(folder);
+    List<Outcome> was = before == null ? List.of() : Results.read(before);
+    if (after.isEmpty() || before != null && was.isEmpty()) {
+      throw new IOException(
+          (after.isEmpty() ? folder : before) + ": no run is done yet, expected at least one");
+    }
+    try {
+      Experiment experiment = ExperimentFile.asRun(folder.resolve(Results.EXPERIMENT));
+      System.out.println(
+          new Page(experiment, experiment.inOrder(after), experiment.inOrder(was), folder).write());
+      return 0;
+    } catch (SettingsException e) {
+      System.err.println(e.getMessage());
+      return 2;
     }
+  }
 }
--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -14,41 +14,59 @@
 import picocli.CommandLine.Option;
 
 /** {@code fawndock run -c FILE}: the daemon in the foreground, until SIGTERM or SIGINT. */
-@Command(name = "run", mixinStandardHelpOptions = true, description = "Runs the gateway in the foreground.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"1:could not listen", "2:mistakes in the settings",
-            "143:stopped by SIGTERM after answering what was open"})
+@Command(
+    name = "run",
+    mixinStandardHelpOptions = true,
+    description = "Runs the gateway in the foreground.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {
+      "1:could not listen",
+      "2:mistakes in the settings",
+      "143:stopped by SIGTERM after answering what was open"
+    })
 final class RunCommand implements Callable<Integer> {
-    @Option(names = {"-c", "--config"}, required = true, paramLabel = "FILE", description = "the settings")
-    private Path file;
+  @Option(
+      names = {"-c", "--config"},
+      required = true,
+      paramLabel = "FILE",
+      description = "the settings")
+  private Path file;
 
-    @Override
-    public Integer call() throws Exception {
-        DaemonSettings settings;
-        try {
-            settings = SettingsFile.read(file);
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return 2;
-        }
-        Logs.to(settings.log());
-        Daemon daemon = new Daemon(settings);
-        try {
-            if (settings.rateLimit().listen() != null) {
-                daemon.beside(new RateLimitNode(settings, Logic::new)).toCompletionStage().toCompletableFuture().get(30,
-                        TimeUnit.SECONDS);
-            }
-            int port = daemon.start().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
-            System.out.println("fawndock listens on " + settings.listen().host() + ":" + port);
-        } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            LoggerFactory.getLogger("fawndock").error("cannot start: {}", String.valueOf(e.getCause()));
-            daemon.stopAndWait();
-            Logs.flush();
-            return 1;
-        }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            daemon.stopAndWait();
-            Logs.flush();
-        }, "stop"));
-        return Commands.STAYS;
+  @Override
+  public Integer call() throws Exception {
+    DaemonSettings settings;
+    try {
+      settings = SettingsFile.read(file);
+    } catch (SettingsException e) {
+      System.err.println(e.getMessage());
+      return 2;
     }
+    Logs.to(settings.log());
+    Daemon daemon = new Daemon(settings);
+    try {
+      if (settings.rateLimit().listen() != null) {
+        daemon
+            .beside(new RateLimitNode(settings, Logic::new))
+            .toCompletionStage()
+            .toCompletableFuture()
+            .get(30, TimeUnit.SECONDS);
+      }
+      int port = daemon.start().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
+      System.out.println("fawndock listens on " + settings.listen().host() + ":" + port);
+    } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
+      LoggerFactory.getLogger("fawndock").error("cannot start: {}", String.valueOf(e.getCause()));
+      daemon.stopAndWait();
+      Logs.flush();
+      return 1;
+    }
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  daemon.stopAndWait();
+                  Logs.flush();
+                },
+                "stop"));
+    return Commands.STAYS;
+  }
 }
--- a/src/main/java/fawndock/counter/Call.java
+++ b/src/main/java/fawndock/counter/Call.java
@@ -18,34 +18,35 @@
  * @param now milliseconds since 1970
  * @param changes where changes are noted; null for a command that makes none
  */
-record Call(byte[][] words, ReplyWriter reply, Session session, Counts counts, long now, Changes changes) {
-    byte[] word(int place) {
-        return words[place];
-    }
+record Call(
+    byte[][] words, ReplyWriter reply, Session session, Counts counts, long now, Changes changes) {
+  byte[] word(int place) {
+    return words[place];
+  }
 
-    String text(int place) {
-        return new String(words[place], StandardCharsets.UTF_8);
-    }
+  String text(int place) {
+    return new String(words[place], StandardCharsets.UTF_8);
+  }
 
-    /** A word that is an option, in capitals. */
-    String option(int place) {
-        return text(place).toUpperCase(Locale.ROOT);
-    }
+  /** A word that is an option, in capitals. */
+  String option(int place) {
+    return text(place).toUpperCase(Locale.ROOT);
+  }
 
-    long whole(int place) throws CountException {
-        return Amount.whole(words[place]);
-    }
+  long whole(int place) throws CountException {
+    return Amount.whole(words[place]);
+  }
 
-    /** The name of a count. */
-    byte[] name(int place) throws CountException {
-        if (words[place].length > Changes.LONGEST_NAME) {
-            throw new CountException("ERR a name is at most " + Changes.LONGEST_NAME + " bytes");
-        }
-        return words[place];
+  /** The name of a count. */
+  byte[] name(int place) throws CountException {
+    if (words[place].length > Changes.LONGEST_NAME) {
+      throw new CountException("ERR a name is at most " + Changes.LONGEST_NAME + " bytes");
     }
+    return words[place];
+  }
 
-    /** Ends a command whose words do not go together. */
-    static CountException syntax() {
-        return new CountException(CountException.SYNTAX);
-    }
+  /** Ends a command whose words do not go together. */
+  static CountException syntax() {
+    return new CountException(CountException.SYNTAX);
+  }
 }
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -13,18 +13,19 @@
  * @param changes for each word that may be noted, from 1
  * @param action what it does
  */
-record Command(String name, int arity, boolean writes, int first, int last, int changes, Action action) {
-    Command(String name, int arity, boolean writes, int first, int last, Action action) {
-        this(name, arity, writes, first, last, 1, action);
-    }
+record Command(
+    String name, int arity, boolean writes, int first, int last, int changes, Action action) {
+  Command(String name, int arity, boolean writes, int first, int last, Action action) {
+    this(name, arity, writes, first, last, 1, action);
+  }
 
-    /** Writes exactly one answer, or throws and has changed and answered nothing. */
-    @FunctionalInterface
-    interface Action {
-        void run(Call call) throws CountException;
-    }
+  /** Writes exactly one answer, or throws and has changed and answered nothing. */
+  @FunctionalInterface
+  interface Action {
+    void run(Call call) throws CountException;
+  }
 
-    boolean takes(int words) {
-        return arity < 0 ? words >= -arity : words == arity;
-    }
+  boolean takes(int words) {
+    return arity < 0 ? words >= -arity : words == arity;
+  }
 }
--- a/src/main/java/fawndock/counter/Engine.java
+++ b/src/main/java/fawndock/counter/Engine.java
@@ -14,264 +14,308 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The counts, the commands on them and the answers that wait for the log; all of it on one event loop. */
+/**
+ * The counts, the commands on them and the answers that wait for the log; all of it on one event
+ * loop.
+ */
 final class Engine {
-    static final String VERSION = "0.2.0";
-    /** Sets a node's clock off in a drill. */
-    private static final long CLOCK_OFFSET = Long.getLong("fawndock.counter.clock-offset-ms", 0);
-    private static final int SWEEP_SLOTS = 20_000;
-    private final Counts counts;
-    private final GroupCommit commit;
-    private final SteadyTime time;
-    private final Executor loop;
-    private final Map<String, Command> commands = new LinkedHashMap<>();
-    private final SessionCommands sessionCommands;
-    private final Set<Session> waiting = new LinkedHashSet<>();
-    private final long startedAt = System.nanoTime();
-    private final long runId = ThreadLocalRandom.current().nextLong();
-    private LogThread log;
-    private boolean pumping;
-    private long durable;
-    private long done;
-    private long refused;
-    private long expired;
-    int sessions;
-    String durability = "";
+  static final String VERSION = "0.2.0";
 
-    Engine(Counts counts, GroupCommit commit, SteadyTime time, Executor loop, String password) {
-        this.counts = counts;
-        this.commit = commit;
-        this.time = time;
-        this.loop = loop;
-        sessionCommands = new SessionCommands(this, password);
-        CountCommands.all().forEach(c -> commands.put(c.name(), c));
-        KeyCommands.all().forEach(c -> commands.put(c.name(), c));
-        sessionCommands.all().forEach(c -> commands.put(c.name(), c));
-        for (String name : new String[] {"MULTI", "EXEC", "DISCARD"}) {
-            commands.put(name, new Command(name, 1, false, 0, 0, null));
-        }
-    }
+  /** Sets a node's clock off in a drill. */
+  private static final long CLOCK_OFFSET = Long.getLong("fawndock.counter.clock-offset-ms", 0);
 
-    void log(LogThread logThread) {
-        log = logThread;
-    }
+  private static final int SWEEP_SLOTS = 20_000;
+  private final Counts counts;
+  private final GroupCommit commit;
+  private final SteadyTime time;
+  private final Executor loop;
+  private final Map<String, Command> commands = new LinkedHashMap<>();
+  private final SessionCommands sessionCommands;
+  private final Set<Session> waiting = new LinkedHashSet<>();
+  private final long startedAt = System.nanoTime();
+  private final long runId = ThreadLocalRandom.current().nextLong();
+  private LogThread log;
+  private boolean pumping;
+  private long durable;
+  private long done;
+  private long refused;
+  private long expired;
+  int sessions;
+  String durability = "";
 
-    /** Adds commands of a part of the service that is not always there. */
-    void add(java.util.List<Command> more) {
-        more.forEach(c -> commands.put(c.name(), c));
+  Engine(Counts counts, GroupCommit commit, SteadyTime time, Executor loop, String password) {
+    this.counts = counts;
+    this.commit = commit;
+    this.time = time;
+    this.loop = loop;
+    sessionCommands = new SessionCommands(this, password);
+    CountCommands.all().forEach(c -> commands.put(c.name(), c));
+    KeyCommands.all().forEach(c -> commands.put(c.name(), c));
+    sessionCommands.all().forEach(c -> commands.put(c.name(), c));
+    for (String name : new String[] {"MULTI", "EXEC", "DISCARD"}) {
+      commands.put(name, new Command(name, 1, false, 0, 0, null));
     }
+  }
 
-    Map<String, Command> commands() {
-        return commands;
-    }
+  void log(LogThread logThread) {
+    log = logThread;
+  }
 
-    boolean open() {
-        return sessionCommands.open();
-    }
+  /** Adds commands of a part of the service that is not always there. */
+  void add(java.util.List<Command> more) {
+    more.forEach(c -> commands.put(c.name(), c));
+  }
 
-    long now() {
-        return time.now(System.currentTimeMillis() + CLOCK_OFFSET, System.nanoTime());
-    }
+  Map<String, Command> commands() {
+    return commands;
+  }
 
-    /**
-     * Does one command and writes its answer.
-     *
-     * @return the group that the answer must wait for, or 0
-     */
-    long run(byte[][] words, ReplyWriter reply, Session session, long now) {
-        openGroup();
-        long before = commit.pending();
-        try {
-            Command command = find(words);
-            if (!session.known && !SessionCommands.free(command)) {
-                throw new CountException("NOAUTH Authentication required.");
-            }
-            if (command.action() == null) {
-                transaction(command.name(), reply, session, now);
-            } else if (session.transaction != null) {
-                queue(words, command, reply, session);
-            } else {
-                perform(command, words, reply, session, now);
-            }
-        } catch (CountException e) {
-            if (session.transaction != null) {
-                session.transaction.spoil();
-            }
-            reply.error(e.getMessage());
-        }
-        return commit.pending() != before ? commit.awaited() : 0;
-    }
+  boolean open() {
+    return sessionCommands.open();
+  }
 
-    private Command find(byte[][] words) throws CountException {
-        String name = new String(words[0], 0, Math.min(words[0].length, 128),
-                java.nio.charset.StandardCharsets.UTF_8);
-        Command command = commands.get(name);
-        if (command == null) {
-            command = commands.get(name.toUpperCase(Locale.ROOT));
-        }
-        if (command == null) {
-            StringBuilder begin = new StringBuilder();
-            for (int i = 1; i < words.length && begin.length() < 128; i++) {
-                begin.append('\'').append(new String(words[i], 0, Math.min(words[i].length, 128 - begin.length()),
-                        java.nio.charset.StandardCharsets.UTF_8)).append("' ");
-            }
-            throw new CountException("ERR unknown command '" + name + "', with args beginning with: " + begin);
-        }
-        if (!command.takes(words.length)) {
-            throw SessionCommands.arity(command.name());
-        }
-        return command;
-    }
+  long now() {
+    return time.now(System.currentTimeMillis() + CLOCK_OFFSET, System.nanoTime());
+  }
 
-    private void perform(Command command, byte[][] words, ReplyWriter reply, Session session, long now)
-            throws CountException {
-        Changes changes = command.writes() ? room(bytes(command, words)) : null;
-        done++;
-        command.action().run(new Call(words, reply, session, counts, now, changes));
+  /**
+   * Does one command and writes its answer.
+   *
+   * @return the group that the answer must wait for, or 0
+   */
+  long run(byte[][] words, ReplyWriter reply, Session session, long now) {
+    openGroup();
+    long before = commit.pending();
+    try {
+      Command command = find(words);
+      if (!session.known && !SessionCommands.free(command)) {
+        throw new CountException("NOAUTH Authentication required.");
+      }
+      if (command.action() == null) {
+        transaction(command.name(), reply, session, now);
+      } else if (session.transaction != null) {
+        queue(words, command, reply, session);
+      } else {
+        perform(command, words, reply, session, now);
+      }
+    } catch (CountException e) {
+      if (session.transaction != null) {
+        session.transaction.spoil();
+      }
+      reply.error(e.getMessage());
     }
+    return commit.pending() != before ? commit.awaited() : 0;
+  }
 
-    private Changes room(long bytes) throws CountException {
-        try {
-            return commit.room(bytes);
-        } catch (CountException e) {
-            refused++;
-            throw e;
-        }
+  private Command find(byte[][] words) throws CountException {
+    String name =
+        new String(
+            words[0], 0, Math.min(words[0].length, 128), java.nio.charset.StandardCharsets.UTF_8);
+    Command command = commands.get(name);
+    if (command == null) {
+      command = commands.get(name.toUpperCase(Locale.ROOT));
     }
-
-    /** The most that a command with these words can note. */
-    private static long bytes(Command command, byte[][] words) {
-        long bytes = 0;
-        for (byte[] word : words) {
-            bytes += Counts.bytes(word);
-        }
-        return command.changes() * bytes;
+    if (command == null) {
+      StringBuilder begin = new StringBuilder();
+      for (int i = 1; i < words.length && begin.length() < 128; i++) {
+        begin
+            .append('\'')
+            .append(
+                new String(
+                    words[i],
+                    0,
+                    Math.min(words[i].length, 128 - begin.length()),
+                    java.nio.charset.StandardCharsets.UTF_8))
+            .append("' ");
+      }
+      throw new CountException(
+          "ERR unknown command '" + name + "', with args beginning with: " + begin);
     }
-
-    private void queue(byte[][] words, Command command, ReplyWriter reply, Session session) throws CountException {
-        if (command.name().equals("QUIT")) {
-            session.transaction = null;
-            perform(command, words, reply, session, 0);
-        } else if (session.transaction.add(words)) {
-            reply.simple("QUEUED");
-        } else {
-            throw new CountException("ERR a transaction has at most " + Transaction.MOST + " commands and 256 KiB");
-        }
+    if (!command.takes(words.length)) {
+      throw SessionCommands.arity(command.name());
     }
+    return command;
+  }
 
-    private void transaction(String name, ReplyWriter reply, Session session, long now) throws CountException {
-        Transaction ending = session.transaction;
-        if (name.equals("MULTI")) {
-            if (ending != null) {
-                throw new CountException("ERR MULTI calls can not be nested");
-            }
-            session.transaction = new Transaction();
-            reply.ok();
-            return;
-        }
-        if (ending == null) {
-            throw new CountException("ERR " + name + " without MULTI");
-        }
-        session.transaction = null;
-        if (name.equals("DISCARD")) {
-            reply.ok();
-            return;
-        }
-        if (ending.spoilt()) {
-            throw new CountException("EXECABORT Transaction discarded because of previous errors.");
-        }
-        long bytes = 0;
-        for (byte[][] words : ending.commands()) {
-            Command command = find(words);
-            bytes += command.writes() ? bytes(command, words) : 0;
-        }
-        if (bytes > 0) {
-            room(bytes); // For all of them, or none is done.
-        }
-        reply.array(ending.commands().size());
-        for (byte[][] words : ending.commands()) {
-            try {
-                perform(find(words), words, reply, session, now);
-            } catch (CountException e) {
-                reply.error(e.getMessage());
-            }
-        }
-    }
+  private void perform(
+      Command command, byte[][] words, ReplyWriter reply, Session session, long now)
+      throws CountException {
+    Changes changes = command.writes() ? room(bytes(command, words)) : null;
+    done++;
+    command.action().run(new Call(words, reply, session, counts, now, changes));
+  }
 
-    /** Has the open group committed in a later turn, with what else comes in this one. */
-    void pumpSoon() {
-        if (!pumping) {
-            pumping = true;
-            loop.execute(() -> {
-                pumping = false;
-                pump();
-            });
-        }
+  private Changes room(long bytes) throws CountException {
+    try {
+      return commit.room(bytes);
+    } catch (CountException e) {
+      refused++;
+      throw e;
     }
+  }
 
-    void pump() {
-        openGroup();
-        long now = now();
-        GroupCommit.Work work = commit.next(now);
-        if (work != null) {
-            log.perform(work);
-        } else if ((work = commit.offer(now)) != null) {
-            log.offer(work);
-        }
+  /** The most that a command with these words can note. */
+  private static long bytes(Command command, byte[][] words) {
+    long bytes = 0;
+    for (byte[] word : words) {
+      bytes += Counts.bytes(word);
     }
+    return command.changes() * bytes;
+  }
 
-    /** Has a group open to note changes in: the one that was offered, or a new one when that was taken. */
-    void openGroup() {
-        if (commit.offered()) {
-            if (log.withdraw()) {
-                commit.withdrawn();
-            } else {
-                commit.taken();
-            }
-        }
+  private void queue(byte[][] words, Command command, ReplyWriter reply, Session session)
+      throws CountException {
+    if (command.name().equals("QUIT")) {
+      session.transaction = null;
+      perform(command, words, reply, session, 0);
+    } else if (session.transaction.add(words)) {
+      reply.simple("QUEUED");
+    } else {
+      throw new CountException(
+          "ERR a transaction has at most " + Transaction.MOST + " commands and 256 KiB");
     }
+  }
 
-    /** A session has an answer that waits. */
-    void waits(Session session) {
-        waiting.add(session);
+  private void transaction(String name, ReplyWriter reply, Session session, long now)
+      throws CountException {
+    Transaction ending = session.transaction;
+    if (name.equals("MULTI")) {
+      if (ending != null) {
+        throw new CountException("ERR MULTI calls can not be nested");
+      }
+      session.transaction = new Transaction();
+      reply.ok();
+      return;
     }
-
-    void gone(Session session) {
-        waiting.remove(session);
+    if (ending == null) {
+      throw new CountException("ERR " + name + " without MULTI");
     }
+    session.transaction = null;
+    if (name.equals("DISCARD")) {
+      reply.ok();
+      return;
+    }
+    if (ending.spoilt()) {
+      throw new CountException("EXECABORT Transaction discarded because of previous errors.");
+    }
+    long bytes = 0;
+    for (byte[][] words : ending.commands()) {
+      Command command = find(words);
+      bytes += command.writes() ? bytes(command, words) : 0;
+    }
+    if (bytes > 0) {
+      room(bytes); // For all of them, or none is done.
+    }
+    reply.array(ending.commands().size());
+    for (byte[][] words : ending.commands()) {
+      try {
+        perform(find(words), words, reply, session, now);
+      } catch (CountException e) {
+        reply.error(e.getMessage());
+      }
+    }
+  }
 
-    /** All groups up to this one are durable. */
-    void release(long number) {
-        durable = Math.max(durable, number);
-        for (Session session : Set.copyOf(waiting)) {
-            if (!session.release(durable)) {
-                waiting.remove(session);
-            }
-        }
+  /** Has the open group committed in a later turn, with what else comes in this one. */
+  void pumpSoon() {
+    if (!pumping) {
+      pumping = true;
+      loop.execute(
+          () -> {
+            pumping = false;
+            pump();
+          });
     }
+  }
 
-    Counts counts() {
-        return counts;
+  void pump() {
+    openGroup();
+    long now = now();
+    GroupCommit.Work work = commit.next(now);
+    if (work != null) {
+      log.perform(work);
+    } else if ((work = commit.offer(now)) != null) {
+      log.offer(work);
     }
+  }
 
-    /** Forgets some names that have expired. */
-    void sweep() {
-        expired += counts.table().sweep(now(), SWEEP_SLOTS);
+  /**
+   * Has a group open to note changes in: the one that was offered, or a new one when that was
+   * taken.
+   */
+  void openGroup() {
+    if (commit.offered()) {
+      if (log.withdraw()) {
+        commit.withdrawn();
+      } else {
+        commit.taken();
+      }
     }
+  }
+
+  /** A session has an answer that waits. */
+  void waits(Session session) {
+    waiting.add(session);
+  }
 
-    String info() {
-        Runtime runtime = Runtime.getRuntime();
-        String refusal = commit.refusal();
-        return "# Server\r\nredis_version:7.2.0\r\nredis_mode:standalone\r\nfawndock_version:" + VERSION
-                + "\r\nprocess_id:" + ProcessHandle.current().pid() + "\r\nrun_id:" + Long.toHexString(runId)
-                + "\r\nuptime_in_seconds:" + (System.nanoTime() - startedAt) / 1_000_000_000
-                + "\r\n\r\n# Clients\r\nconnected_clients:" + sessions
-                + "\r\n\r\n# Memory\r\nused_memory:" + (runtime.totalMemory() - runtime.freeMemory())
-                + "\r\nmaxmemory:" + runtime.maxMemory()
-                + "\r\n\r\n# Persistence\r\ndurability:" + durability + "\r\nlast_group:" + (commit.open() - 1)
-                + "\r\ndurable_group:" + durable + "\r\nwaiting_bytes:" + commit.pending() + "\r\nrefusing:"
-                + (refusal == null ? "" : refusal) + "\r\n\r\n# Stats\r\ntotal_commands_processed:" + done
-                + "\r\nrefused_commands:" + refused + "\r\nexpired_keys:" + expired
-                + "\r\n\r\n# Keyspace\r\ndb0:keys=" + counts.table().size() + "\r\n";
+  void gone(Session session) {
+    waiting.remove(session);
+  }
+
+  /** All groups up to this one are durable. */
+  void release(long number) {
+    durable = Math.max(durable, number);
+    for (Session session : Set.copyOf(waiting)) {
+      if (!session.release(durable)) {
+        waiting.remove(session);
+      }
     }
+  }
+
+  Counts counts() {
+    return counts;
+  }
+
+  /** Forgets some names that have expired. */
+  void sweep() {
+    expired += counts.table().sweep(now(), SWEEP_SLOTS);
+  }
+
+  String info() {
+    Runtime runtime = Runtime.getRuntime();
+    String refusal = commit.refusal();
+    return "# Server\r\nredis_version:7.2.0\r\nredis_mode:standalone\r\nfawndock_version:"
+        + VERSION
+        + "\r\nprocess_id:"
+        + ProcessHandle.current().pid()
+        + "\r\nrun_id:"
+        + Long.toHexString(runId)
+        + "\r\nuptime_in_seconds:"
+        + (System.nanoTime() - startedAt) / 1_000_000_000
+        + "\r\n\r\n# Clients\r\nconnected_clients:"
+        + sessions
+        + "\r\n\r\n# Memory\r\nused_memory:"
+        + (runtime.totalMemory() - runtime.freeMemory())
+        + "\r\nmaxmemory:"
+        + runtime.maxMemory()
+        + "\r\n\r\n# Persistence\r\ndurability:"
+        + durability
+        + "\r\nlast_group:"
+        + (commit.open() - 1)
+        + "\r\ndurable_group:"
+        + durable
+        + "\r\nwaiting_bytes:"
+        + commit.pending()
+        + "\r\nrefusing:"
+        + (refusal == null ? "" : refusal)
+        + "\r\n\r\n# Stats\r\ntotal_commands_processed:"
+        + done
+        + "\r\nrefused_commands:"
+        + refused
+        + "\r\nexpired_keys:"
+        + expired
+        + "\r\n\r\n# Keyspace\r\ndb0:keys="
+        + counts.table().size()
+        + "\r\n";
+  }
 }
--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -24,264 +24,338 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node among those that stand in for each other: the commands by which gatekeepers and other nodes speak with it, and
- * what it tells the others again and again. What is decided is {@link ReplicaNode}'s.
+ * This node among those that stand in for each other: the commands by which gatekeepers and other
+ * nodes speak with it, and what it tells the others again and again. What is decided is {@link
+ * ReplicaNode}'s.
  */
 final class Fleet {
-    static final long TICK_MILLIS = 20;
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    /** Sums to another node at once; one has at most three changes of some 1 KiB in the log. */
-    private static final int SUMS = 100;
-    /** What an answer to a beat begins with that tells a newer list of nodes. */
-    private static final String LIST = "LIST ";
-    /** The error for a node that is not on this node's list. */
-    private static final String STRANGER = "STRANGER";
-    private static final int SUM_WORDS = 5;
-    private static final int CHANGES_A_SUM = 3;
-    private final ReplicaNode node;
-    private final Engine engine;
-    private final String name;
-    private final EventLoopGroup group;
-    private final String password;
-    private final Map<String, FellowLink> links = new TreeMap<>();
-    private final Map<String, Boolean> heard = new HashMap<>();
-    /** For each other node what is to be told of a batch; the first of it is out when the node is in the set. */
-    private final Map<String, ArrayDeque<List<String>>> parts = new HashMap<>();
-    private final Set<String> out = new HashSet<>();
-    private boolean ready;
+  static final long TICK_MILLIS = 20;
+  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
-    Fleet(CounterSettings settings, Engine engine, EventLoopGroup group) {
-        this.engine = engine;
-        CounterSettings.Fleet fleet = settings.fleet();
-        name = fleet.node();
-        this.group = group;
-        password = settings.password();
-        node = new ReplicaNode(name, List.copyOf(fleet.fellows().keySet()), fleet.epoch(),
-                ThreadLocalRandom.current().nextLong(), new ReplicaNode.Times(fleet.missingMillis(),
-                fleet.aloneMillis()), new Sums(engine.counts()), engine.now());
-        fleet.fellows().forEach(this::link);
-        ready = node.ready();
-    }
+  /** Sums to another node at once; one has at most three changes of some 1 KiB in the log. */
+  private static final int SUMS = 100;
 
-    private void link(String id, Address address) {
-        links.put(id, new FellowLink(group, address, password, ok -> answered(id, ok),
-                text -> beaten(id, text), () -> lost(id)));
-    }
+  /** What an answer to a beat begins with that tells a newer list of nodes. */
+  private static final String LIST = "LIST ";
 
-    /** Another node has answered a beat. */
-    private void beaten(String id, String answer) {
-        if (answer.startsWith("+" + LIST)) {
-            adopt(NodeList.of(answer.substring(1 + LIST.length())));
-        } else if (answer.startsWith("-" + STRANGER) && node.others().contains(id)) {
-            node.strange(id, engine.now());
-        }
-    }
+  /** The error for a node that is not on this node's list. */
+  private static final String STRANGER = "STRANGER";
 
-    /** Goes by a newer list of nodes, and keeps the connections to those that are on it at the same address. */
-    private void adopt(NodeList list) {
-        if (!node.adopt(list, engine.now())) {
-            return;
-        }
-        LOG.info("goes by a new list of nodes: {}", list);
-        for (String id : List.copyOf(links.keySet())) {
-            if (!links.get(id).address().toString().equals(list.addresses().get(id))) {
-                links.remove(id).close();
-                heard.remove(id);
-                lost(id);
-            }
-        }
-        list.addresses().forEach((id, address) -> {
-            if (!id.equals(name) && !links.containsKey(id)) {
-                link(id, Address.of(address));
-            }
-        });
+  private static final int SUM_WORDS = 5;
+  private static final int CHANGES_A_SUM = 3;
+  private final ReplicaNode node;
+  private final Engine engine;
+  private final String name;
+  private final EventLoopGroup group;
+  private final String password;
+  private final Map<String, FellowLink> links = new TreeMap<>();
+  private final Map<String, Boolean> heard = new HashMap<>();
+
+  /**
+   * For each other node what is to be told of a batch; the first of it is out when the node is in
+   * the set.
+   */
+  private final Map<String, ArrayDeque<List<String>>> parts = new HashMap<>();
+
+  private final Set<String> out = new HashSet<>();
+  private boolean ready;
+
+  Fleet(CounterSettings settings, Engine engine, EventLoopGroup group) {
+    this.engine = engine;
+    CounterSettings.Fleet fleet = settings.fleet();
+    name = fleet.node();
+    this.group = group;
+    password = settings.password();
+    node =
+        new ReplicaNode(
+            name,
+            List.copyOf(fleet.fellows().keySet()),
+            fleet.epoch(),
+            ThreadLocalRandom.current().nextLong(),
+            new ReplicaNode.Times(fleet.missingMillis(), fleet.aloneMillis()),
+            new Sums(engine.counts()),
+            engine.now());
+    fleet.fellows().forEach(this::link);
+    ready = node.ready();
+  }
+
+  private void link(String id, Address address) {
+    links.put(
+        id,
+        new FellowLink(
+            group,
+            address,
+            password,
+            ok -> answered(id, ok),
+            text -> beaten(id, text),
+            () -> lost(id)));
+  }
+
+  /** Another node has answered a beat. */
+  private void beaten(String id, String answer) {
+    if (answer.startsWith("+" + LIST)) {
+      adopt(NodeList.of(answer.substring(1 + LIST.length())));
+    } else if (answer.startsWith("-" + STRANGER) && node.others().contains(id)) {
+      node.strange(id, engine.now());
     }
+  }
 
-    List<Command> commands() {
-        return List.of(
-                new Command("FD.SUM", 6, true, 1, 1, CHANGES_A_SUM, c -> c.reply().bulk(
-                        node.ask(sum(c, 1), c.now(), c.changes()).toString())),
-                new Command("FD.HERE", 3, false, 0, 0, c -> {
-                    node.here(c.whole(1), c.whole(2), c.now());
-                    c.reply().array(2);
-                    c.reply().flag(node.ready());
-                    c.reply().integer(node.version());
-                }),
-                new Command("FD.NODES", -1, false, 0, 0, this::nodes),
-                new Command("FD.BEAT", -5, false, 0, 0, this::beat),
-                new Command("FD.TOLD", -3, true, 0, 0, CHANGES_A_SUM, this::told),
-                new Command("FD.STATUS", 1, false, 0, 0, this::status));
+  /**
+   * Goes by a newer list of nodes, and keeps the connections to those that are on it at the same
+   * address.
+   */
+  private void adopt(NodeList list) {
+    if (!node.adopt(list, engine.now())) {
+      return;
+    }
+    LOG.info("goes by a new list of nodes: {}", list);
+    for (String id : List.copyOf(links.keySet())) {
+      if (!links.get(id).address().toString().equals(list.addresses().get(id))) {
+        links.remove(id).close();
+        heard.remove(id);
+        lost(id);
+      }
     }
+    list.addresses()
+        .forEach(
+            (id, address) -> {
+              if (!id.equals(name) && !links.containsKey(id)) {
+                link(id, Address.of(address));
+              }
+            });
+  }
+
+  List<Command> commands() {
+    return List.of(
+        new Command(
+            "FD.SUM",
+            6,
+            true,
+            1,
+            1,
+            CHANGES_A_SUM,
+            c -> c.reply().bulk(node.ask(sum(c, 1), c.now(), c.changes()).toString())),
+        new Command(
+            "FD.HERE",
+            3,
+            false,
+            0,
+            0,
+            c -> {
+              node.here(c.whole(1), c.whole(2), c.now());
+              c.reply().array(2);
+              c.reply().flag(node.ready());
+              c.reply().integer(node.version());
+            }),
+        new Command("FD.NODES", -1, false, 0, 0, this::nodes),
+        new Command("FD.BEAT", -5, false, 0, 0, this::beat),
+        new Command("FD.TOLD", -3, true, 0, 0, CHANGES_A_SUM, this::told),
+        new Command("FD.STATUS", 1, false, 0, 0, this::status));
+  }
 
-    /** The sum whose words begin at a place: name, gatekeeper, added, taken back, milliseconds that it is kept. */
-    private static Sum sum(Call c, int at) throws CountException {
-        Amount plus = Amount.of(c.word(at + 2));
-        Amount minus = Amount.of(c.word(at + 3));
-        long keep = c.whole(at + 4);
-        if (plus.digits() < 0 || minus.digits() < 0) {
-            throw new CountException("ERR a sum is not negative");
-        }
-        if (keep <= 0 || keep > Integer.MAX_VALUE) {
-            throw new CountException("ERR invalid expire time in 'fd.sum' command");
-        }
-        return new Sum(c.text(at), c.whole(at + 1), plus, minus, keep);
+  /**
+   * The sum whose words begin at a place: name, gatekeeper, added, taken back, milliseconds that it
+   * is kept.
+   */
+  private static Sum sum(Call c, int at) throws CountException {
+    Amount plus = Amount.of(c.word(at + 2));
+    Amount minus = Amount.of(c.word(at + 3));
+    long keep = c.whole(at + 4);
+    if (plus.digits() < 0 || minus.digits() < 0) {
+      throw new CountException("ERR a sum is not negative");
     }
+    if (keep <= 0 || keep > Integer.MAX_VALUE) {
+      throw new CountException("ERR invalid expire time in 'fd.sum' command");
+    }
+    return new Sum(c.text(at), c.whole(at + 1), plus, minus, keep);
+  }
 
-    /** FD.NODES [epoch name=host:port ...], which gives a list when there are words: the list that it goes by. */
-    private void nodes(Call c) throws CountException {
-        if (name.isEmpty()) {
-            throw new CountException("ERR this counter is alone, expected 'fleet NAME' in its settings");
-        }
-        if (c.words().length > 1) {
-            List<String> words = new ArrayList<>();
-            for (int i = 1; i < c.words().length; i++) {
-                words.add(c.text(i));
-            }
-            try {
-                adopt(NodeList.of(String.join(" ", words)));
-            } catch (IllegalArgumentException e) {
-                throw new CountException("ERR " + e.getMessage());
-            }
-        }
-        c.reply().bulk(node.given() == null ? "" : node.given().toString());
+  /**
+   * FD.NODES [epoch name=host:port ...], which gives a list when there are words: the list that it
+   * goes by.
+   */
+  private void nodes(Call c) throws CountException {
+    if (name.isEmpty()) {
+      throw new CountException("ERR this counter is alone, expected 'fleet NAME' in its settings");
+    }
+    if (c.words().length > 1) {
+      List<String> words = new ArrayList<>();
+      for (int i = 1; i < c.words().length; i++) {
+        words.add(c.text(i));
+      }
+      try {
+        adopt(NodeList.of(String.join(" ", words)));
+      } catch (IllegalArgumentException e) {
+        throw new CountException("ERR " + e.getMessage());
+      }
     }
+    c.reply().bulk(node.given() == null ? "" : node.given().toString());
+  }
 
-    private void known(String other) throws CountException {
-        if (!links.containsKey(other)) {
-            throw new CountException(STRANGER + " no node '" + other + "' on this node's list");
-        }
+  private void known(String other) throws CountException {
+    if (!links.containsKey(other)) {
+      throw new CountException(STRANGER + " no node '" + other + "' on this node's list");
     }
+  }
 
-    /** FD.BEAT node version start ready [gatekeeper stamp ...] */
-    private void beat(Call c) throws CountException {
-        if (c.words().length % 2 == 0) {
-            throw Call.syntax();
-        }
-        Map<Long, Long> stamps = new HashMap<>();
-        for (int i = 5; i < c.words().length; i += 2) {
-            stamps.put(c.whole(i), c.whole(i + 1));
-        }
-        Beat beat = new Beat(c.whole(2), c.whole(3), c.whole(4) == 1, stamps);
-        NodeList newer = node.newerThan(beat.version());
-        if (newer == null && beat.version() <= node.version()) {
-            known(c.text(1));
-        }
-        node.beat(c.text(1), beat, c.now());
-        if (newer == null) {
-            c.reply().ok();
-        } else {
-            c.reply().simple(LIST + newer);
-        }
+  /** FD.BEAT node version start ready [gatekeeper stamp ...] */
+  private void beat(Call c) throws CountException {
+    if (c.words().length % 2 == 0) {
+      throw Call.syntax();
+    }
+    Map<Long, Long> stamps = new HashMap<>();
+    for (int i = 5; i < c.words().length; i += 2) {
+      stamps.put(c.whole(i), c.whole(i + 1));
+    }
+    Beat beat = new Beat(c.whole(2), c.whole(3), c.whole(4) == 1, stamps);
+    NodeList newer = node.newerThan(beat.version());
+    if (newer == null && beat.version() <= node.version()) {
+      known(c.text(1));
     }
+    node.beat(c.text(1), beat, c.now());
+    if (newer == null) {
+      c.reply().ok();
+    } else {
+      c.reply().simple(LIST + newer);
+    }
+  }
 
-    /** FD.TOLD node all [name gatekeeper added taken-back milliseconds ...] */
-    private void told(Call c) throws CountException {
-        known(c.text(1));
-        if ((c.words().length - 3) % SUM_WORDS != 0) {
-            throw Call.syntax();
-        }
-        List<Sum> sums = new ArrayList<>();
-        for (int at = 3; at < c.words().length; at += SUM_WORDS) {
-            sums.add(sum(c, at));
-        }
-        for (Sum each : sums) {
-            node.told(c.text(1), each, c.now(), c.changes());
-        }
-        if (c.whole(2) == 1) {
-            node.gaveAll(c.text(1), c.now());
-        }
-        c.reply().ok();
+  /** FD.TOLD node all [name gatekeeper added taken-back milliseconds ...] */
+  private void told(Call c) throws CountException {
+    known(c.text(1));
+    if ((c.words().length - 3) % SUM_WORDS != 0) {
+      throw Call.syntax();
+    }
+    List<Sum> sums = new ArrayList<>();
+    for (int at = 3; at < c.words().length; at += SUM_WORDS) {
+      sums.add(sum(c, at));
+    }
+    for (Sum each : sums) {
+      node.told(c.text(1), each, c.now(), c.changes());
+    }
+    if (c.whole(2) == 1) {
+      node.gaveAll(c.text(1), c.now());
     }
+    c.reply().ok();
+  }
 
-    private void status(Call c) {
-        List<String> lines = new ArrayList<>();
-        lines.add((name.isEmpty() ? "alone" : name) + " epoch " + NodeList.epoch(node.version()) + (node.fenced() ? " fenced"
-                : node.ready() ? " ready" : " catching-up"));
-        for (String other : node.others()) {
-            int lag = node.lag(other);
-            lines.add("  " + other + (node.hears(other, c.now()) ? " heard" : " missing") + " lag "
-                    + (lag < 0 ? "everything" : Integer.toString(lag)));
-        }
-        c.reply().array(lines.size());
-        lines.forEach(c.reply()::bulk);
+  private void status(Call c) {
+    List<String> lines = new ArrayList<>();
+    lines.add(
+        (name.isEmpty() ? "alone" : name)
+            + " epoch "
+            + NodeList.epoch(node.version())
+            + (node.fenced() ? " fenced" : node.ready() ? " ready" : " catching-up"));
+    for (String other : node.others()) {
+      int lag = node.lag(other);
+      lines.add(
+          "  "
+              + other
+              + (node.hears(other, c.now()) ? " heard" : " missing")
+              + " lag "
+              + (lag < 0 ? "everything" : Integer.toString(lag)));
     }
+    c.reply().array(lines.size());
+    lines.forEach(c.reply()::bulk);
+  }
 
-    /** Tells the others what they have yet to be told; on the event loop, every {@link #TICK_MILLIS}. */
-    void tick() {
-        long now = engine.now();
-        node.tick(now);
-        Beat beat = node.beat(now);
-        links.forEach((id, link) -> {
-            boolean hears = node.hears(id, now);
-            if (heard.put(id, hears) != Boolean.valueOf(hears)) {
-                LOG.warn("node {} is {}", id, hears ? "heard" : "missing");
-            }
-            if (!link.usable()) {
-                return;
-            }
-            List<String> words = new ArrayList<>(List.of("FD.BEAT", name, Long.toString(beat.version()),
-                    Long.toString(beat.start()), beat.ready() ? "1" : "0"));
-            beat.stamps().forEach((origin, stamp) -> {
-                words.add(Long.toString(origin));
-                words.add(Long.toString(stamp));
-            });
-            link.send(words, false);
-            tell(id, link, now);
+  /**
+   * Tells the others what they have yet to be told; on the event loop, every {@link #TICK_MILLIS}.
+   */
+  void tick() {
+    long now = engine.now();
+    node.tick(now);
+    Beat beat = node.beat(now);
+    links.forEach(
+        (id, link) -> {
+          boolean hears = node.hears(id, now);
+          if (heard.put(id, hears) != Boolean.valueOf(hears)) {
+            LOG.warn("node {} is {}", id, hears ? "heard" : "missing");
+          }
+          if (!link.usable()) {
+            return;
+          }
+          List<String> words =
+              new ArrayList<>(
+                  List.of(
+                      "FD.BEAT",
+                      name,
+                      Long.toString(beat.version()),
+                      Long.toString(beat.start()),
+                      beat.ready() ? "1" : "0"));
+          beat.stamps()
+              .forEach(
+                  (origin, stamp) -> {
+                    words.add(Long.toString(origin));
+                    words.add(Long.toString(stamp));
+                  });
+          link.send(words, false);
+          tell(id, link, now);
         });
-        if (ready != node.ready()) {
-            ready = node.ready();
-            LOG.info(ready ? "caught up: answers gatekeepers" : "answers gatekeepers no more");
-        }
+    if (ready != node.ready()) {
+      ready = node.ready();
+      LOG.info(ready ? "caught up: answers gatekeepers" : "answers gatekeepers no more");
     }
+  }
 
-    /** Tells the first part that is left, of the next batch when none is; nothing while one is out. */
-    private void tell(String id, FellowLink link, long now) {
-        ArrayDeque<List<String>> left = parts.computeIfAbsent(id, n -> new ArrayDeque<>());
-        if (left.isEmpty()) {
-            split(node.next(id, SUMS, now), left);
-        }
-        if (!left.isEmpty() && out.add(id)) {
-            link.send(left.peek(), true);
-        }
+  /**
+   * Tells the first part that is left, of the next batch when none is; nothing while one is out.
+   */
+  private void tell(String id, FellowLink link, long now) {
+    ArrayDeque<List<String>> left = parts.computeIfAbsent(id, n -> new ArrayDeque<>());
+    if (left.isEmpty()) {
+      split(node.next(id, SUMS, now), left);
     }
+    if (!left.isEmpty() && out.add(id)) {
+      link.send(left.peek(), true);
+    }
+  }
 
-    /** A shard of everything may be more than goes into one group of the other's log. */
-    private void split(Batch batch, ArrayDeque<List<String>> into) {
-        for (int from = 0; !batch.isEmpty() && (from == 0 || from < batch.sums().size()); from += SUMS) {
-            boolean last = from + SUMS >= batch.sums().size();
-            List<String> words = new ArrayList<>(List.of("FD.TOLD", name, batch.all() && last ? "1" : "0"));
-            for (Sum each : batch.sums().subList(from, Math.min(batch.sums().size(), from + SUMS))) {
-                words.addAll(List.of(each.name(), Long.toString(each.origin()), each.plus().toString(),
-                        each.minus().toString(), Long.toString(each.keepMillis())));
-            }
-            into.add(words);
-        }
+  /** A shard of everything may be more than goes into one group of the other's log. */
+  private void split(Batch batch, ArrayDeque<List<String>> into) {
+    for (int from = 0;
+        !batch.isEmpty() && (from == 0 || from < batch.sums().size());
+        from += SUMS) {
+      boolean last = from + SUMS >= batch.sums().size();
+      List<String> words =
+          new ArrayList<>(List.of("FD.TOLD", name, batch.all() && last ? "1" : "0"));
+      for (Sum each : batch.sums().subList(from, Math.min(batch.sums().size(), from + SUMS))) {
+        words.addAll(
+            List.of(
+                each.name(),
+                Long.toString(each.origin()),
+                each.plus().toString(),
+                each.minus().toString(),
+                Long.toString(each.keepMillis())));
+      }
+      into.add(words);
     }
+  }
 
-    private void answered(String id, boolean ok) {
-        out.remove(id);
-        if (!links.containsKey(id)) {
-            return;
-        }
-        node.arriving(id, engine.now());
-        if (!ok) {
-            return; // Its log is behind: the same part again at the next tick.
-        }
-        ArrayDeque<List<String>> left = parts.get(id);
-        left.poll();
-        if (left.isEmpty()) {
-            node.arrived(id);
-        }
-        if (links.get(id).usable()) {
-            tell(id, links.get(id), engine.now());
-        }
+  private void answered(String id, boolean ok) {
+    out.remove(id);
+    if (!links.containsKey(id)) {
+      return;
+    }
+    node.arriving(id, engine.now());
+    if (!ok) {
+      return; // Its log is behind: the same part again at the next tick.
+    }
+    ArrayDeque<List<String>> left = parts.get(id);
+    left.poll();
+    if (left.isEmpty()) {
+      node.arrived(id);
+    }
+    if (links.get(id).usable()) {
+      tell(id, links.get(id), engine.now());
     }
+  }
 
-    private void lost(String id) {
-        out.remove(id);
-        parts.remove(id);
-        if (node.others().contains(id)) {
-            node.lost(id);
-        }
+  private void lost(String id) {
+    out.remove(id);
+    parts.remove(id);
+    if (node.others().contains(id)) {
+      node.lost(id);
     }
+  }
 }
--- a/src/main/java/fawndock/counter/Snapshots.java
+++ b/src/main/java/fawndock/counter/Snapshots.java
@@ -12,139 +12,144 @@
 import java.util.function.Consumer;
 
 /**
- * Writes one snapshot at a time: the event loop takes a piece of the table, the thread writes it, and only then the
- * next is taken. So one piece is in memory, and calls between the pieces wait for none.
+ * Writes one snapshot at a time: the event loop takes a piece of the table, the thread writes it,
+ * and only then the next is taken. So one piece is in memory, and calls between the pieces wait for
+ * none.
  */
 final class Snapshots {
-    private final Disk disk;
-    private final Executor loop;
-    private final Engine engine;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> LogThread.daemon(r, "snapshot"));
-    private Run current;
-    private Run last;
-    private volatile long lastSize;
-
-    Snapshots(Disk disk, Executor loop, Engine engine) {
-        this.disk = disk;
-        this.loop = loop;
-        this.engine = engine;
+  private final Disk disk;
+  private final Executor loop;
+  private final Engine engine;
+  private final ExecutorService thread =
+      Executors.newSingleThreadExecutor(r -> LogThread.daemon(r, "snapshot"));
+  private Run current;
+  private Run last;
+  private volatile long lastSize;
+
+  Snapshots(Disk disk, Executor loop, Engine engine) {
+    this.disk = disk;
+    this.loop = loop;
+    this.engine = engine;
+  }
+
+  private void post(Runnable what) {
+    LogThread.post(loop, what);
+  }
+
+  /** Bytes of the last whole one. */
+  long lastSize() {
+    return lastSize;
+  }
+
+  boolean active() {
+    return current != null;
+  }
+
+  /** Gives up what is being written, if anything; its file goes before the next begins. */
+  void abandon() {
+    current = null;
+  }
+
+  /**
+   * Writes one.
+   *
+   * @param covered sequence of the last record before it
+   * @param settle called when all is written, with what to go on with once every change in it is
+   *     durable
+   * @param then told how it ended, null when well; not told when it was abandoned
+   */
+  void begin(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
+    Run before = last;
+    if (before != null) {
+      thread.execute(before::remove);
     }
-
-    private void post(Runnable what) {
-        LogThread.post(loop, what);
+    current = new Run(covered, settle, then);
+    last = current;
+    current.next(List.of());
+  }
+
+  void close() {
+    current = null;
+    thread.shutdownNow();
+  }
+
+  private final class Run {
+    private final long covered;
+    private final Consumer<Runnable> settle;
+    private final Consumer<IOException> then;
+    private final SnapshotWalk walk = new SnapshotWalk(engine.counts().table());
+    private SnapshotWriter writer; // Used on the thread alone.
+
+    Run(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
+      this.covered = covered;
+      this.settle = settle;
+      this.then = then;
     }
 
-    /** Bytes of the last whole one. */
-    long lastSize() {
-        return lastSize;
+    /** Writes these parts, then takes the next. */
+    private void next(List<Part> parts) {
+      long time = engine.now();
+      thread.execute(
+          () -> {
+            try {
+              writer = writer == null ? new SnapshotWriter(disk, covered) : writer;
+              for (Part part : parts) {
+                writer.write(part.changes(), part.names(), time);
+              }
+              post(this::written);
+            } catch (IOException e) {
+              failed(e);
+            }
+          });
     }
 
-    boolean active() {
-        return current != null;
+    private void written() {
+      if (current != this) {
+        return;
+      }
+      List<Part> parts = walk.next(engine.now());
+      if (parts.isEmpty()) {
+        settle.accept(() -> finish(engine.now()));
+      } else {
+        next(parts);
+      }
     }
 
-    /** Gives up what is being written, if anything; its file goes before the next begins. */
-    void abandon() {
-        current = null;
+    private void remove() {
+      if (writer != null) {
+        writer.abandon();
+        writer = null;
+      }
     }
 
-    /**
-     * Writes one.
-     *
-     * @param covered sequence of the last record before it
-     * @param settle called when all is written, with what to go on with once every change in it is durable
-     * @param then told how it ended, null when well; not told when it was abandoned
-     */
-    void begin(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
-        Run before = last;
-        if (before != null) {
-            thread.execute(before::remove);
-        }
-        current = new Run(covered, settle, then);
-        last = current;
-        current.next(List.of());
+    private void finish(long time) {
+      if (current != this) {
+        return;
+      }
+      thread.execute(
+          () -> {
+            try {
+              writer.finish(time);
+              lastSize = writer.size();
+              writer = null;
+              SnapshotWriter.clean(disk, covered);
+              post(() -> end(null));
+            } catch (IOException e) {
+              failed(e);
+            }
+          });
     }
 
-    void close() {
-        current = null;
-        thread.shutdownNow();
+    private void failed(IOException e) {
+      remove();
+      post(() -> end(e));
     }
 
-    private final class Run {
-        private final long covered;
-        private final Consumer<Runnable> settle;
-        private final Consumer<IOException> then;
-        private final SnapshotWalk walk = new SnapshotWalk(engine.counts().table());
-        private SnapshotWriter writer; // Used on the thread alone.
-
-        Run(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
-            this.covered = covered;
-            this.settle = settle;
-            this.then = then;
-        }
-
-        /** Writes these parts, then takes the next. */
-        private void next(List<Part> parts) {
-            long time = engine.now();
-            thread.execute(() -> {
-                try {
-                    writer = writer == null ? new SnapshotWriter(disk, covered) : writer;
-                    for (Part part : parts) {
-                        writer.write(part.changes(), part.names(), time);
-                    }
-                    post(this::written);
-                } catch (IOException e) {
-                    failed(e);
-                }
-            });
-        }
-
-        private void written() {
-            if (current != this) {
-                return;
-            }
-            List<Part> parts = walk.next(engine.now());
-            if (parts.isEmpty()) {
-                settle.accept(() -> finish(engine.now()));
-            } else {
-                next(parts);
-            }
-        }
-
-        private void remove() {
-            if (writer != null) {
-                writer.abandon();
-                writer = null;
-            }
-        }
-
-        private void finish(long time) {
-            if (current != this) {
-                return;
-            }
-            thread.execute(() -> {
-                try {
-                    writer.finish(time);
-                    lastSize = writer.size();
-                    writer = null;
-                    SnapshotWriter.clean(disk, covered);
-                    post(() -> end(null));
-                } catch (IOException e) {
-                    failed(e);
-                }
-            });
-        }
-
-        private void failed(IOException e) {
-            remove();
-            post(() -> end(e));
-        }
-
-        private void end(IOException failure) {
-            if (current == this) {
-                current = null;
-                then.accept(failure);
-            }
-        }
+    private void end(IOException failure) {
+      if (current == this) {
+        current = null;
+        then.accept(failure);
+      }
     }
+  }
 }
--- a/src/main/java/fawndock/counter/Transaction.java
+++ b/src/main/java/fawndock/counter/Transaction.java
@@ -5,37 +5,39 @@
 
 /** Commands that wait for EXEC; they are done in one turn and are in one record of the log. */
 final class Transaction {
-    static final int MOST = 1_024;
-    private static final int MOST_BYTES = 256 << 10;
-    private final List<byte[][]> queued = new ArrayList<>();
-    private int bytes;
-    private boolean spoilt;
+  static final int MOST = 1_024;
+  private static final int MOST_BYTES = 256 << 10;
+  private final List<byte[][]> queued = new ArrayList<>();
+  private int bytes;
+  private boolean spoilt;
 
-    /** Queues a command; false when there is no room, and the transaction can then only be discarded. */
-    boolean add(byte[][] words) {
-        for (byte[] word : words) {
-            bytes += word.length + 16;
-        }
-        // Guards against memory that a client fills without ever ending its transaction.
-        if (queued.size() == MOST || bytes > MOST_BYTES) {
-            spoilt = true;
-            queued.clear();
-            return false;
-        }
-        queued.add(words);
-        return true;
+  /**
+   * Queues a command; false when there is no room, and the transaction can then only be discarded.
+   */
+  boolean add(byte[][] words) {
+    for (byte[] word : words) {
+      bytes += word.length + 16;
     }
-
-    /** A command of it was refused when it was queued. */
-    void spoil() {
-        spoilt = true;
+    // Guards against memory that a client fills without ever ending its transaction.
+    if (queued.size() == MOST || bytes > MOST_BYTES) {
+      spoilt = true;
+      queued.clear();
+      return false;
     }
+    queued.add(words);
+    return true;
+  }
 
-    boolean spoilt() {
-        return spoilt;
-    }
+  /** A command of it was refused when it was queued. */
+  void spoil() {
+    spoilt = true;
+  }
 
-    List<byte[][]> commands() {
-        return queued;
-    }
+  boolean spoilt() {
+    return spoilt;
+  }
+
+  List<byte[][]> commands() {
+    return queued;
+  }
 }
--- a/src/main/java/fawndock/counter/core/Amount.java
+++ b/src/main/java/fawndock/counter/core/Amount.java
@@ -5,139 +5,141 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An exact number: a whole 64-bit one, or a fraction in units of 10^-9. Sums never drift: an amount that is added and
- * withdrawn leaves what was there. A number is a fraction only when it is not whole, so that equal numbers are equal
- * records.
+ * An exact number: a whole 64-bit one, or a fraction in units of 10^-9. Sums never drift: an amount
+ * that is added and withdrawn leaves what was there. A number is a fraction only when it is not
+ * whole, so that equal numbers are equal records.
  *
  * @param digits the number itself, or its multiple of 10^-9
  * @param fraction whether the digits are in units of 10^-9
  */
 public record Amount(long digits, boolean fraction) {
-    public static final Amount ZERO = new Amount(0, false);
-    private static final long UNIT = 1_000_000_000L;
-    private static final int PLACES = 9;
-    private static final int LONGEST = 64;
+  public static final Amount ZERO = new Amount(0, false);
+  private static final long UNIT = 1_000_000_000L;
+  private static final int PLACES = 9;
+  private static final int LONGEST = 64;
 
-    /**
-     * Reads a decimal number, also one with an exponent. What lies below 10^-9 is rounded half to even, which is the
-     * same for an amount and for its withdrawal.
-     *
-     * @throws CountException when it is none, or beyond a whole 64-bit number, or a fraction beyond 9.2e9
-     */
-    public static Amount of(byte[] text) throws CountException {
-        if (text.length > LONGEST || text.length == 0) {
-            throw new CountException(CountException.NOT_FLOAT);
-        }
-        Amount plain = plain(text);
-        return plain != null ? plain : exponent(text);
+  /**
+   * Reads a decimal number, also one with an exponent. What lies below 10^-9 is rounded half to
+   * even, which is the same for an amount and for its withdrawal.
+   *
+   * @throws CountException when it is none, or beyond a whole 64-bit number, or a fraction beyond
+   *     9.2e9
+   */
+  public static Amount of(byte[] text) throws CountException {
+    if (text.length > LONGEST || text.length == 0) {
+      throw new CountException(CountException.NOT_FLOAT);
     }
+    Amount plain = plain(text);
+    return plain != null ? plain : exponent(text);
+  }
 
-    /** Digits with at most nine places after a point, or null when it is anything else. */
-    private static Amount plain(byte[] text) {
-        int i = text[0] == '-' || text[0] == '+' ? 1 : 0;
-        long digits = 0;
-        int places = -1;
-        int many = 0;
-        for (; i < text.length; i++) {
-            byte b = text[i];
-            if (b == '.' && places < 0) {
-                places = 0;
-            } else if (b >= '0' && b <= '9' && many < 18) {
-                digits = digits * 10 + b - '0';
-                many++;
-                places += places >= 0 ? 1 : 0;
-            } else {
-                return null;
-            }
-        }
-        if (many == 0 || places > PLACES) {
-            return null;
-        }
-        long signed = text[0] == '-' ? -digits : digits;
-        if (places <= 0) {
-            return new Amount(signed, false);
-        }
-        for (int p = places; p < PLACES; p++) {
-            if (Math.abs(signed) > Long.MAX_VALUE / 10) {
-                return null;
-            }
-            signed *= 10;
-        }
-        return ofUnits(signed);
+  /** Digits with at most nine places after a point, or null when it is anything else. */
+  private static Amount plain(byte[] text) {
+    int i = text[0] == '-' || text[0] == '+' ? 1 : 0;
+    long digits = 0;
+    int places = -1;
+    int many = 0;
+    for (; i < text.length; i++) {
+      byte b = text[i];
+      if (b == '.' && places < 0) {
+        places = 0;
+      } else if (b >= '0' && b <= '9' && many < 18) {
+        digits = digits * 10 + b - '0';
+        many++;
+        places += places >= 0 ? 1 : 0;
+      } else {
+        return null;
+      }
+    }
+    if (many == 0 || places > PLACES) {
+      return null;
+    }
+    long signed = text[0] == '-' ? -digits : digits;
+    if (places <= 0) {
+      return new Amount(signed, false);
     }
+    for (int p = places; p < PLACES; p++) {
+      if (Math.abs(signed) > Long.MAX_VALUE / 10) {
+        return null;
+      }
+      signed *= 10;
+    }
+    return ofUnits(signed);
+  }
 
-    private static Amount exponent(byte[] text) throws CountException {
-        try {
-            BigDecimal number = new BigDecimal(new String(text, StandardCharsets.ISO_8859_1));
-            // Guards against numbers such as 1e999999999, which would be written out digit by digit.
-            if (Math.abs((long) number.precision() - number.scale()) > LONGEST) {
-                if (number.signum() != 0 && number.precision() - (long) number.scale() > 0) {
-                    throw new CountException(CountException.OVERFLOW);
-                }
-                return ZERO;
-            }
-            BigDecimal rounded = number.setScale(PLACES, RoundingMode.HALF_EVEN);
-            try {
-                return new Amount(rounded.longValueExact(), false);
-            } catch (ArithmeticException e) {
-                return ofUnits(rounded.unscaledValue().longValueExact());
-            }
-        } catch (NumberFormatException e) {
-            throw new CountException(CountException.NOT_FLOAT);
-        } catch (ArithmeticException e) {
-            throw new CountException(CountException.OVERFLOW);
+  private static Amount exponent(byte[] text) throws CountException {
+    try {
+      BigDecimal number = new BigDecimal(new String(text, StandardCharsets.ISO_8859_1));
+      // Guards against numbers such as 1e999999999, which would be written out digit by digit.
+      if (Math.abs((long) number.precision() - number.scale()) > LONGEST) {
+        if (number.signum() != 0 && number.precision() - (long) number.scale() > 0) {
+          throw new CountException(CountException.OVERFLOW);
         }
+        return ZERO;
+      }
+      BigDecimal rounded = number.setScale(PLACES, RoundingMode.HALF_EVEN);
+      try {
+        return new Amount(rounded.longValueExact(), false);
+      } catch (ArithmeticException e) {
+        return ofUnits(rounded.unscaledValue().longValueExact());
+      }
+    } catch (NumberFormatException e) {
+      throw new CountException(CountException.NOT_FLOAT);
+    } catch (ArithmeticException e) {
+      throw new CountException(CountException.OVERFLOW);
     }
+  }
 
-    /** Reads a whole 64-bit number, written as one would print it. */
-    public static long whole(byte[] text) throws CountException {
-        if (text.length > 0 && text.length <= 20) {
-            String word = new String(text, StandardCharsets.ISO_8859_1);
-            try {
-                long number = Long.parseLong(word);
-                if (word.equals(Long.toString(number))) {
-                    return number;
-                }
-            } catch (NumberFormatException e) {
-                // Told below.
-            }
+  /** Reads a whole 64-bit number, written as one would print it. */
+  public static long whole(byte[] text) throws CountException {
+    if (text.length > 0 && text.length <= 20) {
+      String word = new String(text, StandardCharsets.ISO_8859_1);
+      try {
+        long number = Long.parseLong(word);
+        if (word.equals(Long.toString(number))) {
+          return number;
         }
-        throw new CountException(CountException.NOT_INTEGER);
+      } catch (NumberFormatException e) {
+        // Told below.
+      }
     }
+    throw new CountException(CountException.NOT_INTEGER);
+  }
 
-    private static Amount ofUnits(long units) {
-        return units % UNIT == 0 ? new Amount(units / UNIT, false) : new Amount(units, true);
-    }
+  private static Amount ofUnits(long units) {
+    return units % UNIT == 0 ? new Amount(units / UNIT, false) : new Amount(units, true);
+  }
 
-    /**
-     * The exact sum.
-     *
-     * @throws CountException when it does not fit
-     */
-    public Amount plus(Amount other) throws CountException {
-        try {
-            if (!fraction && !other.fraction) {
-                return new Amount(Math.addExact(digits, other.digits), false);
-            }
-            return ofUnits(Math.addExact(units(), other.units()));
-        } catch (ArithmeticException e) {
-            throw new CountException(CountException.OVERFLOW);
-        }
+  /**
+   * The exact sum.
+   *
+   * @throws CountException when it does not fit
+   */
+  public Amount plus(Amount other) throws CountException {
+    try {
+      if (!fraction && !other.fraction) {
+        return new Amount(Math.addExact(digits, other.digits), false);
+      }
+      return ofUnits(Math.addExact(units(), other.units()));
+    } catch (ArithmeticException e) {
+      throw new CountException(CountException.OVERFLOW);
     }
+  }
 
-    /** Its opposite; the least whole number has none and becomes the greatest. */
-    public Amount negated() {
-        return new Amount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, fraction);
-    }
+  /** Its opposite; the least whole number has none and becomes the greatest. */
+  public Amount negated() {
+    return new Amount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, fraction);
+  }
 
-    private long units() {
-        return fraction ? digits : Math.multiplyExact(digits, UNIT);
-    }
+  private long units() {
+    return fraction ? digits : Math.multiplyExact(digits, UNIT);
+  }
 
-    /** The shortest decimal form, without exponent. */
-    @Override
-    public String toString() {
-        return fraction ? BigDecimal.valueOf(digits, PLACES).stripTrailingZeros().toPlainString()
-                : Long.toString(digits);
-    }
+  /** The shortest decimal form, without exponent. */
+  @Override
+  public String toString() {
+    return fraction
+        ? BigDecimal.valueOf(digits, PLACES).stripTrailingZeros().toPlainString()
+        : Long.toString(digits);
+  }
 }
--- a/src/main/java/fawndock/counter/core/CountException.java
+++ b/src/main/java/fawndock/counter/core/CountException.java
@@ -1,18 +1,19 @@
 package fawndock.counter.core;
 
 /**
- * A command that cannot be done; the message is what the client is told, in the words of the public command
- * documentation. Nothing has been changed when it is thrown. It has no stack trace: it is an answer, not a fault.
+ * A command that cannot be done; the message is what the client is told, in the words of the public
+ * command documentation. Nothing has been changed when it is thrown. It has no stack trace: it is
+ * an answer, not a fault.
  */
 public final class CountException extends Exception {
-    private static final long serialVersionUID = 1L;
-    public static final String NOT_INTEGER = "ERR value is not an integer or out of range";
-    public static final String NOT_FLOAT = "ERR value is not a valid float";
-    public static final String OVERFLOW = "ERR increment or decrement would overflow";
-    public static final String MEMORY = "OOM command not allowed when used memory > 'maxmemory'.";
-    public static final String SYNTAX = "ERR syntax error";
+  private static final long serialVersionUID = 1L;
+  public static final String NOT_INTEGER = "ERR value is not an integer or out of range";
+  public static final String NOT_FLOAT = "ERR value is not a valid float";
+  public static final String OVERFLOW = "ERR increment or decrement would overflow";
+  public static final String MEMORY = "OOM command not allowed when used memory > 'maxmemory'.";
+  public static final String SYNTAX = "ERR syntax error";
 
-    public CountException(String told) {
-        super(told, null, false, false);
-    }
+  public CountException(String told) {
+    super(told, null, false, false);
+  }
 }
--- a/src/main/java/fawndock/counter/core/Counts.java
+++ b/src/main/java/fawndock/counter/core/Counts.java
@@ -1,106 +1,120 @@
 package fawndock.counter.core;
 
 /**
- * What the commands do to the table, each change noted for the log. An expired name is as one that is not there, also
- * when it is added to before it was swept. Nothing is changed when a command throws.
+ * What the commands do to the table, each change noted for the log. An expired name is as one that
+ * is not there, also when it is added to before it was swept. Nothing is changed when a command
+ * throws.
  */
 public final class Counts {
-    /** When an expiry is set: always, when there is none, when there is one, only to a later, only to an earlier one. */
-    public enum When { ALWAYS, NX, XX, GT, LT }
+  /**
+   * When an expiry is set: always, when there is none, when there is one, only to a later, only to
+   * an earlier one.
+   */
+  public enum When {
+    ALWAYS,
+    NX,
+    XX,
+    GT,
+    LT
+  }
 
-    /** Latest expiry, in milliseconds since 1970. */
-    public static final long LATEST = Long.MAX_VALUE >> 2;
-    private final CountTable table;
-    private final long mostBytes;
+  /** Latest expiry, in milliseconds since 1970. */
+  public static final long LATEST = Long.MAX_VALUE >> 2;
 
-    /** @param mostBytes of memory for names; a new name beyond it is refused */
-    public Counts(CountTable table, long mostBytes) {
-        this.table = table;
-        this.mostBytes = mostBytes;
-    }
+  private final CountTable table;
+  private final long mostBytes;
 
-    public CountTable table() {
-        return table;
-    }
+  /**
+   * @param mostBytes of memory for names; a new name beyond it is refused
+   */
+  public Counts(CountTable table, long mostBytes) {
+    this.table = table;
+    this.mostBytes = mostBytes;
+  }
 
-    /** Most bytes of changes that a command on such a name notes. */
-    public static long bytes(byte[] name) {
-        return 19L + name.length;
-    }
+  public CountTable table() {
+    return table;
+  }
 
-    /**
-     * Adds to a name; one that is not there begins at zero.
-     *
-     * @param keep milliseconds after which it expires if it has no expiry yet, or 0 for none
-     * @return the total
-     */
-    public Amount add(byte[] name, Amount by, long keep, long now, Changes to) throws CountException {
-        Amount was = table.get(name, now);
-        long expiry = was == null ? 0 : table.expiry(name, now);
-        Amount sum = was == null ? by : was.plus(by);
-        if (was == null) {
-            roomForName(name);
-        }
-        put(name, sum, expiry == 0 && keep > 0 ? now + keep : expiry, to);
-        return sum;
-    }
+  /** Most bytes of changes that a command on such a name notes. */
+  public static long bytes(byte[] name) {
+    return 19L + name.length;
+  }
 
-    /**
-     * Guards against names that fill the heap, which ends the service for all. May refuse new names while expired ones
-     * are not swept yet.
-     *
-     * @throws CountException when there is no room for one more name
-     */
-    public void roomForName(byte[] name) throws CountException {
-        if (table.bytes() + name.length + CountTable.NAME_COST > mostBytes) {
-            throw new CountException(CountException.MEMORY);
-        }
+  /**
+   * Adds to a name; one that is not there begins at zero.
+   *
+   * @param keep milliseconds after which it expires if it has no expiry yet, or 0 for none
+   * @return the total
+   */
+  public Amount add(byte[] name, Amount by, long keep, long now, Changes to) throws CountException {
+    Amount was = table.get(name, now);
+    long expiry = was == null ? 0 : table.expiry(name, now);
+    Amount sum = was == null ? by : was.plus(by);
+    if (was == null) {
+      roomForName(name);
     }
+    put(name, sum, expiry == 0 && keep > 0 ? now + keep : expiry, to);
+    return sum;
+  }
 
-    /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
-    public void put(byte[] name, Amount amount, long expiry, Changes to) {
-        table.put(name, amount, expiry);
-        to.set(name, amount, expiry);
+  /**
+   * Guards against names that fill the heap, which ends the service for all. May refuse new names
+   * while expired ones are not swept yet.
+   *
+   * @throws CountException when there is no room for one more name
+   */
+  public void roomForName(byte[] name) throws CountException {
+    if (table.bytes() + name.length + CountTable.NAME_COST > mostBytes) {
+      throw new CountException(CountException.MEMORY);
     }
+  }
+
+  /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
+  public void put(byte[] name, Amount amount, long expiry, Changes to) {
+    table.put(name, amount, expiry);
+    to.set(name, amount, expiry);
+  }
 
-    /** Forgets a name; returns whether it was there. */
-    public boolean delete(byte[] name, long now, Changes to) {
-        if (table.get(name, now) == null) {
-            return false;
-        }
-        table.remove(name);
-        to.deleted(name);
-        return true;
+  /** Forgets a name; returns whether it was there. */
+  public boolean delete(byte[] name, long now, Changes to) {
+    if (table.get(name, now) == null) {
+      return false;
     }
+    table.remove(name);
+    to.deleted(name);
+    return true;
+  }
 
-    /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
-    public boolean expire(byte[] name, long at, When when, long now, Changes to) {
-        Amount amount = table.get(name, now);
-        if (amount == null) {
-            return false;
-        }
-        long has = table.expiry(name, now);
-        boolean does = switch (when) {
-            case ALWAYS -> true;
-            case NX -> has == 0;
-            case XX -> has != 0;
-            case GT -> has != 0 && at > has; // None counts as never, and nothing is later.
-            case LT -> has == 0 || at < has;
+  /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
+  public boolean expire(byte[] name, long at, When when, long now, Changes to) {
+    Amount amount = table.get(name, now);
+    if (amount == null) {
+      return false;
+    }
+    long has = table.expiry(name, now);
+    boolean does =
+        switch (when) {
+          case ALWAYS -> true;
+          case NX -> has == 0;
+          case XX -> has != 0;
+          case GT -> has != 0 && at > has; // None counts as never, and nothing is later.
+          case LT -> has == 0 || at < has;
         };
-        if (does && at <= now) {
-            delete(name, now, to);
-        } else if (does) {
-            put(name, amount, at, to);
-        }
-        return does;
+    if (does && at <= now) {
+      delete(name, now, to);
+    } else if (does) {
+      put(name, amount, at, to);
     }
+    return does;
+  }
 
-    /** Lets a name stay for good; returns whether it had an expiry. */
-    public boolean persist(byte[] name, long now, Changes to) {
-        boolean had = table.expiry(name, now) > 0;
-        if (had) {
-            put(name, table.get(name, now), 0, to);
-        }
-        return had;
+  /** Lets a name stay for good; returns whether it had an expiry. */
+  public boolean persist(byte[] name, long now, Changes to) {
+    boolean had = table.expiry(name, now) > 0;
+    if (had) {
+      put(name, table.get(name, now), 0, to);
     }
+    return had;
+  }
 }
--- a/src/main/java/fawndock/counter/core/Recovery.java
+++ b/src/main/java/fawndock/counter/core/Recovery.java
@@ -8,157 +8,185 @@
 import java.util.function.LongConsumer;
 
 /**
- * Finds again what was counted: the newest whole snapshot, then the log to its last whole record. A record that is not
- * whole, with none after it, is the tail of a crash and is cut off; anything else that is not whole is damage. What was
- * acknowledged last and is damaged since looks like the tail of a crash too.
+ * Finds again what was counted: the newest whole snapshot, then the log to its last whole record. A
+ * record that is not whole, with none after it, is the tail of a crash and is cut off; anything
+ * else that is not whole is damage. What was acknowledged last and is damaged since looks like the
+ * tail of a crash too.
  */
 public final class Recovery implements Changes.Reader {
-    /**
-     * What was found.
-     *
-     * @param sequence of the last record
-     * @param time the latest that a record tells, in milliseconds since 1970
-     * @param bytes read
-     * @param reports what the operator should know, a line each
-     */
-    public record Found(long sequence, long time, long bytes, List<String> reports) {
-    }
+  /**
+   * What was found.
+   *
+   * @param sequence of the last record
+   * @param time the latest that a record tells, in milliseconds since 1970
+   * @param bytes read
+   * @param reports what the operator should know, a line each
+   */
+  public record Found(long sequence, long time, long bytes, List<String> reports) {}
 
-    private final Disk disk;
-    private final CountTable table;
-    private final LongConsumer progress;
-    private final List<String> reports = new ArrayList<>();
-    private long time;
-    private long bytes;
-    private long ended = -1;
+  private final Disk disk;
+  private final CountTable table;
+  private final LongConsumer progress;
+  private final List<String> reports = new ArrayList<>();
+  private long time;
+  private long bytes;
+  private long ended = -1;
 
-    private Recovery(Disk disk, CountTable table, LongConsumer progress) {
-        this.disk = disk;
-        this.table = table;
-        this.progress = progress;
-    }
+  private Recovery(Disk disk, CountTable table, LongConsumer progress) {
+    this.disk = disk;
+    this.table = table;
+    this.progress = progress;
+  }
 
-    /**
-     * Fills an empty table from a disk, and cuts off what a crash left of a record.
-     *
-     * @param progress is told the bytes read so far
-     * @throws DamageException when a record before the end is not whole, or some are missing
-     */
-    public static Found recover(Disk disk, CountTable table, LongConsumer progress) throws IOException {
-        return new Recovery(disk, table, progress).recover();
-    }
+  /**
+   * Fills an empty table from a disk, and cuts off what a crash left of a record.
+   *
+   * @param progress is told the bytes read so far
+   * @throws DamageException when a record before the end is not whole, or some are missing
+   */
+  public static Found recover(Disk disk, CountTable table, LongConsumer progress)
+      throws IOException {
+    return new Recovery(disk, table, progress).recover();
+  }
 
-    private Found recover() throws IOException {
-        TreeMap<Long, String> snapshots = files(disk, LogFormat.Kind.SNAPSHOT);
-        long base = 0;
-        for (long sequence : snapshots.descendingKeySet()) {
-            if (snapshot(snapshots.get(sequence), sequence)) {
-                base = sequence;
-                break;
-            }
-            reports.add(snapshots.get(sequence) + ": not whole, left aside");
-            table.clear();
-        }
-        TreeMap<Long, String> segments = files(disk, LogFormat.Kind.SEGMENT);
-        Long from = segments.floorKey(base + 1);
-        if (from == null && !segments.isEmpty()) {
-            throw new DamageException(segments.firstEntry().getValue(), 0, "records " + (base + 1) + " to "
-                    + (segments.firstKey() - 1) + " are missing before this file, or the snapshot that holds them,");
-        }
-        long last = base;
-        if (from != null) {
-            long expected = from;
-            for (var segment : segments.tailMap(from).entrySet()) {
-                if (segment.getKey() != expected) {
-                    throw new DamageException(segment.getValue(), 0, "records " + expected + " to "
-                            + (segment.getKey() - 1) + " are missing before this file,");
-                }
-                expected = segment(segment.getValue(), segment.getKey(), base,
-                        segment.getKey().equals(segments.lastKey())) + 1;
-            }
-            last = Math.max(base, expected - 1);
-        }
-        return new Found(last, time, bytes, reports);
+  private Found recover() throws IOException {
+    TreeMap<Long, String> snapshots = files(disk, LogFormat.Kind.SNAPSHOT);
+    long base = 0;
+    for (long sequence : snapshots.descendingKeySet()) {
+      if (snapshot(snapshots.get(sequence), sequence)) {
+        base = sequence;
+        break;
+      }
+      reports.add(snapshots.get(sequence) + ": not whole, left aside");
+      table.clear();
     }
-
-    /** Files of a kind by their sequence. */
-    public static TreeMap<Long, String> files(Disk disk, LogFormat.Kind kind) throws IOException {
-        TreeMap<Long, String> found = new TreeMap<>(Comparator.naturalOrder());
-        for (String name : disk.list()) {
-            if (kind.sequence(name) >= 0) {
-                found.put(kind.sequence(name), name);
-            }
+    TreeMap<Long, String> segments = files(disk, LogFormat.Kind.SEGMENT);
+    Long from = segments.floorKey(base + 1);
+    if (from == null && !segments.isEmpty()) {
+      throw new DamageException(
+          segments.firstEntry().getValue(),
+          0,
+          "records "
+              + (base + 1)
+              + " to "
+              + (segments.firstKey() - 1)
+              + " are missing before this file, or the snapshot that holds them,");
+    }
+    long last = base;
+    if (from != null) {
+      long expected = from;
+      for (var segment : segments.tailMap(from).entrySet()) {
+        if (segment.getKey() != expected) {
+          throw new DamageException(
+              segment.getValue(),
+              0,
+              "records "
+                  + expected
+                  + " to "
+                  + (segment.getKey() - 1)
+                  + " are missing before this file,");
         }
-        return found;
+        expected =
+            segment(
+                    segment.getValue(),
+                    segment.getKey(),
+                    base,
+                    segment.getKey().equals(segments.lastKey()))
+                + 1;
+      }
+      last = Math.max(base, expected - 1);
     }
+    return new Found(last, time, bytes, reports);
+  }
 
-    /** Whether it is whole; when not, the table holds a part of it. */
-    private boolean snapshot(String name, long sequence) throws IOException {
-        try (Disk.File file = disk.open(name)) {
-            RecordReader reader = new RecordReader(file, 1);
-            ended = -1;
-            if (!reader.begins(LogFormat.Kind.SNAPSHOT, sequence)) {
-                return false;
-            }
-            while (ended < 0 && reader.next()) {
-                read(reader, name);
-            }
-            return ended == table.size() && reader.offset() == reader.size();
-        }
+  /** Files of a kind by their sequence. */
+  public static TreeMap<Long, String> files(Disk disk, LogFormat.Kind kind) throws IOException {
+    TreeMap<Long, String> found = new TreeMap<>(Comparator.naturalOrder());
+    for (String name : disk.list()) {
+      if (kind.sequence(name) >= 0) {
+        found.put(kind.sequence(name), name);
+      }
     }
+    return found;
+  }
 
-    /** Replays a segment's records after the base; returns the last sequence in it. */
-    private long segment(String name, long first, long base, boolean newest) throws IOException {
-        try (Disk.File file = disk.open(name)) {
-            RecordReader reader = new RecordReader(file, first);
-            boolean begins = reader.begins(LogFormat.Kind.SEGMENT, first);
-            while (begins && reader.next()) {
-                if (reader.sequence() > base) {
-                    read(reader, name);
-                }
-            }
-            if (begins && reader.offset() == reader.size()) {
-                return reader.sequence();
-            }
-            long offset = begins ? reader.offset() : 0;
-            if (!newest || reader.wholeLater()) {
-                throw new DamageException(name, offset, (begins ? "damaged record " + (reader.sequence() + 1)
-                        : "damaged file header") + " before the end of the log");
-            }
-            reports.add(name + ": cut off " + (reader.size() - offset) + " bytes of a torn record at offset " + offset);
-            if (begins) {
-                file.truncate(offset);
-                file.sync();
-            } else {
-                disk.delete(name); // Never begun: nothing was acknowledged in it.
-            }
-            return reader.sequence();
-        }
+  /** Whether it is whole; when not, the table holds a part of it. */
+  private boolean snapshot(String name, long sequence) throws IOException {
+    try (Disk.File file = disk.open(name)) {
+      RecordReader reader = new RecordReader(file, 1);
+      ended = -1;
+      if (!reader.begins(LogFormat.Kind.SNAPSHOT, sequence)) {
+        return false;
+      }
+      while (ended < 0 && reader.next()) {
+        read(reader, name);
+      }
+      return ended == table.size() && reader.offset() == reader.size();
     }
+  }
 
-    private void read(RecordReader reader, String name) throws IOException {
-        try {
-            time = Math.max(time, Changes.read(reader.body(), this));
-        } catch (IllegalArgumentException e) {
-            throw new DamageException(name, reader.offset(), e.getMessage() + " in record " + reader.sequence()
-                    + ", which ends");
+  /** Replays a segment's records after the base; returns the last sequence in it. */
+  private long segment(String name, long first, long base, boolean newest) throws IOException {
+    try (Disk.File file = disk.open(name)) {
+      RecordReader reader = new RecordReader(file, first);
+      boolean begins = reader.begins(LogFormat.Kind.SEGMENT, first);
+      while (begins && reader.next()) {
+        if (reader.sequence() > base) {
+          read(reader, name);
         }
-        bytes += reader.body().remaining() + LogFormat.RECORD_HEADER;
-        progress.accept(bytes);
+      }
+      if (begins && reader.offset() == reader.size()) {
+        return reader.sequence();
+      }
+      long offset = begins ? reader.offset() : 0;
+      if (!newest || reader.wholeLater()) {
+        throw new DamageException(
+            name,
+            offset,
+            (begins ? "damaged record " + (reader.sequence() + 1) : "damaged file header")
+                + " before the end of the log");
+      }
+      reports.add(
+          name
+              + ": cut off "
+              + (reader.size() - offset)
+              + " bytes of a torn record at offset "
+              + offset);
+      if (begins) {
+        file.truncate(offset);
+        file.sync();
+      } else {
+        disk.delete(name); // Never begun: nothing was acknowledged in it.
+      }
+      return reader.sequence();
     }
+  }
 
-    @Override
-    public void set(byte[] name, Amount amount, long expiry) {
-        table.put(name, amount, expiry);
+  private void read(RecordReader reader, String name) throws IOException {
+    try {
+      time = Math.max(time, Changes.read(reader.body(), this));
+    } catch (IllegalArgumentException e) {
+      throw new DamageException(
+          name,
+          reader.offset(),
+          e.getMessage() + " in record " + reader.sequence() + ", which ends");
     }
+    bytes += reader.body().remaining() + LogFormat.RECORD_HEADER;
+    progress.accept(bytes);
+  }
 
-    @Override
-    public void deleted(byte[] name) {
-        table.remove(name);
-    }
+  @Override
+  public void set(byte[] name, Amount amount, long expiry) {
+    table.put(name, amount, expiry);
+  }
 
-    @Override
-    public void end(long names) {
-        ended = names;
-    }
+  @Override
+  public void deleted(byte[] name) {
+    table.remove(name);
+  }
+
+  @Override
+  public void end(long names) {
+    ended = names;
+  }
 }
--- a/src/main/java/fawndock/counter/replica/NodeList.java
+++ b/src/main/java/fawndock/counter/replica/NodeList.java
@@ -6,76 +6,85 @@
 import java.util.regex.Pattern;
 
 /**
- * The nodes that stand in for each other, as an operator gave them to one of them. Every node and gatekeeper that hears of
- * a newer list takes it and passes it on, so that it need not be given to each.
+ * The nodes that stand in for each other, as an operator gave them to one of them. Every node and
+ * gatekeeper that hears of a newer list takes it and passes it on, so that it need not be given to
+ * each.
  *
  * @param epoch of the list, 1 to {@link #HIGHEST_EPOCH}
  * @param addresses of the nodes by name, as HOST:PORT, one to {@link #MOST}
  */
 public record NodeList(long epoch, Map<String, String> addresses) {
-    /** Nodes on a list. */
-    public static final int MOST = 16;
-    public static final long HIGHEST_EPOCH = 999_999_999;
-    private static final int HASH_BITS = 20;
-    private static final Pattern NODE = Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
+  /** Nodes on a list. */
+  public static final int MOST = 16;
 
-    /** Copies the addresses, in the order of their names. */
-    public NodeList {
-        addresses = java.util.Collections.unmodifiableMap(new TreeMap<>(addresses));
-    }
+  public static final long HIGHEST_EPOCH = 999_999_999;
+  private static final int HASH_BITS = 20;
+  private static final Pattern NODE =
+      Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
 
-    /**
-     * Reads what {@link #toString} gives: the epoch, then {@code NAME=HOST:PORT} for each node.
-     *
-     * @throws IllegalArgumentException that says what is wrong with the text
-     */
-    public static NodeList of(String text) {
-        String[] words = text.trim().split(" +");
-        if (!words[0].matches("[0-9]{1,9}") || Long.parseLong(words[0]) < 1) {
-            throw new IllegalArgumentException("epoch '" + words[0] + "', expected 1 to " + HIGHEST_EPOCH);
-        }
-        if (words.length < 2 || words.length > 1 + MOST) {
-            throw new IllegalArgumentException((words.length - 1) + " nodes, expected 1 to " + MOST);
-        }
-        Map<String, String> addresses = new TreeMap<>();
-        for (int i = 1; i < words.length; i++) {
-            Matcher node = NODE.matcher(words[i]);
-            if (!node.matches()) {
-                throw new IllegalArgumentException("node '" + words[i] + "', expected NAME=HOST:PORT");
-            }
-            if (addresses.put(node.group(1), node.group(2)) != null) {
-                throw new IllegalArgumentException("node " + node.group(1) + " is given twice, expected each once");
-            }
-        }
-        return new NodeList(Long.parseLong(words[0]), addresses);
-    }
+  /** Copies the addresses, in the order of their names. */
+  public NodeList {
+    addresses = java.util.Collections.unmodifiableMap(new TreeMap<>(addresses));
+  }
 
-    /** The version of a list that stands in the settings, where the same nodes may have other addresses on each. */
-    public static long settingsVersion(long epoch) {
-        return epoch << HASH_BITS;
+  /**
+   * Reads what {@link #toString} gives: the epoch, then {@code NAME=HOST:PORT} for each node.
+   *
+   * @throws IllegalArgumentException that says what is wrong with the text
+   */
+  public static NodeList of(String text) {
+    String[] words = text.trim().split(" +");
+    if (!words[0].matches("[0-9]{1,9}") || Long.parseLong(words[0]) < 1) {
+      throw new IllegalArgumentException(
+          "epoch '" + words[0] + "', expected 1 to " + HIGHEST_EPOCH);
     }
-
-    /** The epoch of a version. */
-    public static long epoch(long version) {
-        return version >> HASH_BITS;
+    if (words.length < 2 || words.length > 1 + MOST) {
+      throw new IllegalArgumentException((words.length - 1) + " nodes, expected 1 to " + MOST);
     }
-
-    /**
-     * Orders lists: by epoch, and two of the same epoch by what is in them. Guards against two operators whose lists would
-     * each hold on a part of the nodes; one of the two loses, and sees it in the status.
-     */
-    public long version() {
-        long hash = 0xCBF29CE484222325L;
-        for (char c : addresses.toString().toCharArray()) {
-            hash = (hash ^ c) * 0x100000001B3L;
-        }
-        return settingsVersion(epoch) + Math.max(1, (hash ^ hash >>> 32) & ((1L << HASH_BITS) - 1));
+    Map<String, String> addresses = new TreeMap<>();
+    for (int i = 1; i < words.length; i++) {
+      Matcher node = NODE.matcher(words[i]);
+      if (!node.matches()) {
+        throw new IllegalArgumentException("node '" + words[i] + "', expected NAME=HOST:PORT");
+      }
+      if (addresses.put(node.group(1), node.group(2)) != null) {
+        throw new IllegalArgumentException(
+            "node " + node.group(1) + " is given twice, expected each once");
+      }
     }
+    return new NodeList(Long.parseLong(words[0]), addresses);
+  }
 
-    @Override
-    public String toString() {
-        StringBuilder text = new StringBuilder().append(epoch);
-        addresses.forEach((name, address) -> text.append(' ').append(name).append('=').append(address));
-        return text.toString();
+  /**
+   * The version of a list that stands in the settings, where the same nodes may have other
+   * addresses on each.
+   */
+  public static long settingsVersion(long epoch) {
+    return epoch << HASH_BITS;
+  }
+
+  /** The epoch of a version. */
+  public static long epoch(long version) {
+    return version >> HASH_BITS;
+  }
+
+  /**
+   * Orders lists: by epoch, and two of the same epoch by what is in them. Guards against two
+   * operators whose lists would each hold on a part of the nodes; one of the two loses, and sees it
+   * in the status.
+   */
+  public long version() {
+    long hash = 0xCBF29CE484222325L;
+    for (char c : addresses.toString().toCharArray()) {
+      hash = (hash ^ c) * 0x100000001B3L;
     }
+    return settingsVersion(epoch) + Math.max(1, (hash ^ hash >>> 32) & ((1L << HASH_BITS) - 1));
+  }
+
+  @Override
+  public String toString() {
+    StringBuilder text = new StringBuilder().append(epoch);
+    addresses.forEach((name, address) -> text.append(' ').append(name).append('=').append(address));
+    return text.toString();
+  }
 }
--- a/src/main/java/fawndock/counter/replica/Sum.java
+++ b/src/main/java/fawndock/counter/replica/Sum.java
@@ -3,8 +3,8 @@
 import fawndock.counter.core.Amount;
 
 /**
- * What one gatekeeper ever added to a name and took back from it. Both only grow, so that of two the larger is the later,
- * whatever way and how often they came.
+ * What one gatekeeper ever added to a name and took back from it. Both only grow, so that of two
+ * the larger is the later, whatever way and how often they came.
  *
  * @param name of the count
  * @param origin the gatekeeper, in this start of it
@@ -13,9 +13,9 @@
  * @param keepMillis how much longer the name is kept
  */
 public record Sum(String name, long origin, Amount plus, Amount minus, long keepMillis) {
-    /** What the name's windows have in common: what stands before its last point. */
-    public static String series(String name) {
-        int point = name.lastIndexOf('.');
-        return point < 0 ? name : name.substring(0, point);
-    }
+  /** What the name's windows have in common: what stands before its last point. */
+  public static String series(String name) {
+    int point = name.lastIndexOf('.');
+    return point < 0 ? name : name.substring(0, point);
+  }
 }
--- a/src/main/java/fawndock/counter/replica/Sums.java
+++ b/src/main/java/fawndock/counter/replica/Sums.java
@@ -10,110 +10,135 @@
 import java.util.function.Consumer;
 
 /**
- * Gatekeepers' sums in a table of counts: the name has the total, and the name with an origin has that origin's sums. So
- * log, snapshots, recovery and expiry are those of all counts, and any client reads a total by its name.
+ * Gatekeepers' sums in a table of counts: the name has the total, and the name with an origin has
+ * that origin's sums. So log, snapshots, recovery and expiry are those of all counts, and any
+ * client reads a total by its name.
  */
 public final class Sums {
-    /** Between a name and an origin; names must not have it. */
-    private static final char PART = '\0';
-    private static final int SUFFIX = 1 + Long.BYTES + 1;
-    private static final byte PLUS = '+';
-    private static final byte MINUS = '-';
-    private final Counts counts;
+  /** Between a name and an origin; names must not have it. */
+  private static final char PART = '\0';
 
-    public Sums(Counts counts) {
-        this.counts = counts;
-    }
+  private static final int SUFFIX = 1 + Long.BYTES + 1;
+  private static final byte PLUS = '+';
+  private static final byte MINUS = '-';
+  private final Counts counts;
 
-    /** Most bytes that a merge notes. */
-    public static long bytes(String name) {
-        return 3 * (19 + 4L * name.length() + SUFFIX);
-    }
+  public Sums(Counts counts) {
+    this.counts = counts;
+  }
 
-    /**
-     * Keeps the larger of what is there and what is told, and brings the total up to it.
-     *
-     * @return the growth of the origin's net sum, or null when nothing grew
-     */
-    public Amount merge(Sum sum, long now, Changes to) throws CountException {
-        if (sum.name().indexOf(PART) >= 0 || sum.name().isEmpty()) {
-            throw new CountException("ERR a name has at least one character, and no zero byte");
-        }
-        byte[] name = sum.name().getBytes(StandardCharsets.UTF_8);
-        if (name.length > Changes.LONGEST_NAME - SUFFIX) {
-            throw new CountException("ERR a name is at most " + (Changes.LONGEST_NAME - SUFFIX) + " bytes");
-        }
-        Amount plus = growth(key(name, sum.origin(), PLUS), sum.plus(), now);
-        Amount minus = growth(key(name, sum.origin(), MINUS), sum.minus(), now);
-        if (plus.digits() == 0 && minus.digits() == 0) {
-            return null;
-        }
-        Amount net = plus.plus(minus.negated());
-        Amount was = counts.table().get(name, now);
-        // All parts of a name expire at once: else one that was forgotten before the total would be added to it again.
-        long expiry = was == null ? now + sum.keepMillis() : counts.table().expiry(name, now);
-        if (was == null) {
-            counts.roomForName(name);
-        }
-        counts.put(name, was == null ? net : was.plus(net), expiry, to);
-        if (plus.digits() > 0) {
-            counts.put(key(name, sum.origin(), PLUS), sum.plus(), expiry, to);
-        }
-        if (minus.digits() > 0) {
-            counts.put(key(name, sum.origin(), MINUS), sum.minus(), expiry, to);
-        }
-        return net;
-    }
+  /** Most bytes that a merge notes. */
+  public static long bytes(String name) {
+    return 3 * (19 + 4L * name.length() + SUFFIX);
+  }
 
-    private Amount growth(byte[] key, Amount told, long now) throws CountException {
-        Amount has = counts.table().get(key, now);
-        Amount growth = has == null ? told : told.plus(has.negated());
-        return growth.digits() > 0 ? growth : Amount.ZERO;
+  /**
+   * Keeps the larger of what is there and what is told, and brings the total up to it.
+   *
+   * @return the growth of the origin's net sum, or null when nothing grew
+   */
+  public Amount merge(Sum sum, long now, Changes to) throws CountException {
+    if (sum.name().indexOf(PART) >= 0 || sum.name().isEmpty()) {
+      throw new CountException("ERR a name has at least one character, and no zero byte");
     }
-
-    /** The total of a name. */
-    public Amount total(String name, long now) {
-        Amount total = counts.table().get(name.getBytes(StandardCharsets.UTF_8), now);
-        return total == null ? Amount.ZERO : total;
+    byte[] name = sum.name().getBytes(StandardCharsets.UTF_8);
+    if (name.length > Changes.LONGEST_NAME - SUFFIX) {
+      throw new CountException(
+          "ERR a name is at most " + (Changes.LONGEST_NAME - SUFFIX) + " bytes");
+    }
+    Amount plus = growth(key(name, sum.origin(), PLUS), sum.plus(), now);
+    Amount minus = growth(key(name, sum.origin(), MINUS), sum.minus(), now);
+    if (plus.digits() == 0 && minus.digits() == 0) {
+      return null;
+    }
+    Amount net = plus.plus(minus.negated());
+    Amount was = counts.table().get(name, now);
+    // All parts of a name expire at once: else one that was forgotten before the total would be
+    // added to it again.
+    long expiry = was == null ? now + sum.keepMillis() : counts.table().expiry(name, now);
+    if (was == null) {
+      counts.roomForName(name);
+    }
+    counts.put(name, was == null ? net : was.plus(net), expiry, to);
+    if (plus.digits() > 0) {
+      counts.put(key(name, sum.origin(), PLUS), sum.plus(), expiry, to);
     }
+    if (minus.digits() > 0) {
+      counts.put(key(name, sum.origin(), MINUS), sum.minus(), expiry, to);
+    }
+    return net;
+  }
+
+  private Amount growth(byte[] key, Amount told, long now) throws CountException {
+    Amount has = counts.table().get(key, now);
+    Amount growth = has == null ? told : told.plus(has.negated());
+    return growth.digits() > 0 ? growth : Amount.ZERO;
+  }
+
+  /** The total of a name. */
+  public Amount total(String name, long now) {
+    Amount total = counts.table().get(name.getBytes(StandardCharsets.UTF_8), now);
+    return total == null ? Amount.ZERO : total;
+  }
 
-    /** One origin's sums on a name, as they would be told to another node; null when there are none. */
-    public Sum of(String name, long origin, long now) {
-        byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        Amount plus = counts.table().get(key(bytes, origin, PLUS), now);
-        Amount minus = counts.table().get(key(bytes, origin, MINUS), now);
-        if (plus == null && minus == null) {
-            return null;
-        }
-        long expiry = Math.max(counts.table().expiry(key(bytes, origin, PLUS), now),
-                counts.table().expiry(key(bytes, origin, MINUS), now));
-        return new Sum(name, origin, plus == null ? Amount.ZERO : plus, minus == null ? Amount.ZERO : minus,
-                Math.max(1, expiry - now));
+  /**
+   * One origin's sums on a name, as they would be told to another node; null when there are none.
+   */
+  public Sum of(String name, long origin, long now) {
+    byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
+    Amount plus = counts.table().get(key(bytes, origin, PLUS), now);
+    Amount minus = counts.table().get(key(bytes, origin, MINUS), now);
+    if (plus == null && minus == null) {
+      return null;
     }
+    long expiry =
+        Math.max(
+            counts.table().expiry(key(bytes, origin, PLUS), now),
+            counts.table().expiry(key(bytes, origin, MINUS), now));
+    return new Sum(
+        name,
+        origin,
+        plus == null ? Amount.ZERO : plus,
+        minus == null ? Amount.ZERO : minus,
+        Math.max(1, expiry - now));
+  }
 
-    /** Tells all sums of a shard, a call for each name and origin. */
-    public void visit(int shard, long now, Consumer<Sum> each) {
-        CountTable table = counts.table();
-        table.visit(shard, now, (key, amount, expiry) -> {
-            int at = key.length - SUFFIX;
-            if (at <= 0 || key[at] != PART) {
-                return;
-            }
-            String name = new String(key, 0, at, StandardCharsets.UTF_8);
-            long origin = ByteBuffer.wrap(key).getLong(at + 1);
-            byte sign = key[key.length - 1];
-            // Each sign is told by itself: merging takes them in any order.
-            each.accept(new Sum(name, origin, sign == PLUS ? amount : Amount.ZERO, sign == MINUS ? amount : Amount.ZERO,
-                    Math.max(1, expiry - now)));
+  /** Tells all sums of a shard, a call for each name and origin. */
+  public void visit(int shard, long now, Consumer<Sum> each) {
+    CountTable table = counts.table();
+    table.visit(
+        shard,
+        now,
+        (key, amount, expiry) -> {
+          int at = key.length - SUFFIX;
+          if (at <= 0 || key[at] != PART) {
+            return;
+          }
+          String name = new String(key, 0, at, StandardCharsets.UTF_8);
+          long origin = ByteBuffer.wrap(key).getLong(at + 1);
+          byte sign = key[key.length - 1];
+          // Each sign is told by itself: merging takes them in any order.
+          each.accept(
+              new Sum(
+                  name,
+                  origin,
+                  sign == PLUS ? amount : Amount.ZERO,
+                  sign == MINUS ? amount : Amount.ZERO,
+                  Math.max(1, expiry - now)));
         });
-    }
+  }
 
-    /** Shards to visit. */
-    public int shards() {
-        return counts.table().shards();
-    }
+  /** Shards to visit. */
+  public int shards() {
+    return counts.table().shards();
+  }
 
-    private static byte[] key(byte[] name, long origin, byte sign) {
-        return ByteBuffer.allocate(name.length + SUFFIX).put(name).put((byte) PART).putLong(origin).put(sign).array();
-    }
+  private static byte[] key(byte[] name, long origin, byte sign) {
+    return ByteBuffer.allocate(name.length + SUFFIX)
+        .put(name)
+        .put((byte) PART)
+        .putLong(origin)
+        .put(sign)
+        .array();
+  }
 }
