--- a/src/jmh/java/fawndock/jmh/OneTry.java
+++ b/src/jmh/java/fawndock/jmh/OneTry.java
@@ -1,28 +1,28 @@
 package fawndock.jmh;
 
-import fawndock.Gatekeeper;
-import fawndock.Gatekeeper.Action;
-import fawndock.Gatekeeper.Attempt;
-import fawndock.Gatekeeper.Availability;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Counter;
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Limits;
-import fawndock.Gatekeeper.Listing;
-import fawndock.Gatekeeper.Outcome;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.Request;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Result;
-import fawndock.Gatekeeper.Rules;
-import fawndock.Gatekeeper.Server;
-import fawndock.Gatekeeper.Servers;
-import fawndock.Gatekeeper.Settings;
-import fawndock.Gatekeeper.Wake;
-import fawndock.Gatekeeper.WakeAfter;
-import fawndock.Logic;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.action.PolicyAction;
+import fawndock.policy.action.ScheduleTimer;
+import fawndock.policy.action.StartAttempt;
+import fawndock.policy.config.CounterConfig;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.GatewayLimits;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
+import fawndock.policy.event.AttemptCompleted;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.policy.event.Endpoint;
+import fawndock.policy.event.EndpointState;
+import fawndock.policy.event.EndpointUpdate;
+import fawndock.policy.event.EndpointUpdateKind;
+import fawndock.policy.event.RequestArrived;
+import fawndock.policy.event.TimerFired;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -55,8 +55,8 @@
   @Param({"3x14", "190x300"})
   public String size;
 
-  private Gatekeeper logic;
-  private final ArrayDeque<Action> todo = new ArrayDeque<>();
+  private GatewayPolicy logic;
+  private final ArrayDeque<PolicyAction> todo = new ArrayDeque<>();
   private final ArrayDeque<Long> due = new ArrayDeque<>();
   private final ArrayDeque<String> tokens = new ArrayDeque<>();
   private final Map<String, Double> load = Map.of("utilization", 0.5, "queue", 1.0);
@@ -76,8 +76,8 @@
   public void start() {
     int gatekeepers = Integer.parseInt(size.split("x")[0]);
     logic =
-        new Logic(
-            new Settings(
+        new DefaultGatewayPolicy(
+            new PolicyConfig(
                 0,
                 gatekeepers,
                 42,
@@ -86,19 +86,28 @@
                 false,
                 List.of(
                     new RequestClass(
-                        "c", 500_000, 0, 2_000_000, 1, 0, Repeat.IDEMPOTENT, Group.ALL, 0, false)),
+                        "c",
+                        500_000,
+                        0,
+                        2_000_000,
+                        1,
+                        0,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false)),
                 List.of(new Plan("p", 1e6, 1e6, 0, 1, 0, 0, 0, 0, 0)),
-                new Limits(3, 10_000, 30_000_000, false, true, false, true, true),
-                new Rules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000),
-                new Counter(true, 50_000, false)));
-    List<Server> servers = new ArrayList<>();
+                new GatewayLimits(3, 10_000, 30_000_000, false, true, false, true, true),
+                new ServiceRules(10_000, 2_000_000, 0.2, 10_000_000, 2, 2_000_000, 10_000_000),
+                new CounterConfig(true, 50_000, false)));
+    List<Endpoint> servers = new ArrayList<>();
     for (int i = 0; i < Integer.parseInt(size.split("x")[1]); i++) {
-      servers.add(new Server("s" + i, "here", i / 4, Availability.RUNNING, 1, 0));
+      servers.add(new Endpoint("s" + i, "here", i / 4, EndpointState.RUNNING, 1, 0));
     }
-    take(logic.on(now, new Servers(Listing.COMPLETE, servers)));
+    take(logic.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, servers)));
   }
 
-  private void take(List<Action> actions) {
+  private void take(List<PolicyAction> actions) {
     todo.addAll(actions);
   }
 
@@ -108,30 +117,36 @@
     now += 1_000;
     while (!due.isEmpty() && due.peek() <= now) {
       due.poll();
-      take(logic.on(now, new Wake(tokens.poll())));
+      take(logic.onEvent(now, new TimerFired(tokens.poll())));
     }
     id++;
     take(
-        logic.on(
+        logic.onEvent(
             now,
-            new Request(
+            new RequestArrived(
                 id, "c", "p", "customer-" + id % CUSTOMERS, now + 2_000_000, 1, 2, 0, false)));
     int done = 0;
-    for (Action action = todo.poll(); action != null; action = todo.poll()) {
+    for (PolicyAction action = todo.poll(); action != null; action = todo.poll()) {
       done++;
-      if (action instanceof Count c) {
+      if (action instanceof AddToCounter c) {
         take(
-            logic.on(
+            logic.onEvent(
                 now,
-                new Counted(
-                    c.name(), Result.OK, totals.merge(c.name(), c.amount(), Double::sum), 500)));
-      } else if (action instanceof Attempt a) {
+                new CounterReply(
+                    c.counterName(),
+                    CallResult.OK,
+                    totals.merge(c.counterName(), c.amount(), Double::sum),
+                    500)));
+      } else if (action instanceof StartAttempt a) {
         take(
-            logic.on(
-                now, new Outcome(a.requestId(), 0, a.server(), 5_000, Result.OK, true, 0, load)));
-      } else if (action instanceof WakeAfter w && w.token().startsWith("end:")) {
+            logic.onEvent(
+                now,
+                new AttemptCompleted(
+                    a.requestId(), 0, a.endpointId(), 5_000, CallResult.OK, true, 0, load)));
+      } else if (action instanceof ScheduleTimer w && w.token().startsWith("end:")) {
         due.add(
-            now + w.micros()); // The longest timers; they come due in the order in which they are
+            now + w.delayMicros()); // The longest timers; they come due in the order in which they
+        // are
         // set.
         tokens.add(w.token());
       }
--- a/src/main/java/fawndock/Main.java
+++ b/src/main/java/fawndock/Main.java
@@ -1,6 +1,6 @@
 package fawndock;
 
-import fawndock.benchlink.BenchLink;
+import fawndock.simulatoradapter.BenchLink;
 import java.io.IOException;
 
 /**
--- a/src/main/java/fawndock/lab/BareProxy.java
+++ b/src/main/java/fawndock/benchmark/BareProxy.java
@@ -1,4 +1,4 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
--- a/src/main/java/fawndock/lab/CounterBench.java
+++ b/src/main/java/fawndock/benchmark/CounterBench.java
@@ -1,10 +1,10 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
 import fawndock.counter.FileDisk;
-import fawndock.counter.core.Disk;
-import fawndock.drill.CounterCaller;
-import fawndock.drill.CounterProcess;
-import fawndock.drill.Folders;
+import fawndock.counter.storage.Storage;
+import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterProcess;
+import fawndock.scenario.Folders;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.ByteBuffer;
@@ -221,7 +221,7 @@
     Path directory = Files.createDirectories(folder.resolve("bare"));
     Histogram micros = new Histogram(60_000_000L, 3);
     try (FileDisk disk = new FileDisk(directory, true);
-        Disk.File file = disk.create("bare")) {
+        Storage.File file = disk.create("bare")) {
       ByteBuffer record = ByteBuffer.allocateDirect(bytes);
       long begun = System.nanoTime();
       long now = begun;
--- a/src/main/java/fawndock/lab/CounterFleetBench.java
+++ b/src/main/java/fawndock/benchmark/CounterFleetBench.java
@@ -1,8 +1,8 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
-import fawndock.drill.CounterCaller;
-import fawndock.drill.CounterProcess;
-import fawndock.drill.Gatekeepers;
+import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterProcess;
+import fawndock.scenario.Gatekeepers;
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/fawndock/lab/CounterLoad.java
+++ b/src/main/java/fawndock/benchmark/CounterLoad.java
@@ -1,4 +1,4 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
 import java.io.EOFException;
 import java.io.IOException;
--- a/src/main/java/fawndock/lab/Median.java
+++ b/src/main/java/fawndock/benchmark/Median.java
@@ -1,4 +1,4 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
 import java.util.Arrays;
 
--- a/src/main/java/fawndock/lab/OpenLoop.java
+++ b/src/main/java/fawndock/benchmark/OpenLoop.java
@@ -1,4 +1,4 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClient;
--- a/src/main/java/fawndock/lab/Passthrough.java
+++ b/src/main/java/fawndock/benchmark/Passthrough.java
@@ -1,9 +1,9 @@
-package fawndock.lab;
+package fawndock.benchmark;
 
-import fawndock.drill.CounterProcess;
-import fawndock.drill.Folders;
-import fawndock.drill.Gatekeepers;
-import fawndock.standin.Recorder;
+import fawndock.fake.TraceRecorder;
+import fawndock.scenario.CounterProcess;
+import fawndock.scenario.Folders;
+import fawndock.scenario.Gatekeepers;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.Http2Settings;
@@ -52,7 +52,7 @@
     // chance.
     Vertx workers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Process proxy = null;
-    try (Gatekeepers gatekeepers = new Gatekeepers(folder, new Recorder(), JVM);
+    try (Gatekeepers gatekeepers = new Gatekeepers(folder, new TraceRecorder(), JVM);
         CounterProcess counter = new CounterProcess(folder, "log text level warn\n", JVM)) {
       counter.start().get(30, TimeUnit.SECONDS);
       int worker =
--- a/src/main/java/fawndock/lab/calibrate/Beside.java
+++ b/src/main/java/fawndock/calibration/Beside.java
@@ -1,4 +1,4 @@
-package fawndock.lab.calibrate;
+package fawndock.calibration;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/fawndock/lab/calibrate/DayDescribed.java
+++ b/src/main/java/fawndock/calibration/DayDescribed.java
@@ -1,9 +1,10 @@
-package fawndock.lab.calibrate;
+package fawndock.calibration;
 
-import fawndock.drill.DayFile;
-import fawndock.drill.DayFile.Kind;
-import fawndock.drill.DayFile.PlanOf;
-import fawndock.drill.DayFile.Trouble;
+import fawndock.policy.config.Idempotency;
+import fawndock.scenario.DayFile;
+import fawndock.scenario.DayFile.Kind;
+import fawndock.scenario.DayFile.PlanOf;
+import fawndock.scenario.DayFile.Trouble;
 import java.util.Locale;
 
 /**
@@ -63,7 +64,7 @@
           k.aimMicros(),
           k.deadlineMicros(),
           k.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-'),
-          k.windowMicros() > 0 && k.repeat() == fawndock.Gatekeeper.Repeat.DEDUPLICATED
+          k.windowMicros() > 0 && k.repeat() == Idempotency.DEDUPLICATED
               ? " group all window " + k.windowMicros() + "us"
               : "");
     }
--- a/src/main/java/fawndock/lab/calibrate/OverSockets.java
+++ b/src/main/java/fawndock/calibration/OverSockets.java
@@ -1,24 +1,24 @@
-package fawndock.lab.calibrate;
+package fawndock.calibration;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.drill.BadDay;
-import fawndock.drill.Scene;
-import fawndock.drill.Script;
-import fawndock.drill.Traffic;
-import fawndock.judge.Figures;
-import fawndock.judge.RuleChecker;
-import fawndock.judge.Seen;
-import fawndock.judge.Verdict;
-import fawndock.judge.Worth;
-import fawndock.lab.emu.Deployment;
-import fawndock.lab.emu.Deployment.Demand;
-import fawndock.lab.emu.DeploymentFile.Mark;
-import fawndock.lab.emu.DeploymentFile.Read;
-import fawndock.lab.measure.Measures;
-import fawndock.standin.RawClient;
-import fawndock.standin.Recorder;
-import fawndock.standin.Worker;
+import fawndock.conformance.ConformanceLimits;
+import fawndock.conformance.ConformanceResult;
+import fawndock.conformance.InvariantChecker;
+import fawndock.conformance.PriorityWeights;
+import fawndock.conformance.TraceEvent;
+import fawndock.fake.FakeBackend;
+import fawndock.fake.RawHttpClient;
+import fawndock.fake.TraceRecorder;
+import fawndock.measurement.Measures;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.scenario.BadDay;
+import fawndock.scenario.Scene;
+import fawndock.scenario.Script;
+import fawndock.scenario.Traffic;
+import fawndock.simulation.Deployment;
+import fawndock.simulation.Deployment.Demand;
+import fawndock.simulation.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.Read;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -44,7 +44,7 @@
   private static final double WARM = 3;
 
   /** What came of it. */
-  public record Played(Measures.Told told, Verdict verdict) {}
+  public record Played(Measures.Told told, ConformanceResult verdict) {}
 
   private final Read read;
   private final Deployment d;
@@ -92,7 +92,7 @@
       scene.gatekeepers(d.gatekeepers(), settings());
       scene.gatekeepers.startAll();
       List<Traffic> traffics = new ArrayList<>();
-      RawClient client = new RawClient(scene.vertx, scene.recorder);
+      RawHttpClient client = new RawHttpClient(scene.vertx, scene.recorder);
       for (Demand demand : d.demands()) {
         RequestClass type =
             d.classes().stream()
@@ -117,7 +117,7 @@
                             type.name(),
                             "GET",
                             "/" + type.name(),
-                            type.repeat(),
+                            type.idempotency(),
                             demand.remainingMicros(),
                             1)),
                     customers,
@@ -136,7 +136,7 @@
                   WARM,
                   "measured from here",
                   () -> {
-                    begin[0] = Recorder.now();
+                    begin[0] = TraceRecorder.now();
                     traffics.forEach(t -> t.factor(1));
                   });
       read.marks().forEach(mark -> trouble(mark, script, scene));
@@ -149,12 +149,13 @@
     }
   }
 
-  private Played played(List<Seen> trace, long begin) {
+  private Played played(List<TraceEvent> trace, long begin) {
     Map<String, Plan> plans = d.plansOfCustomers();
     Map<String, RequestClass> classes =
         d.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
-    Verdict verdict = RuleChecker.judge(trace, new Figures(classes, d.rules(), plans, SLACK));
-    List<Seen> measured = trace.stream().filter(s -> s.at() >= begin).toList();
+    ConformanceResult verdict =
+        InvariantChecker.judge(trace, new ConformanceLimits(classes, d.rules(), plans, SLACK));
+    List<TraceEvent> measured = trace.stream().filter(s -> s.at() >= begin).toList();
     Measures.Told told =
         Measures.of(
             measured,
@@ -164,7 +165,10 @@
             begin,
             d.seconds());
     told.figures()
-        .put("worth", Worth.judge(measured, new Figures(classes, d.rules(), plans, SLACK)));
+        .put(
+            "worth",
+            PriorityWeights.judge(
+                measured, new ConformanceLimits(classes, d.rules(), plans, SLACK)));
     return new Played(told, verdict);
   }
 
@@ -245,8 +249,8 @@
       Scene scene,
       List<Integer> on,
       Mark mark,
-      java.util.function.Consumer<Worker.Faults> begin,
-      java.util.function.Consumer<Worker.Faults> end) {
+      java.util.function.Consumer<FakeBackend.Faults> begin,
+      java.util.function.Consumer<FakeBackend.Faults> end) {
     script
         .at(
             WARM + mark.from(),
--- a/src/main/java/fawndock/cli/BenchCommand.java
+++ b/src/main/java/fawndock/cli/BenchCommand.java
@@ -1,9 +1,9 @@
 package fawndock.cli;
 
-import fawndock.lab.BareProxy;
-import fawndock.lab.CounterBench;
-import fawndock.lab.CounterFleetBench;
-import fawndock.lab.Passthrough;
+import fawndock.benchmark.BareProxy;
+import fawndock.benchmark.CounterBench;
+import fawndock.benchmark.CounterFleetBench;
+import fawndock.benchmark.Passthrough;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
-import fawndock.settings.DaemonSettings;
-import fawndock.settings.SettingsException;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -22,7 +22,7 @@
   @Override
   public Integer call() {
     try {
-      DaemonSettings s = SettingsFile.read(file);
+      GatewaySettings s = SettingsFile.read(file);
       System.out.println(
           file
               + ": no mistakes: "
@@ -35,7 +35,7 @@
               + s.routes().size()
               + " routes");
       return 0;
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -2,9 +2,9 @@
 
 import fawndock.counter.CounterServer;
 import fawndock.counter.FileDisk;
+import fawndock.settings.ConfigurationException;
 import fawndock.settings.CounterSettings;
 import fawndock.settings.CounterSettingsFile;
-import fawndock.settings.SettingsException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -47,7 +47,7 @@
     CounterSettings settings;
     try {
       settings = CounterSettingsFile.read(file);
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
@@ -102,7 +102,7 @@
     public Integer call() {
       boolean all = true;
       for (String each : nodes) {
-        try (fawndock.drill.CounterCaller caller = new fawndock.drill.CounterCaller(each)) {
+        try (fawndock.scenario.CounterCaller caller = new fawndock.scenario.CounterCaller(each)) {
           Object told = caller.call("FD.STATUS");
           if (told instanceof java.util.List<?> lines) {
             lines.forEach(
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -1,11 +1,11 @@
 package fawndock.cli;
 
 import fawndock.counter.FileDisk;
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.LogAudit;
-import fawndock.counter.core.LogAudit.State;
-import fawndock.counter.core.LogAudit.Verdict;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.DecimalAmount;
+import fawndock.counter.storage.LogVerifier;
+import fawndock.counter.storage.LogVerifier.State;
+import fawndock.counter.storage.LogVerifier.Verdict;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -52,7 +52,7 @@
       if (!isDirectory(directory)) {
         return 2;
       }
-      List<Verdict> all = LogAudit.verify(new FileDisk(directory, false));
+      List<Verdict> all = LogVerifier.verify(new FileDisk(directory, false));
       all.forEach(v -> System.out.println(v.line()));
       boolean damaged = all.stream().anyMatch(v -> v.state() == State.DAMAGED);
       System.out.println(
@@ -87,7 +87,7 @@
       }
       Path directory = file.toAbsolutePath().getParent();
       String bad =
-          LogAudit.dump(
+          LogVerifier.dump(
               new FileDisk(directory, false),
               file.getFileName().toString(),
               from,
@@ -101,9 +101,9 @@
     }
   }
 
-  private static final class Printer implements Changes.Reader {
+  private static final class Printer implements ChangeRecord.Reader {
     @Override
-    public void set(byte[] name, Amount amount, long expiry) {
+    public void set(byte[] name, DecimalAmount amount, long expiry) {
       System.out.println(
           "  set "
               + text(name)
@@ -149,7 +149,7 @@
         return 2;
       }
       try (FileDisk disk = new FileDisk(directory, true)) {
-        List<String> steps = LogAudit.truncate(disk, yes);
+        List<String> steps = LogVerifier.truncate(disk, yes);
         steps.forEach(System.out::println);
         System.out.println(
             steps.isEmpty()
--- a/src/main/java/fawndock/cli/DemoCommand.java
+++ b/src/main/java/fawndock/cli/DemoCommand.java
@@ -1,6 +1,6 @@
 package fawndock.cli;
 
-import fawndock.drill.Demo;
+import fawndock.scenario.Demo;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -1,13 +1,13 @@
 package fawndock.cli;
 
-import fawndock.drill.BadDay;
-import fawndock.drill.Chaos;
-import fawndock.drill.CounterCrash;
-import fawndock.drill.CounterSplit;
-import fawndock.drill.DayDrill;
-import fawndock.drill.DayFile;
-import fawndock.drill.LargeFleet;
-import fawndock.drill.PlatformDrill;
+import fawndock.scenario.BadDay;
+import fawndock.scenario.Chaos;
+import fawndock.scenario.CounterCrash;
+import fawndock.scenario.CounterSplit;
+import fawndock.scenario.DayDrill;
+import fawndock.scenario.DayFile;
+import fawndock.scenario.LargeFleet;
+import fawndock.scenario.PlatformDrill;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -1,14 +1,14 @@
 package fawndock.cli;
 
-import fawndock.Logic;
-import fawndock.drill.DayFile;
-import fawndock.lab.calibrate.Beside;
-import fawndock.lab.calibrate.DayDescribed;
-import fawndock.lab.calibrate.OverSockets;
-import fawndock.lab.emu.Deployment;
-import fawndock.lab.emu.DeploymentFile;
-import fawndock.lab.emu.Emulation;
-import fawndock.settings.SettingsException;
+import fawndock.calibration.Beside;
+import fawndock.calibration.DayDescribed;
+import fawndock.calibration.OverSockets;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.scenario.DayFile;
+import fawndock.settings.ConfigurationException;
+import fawndock.simulation.Deployment;
+import fawndock.simulation.DeploymentFile;
+import fawndock.simulation.Emulation;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -54,13 +54,13 @@
     DeploymentFile.Read read;
     try {
       read = DeploymentFile.read(file, values);
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
     Deployment d = read.deployment();
     long begun = System.nanoTime();
-    Emulation.Result result = read.emulation(Logic::new).run();
+    Emulation.Result result = read.emulation(DefaultGatewayPolicy::new).run();
     double took = (System.nanoTime() - begun) / 1e9;
     System.out.printf(
         "simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -1,14 +1,14 @@
 package fawndock.cli;
 
-import fawndock.Logic;
-import fawndock.lab.experiment.Build;
-import fawndock.lab.experiment.Cells;
-import fawndock.lab.experiment.Experiment;
-import fawndock.lab.experiment.ExperimentFile;
-import fawndock.lab.experiment.Outcome;
-import fawndock.lab.experiment.Results;
-import fawndock.lab.experiment.Runner;
-import fawndock.settings.SettingsException;
+import fawndock.experiment.Build;
+import fawndock.experiment.Cells;
+import fawndock.experiment.Experiment;
+import fawndock.experiment.ExperimentFile;
+import fawndock.experiment.Outcome;
+import fawndock.experiment.Results;
+import fawndock.experiment.Runner;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -62,7 +62,7 @@
     Path folder = out != null ? out : file.resolveSibling(file.getFileName() + ".results");
     try (Results results = Results.open(folder)) {
       Experiment experiment = ExperimentFile.read(file);
-      Runner runner = new Runner(experiment, Logic::new, Build.running());
+      Runner runner = new Runner(experiment, DefaultGatewayPolicy::new, Build.running());
       int left = runner.left(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
@@ -76,7 +76,7 @@
           folder.resolve(Results.EXPERIMENT),
           java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       return told(experiment, all) ? 0 : 1;
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import fawndock.lab.load.Generator;
-import fawndock.lab.load.HdrLog;
-import fawndock.lab.load.LoadFile;
-import fawndock.lab.load.LoadPlan;
-import fawndock.lab.load.Tally;
-import fawndock.lab.load.Trace;
-import fawndock.settings.SettingsException;
+import fawndock.loadgen.Generator;
+import fawndock.loadgen.HdrLog;
+import fawndock.loadgen.LoadFile;
+import fawndock.loadgen.LoadPlan;
+import fawndock.loadgen.Tally;
+import fawndock.loadgen.Trace;
+import fawndock.settings.ConfigurationException;
 import io.vertx.core.Vertx;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -65,7 +65,7 @@
     LoadPlan plan;
     try {
       plan = LoadFile.read(file);
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/Logs.java
@@ -8,7 +8,7 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.Encoder;
-import fawndock.settings.DaemonSettings.Log;
+import fawndock.settings.GatewaySettings.Log;
 import java.util.TimeZone;
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/fawndock/cli/NodesCommand.java
+++ b/src/main/java/fawndock/cli/NodesCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
-import fawndock.counter.replica.NodeList;
-import fawndock.drill.CounterCaller;
+import fawndock.counter.replication.MembershipList;
+import fawndock.scenario.CounterCaller;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -45,7 +45,7 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    NodeList list;
+    MembershipList list;
     try (CounterCaller caller = new CounterCaller(asked)) {
       String now = text(caller.call("FD.NODES"));
       if (nodes.isEmpty()) {
@@ -57,7 +57,7 @@
         throw new IOException("says '" + status + "', expected a node that is ready");
       }
       String epoch = status.replaceFirst(".* epoch ([0-9]+) .*", "$1");
-      list = NodeList.of((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
+      list = MembershipList.of((Long.parseLong(epoch) + 1) + " " + String.join(" ", nodes));
       List<String> words = new ArrayList<>(List.of("FD.NODES"));
       words.addAll(List.of(list.toString().split(" ")));
       String taken = text(caller.call(words.toArray(String[]::new)));
@@ -78,7 +78,7 @@
     return String.valueOf(told);
   }
 
-  private int await(NodeList list) throws InterruptedException {
+  private int await(MembershipList list) throws InterruptedException {
     Map<String, String> states = new TreeMap<>();
     long limit = System.nanoTime() + seconds * 1_000_000_000L;
     boolean all = false;
--- a/src/main/java/fawndock/cli/PlatformCommand.java
+++ b/src/main/java/fawndock/cli/PlatformCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
-import fawndock.Logic;
 import fawndock.platform.PlatformDaemon;
+import fawndock.policy.DefaultGatewayPolicy;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
@@ -30,7 +30,7 @@
     PlainLog.use();
     PlatformDaemon daemon = new PlatformDaemon(System.getenv());
     try {
-      return daemon.run(Logic::new);
+      return daemon.run(DefaultGatewayPolicy::new);
     } catch (InterruptedException e) {
       return 1;
     } finally {
--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -1,11 +1,11 @@
 package fawndock.cli;
 
-import fawndock.lab.experiment.Experiment;
-import fawndock.lab.experiment.ExperimentFile;
-import fawndock.lab.experiment.Outcome;
-import fawndock.lab.experiment.Results;
-import fawndock.lab.report.Page;
-import fawndock.settings.SettingsException;
+import fawndock.experiment.Experiment;
+import fawndock.experiment.ExperimentFile;
+import fawndock.experiment.Outcome;
+import fawndock.experiment.Results;
+import fawndock.report.Page;
+import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -44,7 +44,7 @@
       System.out.println(
           new Page(experiment, experiment.inOrder(after), experiment.inOrder(was), folder).write());
       return 0;
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -1,10 +1,10 @@
 package fawndock.cli;
 
-import fawndock.Logic;
 import fawndock.gateway.Daemon;
+import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.ratelimit.RateLimitNode;
-import fawndock.settings.DaemonSettings;
-import fawndock.settings.SettingsException;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.GatewaySettings;
 import fawndock.settings.SettingsFile;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -34,10 +34,10 @@
 
   @Override
   public Integer call() throws Exception {
-    DaemonSettings settings;
+    GatewaySettings settings;
     try {
       settings = SettingsFile.read(file);
-    } catch (SettingsException e) {
+    } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
@@ -46,7 +46,7 @@
     try {
       if (settings.rateLimit().listen() != null) {
         daemon
-            .beside(new RateLimitNode(settings, Logic::new))
+            .beside(new RateLimitNode(settings, DefaultGatewayPolicy::new))
             .toCompletionStage()
             .toCompletableFuture()
             .get(30, TimeUnit.SECONDS);
--- a/src/main/java/fawndock/judge/Figures.java
+++ b/src/main/java/fawndock/conformance/ConformanceLimits.java
@@ -1,8 +1,8 @@
-package fawndock.judge;
+package fawndock.conformance;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.Gatekeeper.Rules;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.policy.config.ServiceRules;
 import java.util.Map;
 
 /**
@@ -14,5 +14,8 @@
  * @param slackMicros allowed on top of each time limit, for the way between a socket and the record
  *     of it
  */
-public record Figures(
-    Map<String, RequestClass> classes, Rules rules, Map<String, Plan> plans, long slackMicros) {}
+public record ConformanceLimits(
+    Map<String, RequestClass> classes,
+    ServiceRules rules,
+    Map<String, Plan> plans,
+    long slackMicros) {}
--- a/src/main/java/fawndock/judge/Verdict.java
+++ b/src/main/java/fawndock/conformance/ConformanceResult.java
@@ -1,9 +1,9 @@
-package fawndock.judge;
+package fawndock.conformance;
 
 import java.util.List;
 
 /** How often each rule was broken in a trace, with a line on each of the first breaches. */
-public record Verdict(
+public record ConformanceResult(
     int requests,
     int unanswered,
     int answeredTwice,
--- a/src/main/java/fawndock/judge/RuleChecker.java
+++ b/src/main/java/fawndock/conformance/InvariantChecker.java
@@ -1,18 +1,18 @@
-package fawndock.judge;
+package fawndock.conformance;
 
-import fawndock.Gatekeeper.Group;
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.judge.Seen.Answered;
-import fawndock.judge.Seen.Arrived;
-import fawndock.judge.Seen.Asked;
-import fawndock.judge.Seen.Broke;
-import fawndock.judge.Seen.Came;
-import fawndock.judge.Seen.Killed;
-import fawndock.judge.Seen.Left;
-import fawndock.judge.Seen.Ran;
-import fawndock.judge.Seen.Told;
+import fawndock.conformance.TraceEvent.Answered;
+import fawndock.conformance.TraceEvent.Arrived;
+import fawndock.conformance.TraceEvent.Asked;
+import fawndock.conformance.TraceEvent.Broke;
+import fawndock.conformance.TraceEvent.Came;
+import fawndock.conformance.TraceEvent.Killed;
+import fawndock.conformance.TraceEvent.Left;
+import fawndock.conformance.TraceEvent.Ran;
+import fawndock.conformance.TraceEvent.Told;
+import fawndock.policy.config.DeduplicationScope;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -27,13 +27,13 @@
  * Judges the five rules by what crossed the sockets. A request's id is {@code OPERATION.TRY}: a
  * client that tries again keeps the operation, so an effect that two tries had is one effect twice.
  */
-public final class RuleChecker {
+public final class InvariantChecker {
   private static final int MOST_TOLD = 20;
-  private final Figures figures;
+  private final ConformanceLimits figures;
   private final List<String> breaches = new ArrayList<>();
   private final Map<String, Asked> asked = new HashMap<>();
   private final Map<String, List<Answered>> answers = new HashMap<>();
-  private final Map<String, Seen> ends = new HashMap<>();
+  private final Map<String, TraceEvent> ends = new HashMap<>();
   private final Map<String, List<Arrived>> arrivals = new HashMap<>();
   private final Map<String, Integer> effects = new HashMap<>();
   private final Map<Integer, List<Long>> kills = new HashMap<>();
@@ -41,15 +41,15 @@
   private final List<Came> starts = new ArrayList<>();
   private final Map<String, List<Arrived>> byWorker = new HashMap<>();
 
-  private RuleChecker(Figures figures) {
+  private InvariantChecker(ConformanceLimits figures) {
     this.figures = figures;
   }
 
   /** Judges a trace. */
-  public static Verdict judge(List<Seen> trace, Figures figures) {
-    RuleChecker c = new RuleChecker(figures);
-    List<Seen> inOrder = new ArrayList<>(trace);
-    inOrder.sort(Comparator.comparingLong(Seen::at));
+  public static ConformanceResult judge(List<TraceEvent> trace, ConformanceLimits figures) {
+    InvariantChecker c = new InvariantChecker(figures);
+    List<TraceEvent> inOrder = new ArrayList<>(trace);
+    inOrder.sort(Comparator.comparingLong(TraceEvent::at));
     inOrder.forEach(c::take);
     int[] unanswered = {0};
     int[] twice = {0};
@@ -63,7 +63,7 @@
               repeated[0] += c.repeated(a);
             });
     repeated[0] += c.effectsTwice();
-    return new Verdict(
+    return new ConformanceResult(
         c.asked.size(),
         unanswered[0],
         twice[0],
@@ -74,7 +74,7 @@
         List.copyOf(c.breaches));
   }
 
-  private void take(Seen seen) {
+  private void take(TraceEvent seen) {
     if (seen instanceof Asked e) {
       asked.put(e.request(), e);
     } else if (seen instanceof Answered e) {
@@ -117,7 +117,7 @@
     if (all != null && all.get(0).at() <= limit) {
       return 0;
     }
-    Seen end = ends.get(a.request());
+    TraceEvent end = ends.get(a.request());
     if (all == null && end instanceof Left && end.at() <= limit) {
       return 0;
     }
@@ -159,7 +159,7 @@
   // Rule 2, what may be sent or refused again. What a worker refused did not run.
   private int repeated(Asked a) {
     RequestClass type = figures.classes().get(a.type());
-    if (type == null || type.repeat() == Repeat.IDEMPOTENT) {
+    if (type == null || type.idempotency() == Idempotency.IDEMPOTENT) {
       return 0;
     }
     List<Arrived> all = arrivals.getOrDefault(a.request(), List.of());
@@ -167,18 +167,19 @@
     if (ran == null) {
       return 0;
     }
-    boolean grouped = type.repeat() == Repeat.DEDUPLICATED;
+    boolean grouped = type.idempotency() == Idempotency.DEDUPLICATED;
     for (Arrived later : all.subList(all.indexOf(ran) + 1, all.size())) {
       if (!grouped
-          || later.at() > ran.at() + type.repeatWindowMicros() + figures.slackMicros()
-          || type.group() != Group.ALL && !later.worker().equals(ran.worker())) {
+          || later.at() > ran.at() + type.deduplicationWindowMicros() + figures.slackMicros()
+          || type.deduplicationScope() != DeduplicationScope.ALL
+              && !later.worker().equals(ran.worker())) {
         breach(a.request() + " (" + a.type() + ") was sent again to " + later.worker());
         return 1;
       }
     }
     boolean refused =
         answers.getOrDefault(a.request(), List.of()).stream().anyMatch(e -> e.status() == 429);
-    if (refused && !(grouped && type.group() == Group.ALL)) {
+    if (refused && !(grouped && type.deduplicationScope() == DeduplicationScope.ALL)) {
       breach(a.request() + " (" + a.type() + ") was refused after it may have run");
       return 1;
     }
@@ -192,7 +193,7 @@
       RequestClass type = figures.classes().get(a.type());
       String operation = operation(a.request());
       if (type != null
-          && type.repeat() != Repeat.IDEMPOTENT
+          && type.idempotency() != Idempotency.IDEMPOTENT
           && effects.getOrDefault(operation, 0) > 1
           && judged.add(operation)) {
         breach(
@@ -253,15 +254,21 @@
       ArrayDeque<Arrived> window = new ArrayDeque<>();
       for (Arrived e : byWorker.getOrDefault(start.worker(), List.of())) {
         long age = e.at() - start.at();
-        if (e.life() != start.life() || age < 0 || age >= rules.coldMicros()) {
+        if (e.life() != start.life() || age < 0 || age >= rules.slowStartMicros()) {
           continue;
         }
         window.add(e);
-        while (window.peek().at() < e.at() - rules.fallMicros()) {
+        while (window.peek().at() < e.at() - rules.collapseWindowMicros()) {
           window.poll();
         }
-        double warmth = rules.coldShare() + (1 - rules.coldShare()) * age / rules.coldMicros();
-        double may = rules.fallMultiple() * warmth * start.perSecond() * rules.fallMicros() / 1e6;
+        double warmth =
+            rules.slowStartShare() + (1 - rules.slowStartShare()) * age / rules.slowStartMicros();
+        double may =
+            rules.collapseMultiple()
+                * warmth
+                * start.perSecond()
+                * rules.collapseWindowMicros()
+                / 1e6;
         long knew = window.stream().filter(w -> knewOf(w, start)).count();
         if (window.size() > may + 3 * Math.sqrt(may) && knew * 3 >= window.size() * 2) {
           breach(
@@ -307,17 +314,17 @@
     int passed = 0;
     for (Map.Entry<String, List<Taken>> each : byCustomer.entrySet()) {
       Plan plan = figures.plans().get(each.getKey());
-      if (plan == null || plan.ceilingRate() <= 0) {
+      if (plan == null || plan.ceilingUnitsPerSecond() <= 0) {
         continue;
       }
       each.getValue().sort(Comparator.comparingLong(Taken::at));
-      double level = plan.ceilingBurst();
+      double level = plan.ceilingBurstUnits();
       long at = 0;
       for (Taken t : each.getValue()) {
         level =
             Math.min(
-                    plan.ceilingBurst(),
-                    level + (at == 0 ? 0 : (t.at() - at) / 1e6 * plan.ceilingRate()))
+                    plan.ceilingBurstUnits(),
+                    level + (at == 0 ? 0 : (t.at() - at) / 1e6 * plan.ceilingUnitsPerSecond()))
                 - t.units();
         at = t.at();
         if (level < -plan.ceilingSlack() - 1e-6) {
--- a/src/main/java/fawndock/judge/Worth.java
+++ b/src/main/java/fawndock/conformance/PriorityWeights.java
@@ -1,9 +1,9 @@
-package fawndock.judge;
+package fawndock.conformance;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.judge.Seen.Answered;
-import fawndock.judge.Seen.Asked;
+import fawndock.conformance.TraceEvent.Answered;
+import fawndock.conformance.TraceEvent.Asked;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,15 +16,15 @@
  * customer's store is replayed over its operations as one gateway that saw all first tries would
  * have it; a later try's answer counts for its operation, from the first try's time.
  */
-public final class Worth {
-  private Worth() {}
+public final class PriorityWeights {
+  private PriorityWeights() {}
 
   /** Of a trace, from 0 to 1; 0 when nothing was asked inside the quotas. */
-  public static double judge(List<Seen> trace, Figures figures) {
+  public static double judge(List<TraceEvent> trace, ConformanceLimits figures) {
     Map<String, Long> answered = new HashMap<>();
-    for (Seen seen : trace) {
+    for (TraceEvent seen : trace) {
       if (seen instanceof Answered a && a.status() == 200) {
-        answered.merge(RuleChecker.operation(a.request()), a.at(), Math::min);
+        answered.merge(InvariantChecker.operation(a.request()), a.at(), Math::min);
       }
     }
     Map<String, double[]> stores = new HashMap<>();
@@ -38,18 +38,20 @@
             .sorted(Comparator.comparingLong(Asked::at))
             .toList();
     for (Asked a : all) {
-      String operation = RuleChecker.operation(a.request());
+      String operation = InvariantChecker.operation(a.request());
       Plan plan = figures.plans().get(a.customer());
       RequestClass type = figures.classes().get(a.type());
       if (plan == null || type == null || !taken.add(operation)) {
         continue;
       }
-      double worth = type.worth() * plan.pays() * a.units();
-      boolean inside = plan.rate() <= 0;
+      double worth = type.priorityWeight() * plan.priorityWeight() * a.units();
+      boolean inside = plan.unitsPerSecond() <= 0;
       if (!inside) {
         double[] store =
-            stores.computeIfAbsent(a.customer(), c -> new double[] {plan.storeSize(), a.at()});
-        store[0] = Math.min(plan.storeSize(), store[0] + (a.at() - store[1]) / 1e6 * plan.rate());
+            stores.computeIfAbsent(a.customer(), c -> new double[] {plan.burstUnits(), a.at()});
+        store[0] =
+            Math.min(
+                plan.burstUnits(), store[0] + (a.at() - store[1]) / 1e6 * plan.unitsPerSecond());
         store[1] = a.at();
         inside = store[0] >= a.units();
         store[0] -= inside ? a.units() : 0;
@@ -57,7 +59,7 @@
       if (inside) {
         offered += worth;
         Long at = answered.get(operation);
-        served += at != null && at <= a.at() + type.aimMicros() ? worth : 0;
+        served += at != null && at <= a.at() + type.latencyObjectiveMicros() ? worth : 0;
       }
     }
     return offered == 0 ? 0 : served / offered;
--- a/src/main/java/fawndock/judge/QuotaUse.java
+++ b/src/main/java/fawndock/conformance/QuotaUsage.java
@@ -1,6 +1,6 @@
-package fawndock.judge;
+package fawndock.conformance;
 
-import fawndock.Gatekeeper.Plan;
+import fawndock.policy.config.Plan;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * sent on. What was both asked and allowed is what one gatekeeper that saw all tries would have let
  * in: a store that begins full, fills at the plan's rate and gives each try its units or nothing.
  */
-public final class QuotaUse {
+public final class QuotaUsage {
   /** Whole windows are this long, and begin after {@link #SETTLED} seconds. */
   public static final int WINDOW = 60;
 
@@ -56,13 +56,13 @@
       this.plan = plan;
       used = new double[seconds];
       entitled = new double[seconds];
-      level = Math.max(plan.storeSize(), 1);
+      level = Math.max(plan.burstUnits(), 1);
     }
 
     void until(long atMicros) {
       double passed = Math.max(0, atMicros - at) / 1e6;
       at = Math.max(at, atMicros);
-      level = Math.min(Math.max(plan.storeSize(), 1), level + plan.rate() * passed);
+      level = Math.min(Math.max(plan.burstUnits(), 1), level + plan.unitsPerSecond() * passed);
       asked *= Math.exp(-passed / LATELY);
     }
   }
@@ -75,14 +75,14 @@
    * @param plans of each customer; those without a rate are left out
    * @param seconds of the run that count
    */
-  public QuotaUse(Map<String, Plan> plans, int seconds) {
+  public QuotaUsage(Map<String, Plan> plans, int seconds) {
     this.plans = plans;
     this.seconds = Math.max(1, seconds);
   }
 
   private Account account(String customer) {
     Plan plan = plans.get(customer);
-    return plan == null || plan.rate() <= 0
+    return plan == null || plan.unitsPerSecond() <= 0
         ? null
         : accounts.computeIfAbsent(customer, c -> new Account(plan, seconds));
   }
@@ -119,7 +119,7 @@
       return true;
     }
     a.until(atMicros);
-    return a.asked < NEAR * a.plan.rate() * LATELY * (1 - Math.exp(-a.at / 1e6 / LATELY));
+    return a.asked < NEAR * a.plan.unitsPerSecond() * LATELY * (1 - Math.exp(-a.at / 1e6 / LATELY));
   }
 
   private static void add(double[] to, long atMicros, double units) {
@@ -133,7 +133,7 @@
   public double allowed(String prefix) {
     return plans.entrySet().stream()
         .filter(e -> e.getKey().startsWith(prefix))
-        .mapToDouble(e -> e.getValue().rate())
+        .mapToDouble(e -> e.getValue().unitsPerSecond())
         .sorted()
         .sum();
   }
@@ -168,11 +168,11 @@
         continue;
       }
       Account a = accounts.get(name);
-      rate += a.plan.rate();
+      rate += a.plan.unitsPerSecond();
       for (int i = 0; i < seconds; i++) {
         together[i] += a.used[i];
       }
-      worstCustomer = Math.max(worstCustomer, worst(a.used, from) / a.plan.rate());
+      worstCustomer = Math.max(worstCustomer, worst(a.used, from) / a.plan.unitsPerSecond());
       double used = Arrays.stream(a.used, from, seconds).sum();
       double may = Arrays.stream(a.entitled, from, seconds).sum();
       kept += Math.min(used, may);
--- a/src/main/java/fawndock/judge/package-info.java
+++ b/src/main/java/fawndock/conformance/package-info.java
@@ -3,4 +3,4 @@
  * whether a rule was broken. Below drills, laboratory and stand-ins, which all use it; it opens
  * nothing, keeps no time and knows none of them.
  */
-package fawndock.judge;
+package fawndock.conformance;
--- a/src/main/java/fawndock/counter/Call.java
+++ b/src/main/java/fawndock/counter/Call.java
@@ -1,9 +1,9 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.Counts;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.DecimalAmount;
 import fawndock.resp.ReplyWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
@@ -19,7 +19,12 @@
  * @param changes where changes are noted; null for a command that makes none
  */
 record Call(
-    byte[][] words, ReplyWriter reply, Session session, Counts counts, long now, Changes changes) {
+    byte[][] words,
+    ReplyWriter reply,
+    Session session,
+    CounterOperations counts,
+    long now,
+    ChangeRecord changes) {
   byte[] word(int place) {
     return words[place];
   }
@@ -33,20 +38,20 @@
     return text(place).toUpperCase(Locale.ROOT);
   }
 
-  long whole(int place) throws CountException {
-    return Amount.whole(words[place]);
+  long whole(int place) throws CommandException {
+    return DecimalAmount.whole(words[place]);
   }
 
   /** The name of a count. */
-  byte[] name(int place) throws CountException {
-    if (words[place].length > Changes.LONGEST_NAME) {
-      throw new CountException("ERR a name is at most " + Changes.LONGEST_NAME + " bytes");
+  byte[] name(int place) throws CommandException {
+    if (words[place].length > ChangeRecord.LONGEST_NAME) {
+      throw new CommandException("ERR a name is at most " + ChangeRecord.LONGEST_NAME + " bytes");
     }
     return words[place];
   }
 
   /** Ends a command whose words do not go together. */
-  static CountException syntax() {
-    return new CountException(CountException.SYNTAX);
+  static CommandException syntax() {
+    return new CommandException(CommandException.SYNTAX);
   }
 }
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -1,6 +1,6 @@
 package fawndock.counter;
 
-import fawndock.counter.core.CountException;
+import fawndock.counter.storage.CommandException;
 
 /**
  * One command, as clients ask for its description.
@@ -22,7 +22,7 @@
   /** Writes exactly one answer, or throws and has changed and answered nothing. */
   @FunctionalInterface
   interface Action {
-    void run(Call call) throws CountException;
+    void run(Call call) throws CommandException;
   }
 
   boolean takes(int words) {
--- a/src/main/java/fawndock/counter/CountCommands.java
+++ b/src/main/java/fawndock/counter/CountCommands.java
@@ -1,8 +1,8 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.Counts;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.List;
 
 /** Commands on the amounts. */
@@ -26,13 +26,13 @@
                 c.reply()
                     .bulk(
                         c.counts()
-                            .add(c.name(1), Amount.of(c.word(2)), 0, c.now(), c.changes())
+                            .add(c.name(1), DecimalAmount.of(c.word(2)), 0, c.now(), c.changes())
                             .toString())),
         new Command("FD.ADD", 4, true, 1, 1, CountCommands::add));
   }
 
   private static void amount(Call c, int place) {
-    Amount amount = c.counts().table().get(c.word(place), c.now());
+    DecimalAmount amount = c.counts().table().get(c.word(place), c.now());
     if (amount == null) {
       c.reply().nil();
     } else {
@@ -47,20 +47,21 @@
     }
   }
 
-  private static void incrBy(Call c, long by) throws CountException {
+  private static void incrBy(Call c, long by) throws CommandException {
     byte[] name = c.name(1);
-    Amount was = c.counts().table().get(name, c.now());
+    DecimalAmount was = c.counts().table().get(name, c.now());
     if (was != null && was.fraction()) {
-      throw new CountException(CountException.NOT_INTEGER);
+      throw new CommandException(CommandException.NOT_INTEGER);
     }
     c.reply()
-        .integer(c.counts().add(name, new Amount(by, false), 0, c.now(), c.changes()).digits());
+        .integer(
+            c.counts().add(name, new DecimalAmount(by, false), 0, c.now(), c.changes()).digits());
   }
 
-  private static void decrBy(Call c) throws CountException {
+  private static void decrBy(Call c) throws CommandException {
     long by = c.whole(2);
     if (by == Long.MIN_VALUE) {
-      throw new CountException("ERR decrement would overflow");
+      throw new CommandException("ERR decrement would overflow");
     }
     incrBy(c, -by);
   }
@@ -69,20 +70,20 @@
    * The whole of a gatekeeper's call: add, keep for so long when it has no expiry yet, the total
    * back.
    */
-  private static void add(Call c) throws CountException {
+  private static void add(Call c) throws CommandException {
     byte[] name = c.name(1);
-    Amount by = Amount.of(c.word(2));
+    DecimalAmount by = DecimalAmount.of(c.word(2));
     long keep = c.whole(3);
-    if (keep <= 0 || keep > Counts.LATEST - c.now()) {
-      throw new CountException("ERR invalid expire time in 'fd.add' command");
+    if (keep <= 0 || keep > CounterOperations.LATEST - c.now()) {
+      throw new CommandException("ERR invalid expire time in 'fd.add' command");
     }
     c.reply().bulk(c.counts().add(name, by, keep, c.now(), c.changes()).toString());
   }
 
-  private static void set(Call c) throws CountException {
+  private static void set(Call c) throws CommandException {
     byte[] name = c.name(1);
-    Amount amount = Amount.of(c.word(2));
-    Amount was = c.counts().table().get(name, c.now());
+    DecimalAmount amount = DecimalAmount.of(c.word(2));
+    DecimalAmount was = c.counts().table().get(name, c.now());
     boolean nx = false;
     boolean xx = false;
     boolean keep = false;
@@ -107,7 +108,7 @@
                   unit.endsWith("AT") ? 0 : c.now(),
                   "set");
           if (expiry <= 0 || c.whole(i) <= 0) {
-            throw new CountException("ERR invalid expire time in 'set' command");
+            throw new CommandException("ERR invalid expire time in 'set' command");
           }
         }
         default -> throw Call.syntax();
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -1,12 +1,12 @@
 package fawndock.counter;
 
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
-import fawndock.counter.core.Disk;
-import fawndock.counter.core.GroupCommit;
-import fawndock.counter.core.GroupCommit.Work;
-import fawndock.counter.core.Recovery;
-import fawndock.counter.core.SteadyTime;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterTable;
+import fawndock.counter.storage.GroupCommit;
+import fawndock.counter.storage.GroupCommit.Work;
+import fawndock.counter.storage.MonotonicWallClock;
+import fawndock.counter.storage.Recovery;
+import fawndock.counter.storage.Storage;
 import fawndock.settings.CounterSettings;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -45,7 +45,7 @@
   private static final long SNAPSHOT_PAUSE_NANOS = 10_000_000_000L;
   private static final int BACKLOG = 1_024;
   private final CounterSettings settings;
-  private final Disk disk;
+  private final Storage disk;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventExecutor loop = group.next();
@@ -66,7 +66,7 @@
   /**
    * @param disk where log and snapshots are; nobody else uses it
    */
-  public CounterServer(CounterSettings settings, Disk disk) {
+  public CounterServer(CounterSettings settings, Storage disk) {
     this.settings = settings;
     this.disk = disk;
     commit = new GroupCommit(settings.durability(), settings.intervalMillis());
@@ -79,7 +79,7 @@
    * @throws IOException also when the log is damaged; nothing was changed on the disk then
    */
   public int start(LongConsumer progress) throws IOException {
-    CountTable table = new CountTable(ThreadLocalRandom.current().nextLong());
+    CounterTable table = new CounterTable(ThreadLocalRandom.current().nextLong());
     long begun = System.nanoTime();
     Recovery.Found found = Recovery.recover(disk, table, progress);
     found.reports().forEach(LOG::warn);
@@ -89,10 +89,15 @@
         found.bytes(),
         found.sequence(),
         (System.nanoTime() - begun) / 1_000_000);
-    SteadyTime time = new SteadyTime(found.time(), System.currentTimeMillis(), System.nanoTime());
+    MonotonicWallClock time =
+        new MonotonicWallClock(found.time(), System.currentTimeMillis(), System.nanoTime());
     engine =
         new Engine(
-            new Counts(table, settings.maxMemory()), commit, time, loop, settings.password());
+            new CounterOperations(table, settings.maxMemory()),
+            commit,
+            time,
+            loop,
+            settings.password());
     engine.durability = settings.durability().name().toLowerCase(java.util.Locale.ROOT);
     log = new LogThread(disk, loop, this);
     engine.log(log);
--- a/src/main/java/fawndock/counter/Engine.java
+++ b/src/main/java/fawndock/counter/Engine.java
@@ -1,10 +1,10 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.Counts;
-import fawndock.counter.core.GroupCommit;
-import fawndock.counter.core.SteadyTime;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.GroupCommit;
+import fawndock.counter.storage.MonotonicWallClock;
 import fawndock.resp.ReplyWriter;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -25,9 +25,9 @@
   private static final long CLOCK_OFFSET = Long.getLong("fawndock.counter.clock-offset-ms", 0);
 
   private static final int SWEEP_SLOTS = 20_000;
-  private final Counts counts;
+  private final CounterOperations counts;
   private final GroupCommit commit;
-  private final SteadyTime time;
+  private final MonotonicWallClock time;
   private final Executor loop;
   private final Map<String, Command> commands = new LinkedHashMap<>();
   private final SessionCommands sessionCommands;
@@ -43,7 +43,12 @@
   int sessions;
   String durability = "";
 
-  Engine(Counts counts, GroupCommit commit, SteadyTime time, Executor loop, String password) {
+  Engine(
+      CounterOperations counts,
+      GroupCommit commit,
+      MonotonicWallClock time,
+      Executor loop,
+      String password) {
     this.counts = counts;
     this.commit = commit;
     this.time = time;
@@ -89,7 +94,7 @@
     try {
       Command command = find(words);
       if (!session.known && !SessionCommands.free(command)) {
-        throw new CountException("NOAUTH Authentication required.");
+        throw new CommandException("NOAUTH Authentication required.");
       }
       if (command.action() == null) {
         transaction(command.name(), reply, session, now);
@@ -98,7 +103,7 @@
       } else {
         perform(command, words, reply, session, now);
       }
-    } catch (CountException e) {
+    } catch (CommandException e) {
       if (session.transaction != null) {
         session.transaction.spoil();
       }
@@ -107,7 +112,7 @@
     return commit.pending() != before ? commit.awaited() : 0;
   }
 
-  private Command find(byte[][] words) throws CountException {
+  private Command find(byte[][] words) throws CommandException {
     String name =
         new String(
             words[0], 0, Math.min(words[0].length, 128), java.nio.charset.StandardCharsets.UTF_8);
@@ -128,7 +133,7 @@
                     java.nio.charset.StandardCharsets.UTF_8))
             .append("' ");
       }
-      throw new CountException(
+      throw new CommandException(
           "ERR unknown command '" + name + "', with args beginning with: " + begin);
     }
     if (!command.takes(words.length)) {
@@ -139,16 +144,16 @@
 
   private void perform(
       Command command, byte[][] words, ReplyWriter reply, Session session, long now)
-      throws CountException {
-    Changes changes = command.writes() ? room(bytes(command, words)) : null;
+      throws CommandException {
+    ChangeRecord changes = command.writes() ? room(bytes(command, words)) : null;
     done++;
     command.action().run(new Call(words, reply, session, counts, now, changes));
   }
 
-  private Changes room(long bytes) throws CountException {
+  private ChangeRecord room(long bytes) throws CommandException {
     try {
       return commit.room(bytes);
-    } catch (CountException e) {
+    } catch (CommandException e) {
       refused++;
       throw e;
     }
@@ -158,37 +163,37 @@
   private static long bytes(Command command, byte[][] words) {
     long bytes = 0;
     for (byte[] word : words) {
-      bytes += Counts.bytes(word);
+      bytes += CounterOperations.bytes(word);
     }
     return command.changes() * bytes;
   }
 
   private void queue(byte[][] words, Command command, ReplyWriter reply, Session session)
-      throws CountException {
+      throws CommandException {
     if (command.name().equals("QUIT")) {
       session.transaction = null;
       perform(command, words, reply, session, 0);
     } else if (session.transaction.add(words)) {
       reply.simple("QUEUED");
     } else {
-      throw new CountException(
+      throw new CommandException(
           "ERR a transaction has at most " + Transaction.MOST + " commands and 256 KiB");
     }
   }
 
   private void transaction(String name, ReplyWriter reply, Session session, long now)
-      throws CountException {
+      throws CommandException {
     Transaction ending = session.transaction;
     if (name.equals("MULTI")) {
       if (ending != null) {
-        throw new CountException("ERR MULTI calls can not be nested");
+        throw new CommandException("ERR MULTI calls can not be nested");
       }
       session.transaction = new Transaction();
       reply.ok();
       return;
     }
     if (ending == null) {
-      throw new CountException("ERR " + name + " without MULTI");
+      throw new CommandException("ERR " + name + " without MULTI");
     }
     session.transaction = null;
     if (name.equals("DISCARD")) {
@@ -196,7 +201,7 @@
       return;
     }
     if (ending.spoilt()) {
-      throw new CountException("EXECABORT Transaction discarded because of previous errors.");
+      throw new CommandException("EXECABORT Transaction discarded because of previous errors.");
     }
     long bytes = 0;
     for (byte[][] words : ending.commands()) {
@@ -210,7 +215,7 @@
     for (byte[][] words : ending.commands()) {
       try {
         perform(find(words), words, reply, session, now);
-      } catch (CountException e) {
+      } catch (CommandException e) {
         reply.error(e.getMessage());
       }
     }
@@ -272,7 +277,7 @@
     }
   }
 
-  Counts counts() {
+  CounterOperations counts() {
     return counts;
   }
 
--- a/src/main/java/fawndock/counter/FileDisk.java
+++ b/src/main/java/fawndock/counter/FileDisk.java
@@ -1,6 +1,6 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Disk;
+import fawndock.counter.storage.Storage;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /** A directory of the file system. */
-public final class FileDisk implements Disk, AutoCloseable {
+public final class FileDisk implements Storage, AutoCloseable {
   private final Path directory;
   private final FileChannel lockFile;
 
--- a/src/main/java/fawndock/counter/Fleet.java
+++ b/src/main/java/fawndock/counter/Fleet.java
@@ -1,13 +1,13 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.CountException;
-import fawndock.counter.replica.NodeList;
-import fawndock.counter.replica.ReplicaNode;
-import fawndock.counter.replica.ReplicaNode.Batch;
-import fawndock.counter.replica.ReplicaNode.Beat;
-import fawndock.counter.replica.Sum;
-import fawndock.counter.replica.Sums;
+import fawndock.counter.replication.MembershipList;
+import fawndock.counter.replication.ReplicaNode;
+import fawndock.counter.replication.ReplicaNode.Batch;
+import fawndock.counter.replication.ReplicaNode.Beat;
+import fawndock.counter.replication.ReplicatedSum;
+import fawndock.counter.replication.ReplicatedSums;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.DecimalAmount;
 import fawndock.settings.Address;
 import fawndock.settings.CounterSettings;
 import io.netty.channel.EventLoopGroup;
@@ -74,7 +74,7 @@
             fleet.epoch(),
             ThreadLocalRandom.current().nextLong(),
             new ReplicaNode.Times(fleet.missingMillis(), fleet.aloneMillis()),
-            new Sums(engine.counts()),
+            new ReplicatedSums(engine.counts()),
             engine.now());
     fleet.fellows().forEach(this::link);
     ready = node.ready();
@@ -95,7 +95,7 @@
   /** Another node has answered a beat. */
   private void beaten(String id, String answer) {
     if (answer.startsWith("+" + LIST)) {
-      adopt(NodeList.of(answer.substring(1 + LIST.length())));
+      adopt(MembershipList.of(answer.substring(1 + LIST.length())));
     } else if (answer.startsWith("-" + STRANGER) && node.others().contains(id)) {
       node.strange(id, engine.now());
     }
@@ -105,7 +105,7 @@
    * Goes by a newer list of nodes, and keeps the connections to those that are on it at the same
    * address.
    */
-  private void adopt(NodeList list) {
+  private void adopt(MembershipList list) {
     if (!node.adopt(list, engine.now())) {
       return;
     }
@@ -158,26 +158,27 @@
    * The sum whose words begin at a place: name, gatekeeper, added, taken back, milliseconds that it
    * is kept.
    */
-  private static Sum sum(Call c, int at) throws CountException {
-    Amount plus = Amount.of(c.word(at + 2));
-    Amount minus = Amount.of(c.word(at + 3));
+  private static ReplicatedSum sum(Call c, int at) throws CommandException {
+    DecimalAmount plus = DecimalAmount.of(c.word(at + 2));
+    DecimalAmount minus = DecimalAmount.of(c.word(at + 3));
     long keep = c.whole(at + 4);
     if (plus.digits() < 0 || minus.digits() < 0) {
-      throw new CountException("ERR a sum is not negative");
+      throw new CommandException("ERR a sum is not negative");
     }
     if (keep <= 0 || keep > Integer.MAX_VALUE) {
-      throw new CountException("ERR invalid expire time in 'fd.sum' command");
+      throw new CommandException("ERR invalid expire time in 'fd.sum' command");
     }
-    return new Sum(c.text(at), c.whole(at + 1), plus, minus, keep);
+    return new ReplicatedSum(c.text(at), c.whole(at + 1), plus, minus, keep);
   }
 
   /**
    * FD.NODES [epoch name=host:port ...], which gives a list when there are words: the list that it
    * goes by.
    */
-  private void nodes(Call c) throws CountException {
+  private void nodes(Call c) throws CommandException {
     if (name.isEmpty()) {
-      throw new CountException("ERR this counter is alone, expected 'fleet NAME' in its settings");
+      throw new CommandException(
+          "ERR this counter is alone, expected 'fleet NAME' in its settings");
     }
     if (c.words().length > 1) {
       List<String> words = new ArrayList<>();
@@ -185,22 +186,22 @@
         words.add(c.text(i));
       }
       try {
-        adopt(NodeList.of(String.join(" ", words)));
+        adopt(MembershipList.of(String.join(" ", words)));
       } catch (IllegalArgumentException e) {
-        throw new CountException("ERR " + e.getMessage());
+        throw new CommandException("ERR " + e.getMessage());
       }
     }
     c.reply().bulk(node.given() == null ? "" : node.given().toString());
   }
 
-  private void known(String other) throws CountException {
+  private void known(String other) throws CommandException {
     if (!links.containsKey(other)) {
-      throw new CountException(STRANGER + " no node '" + other + "' on this node's list");
+      throw new CommandException(STRANGER + " no node '" + other + "' on this node's list");
     }
   }
 
   /** FD.BEAT node version start ready [gatekeeper stamp ...] */
-  private void beat(Call c) throws CountException {
+  private void beat(Call c) throws CommandException {
     if (c.words().length % 2 == 0) {
       throw Call.syntax();
     }
@@ -209,7 +210,7 @@
       stamps.put(c.whole(i), c.whole(i + 1));
     }
     Beat beat = new Beat(c.whole(2), c.whole(3), c.whole(4) == 1, stamps);
-    NodeList newer = node.newerThan(beat.version());
+    MembershipList newer = node.newerThan(beat.version());
     if (newer == null && beat.version() <= node.version()) {
       known(c.text(1));
     }
@@ -222,16 +223,16 @@
   }
 
   /** FD.TOLD node all [name gatekeeper added taken-back milliseconds ...] */
-  private void told(Call c) throws CountException {
+  private void told(Call c) throws CommandException {
     known(c.text(1));
     if ((c.words().length - 3) % SUM_WORDS != 0) {
       throw Call.syntax();
     }
-    List<Sum> sums = new ArrayList<>();
+    List<ReplicatedSum> sums = new ArrayList<>();
     for (int at = 3; at < c.words().length; at += SUM_WORDS) {
       sums.add(sum(c, at));
     }
-    for (Sum each : sums) {
+    for (ReplicatedSum each : sums) {
       node.told(c.text(1), each, c.now(), c.changes());
     }
     if (c.whole(2) == 1) {
@@ -245,7 +246,7 @@
     lines.add(
         (name.isEmpty() ? "alone" : name)
             + " epoch "
-            + NodeList.epoch(node.version())
+            + MembershipList.epoch(node.version())
             + (node.fenced() ? " fenced" : node.ready() ? " ready" : " catching-up"));
     for (String other : node.others()) {
       int lag = node.lag(other);
@@ -320,7 +321,8 @@
       boolean last = from + SUMS >= batch.sums().size();
       List<String> words =
           new ArrayList<>(List.of("FD.TOLD", name, batch.all() && last ? "1" : "0"));
-      for (Sum each : batch.sums().subList(from, Math.min(batch.sums().size(), from + SUMS))) {
+      for (ReplicatedSum each :
+          batch.sums().subList(from, Math.min(batch.sums().size(), from + SUMS))) {
         words.addAll(
             List.of(
                 each.name(),
--- a/src/main/java/fawndock/counter/KeyCommands.java
+++ b/src/main/java/fawndock/counter/KeyCommands.java
@@ -1,9 +1,9 @@
 package fawndock.counter;
 
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
-import fawndock.counter.core.Counts.When;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterOperations.When;
+import fawndock.counter.storage.CounterTable;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -60,30 +60,31 @@
   }
 
   /** The moment that a word tells in some unit of milliseconds from a start. */
-  static long time(Call c, int place, long unit, long start, String command) throws CountException {
+  static long time(Call c, int place, long unit, long start, String command)
+      throws CommandException {
     long told = c.whole(place);
-    if (Math.abs(told) > Counts.LATEST / unit - start || told == Long.MIN_VALUE) {
-      throw new CountException("ERR invalid expire time in '" + command + "' command");
+    if (Math.abs(told) > CounterOperations.LATEST / unit - start || told == Long.MIN_VALUE) {
+      throw new CommandException("ERR invalid expire time in '" + command + "' command");
     }
     return start + told * unit;
   }
 
-  private static void expire(Call c, long unit) throws CountException {
+  private static void expire(Call c, long unit) throws CommandException {
     byte[] name = c.name(1);
     long at = time(c, 2, unit, c.now(), c.text(0).toLowerCase(Locale.ROOT));
     Set<String> options = new HashSet<>();
     for (int i = 3; i < c.words().length; i++) {
       if (!Set.of("NX", "XX", "GT", "LT").contains(c.option(i))) {
-        throw new CountException("ERR Unsupported option " + c.text(i));
+        throw new CommandException("ERR Unsupported option " + c.text(i));
       }
       options.add(c.option(i));
     }
     if (options.contains("NX") && options.size() > 1) {
-      throw new CountException(
+      throw new CommandException(
           "ERR NX and XX, GT or LT options at the same time are not compatible");
     }
     if (options.contains("GT") && options.contains("LT")) {
-      throw new CountException("ERR GT and LT options at the same time are not compatible");
+      throw new CommandException("ERR GT and LT options at the same time are not compatible");
     }
     boolean must = options.remove("XX");
     When when =
@@ -100,13 +101,13 @@
   /**
    * Whole shards until there are enough names; what stays throughout a scan is seen exactly once.
    */
-  private static void scan(Call c) throws CountException {
-    CountTable table = c.counts().table();
+  private static void scan(Call c) throws CommandException {
+    CounterTable table = c.counts().table();
     long shard;
     try {
       shard = c.whole(1);
-    } catch (CountException e) {
-      throw new CountException("ERR invalid cursor");
+    } catch (CommandException e) {
+      throw new CommandException("ERR invalid cursor");
     }
     byte[] pattern = null;
     long wanted = 10;
--- a/src/main/java/fawndock/counter/LogThread.java
+++ b/src/main/java/fawndock/counter/LogThread.java
@@ -1,9 +1,9 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Disk;
-import fawndock.counter.core.GroupCommit.Work;
-import fawndock.counter.core.LogWriter;
-import fawndock.counter.core.SnapshotWriter;
+import fawndock.counter.storage.GroupCommit.Work;
+import fawndock.counter.storage.LogWriter;
+import fawndock.counter.storage.SnapshotWriter;
+import fawndock.counter.storage.Storage;
 import java.io.IOException;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.ThreadPoolExecutor;
@@ -29,7 +29,7 @@
     void broken(Work work, long sequence, String why);
   }
 
-  private final Disk disk;
+  private final Storage disk;
   private final AtomicReference<Work> offered = new AtomicReference<>();
   private final ThreadPoolExecutor thread =
       new ThreadPoolExecutor(
@@ -39,7 +39,7 @@
   private LogWriter writer;
   private volatile boolean closing;
 
-  LogThread(Disk disk, java.util.concurrent.Executor loop, Told told) {
+  LogThread(Storage disk, java.util.concurrent.Executor loop, Told told) {
     this.disk = disk;
     this.loop = loop;
     this.told = told;
--- a/src/main/java/fawndock/counter/SessionCommands.java
+++ b/src/main/java/fawndock/counter/SessionCommands.java
@@ -1,6 +1,6 @@
 package fawndock.counter;
 
-import fawndock.counter.core.CountException;
+import fawndock.counter.storage.CommandException;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.Collection;
@@ -52,7 +52,7 @@
     return password.length == 0;
   }
 
-  private static void ping(Call c) throws CountException {
+  private static void ping(Call c) throws CommandException {
     if (c.words().length > 2) {
       throw arity("ping");
     }
@@ -63,25 +63,25 @@
     }
   }
 
-  static CountException arity(String command) {
-    return new CountException(
+  static CommandException arity(String command) {
+    return new CommandException(
         "ERR wrong number of arguments for '" + command.toLowerCase(Locale.ROOT) + "' command");
   }
 
-  private void check(Call c, int user, int word) throws CountException {
+  private void check(Call c, int user, int word) throws CommandException {
     boolean right = MessageDigest.isEqual(password, c.word(word));
     if (!right || user > 0 && !c.text(user).equals("default")) {
-      throw new CountException("WRONGPASS invalid username-password pair or user is disabled.");
+      throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
     }
     c.session().known = true;
   }
 
-  private void auth(Call c) throws CountException {
+  private void auth(Call c) throws CommandException {
     if (c.words().length > 3) {
       throw Call.syntax();
     }
     if (open()) {
-      throw new CountException(
+      throw new CommandException(
           "ERR AUTH <password> called without any password configured for the default "
               + "user. Are you sure your configuration is correct?");
     }
@@ -89,15 +89,15 @@
     c.reply().ok();
   }
 
-  private void hello(Call c) throws CountException {
+  private void hello(Call c) throws CommandException {
     int version = c.reply().version;
     if (c.words().length > 1) {
       String told = c.text(1);
       if (!told.matches("[0-9]{1,9}")) {
-        throw new CountException("ERR Protocol version is not an integer or out of range");
+        throw new CommandException("ERR Protocol version is not an integer or out of range");
       }
       if (!told.equals("2") && !told.equals("3")) {
-        throw new CountException("NOPROTO unsupported protocol version");
+        throw new CommandException("NOPROTO unsupported protocol version");
       }
       version = Integer.parseInt(told);
     }
@@ -111,11 +111,11 @@
         c.session().name = c.text(i + 1);
         i += 2;
       } else {
-        throw new CountException("ERR Syntax error in HELLO option '" + c.text(i) + "'");
+        throw new CommandException("ERR Syntax error in HELLO option '" + c.text(i) + "'");
       }
     }
     if (!c.session().known) {
-      throw new CountException(
+      throw new CommandException(
           "NOAUTH HELLO must be called with the client already authenticated, otherwise the "
               + "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the "
               + "RESP protocol version at the same time");
@@ -135,14 +135,14 @@
     c.reply().array(0);
   }
 
-  private static void select(Call c) throws CountException {
+  private static void select(Call c) throws CommandException {
     if (c.whole(1) != 0) {
-      throw new CountException("ERR DB index is out of range");
+      throw new CommandException("ERR DB index is out of range");
     }
     c.reply().ok();
   }
 
-  private static void client(Call c) throws CountException {
+  private static void client(Call c) throws CommandException {
     String what = c.option(1);
     switch (what + " " + c.words().length) {
       case "ID 2" -> c.reply().integer(c.session().id);
@@ -159,14 +159,14 @@
       }
       case "SETINFO 4", "NO-EVICT 3", "NO-TOUCH 3" -> c.reply().ok();
       default ->
-          throw new CountException(
+          throw new CommandException(
               "ERR unknown subcommand or wrong number of arguments for '"
                   + c.text(1)
                   + "'. Try CLIENT HELP.");
     }
   }
 
-  private void command(Call c) throws CountException {
+  private void command(Call c) throws CommandException {
     Map<String, Command> all = engine.commands();
     String what = c.words().length == 1 ? "" : c.option(1);
     switch (what) {
@@ -189,7 +189,8 @@
         }
       }
       default ->
-          throw new CountException("ERR unknown subcommand '" + c.text(1) + "'. Try COMMAND HELP.");
+          throw new CommandException(
+              "ERR unknown subcommand '" + c.text(1) + "'. Try COMMAND HELP.");
     }
   }
 
--- a/src/main/java/fawndock/counter/Snapshots.java
+++ b/src/main/java/fawndock/counter/Snapshots.java
@@ -1,9 +1,9 @@
 package fawndock.counter;
 
-import fawndock.counter.core.Disk;
-import fawndock.counter.core.SnapshotWalk;
-import fawndock.counter.core.SnapshotWalk.Part;
-import fawndock.counter.core.SnapshotWriter;
+import fawndock.counter.storage.SnapshotIterator;
+import fawndock.counter.storage.SnapshotIterator.Part;
+import fawndock.counter.storage.SnapshotWriter;
+import fawndock.counter.storage.Storage;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Executor;
@@ -17,7 +17,7 @@
  * none.
  */
 final class Snapshots {
-  private final Disk disk;
+  private final Storage disk;
   private final Executor loop;
   private final Engine engine;
   private final ExecutorService thread =
@@ -26,7 +26,7 @@
   private Run last;
   private volatile long lastSize;
 
-  Snapshots(Disk disk, Executor loop, Engine engine) {
+  Snapshots(Storage disk, Executor loop, Engine engine) {
     this.disk = disk;
     this.loop = loop;
     this.engine = engine;
@@ -77,7 +77,7 @@
     private final long covered;
     private final Consumer<Runnable> settle;
     private final Consumer<IOException> then;
-    private final SnapshotWalk walk = new SnapshotWalk(engine.counts().table());
+    private final SnapshotIterator walk = new SnapshotIterator(engine.counts().table());
     private SnapshotWriter writer; // Used on the thread alone.
 
     Run(long covered, Consumer<Runnable> settle, Consumer<IOException> then) {
--- a/src/main/java/fawndock/counter/replica/Rates.java
+++ b/src/main/java/fawndock/counter/replication/AddRateEstimator.java
@@ -1,4 +1,4 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * were alone. It may refuse some that had room when the unheard ones count less than they did, for
  * as long as they are unheard.
  */
-public final class Rates {
+public final class AddRateEstimator {
   /**
    * Over how long a rate is taken, in milliseconds: at 15 adds a second some 240 of them, an error
    * of some 7%. A longer one would take what was long ago for what is now.
@@ -66,7 +66,7 @@
   public void grew(String name, long origin, double by, long now) {
     Rate rate =
         rates.computeIfAbsent(
-            new Key(Sum.series(name), origin),
+            new Key(ReplicatedSum.series(name), origin),
             k -> {
               Rate young = new Rate();
               young.since = now;
@@ -81,7 +81,7 @@
 
   /** A name was asked for. */
   public void seen(String name, long now) {
-    Windows of = windows.computeIfAbsent(Sum.series(name), s -> new Windows());
+    Windows of = windows.computeIfAbsent(ReplicatedSum.series(name), s -> new Windows());
     if (!of.newest.equals(name) && !of.before.equals(name) && !of.older.equals(name)) {
       of.older = of.before;
       of.before = of.newest;
@@ -93,7 +93,7 @@
 
   /** What an origin may have counted on a name between when it was last heard and now. */
   public double unheard(String name, long origin, long heardAt, long now) {
-    String series = Sum.series(name);
+    String series = ReplicatedSum.series(name);
     Rate rate = rates.get(new Key(series, origin));
     Windows of = windows.get(series);
     if (rate == null || of == null) {
--- a/src/main/java/fawndock/counter/replica/NodeList.java
+++ b/src/main/java/fawndock/counter/replication/MembershipList.java
@@ -1,4 +1,4 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,7 +13,7 @@
  * @param epoch of the list, 1 to {@link #HIGHEST_EPOCH}
  * @param addresses of the nodes by name, as HOST:PORT, one to {@link #MOST}
  */
-public record NodeList(long epoch, Map<String, String> addresses) {
+public record MembershipList(long epoch, Map<String, String> addresses) {
   /** Nodes on a list. */
   public static final int MOST = 16;
 
@@ -23,7 +23,7 @@
       Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
 
   /** Copies the addresses, in the order of their names. */
-  public NodeList {
+  public MembershipList {
     addresses = java.util.Collections.unmodifiableMap(new TreeMap<>(addresses));
   }
 
@@ -32,7 +32,7 @@
    *
    * @throws IllegalArgumentException that says what is wrong with the text
    */
-  public static NodeList of(String text) {
+  public static MembershipList of(String text) {
     String[] words = text.trim().split(" +");
     if (!words[0].matches("[0-9]{1,9}") || Long.parseLong(words[0]) < 1) {
       throw new IllegalArgumentException(
@@ -52,7 +52,7 @@
             "node " + node.group(1) + " is given twice, expected each once");
       }
     }
-    return new NodeList(Long.parseLong(words[0]), addresses);
+    return new MembershipList(Long.parseLong(words[0]), addresses);
   }
 
   /**
--- a/src/main/java/fawndock/counter/replica/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -1,7 +1,7 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.CountException;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -32,7 +32,7 @@
    * Sends sums to a node and asks for the total; call 0 only tells, and nothing waits for its
    * answer.
    */
-  public record Ask(String node, long call, Sum sum) implements Out {}
+  public record Ask(String node, long call, ReplicatedSum sum) implements Out {}
 
   /**
    * Shows a node that this gatekeeper is there, and asks whether the node is ready; the stamp is a
@@ -44,7 +44,7 @@
   public record Fetch(String node) implements Out {}
 
   /** Gives a node a newer list than it has; it may have lost it with all that it had. */
-  public record Give(String node, NodeList list) implements Out {}
+  public record Give(String node, MembershipList list) implements Out {}
 
   /** A call has ended; the total counts only when it is OK. */
   public record End(long call, String name, Result result, double total) implements Out {}
@@ -63,8 +63,8 @@
   private static final int MOST_NAMES = 200_000;
 
   private static final class Own {
-    Amount plus = Amount.ZERO;
-    Amount minus = Amount.ZERO;
+    DecimalAmount plus = DecimalAmount.ZERO;
+    DecimalAmount minus = DecimalAmount.ZERO;
     long until;
   }
 
@@ -80,12 +80,12 @@
   private static final class Call {
     final long id;
     final String name;
-    final Amount amount;
+    final DecimalAmount amount;
     final long at;
     final Set<String> asked = new HashSet<>();
     long askedAt;
 
-    Call(long id, String name, Amount amount, long at) {
+    Call(long id, String name, DecimalAmount amount, long at) {
       this.id = id;
       this.name = name;
       this.amount = amount;
@@ -102,7 +102,7 @@
   private final Map<String, List<String>> orders = new HashMap<>();
   private long nextCall = 1;
   private long stamp;
-  private NodeList given;
+  private MembershipList given;
 
   /**
    * A client that takes every node for well until it hears otherwise.
@@ -121,7 +121,7 @@
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adopt(NodeList list, long now, List<Out> out) {
+  public boolean adopt(MembershipList list, long now, List<Out> out) {
     if (given != null && list.version() <= given.version()) {
       return false;
     }
@@ -145,19 +145,19 @@
   }
 
   /** The newest list that it was told, or null while it goes by the one in its settings. */
-  public NodeList given() {
+  public MembershipList given() {
     return given;
   }
 
   /** Adds to a name, or takes back with a negative amount; returns the call's number. */
-  public long call(String name, Amount amount, long keepMillis, long now, List<Out> out)
-      throws CountException {
+  public long call(String name, DecimalAmount amount, long keepMillis, long now, List<Out> out)
+      throws CommandException {
     Own mine = own.get(name);
     if (mine == null || mine.until <= now) {
       if (own.size() >= MOST_NAMES) {
         own.values().removeIf(o -> o.until <= now);
         if (own.size() >= MOST_NAMES) {
-          throw new CountException("OOM too many names");
+          throw new CommandException("OOM too many names");
         }
       }
       mine = new Own();
@@ -173,7 +173,7 @@
     return call.id;
   }
 
-  private static void add(Own mine, Amount amount) throws CountException {
+  private static void add(Own mine, DecimalAmount amount) throws CommandException {
     if (amount.digits() >= 0) {
       mine.plus = mine.plus.plus(amount);
     } else {
@@ -200,7 +200,9 @@
     }
     Node node = nodes.get(id);
     node.waitsSince = node.waitsSince < 0 ? now : node.waitsSince;
-    out.add(new Ask(id, call, new Sum(name, origin, mine.plus, mine.minus, mine.until - now)));
+    out.add(
+        new Ask(
+            id, call, new ReplicatedSum(name, origin, mine.plus, mine.minus, mine.until - now)));
   }
 
   /**
@@ -208,7 +210,7 @@
    * own.
    */
   private List<String> order(String name) {
-    String series = Sum.series(name);
+    String series = ReplicatedSum.series(name);
     if (orders.size() > MOST_NAMES) {
       orders.clear();
     }
@@ -262,7 +264,10 @@
    * it goes.
    */
   public void hereAnswered(String node, boolean ready, long version, List<Out> out) {
-    long mine = given == null ? NodeList.settingsVersion(NodeList.epoch(version)) : given.version();
+    long mine =
+        given == null
+            ? MembershipList.settingsVersion(MembershipList.epoch(version))
+            : given.version();
     if (version > mine) {
       out.add(new Fetch(node));
     } else if (version < mine) {
@@ -344,7 +349,7 @@
       // meanwhile.
       try {
         add(own.get(call.name), call.amount.negated());
-      } catch (CountException e) {
+      } catch (CommandException e) {
         throw new IllegalStateException("a sum beyond all bounds", e);
       }
     }
--- a/src/main/java/fawndock/counter/replica/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -1,8 +1,8 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.DecimalAmount;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -29,7 +29,7 @@
    *
    * @param all whether with these it has been told everything
    */
-  public record Batch(List<Sum> sums, boolean all) {
+  public record Batch(List<ReplicatedSum> sums, boolean all) {
     /** Whether there is nothing to send. */
     public boolean isEmpty() {
       return sums.isEmpty() && !all;
@@ -84,13 +84,13 @@
     long sentAt = -1;
   }
 
-  private final Sums sums;
+  private final ReplicatedSums sums;
   private final Times times;
   private final String id;
   private final long start;
   private final Map<String, Other> others = new TreeMap<>();
   private final Map<Long, Heard> origins = new HashMap<>();
-  private final Rates rates = new Rates();
+  private final AddRateEstimator rates = new AddRateEstimator();
   private final long startedAt;
   private long toldAt;
   private boolean ready;
@@ -98,7 +98,7 @@
   private long highestHeard;
 
   /** The list that was given while it ran, or null while it goes by the one in its settings. */
-  private NodeList given;
+  private MembershipList given;
 
   /**
    * A node that has just started, by the list in its settings.
@@ -109,13 +109,19 @@
    * @param start that no start of this node had before
    */
   public ReplicaNode(
-      String id, List<String> others, long epoch, long start, Times times, Sums sums, long now) {
+      String id,
+      List<String> others,
+      long epoch,
+      long start,
+      Times times,
+      ReplicatedSums sums,
+      long now) {
     this.id = id;
     this.sums = sums;
     this.times = times;
     this.start = start;
     this.startedAt = now;
-    version = NodeList.settingsVersion(epoch);
+    version = MembershipList.settingsVersion(epoch);
     ready = others.isEmpty();
     others.forEach(each -> join(each, now));
   }
@@ -132,7 +138,7 @@
    *
    * @return false when it has this list, or a newer one
    */
-  public boolean adopt(NodeList list, long now) {
+  public boolean adopt(MembershipList list, long now) {
     if (list.version() <= version) {
       return false;
     }
@@ -148,12 +154,12 @@
   }
 
   /** The list that was given while it ran, or null. */
-  public NodeList given() {
+  public MembershipList given() {
     return given;
   }
 
   /** What to answer one that goes by an older list; null when there is nothing to tell. */
-  public NodeList newerThan(long theirs) {
+  public MembershipList newerThan(long theirs) {
     return given != null && given.version() > theirs ? given : null;
   }
 
@@ -194,14 +200,14 @@
   /**
    * A gatekeeper tells its sums and asks for the total.
    *
-   * @throws CountException when this node may not answer, or cannot take the sums
+   * @throws CommandException when this node may not answer, or cannot take the sums
    */
-  public Amount ask(Sum sum, long now, Changes to) throws CountException {
+  public DecimalAmount ask(ReplicatedSum sum, long now, ChangeRecord to) throws CommandException {
     if (fenced()) {
-      throw new CountException("FENCED a newer list of nodes is in use, nothing was added");
+      throw new CommandException("FENCED a newer list of nodes is in use, nothing was added");
     }
     if (!ready) {
-      throw new CountException(
+      throw new CommandException(
           "LOADING this node has not caught up with the others, nothing was added");
     }
     take(sum, "", now, to);
@@ -210,13 +216,15 @@
   }
 
   /** Another node tells a gatekeeper's sums. */
-  public void told(String from, Sum sum, long now, Changes to) throws CountException {
+  public void told(String from, ReplicatedSum sum, long now, ChangeRecord to)
+      throws CommandException {
     toldAt = now;
     take(sum, from, now, to);
   }
 
-  private void take(Sum sum, String from, long now, Changes to) throws CountException {
-    Amount grown = sums.merge(sum, now, to);
+  private void take(ReplicatedSum sum, String from, long now, ChangeRecord to)
+      throws CommandException {
+    DecimalAmount grown = sums.merge(sum, now, to);
     if (grown == null) {
       return;
     }
@@ -248,8 +256,8 @@
     }
   }
 
-  private Amount withUnheard(String name, long now) throws CountException {
-    Amount total = sums.total(name, now);
+  private DecimalAmount withUnheard(String name, long now) throws CommandException {
+    DecimalAmount total = sums.total(name, now);
     boolean allHeard = others.values().stream().allMatch(o -> now - o.heardAt <= times.missing);
     if (allHeard) {
       return total; // A gatekeeper that no node hears counts nowhere.
@@ -263,7 +271,7 @@
     return unheard <= 0
         ? total
         : total.plus(
-            Amount.of(
+            DecimalAmount.of(
                 Long.toString(Math.round(unheard))
                     .getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
   }
@@ -371,7 +379,7 @@
    */
   public Batch next(String to, int most, long now) {
     Other other = others.get(to);
-    List<Sum> next = new ArrayList<>();
+    List<ReplicatedSum> next = new ArrayList<>();
     if (other.sentAt >= 0 || now - other.heardAt > times.missing) {
       return new Batch(next, false);
     }
@@ -387,7 +395,7 @@
     while (next.size() < most && changed.hasNext()) {
       Part part = changed.next();
       changed.remove();
-      Sum sum = sums.of(part.name, part.origin, now);
+      ReplicatedSum sum = sums.of(part.name, part.origin, now);
       if (sum != null) {
         next.add(sum);
       }
--- a/src/main/java/fawndock/counter/replica/Sum.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSum.java
@@ -1,6 +1,6 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
-import fawndock.counter.core.Amount;
+import fawndock.counter.storage.DecimalAmount;
 
 /**
  * What one gatekeeper ever added to a name and took back from it. Both only grow, so that of two
@@ -12,7 +12,8 @@
  * @param minus what it took back, as a positive number
  * @param keepMillis how much longer the name is kept
  */
-public record Sum(String name, long origin, Amount plus, Amount minus, long keepMillis) {
+public record ReplicatedSum(
+    String name, long origin, DecimalAmount plus, DecimalAmount minus, long keepMillis) {
   /** What the name's windows have in common: what stands before its last point. */
   public static String series(String name) {
     int point = name.lastIndexOf('.');
--- a/src/main/java/fawndock/counter/replica/Sums.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSums.java
@@ -1,10 +1,10 @@
-package fawndock.counter.replica;
+package fawndock.counter.replication;
 
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.Changes;
-import fawndock.counter.core.CountException;
-import fawndock.counter.core.CountTable;
-import fawndock.counter.core.Counts;
+import fawndock.counter.storage.ChangeRecord;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.CounterOperations;
+import fawndock.counter.storage.CounterTable;
+import fawndock.counter.storage.DecimalAmount;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
@@ -14,16 +14,16 @@
  * that origin's sums. So log, snapshots, recovery and expiry are those of all counts, and any
  * client reads a total by its name.
  */
-public final class Sums {
+public final class ReplicatedSums {
   /** Between a name and an origin; names must not have it. */
   private static final char PART = '\0';
 
   private static final int SUFFIX = 1 + Long.BYTES + 1;
   private static final byte PLUS = '+';
   private static final byte MINUS = '-';
-  private final Counts counts;
+  private final CounterOperations counts;
 
-  public Sums(Counts counts) {
+  public ReplicatedSums(CounterOperations counts) {
     this.counts = counts;
   }
 
@@ -37,22 +37,22 @@
    *
    * @return the growth of the origin's net sum, or null when nothing grew
    */
-  public Amount merge(Sum sum, long now, Changes to) throws CountException {
+  public DecimalAmount merge(ReplicatedSum sum, long now, ChangeRecord to) throws CommandException {
     if (sum.name().indexOf(PART) >= 0 || sum.name().isEmpty()) {
-      throw new CountException("ERR a name has at least one character, and no zero byte");
+      throw new CommandException("ERR a name has at least one character, and no zero byte");
     }
     byte[] name = sum.name().getBytes(StandardCharsets.UTF_8);
-    if (name.length > Changes.LONGEST_NAME - SUFFIX) {
-      throw new CountException(
-          "ERR a name is at most " + (Changes.LONGEST_NAME - SUFFIX) + " bytes");
+    if (name.length > ChangeRecord.LONGEST_NAME - SUFFIX) {
+      throw new CommandException(
+          "ERR a name is at most " + (ChangeRecord.LONGEST_NAME - SUFFIX) + " bytes");
     }
-    Amount plus = growth(key(name, sum.origin(), PLUS), sum.plus(), now);
-    Amount minus = growth(key(name, sum.origin(), MINUS), sum.minus(), now);
+    DecimalAmount plus = growth(key(name, sum.origin(), PLUS), sum.plus(), now);
+    DecimalAmount minus = growth(key(name, sum.origin(), MINUS), sum.minus(), now);
     if (plus.digits() == 0 && minus.digits() == 0) {
       return null;
     }
-    Amount net = plus.plus(minus.negated());
-    Amount was = counts.table().get(name, now);
+    DecimalAmount net = plus.plus(minus.negated());
+    DecimalAmount was = counts.table().get(name, now);
     // All parts of a name expire at once: else one that was forgotten before the total would be
     // added to it again.
     long expiry = was == null ? now + sum.keepMillis() : counts.table().expiry(name, now);
@@ -69,25 +69,25 @@
     return net;
   }
 
-  private Amount growth(byte[] key, Amount told, long now) throws CountException {
-    Amount has = counts.table().get(key, now);
-    Amount growth = has == null ? told : told.plus(has.negated());
-    return growth.digits() > 0 ? growth : Amount.ZERO;
+  private DecimalAmount growth(byte[] key, DecimalAmount told, long now) throws CommandException {
+    DecimalAmount has = counts.table().get(key, now);
+    DecimalAmount growth = has == null ? told : told.plus(has.negated());
+    return growth.digits() > 0 ? growth : DecimalAmount.ZERO;
   }
 
   /** The total of a name. */
-  public Amount total(String name, long now) {
-    Amount total = counts.table().get(name.getBytes(StandardCharsets.UTF_8), now);
-    return total == null ? Amount.ZERO : total;
+  public DecimalAmount total(String name, long now) {
+    DecimalAmount total = counts.table().get(name.getBytes(StandardCharsets.UTF_8), now);
+    return total == null ? DecimalAmount.ZERO : total;
   }
 
   /**
    * One origin's sums on a name, as they would be told to another node; null when there are none.
    */
-  public Sum of(String name, long origin, long now) {
+  public ReplicatedSum of(String name, long origin, long now) {
     byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-    Amount plus = counts.table().get(key(bytes, origin, PLUS), now);
-    Amount minus = counts.table().get(key(bytes, origin, MINUS), now);
+    DecimalAmount plus = counts.table().get(key(bytes, origin, PLUS), now);
+    DecimalAmount minus = counts.table().get(key(bytes, origin, MINUS), now);
     if (plus == null && minus == null) {
       return null;
     }
@@ -95,17 +95,17 @@
         Math.max(
             counts.table().expiry(key(bytes, origin, PLUS), now),
             counts.table().expiry(key(bytes, origin, MINUS), now));
-    return new Sum(
+    return new ReplicatedSum(
         name,
         origin,
-        plus == null ? Amount.ZERO : plus,
-        minus == null ? Amount.ZERO : minus,
+        plus == null ? DecimalAmount.ZERO : plus,
+        minus == null ? DecimalAmount.ZERO : minus,
         Math.max(1, expiry - now));
   }
 
   /** Tells all sums of a shard, a call for each name and origin. */
-  public void visit(int shard, long now, Consumer<Sum> each) {
-    CountTable table = counts.table();
+  public void visit(int shard, long now, Consumer<ReplicatedSum> each) {
+    CounterTable table = counts.table();
     table.visit(
         shard,
         now,
@@ -119,11 +119,11 @@
           byte sign = key[key.length - 1];
           // Each sign is told by itself: merging takes them in any order.
           each.accept(
-              new Sum(
+              new ReplicatedSum(
                   name,
                   origin,
-                  sign == PLUS ? amount : Amount.ZERO,
-                  sign == MINUS ? amount : Amount.ZERO,
+                  sign == PLUS ? amount : DecimalAmount.ZERO,
+                  sign == MINUS ? amount : DecimalAmount.ZERO,
                   Math.max(1, expiry - now)));
         });
   }
--- a/src/main/java/fawndock/counter/replica/package-info.java
+++ b/src/main/java/fawndock/counter/replication/package-info.java
@@ -3,4 +3,4 @@
  * merged by maximum, the estimate of what cannot be heard, when a node may answer, and which node a
  * gatekeeper asks. No I/O, no clock, no thread.
  */
-package fawndock.counter.replica;
+package fawndock.counter.replication;
--- a/src/main/java/fawndock/counter/core/Changes.java
+++ b/src/main/java/fawndock/counter/storage/ChangeRecord.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -7,7 +7,7 @@
  * The changes of one record: what each name is afterwards, not what was added, so that a record
  * that is replayed twice does no harm. There is room for the record's header before them.
  */
-public final class Changes {
+public final class ChangeRecord {
   /** Longest name, in bytes. */
   public static final int LONGEST_NAME = 1_024;
 
@@ -22,7 +22,7 @@
 
   /** Is told the changes of a record, in their order. */
   public interface Reader {
-    void set(byte[] name, Amount amount, long expiry);
+    void set(byte[] name, DecimalAmount amount, long expiry);
 
     void deleted(byte[] name);
 
@@ -36,7 +36,7 @@
   /**
    * @param size bytes to begin with; it grows up to a record's longest body
    */
-  public Changes(int size) {
+  public ChangeRecord(int size) {
     bytes = ByteBuffer.allocate(START + size).position(START);
   }
 
@@ -54,7 +54,7 @@
     return bytes.position() - START;
   }
 
-  public void set(byte[] name, Amount amount, long expiry) {
+  public void set(byte[] name, DecimalAmount amount, long expiry) {
     need(19 + name.length);
     bytes
         .put(amount.fraction() ? FRACTION : WHOLE)
@@ -111,7 +111,7 @@
         switch (kind) {
           case WHOLE, FRACTION -> {
             byte[] name = name(body);
-            to.set(name, new Amount(body.getLong(), kind == FRACTION), body.getLong());
+            to.set(name, new DecimalAmount(body.getLong(), kind == FRACTION), body.getLong());
           }
           case DELETED -> to.deleted(name(body));
           case END -> to.end(body.getLong());
--- a/src/main/java/fawndock/counter/core/CountException.java
+++ b/src/main/java/fawndock/counter/storage/CommandException.java
@@ -1,11 +1,11 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 /**
  * A command that cannot be done; the message is what the client is told, in the words of the public
  * command documentation. Nothing has been changed when it is thrown. It has no stack trace: it is
  * an answer, not a fault.
  */
-public final class CountException extends Exception {
+public final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
   public static final String NOT_INTEGER = "ERR value is not an integer or out of range";
   public static final String NOT_FLOAT = "ERR value is not a valid float";
@@ -13,7 +13,7 @@
   public static final String MEMORY = "OOM command not allowed when used memory > 'maxmemory'.";
   public static final String SYNTAX = "ERR syntax error";
 
-  public CountException(String told) {
+  public CommandException(String told) {
     super(told, null, false, false);
   }
 }
--- a/src/main/java/fawndock/counter/core/Counts.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -1,11 +1,11 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 /**
  * What the commands do to the table, each change noted for the log. An expired name is as one that
  * is not there, also when it is added to before it was swept. Nothing is changed when a command
  * throws.
  */
-public final class Counts {
+public final class CounterOperations {
   /**
    * When an expiry is set: always, when there is none, when there is one, only to a later, only to
    * an earlier one.
@@ -21,18 +21,18 @@
   /** Latest expiry, in milliseconds since 1970. */
   public static final long LATEST = Long.MAX_VALUE >> 2;
 
-  private final CountTable table;
+  private final CounterTable table;
   private final long mostBytes;
 
   /**
    * @param mostBytes of memory for names; a new name beyond it is refused
    */
-  public Counts(CountTable table, long mostBytes) {
+  public CounterOperations(CounterTable table, long mostBytes) {
     this.table = table;
     this.mostBytes = mostBytes;
   }
 
-  public CountTable table() {
+  public CounterTable table() {
     return table;
   }
 
@@ -47,10 +47,11 @@
    * @param keep milliseconds after which it expires if it has no expiry yet, or 0 for none
    * @return the total
    */
-  public Amount add(byte[] name, Amount by, long keep, long now, Changes to) throws CountException {
-    Amount was = table.get(name, now);
+  public DecimalAmount add(byte[] name, DecimalAmount by, long keep, long now, ChangeRecord to)
+      throws CommandException {
+    DecimalAmount was = table.get(name, now);
     long expiry = was == null ? 0 : table.expiry(name, now);
-    Amount sum = was == null ? by : was.plus(by);
+    DecimalAmount sum = was == null ? by : was.plus(by);
     if (was == null) {
       roomForName(name);
     }
@@ -62,22 +63,22 @@
    * Guards against names that fill the heap, which ends the service for all. May refuse new names
    * while expired ones are not swept yet.
    *
-   * @throws CountException when there is no room for one more name
+   * @throws CommandException when there is no room for one more name
    */
-  public void roomForName(byte[] name) throws CountException {
-    if (table.bytes() + name.length + CountTable.NAME_COST > mostBytes) {
-      throw new CountException(CountException.MEMORY);
+  public void roomForName(byte[] name) throws CommandException {
+    if (table.bytes() + name.length + CounterTable.NAME_COST > mostBytes) {
+      throw new CommandException(CommandException.MEMORY);
     }
   }
 
   /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
-  public void put(byte[] name, Amount amount, long expiry, Changes to) {
+  public void put(byte[] name, DecimalAmount amount, long expiry, ChangeRecord to) {
     table.put(name, amount, expiry);
     to.set(name, amount, expiry);
   }
 
   /** Forgets a name; returns whether it was there. */
-  public boolean delete(byte[] name, long now, Changes to) {
+  public boolean delete(byte[] name, long now, ChangeRecord to) {
     if (table.get(name, now) == null) {
       return false;
     }
@@ -87,8 +88,8 @@
   }
 
   /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
-  public boolean expire(byte[] name, long at, When when, long now, Changes to) {
-    Amount amount = table.get(name, now);
+  public boolean expire(byte[] name, long at, When when, long now, ChangeRecord to) {
+    DecimalAmount amount = table.get(name, now);
     if (amount == null) {
       return false;
     }
@@ -110,7 +111,7 @@
   }
 
   /** Lets a name stay for good; returns whether it had an expiry. */
-  public boolean persist(byte[] name, long now, Changes to) {
+  public boolean persist(byte[] name, long now, ChangeRecord to) {
     boolean had = table.expiry(name, now) > 0;
     if (had) {
       put(name, table.get(name, now), 0, to);
--- a/src/main/java/fawndock/counter/core/CountTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -9,7 +9,7 @@
  * itself, so that no call waits while millions of names are moved, and a snapshot or a scan goes
  * shard by shard. An idle name costs its bytes and some 50 more. Used from one thread at a time.
  */
-public final class CountTable {
+public final class CounterTable {
   /** Bytes of memory that a name takes besides its own, on average over how full the shards are. */
   public static final int NAME_COST = 72;
 
@@ -19,7 +19,7 @@
   /** Is shown names one by one; must not change the table. */
   @FunctionalInterface
   public interface Visitor {
-    void name(byte[] name, Amount amount, long expiry);
+    void name(byte[] name, DecimalAmount amount, long expiry);
   }
 
   private static final class Shard {
@@ -44,14 +44,14 @@
    * @param seed of the hash, which those who choose names should not know: many of one hash would
    *     be slow
    */
-  public CountTable(long seed) {
+  public CounterTable(long seed) {
     this(seed, USUAL);
   }
 
   /**
    * @param shards a power of two from 2
    */
-  public CountTable(long seed, int shards) {
+  public CounterTable(long seed, int shards) {
     hasher = Hashing.xxh3_64(seed);
     this.shards = new Shard[shards];
     shift = 64 - Integer.numberOfTrailingZeros(shards);
@@ -97,13 +97,13 @@
   }
 
   /** The amount, or null when the name is not there or has expired by now. */
-  public Amount get(byte[] name, long now) {
+  public DecimalAmount get(byte[] name, long now) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
     int slot = find(shard, name, hash);
     return slot < 0 || expired(shard.marks[slot], now)
         ? null
-        : new Amount(shard.digits[slot], (shard.marks[slot] & 1) != 0);
+        : new DecimalAmount(shard.digits[slot], (shard.marks[slot] & 1) != 0);
   }
 
   /**
@@ -122,7 +122,7 @@
   }
 
   /** Sets amount and expiry; the array becomes the table's. */
-  public void put(byte[] name, Amount amount, long expiry) {
+  public void put(byte[] name, DecimalAmount amount, long expiry) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
     int slot = find(shard, name, hash);
@@ -196,7 +196,8 @@
     Shard s = shards[shard];
     for (int i = 0; i < s.names.length; i++) {
       if (s.names[i] != null && !expired(s.marks[i], now)) {
-        visitor.name(s.names[i], new Amount(s.digits[i], (s.marks[i] & 1) != 0), s.marks[i] >> 1);
+        visitor.name(
+            s.names[i], new DecimalAmount(s.digits[i], (s.marks[i] & 1) != 0), s.marks[i] >> 1);
       }
     }
   }
--- a/src/main/java/fawndock/counter/core/Amount.java
+++ b/src/main/java/fawndock/counter/storage/DecimalAmount.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -12,8 +12,8 @@
  * @param digits the number itself, or its multiple of 10^-9
  * @param fraction whether the digits are in units of 10^-9
  */
-public record Amount(long digits, boolean fraction) {
-  public static final Amount ZERO = new Amount(0, false);
+public record DecimalAmount(long digits, boolean fraction) {
+  public static final DecimalAmount ZERO = new DecimalAmount(0, false);
   private static final long UNIT = 1_000_000_000L;
   private static final int PLACES = 9;
   private static final int LONGEST = 64;
@@ -22,19 +22,19 @@
    * Reads a decimal number, also one with an exponent. What lies below 10^-9 is rounded half to
    * even, which is the same for an amount and for its withdrawal.
    *
-   * @throws CountException when it is none, or beyond a whole 64-bit number, or a fraction beyond
+   * @throws CommandException when it is none, or beyond a whole 64-bit number, or a fraction beyond
    *     9.2e9
    */
-  public static Amount of(byte[] text) throws CountException {
+  public static DecimalAmount of(byte[] text) throws CommandException {
     if (text.length > LONGEST || text.length == 0) {
-      throw new CountException(CountException.NOT_FLOAT);
+      throw new CommandException(CommandException.NOT_FLOAT);
     }
-    Amount plain = plain(text);
+    DecimalAmount plain = plain(text);
     return plain != null ? plain : exponent(text);
   }
 
   /** Digits with at most nine places after a point, or null when it is anything else. */
-  private static Amount plain(byte[] text) {
+  private static DecimalAmount plain(byte[] text) {
     int i = text[0] == '-' || text[0] == '+' ? 1 : 0;
     long digits = 0;
     int places = -1;
@@ -56,7 +56,7 @@
     }
     long signed = text[0] == '-' ? -digits : digits;
     if (places <= 0) {
-      return new Amount(signed, false);
+      return new DecimalAmount(signed, false);
     }
     for (int p = places; p < PLACES; p++) {
       if (Math.abs(signed) > Long.MAX_VALUE / 10) {
@@ -67,31 +67,31 @@
     return ofUnits(signed);
   }
 
-  private static Amount exponent(byte[] text) throws CountException {
+  private static DecimalAmount exponent(byte[] text) throws CommandException {
     try {
       BigDecimal number = new BigDecimal(new String(text, StandardCharsets.ISO_8859_1));
       // Guards against numbers such as 1e999999999, which would be written out digit by digit.
       if (Math.abs((long) number.precision() - number.scale()) > LONGEST) {
         if (number.signum() != 0 && number.precision() - (long) number.scale() > 0) {
-          throw new CountException(CountException.OVERFLOW);
+          throw new CommandException(CommandException.OVERFLOW);
         }
         return ZERO;
       }
       BigDecimal rounded = number.setScale(PLACES, RoundingMode.HALF_EVEN);
       try {
-        return new Amount(rounded.longValueExact(), false);
+        return new DecimalAmount(rounded.longValueExact(), false);
       } catch (ArithmeticException e) {
         return ofUnits(rounded.unscaledValue().longValueExact());
       }
     } catch (NumberFormatException e) {
-      throw new CountException(CountException.NOT_FLOAT);
+      throw new CommandException(CommandException.NOT_FLOAT);
     } catch (ArithmeticException e) {
-      throw new CountException(CountException.OVERFLOW);
+      throw new CommandException(CommandException.OVERFLOW);
     }
   }
 
   /** Reads a whole 64-bit number, written as one would print it. */
-  public static long whole(byte[] text) throws CountException {
+  public static long whole(byte[] text) throws CommandException {
     if (text.length > 0 && text.length <= 20) {
       String word = new String(text, StandardCharsets.ISO_8859_1);
       try {
@@ -103,32 +103,34 @@
         // Told below.
       }
     }
-    throw new CountException(CountException.NOT_INTEGER);
+    throw new CommandException(CommandException.NOT_INTEGER);
   }
 
-  private static Amount ofUnits(long units) {
-    return units % UNIT == 0 ? new Amount(units / UNIT, false) : new Amount(units, true);
+  private static DecimalAmount ofUnits(long units) {
+    return units % UNIT == 0
+        ? new DecimalAmount(units / UNIT, false)
+        : new DecimalAmount(units, true);
   }
 
   /**
    * The exact sum.
    *
-   * @throws CountException when it does not fit
+   * @throws CommandException when it does not fit
    */
-  public Amount plus(Amount other) throws CountException {
+  public DecimalAmount plus(DecimalAmount other) throws CommandException {
     try {
       if (!fraction && !other.fraction) {
-        return new Amount(Math.addExact(digits, other.digits), false);
+        return new DecimalAmount(Math.addExact(digits, other.digits), false);
       }
       return ofUnits(Math.addExact(units(), other.units()));
     } catch (ArithmeticException e) {
-      throw new CountException(CountException.OVERFLOW);
+      throw new CommandException(CommandException.OVERFLOW);
     }
   }
 
   /** Its opposite; the least whole number has none and becomes the greatest. */
-  public Amount negated() {
-    return new Amount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, fraction);
+  public DecimalAmount negated() {
+    return new DecimalAmount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, fraction);
   }
 
   private long units() {
--- a/src/main/java/fawndock/counter/core/GroupCommit.java
+++ b/src/main/java/fawndock/counter/storage/GroupCommit.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -37,11 +37,11 @@
   private final Durability durability;
   private final long intervalMillis;
 
-  private record Leaving(Changes changes, boolean sync) {}
+  private record Leaving(ChangeRecord changes, boolean sync) {}
 
-  private final ArrayDeque<Changes> spare = new ArrayDeque<>();
+  private final ArrayDeque<ChangeRecord> spare = new ArrayDeque<>();
   private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
-  private Changes open = new Changes(FIRST_SIZE);
+  private ChangeRecord open = new ChangeRecord(FIRST_SIZE);
   private long number = 1;
   private Leaving offered;
   private boolean unsynced;
@@ -61,16 +61,16 @@
   /**
    * The changes to note in, if so many more bytes of them may be made now.
    *
-   * @throws CountException when they may not: nothing must be changed then
+   * @throws CommandException when they may not: nothing must be changed then
    */
-  public Changes room(long bytes) throws CountException {
+  public ChangeRecord room(long bytes) throws CommandException {
     if (refusal != null) {
-      throw new CountException(refusal);
+      throw new CommandException(refusal);
     }
     if (!open.room(bytes)) {
       // Guards against waits that grow with the load. May turn away a burst that the disk would
       // have taken.
-      throw new CountException("BUSY the log is behind, nothing was added");
+      throw new CommandException("BUSY the log is behind, nothing was added");
     }
     return open;
   }
@@ -142,7 +142,7 @@
     unsynced = true;
     offered = null;
     number++;
-    open = spare.isEmpty() ? new Changes(FIRST_SIZE) : spare.poll();
+    open = spare.isEmpty() ? new ChangeRecord(FIRST_SIZE) : spare.poll();
   }
 
   /** The work with this number is done. */
--- a/src/main/java/fawndock/counter/core/LogFormat.java
+++ b/src/main/java/fawndock/counter/storage/LogFormat.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
--- a/src/main/java/fawndock/counter/core/LogAudit.java
+++ b/src/main/java/fawndock/counter/storage/LogVerifier.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /** Looks through a log without starting on it, and cuts a damaged one on the operator's word. */
-public final class LogAudit {
+public final class LogVerifier {
   /** How a file is. */
   public enum State {
     WHOLE,
@@ -49,10 +49,10 @@
 
   private static final int PIECE = 1 << 20;
 
-  private LogAudit() {}
+  private LogVerifier() {}
 
   /** All files, snapshots first, each in the order of their sequences. */
-  public static List<Verdict> verify(Disk disk) throws IOException {
+  public static List<Verdict> verify(Storage disk) throws IOException {
     List<Verdict> all = new ArrayList<>();
     long base = 0;
     for (Map.Entry<Long, String> each : Recovery.files(disk, LogFormat.Kind.SNAPSHOT).entrySet()) {
@@ -104,7 +104,7 @@
       all.add(v);
     }
     if (disk.list().contains(SnapshotWriter.UNFINISHED)) {
-      try (Disk.File file = disk.open(SnapshotWriter.UNFINISHED)) {
+      try (Storage.File file = disk.open(SnapshotWriter.UNFINISHED)) {
         all.add(
             new Verdict(
                 SnapshotWriter.UNFINISHED, State.UNFINISHED, 1, 0, file.size(), file.size(), ""));
@@ -113,9 +113,10 @@
     return all;
   }
 
-  private static Verdict one(Disk disk, String name, LogFormat.Kind kind, long sequence, long first)
+  private static Verdict one(
+      Storage disk, String name, LogFormat.Kind kind, long sequence, long first)
       throws IOException {
-    try (Disk.File file = disk.open(name)) {
+    try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, first);
       if (!reader.begins(kind, sequence)) {
         return new Verdict(
@@ -146,16 +147,16 @@
     }
   }
 
-  private static boolean ends(Disk disk, String name) throws IOException {
+  private static boolean ends(Storage disk, String name) throws IOException {
     long[] names = {0, -1};
     dump(
         disk,
         name,
         0,
         (record, time) -> {},
-        new Changes.Reader() {
+        new ChangeRecord.Reader() {
           @Override
-          public void set(byte[] each, Amount amount, long expiry) {
+          public void set(byte[] each, DecimalAmount amount, long expiry) {
             names[0]++;
           }
 
@@ -172,7 +173,7 @@
 
   /** Tells the records of one file; returns what is wrong after the last whole one, or nothing. */
   public static String dump(
-      Disk disk, String name, long from, Records records, Changes.Reader changes)
+      Storage disk, String name, long from, Records records, ChangeRecord.Reader changes)
       throws IOException {
     boolean snapshot = LogFormat.Kind.SNAPSHOT.sequence(name) >= 0;
     LogFormat.Kind kind = snapshot ? LogFormat.Kind.SNAPSHOT : LogFormat.Kind.SEGMENT;
@@ -180,7 +181,7 @@
     if (sequence < 0) {
       return "expected a segment or a snapshot by its name";
     }
-    try (Disk.File file = disk.open(name)) {
+    try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, snapshot ? 1 : sequence);
       if (!reader.begins(kind, sequence)) {
         return "no file header";
@@ -189,7 +190,7 @@
         if (reader.sequence() >= from) {
           records.record(reader.sequence(), reader.body().getLong());
           try {
-            Changes.read(reader.body(), changes);
+            ChangeRecord.read(reader.body(), changes);
           } catch (IllegalArgumentException e) {
             return e.getMessage() + " in record " + reader.sequence();
           }
@@ -205,7 +206,7 @@
    * Cuts the log before its first damaged record, and sets aside the segments after it and damaged
    * snapshots. Returns the steps, a line each; takes them only when told to.
    */
-  public static List<String> truncate(Disk disk, boolean really) throws IOException {
+  public static List<String> truncate(Storage disk, boolean really) throws IOException {
     List<String> steps = new ArrayList<>();
     boolean cut = false;
     for (Verdict v : verify(disk)) {
@@ -237,9 +238,9 @@
   }
 
   /** Copies what is after the offset to a file beside it, then cuts it. */
-  private static void cutOff(Disk disk, Verdict v) throws IOException {
-    try (Disk.File file = disk.open(v.file);
-        Disk.File rest = disk.create(v.file + ".cut")) {
+  private static void cutOff(Storage disk, Verdict v) throws IOException {
+    try (Storage.File file = disk.open(v.file);
+        Storage.File rest = disk.create(v.file + ".cut")) {
       ByteBuffer piece = ByteBuffer.allocate(PIECE);
       for (long at = v.offset; at < v.size; at += piece.limit()) {
         file.read(piece.clear(), at);
--- a/src/main/java/fawndock/counter/core/LogWriter.java
+++ b/src/main/java/fawndock/counter/storage/LogWriter.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,8 +10,8 @@
  * is a new file, after a snapshot that holds all.
  */
 public final class LogWriter {
-  private final Disk disk;
-  private Disk.File file;
+  private final Storage disk;
+  private Storage.File file;
   private long at;
   private long sequence;
   private long appended;
@@ -23,15 +23,15 @@
    *
    * @param sequence of the last record before it
    */
-  public LogWriter(Disk disk, long sequence) throws IOException {
+  public LogWriter(Storage disk, long sequence) throws IOException {
     this.disk = disk;
     this.sequence = sequence;
     file = begin(sequence + 1);
     at = LogFormat.FILE_HEADER;
   }
 
-  private Disk.File begin(long first) throws IOException {
-    Disk.File made = disk.create(LogFormat.Kind.SEGMENT.file(first));
+  private Storage.File begin(long first) throws IOException {
+    Storage.File made = disk.create(LogFormat.Kind.SEGMENT.file(first));
     try {
       made.write(LogFormat.Kind.SEGMENT.header(first), 0);
       disk.sync(); // Else records in it could be acknowledged, and the file itself be lost.
@@ -81,8 +81,8 @@
   public long roll() throws IOException {
     sync();
     if (at > LogFormat.FILE_HEADER) {
-      Disk.File next = next();
-      Disk.File full = file;
+      Storage.File next = next();
+      Storage.File full = file;
       file = next;
       at = LogFormat.FILE_HEADER;
       full.close();
@@ -95,7 +95,7 @@
   // sequence: which
   // of the two has those records could not be told. When it cannot be removed for good, this one is
   // given up.
-  private Disk.File next() throws IOException {
+  private Storage.File next() throws IOException {
     try {
       return begin(sequence + 1);
     } catch (IOException e) {
--- a/src/main/java/fawndock/counter/core/SteadyTime.java
+++ b/src/main/java/fawndock/counter/storage/MonotonicWallClock.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 /**
  * Wall-clock milliseconds that never run backwards. Expiry is kept by absolute time, so that it
@@ -6,7 +6,7 @@
  * live again. While the wall clock is behind, time goes on at the pace of the monotonic clock. A
  * wall clock set forward is believed: names may expire early then.
  */
-public final class SteadyTime {
+public final class MonotonicWallClock {
   private long now;
   private long nanos;
 
@@ -17,7 +17,7 @@
    * @param wall the wall clock, in milliseconds since 1970
    * @param monotonic the monotonic clock, in nanoseconds
    */
-  public SteadyTime(long atLeast, long wall, long monotonic) {
+  public MonotonicWallClock(long atLeast, long wall, long monotonic) {
     now = Math.max(atLeast, wall);
     nanos = monotonic;
   }
--- a/src/main/java/fawndock/counter/core/RecordReader.java
+++ b/src/main/java/fawndock/counter/storage/RecordReader.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,7 +9,7 @@
  */
 public final class RecordReader {
   private static final int PIECE = LogFormat.LONGEST_BODY + LogFormat.RECORD_HEADER;
-  private final Disk.File file;
+  private final Storage.File file;
   private final long size;
   private final ByteBuffer piece;
   private long pieceAt;
@@ -20,7 +20,7 @@
   /**
    * @param sequence that the first record must have
    */
-  public RecordReader(Disk.File file, long sequence) throws IOException {
+  public RecordReader(Storage.File file, long sequence) throws IOException {
     this.file = file;
     this.size = file.size();
     this.sequence = sequence - 1;
--- a/src/main/java/fawndock/counter/core/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * else that is not whole is damage. What was acknowledged last and is damaged since looks like the
  * tail of a crash too.
  */
-public final class Recovery implements Changes.Reader {
+public final class Recovery implements ChangeRecord.Reader {
   /**
    * What was found.
    *
@@ -24,15 +24,15 @@
    */
   public record Found(long sequence, long time, long bytes, List<String> reports) {}
 
-  private final Disk disk;
-  private final CountTable table;
+  private final Storage disk;
+  private final CounterTable table;
   private final LongConsumer progress;
   private final List<String> reports = new ArrayList<>();
   private long time;
   private long bytes;
   private long ended = -1;
 
-  private Recovery(Disk disk, CountTable table, LongConsumer progress) {
+  private Recovery(Storage disk, CounterTable table, LongConsumer progress) {
     this.disk = disk;
     this.table = table;
     this.progress = progress;
@@ -42,9 +42,9 @@
    * Fills an empty table from a disk, and cuts off what a crash left of a record.
    *
    * @param progress is told the bytes read so far
-   * @throws DamageException when a record before the end is not whole, or some are missing
+   * @throws CorruptLogException when a record before the end is not whole, or some are missing
    */
-  public static Found recover(Disk disk, CountTable table, LongConsumer progress)
+  public static Found recover(Storage disk, CounterTable table, LongConsumer progress)
       throws IOException {
     return new Recovery(disk, table, progress).recover();
   }
@@ -63,7 +63,7 @@
     TreeMap<Long, String> segments = files(disk, LogFormat.Kind.SEGMENT);
     Long from = segments.floorKey(base + 1);
     if (from == null && !segments.isEmpty()) {
-      throw new DamageException(
+      throw new CorruptLogException(
           segments.firstEntry().getValue(),
           0,
           "records "
@@ -77,7 +77,7 @@
       long expected = from;
       for (var segment : segments.tailMap(from).entrySet()) {
         if (segment.getKey() != expected) {
-          throw new DamageException(
+          throw new CorruptLogException(
               segment.getValue(),
               0,
               "records "
@@ -100,7 +100,7 @@
   }
 
   /** Files of a kind by their sequence. */
-  public static TreeMap<Long, String> files(Disk disk, LogFormat.Kind kind) throws IOException {
+  public static TreeMap<Long, String> files(Storage disk, LogFormat.Kind kind) throws IOException {
     TreeMap<Long, String> found = new TreeMap<>(Comparator.naturalOrder());
     for (String name : disk.list()) {
       if (kind.sequence(name) >= 0) {
@@ -112,7 +112,7 @@
 
   /** Whether it is whole; when not, the table holds a part of it. */
   private boolean snapshot(String name, long sequence) throws IOException {
-    try (Disk.File file = disk.open(name)) {
+    try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, 1);
       ended = -1;
       if (!reader.begins(LogFormat.Kind.SNAPSHOT, sequence)) {
@@ -127,7 +127,7 @@
 
   /** Replays a segment's records after the base; returns the last sequence in it. */
   private long segment(String name, long first, long base, boolean newest) throws IOException {
-    try (Disk.File file = disk.open(name)) {
+    try (Storage.File file = disk.open(name)) {
       RecordReader reader = new RecordReader(file, first);
       boolean begins = reader.begins(LogFormat.Kind.SEGMENT, first);
       while (begins && reader.next()) {
@@ -140,7 +140,7 @@
       }
       long offset = begins ? reader.offset() : 0;
       if (!newest || reader.wholeLater()) {
-        throw new DamageException(
+        throw new CorruptLogException(
             name,
             offset,
             (begins ? "damaged record " + (reader.sequence() + 1) : "damaged file header")
@@ -164,9 +164,9 @@
 
   private void read(RecordReader reader, String name) throws IOException {
     try {
-      time = Math.max(time, Changes.read(reader.body(), this));
+      time = Math.max(time, ChangeRecord.read(reader.body(), this));
     } catch (IllegalArgumentException e) {
-      throw new DamageException(
+      throw new CorruptLogException(
           name,
           reader.offset(),
           e.getMessage() + " in record " + reader.sequence() + ", which ends");
@@ -176,7 +176,7 @@
   }
 
   @Override
-  public void set(byte[] name, Amount amount, long expiry) {
+  public void set(byte[] name, DecimalAmount amount, long expiry) {
     table.put(name, amount, expiry);
   }
 
--- a/src/main/java/fawndock/counter/core/SnapshotWalk.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotIterator.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,15 +8,15 @@
  * log from before the first on brings each name to what it is in the end, since a record holds what
  * a name is after it.
  */
-public final class SnapshotWalk {
+public final class SnapshotIterator {
   /** A part of a piece that is one record, with so many names. */
-  public record Part(Changes changes, int names) {}
+  public record Part(ChangeRecord changes, int names) {}
 
   private static final int PIECE = 128 << 10;
-  private final CountTable table;
+  private final CounterTable table;
   private int shard;
 
-  public SnapshotWalk(CountTable table) {
+  public SnapshotIterator(CounterTable table) {
     this.table = table;
   }
 
@@ -26,16 +26,16 @@
    */
   public List<Part> next(long now) {
     List<Part> parts = new ArrayList<>();
-    Changes[] open = {new Changes(PIECE)};
+    ChangeRecord[] open = {new ChangeRecord(PIECE)};
     int[] names = {0};
     while (shard < table.shards() && parts.isEmpty() && open[0].size() < PIECE) {
       table.visit(
           shard++,
           now,
           (name, amount, expiry) -> {
-            if (!open[0].room(Changes.LONGEST)) {
+            if (!open[0].room(ChangeRecord.LONGEST)) {
               parts.add(new Part(open[0], names[0]));
-              open[0] = new Changes(PIECE);
+              open[0] = new ChangeRecord(PIECE);
               names[0] = 0;
             }
             open[0].set(name, amount, expiry);
--- a/src/main/java/fawndock/counter/core/SnapshotWriter.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotWriter.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.IOException;
 
@@ -7,9 +7,9 @@
   /** The name while it is written; left behind by a crash and overwritten then. */
   public static final String UNFINISHED = "snapshot.new";
 
-  private final Disk disk;
+  private final Storage disk;
   private final long covered;
-  private final Disk.File file;
+  private final Storage.File file;
   private long at = LogFormat.FILE_HEADER;
   private long records;
   private long names;
@@ -17,7 +17,7 @@
   /**
    * @param covered sequence of the last record whose changes are all in it
    */
-  public SnapshotWriter(Disk disk, long covered) throws IOException {
+  public SnapshotWriter(Storage disk, long covered) throws IOException {
     this.disk = disk;
     this.covered = covered;
     file = disk.create(UNFINISHED);
@@ -30,7 +30,7 @@
   }
 
   /** Appends a record with so many names. */
-  public void write(Changes changes, long many, long time) throws IOException {
+  public void write(ChangeRecord changes, long many, long time) throws IOException {
     java.nio.ByteBuffer record = changes.record(time);
     LogFormat.seal(record, ++records);
     int length = record.limit();
@@ -44,7 +44,7 @@
    * log by now: otherwise a crash could leave half of a record's changes, those in the snapshot.
    */
   public void finish(long time) throws IOException {
-    Changes end = new Changes(16);
+    ChangeRecord end = new ChangeRecord(16);
     end.end(names);
     write(end, 0, time);
     file.sync();
@@ -69,7 +69,7 @@
   }
 
   /** Removes the segments that the snapshot of this sequence covers, and older snapshots. */
-  public static void clean(Disk disk, long covered) throws IOException {
+  public static void clean(Storage disk, long covered) throws IOException {
     java.util.List<String> files = disk.list();
     long newest =
         files.stream()
--- a/src/main/java/fawndock/counter/core/Disk.java
+++ b/src/main/java/fawndock/counter/storage/Storage.java
@@ -1,4 +1,4 @@
-package fawndock.counter.core;
+package fawndock.counter.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,7 +9,7 @@
  * One directory of a disk, as far as the log needs it. What is not yet synced may be lost at a
  * crash, in any part.
  */
-public interface Disk {
+public interface Storage {
   /** Names of all files, in no order. */
   List<String> list() throws IOException;
 
--- a/src/main/java/fawndock/counter/core/package-info.java
+++ b/src/main/java/fawndock/counter/storage/package-info.java
@@ -4,4 +4,4 @@
  * here, time is an argument, and nothing starts a thread; so all of it runs on a simulated disk
  * that fails.
  */
-package fawndock.counter.core;
+package fawndock.counter.storage;
--- a/src/main/java/fawndock/lab/experiment/Build.java
+++ b/src/main/java/fawndock/experiment/Build.java
@@ -1,4 +1,4 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -26,11 +26,11 @@
       List.of(
           "fawndock/Logic",
           "fawndock/Gatekeeper",
-          "fawndock/lab/emu/",
-          "fawndock/lab/load/",
-          "fawndock/lab/measure/",
-          "fawndock/judge/",
-          "fawndock/counter/core/");
+          "fawndock/simulation/",
+          "fawndock/loadgen/",
+          "fawndock/measurement/",
+          "fawndock/conformance/",
+          "fawndock/counter/storage/");
 
   private Build() {}
 
--- a/src/main/java/fawndock/lab/experiment/Cells.java
+++ b/src/main/java/fawndock/experiment/Cells.java
@@ -1,7 +1,7 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
-import fawndock.lab.Median;
-import fawndock.lab.experiment.Experiment.Expect;
+import fawndock.benchmark.Median;
+import fawndock.experiment.Experiment.Expect;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/fawndock/lab/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -1,4 +1,4 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/fawndock/lab/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -1,11 +1,11 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
-import fawndock.lab.emu.DeploymentFile;
-import fawndock.lab.experiment.Experiment.Expect;
-import fawndock.lab.experiment.Experiment.Vary;
-import fawndock.settings.KeywordFile;
-import fawndock.settings.Line;
-import fawndock.settings.SettingsException;
+import fawndock.experiment.Experiment.Expect;
+import fawndock.experiment.Experiment.Vary;
+import fawndock.settings.ConfigurationException;
+import fawndock.settings.ConfigurationFile;
+import fawndock.settings.ConfigurationLine;
+import fawndock.simulation.DeploymentFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 import java.util.stream.LongStream;
 
 /** Reads an experiment; what each keyword means is in docs/operations/experiment.md. */
-public final class ExperimentFile extends KeywordFile {
+public final class ExperimentFile extends ConfigurationFile {
   private static final int MOST_RUNS = 100_000;
   private final List<Vary> varied = new ArrayList<>();
   private final List<Map<String, List<String>>> skipped = new ArrayList<>();
@@ -88,7 +88,7 @@
         });
   }
 
-  private boolean needs(Line line, int least, int most, String form) {
+  private boolean needs(ConfigurationLine line, int least, int most, String form) {
     int has = line.words().size() - 1;
     if (has < least || has > most) {
       wrong(line, line.keyword() + " has " + has + " arguments", form);
@@ -97,7 +97,7 @@
     return true;
   }
 
-  private void checkLater(Line line, String name, List<String> values) {
+  private void checkLater(ConfigurationLine line, String name, List<String> values) {
     check(
         line,
         () ->
@@ -110,7 +110,7 @@
   }
 
   /** Names, each with one or several values of it. */
-  private Map<String, List<String>> pairs(Line line, int from) {
+  private Map<String, List<String>> pairs(ConfigurationLine line, int from) {
     Map<String, List<String>> all = new LinkedHashMap<>();
     List<String> words = line.words();
     for (int i = from; i + 1 < words.size(); i += 2) {
@@ -123,7 +123,7 @@
     return all;
   }
 
-  private void seeds(Line line) {
+  private void seeds(ConfigurationLine line) {
     List<String> words = line.words().subList(1, line.words().size());
     if (words.isEmpty()
         || words.stream().anyMatch(w -> !w.matches("[0-9]{1,9}(\\.\\.[0-9]{1,9})?"))) {
@@ -147,7 +147,7 @@
     seeds = List.copyOf(all);
   }
 
-  private void expect(Line line) {
+  private void expect(ConfigurationLine line) {
     List<String> words = line.words();
     String form = "expect FIGURE at-most|at-least NUMBER [when NAME VALUE|VALUE ...]";
     if (!needs(line, 3, Integer.MAX_VALUE, form)) {
@@ -174,9 +174,9 @@
   /**
    * Reads an experiment and its scenario, with the first value of each variable.
    *
-   * @throws SettingsException with every mistake when there is any
+   * @throws ConfigurationException with every mistake when there is any
    */
-  public static Experiment read(Path file) throws SettingsException {
+  public static Experiment read(Path file) throws ConfigurationException {
     Experiment read = asRun(file);
     for (Map<String, String> values : read.cells()) {
       DeploymentFile.read(read.scenario(), values);
@@ -185,7 +185,7 @@
   }
 
   /** The same without a look at the scenario, which may be elsewhere by now. */
-  public static Experiment asRun(Path file) throws SettingsException {
+  public static Experiment asRun(Path file) throws ConfigurationException {
     ExperimentFile f = new ExperimentFile(file);
     f.lines(file);
     f.missing(f.scenario == null, "no scenario", "scenario FILE");
--- a/src/main/java/fawndock/lab/experiment/Outcome.java
+++ b/src/main/java/fawndock/experiment/Outcome.java
@@ -1,6 +1,6 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
-import fawndock.lab.emu.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.Mark;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/fawndock/lab/experiment/Results.java
+++ b/src/main/java/fawndock/experiment/Results.java
@@ -1,4 +1,4 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/fawndock/lab/experiment/Runner.java
+++ b/src/main/java/fawndock/experiment/Runner.java
@@ -1,10 +1,11 @@
-package fawndock.lab.experiment;
+package fawndock.experiment;
 
-import fawndock.Gatekeeper;
-import fawndock.lab.emu.DeploymentFile;
-import fawndock.lab.emu.Emulation;
-import fawndock.lab.experiment.Experiment.Run;
-import fawndock.settings.SettingsException;
+import fawndock.experiment.Experiment.Run;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.settings.ConfigurationException;
+import fawndock.simulation.DeploymentFile;
+import fawndock.simulation.Emulation;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,18 +25,17 @@
  */
 public final class Runner {
   private final List<Planned> planned = new ArrayList<>();
-  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private final String build;
 
   /**
    * Plans all runs.
    *
    * @param build that tells results of other decisions apart
-   * @throws SettingsException when the scenario has mistakes
+   * @throws ConfigurationException when the scenario has mistakes
    */
-  public Runner(
-      Experiment experiment, Function<Gatekeeper.Settings, Gatekeeper> maker, String build)
-      throws SettingsException {
+  public Runner(Experiment experiment, Function<PolicyConfig, GatewayPolicy> maker, String build)
+      throws ConfigurationException {
     this.maker = maker;
     this.build = build;
     Map<Map<String, String>, DeploymentFile.Read> scenarios = new HashMap<>();
--- a/src/main/java/fawndock/lab/experiment/package-info.java
+++ b/src/main/java/fawndock/experiment/package-info.java
@@ -4,4 +4,4 @@
  * expected of them are pure ({@code Experiment}, {@code Cells}); only {@code Results} opens files
  * and only {@code Runner} starts threads.
  */
-package fawndock.lab.experiment;
+package fawndock.experiment;
--- a/src/main/java/fawndock/standin/Worker.java
+++ b/src/main/java/fawndock/fake/FakeBackend.java
@@ -1,6 +1,6 @@
-package fawndock.standin;
+package fawndock.fake;
 
-import fawndock.judge.Seen;
+import fawndock.conformance.TraceEvent;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -18,8 +18,8 @@
  * It warms up after a cold start, falls over when it is sent too much while cold, and takes faults
  * while it runs. Every field is its context's; {@link #change} is the way in.
  */
-public final class Worker {
-  /** Faults, to be set through {@link Worker#change}. */
+public final class FakeBackend {
+  /** Faults, to be set through {@link FakeBackend#change}. */
   public static final class Faults {
     /** Work takes so many times as long. */
     public double slow = 1;
@@ -74,7 +74,7 @@
 
   private final String id;
   private final Build build;
-  private final Recorder recorder;
+  private final TraceRecorder recorder;
   private final Vertx vertx;
   private final Context context;
   private final java.util.SplittableRandom random;
@@ -91,7 +91,7 @@
   private boolean fell;
   private int body = 64;
 
-  public Worker(Vertx vertx, String id, Build build, Recorder recorder, long seed) {
+  public FakeBackend(Vertx vertx, String id, Build build, TraceRecorder recorder, long seed) {
     this.vertx = vertx;
     this.id = id;
     this.build = build;
@@ -123,10 +123,10 @@
           busy = 0;
           waiting.clear();
           arrivals.clear();
-          startedAt = cold ? Recorder.now() : 0;
+          startedAt = cold ? TraceRecorder.now() : 0;
           recorder.add(
-              new Seen.Came(
-                  Recorder.now(), id, life, cold, build.cores() * 1e6 / build.workMicros()));
+              new TraceEvent.Came(
+                  TraceRecorder.now(), id, life, cold, build.cores() * 1e6 / build.workMicros()));
           server =
               vertx
                   .createHttpServer(
@@ -177,13 +177,13 @@
   /**
    * Drops repeats together with others that use the same set; it must be safe for several threads.
    */
-  public Worker droppingRepeatsBy(Set<String> shared) {
+  public FakeBackend droppingRepeatsBy(Set<String> shared) {
     keys = shared;
     return this;
   }
 
   /** The size of each answer's body in bytes. */
-  public Worker answerBytes(int bytes) {
+  public FakeBackend answerBytes(int bytes) {
     body = bytes;
     return this;
   }
@@ -198,7 +198,7 @@
     String name = request.getHeader("x-request-id");
     int mine = life;
     boolean refuse = random.nextDouble() < faults.refuses || waiting.size() >= build.queue();
-    recorder.add(new Seen.Arrived(Recorder.now(), name, id, mine, refuse));
+    recorder.add(new TraceEvent.Arrived(TraceRecorder.now(), name, id, mine, refuse));
     if (pushedOver()) {
       die();
       return;
@@ -218,7 +218,7 @@
 
   /** Whether it has fallen over: it was sent too much for its warmth for too long. */
   private boolean pushedOver() {
-    long now = Recorder.now();
+    long now = TraceRecorder.now();
     arrivals.add(now);
     while (!arrivals.isEmpty() && arrivals.peek() < now - build.fallMicros()) {
       arrivals.poll();
@@ -234,7 +234,7 @@
       double micros =
           build.workMicros()
               * faults.slow
-              / build.warmth(startedAt, Recorder.now())
+              / build.warmth(startedAt, TraceRecorder.now())
               * (0.5 + random.nextDouble());
       int mine = life;
       Runnable finished =
@@ -256,9 +256,9 @@
   private void finish(HttpServerRequest request) {
     String name = request.getHeader("x-request-id");
     String key = request.getHeader("idempotency-key");
-    long now = Recorder.now();
+    long now = TraceRecorder.now();
     if (key == null || keys.add(key)) {
-      recorder.add(new Seen.Ran(now, name, id));
+      recorder.add(new TraceEvent.Ran(now, name, id));
     }
     if (random.nextDouble() < faults.loseAnswers || request.response().closed()) {
       return;
--- a/src/main/java/fawndock/standin/CounterStandIn.java
+++ b/src/main/java/fawndock/fake/FakeCounterServer.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -32,7 +32,7 @@
  * A counter that speaks enough of the Redis serialization protocol for a gatekeeper, in memory, on
  * one thread, with faults. It is for faults only; its numbers are plain doubles.
  */
-public final class CounterStandIn implements AutoCloseable {
+public final class FakeCounterServer implements AutoCloseable {
   private record Entry(double value, long forgetAt) {}
 
   private final EventLoopGroup group = new NioEventLoopGroup(1);
@@ -46,7 +46,7 @@
   private long calls;
 
   /** Listens; the port is the same after each call. */
-  public CounterStandIn start() throws InterruptedException {
+  public FakeCounterServer start() throws InterruptedException {
     listener =
         new ServerBootstrap()
             .group(group)
--- a/src/main/java/fawndock/standin/CatalogStandIn.java
+++ b/src/main/java/fawndock/fake/FakeDiscoveryServer.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,7 +14,7 @@
  * The platform's catalog on a free loopback port: the whole list, and a watch that goes on with
  * lines told to it.
  */
-public final class CatalogStandIn extends Listener {
+public final class FakeDiscoveryServer extends LoopbackServer {
   private final Set<OutputStream> watches = ConcurrentHashMap.newKeySet();
   private final AtomicInteger watched = new AtomicInteger();
   private final Object voice = new Object();
@@ -22,7 +22,7 @@
   private volatile String whole;
 
   /** Serves this whole list, a JSON object. */
-  public CatalogStandIn(String whole) throws IOException {
+  public FakeDiscoveryServer(String whole) throws IOException {
     this.whole = whole;
     begin();
   }
--- a/src/main/java/fawndock/standin/Roster.java
+++ b/src/main/java/fawndock/fake/FakeEndpointFeed.java
@@ -1,6 +1,6 @@
-package fawndock.standin;
+package fawndock.fake;
 
-import fawndock.judge.Seen;
+import fawndock.conformance.TraceEvent;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
@@ -16,12 +16,12 @@
  * Tells gatekeepers of the workers, each on a port of its own so that it is known who was told
  * what. It may be late and may be cut off.
  */
-public final class Roster {
+public final class FakeEndpointFeed {
   /** What is told of a worker: running, stopping or deleted. */
   public record Entry(String id, int port, String zone, int cell, String state, long startedAt) {}
 
   private final Vertx vertx;
-  private final Recorder recorder;
+  private final TraceRecorder recorder;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Map<Integer, HttpServer> servers = new LinkedHashMap<>();
   private final Map<Integer, Integer> ports = new LinkedHashMap<>();
@@ -29,7 +29,7 @@
   private long lateMillis;
   private boolean cut;
 
-  public Roster(Vertx vertx, Recorder recorder) {
+  public FakeEndpointFeed(Vertx vertx, TraceRecorder recorder) {
     this.vertx = vertx;
     this.recorder = recorder;
     vertx.setPeriodic(500, id -> heartbeat());
@@ -131,7 +131,7 @@
 
   private void send(HttpServerResponse response, int gatekeeper, String list, List<Entry> told) {
     JsonArray servers = new JsonArray();
-    long now = Recorder.now();
+    long now = TraceRecorder.now();
     for (Entry e : told) {
       servers.add(
           new JsonObject()
@@ -143,7 +143,7 @@
               .put("state", e.state())
               .put("weight", 1)
               .put("started_us", e.startedAt()));
-      recorder.add(new Seen.Told(now, gatekeeper, e.id(), e.state(), e.startedAt()));
+      recorder.add(new TraceEvent.Told(now, gatekeeper, e.id(), e.state(), e.startedAt()));
     }
     response.write(new JsonObject().put("list", list).put("servers", servers).encode() + "\n");
   }
--- a/src/main/java/fawndock/standin/PlatformWorld.java
+++ b/src/main/java/fawndock/fake/FakePlatform.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,7 +11,7 @@
  * What a gatekeeper finds on the platform, on loopback: one worker, the counter, the catalog and
  * the file that names them. Plans and classes are of its own making.
  */
-public final class PlatformWorld implements AutoCloseable {
+public final class FakePlatform implements AutoCloseable {
   private static final String SETTINGS =
       """
             {"azs":["a"],"caps":{"cancel":true,"conn-idle-us":3000000,"connect-timeout-us":250000,"max-attempts":3,
@@ -30,12 +30,12 @@
   private final Path file;
   private final int port;
   private final int sockets;
-  public final RespServer worker;
-  public final RespServer counter;
-  public final CatalogStandIn catalog;
+  public final FakeRespServer worker;
+  public final FakeRespServer counter;
+  public final FakeDiscoveryServer catalog;
 
   /** A world whose worker and counter answer as given. */
-  public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter)
+  public FakePlatform(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter)
       throws IOException {
     this(worker, counter, 256);
   }
@@ -45,14 +45,15 @@
    *
    * @param sockets the limit that the configuration tells
    */
-  public PlatformWorld(RespServer.Behaviour worker, RespServer.Behaviour counter, int sockets)
+  public FakePlatform(
+      FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
       throws IOException {
     this.sockets = sockets;
-    this.worker = new RespServer(worker);
-    this.counter = new RespServer(counter);
+    this.worker = new FakeRespServer(worker);
+    this.counter = new FakeRespServer(counter);
     catalog =
-        new CatalogStandIn(
-            CatalogStandIn.list(7, true, "w1", "127.0.0.1:" + this.worker.port(), "ready"));
+        new FakeDiscoveryServer(
+            FakeDiscoveryServer.list(7, true, "w1", "127.0.0.1:" + this.worker.port(), "ready"));
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       port = free.getLocalPort();
     }
--- a/src/main/java/fawndock/standin/RespServer.java
+++ b/src/main/java/fawndock/fake/FakeRespServer.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import fawndock.resp.CommandReader;
 import fawndock.resp.ProtocolException;
@@ -18,7 +18,7 @@
  * as bytes, so that it can also answer what no server should. Stands in for the platform's workers
  * and its counter.
  */
-public final class RespServer extends Listener {
+public final class FakeRespServer extends LoopbackServer {
   /** Answers commands, each on its connection's own thread. */
   public interface Behaviour {
     void command(List<String> words, Link link) throws IOException, InterruptedException;
@@ -53,7 +53,7 @@
   private final AtomicInteger commands = new AtomicInteger();
 
   /** Listens from now on. */
-  public RespServer(Behaviour behaviour) throws IOException {
+  public FakeRespServer(Behaviour behaviour) throws IOException {
     this.behaviour = behaviour;
     begin();
   }
--- a/src/main/java/fawndock/standin/Relay.java
+++ b/src/main/java/fawndock/fake/FaultInjectingProxy.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -19,7 +19,7 @@
  * A network between clients and a service that can hold answers back, slow them down and be cut.
  * What it holds is bounded: it stops reading from the service.
  */
-public final class Relay {
+public final class FaultInjectingProxy {
   private static final int MOST_HELD = 4_096;
 
   private record Chunk(Buffer bytes, long dueAt) {}
@@ -37,7 +37,7 @@
   private volatile byte[] counted = {};
   private final AtomicLong seen = new AtomicLong();
 
-  public Relay(Vertx vertx, int servicePort) {
+  public FaultInjectingProxy(Vertx vertx, int servicePort) {
     this.vertx = vertx;
     this.servicePort = servicePort;
     context = vertx.getOrCreateContext();
--- a/src/main/java/fawndock/standin/Listener.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,13 +12,13 @@
  * Listens on a free loopback port and serves each connection on a thread of its own; at most so
  * many at once.
  */
-abstract class Listener implements AutoCloseable {
+abstract class LoopbackServer implements AutoCloseable {
   private static final int MOST_CONNECTIONS = 512;
   private final ServerSocket listener;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private final AtomicInteger accepted = new AtomicInteger();
 
-  Listener() throws IOException {
+  LoopbackServer() throws IOException {
     listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
   }
 
--- a/src/main/java/fawndock/standin/RawClient.java
+++ b/src/main/java/fawndock/fake/RawHttpClient.java
@@ -1,6 +1,6 @@
-package fawndock.standin;
+package fawndock.fake;
 
-import fawndock.judge.Seen;
+import fawndock.conformance.TraceEvent;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -16,7 +16,7 @@
  * connection closes, so that a second answer, were there one, is seen. It may leave before it is
  * answered.
  */
-public final class RawClient {
+public final class RawHttpClient {
   private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 ([0-9]{3}) [^\r\n]*\r\n");
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *([0-9]+)\r\n");
   private static final Pattern WAIT = Pattern.compile("(?i)\r\nretry-after: *([0-9]+)\r\n");
@@ -48,9 +48,9 @@
 
   private final Vertx vertx;
   private final NetClient net;
-  private final Recorder recorder;
+  private final TraceRecorder recorder;
 
-  public RawClient(Vertx vertx, Recorder recorder) {
+  public RawHttpClient(Vertx vertx, TraceRecorder recorder) {
     this.vertx = vertx;
     this.net =
         vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2_000));
@@ -67,9 +67,9 @@
                 return;
               }
               NetSocket socket = connected.result();
-              long now = Recorder.now();
+              long now = TraceRecorder.now();
               recorder.add(
-                  new Seen.Asked(
+                  new TraceEvent.Asked(
                       now,
                       call.id(),
                       call.gatekeeper(),
@@ -125,7 +125,7 @@
     private void leave() {
       if (status == 0 && !left && !told) {
         left = true;
-        recorder.add(new Seen.Left(Recorder.now(), call.id()));
+        recorder.add(new TraceEvent.Left(TraceRecorder.now(), call.id()));
         socket.close();
       }
     }
@@ -149,7 +149,9 @@
         if (read.length() < whole) {
           return;
         }
-        recorder.add(new Seen.Answered(Recorder.now(), call.id(), Integer.parseInt(line.group(1))));
+        recorder.add(
+            new TraceEvent.Answered(
+                TraceRecorder.now(), call.id(), Integer.parseInt(line.group(1))));
         if (status == 0) {
           status = Integer.parseInt(line.group(1));
           Matcher wait = WAIT.matcher(head);
@@ -165,7 +167,7 @@
       }
       told = true;
       if (status == 0 && !left) {
-        recorder.add(new Seen.Broke(Recorder.now(), call.id()));
+        recorder.add(new TraceEvent.Broke(TraceRecorder.now(), call.id()));
       }
       ended.accept(new End(status, retryAfter, left));
     }
--- a/src/main/java/fawndock/standin/RespClient.java
+++ b/src/main/java/fawndock/fake/RespClient.java
@@ -1,4 +1,4 @@
-package fawndock.standin;
+package fawndock.fake;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/fawndock/standin/Recorder.java
+++ b/src/main/java/fawndock/fake/TraceRecorder.java
@@ -1,6 +1,6 @@
-package fawndock.standin;
+package fawndock.fake;
 
-import fawndock.judge.Seen;
+import fawndock.conformance.TraceEvent;
 import java.time.Clock;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
  * What the stand-ins saw, in the order in which they said so. Any thread. Bounded: a full one says
  * so.
  */
-public final class Recorder {
+public final class TraceRecorder {
   private static final int MOST = 5_000_000;
-  private final List<Seen> seen = new ArrayList<>();
+  private final List<TraceEvent> seen = new ArrayList<>();
   private boolean full;
 
   /** Wall-clock microseconds since 1970. */
@@ -22,7 +22,7 @@
   }
 
   /** Adds one. */
-  public synchronized void add(Seen what) {
+  public synchronized void add(TraceEvent what) {
     if (seen.size() < MOST) {
       seen.add(what);
     } else {
@@ -35,7 +35,7 @@
    *
    * @throws IllegalStateException when some were not kept, so that nobody judges by a part
    */
-  public synchronized List<Seen> all() {
+  public synchronized List<TraceEvent> all() {
     if (full) {
       throw new IllegalStateException("more than " + MOST + " records");
     }
--- a/src/main/java/fawndock/standin/package-info.java
+++ b/src/main/java/fawndock/fake/package-info.java
@@ -3,4 +3,4 @@
  * on demand. Used by drills, the demo, measurements and tests alone; no host or decision may know
  * of them. They record what crossed their sockets and never ask a gatekeeper.
  */
-package fawndock.standin;
+package fawndock.fake;
--- a/src/main/java/fawndock/gateway/AnswerLog.java
+++ b/src/main/java/fawndock/gateway/AnswerLog.java
@@ -2,9 +2,9 @@
 
 import static net.logstash.logback.argument.StructuredArguments.kv;
 
-import fawndock.host.Answers;
-import fawndock.host.Exchange.Asked;
-import fawndock.host.OpenRequest;
+import fawndock.runtime.InFlightRequest;
+import fawndock.runtime.ResponseRecorder;
+import fawndock.runtime.ServerExchange.RequestAttributes;
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -13,7 +13,7 @@
  * One line for each final answer, under the logger {@code fawndock.answers}; docs/operations.md
  * lists its fields.
  */
-final class AnswerLog implements Answers {
+final class AnswerLog implements ResponseRecorder {
   private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
   private final int gatekeeper;
   private final boolean on;
@@ -24,32 +24,32 @@
   }
 
   @Override
-  public void answered(OpenRequest request, long now, Verdict verdict, String reason) {
+  public void onResponse(InFlightRequest request, long now, RequestOutcome verdict, String reason) {
     if (on && LOG.isInfoEnabled()) {
-      Asked a = request.exchange.asked();
+      RequestAttributes a = request.exchange.requestAttributes();
       LOG.info(
           "{} {} {} {} {} {} {} {} {} {} {} {}",
           kv("request", request.id),
           kv("label", a.label()),
           kv("gatekeeper", gatekeeper),
-          kv("class", a.type().name()),
+          kv("class", a.requestClass().name()),
           kv("plan", a.plan()),
           kv("customer", a.customer()),
           kv("attempts", request.attempts.size()),
           kv("verdict", verdict.name().toLowerCase(Locale.ROOT)),
           kv("reason", reason),
           kv("status", status(request, verdict)),
-          kv("took_us", now - a.arrivedAt()),
-          kv("left_us", a.giveUpAt() - now));
+          kv("took_us", now - a.arrivedAtMicros()),
+          kv("left_us", a.deadlineAtMicros() - now));
     }
   }
 
-  private static int status(OpenRequest request, Verdict verdict) {
+  private static int status(InFlightRequest request, RequestOutcome verdict) {
     return switch (verdict) {
       case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
-      case REFUSED -> 429;
+      case REJECTED -> 429;
       case FAILED -> request.streamed() ? 0 : request.answered() ? 502 : 504;
-      case GONE -> 0;
+      case DISCONNECTED -> 0;
     };
   }
 
--- a/src/main/java/fawndock/gateway/CounterConnection.java
+++ b/src/main/java/fawndock/gateway/CounterConnection.java
@@ -1,6 +1,6 @@
 package fawndock.gateway;
 
-import fawndock.host.Alarms;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -46,7 +46,7 @@
   private final Vertx vertx;
   private final Context context;
   private final Address address;
-  private final Alarms alarms;
+  private final Timers alarms;
   private final Use use;
   private final Owner owner;
   private Redis client;
@@ -55,7 +55,7 @@
   private boolean closed;
 
   CounterConnection(
-      Vertx vertx, Context context, Address address, Alarms alarms, Use use, Owner owner) {
+      Vertx vertx, Context context, Address address, Timers alarms, Use use, Owner owner) {
     this.vertx = vertx;
     this.context = context;
     this.address = address;
@@ -92,7 +92,7 @@
                         .setConnectTimeout((int) (CONNECT_MICROS / 1_000))));
     client = making;
     // The greeting has no time limit of its own.
-    Alarms.Alarm limit = alarms.after(CONNECT_MICROS, () -> again(making, "no greeting"));
+    Timers.Timer limit = alarms.schedule(CONNECT_MICROS, () -> again(making, "no greeting"));
     making
         .connect()
         .compose(made -> owner.greet(made).map(made))
@@ -137,7 +137,7 @@
     client = null;
     which.close(); // Fails the calls that are out.
     LOG.warn("{} {} lost ({}), trying again in {} ms", use.what, address, why, pause / 1_000);
-    alarms.after(pause, this::connect);
+    alarms.schedule(pause, this::connect);
     pause = Math.min(use.longestPause, pause * 2);
   }
 
--- a/src/main/java/fawndock/gateway/CounterLink.java
+++ b/src/main/java/fawndock/gateway/CounterLink.java
@@ -5,12 +5,12 @@
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 import com.dynatrace.hash4j.random.PseudoRandomGeneratorProvider;
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.host.Alarms;
-import fawndock.host.MicroClock;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CounterReply;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterParts;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -34,8 +34,8 @@
       Context context,
       CounterParts settings,
       MicroClock clock,
-      Alarms alarms,
-      Consumer<Counted> told) {
+      Timers alarms,
+      Consumer<CounterReply> told) {
     nodes =
         !settings.nodes().isEmpty()
             ? new CounterNodes(vertx, context, settings, clock, alarms, told)
@@ -45,12 +45,12 @@
     }
   }
 
-  void count(Count count) {
+  void count(AddToCounter count) {
     if (nodes != null) {
       nodes.count(count);
       return;
     }
-    parts.get(part(count.name(), parts.size())).count(count);
+    parts.get(part(count.counterName(), parts.size())).count(count);
   }
 
   /** Which of so many parts has a name; on one thread at a time for all links of a process. */
--- a/src/main/java/fawndock/gateway/CounterNodes.java
+++ b/src/main/java/fawndock/gateway/CounterNodes.java
@@ -1,24 +1,24 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
-import fawndock.counter.core.Amount;
-import fawndock.counter.core.CountException;
-import fawndock.counter.replica.NodeList;
-import fawndock.counter.replica.ReplicaClient;
-import fawndock.counter.replica.ReplicaClient.Ask;
-import fawndock.counter.replica.ReplicaClient.End;
-import fawndock.counter.replica.ReplicaClient.Fetch;
-import fawndock.counter.replica.ReplicaClient.Give;
-import fawndock.counter.replica.ReplicaClient.Here;
-import fawndock.counter.replica.ReplicaClient.Out;
-import fawndock.counter.replica.Sum;
-import fawndock.host.Alarms;
-import fawndock.host.InOrder;
-import fawndock.host.MicroClock;
+import fawndock.counter.replication.MembershipList;
+import fawndock.counter.replication.ReplicaClient;
+import fawndock.counter.replication.ReplicaClient.Ask;
+import fawndock.counter.replication.ReplicaClient.End;
+import fawndock.counter.replication.ReplicaClient.Fetch;
+import fawndock.counter.replication.ReplicaClient.Give;
+import fawndock.counter.replication.ReplicaClient.Here;
+import fawndock.counter.replication.ReplicaClient.Out;
+import fawndock.counter.replication.ReplicatedSum;
+import fawndock.counter.storage.CommandException;
+import fawndock.counter.storage.DecimalAmount;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.runtime.CounterReplySequencer;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterParts;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -51,8 +51,8 @@
   private final Vertx vertx;
   private final CounterParts settings;
   private final MicroClock clock;
-  private final Alarms alarms;
-  private final InOrder order;
+  private final Timers alarms;
+  private final CounterReplySequencer order;
   private final Context context;
   private final ReplicaClient client;
 
@@ -64,7 +64,7 @@
   /** Lines to nodes' new addresses, until they are connected. */
   private final Map<String, NodeLine> moving = new HashMap<>();
 
-  private final Map<Long, InOrder.Place> calls = new HashMap<>();
+  private final Map<Long, CounterReplySequencer.PendingCall> calls = new HashMap<>();
   private boolean closed;
 
   CounterNodes(
@@ -72,12 +72,12 @@
       Context context,
       CounterParts settings,
       MicroClock clock,
-      Alarms alarms,
-      Consumer<Counted> told) {
+      Timers alarms,
+      Consumer<CounterReply> told) {
     this.settings = settings;
     this.clock = clock;
     this.alarms = alarms;
-    order = new InOrder(told);
+    order = new CounterReplySequencer(told);
     this.context = context;
     this.vertx = vertx;
     settings.nodes().forEach((id, address) -> nodes.put(id, line(id, address)));
@@ -90,7 +90,7 @@
             origin,
             List.copyOf(nodes.keySet()),
             new ReplicaClient.Times(Math.max(1, limit / 5), limit, limit, limit));
-    alarms.after(TICK_MICROS, this::tick);
+    alarms.schedule(TICK_MICROS, this::tick);
   }
 
   private NodeLine line(String id, Address address) {
@@ -114,7 +114,7 @@
     if (moving.remove(id, line)) {
       NodeLine old = nodes.put(id, line);
       if (old != null) {
-        alarms.after(settings.timeoutMicros(), old::close);
+        alarms.schedule(settings.timeoutMicros(), old::close);
       }
     }
   }
@@ -123,23 +123,28 @@
     return clock.now() / 1_000;
   }
 
-  void count(Count count) {
-    InOrder.Place waiting = new InOrder.Place(count.name(), clock.now());
+  void count(AddToCounter count) {
+    CounterReplySequencer.PendingCall waiting =
+        new CounterReplySequencer.PendingCall(count.counterName(), clock.now());
     order.begin(waiting);
     List<Out> out = new ArrayList<>();
     try {
       if (calls.size() >= settings.maxCalls()) {
-        throw new CountException("too many calls are out");
+        throw new CommandException("too many calls are out");
       }
-      Amount amount =
-          Amount.of(Double.toString(count.amount()).getBytes(StandardCharsets.US_ASCII));
+      DecimalAmount amount =
+          DecimalAmount.of(Double.toString(count.amount()).getBytes(StandardCharsets.US_ASCII));
       long call =
           client.call(
-              count.name(), amount, Math.max(1, (count.keepMicros() + 999) / 1_000), now(), out);
+              count.counterName(),
+              amount,
+              Math.max(1, (count.timeToLiveMicros() + 999) / 1_000),
+              now(),
+              out);
       calls.put(call, waiting);
-    } catch (CountException e) {
+    } catch (CommandException e) {
       context.runOnContext(
-          later -> end(waiting, Result.SHED, 0)); // The gatekeeper is still being asked.
+          later -> end(waiting, CallResult.SHED, 0)); // The gatekeeper is still being asked.
       return;
     }
     if (out.stream().anyMatch(End.class::isInstance)) {
@@ -164,15 +169,15 @@
         }
         list(give.node(), request);
       } else if (each instanceof End end) {
-        InOrder.Place waiting = calls.remove(end.call());
+        CounterReplySequencer.PendingCall waiting = calls.remove(end.call());
         if (waiting != null) {
           end(
               waiting,
               switch (end.result()) {
-                case OK -> Result.OK;
-                case TIMEOUT -> Result.TIMEOUT;
-                case UNREACHABLE -> Result.CONNECT_FAILED;
-                case REFUSED -> Result.SHED;
+                case OK -> CallResult.OK;
+                case TIMEOUT -> CallResult.TIMEOUT;
+                case UNREACHABLE -> CallResult.CONNECT_FAILED;
+                case REFUSED -> CallResult.SHED;
               },
               end.total());
         }
@@ -208,12 +213,12 @@
         answer -> {
           String text = answer.succeeded() ? answer.result().toString() : "";
           if (!text.isEmpty()) {
-            adopt(NodeList.of(text));
+            adopt(MembershipList.of(text));
           }
         });
   }
 
-  private void adopt(NodeList list) {
+  private void adopt(MembershipList list) {
     List<Out> out = new ArrayList<>();
     if (!client.adopt(list, now(), out)) {
       return;
@@ -250,7 +255,7 @@
   }
 
   private void ask(Ask ask) {
-    Sum sum = ask.sum();
+    ReplicatedSum sum = ask.sum();
     send(
         ask.node(),
         Request.cmd(SUM)
@@ -290,11 +295,11 @@
       List<Out> out = new ArrayList<>();
       client.tick(now(), out);
       carry(out);
-      alarms.after(TICK_MICROS, this::tick);
+      alarms.schedule(TICK_MICROS, this::tick);
     }
   }
 
-  private void end(InOrder.Place waiting, Result result, double total) {
+  private void end(CounterReplySequencer.PendingCall waiting, CallResult result, double total) {
     order.end(waiting, result, total, clock.now());
   }
 
--- a/src/main/java/fawndock/gateway/CounterPart.java
+++ b/src/main/java/fawndock/gateway/CounterPart.java
@@ -1,13 +1,13 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Count;
-import fawndock.Gatekeeper.Counted;
-import fawndock.Gatekeeper.Result;
-import fawndock.host.Alarms;
-import fawndock.host.InOrder;
-import fawndock.host.MicroClock;
+import fawndock.policy.action.AddToCounter;
+import fawndock.policy.event.CallResult;
+import fawndock.policy.event.CounterReply;
+import fawndock.runtime.CounterReplySequencer;
+import fawndock.runtime.MicroClock;
+import fawndock.runtime.Timers;
 import fawndock.settings.Address;
-import fawndock.settings.DaemonSettings.CounterParts;
+import fawndock.settings.GatewaySettings.CounterParts;
 import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -41,12 +41,12 @@
           "ERR \\[[0-9]+] (CONNECTION_CLOSED|ILLEGAL_STATE|Connection |[a-z]+(\\.[a-z0-9]+)*\\.[A-Z])");
 
   /** A call that is out. */
-  private static final class Call extends InOrder.Place {
-    final Count count;
-    Alarms.Alarm timeOut;
+  private static final class Call extends CounterReplySequencer.PendingCall {
+    final AddToCounter count;
+    Timers.Timer timeOut;
 
-    Call(Count count, long startedAt) {
-      super(count.name(), startedAt);
+    Call(AddToCounter count, long startedAt) {
+      super(count.counterName(), startedAt);
       this.count = count;
     }
   }
@@ -54,8 +54,8 @@
   private final Context context;
   private final CounterParts settings;
   private final MicroClock clock;
-  private final Alarms alarms;
-  private final InOrder order;
+  private final Timers alarms;
+  private final CounterReplySequencer order;
   private final CounterConnection connection;
 
   /** Calls on the connection. */
@@ -74,13 +74,13 @@
       Address address,
       CounterParts settings,
       MicroClock clock,
-      Alarms alarms,
-      Consumer<Counted> told) {
+      Timers alarms,
+      Consumer<CounterReply> told) {
     this.context = context;
     this.settings = settings;
     this.clock = clock;
     this.alarms = alarms;
-    order = new InOrder(told);
+    order = new CounterReplySequencer(told);
     connection =
         new CounterConnection(
             vertx,
@@ -92,18 +92,18 @@
     connection.connect();
   }
 
-  void count(Count count) {
+  void count(AddToCounter count) {
     Call call = new Call(count, clock.now());
     order.begin(call);
     boolean none = connection.now() == null;
     if (none || out.size() >= settings.maxCalls()) {
       // In a later turn: the gatekeeper is still being asked.
-      Result why = none ? Result.CONNECT_FAILED : Result.SHED;
+      CallResult why = none ? CallResult.CONNECT_FAILED : CallResult.SHED;
       context.runOnContext(later -> end(call, why, 0));
       return;
     }
     out.add(call);
-    call.timeOut = alarms.after(settings.timeoutMicros(), () -> timeOut(call));
+    call.timeOut = alarms.schedule(settings.timeoutMicros(), () -> timeOut(call));
     // What is called in one turn of the loop goes out in one write.
     unsent.add(call);
     if (unsent.size() == 1) {
@@ -121,14 +121,15 @@
     List<Request> commands = new ArrayList<>(perCall * calls.size());
     int each = perCall;
     for (Call call : calls) {
-      Count count = call.count;
+      AddToCounter count = call.count;
       String amount = Double.toString(count.amount());
-      long keepMillis = Math.max(1, (count.keepMicros() + 999) / 1_000);
+      long keepMillis = Math.max(1, (count.timeToLiveMicros() + 999) / 1_000);
       if (each == 1) {
-        commands.add(Request.cmd(ADD).arg(count.name()).arg(amount).arg(keepMillis));
+        commands.add(Request.cmd(ADD).arg(count.counterName()).arg(amount).arg(keepMillis));
       } else {
-        commands.add(Request.cmd(Command.INCRBYFLOAT).arg(count.name()).arg(amount));
-        commands.add(Request.cmd(Command.PEXPIRE).arg(count.name()).arg(keepMillis).arg("NX"));
+        commands.add(Request.cmd(Command.INCRBYFLOAT).arg(count.counterName()).arg(amount));
+        commands.add(
+            Request.cmd(Command.PEXPIRE).arg(count.counterName()).arg(keepMillis).arg("NX"));
       }
     }
     used.batch(commands)
@@ -150,12 +151,12 @@
   private void answered(Call call, int place, AsyncResult<List<Response>> answer) {
     if (answer.succeeded()) {
       try {
-        end(call, Result.OK, Double.parseDouble(answer.result().get(place).toString()));
+        end(call, CallResult.OK, Double.parseDouble(answer.result().get(place).toString()));
       } catch (NumberFormatException | NullPointerException e) {
-        end(call, Result.TIMEOUT, 0); // Not a total, and the amount may have been added.
+        end(call, CallResult.TIMEOUT, 0); // Not a total, and the amount may have been added.
       }
     } else {
-      end(call, refused(answer.cause(), place) ? Result.SHED : Result.TIMEOUT, 0);
+      end(call, refused(answer.cause(), place) ? CallResult.SHED : CallResult.TIMEOUT, 0);
     }
   }
 
@@ -174,7 +175,7 @@
   }
 
   private void timeOut(Call call) {
-    end(call, Result.TIMEOUT, 0);
+    end(call, CallResult.TIMEOUT, 0);
     inARow++;
     // Guards against a half-open connection, on which nothing would ever be heard again. May drop
     // one that
@@ -184,7 +185,7 @@
     }
   }
 
-  private void end(Call call, Result result, double total) {
+  private void end(Call call, CallResult result, double total) {
     if (call.ended()) {
       return;
     }
@@ -213,7 +214,7 @@
   public void lost() {
     List<Call> never = List.copyOf(unsent);
     unsent.clear();
-    never.forEach(call -> end(call, Result.CONNECT_FAILED, 0));
+    never.forEach(call -> end(call, CallResult.CONNECT_FAILED, 0));
   }
 
   void close() {
--- a/src/main/java/fawndock/gateway/Daemon.java
+++ b/src/main/java/fawndock/gateway/Daemon.java
@@ -1,8 +1,9 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper;
-import fawndock.Logic;
-import fawndock.settings.DaemonSettings;
+import fawndock.policy.DefaultGatewayPolicy;
+import fawndock.policy.GatewayPolicy;
+import fawndock.policy.config.PolicyConfig;
+import fawndock.settings.GatewaySettings;
 import io.vertx.core.DeploymentOptions;
 import io.vertx.core.Future;
 import io.vertx.core.VerticleBase;
@@ -16,19 +17,19 @@
 
 /** The gatekeepers of one process, started and stopped together. */
 public final class Daemon {
-  private final DaemonSettings settings;
-  private final Function<Gatekeeper.Settings, Gatekeeper> maker;
+  private final GatewaySettings settings;
+  private final Function<PolicyConfig, GatewayPolicy> maker;
   private final Vertx vertx;
   private final List<GatekeeperNode> nodes = new ArrayList<>();
   private final AtomicInteger connections = new AtomicInteger();
   private Future<Void> stopped;
 
-  /** A daemon whose requests {@link Logic} decides. */
-  public Daemon(DaemonSettings settings) {
-    this(settings, Logic::new);
+  /** A daemon whose requests {@link DefaultGatewayPolicy} decides. */
+  public Daemon(GatewaySettings settings) {
+    this(settings, DefaultGatewayPolicy::new);
   }
 
-  Daemon(DaemonSettings settings, Function<Gatekeeper.Settings, Gatekeeper> maker) {
+  Daemon(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
     this.settings = settings;
     this.maker = maker;
     this.vertx =
--- a/src/main/java/fawndock/gateway/Ends.java
+++ b/src/main/java/fawndock/gateway/Ends.java
@@ -1,6 +1,6 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Result;
+import fawndock.policy.event.CallResult;
 import io.vertx.core.http.StreamResetException;
 
 /**
@@ -21,18 +21,18 @@
    * @param lastStreamId the last stream that the connection's GOAWAY says may be processed;
    *     MAX_VALUE without one
    */
-  static Result broken(Throwable cause, int streamId, int lastStreamId) {
+  static CallResult broken(Throwable cause, int streamId, int lastStreamId) {
     if (cause instanceof StreamResetException reset) {
-      return reset.getCode() == REFUSED_STREAM ? Result.SHED : Result.RESET;
+      return reset.getCode() == REFUSED_STREAM ? CallResult.SHED : CallResult.RESET;
     }
-    return streamId > lastStreamId ? Result.SHED : Result.RESET;
+    return streamId > lastStreamId ? CallResult.SHED : CallResult.RESET;
   }
 
   /**
    * The end of an answer with this status: what a worker answered itself is served, unless it is an
    * error.
    */
-  static Result answered(int status) {
-    return status >= 500 ? Result.ERROR : Result.OK;
+  static CallResult answered(int status) {
+    return status >= 500 ? CallResult.ERROR : CallResult.OK;
   }
 }
--- a/src/main/java/fawndock/gateway/Front.java
+++ b/src/main/java/fawndock/gateway/Front.java
@@ -1,14 +1,14 @@
 package fawndock.gateway;
 
-import fawndock.Gatekeeper.Plan;
-import fawndock.Gatekeeper.Repeat;
-import fawndock.Gatekeeper.RequestClass;
-import fawndock.host.Alarms;
-import fawndock.host.Exchange.Asked;
-import fawndock.host.GatekeeperHost;
-import fawndock.settings.DaemonSettings;
-import fawndock.settings.DaemonSettings.Key;
-import fawndock.settings.DaemonSettings.Route;
+import fawndock.policy.config.Idempotency;
+import fawndock.policy.config.Plan;
+import fawndock.policy.config.RequestClass;
+import fawndock.runtime.PolicyRunner;
+import fawndock.runtime.ServerExchange.RequestAttributes;
+import fawndock.runtime.Timers;
+import fawndock.settings.GatewaySettings;
+import fawndock.settings.GatewaySettings.Key;
+import fawndock.settings.GatewaySettings.Route;
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
@@ -34,8 +34,8 @@
   private static final Pattern NUMBER = Pattern.compile("0*[1-9][0-9]{0,8}");
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,6})?");
   private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-  private final DaemonSettings settings;
-  private final GatekeeperHost host;
+  private final GatewaySettings settings;
+  private final PolicyRunner host;
   private final AnswerLog answerLog;
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<String, Plan> plans = new HashMap<>();
@@ -43,7 +43,7 @@
   /** Fields that do not go on to a worker. */
   private final Set<String> kept = new HashSet<>();
 
-  Front(DaemonSettings settings, GatekeeperHost host, AnswerLog answerLog) {
+  Front(GatewaySettings settings, PolicyRunner host, AnswerLog answerLog) {
     this.settings = settings;
     this.host = host;
     this.answerLog = answerLog;
@@ -116,8 +116,8 @@
     MultiMap headers = Headers.forwarded(request.headers(), kept);
     headers.add("via", (request.version().alpnName().startsWith("h2") ? "2" : "1.1") + " fawndock");
     String label = request.getHeader("x-request-id");
-    Asked asked =
-        new Asked(
+    RequestAttributes asked =
+        new RequestAttributes(
             type,
             holder.plan(),
             holder.customer(),
@@ -134,7 +134,7 @@
 
   private void idempotencyKey(HttpServerRequest request, RequestClass type) {
     String key = one(request, "idempotency-key");
-    if (key == null && type.repeat() == Repeat.DEDUPLICATED) {
+    if (key == null && type.idempotency() == Idempotency.DEDUPLICATED) {
       throw new Unfit(
           400, "idempotency-key", "Idempotency-Key is missing", "Requests of this class need one.");
     }
@@ -186,7 +186,7 @@
   }
 
   /** Takes in the body, which a repeat may need again, up to the stated size. */
-  private void collect(HttpServerRequest request, Asked asked, HttpAsked sent) {
+  private void collect(HttpServerRequest request, RequestAttributes asked, HttpAsked sent) {
     int limit = settings.http().bodyLimit();
     String length = request.getHeader("content-length");
     if (length != null && (!LENGTH.matcher(length).matches() || Long.parseLong(length) > limit)) {
@@ -199,10 +199,10 @@
       return;
     }
     boolean[] ended = {false};
-    Alarms.Alarm late =
-        host.alarms()
-            .after(
-                asked.giveUpAt() - host.clock().now(),
+    Timers.Timer late =
+        host.timers()
+            .schedule(
+                asked.deadlineAtMicros() - host.clock().now(),
                 () -> {
                   if (!ended[0]) {
                     ended[0] = true;
@@ -214,20 +214,20 @@
     request.exceptionHandler(
         e -> {
           ended[0] = true;
-          host.alarms().cancel(late);
+          host.timers().cancel(late);
         });
     request.handler(
         part -> {
           sent.body().appendBuffer(part);
           if (!ended[0] && sent.body().length() > limit) {
             ended[0] = true;
-            host.alarms().cancel(late);
+            host.timers().cancel(late);
             turnAway(request, tooLarge(limit).problem);
           }
         });
     request.endHandler(
         end -> {
-          host.alarms().cancel(late);
+          host.timers().cancel(late);
           if (!ended[0]) {
             ended[0] = true;
             enter(request, asked, sent);
@@ -239,8 +239,8 @@
     return new Unfit(413, "size", "Body too large", "At most " + limit + " bytes are taken.");
   }
 
-  private void enter(HttpServerRequest request, Asked asked, HttpAsked sent) {
-    if (host.open() >= settings.limits().maxOpen()) {
+  private void enter(HttpServerRequest request, RequestAttributes asked, HttpAsked sent) {
+    if (host.openCount() >= settings.limits().maxInFlight()) {
       request.response().putHeader("retry-after", "1");
       turnAway(
           request, new Problem(503, "open", "Too many open requests", "Trying again is harmless."));
@@ -248,10 +248,10 @@
     }
     long[] id = {-1};
     // Before the gatekeeper is asked: it may answer at once, and a client may be gone by then.
-    request.response().closeHandler(closed -> host.gone(id[0]));
-    request.response().exceptionHandler(e -> host.gone(id[0]));
-    request.exceptionHandler(e -> host.gone(id[0]));
-    id[0] = host.request(new HttpExchange(request, asked, sent, plans.get(asked.plan())));
+    request.response().closeHandler(closed -> host.onClientDisconnected(id[0]));
+    request.response().exceptionHandler(e -> host.onClientDisconnected(id[0]));
+    request.exceptionHandler(e -> host.onClientDisconnected(id[0]));
+    id[0] = host.onRequest(new HttpExchange(request, asked, sent, plans.get(asked.plan())));
   }
 
   private void turnAway(HttpServerRequest request, Problem problem) {
