--- a/src/main/java/fawndock/Main.java
+++ b/src/main/java/fawndock/Main.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 
 /**
- * The way in. {@code benchlink} speaks the simulator's wire on standard input and output and loads
- * nothing of the daemon; every other command is {@link fawndock.cli.Commands}'.
+ * Starts the program. {@code benchlink} and {@code platform} start without {@link
+ * fawndock.cli.Commands}, since loading all commands would cost a fifth of a start.
  */
 public final class Main {
   private Main() {}
@@ -16,9 +16,7 @@
       System.exit(new SimulatorAdapter().run(System.in, System.out, System.err));
     }
     if (args.length == 1 && args[0].equals("platform")) {
-      System.exit(
-          fawndock.cli.PlatformCommand
-              .run()); // Without the other commands: they cost a fifth of a start.
+      System.exit(fawndock.cli.PlatformCommand.run());
     }
     int code = fawndock.cli.Commands.run(args);
     if (code >= 0) {
--- a/src/main/java/fawndock/cli/BenchCommand.java
+++ b/src/main/java/fawndock/cli/BenchCommand.java
@@ -20,7 +20,7 @@
       BenchCommand.Counter.class,
       BenchCommand.Proxy.class
     })
-final class BenchCommand extends Group {
+final class BenchCommand extends CommandGroup {
   /** The gateway beside a bare proxy. */
   @Command(
       name = "passthrough",
@@ -38,7 +38,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       new Passthrough(seconds, turns, !uncounted, System.out).run();
       return 0;
     }
@@ -64,7 +64,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       CounterBench bench = new CounterBench(seconds, turns, System.out);
       if (fleet) {
         new CounterFleetBench(seconds, turns, System.out).run();
@@ -85,14 +85,14 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       System.out.println(
           new BareProxy(worker)
               .start()
               .toCompletionStage()
               .toCompletableFuture()
               .get(20, TimeUnit.SECONDS));
-      return Commands.STAYS;
+      return Commands.KEEPS_RUNNING;
     }
   }
 }
--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -8,31 +8,31 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock check FILE}: tells every mistake in a settings file and starts nothing. */
+/** {@code fawndock check FILE}: prints every error of a settings file and starts nothing. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Tells every mistake in a settings file.",
+    description = "Checks a gateway's settings file and prints every error.",
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:no mistakes", "2:mistakes"})
+    exitCodeList = {"0:no errors", "2:errors in the settings"})
 final class CheckCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "the settings")
+  @Parameters(paramLabel = "FILE", description = "the settings file")
   private Path file;
 
   @Override
   public Integer call() {
     try {
-      GatewaySettings s = GatewaySettingsFile.read(file);
+      GatewaySettings settings = GatewaySettingsFile.read(file);
       System.out.println(
           file
               + ": no mistakes: "
-              + s.classes().size()
+              + settings.classes().size()
               + " classes, "
-              + s.plans().size()
+              + settings.plans().size()
               + " plans, "
-              + s.apiKeys().size()
+              + settings.apiKeys().size()
               + " keys, "
-              + s.routes().size()
+              + settings.routes().size()
               + " routes");
       return 0;
     } catch (ConfigurationException e) {
--- a/src/main/java/fawndock/cli/Group.java
+++ b/src/main/java/fawndock/cli/CommandGroup.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only has others under it: by itself it tells how it is used. */
-abstract class Group implements Callable<Integer> {
+/** A command that only has subcommands; alone it prints its usage. */
+abstract class CommandGroup implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
   @Override
--- a/src/main/java/fawndock/cli/Commands.java
+++ b/src/main/java/fawndock/cli/Commands.java
@@ -4,15 +4,16 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program's commands. */
+/** The program's commands, and the root command that lists them. */
 @Command(
     name = "fawndock",
     mixinStandardHelpOptions = true,
     version = "fawndock 0.2.0",
     description =
-        "An API gateway that keeps each customer of a shared back end to its plan, across a fleet.",
+        "An API gateway that holds the quotas of each customer of a shared back end, across a fleet.",
     synopsisSubcommandLabel = "COMMAND",
-    footer = "benchlink, without options, speaks the bench's wire on standard input and output.",
+    footer =
+        "benchlink, without options, speaks the simulator's protocol on standard input and output.",
     subcommands = {
       RunCommand.class,
       PlatformCommand.class,
@@ -27,12 +28,13 @@
       ExperimentCommand.class,
       ReportCommand.class
     })
-public final class Commands extends Group {
-  /** Returned by a command that goes on after its call; the process stays. */
-  static final int STAYS = -1;
+public final class Commands extends CommandGroup {
+  /** Returned by a command whose threads keep running after its call. */
+  static final int KEEPS_RUNNING = -1;
 
   /**
-   * Runs a command line; returns the exit code, or a number below 0 when the process is to stay.
+   * Runs a command line; returns the exit code, or a negative number when the process keeps
+   * running.
    */
   public static int run(String[] args) {
     return new CommandLine(new Commands())
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -4,15 +4,20 @@
 import fawndock.counter.FileDisk;
 import fawndock.counter.config.CounterSettings;
 import fawndock.counter.config.CounterSettingsFile;
+import fawndock.scenario.CounterCaller;
 import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
 
 /**
  * {@code fawndock counter -c FILE}: the counter service in the foreground, until SIGTERM or SIGINT.
@@ -25,17 +30,17 @@
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
       "1:could not start, such as on a damaged log",
-      "2:mistakes in the settings",
-      "143:stopped by SIGTERM after committing what was taken"
+      "2:errors in the settings",
+      "143:stopped by SIGTERM after accepted commands were committed"
     })
 final class CounterCommand implements Callable<Integer> {
   @Option(
       names = {"-c", "--config"},
       paramLabel = "FILE",
-      description = "the settings")
+      description = "the settings file")
   private Path file;
 
-  @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
+  @Spec private CommandSpec spec;
 
   @Override
   public Integer call() {
@@ -51,73 +56,75 @@
       System.err.println(e.getMessage());
       return 2;
     }
-    Logs.to(settings.log());
+    LogConfigurator.configure(settings.log());
     try {
       FileDisk disk = new FileDisk(settings.directory(), true);
       CounterServer server = new CounterServer(settings, disk);
-      ProgressBar bar = new ProgressBar("recovering", size(settings.directory()), System.err);
-      int port = server.start(bar::at);
-      bar.end();
+      ProgressBar bar = new ProgressBar("recovering", totalBytes(settings.directory()), System.err);
+      int port = server.start(bar::update);
+      bar.finish();
       Runtime.getRuntime()
           .addShutdownHook(
               new Thread(
                   () -> {
                     server.stop();
-                    Logs.flush();
+                    LogConfigurator.flush();
                   },
                   "stop"));
       System.out.println("fawndock counter listens on " + settings.listen().host() + ":" + port);
-      return Commands.STAYS;
+      return Commands.KEEPS_RUNNING;
     } catch (IOException e) {
       LoggerFactory.getLogger("fawndock").error("cannot start: {}", e.getMessage());
-      Logs.flush();
+      LogConfigurator.flush();
       return 1;
     }
   }
 
-  private static long size(Path directory) throws IOException {
+  private static long totalBytes(Path directory) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
-      long all = 0;
+      long total = 0;
       for (Path each : files.toList()) {
-        all += Files.size(each);
+        total += Files.size(each);
       }
-      return all;
+      return total;
     }
   }
 
   /**
-   * {@code fawndock counter status HOST:PORT ...}: what each node says of itself and of the others.
+   * {@code fawndock counter status HOST:PORT ...}: the state of each node, and of its peers as it
+   * sees them.
    */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
-      description = "Tells each node's state, epoch, and what it has yet to tell the others.",
+      description =
+          "Prints each node's state and epoch, and what it has yet to replicate to its peers.",
       exitCodeListHeading = "Exit codes:%n",
-      exitCodeList = {"0:all answer gatekeepers", "1:some do not"})
+      exitCodeList = {"0:all nodes serve gateways", "1:some do not"})
   static final class Status implements Callable<Integer> {
-    @picocli.CommandLine.Parameters(arity = "1..*", paramLabel = "HOST:PORT")
-    private java.util.List<String> nodes;
+    @Parameters(arity = "1..*", paramLabel = "HOST:PORT")
+    private List<String> nodes;
 
     @Override
     public Integer call() {
-      boolean all = true;
+      boolean isAllReady = true;
       for (String each : nodes) {
-        try (fawndock.scenario.CounterCaller caller = new fawndock.scenario.CounterCaller(each)) {
-          Object told = caller.call("FD.STATUS");
-          if (told instanceof java.util.List<?> lines) {
+        try (CounterCaller caller = new CounterCaller(each)) {
+          Object reply = caller.call("FD.STATUS");
+          if (reply instanceof List<?> lines) {
             lines.forEach(
                 line -> System.out.println(lines.get(0) == line ? each + ": " + line : line));
-            all &= String.valueOf(lines.get(0)).endsWith(" ready");
+            isAllReady &= String.valueOf(lines.get(0)).endsWith(" ready");
           } else {
-            System.out.println(each + ": " + told);
-            all = false;
+            System.out.println(each + ": " + reply);
+            isAllReady = false;
           }
         } catch (IOException | IllegalArgumentException e) {
           System.out.println(each + ": " + e.getMessage());
-          all = false;
+          isAllReady = false;
         }
       }
-      return all ? 0 : 1;
+      return isAllReady ? 0 : 1;
     }
   }
 }
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -27,7 +27,7 @@
       CounterLogCommand.Dump.class,
       CounterLogCommand.Truncate.class
     })
-final class CounterLogCommand extends Group {
+final class CounterLogCommand extends CommandGroup {
   private static boolean isDirectory(Path directory) {
     if (!Files.isDirectory(directory)) {
       System.err.println(directory + ": not a directory, expected the counter's");
--- a/src/main/java/fawndock/cli/DemoCommand.java
+++ b/src/main/java/fawndock/cli/DemoCommand.java
@@ -6,18 +6,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code fawndock demo}: everything on loopback, with customers over their plans, and a live
- * summary.
+ * {@code fawndock demo}: a whole deployment on loopback, with customers over their quotas, and a
+ * live summary.
  */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
-    description = "Shows the gateway at work on loopback.")
+    description = "Runs a whole deployment on loopback, with a live summary.")
 final class DemoCommand implements Callable<Integer> {
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "how long, default ${DEFAULT-VALUE}")
+      description = "duration in seconds, default ${DEFAULT-VALUE}")
   private int seconds;
 
   @Override
@@ -26,7 +26,7 @@
       System.err.println("--seconds is from 1 to 3600");
       return 2;
     }
-    Logs.quiet();
+    LogConfigurator.configureForTool();
     return new Demo(System.out).run(seconds) ? 0 : 1;
   }
 }
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -25,7 +25,7 @@
       DrillCommand.LargeFleetDrill.class,
       DrillCommand.PlatformWayIn.class
     })
-final class DrillCommand extends Group {
+final class DrillCommand extends CommandGroup {
   /** Three gatekeepers through overlapping troubles. */
   @Command(
       name = "bad-day",
@@ -40,7 +40,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       return new BadDay(seed, System.out).run() ? 0 : 1;
     }
   }
@@ -62,7 +62,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       DayFile day;
       try {
         day = DayFile.read(file);
@@ -104,7 +104,7 @@
         System.err.println("--seconds is from 10 to 900, --nodes is 1 or 3");
         return 2;
       }
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       return new Chaos(seconds, nodes, seed, System.out).run() ? 0 : 1;
     }
   }
@@ -134,7 +134,7 @@
         System.err.println("--kills is from 1 to 10000");
         return 2;
       }
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       return new CounterCrash(kills, seed, System.out).run() ? 0 : 1;
     }
   }
@@ -181,7 +181,7 @@
         System.err.println("--nodes is 1 or 3, --seconds from 1 to 60");
         return 2;
       }
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       return drill.run() ? 0 : 1;
     }
   }
@@ -211,7 +211,7 @@
         System.err.println("--seconds is from 20 to 300");
         return 2;
       }
-      Logs.quiet();
+      LogConfigurator.configureForTool();
       return new LargeFleet(seconds, seed, System.out).run() ? 0 : 1;
     }
   }
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -87,7 +87,7 @@
       real.beyond().forEach(System.err::println);
       return 2;
     }
-    Logs.quiet();
+    LogConfigurator.configureForTool();
     OverSockets.Played played = real.play();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
     Beside.rows(emulated.figures(), played.told().figures())
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -68,8 +68,8 @@
           "%s: %d runs, %d to be done, %d at once%n",
           experiment.title(), experiment.runs().size(), left, jobs);
       ProgressBar bar = new ProgressBar("runs", left, left + " runs", System.out);
-      List<Outcome> all = runner.run(results, jobs, bar::at);
-      bar.end();
+      List<Outcome> all = runner.run(results, jobs, bar::update);
+      bar.finish();
       Results.csv(folder.resolve("results.csv"), all);
       Files.copy(
           file,
--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -61,7 +61,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Logs.quiet();
+    LogConfigurator.configureForTool();
     LoadPlan plan;
     try {
       plan = LoadFile.read(file);
--- a/src/main/java/fawndock/cli/Logs.java
+++ b/src/main/java/fawndock/cli/LogConfigurator.java
@@ -14,21 +14,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging on standard error, as text or JSON lines. Lines pass through a bounded queue, so
- * that a reader who stops does not stop an event loop: when it is full, lines are dropped rather
- * than waited for.
+ * Configures the log on standard error, as text or JSON lines. Lines pass through a bounded queue
+ * and are dropped when it is full, so that a reader who stops does not block an event loop.
  */
-final class Logs {
-  private static final int QUEUE = 16_384;
+final class LogConfigurator {
+  private static final int QUEUE_LINES = 16_384;
 
-  private Logs() {}
+  private LogConfigurator() {}
 
   /** Warnings and errors as text, for tools that print their own results. */
-  static void quiet() {
-    to(new LogSettings(false, "warn"));
+  static void configureForTool() {
+    configure(new LogSettings(false, "warn"));
   }
 
-  static void to(LogSettings log) {
+  static void configure(LogSettings log) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
@@ -38,7 +37,7 @@
     console.start();
     AsyncAppender queue = new AsyncAppender();
     queue.setContext(context);
-    queue.setQueueSize(QUEUE);
+    queue.setQueueSize(QUEUE_LINES);
     queue.setDiscardingThreshold(0);
     queue.setNeverBlock(true);
     queue.addAppender(console);
--- a/src/main/java/fawndock/cli/ProgressBar.java
+++ b/src/main/java/fawndock/cli/ProgressBar.java
@@ -3,53 +3,58 @@
 import java.io.PrintStream;
 
 /**
- * A line that shows how far something long has come; nothing for what ends within a second, nor
- * where nobody looks on.
+ * Shows the progress of a long task on one line of a terminal; nothing within its first second, nor
+ * where the output is no terminal. One thread.
  */
 final class ProgressBar {
+  private static final long QUIET_NANOS = 1_000_000_000;
   private static final int WIDTH = 40;
   private static final long STEP_NANOS = 200_000_000;
-  private final String what;
-  private final long all;
-  private final String told;
+  private final String title;
+  private final long total;
+  private final String totalText;
   private final PrintStream out;
-  private long shownAt = System.nanoTime() + 1_000_000_000 - STEP_NANOS;
-  private boolean shown;
+  private long shownAtNanos = System.nanoTime() + QUIET_NANOS - STEP_NANOS;
+  private boolean isShown;
 
   /**
-   * @param all bytes when it is done
+   * @param totalBytes when it is done
    */
-  ProgressBar(String what, long all, PrintStream out) {
-    this(what, all, (all >> 20) + " MiB", out);
+  ProgressBar(String title, long totalBytes, PrintStream out) {
+    this(title, totalBytes, (totalBytes >> 20) + " MiB", out);
   }
 
   /**
-   * @param all how much when it is done
-   * @param told the same as it is to be read
+   * @param total when it is done
+   * @param totalText the same with its unit
    */
-  ProgressBar(String what, long all, String told, PrintStream out) {
-    this.what = what;
-    this.all = Math.max(1, all);
-    this.told = told;
+  ProgressBar(String title, long total, String totalText, PrintStream out) {
+    this.title = title;
+    this.total = Math.max(1, total);
+    this.totalText = totalText;
     this.out = out;
   }
 
-  void at(long bytes) {
+  void update(long done) {
     long now = System.nanoTime();
-    if (System.console() != null && now - shownAt >= STEP_NANOS) {
-      shownAt = now;
-      shown = true;
-      int done = (int) Math.min(WIDTH, WIDTH * bytes / all);
+    if (System.console() != null && now - shownAtNanos >= STEP_NANOS) {
+      shownAtNanos = now;
+      isShown = true;
+      int filled = (int) Math.min(WIDTH, WIDTH * done / total);
       out.printf(
           "\r%s [%s%s] %3d%% of %s",
-          what, "#".repeat(done), " ".repeat(WIDTH - done), Math.min(100, 100 * bytes / all), told);
+          title,
+          "#".repeat(filled),
+          " ".repeat(WIDTH - filled),
+          Math.min(100, 100 * done / total),
+          totalText);
       out.flush();
     }
   }
 
-  void end() {
-    if (shown) {
-      out.printf("\r%s [%s] done%20s%n", what, "#".repeat(WIDTH), "");
+  void finish() {
+    if (isShown) {
+      out.printf("\r%s [%s] done%20s%n", title, "#".repeat(WIDTH), "");
     }
   }
 }
--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -6,14 +6,17 @@
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.GatewaySettings;
 import fawndock.settings.GatewaySettingsFile;
+import io.vertx.core.Future;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fawndock run -c FILE}: the daemon in the foreground, until SIGTERM or SIGINT. */
+/** {@code fawndock run -c FILE}: the gateway in the foreground, until SIGTERM or SIGINT. */
 @Command(
     name = "run",
     mixinStandardHelpOptions = true,
@@ -21,15 +24,17 @@
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
       "1:could not listen",
-      "2:mistakes in the settings",
-      "143:stopped by SIGTERM after answering what was open"
+      "2:errors in the settings",
+      "143:stopped by SIGTERM after the requests in flight were answered"
     })
 final class RunCommand implements Callable<Integer> {
+  private static final long START_TIMEOUT_SECONDS = 30;
+
   @Option(
       names = {"-c", "--config"},
       required = true,
       paramLabel = "FILE",
-      description = "the settings")
+      description = "the settings file")
   private Path file;
 
   @Override
@@ -41,32 +46,39 @@
       System.err.println(e.getMessage());
       return 2;
     }
-    Logs.to(settings.log());
-    GatewayServer daemon = new GatewayServer(settings);
+    LogConfigurator.configure(settings.log());
+    GatewayServer server = new GatewayServer(settings);
     try {
-      if (settings.rateLimit().listen() != null) {
-        daemon
-            .deployBeside(new RateLimitService(settings, DefaultGatewayPolicy::new))
-            .toCompletionStage()
-            .toCompletableFuture()
-            .get(30, TimeUnit.SECONDS);
-      }
-      int port = daemon.start().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
+      int port = start(server, settings);
       System.out.println("fawndock listens on " + settings.listen().host() + ":" + port);
-    } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
+    } catch (ExecutionException | TimeoutException e) {
       LoggerFactory.getLogger("fawndock").error("cannot start: {}", String.valueOf(e.getCause()));
-      daemon.stopAndWait();
-      Logs.flush();
+      stop(server);
       return 1;
     }
-    Runtime.getRuntime()
-        .addShutdownHook(
-            new Thread(
-                () -> {
-                  daemon.stopAndWait();
-                  Logs.flush();
-                },
-                "stop"));
-    return Commands.STAYS;
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "stop"));
+    return Commands.KEEPS_RUNNING;
+  }
+
+  /** Starts the rate limit service, where the settings have one, then the gateway. */
+  private static int start(GatewayServer server, GatewaySettings settings)
+      throws InterruptedException, ExecutionException, TimeoutException {
+    if (settings.rateLimit().listen() != null) {
+      await(server.deployBeside(new RateLimitService(settings, DefaultGatewayPolicy::new)));
+    }
+    return await(server.start());
+  }
+
+  private static <T> T await(Future<T> future)
+      throws InterruptedException, ExecutionException, TimeoutException {
+    return future
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+  }
+
+  private static void stop(GatewayServer server) {
+    server.stopAndWait();
+    LogConfigurator.flush();
   }
 }
--- a/src/main/java/fawndock/ratelimit/DescriptorMatcher.java
+++ b/src/main/java/fawndock/ratelimit/DescriptorMatcher.java
@@ -1,81 +1,94 @@
 package fawndock.ratelimit;
 
 import fawndock.settings.GatewaySettings.Descriptor;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What descriptors mean, by the first line of the settings that fits. Free of I/O; any thread. */
+/**
+ * Matches descriptors of the rate limit service against those of the settings; the first that
+ * matches holds. Immutable, does no I/O; any thread.
+ */
 public final class DescriptorMatcher {
-  /** Longest value of a descriptor that becomes a customer's name. */
+  /** Longest descriptor value that becomes a customer's name. */
   static final int MAX_CUSTOMER_CHARACTERS = 256;
 
-  private static final String ANY = "*";
+  private static final String ANY_VALUE = "*";
 
-  /** Who asks for what. */
+  /** The quota that a descriptor asks for. */
   public record QuotaRequest(String customer, String plan, String requestClass, double units) {}
 
   private final Map<String, List<Descriptor>> byDomain = new HashMap<>();
 
+  /** Matches against these, in their order. */
   public DescriptorMatcher(List<Descriptor> descriptors) {
-    descriptors.forEach(
-        d -> byDomain.computeIfAbsent(d.domain(), k -> new java.util.ArrayList<>()).add(d));
+    for (Descriptor each : descriptors) {
+      byDomain.computeIfAbsent(each.domain(), domain -> new ArrayList<>()).add(each);
+    }
   }
 
   /**
-   * What a descriptor means; null for one that no line fits, which is not limited.
+   * The quota that a descriptor asks for; null for one that nothing matches, which is not limited.
    *
    * @param entries keys and values in their order
-   * @param hits by which the line's units are multiplied; 0 stands for 1, as in the public
-   *     description
+   * @param hitsAddend by which the configured units are multiplied; 0 stands for 1, as in the
+   *     public description
    * @throws IllegalArgumentException when a value cannot be a customer's name
    */
-  public QuotaRequest match(String domain, List<Map.Entry<String, String>> entries, long hits) {
+  public QuotaRequest match(
+      String domain, List<Map.Entry<String, String>> entries, long hitsAddend) {
     for (Descriptor each : byDomain.getOrDefault(domain, List.of())) {
       if (matches(each, entries)) {
         return new QuotaRequest(
             customer(each, entries),
             each.plan(),
             each.requestClass(),
-            each.units() * Math.max(1, hits));
+            each.units() * Math.max(1, hitsAddend));
       }
     }
     return null;
   }
 
-  private static boolean matches(Descriptor line, List<Map.Entry<String, String>> entries) {
-    if (line.entries().size() != entries.size()) {
+  private static boolean matches(Descriptor configured, List<Map.Entry<String, String>> entries) {
+    if (configured.entries().size() != entries.size()) {
       return false;
     }
     for (int i = 0; i < entries.size(); i++) {
-      Map.Entry<String, String> is = entries.get(i);
-      Map.Entry<String, String> wanted = line.entries().get(i);
-      if (!wanted.getKey().equals(is.getKey())
-          || !wanted.getValue().equals(ANY) && !wanted.getValue().equals(is.getValue())) {
+      Map.Entry<String, String> actual = entries.get(i);
+      Map.Entry<String, String> expected = configured.entries().get(i);
+      boolean hasValue =
+          expected.getValue().equals(ANY_VALUE) || expected.getValue().equals(actual.getValue());
+      if (!expected.getKey().equals(actual.getKey()) || !hasValue) {
         return false;
       }
     }
     return true;
   }
 
-  private static String customer(Descriptor line, List<Map.Entry<String, String>> entries) {
-    if (!line.customer().startsWith("{")) {
-      return line.customer();
+  private static String customer(Descriptor configured, List<Map.Entry<String, String>> entries) {
+    if (!configured.customer().startsWith("{")) {
+      return configured.customer();
     }
     for (Map.Entry<String, String> each : entries) {
-      if (line.customer().equals("{" + each.getKey() + "}")) {
-        if (each.getValue().isEmpty() || each.getValue().length() > MAX_CUSTOMER_CHARACTERS) {
-          throw new IllegalArgumentException(
-              "the value of '"
-                  + each.getKey()
-                  + "' names a customer and has "
-                  + each.getValue().length()
-                  + " characters, expected 1 to "
-                  + MAX_CUSTOMER_CHARACTERS);
-        }
-        return each.getValue();
+      if (configured.customer().equals("{" + each.getKey() + "}")) {
+        return checkedCustomer(each);
       }
     }
-    throw new IllegalStateException("settings let pass " + line);
+    throw new IllegalStateException("the settings' reader accepted " + configured);
+  }
+
+  private static String checkedCustomer(Map.Entry<String, String> entry) {
+    int characters = entry.getValue().length();
+    if (characters == 0 || characters > MAX_CUSTOMER_CHARACTERS) {
+      throw new IllegalArgumentException(
+          "the value of '"
+              + entry.getKey()
+              + "' names a customer and has "
+              + characters
+              + " characters, expected 1 to "
+              + MAX_CUSTOMER_CHARACTERS);
+    }
+    return entry.getValue();
   }
 }
--- a/src/main/java/fawndock/ratelimit/RateLimitCall.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitCall.java
@@ -11,71 +11,91 @@
 import fawndock.ratelimit.proto.RateLimitResponse.DescriptorStatus;
 import fawndock.ratelimit.proto.RateLimitResponse.RateLimit;
 import io.vertx.core.Vertx;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * One call with its descriptors: all or nothing. When one of them is over its limit nothing counts,
- * and what the others had counted is given back; so it is when the caller leaves. Answered exactly
- * once, or not at all when the caller has left.
+ * One call of the rate limit service with its descriptors: all or nothing. When one of them is over
+ * its limit nothing is charged, and what the others were charged is refunded; so it is when the
+ * caller leaves. Answered exactly once, or not at all when the caller has left. One context.
  */
 final class RateLimitCall {
-  private static final double SECOND = 1e6;
-  private final List<QuotaRequest> quotaRequests;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final int SECONDS_PER_MINUTE = 60;
+
+  /** A descriptor and its decision. */
+  private static final class DescriptorState {
+    /** Null for a descriptor that is not limited. */
+    final QuotaRequest quotaRequest;
+
+    long requestId;
+    Decision decision;
+    long retryAfterMicros;
+
+    DescriptorState(QuotaRequest quotaRequest) {
+      this.quotaRequest = quotaRequest;
+    }
+
+    boolean isRejected() {
+      return decision == Decision.REJECTED;
+    }
+
+    long retryAfterSeconds() {
+      return (long) Math.ceil(retryAfterMicros / MICROS_PER_SECOND);
+    }
+  }
+
+  private final List<DescriptorState> descriptors = new ArrayList<>();
   private final QuotaService quotaService;
   private final Consumer<RateLimitResponse> responseListener;
   private final Map<String, Plan> plans;
-  private final long[] ids;
-  private final Decision[] verdicts;
-  private final long[] retryAfter;
   private int undecidedCount;
   private boolean isEnded;
 
   /**
-   * @param answer told once, null when it could not be decided in time
+   * A call that {@link #start} starts.
+   *
+   * @param quotaRequests one for each descriptor; null for one that is not limited
+   * @param responseListener called once, with null when there was no decision in time
    */
   RateLimitCall(
       Map<String, Plan> plans,
-      List<QuotaRequest> meanings,
-      QuotaService quotas,
-      Consumer<RateLimitResponse> answer) {
+      List<QuotaRequest> quotaRequests,
+      QuotaService quotaService,
+      Consumer<RateLimitResponse> responseListener) {
     this.plans = plans;
-    this.quotaRequests = meanings;
-    this.quotaService = quotas;
-    this.responseListener = answer;
-    ids = new long[meanings.size()];
-    verdicts = new Decision[meanings.size()];
-    retryAfter = new long[meanings.size()];
-    undecidedCount = meanings.size();
+    this.quotaService = quotaService;
+    this.responseListener = responseListener;
+    quotaRequests.forEach(each -> descriptors.add(new DescriptorState(each)));
+    undecidedCount = descriptors.size();
   }
 
-  /** Asks about each that has a meaning; the others are not limited. */
-  void start(long withinMicros) {
-    for (int i = 0; i < ids.length; i++) {
-      QuotaRequest meaning = quotaRequests.get(i);
-      int place = i;
-      if (meaning == null) {
-        onDecision(place, Decision.ALLOWED, 0);
+  /** Requests the quota of each descriptor. */
+  void start(long timeoutMicros) {
+    for (DescriptorState each : descriptors) {
+      QuotaRequest quota = each.quotaRequest;
+      if (quota == null) {
+        onDecision(each, Decision.ALLOWED, 0);
       } else {
-        ids[i] =
+        each.requestId =
             quotaService.request(
-                meaning.requestClass(),
-                meaning.plan(),
-                meaning.customer(),
-                meaning.units(),
-                withinMicros,
-                (verdict, wait) -> onDecision(place, verdict, wait));
+                quota.requestClass(),
+                quota.plan(),
+                quota.customer(),
+                quota.units(),
+                timeoutMicros,
+                (decision, retryAfterMicros) -> onDecision(each, decision, retryAfterMicros));
       }
     }
   }
 
-  private void onDecision(int place, Decision verdict, long wait) {
-    verdicts[place] = verdict;
-    retryAfter[place] = wait;
+  private void onDecision(DescriptorState descriptor, Decision decision, long retryAfterMicros) {
+    descriptor.decision = decision;
+    descriptor.retryAfterMicros = retryAfterMicros;
     if (--undecidedCount == 0 && !isEnded) {
-      // The number of a question is known only when ask has returned: the whole is ended in a later
-      // turn of this context.
+      // In a later turn of this context: a request's id is known only when request() has returned.
       Vertx.currentContext().runOnContext(v -> complete());
     }
   }
@@ -85,65 +105,67 @@
       return;
     }
     isEnded = true;
-    boolean undecided = false;
-    boolean refused = false;
-    for (Decision each : verdicts) {
-      undecided |= each == Decision.UNDECIDED;
-      refused |= each == Decision.REJECTED;
-    }
-    for (int i = 0; i < ids.length; i++) {
-      if (quotaRequests.get(i) != null && verdicts[i] == Decision.ALLOWED) {
-        if (refused || undecided) {
-          quotaService.refund(ids[i]);
+    boolean isUndecided = descriptors.stream().anyMatch(d -> d.decision == Decision.UNDECIDED);
+    boolean isOverLimit = descriptors.stream().anyMatch(DescriptorState::isRejected);
+    for (DescriptorState each : descriptors) {
+      if (each.quotaRequest != null && each.decision == Decision.ALLOWED) {
+        if (isOverLimit || isUndecided) {
+          quotaService.refund(each.requestId);
         } else {
-          quotaService.commit(ids[i], quotaRequests.get(i).units());
+          quotaService.commit(each.requestId, each.quotaRequest.units());
         }
       }
     }
-    responseListener.accept(undecided && !refused ? null : response(refused));
+    responseListener.accept(isUndecided && !isOverLimit ? null : response(isOverLimit));
   }
 
-  /** The caller has left: nothing is answered, and nothing counts. */
+  /** The caller has left: there is no response, and nothing is charged. */
   void cancel() {
     if (!isEnded) {
       isEnded = true;
-      for (long id : ids) {
-        quotaService.cancel(id);
-      }
+      descriptors.forEach(each -> quotaService.cancel(each.requestId));
     }
   }
 
-  private RateLimitResponse response(boolean refused) {
-    RateLimitResponse.Builder all =
-        RateLimitResponse.newBuilder().setOverallCode(refused ? Code.OVER_LIMIT : Code.OK);
-    long longest = 0;
-    for (int i = 0; i < ids.length; i++) {
-      DescriptorStatus.Builder one =
-          DescriptorStatus.newBuilder()
-              .setCode(verdicts[i] == Decision.REJECTED ? Code.OVER_LIMIT : Code.OK);
-      QuotaRequest meaning = quotaRequests.get(i);
-      Plan plan = meaning == null ? null : plans.get(meaning.plan());
-      if (plan != null && plan.unitsPerSecond() > 0) {
-        one.setCurrentLimit(
-            RateLimit.newBuilder()
-                .setName(plan.name())
-                .setUnit(RateLimit.Unit.MINUTE)
-                .setRequestsPerUnit(
-                    (int) Math.min(Integer.MAX_VALUE, Math.round(60 * plan.unitsPerSecond()))));
-      }
-      if (verdicts[i] == Decision.REJECTED) {
-        one.setDurationUntilReset(
-            Duration.newBuilder().setSeconds((long) Math.ceil(retryAfter[i] / SECOND)));
-        longest = Math.max(longest, (long) Math.ceil(retryAfter[i] / SECOND));
+  private RateLimitResponse response(boolean isOverLimit) {
+    RateLimitResponse.Builder response =
+        RateLimitResponse.newBuilder().setOverallCode(isOverLimit ? Code.OVER_LIMIT : Code.OK);
+    long retryAfterSeconds = 1;
+    for (DescriptorState each : descriptors) {
+      response.addStatuses(status(each));
+      if (each.isRejected()) {
+        retryAfterSeconds = Math.max(retryAfterSeconds, each.retryAfterSeconds());
       }
-      all.addStatuses(one);
     }
-    if (refused) {
-      all.addResponseHeadersToAdd(
+    if (isOverLimit) {
+      response.addResponseHeadersToAdd(
           HeaderValue.newBuilder()
               .setKey("retry-after")
-              .setValue(Long.toString(Math.max(1, longest))));
+              .setValue(Long.toString(retryAfterSeconds)));
     }
-    return all.build();
+    return response.build();
+  }
+
+  private DescriptorStatus.Builder status(DescriptorState descriptor) {
+    DescriptorStatus.Builder status =
+        DescriptorStatus.newBuilder().setCode(descriptor.isRejected() ? Code.OVER_LIMIT : Code.OK);
+    QuotaRequest quota = descriptor.quotaRequest;
+    Plan plan = quota == null ? null : plans.get(quota.plan());
+    if (plan != null && plan.unitsPerSecond() > 0) {
+      status.setCurrentLimit(currentLimit(plan));
+    }
+    if (descriptor.isRejected()) {
+      status.setDurationUntilReset(
+          Duration.newBuilder().setSeconds(descriptor.retryAfterSeconds()));
+    }
+    return status;
+  }
+
+  private static RateLimit.Builder currentLimit(Plan plan) {
+    long unitsPerMinute = Math.round(SECONDS_PER_MINUTE * plan.unitsPerSecond());
+    return RateLimit.newBuilder()
+        .setName(plan.name())
+        .setUnit(RateLimit.Unit.MINUTE)
+        .setRequestsPerUnit((int) Math.min(Integer.MAX_VALUE, unitsPerMinute));
   }
 }
--- a/src/main/java/fawndock/ratelimit/RateLimitService.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitService.java
@@ -8,6 +8,7 @@
 import fawndock.ratelimit.proto.RateLimitDescriptor;
 import fawndock.ratelimit.proto.RateLimitRequest;
 import fawndock.ratelimit.proto.RateLimitResponse;
+import fawndock.settings.Address;
 import fawndock.settings.GatewaySettings;
 import io.vertx.core.Future;
 import io.vertx.core.VerticleBase;
@@ -30,11 +31,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The rate limit service on an event loop of its own, so that its floods do not hold up requests
- * that are passed on.
+ * The gRPC rate limit service ({@code envoy.service.ratelimit.v3.RateLimitService}) on an event
+ * loop of its own, so that many calls do not delay forwarded requests.
  */
 public final class RateLimitService extends VerticleBase {
-  /** How it is called. */
+  /** The service's one method. */
   public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
       ServiceMethod.server(
           ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
@@ -54,13 +55,16 @@
   private HttpServer server;
 
   /**
-   * @param maker makes the decisions from the settings
+   * A service that is not started yet.
+   *
+   * @param policyFactory makes the policy from its configuration
    */
-  public RateLimitService(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
+  public RateLimitService(
+      GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.settings = settings;
-    this.policyFactory = maker;
+    this.policyFactory = policyFactory;
     this.descriptorMatcher = new DescriptorMatcher(settings.rateLimit().descriptors());
-    settings.plans().forEach(p -> plans.put(p.name(), p));
+    settings.plans().forEach(plan -> plans.put(plan.name(), plan));
   }
 
   @Override
@@ -70,23 +74,24 @@
     GrpcServer grpc =
         GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(MAX_MESSAGE_BYTES));
     grpc.callHandler(
-        SHOULD_RATE_LIMIT, call -> call.handler(asked -> shouldRateLimit(call, asked)));
+        SHOULD_RATE_LIMIT, call -> call.handler(request -> shouldRateLimit(call, request)));
     server =
         vertx
             .createHttpServer(
                 new HttpServerOptions().setHttp2ClearTextEnabled(true).setTcpNoDelay(true))
             .requestHandler(grpc);
+    Address listen = settings.rateLimit().listen();
     return server
-        .listen(settings.rateLimit().listen().port(), settings.rateLimit().listen().host())
+        .listen(listen.port(), listen.host())
         .onSuccess(
-            s ->
+            listening ->
                 LOG.info(
-                    "rate limit service listens on {}:{}",
-                    settings.rateLimit().listen().host(),
-                    s.actualPort()));
+                    "rate limit service listening: address={}:{}",
+                    listen.host(),
+                    listening.actualPort()));
   }
 
-  /** Where it listens. */
+  /** The port that it listens on. */
   public int port() {
     return server.actualPort();
   }
@@ -98,55 +103,72 @@
   }
 
   private void shouldRateLimit(
-      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest asked) {
-    List<QuotaRequest> meanings = new ArrayList<>();
+      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call, RateLimitRequest request) {
+    List<QuotaRequest> quotaRequests;
     try {
-      if (asked.getDomain().isEmpty()
-          || asked.getDescriptorsCount() == 0
-          || asked.getDescriptorsCount() > MAX_DESCRIPTORS) {
-        throw new IllegalArgumentException(
-            "a domain and 1 to "
-                + MAX_DESCRIPTORS
-                + " descriptors are expected, there are "
-                + asked.getDescriptorsCount()
-                + " in domain '"
-                + asked.getDomain()
-                + "'");
-      }
-      for (RateLimitDescriptor each : asked.getDescriptorsList()) {
-        if (each.hasLimit()) {
-          throw new IllegalArgumentException(
-              "a descriptor overrides its limit; limits are those of the plans");
-        }
-        meanings.add(
-            descriptorMatcher.match(
-                asked.getDomain(),
-                each.getEntriesList().stream()
-                    .map(e -> Map.entry(e.getKey(), e.getValue()))
-                    .toList(),
-                each.hasHitsAddend() ? each.getHitsAddend().getValue() : asked.getHitsAddend()));
-      }
+      quotaRequests = quotaRequests(request);
     } catch (IllegalArgumentException e) {
-      call.response().status(GrpcStatus.INVALID_ARGUMENT).statusMessage(e.getMessage()).end();
+      end(call, GrpcStatus.INVALID_ARGUMENT, e.getMessage());
       return;
     }
-    long millis = call.timeout() > 0 ? call.timeout() : DEFAULT_TIMEOUT_MILLIS;
-    RateLimitCall batch =
+    RateLimitCall rateLimitCall =
         new RateLimitCall(
             plans,
-            meanings,
+            quotaRequests,
             quotaService,
-            answer -> {
-              if (answer == null) {
-                call.response()
-                    .status(GrpcStatus.UNAVAILABLE)
-                    .statusMessage("not decided in time")
-                    .end();
+            response -> {
+              if (response == null) {
+                end(call, GrpcStatus.UNAVAILABLE, "not decided in time");
               } else {
-                call.response().end(answer);
+                call.response().end(response);
               }
             });
-    call.exceptionHandler(e -> batch.cancel());
-    batch.start(Math.max(1, millis) * 1_000);
+    call.exceptionHandler(e -> rateLimitCall.cancel());
+    long timeoutMillis = call.timeout() > 0 ? call.timeout() : DEFAULT_TIMEOUT_MILLIS;
+    rateLimitCall.start(timeoutMillis * 1_000);
+  }
+
+  private static void end(
+      GrpcServerRequest<RateLimitRequest, RateLimitResponse> call,
+      GrpcStatus status,
+      String message) {
+    call.response().status(status).statusMessage(message).end();
+  }
+
+  /** One for each descriptor; null for one that is not limited. */
+  private List<QuotaRequest> quotaRequests(RateLimitRequest request) {
+    int count = request.getDescriptorsCount();
+    if (request.getDomain().isEmpty() || count == 0 || count > MAX_DESCRIPTORS) {
+      throw new IllegalArgumentException(
+          "a domain and 1 to "
+              + MAX_DESCRIPTORS
+              + " descriptors are expected, there are "
+              + count
+              + " in domain '"
+              + request.getDomain()
+              + "'");
+    }
+    List<QuotaRequest> quotaRequests = new ArrayList<>();
+    for (RateLimitDescriptor each : request.getDescriptorsList()) {
+      quotaRequests.add(quotaRequest(request, each));
+    }
+    return quotaRequests;
+  }
+
+  private QuotaRequest quotaRequest(RateLimitRequest request, RateLimitDescriptor descriptor) {
+    if (descriptor.hasLimit()) {
+      throw new IllegalArgumentException(
+          "a descriptor overrides its limit; limits are those of the plans");
+    }
+    long hitsAddend =
+        descriptor.hasHitsAddend()
+            ? descriptor.getHitsAddend().getValue()
+            : request.getHitsAddend();
+    return descriptorMatcher.match(
+        request.getDomain(),
+        descriptor.getEntriesList().stream()
+            .map(entry -> Map.entry(entry.getKey(), entry.getValue()))
+            .toList(),
+        hitsAddend);
   }
 }
--- a/src/main/java/fawndock/ratelimit/package-info.java
+++ b/src/main/java/fawndock/ratelimit/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gRPC rate limit service: what a descriptor means ({@code DescriptorMatcher}, pure) and the
- * service itself. It asks the gateway's {@code QuotaService} and decides nothing about quotas; no
- * other package depends on it but the command line.
+ * The gRPC rate limit service: {@code DescriptorMatcher} gives the quota that a descriptor asks
+ * for, {@code RateLimitCall} combines the decisions of one call. It takes decisions from the
+ * gateway's {@code QuotaService} and makes none about quotas; only the command line depends on it.
  */
 package fawndock.ratelimit;
