--- a/src/main/java/fawndock/Main.java
+++ b/src/main/java/fawndock/Main.java
@@ -5,7 +5,7 @@
 
 /**
  * The way in. {@code benchlink} speaks the simulator's wire on standard input and output and loads
- * nothing of the daemon; every other command is {@link fawndock.cli.Commands}'.
+ * nothing of the daemon; every other command is {@link fawndock.cli.CommandHandler}'.
  */
 public final class Main {
   private Main() {}
--- a/src/main/java/fawndock/benchmark/BareProxy.java
+++ b/src/main/java/fawndock/benchmark/BareProxy.java
@@ -33,12 +33,12 @@
   public Future<Integer> start() {
     return vertx
         .createHttpServer(new HttpServerOptions().setTcpNoDelay(true))
-        .requestHandler(this::pass)
+        .requestHandler(this::forward)
         .listen(0, "127.0.0.1")
         .map(s -> s.actualPort());
   }
 
-  private void pass(HttpServerRequest request) {
+  private void forward(HttpServerRequest request) {
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().addAll(request.headers());
     headers.remove("host").remove("connection");
     request
--- a/src/main/java/fawndock/benchmark/CounterBench.java
+++ b/src/main/java/fawndock/benchmark/CounterBench.java
@@ -2,9 +2,9 @@
 
 import fawndock.counter.FileDisk;
 import fawndock.counter.storage.Storage;
-import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterClient;
 import fawndock.scenario.CounterProcess;
-import fawndock.scenario.Folders;
+import fawndock.scenario.TemporaryDirectories;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.ByteBuffer;
@@ -30,13 +30,13 @@
    */
   private static final int[] OUTSTANDING = {512, 64, 8, 2};
 
-  private static final double MOST_RATE = 40_000;
+  private static final double MAX_ADDS_PER_SECOND = 40_000;
   private static final int NAMES = 100_000;
 
   /** Bytes of a record without its changes, and of a change of a name of 11. */
-  private static final int RECORD = 24;
+  private static final int RECORD_BYTES = 24;
 
-  private static final int CHANGE = 30;
+  private static final int CHANGE_BYTES = 30;
   private static final int START_SECONDS = 120;
   private static final String[] JVM = {"-Xms1g", "-Xmx1g", "-XX:+UseParallelGC"};
   private final double seconds;
@@ -58,20 +58,20 @@
     double[] ratios = new double[OUTSTANDING.length];
     double[] durable = new double[OUTSTANDING.length];
     double[] p = new double[3];
-    in(
+    inTemporaryDirectory(
         folder -> {
           try (CounterProcess counter = start(folder, "durability always\n")) {
             CounterLoad load = new CounterLoad(counter.port(), CONNECTIONS, NAMES);
-            load.most(OUTSTANDING[0], 2 * seconds, 1);
+            load.runClosedLoop(OUTSTANDING[0], 2 * seconds, 1);
             for (int o = 0; o < OUTSTANDING.length; o++) {
-              double[][] found = durable(folder, counter, load, OUTSTANDING[o]);
+              double[][] found = measureDurable(folder, counter, load, OUTSTANDING[o]);
               durable[o] = Median.of(found[0]);
               ratios[o] = Median.of(found[1]);
             }
-            double rate = Math.min(durable[0] / 2, MOST_RATE);
+            double rate = Math.min(durable[0] / 2, MAX_ADDS_PER_SECOND);
             for (int i = 0; i < turns; i++) {
-              Histogram h = load.atRate(rate, seconds, 20 + i).micros();
-              double sync = bare(folder, 64)[1];
+              Histogram h = load.runAtRate(rate, seconds, 20 + i).latencyMicros();
+              double sync = measureBareSyncs(folder, 64)[1];
               out.printf(
                   "at %.0f adds a second: p50 %d, p99 %d, p99.9 %d us; one bare append and sync, median %.0f "
                       + "us%n",
@@ -88,19 +88,19 @@
         });
     double[] memory = new double[turns];
     double[] perCore = new double[turns];
-    in(
+    inTemporaryDirectory(
         folder -> {
           try (CounterProcess counter = start(folder, "durability none\n")) {
             CounterLoad load = new CounterLoad(counter.port(), CONNECTIONS, NAMES);
-            load.most(OUTSTANDING[0], 2 * seconds, 1);
+            load.runClosedLoop(OUTSTANDING[0], 2 * seconds, 1);
             for (int i = 0; i < turns; i++) {
               double before = counter.cpuSeconds();
-              CounterLoad.Run run = load.most(OUTSTANDING[0], seconds, 30 + i);
+              CounterLoad.LoadResult run = load.runClosedLoop(OUTSTANDING[0], seconds, 30 + i);
               memory[i] = run.perSecond();
               perCore[i] = run.acknowledged() / (counter.cpuSeconds() - before);
               out.printf(
                   "adds in memory a second: %.0f (%d refused), %.0f for each second of a core%n",
-                  memory[i], run.refused(), perCore[i]);
+                  memory[i], run.rejected(), perCore[i]);
             }
           }
         });
@@ -121,16 +121,17 @@
    * In turns: adds with so many out on each connection, and the same groups written and synced
    * without a counter.
    */
-  private double[][] durable(Path folder, CounterProcess counter, CounterLoad load, int outstanding)
-      throws Exception {
+  private double[][] measureDurable(
+      Path folder, CounterProcess counter, CounterLoad load, int outstanding) throws Exception {
     double[] durable = new double[turns];
     double[] ratio = new double[turns];
     for (int i = 0; i < turns; i++) {
-      long groups = groups(counter.port());
-      CounterLoad.Run run = load.most(outstanding, seconds, 10 + i);
-      double perGroup = (double) run.acknowledged() / (groups(counter.port()) - groups);
+      long groups = groupCount(counter.port());
+      CounterLoad.LoadResult run = load.runClosedLoop(outstanding, seconds, 10 + i);
+      double perGroup = (double) run.acknowledged() / (groupCount(counter.port()) - groups);
       durable[i] = run.perSecond();
-      double syncs = bare(folder, (int) Math.round(RECORD + perGroup * CHANGE))[0];
+      double syncs =
+          measureBareSyncs(folder, (int) Math.round(RECORD_BYTES + perGroup * CHANGE_BYTES))[0];
       ratio[i] = durable[i] / (syncs * perGroup);
       out.printf(
           "%d out: %.0f durable adds a second in groups of %.0f (%d refused); bare limit %.0f (%.0f syncs "
@@ -138,7 +139,7 @@
           outstanding * CONNECTIONS,
           durable[i],
           perGroup,
-          run.refused(),
+          run.rejected(),
           syncs * perGroup,
           syncs,
           ratio[i]);
@@ -150,8 +151,8 @@
    * Fills a counter of 1 GB heap with so many names, then starts it again; the last line is the
    * result.
    */
-  public void names(long many) throws Exception {
-    in(
+  public void runIdleNames(long many) throws Exception {
+    inTemporaryDirectory(
         folder -> {
           try (CounterProcess counter = start(folder, "durability none\n")) {
             long begun = System.nanoTime();
@@ -165,7 +166,7 @@
                       false);
               out.printf(
                   "%d names, heap in use %d MiB%n",
-                  added, info(counter.port(), "used_memory") >> 20);
+                  added, readInfo(counter.port(), "used_memory") >> 20);
             }
             double filling = (System.nanoTime() - begun) / 1e9;
             counter.stop();
@@ -181,8 +182,8 @@
             out.printf(
                 "%d names in a heap of at most 1024 MiB, %d MiB in use after the start, added in %.1f s, started "
                     + "again on %d MiB in %.1f s%n",
-                info(counter.port(), "db0:keys"),
-                info(counter.port(), "used_memory") >> 20,
+                readInfo(counter.port(), "db0:keys"),
+                readInfo(counter.port(), "used_memory") >> 20,
                 filling,
                 bytes >> 20,
                 starting);
@@ -190,20 +191,20 @@
         });
   }
 
-  interface Measured {
-    void in(Path folder) throws Exception;
+  interface DirectoryTask {
+    void run(Path folder) throws Exception;
   }
 
   /**
    * A folder of its own on the disk where the project is used, so that the disk is the one that is
    * asked about.
    */
-  static void in(Measured what) throws Exception {
+  static void inTemporaryDirectory(DirectoryTask what) throws Exception {
     Path folder = Files.createTempDirectory(Path.of("."), "fawndock-bench").toAbsolutePath();
     try {
-      what.in(folder);
+      what.run(folder);
     } finally {
-      Folders.remove(folder);
+      TemporaryDirectories.delete(folder);
     }
   }
 
@@ -217,7 +218,7 @@
    * Appends records of so many bytes, a sync after each, for a turn: syncs a second, and their
    * median in us.
    */
-  private double[] bare(Path folder, int bytes) throws IOException {
+  private double[] measureBareSyncs(Path folder, int bytes) throws IOException {
     Path directory = Files.createDirectories(folder.resolve("bare"));
     Histogram micros = new Histogram(60_000_000L, 3);
     try (FileDisk disk = new FileDisk(directory, true);
@@ -238,12 +239,12 @@
     }
   }
 
-  private static long groups(int port) throws IOException {
-    return info(port, "durable_group");
+  private static long groupCount(int port) throws IOException {
+    return readInfo(port, "durable_group");
   }
 
-  private static long info(int port, String what) throws IOException {
-    try (CounterCaller caller = new CounterCaller(port)) {
+  private static long readInfo(int port, String what) throws IOException {
+    try (CounterClient caller = new CounterClient(port)) {
       Matcher found = Pattern.compile(what + "[:=]([0-9]+)").matcher((String) caller.call("INFO"));
       if (!found.find()) {
         throw new IOException("the counter does not tell its " + what);
--- a/src/main/java/fawndock/benchmark/CounterFleetBench.java
+++ b/src/main/java/fawndock/benchmark/CounterFleetBench.java
@@ -1,8 +1,8 @@
 package fawndock.benchmark;
 
-import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterClient;
 import fawndock.scenario.CounterProcess;
-import fawndock.scenario.Gatekeepers;
+import fawndock.scenario.GatewayProcesses;
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -38,13 +38,13 @@
 
   /** Measures and prints; the last line is the result. */
   public void run() throws Exception {
-    CounterBench.in(
+    CounterBench.inTemporaryDirectory(
         folder -> {
           List<CounterProcess> one = start(folder.resolve("one"), 1);
           List<CounterProcess> three = start(folder.resolve("three"), 3);
           try {
             compare(one.get(0).port(), three.get(0).port());
-            join(three);
+            measureJoin(three);
           } finally {
             one.forEach(CounterProcess::close);
             three.forEach(CounterProcess::close);
@@ -55,15 +55,19 @@
   private void compare(int one, int three) throws Exception {
     double[] ratio = new double[turns];
     double[] added = new double[turns];
-    new CounterLoad(one, CONNECTIONS, NAMES).sums(OUTSTANDING, seconds, 1);
-    new CounterLoad(three, CONNECTIONS, NAMES).sums(OUTSTANDING, seconds, 2);
+    new CounterLoad(one, CONNECTIONS, NAMES).runClosedLoopSums(OUTSTANDING, seconds, 1);
+    new CounterLoad(three, CONNECTIONS, NAMES).runClosedLoopSums(OUTSTANDING, seconds, 2);
     for (int i = 0; i < turns; i++) {
       double alone =
-          new CounterLoad(one, CONNECTIONS, NAMES).sums(OUTSTANDING, seconds, 10 + i).perSecond();
+          new CounterLoad(one, CONNECTIONS, NAMES)
+              .runClosedLoopSums(OUTSTANDING, seconds, 10 + i)
+              .perSecond();
       double fleet =
-          new CounterLoad(three, CONNECTIONS, NAMES).sums(OUTSTANDING, seconds, 20 + i).perSecond();
-      Histogram h1 = calls(one, 30 + i);
-      Histogram h3 = calls(three, 40 + i);
+          new CounterLoad(three, CONNECTIONS, NAMES)
+              .runClosedLoopSums(OUTSTANDING, seconds, 20 + i)
+              .perSecond();
+      Histogram h1 = measureCalls(one, 30 + i);
+      Histogram h3 = measureCalls(three, 40 + i);
       ratio[i] = fleet / alone;
       added[i] = h3.getValueAtPercentile(50) - h1.getValueAtPercentile(50);
       out.printf(
@@ -81,9 +85,9 @@
   }
 
   /** One call after the other. */
-  private static Histogram calls(int port, long origin) throws Exception {
+  private static Histogram measureCalls(int port, long origin) throws Exception {
     Histogram micros = new Histogram(60_000_000L, 3);
-    try (CounterCaller caller = new CounterCaller(port)) {
+    try (CounterClient caller = new CounterClient(port)) {
       for (int i = 1; i <= CALLS; i++) {
         long begun = System.nanoTime();
         caller.call(
@@ -99,15 +103,15 @@
     return micros;
   }
 
-  private void join(List<CounterProcess> nodes) throws Exception {
+  private void measureJoin(List<CounterProcess> nodes) throws Exception {
     long filled =
         new CounterLoad(nodes.get(0).port(), CONNECTIONS, NAMES).fill(JOINING_NAMES, "join-", true);
     nodes.get(2).kill();
-    nodes.get(2).empty();
+    nodes.get(2).deleteState();
     long begun = System.nanoTime();
     nodes.get(2).start().get(START_SECONDS, TimeUnit.SECONDS);
     double listens = (System.nanoTime() - begun) / 1e9;
-    try (CounterCaller caller = new CounterCaller(nodes.get(2).port())) {
+    try (CounterClient caller = new CounterClient(nodes.get(2).port())) {
       Object told = "";
       while (!(told instanceof String total) || total.isEmpty()) {
         told = caller.call("FD.SUM", "joined.1", "1", "1", "0", "60000");
@@ -122,7 +126,7 @@
   private static List<CounterProcess> start(Path folder, int count) throws Exception {
     List<Integer> ports = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ports.add(Gatekeepers.freePort());
+      ports.add(GatewayProcesses.freePort());
     }
     List<CounterProcess> nodes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/src/main/java/fawndock/benchmark/CounterLoad.java
+++ b/src/main/java/fawndock/benchmark/CounterLoad.java
@@ -21,33 +21,33 @@
  */
 final class CounterLoad {
   /** What came of a run. */
-  record Run(long acknowledged, long refused, double seconds, Histogram micros) {
+  record LoadResult(long acknowledged, long rejected, double seconds, Histogram latencyMicros) {
     double perSecond() {
       return acknowledged / seconds;
     }
   }
 
-  private static final int LIMIT_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private final int port;
   private final int connections;
-  private final int names;
+  private final int nameCount;
 
   CounterLoad(int port, int connections, int names) {
     this.port = port;
     this.connections = connections;
-    this.names = names;
+    this.nameCount = names;
   }
 
   /** Many calls out on each connection at any time, for so long. */
-  Run most(int outstanding, double seconds, long seed) throws Exception {
+  LoadResult runClosedLoop(int outstanding, double seconds, long seed) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
     AtomicLong refused = new AtomicLong();
     long begun = System.nanoTime();
     long end = begun + (long) (seconds * 1e9);
-    all(
+    onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
-          try (Line line = new Line(port)) {
+          try (ReplyReader line = new ReplyReader(port)) {
             byte[][] batches = new byte[16][];
             for (int b = 0; b < batches.length; b++) {
               batches[b] = batch(random, outstanding / 2);
@@ -55,19 +55,20 @@
             line.socket.getOutputStream().write(batches[0]);
             for (int b = 1; System.nanoTime() < end; b++) {
               line.socket.getOutputStream().write(batches[b % batches.length]);
-              take(line, outstanding / 2, acknowledged, refused);
+              readReplies(line, outstanding / 2, acknowledged, refused);
             }
-            take(line, outstanding / 2, acknowledged, refused);
+            readReplies(line, outstanding / 2, acknowledged, refused);
           }
         });
-    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+    return new LoadResult(
+        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
   }
 
-  private static void take(Line line, int many, AtomicLong acknowledged, AtomicLong refused)
-      throws IOException {
+  private static void readReplies(
+      ReplyReader line, int many, AtomicLong acknowledged, AtomicLong refused) throws IOException {
     int good = 0;
     for (int i = 0; i < many; i++) {
-      good += line.answer() ? 1 : 0;
+      good += line.readReply() ? 1 : 0;
     }
     acknowledged.addAndGet(good);
     refused.addAndGet(many - good);
@@ -76,12 +77,12 @@
   private byte[] batch(SplittableRandom random, int many) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < many; i++) {
-      text.append(add("quota-" + random.nextInt(names)));
+      text.append(addCommand("quota-" + random.nextInt(nameCount)));
     }
     return text.toString().getBytes(StandardCharsets.US_ASCII);
   }
 
-  static String add(String name) {
+  static String addCommand(String name) {
     return "*4\r\n$6\r\nFD.ADD\r\n$"
         + name.length()
         + "\r\n"
@@ -90,32 +91,34 @@
   }
 
   /** As {@link #most}, with the growing sums of a gatekeeper on each connection. */
-  Run sums(int outstanding, double seconds, long seed) throws Exception {
+  LoadResult runClosedLoopSums(int outstanding, double seconds, long seed) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
     AtomicLong refused = new AtomicLong();
     long begun = System.nanoTime();
     long end = begun + (long) (seconds * 1e9);
-    all(
+    onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
           long grown = 0;
-          try (Line line = new Line(port)) {
+          try (ReplyReader line = new ReplyReader(port)) {
             while (System.nanoTime() < end) {
               StringBuilder text = new StringBuilder();
               for (int n = 0; n < outstanding; n++) {
-                text.append(sum("quota-" + random.nextInt(names), seed * 1_000 + i, ++grown));
+                text.append(
+                    sumCommand("quota-" + random.nextInt(nameCount), seed * 1_000 + i, ++grown));
               }
               line.socket
                   .getOutputStream()
                   .write(text.toString().getBytes(StandardCharsets.US_ASCII));
-              take(line, outstanding, acknowledged, refused);
+              readReplies(line, outstanding, acknowledged, refused);
             }
           }
         });
-    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+    return new LoadResult(
+        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
   }
 
-  static String sum(String name, long origin, long plus) {
+  static String sumCommand(String name, long origin, long plus) {
     StringBuilder text = new StringBuilder("*6\r\n");
     for (String word :
         new String[] {"FD.SUM", name, Long.toString(origin), Long.toString(plus), "0", "3600000"}) {
@@ -127,22 +130,22 @@
   /**
    * One call at a time, evenly spread at a rate over the connections, whether answers come or not.
    */
-  Run atRate(double perSecond, double seconds, long seed) throws Exception {
+  LoadResult runAtRate(double perSecond, double seconds, long seed) throws Exception {
     Histogram micros = new Histogram(60_000_000L, 3);
     AtomicLong acknowledged = new AtomicLong();
     AtomicLong refused = new AtomicLong();
     long begun = System.nanoTime();
-    all(
+    onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
           ArrayBlockingQueue<Long> due = new ArrayBlockingQueue<>(1 << 16);
-          try (Line line = new Line(port)) {
+          try (ReplyReader line = new ReplyReader(port)) {
             Thread reader =
                 new Thread(
                     () -> {
                       try {
                         for (long at = due.take(); at >= 0; at = due.take()) {
-                          boolean good = line.answer();
+                          boolean good = line.readReply();
                           long took = (System.nanoTime() - at) / 1_000;
                           (good ? acknowledged : refused).incrementAndGet();
                           synchronized (micros) {
@@ -164,33 +167,36 @@
               due.put(at);
               line.socket
                   .getOutputStream()
-                  .write(add("quota-" + random.nextInt(names)).getBytes(StandardCharsets.US_ASCII));
+                  .write(
+                      addCommand("quota-" + random.nextInt(nameCount))
+                          .getBytes(StandardCharsets.US_ASCII));
             }
             due.put(-1L);
-            reader.join(LIMIT_MILLIS);
+            reader.join(TIMEOUT_MILLIS);
           }
         });
-    return new Run(acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, micros);
+    return new LoadResult(
+        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, micros);
   }
 
   /** Adds once to each of so many names. */
   long fill(long many, String prefix, boolean sums) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
     int batch = 500;
-    all(
+    onEachConnection(
         i -> {
-          try (Line line = new Line(port)) {
+          try (ReplyReader line = new ReplyReader(port)) {
             for (long at = (long) i * batch; at < many; at += (long) connections * batch) {
               StringBuilder text = new StringBuilder();
               long to = Math.min(many, at + batch);
               for (long n = at; n < to; n++) {
-                text.append(sums ? sum(prefix + n, 1, 1) : add(prefix + n));
+                text.append(sums ? sumCommand(prefix + n, 1, 1) : addCommand(prefix + n));
               }
               line.socket
                   .getOutputStream()
                   .write(text.toString().getBytes(StandardCharsets.US_ASCII));
               for (long n = at; n < to; n++) {
-                acknowledged.addAndGet(line.answer() ? 1 : 0);
+                acknowledged.addAndGet(line.readReply() ? 1 : 0);
               }
             }
           }
@@ -198,11 +204,11 @@
     return acknowledged.get();
   }
 
-  private interface Work {
-    void on(int connection) throws Exception;
+  private interface ConnectionTask {
+    void run(int connection) throws Exception;
   }
 
-  private void all(Work work) throws Exception {
+  private void onEachConnection(ConnectionTask work) throws Exception {
     List<Thread> threads = new ArrayList<>();
     Exception[] failure = new Exception[1];
     for (int i = 0; i < connections; i++) {
@@ -211,7 +217,7 @@
           new Thread(
               () -> {
                 try {
-                  work.on(connection);
+                  work.run(connection);
                 } catch (Exception e) {
                   failure[0] = e;
                 }
@@ -228,22 +234,22 @@
   }
 
   /** One connection, read with no more work than telling answers apart. */
-  private static final class Line implements AutoCloseable {
+  private static final class ReplyReader implements AutoCloseable {
     final Socket socket = new Socket();
     private final InputStream in;
-    private final byte[] bytes = new byte[1 << 16];
-    private int at;
-    private int to;
+    private final byte[] buffer = new byte[1 << 16];
+    private int position;
+    private int limit;
 
-    Line(int port) throws IOException {
+    ReplyReader(int port) throws IOException {
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(LIMIT_MILLIS);
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LIMIT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
       in = socket.getInputStream();
     }
 
     /** Takes one answer; whether it is a total. */
-    boolean answer() throws IOException {
+    boolean readReply() throws IOException {
       int type = next();
       while (next() != '\n') {
         // To the end of the line.
@@ -257,15 +263,15 @@
     }
 
     private int next() throws IOException {
-      if (at == to) {
-        to = in.read(bytes);
-        at = 0;
-        if (to < 0) {
-          to = 0;
+      if (position == limit) {
+        limit = in.read(buffer);
+        position = 0;
+        if (limit < 0) {
+          limit = 0;
           throw new EOFException("the counter closed the connection");
         }
       }
-      return bytes[at++];
+      return buffer[position++];
     }
 
     @Override
--- a/src/main/java/fawndock/benchmark/OpenLoop.java
+++ b/src/main/java/fawndock/benchmark/OpenLoopHttpLoad.java
@@ -15,36 +15,36 @@
  * latency from the intended time. At most so many are out; what is due beyond that waits, and its
  * wait counts. A flood asks for more than can pass, to see how much does.
  */
-final class OpenLoop {
+final class OpenLoopHttpLoad {
   /** What one run showed; latencies in microseconds from the intended start, of served requests. */
-  record Run(Histogram latency, long served, long others, double seconds) {
+  record LoadResult(Histogram latency, long served, long notServed, double seconds) {
     double perSecond() {
       return served / seconds;
     }
   }
 
-  private static final long LONGEST_MICROS = 60_000_000;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
   private final Vertx vertx;
   private final HttpClient client;
   private final RequestOptions target;
-  private final int most;
-  private final boolean flood;
-  private final Histogram latency = new Histogram(LONGEST_MICROS, 3);
+  private final int maxInFlight;
+  private final boolean isFlood;
+  private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
   private final CountDownLatch done = new CountDownLatch(1);
   private SplittableRandom random;
-  private double rate;
-  private long begin;
-  private long end;
+  private double requestsPerSecond;
+  private long startNanos;
+  private long endNanos;
   private double dueNanos;
-  private int out;
+  private int inFlight;
   private long served;
-  private long others;
-  private long lastAt;
+  private long notServed;
+  private long lastResponseNanos;
 
-  OpenLoop(Vertx vertx, int port, int connections, int most, boolean flood) {
+  OpenLoopHttpLoad(Vertx vertx, int port, int connections, int most, boolean flood) {
     this.vertx = vertx;
-    this.most = most;
-    this.flood = flood;
+    this.maxInFlight = most;
+    this.isFlood = flood;
     this.client =
         vertx.createHttpClient(
             new HttpClientOptions().setTcpNoDelay(true),
@@ -58,32 +58,32 @@
   }
 
   /** Runs for so long at a rate a second; blocks the caller, which must not be an event loop. */
-  Run run(double perSecond, double seconds, long seed) throws InterruptedException {
+  LoadResult run(double perSecond, double seconds, long seed) throws InterruptedException {
     vertx.runOnContext(
         v -> {
           random = new SplittableRandom(seed);
-          rate = perSecond;
-          begin = System.nanoTime();
-          end = begin + (long) (seconds * 1e9);
-          dueNanos = begin;
+          requestsPerSecond = perSecond;
+          startNanos = System.nanoTime();
+          endNanos = startNanos + (long) (seconds * 1e9);
+          dueNanos = startNanos;
           tick();
         });
     if (!done.await((long) seconds + 90, TimeUnit.SECONDS)) {
       throw new IllegalStateException("requests were never answered");
     }
     client.close();
-    return new Run(latency, served, others, (lastAt - begin) / 1e9);
+    return new LoadResult(latency, served, notServed, (lastResponseNanos - startNanos) / 1e9);
   }
 
   private void tick() {
     long now = System.nanoTime();
-    while (due(now)) {
+    while (isDue(now)) {
       send((long) dueNanos);
-      dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
+      dueNanos -= Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9;
     }
-    if (now < end) {
+    if (now < endNanos) {
       vertx.setTimer(1, id -> tick());
-    } else if (out == 0) {
+    } else if (inFlight == 0) {
       done.countDown();
     } else {
       vertx.setTimer(5, id -> tick());
@@ -94,29 +94,33 @@
    * In a flood, what was due and not yet sent at the end is dropped: only what passes is of
    * interest.
    */
-  private boolean due(long now) {
-    return dueNanos <= now && dueNanos < end && out < most && !(flood && now >= end);
+  private boolean isDue(long now) {
+    return dueNanos <= now
+        && dueNanos < endNanos
+        && inFlight < maxInFlight
+        && !(isFlood && now >= endNanos);
   }
 
   private void send(long intended) {
-    out++;
+    inFlight++;
     client
         .request(target)
         .compose(request -> request.send())
         .compose(answer -> answer.body().map(body -> answer.statusCode()))
         .onComplete(
             status -> {
-              out--;
-              lastAt = System.nanoTime();
+              inFlight--;
+              lastResponseNanos = System.nanoTime();
               if (status.succeeded() && status.result() == 200) {
                 served++;
-                latency.recordValue(Math.min(LONGEST_MICROS, (lastAt - intended) / 1_000));
+                latency.recordValue(
+                    Math.min(MAX_LATENCY_MICROS, (lastResponseNanos - intended) / 1_000));
               } else {
-                others++;
+                notServed++;
               }
-              if (due(lastAt)) {
+              if (isDue(lastResponseNanos)) {
                 send((long) dueNanos);
-                dueNanos -= Math.log(1 - random.nextDouble()) / rate * 1e9;
+                dueNanos -= Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9;
               }
             });
   }
--- a/src/main/java/fawndock/benchmark/Passthrough.java
+++ b/src/main/java/fawndock/benchmark/PassthroughBench.java
@@ -2,8 +2,8 @@
 
 import fawndock.fake.TraceRecorder;
 import fawndock.scenario.CounterProcess;
-import fawndock.scenario.Folders;
-import fawndock.scenario.Gatekeepers;
+import fawndock.scenario.GatewayProcesses;
+import fawndock.scenario.TemporaryDirectories;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.Http2Settings;
@@ -22,14 +22,14 @@
  * counter, each in a process of its own on one event loop, in turns. First the most that each
  * passes, then latencies of both at half of what the gatekeeper passes.
  */
-public final class Passthrough {
-  private static final int MOST_OUT = 200;
+public final class PassthroughBench {
+  private static final int MAX_IN_FLIGHT = 200;
   private static final int CONNECTIONS = 200;
-  private static final double FLOOD = 1e6;
+  private static final double FLOOD_REQUESTS_PER_SECOND = 1e6;
   private static final String[] JVM = {"-Xms1g", "-Xmx1g", "-XX:MaxGCPauseMillis=5"};
   private final double seconds;
   private final int turns;
-  private final boolean counted;
+  private final boolean hasCounter;
   private final PrintStream out;
 
   /**
@@ -37,10 +37,10 @@
    * @param turns of each kind of measurement
    * @param counted whether the gatekeeper has a counter to ask
    */
-  public Passthrough(double seconds, int turns, boolean counted, PrintStream out) {
+  public PassthroughBench(double seconds, int turns, boolean counted, PrintStream out) {
     this.seconds = seconds;
     this.turns = turns;
-    this.counted = counted;
+    this.hasCounter = counted;
     this.out = out;
   }
 
@@ -52,7 +52,7 @@
     // chance.
     Vertx workers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Process proxy = null;
-    try (Gatekeepers gatekeepers = new Gatekeepers(folder, new TraceRecorder(), JVM);
+    try (GatewayProcesses gatekeepers = new GatewayProcesses(folder, new TraceRecorder(), JVM);
         CounterProcess counter = new CounterProcess(folder, "log text level warn\n", JVM)) {
       counter.start().get(30, TimeUnit.SECONDS);
       int worker =
@@ -72,8 +72,8 @@
               .toCompletableFuture()
               .get(10, TimeUnit.SECONDS)
               .actualPort();
-      int port = Gatekeepers.freePort();
-      gatekeepers.settings(
+      int port = GatewayProcesses.freePort();
+      gatekeepers.writeSettings(
           0,
           port,
           "listen 127.0.0.1:"
@@ -81,20 +81,20 @@
               + "\nclass work aim 500ms deadline 2s repeat "
               + "idempotent\nroute GET /work work\nplan free rate 1000000 store 10000000\nkey key customer one "
               + "plan free\nlimits open 20000\npool connections 2 streams 10000\nlog text level warn\n"
-              + (counted ? "counter 127.0.0.1:" + counter.port() + "\n" : "")
+              + (hasCounter ? "counter 127.0.0.1:" + counter.port() + "\n" : "")
               + "server w 127.0.0.1:"
               + worker
               + "\n");
       gatekeepers.start(0).get(30, TimeUnit.SECONDS);
       proxy = startProxy(worker);
-      int bare = portOf(proxy);
+      int bare = readPort(proxy);
       out.println("warming up both");
       for (int i = 0; i < 2; i++) {
-        drive(vertx, bare, FLOOD, seconds, i);
-        drive(vertx, port, FLOOD, seconds, i);
+        runLoad(vertx, bare, FLOOD_REQUESTS_PER_SECOND, seconds, i);
+        runLoad(vertx, port, FLOOD_REQUESTS_PER_SECOND, seconds, i);
       }
-      double[] most = most(vertx, bare, port);
-      double[] added = added(vertx, bare, port, most[1] / 2);
+      double[] most = measureThroughput(vertx, bare, port);
+      double[] added = measureAddedLatency(vertx, bare, port, most[1] / 2);
       out.printf(
           "throughput ratio %.2f, added p50 %.0f us, added p99 %.0f us%n",
           most[1] / most[0], added[0], added[1]);
@@ -104,31 +104,34 @@
       }
       workers.close();
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-      Folders.remove(folder);
+      TemporaryDirectories.delete(folder);
     }
   }
 
-  private double[] most(Vertx vertx, int bare, int port) throws InterruptedException {
+  private double[] measureThroughput(Vertx vertx, int bare, int port) throws InterruptedException {
     double[] ofBare = new double[turns];
     double[] ofGate = new double[turns];
     for (int i = 0; i < turns; i++) {
-      OpenLoop.Run a = drive(vertx, bare, FLOOD, seconds, 10 + i);
-      OpenLoop.Run b = drive(vertx, port, FLOOD, seconds, 10 + i);
+      OpenLoopHttpLoad.LoadResult a =
+          runLoad(vertx, bare, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
+      OpenLoopHttpLoad.LoadResult b =
+          runLoad(vertx, port, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
       ofBare[i] = a.perSecond();
       ofGate[i] = b.perSecond();
       out.printf(
           "most a second: bare %.0f, gateway %.0f (%d and %d not served)%n",
-          a.perSecond(), b.perSecond(), a.others(), b.others());
+          a.perSecond(), b.perSecond(), a.notServed(), b.notServed());
     }
     return new double[] {Median.of(ofBare), Median.of(ofGate)};
   }
 
-  private double[] added(Vertx vertx, int bare, int port, double rate) throws InterruptedException {
+  private double[] measureAddedLatency(Vertx vertx, int bare, int port, double rate)
+      throws InterruptedException {
     double[] p50 = new double[turns];
     double[] p99 = new double[turns];
     for (int i = 0; i < turns; i++) {
-      OpenLoop.Run a = drive(vertx, bare, rate, seconds, 20 + i);
-      OpenLoop.Run b = drive(vertx, port, rate, seconds, 20 + i);
+      OpenLoopHttpLoad.LoadResult a = runLoad(vertx, bare, rate, seconds, 20 + i);
+      OpenLoopHttpLoad.LoadResult b = runLoad(vertx, port, rate, seconds, 20 + i);
       p50[i] = b.latency().getValueAtPercentile(50) - a.latency().getValueAtPercentile(50);
       p99[i] = b.latency().getValueAtPercentile(99) - a.latency().getValueAtPercentile(99);
       out.printf(
@@ -138,16 +141,16 @@
           a.latency().getValueAtPercentile(99),
           b.latency().getValueAtPercentile(50),
           b.latency().getValueAtPercentile(99),
-          a.others(),
-          b.others());
+          a.notServed(),
+          b.notServed());
     }
     return new double[] {Median.of(p50), Median.of(p99)};
   }
 
-  private static OpenLoop.Run drive(Vertx vertx, int port, double rate, double seconds, long seed)
-      throws InterruptedException {
-    boolean flood = rate == FLOOD;
-    return new OpenLoop(vertx, port, CONNECTIONS, flood ? MOST_OUT : 10_000, flood)
+  private static OpenLoopHttpLoad.LoadResult runLoad(
+      Vertx vertx, int port, double rate, double seconds, long seed) throws InterruptedException {
+    boolean flood = rate == FLOOD_REQUESTS_PER_SECOND;
+    return new OpenLoopHttpLoad(vertx, port, CONNECTIONS, flood ? MAX_IN_FLIGHT : 10_000, flood)
         .run(rate, seconds, seed);
   }
 
@@ -167,7 +170,7 @@
         .start();
   }
 
-  private static int portOf(Process proxy) throws IOException {
+  private static int readPort(Process proxy) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(proxy.getInputStream(), StandardCharsets.UTF_8));
     String line = lines.readLine();
--- a/src/main/java/fawndock/calibration/DayDescribed.java
+++ b/src/main/java/fawndock/calibration/DayDescribed.java
@@ -2,9 +2,9 @@
 
 import fawndock.policy.config.Idempotency;
 import fawndock.scenario.DayFile;
-import fawndock.scenario.DayFile.Kind;
-import fawndock.scenario.DayFile.PlanOf;
-import fawndock.scenario.DayFile.Trouble;
+import fawndock.scenario.DayFile.DayFault;
+import fawndock.scenario.DayFile.DayPlan;
+import fawndock.scenario.DayFile.DayRequestClass;
 import java.util.Locale;
 
 /**
@@ -32,64 +32,66 @@
 
   private String describe() {
     double work =
-        day.kinds().stream().mapToDouble(k -> k.share() * k.workMicros()).sum()
-            / day.kinds().stream().mapToDouble(Kind::share).sum();
+        day.requestClasses().stream().mapToDouble(k -> k.share() * k.workMicros()).sum()
+            / day.requestClasses().stream().mapToDouble(DayRequestClass::share).sum();
     line(
         "# %s, described to the emulator: sizes, plans, load and troubles are the day's, work lies evenly about its mean",
         day.name());
-    line("gatekeepers %d", day.gatekeepers());
+    line("gatekeepers %d", day.gatewayCount());
     line(
         "workers %d cores %d work %.0fus queue %d cold-share %.3f cold-time %.0fus fall-multiple %.2f fall-time %.0fus",
-        day.servers(),
-        day.server().cores(),
+        day.backendCount(),
+        day.backend().cores(),
         work,
-        day.server().queue(),
-        day.server().coldShare(),
-        day.server().coldMicros(),
-        day.fallMultiple(),
-        day.fallMicros());
-    line("network way %.0fus more %.0fus", Math.max(1, day.wayMicros()), day.wayMicros() / 4);
+        day.backend().queueCapacity(),
+        day.backend().slowStartShare(),
+        day.backend().slowStartMicros(),
+        day.collapseMultiple(),
+        day.collapseWindowMicros());
+    line(
+        "network way %.0fus more %.0fus",
+        Math.max(1, day.networkDelayMicros()), day.networkDelayMicros() / 4);
     line(
         "counter rate %.1f wait %.0fus parts %d queue %.0fus",
-        day.counter().perSecond(),
-        day.counter().waitMicros(),
-        day.counter().parts(),
-        day.counter().queueMicros());
-    line("roster %.0fus", day.noticeMicros());
+        day.counter().callsPerSecond(),
+        day.counter().timeoutMicros(),
+        day.counter().partitionCount(),
+        day.counter().maxQueueMicros());
+    line("roster %.0fus", day.discoveryDelayMicros());
     line("for %.3fs", day.seconds());
-    for (Kind k : day.kinds()) {
+    for (DayRequestClass k : day.requestClasses()) {
       line(
           "class %s aim %dus deadline %dus repeat %s%s",
           k.name(),
-          k.aimMicros(),
+          k.latencyObjectiveMicros(),
           k.deadlineMicros(),
-          k.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-'),
-          k.windowMicros() > 0 && k.repeat() == Idempotency.DEDUPLICATED
-              ? " group all window " + k.windowMicros() + "us"
+          k.idempotency().name().toLowerCase(Locale.ROOT).replace('_', '-'),
+          k.deduplicationWindowMicros() > 0 && k.idempotency() == Idempotency.DEDUPLICATED
+              ? " group all window " + k.deduplicationWindowMicros() + "us"
               : "");
     }
     day.plans()
         .forEach(
             p ->
                 line(
-                    p.rate() > 0
+                    p.unitsPerSecond() > 0
                         ? "plan %s rate %.4f store %.3f pays %.2f over-cost %.2f"
                         : "plan %s rate 0 pays %4$.2f",
                     p.name(),
-                    p.rate(),
-                    Math.max(1, p.store()),
-                    p.pays(),
-                    p.overCost()));
+                    p.unitsPerSecond(),
+                    Math.max(1, p.burstUnits()),
+                    p.priorityWeight(),
+                    p.overQuotaCost()));
     line("limits attempts 4 open 5000");
     line(
         "rules answer-grace 10ms drain-grace %.0fus cold-share %.3f cold-time %.0fus fall-multiple %.2f fall-time %.0fus",
         day.drainGraceMicros(),
-        day.server().coldShare(),
-        day.server().coldMicros(),
-        day.fallMultiple(),
-        day.fallMicros());
+        day.backend().slowStartShare(),
+        day.backend().slowStartMicros(),
+        day.collapseMultiple(),
+        day.collapseWindowMicros());
     day.plans().forEach(this::customers);
-    day.troubles().forEach(this::trouble);
+    day.faults().forEach(this::trouble);
     return text.toString();
   }
 
@@ -97,18 +99,20 @@
    * A plan's customers: some ask far more than their plan, some nearly all of it, the others a
    * part.
    */
-  private void customers(PlanOf plan) {
-    double rate = plan.rate() > 0 ? plan.rate() : 5;
-    int heavy = (int) Math.round(day.heavy() * plan.customers());
-    int full = (int) Math.round(day.full() * plan.customers());
+  private void customers(DayPlan plan) {
+    double rate = plan.unitsPerSecond() > 0 ? plan.unitsPerSecond() : 5;
+    int heavy = (int) Math.round(day.overQuotaShare() * plan.customerCount());
+    int full = (int) Math.round(day.atQuotaShare() * plan.customerCount());
     demand(plan, "heavy", heavy, HEAVY * rate);
     demand(plan, "full", full, FULL * rate);
-    demand(plan, "calm", plan.customers() - heavy - full, day.calm() * rate);
+    demand(plan, "calm", plan.customerCount() - heavy - full, day.belowQuotaDemand() * rate);
   }
 
-  private void demand(PlanOf plan, String manner, int customers, double each) {
-    for (Kind k : customers <= 0 ? java.util.List.<Kind>of() : day.kinds()) {
-      double share = k.share() / day.kinds().stream().mapToDouble(Kind::share).sum();
+  private void demand(DayPlan plan, String manner, int customers, double each) {
+    for (DayRequestClass k :
+        customers <= 0 ? java.util.List.<DayRequestClass>of() : day.requestClasses()) {
+      double share =
+          k.share() / day.requestClasses().stream().mapToDouble(DayRequestClass::share).sum();
       line(
           "demand %s-%s-%s class %s plan %s customers %d rate %.4f spread %d remaining %dus give-up %dus retry after wait 300ms "
               + "tries %d",
@@ -119,25 +123,28 @@
           plan.name(),
           customers,
           Math.max(0.001, share * customers * each),
-          plan.spread(),
+          plan.gatewaysPerCustomer(),
           k.deadlineMicros(),
           k.deadlineMicros() + 1_000_000,
           1 + Math.min(3, day.retries()));
     }
   }
 
-  private void trouble(Trouble t) {
-    double until = Math.max(t.at() + 0.001, t.at() + t.seconds());
-    String when = String.format(Locale.ROOT, "from %.3fs until %.3fs", t.at(), until);
-    int count = (int) Math.max(1, Math.min(day.servers(), Math.round(t.part() * day.servers())));
-    boolean empty = t.extra() > 0.5 || t.how().contains("empty");
+  private void trouble(DayFault t) {
+    double until = Math.max(t.atSecond() + 0.001, t.atSecond() + t.seconds());
+    String when = String.format(Locale.ROOT, "from %.3fs until %.3fs", t.atSecond(), until);
+    int count =
+        (int)
+            Math.max(
+                1, Math.min(day.backendCount(), Math.round(t.backendShare() * day.backendCount())));
+    boolean empty = t.extra() > 0.5 || t.mode().contains("empty");
     switch (t.kind()) {
       case "slow", "ageing" ->
           line("trouble worker-slow %s count %d times %.3f", when, count, Math.max(1, t.size()));
       case "shared_slow" ->
           line(
               "trouble worker-slow %s count %d times %.3f",
-              when, day.servers(), Math.max(1, t.size()));
+              when, day.backendCount(), Math.max(1, t.size()));
       case "answer_lost" ->
           line(
               "trouble worker-loses-answers %s count %d share %.3f",
@@ -151,13 +158,13 @@
       case "flush" -> line("trouble counter-loses %s", when);
       case "counter_down" ->
           line(
-              t.how().contains("refus") || empty
+              t.mode().contains("refus") || empty
                   ? "trouble counter-dies %s empty " + (empty ? "yes" : "no")
                   : "trouble counter-silent %s",
               when);
-      case "deploy" -> line("trouble deploy %s many %d", when, Math.max(1, day.servers() / 8));
+      case "deploy" -> line("trouble deploy %s many %d", when, Math.max(1, day.backendCount() / 8));
       case "shrink" ->
-          line("trouble worker-drains %s count %d", when, Math.max(1, day.servers() / 3));
+          line("trouble worker-drains %s count %d", when, Math.max(1, day.backendCount() / 3));
       default -> line("# trouble %s %s: no such kind here", t.kind(), when);
     }
   }
--- a/src/main/java/fawndock/calibration/OverSockets.java
+++ b/src/main/java/fawndock/calibration/OverSockets.java
@@ -3,22 +3,22 @@
 import fawndock.conformance.ConformanceLimits;
 import fawndock.conformance.ConformanceResult;
 import fawndock.conformance.InvariantChecker;
-import fawndock.conformance.PriorityWeights;
 import fawndock.conformance.TraceEvent;
+import fawndock.conformance.WeightedGoodput;
 import fawndock.fake.FakeBackend;
 import fawndock.fake.RawHttpClient;
 import fawndock.fake.TraceRecorder;
 import fawndock.measurement.Measures;
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.RequestClass;
-import fawndock.scenario.BadDay;
-import fawndock.scenario.Scene;
-import fawndock.scenario.Script;
-import fawndock.scenario.Traffic;
+import fawndock.scenario.BadDayScenario;
+import fawndock.scenario.FaultSchedule;
+import fawndock.scenario.FleetFixture;
+import fawndock.scenario.TrafficGenerator;
 import fawndock.simulation.Deployment;
 import fawndock.simulation.Deployment.Demand;
-import fawndock.simulation.DeploymentFile.Mark;
-import fawndock.simulation.DeploymentFile.Read;
+import fawndock.simulation.DeploymentFile.FaultWindow;
+import fawndock.simulation.DeploymentFile.ParsedDeployment;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -46,11 +46,11 @@
   /** What came of it. */
   public record Played(Measures.Told told, ConformanceResult verdict) {}
 
-  private final Read read;
+  private final ParsedDeployment read;
   private final Deployment d;
   private final PrintStream out;
 
-  public OverSockets(Read read, PrintStream out) {
+  public OverSockets(ParsedDeployment read, PrintStream out) {
     this.read = read;
     this.d = read.deployment();
     this.out = out;
@@ -59,10 +59,10 @@
   /** What of the deployment cannot be played so; empty when all can. */
   public List<String> beyond() {
     List<String> all = new ArrayList<>();
-    if (d.gatekeepers() > MOST_GATEKEEPERS
-        || d.workers() > MOST_WORKERS
-        || d.seconds() > LONGEST
-        || d.demands().stream().mapToDouble(Demand::rate).sum() > MOST_RATE) {
+    if (d.gatewayCount() > MOST_GATEKEEPERS
+        || d.backendCount() > MOST_WORKERS
+        || d.durationSeconds() > LONGEST
+        || d.demands().stream().mapToDouble(Demand::requestsPerSecond).sum() > MOST_RATE) {
       all.add(
           "at most "
               + MOST_GATEKEEPERS
@@ -74,10 +74,10 @@
               + (int) LONGEST
               + " s are played over sockets");
     }
-    if (d.demands().stream().anyMatch(x -> x.spread() < d.gatekeepers())) {
+    if (d.demands().stream().anyMatch(x -> x.gatewaysPerCustomer() < d.gatewayCount())) {
       all.add("over sockets each customer comes through all gatekeepers");
     }
-    for (Mark mark : read.marks()) {
+    for (FaultWindow mark : read.faultWindows()) {
       if (!mark.kind()
           .matches("counter-silent|worker-slow|worker-silent|worker-loses-answers|worker-dies")) {
         all.add("trouble " + mark.kind() + " is not played over sockets");
@@ -88,74 +88,74 @@
 
   /** Plays it, in real time. */
   public Played play() throws Exception {
-    try (Scene scene = new Scene(d.workers(), d.build(), d.seed())) {
-      scene.gatekeepers(d.gatekeepers(), settings());
-      scene.gatekeepers.startAll();
-      List<Traffic> traffics = new ArrayList<>();
+    try (FleetFixture scene = new FleetFixture(d.backendCount(), d.backend(), d.seed())) {
+      scene.addGateways(d.gatewayCount(), settings());
+      scene.gateways.startAll();
+      List<TrafficGenerator> traffics = new ArrayList<>();
       RawHttpClient client = new RawHttpClient(scene.vertx, scene.recorder);
       for (Demand demand : d.demands()) {
         RequestClass type =
-            d.classes().stream()
+            d.requestClasses().stream()
                 .filter(c -> c.name().equals(demand.requestClass()))
                 .findFirst()
                 .orElseThrow();
-        List<Traffic.Customer> customers =
-            IntStream.range(0, demand.customers())
+        List<TrafficGenerator.Customer> customers =
+            IntStream.range(0, demand.customerCount())
                 .mapToObj(
                     i ->
-                        new Traffic.Customer(
+                        new TrafficGenerator.Customer(
                             demand.name() + "-" + i,
                             "key-" + demand.name() + "-" + i,
-                            demand.rate() / demand.customers()))
+                            demand.requestsPerSecond() / demand.customerCount()))
                 .toList();
         traffics.add(
-            new Traffic(
+            new TrafficGenerator(
                     scene.vertx,
                     client,
                     List.of(
-                        new Traffic.Kind(
+                        new TrafficGenerator.RequestKind(
                             type.name(),
                             "GET",
                             "/" + type.name(),
                             type.idempotency(),
-                            demand.remainingMicros(),
+                            demand.timeoutMicros(),
                             1)),
                     customers,
-                    d.gatekeepers(),
-                    scene.gatekeepers::port,
+                    d.gatewayCount(),
+                    scene.gateways::port,
                     d.seed() + traffics.size())
-                .named(demand.name())
-                .tries(1));
+                .withOperationPrefix(demand.name())
+                .withMaxAttempts(1));
       }
-      traffics.forEach(t -> t.factor(0.2));
-      traffics.forEach(Traffic::start);
+      traffics.forEach(t -> t.setRateFactor(0.2));
+      traffics.forEach(TrafficGenerator::start);
       long[] begin = {0};
-      Script script =
-          new Script()
+      FaultSchedule script =
+          new FaultSchedule()
               .at(
                   WARM,
                   "measured from here",
                   () -> {
-                    begin[0] = TraceRecorder.now();
-                    traffics.forEach(t -> t.factor(1));
+                    begin[0] = TraceRecorder.nowMicros();
+                    traffics.forEach(t -> t.setRateFactor(1));
                   });
-      read.marks().forEach(mark -> trouble(mark, script, scene));
-      script.play(WARM + d.seconds(), out);
-      traffics.forEach(Traffic::stop);
-      for (Traffic each : traffics) {
-        BadDay.awaitEnds(each);
+      read.faultWindows().forEach(mark -> trouble(mark, script, scene));
+      script.playUntil(WARM + d.durationSeconds(), out);
+      traffics.forEach(TrafficGenerator::stop);
+      for (TrafficGenerator each : traffics) {
+        BadDayScenario.awaitCompletion(each);
       }
-      return played(scene.recorder.all(), begin[0]);
+      return played(scene.recorder.events(), begin[0]);
     }
   }
 
   private Played played(List<TraceEvent> trace, long begin) {
-    Map<String, Plan> plans = d.plansOfCustomers();
+    Map<String, Plan> plans = d.customerPlans();
     Map<String, RequestClass> classes =
-        d.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
+        d.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
     ConformanceResult verdict =
-        InvariantChecker.judge(trace, new ConformanceLimits(classes, d.rules(), plans, SLACK));
-    List<TraceEvent> measured = trace.stream().filter(s -> s.at() >= begin).toList();
+        InvariantChecker.check(trace, new ConformanceLimits(classes, d.rules(), plans, SLACK));
+    List<TraceEvent> measured = trace.stream().filter(s -> s.atMicros() >= begin).toList();
     Measures.Told told =
         Measures.of(
             measured,
@@ -163,11 +163,11 @@
             plans,
             d.demands().stream().map(Demand::name).toList(),
             begin,
-            d.seconds());
+            d.durationSeconds());
     told.figures()
         .put(
             "worth",
-            PriorityWeights.judge(
+            WeightedGoodput.shareOfOffered(
                 measured, new ConformanceLimits(classes, d.rules(), plans, SLACK)));
     return new Played(told, verdict);
   }
@@ -175,11 +175,11 @@
   /** The deployment's lines that a gatekeeper knows too, and a key for each customer. */
   private String settings() {
     StringBuilder text = new StringBuilder();
-    read.settings()
+    read.effectiveSettings()
         .lines()
         .filter(line -> line.matches("(class|plan|limits|rules) .*"))
         .forEach(line -> text.append(line).append('\n'));
-    d.classes()
+    d.requestClasses()
         .forEach(
             c ->
                 text.append("route GET /")
@@ -188,7 +188,7 @@
                     .append(c.name())
                     .append('\n'));
     for (Demand demand : d.demands()) {
-      for (int i = 0; i < demand.customers(); i++) {
+      for (int i = 0; i < demand.customerCount(); i++) {
         String name = demand.name() + "-" + i;
         text.append("key key-")
             .append(name)
@@ -202,23 +202,37 @@
     return text.append("log text level info\n").toString();
   }
 
-  private static void trouble(Mark mark, Script script, Scene scene) {
+  private static void trouble(FaultWindow mark, FaultSchedule script, FleetFixture scene) {
     List<Integer> on =
-        IntStream.range(mark.worker(), mark.worker() + mark.count()).boxed().toList();
-    double from = WARM + mark.from();
-    double until = WARM + mark.until();
+        IntStream.range(mark.firstBackend(), mark.firstBackend() + mark.backendCount())
+            .boxed()
+            .toList();
+    double from = WARM + mark.fromSecond();
+    double until = WARM + mark.untilSecond();
     switch (mark.kind()) {
       case "counter-silent" ->
           script
-              .at(from, mark.kind(), () -> scene.counter.silent(true))
-              .at(until, "its end", () -> scene.counter.silent(false));
+              .at(from, mark.kind(), () -> scene.counter.setUnresponsive(true))
+              .at(until, "its end", () -> scene.counter.setUnresponsive(false));
       case "worker-slow" ->
-          faults(script, scene, on, mark, f -> f.slow = mark.times(), f -> f.slow = 1);
+          faults(
+              script,
+              scene,
+              on,
+              mark,
+              f -> f.workTimeFactor = mark.factor(),
+              f -> f.workTimeFactor = 1);
       case "worker-silent" ->
-          faults(script, scene, on, mark, f -> f.silent = true, f -> f.silent = false);
+          faults(
+              script, scene, on, mark, f -> f.isUnresponsive = true, f -> f.isUnresponsive = false);
       case "worker-loses-answers" ->
           faults(
-              script, scene, on, mark, f -> f.loseAnswers = mark.share(), f -> f.loseAnswers = 0);
+              script,
+              scene,
+              on,
+              mark,
+              f -> f.lostResponseRatio = mark.ratio(),
+              f -> f.lostResponseRatio = 0);
       default ->
           script
               .at(
@@ -227,8 +241,8 @@
                   () ->
                       on.forEach(
                           i -> {
-                            scene.workers.get(i).die();
-                            scene.roster.tell(scene.entry(i, "deleted"));
+                            scene.backends.get(i).kill();
+                            scene.discovery.publish(scene.endpointEntry(i, "deleted"));
                           }))
               .at(
                   until,
@@ -237,28 +251,31 @@
                       on.forEach(
                           i ->
                               scene
-                                  .workers
+                                  .backends
                                   .get(i)
                                   .start(true)
-                                  .onSuccess(p -> scene.roster.tell(scene.entry(i, "running")))));
+                                  .onSuccess(
+                                      p ->
+                                          scene.discovery.publish(
+                                              scene.endpointEntry(i, "running")))));
     }
   }
 
   private static void faults(
-      Script script,
-      Scene scene,
+      FaultSchedule script,
+      FleetFixture scene,
       List<Integer> on,
-      Mark mark,
+      FaultWindow mark,
       java.util.function.Consumer<FakeBackend.Faults> begin,
       java.util.function.Consumer<FakeBackend.Faults> end) {
     script
         .at(
-            WARM + mark.from(),
+            WARM + mark.fromSecond(),
             mark.kind(),
-            () -> on.forEach(i -> scene.workers.get(i).change(begin)))
+            () -> on.forEach(i -> scene.backends.get(i).injectFaults(begin)))
         .at(
-            WARM + mark.until(),
+            WARM + mark.untilSecond(),
             "its end",
-            () -> on.forEach(i -> scene.workers.get(i).change(end)));
+            () -> on.forEach(i -> scene.backends.get(i).injectFaults(end)));
   }
 }
--- a/src/main/java/fawndock/cli/BenchCommand.java
+++ b/src/main/java/fawndock/cli/BenchCommand.java
@@ -3,7 +3,7 @@
 import fawndock.benchmark.BareProxy;
 import fawndock.benchmark.CounterBench;
 import fawndock.benchmark.CounterFleetBench;
-import fawndock.benchmark.Passthrough;
+import fawndock.benchmark.PassthroughBench;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
@@ -16,7 +16,7 @@
     mixinStandardHelpOptions = true,
     description = "Measures on this machine.",
     subcommands = {
-      BenchCommand.PassthroughBench.class,
+      BenchCommand.PassthroughCommand.class,
       BenchCommand.Counter.class,
       BenchCommand.Proxy.class
     })
@@ -26,7 +26,7 @@
       name = "passthrough",
       mixinStandardHelpOptions = true,
       description = "What the gateway adds to a bare proxy, in turns.")
-  static final class PassthroughBench implements Callable<Integer> {
+  static final class PassthroughCommand implements Callable<Integer> {
     @Option(names = "--seconds", defaultValue = "4", description = "of each turn")
     private double seconds;
 
@@ -39,7 +39,7 @@
     @Override
     public Integer call() throws Exception {
       Logs.quiet();
-      new Passthrough(seconds, turns, !uncounted, System.out).run();
+      new PassthroughBench(seconds, turns, !uncounted, System.out).run();
       return 0;
     }
   }
@@ -69,7 +69,7 @@
       if (fleet) {
         new CounterFleetBench(seconds, turns, System.out).run();
       } else if (names > 0) {
-        bench.names(names);
+        bench.runIdleNames(names);
       } else {
         bench.run();
       }
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -102,7 +102,7 @@
     public Integer call() {
       boolean all = true;
       for (String each : nodes) {
-        try (fawndock.scenario.CounterCaller caller = new fawndock.scenario.CounterCaller(each)) {
+        try (fawndock.scenario.CounterClient caller = new fawndock.scenario.CounterClient(each)) {
           Object told = caller.call("FD.STATUS");
           if (told instanceof java.util.List<?> lines) {
             lines.forEach(
--- a/src/main/java/fawndock/cli/DemoCommand.java
+++ b/src/main/java/fawndock/cli/DemoCommand.java
@@ -1,6 +1,6 @@
 package fawndock.cli;
 
-import fawndock.scenario.Demo;
+import fawndock.scenario.DemoScenario;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -27,6 +27,6 @@
       return 2;
     }
     Logs.quiet();
-    return new Demo(System.out).run(seconds) ? 0 : 1;
+    return new DemoScenario(System.out).run(seconds) ? 0 : 1;
   }
 }
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -1,13 +1,13 @@
 package fawndock.cli;
 
-import fawndock.scenario.BadDay;
-import fawndock.scenario.Chaos;
-import fawndock.scenario.CounterCrash;
-import fawndock.scenario.CounterSplit;
-import fawndock.scenario.DayDrill;
+import fawndock.scenario.BadDayScenario;
+import fawndock.scenario.ChaosScenario;
+import fawndock.scenario.CounterCrashScenario;
+import fawndock.scenario.CounterPartitionScenario;
 import fawndock.scenario.DayFile;
-import fawndock.scenario.LargeFleet;
-import fawndock.scenario.PlatformDrill;
+import fawndock.scenario.DayScenario;
+import fawndock.scenario.LargeFleetScenario;
+import fawndock.scenario.PlatformScenario;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
@@ -41,7 +41,7 @@
     @Override
     public Integer call() throws Exception {
       Logs.quiet();
-      return new BadDay(seed, System.out).run() ? 0 : 1;
+      return new BadDayScenario(seed, System.out).run() ? 0 : 1;
     }
   }
 
@@ -70,7 +70,7 @@
         System.err.println(e.getMessage());
         return 2;
       }
-      return new DayDrill(day, seed, System.out).run() ? 0 : 1;
+      return new DayScenario(day, seed, System.out).run() ? 0 : 1;
     }
   }
 
@@ -105,7 +105,7 @@
         return 2;
       }
       Logs.quiet();
-      return new Chaos(seconds, nodes, seed, System.out).run() ? 0 : 1;
+      return new ChaosScenario(seconds, nodes, seed, System.out).run() ? 0 : 1;
     }
   }
 
@@ -135,7 +135,7 @@
         return 2;
       }
       Logs.quiet();
-      return new CounterCrash(kills, seed, System.out).run() ? 0 : 1;
+      return new CounterCrashScenario(kills, seed, System.out).run() ? 0 : 1;
     }
   }
 
@@ -172,8 +172,9 @@
 
     @Override
     public Integer call() throws Exception {
-      CounterSplit drill = new CounterSplit(nodes, seconds, only, seed, System.out);
-      if (drill.breaks() == 0) {
+      CounterPartitionScenario drill =
+          new CounterPartitionScenario(nodes, seconds, only, seed, System.out);
+      if (drill.faultCount() == 0) {
         System.err.println("no break has '" + only + "' in its name");
         return 2;
       }
@@ -212,7 +213,7 @@
         return 2;
       }
       Logs.quiet();
-      return new LargeFleet(seconds, seed, System.out).run() ? 0 : 1;
+      return new LargeFleetScenario(seconds, seed, System.out).run() ? 0 : 1;
     }
   }
 
@@ -231,7 +232,9 @@
     @Override
     public Integer call() throws Exception {
       PlainLog.use();
-      return new PlatformDrill(Math.max(20, Math.min(100_000, requests)), System.out).run() ? 0 : 1;
+      return new PlatformScenario(Math.max(20, Math.min(100_000, requests)), System.out).run()
+          ? 0
+          : 1;
     }
   }
 }
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -8,7 +8,7 @@
 import fawndock.settings.ConfigurationException;
 import fawndock.simulation.Deployment;
 import fawndock.simulation.DeploymentFile;
-import fawndock.simulation.Emulation;
+import fawndock.simulation.Simulation;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -51,7 +51,7 @@
       System.out.print(DayDescribed.of(DayFile.read(file)));
       return 0;
     }
-    DeploymentFile.Read read;
+    DeploymentFile.ParsedDeployment read;
     try {
       read = DeploymentFile.read(file, values);
     } catch (ConfigurationException e) {
@@ -60,13 +60,13 @@
     }
     Deployment d = read.deployment();
     long begun = System.nanoTime();
-    Emulation.Result result = read.emulation(DefaultGatewayPolicy::new).run();
+    Simulation.SimulationResult result = read.createSimulation(DefaultGatewayPolicy::new).run();
     double took = (System.nanoTime() - begun) / 1e9;
     System.out.printf(
         "simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
-        d.gatekeepers(), d.workers(), d.seconds(), result.events(), took);
+        d.gatewayCount(), d.backendCount(), d.durationSeconds(), result.eventCount(), took);
     result
-        .statuses()
+        .responsesByStatus()
         .forEach(
             (status, many) ->
                 System.out.printf(
@@ -76,12 +76,13 @@
     if (sockets) {
       return beside(read, result);
     }
-    result.verdict().breaches().forEach(b -> System.out.println("  " + b));
-    System.out.println(result.verdict().line());
-    return result.verdict().kept() ? 0 : 1;
+    result.conformance().violations().forEach(b -> System.out.println("  " + b));
+    System.out.println(result.conformance().summaryLine());
+    return result.conformance().isConformant() ? 0 : 1;
   }
 
-  private static int beside(DeploymentFile.Read read, Emulation.Result emulated) throws Exception {
+  private static int beside(
+      DeploymentFile.ParsedDeployment read, Simulation.SimulationResult emulated) throws Exception {
     OverSockets real = new OverSockets(read, System.out);
     if (!real.beyond().isEmpty()) {
       real.beyond().forEach(System.err::println);
@@ -100,9 +101,9 @@
                     row.real(),
                     100 * row.differs(),
                     row.much() ? " *" : ""));
-    played.verdict().breaches().forEach(b -> System.out.println("  " + b));
-    System.out.println("emulated: " + emulated.verdict().line());
-    System.out.println("over sockets: " + played.verdict().line());
-    return emulated.verdict().kept() && played.verdict().kept() ? 0 : 1;
+    played.verdict().violations().forEach(b -> System.out.println("  " + b));
+    System.out.println("emulated: " + emulated.conformance().summaryLine());
+    System.out.println("over sockets: " + played.verdict().summaryLine());
+    return emulated.conformance().isConformant() && played.verdict().isConformant() ? 0 : 1;
   }
 }
--- a/src/main/java/fawndock/cli/NodesCommand.java
+++ b/src/main/java/fawndock/cli/NodesCommand.java
@@ -1,7 +1,7 @@
 package fawndock.cli;
 
 import fawndock.counter.replication.MembershipList;
-import fawndock.scenario.CounterCaller;
+import fawndock.scenario.CounterClient;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -46,7 +46,7 @@
   @Override
   public Integer call() throws InterruptedException {
     MembershipList list;
-    try (CounterCaller caller = new CounterCaller(asked)) {
+    try (CounterClient caller = new CounterClient(asked)) {
       String now = text(caller.call("FD.NODES"));
       if (nodes.isEmpty()) {
         System.out.println(now.isEmpty() ? "the list in the settings" : now);
@@ -72,7 +72,7 @@
   }
 
   private static String text(Object told) throws IOException {
-    if (told instanceof CounterCaller.Refused refused) {
+    if (told instanceof CounterClient.ErrorReply refused) {
       throw new IOException(refused.text());
     }
     return String.valueOf(told);
@@ -99,7 +99,7 @@
   }
 
   private static String state(String address) {
-    try (CounterCaller caller = new CounterCaller(address)) {
+    try (CounterClient caller = new CounterClient(address)) {
       return caller.call("FD.STATUS") instanceof List<?> lines
           ? String.valueOf(lines.get(0))
           : "refused";
--- a/src/main/java/fawndock/conformance/ConformanceLimits.java
+++ b/src/main/java/fawndock/conformance/ConformanceLimits.java
@@ -8,14 +8,14 @@
 /**
  * What the judge holds a trace against.
  *
- * @param classes the request classes by name
+ * @param requestClasses the request classes by name
  * @param rules the figures of the rules
- * @param plans each customer's plan, for its ceiling
- * @param slackMicros allowed on top of each time limit, for the way between a socket and the record
- *     of it
+ * @param customerPlans each customer's plan, for its ceiling
+ * @param toleranceMicros allowed on top of each time limit, for the way between a socket and the
+ *     record of it
  */
 public record ConformanceLimits(
-    Map<String, RequestClass> classes,
+    Map<String, RequestClass> requestClasses,
     ServiceRules rules,
-    Map<String, Plan> plans,
-    long slackMicros) {}
+    Map<String, Plan> customerPlans,
+    long toleranceMicros) {}
--- a/src/main/java/fawndock/conformance/ConformanceResult.java
+++ b/src/main/java/fawndock/conformance/ConformanceResult.java
@@ -4,41 +4,46 @@
 
 /** How often each rule was broken in a trace, with a line on each of the first breaches. */
 public record ConformanceResult(
-    int requests,
-    int unanswered,
-    int answeredTwice,
-    int lateDrains,
-    int repeatedEffects,
-    int coldFalls,
-    int ceilingsPassed,
-    List<String> breaches) {
+    int requestCount,
+    int unansweredCount,
+    int answeredTwiceCount,
+    int lateDrainCount,
+    int repeatedEffectCount,
+    int warmUpOverloadCount,
+    int ceilingExceededCount,
+    List<String> violations) {
 
   /** Whether no rule was broken, and something was asked at all. */
-  public boolean kept() {
-    return requests > 0 && broken() == 0;
+  public boolean isConformant() {
+    return requestCount > 0 && violationCount() == 0;
   }
 
   /** How often any rule was broken. */
-  public int broken() {
-    return unanswered + answeredTwice + lateDrains + repeatedEffects + coldFalls + ceilingsPassed;
+  public int violationCount() {
+    return unansweredCount
+        + answeredTwiceCount
+        + lateDrainCount
+        + repeatedEffectCount
+        + warmUpOverloadCount
+        + ceilingExceededCount;
   }
 
   /** The last line of a drill. */
-  public String line() {
-    return (kept() ? "rules kept: " : "rules broken: ")
-        + requests
+  public String summaryLine() {
+    return (isConformant() ? "rules kept: " : "rules broken: ")
+        + requestCount
         + " requests, "
-        + unanswered
+        + unansweredCount
         + " unanswered, "
-        + answeredTwice
+        + answeredTwiceCount
         + " answered twice, "
-        + lateDrains
+        + lateDrainCount
         + " late drains, "
-        + repeatedEffects
+        + repeatedEffectCount
         + " repeated effects, "
-        + coldFalls
+        + warmUpOverloadCount
         + " cold falls, "
-        + ceilingsPassed
+        + ceilingExceededCount
         + " ceilings passed";
   }
 }
--- a/src/main/java/fawndock/conformance/InvariantChecker.java
+++ b/src/main/java/fawndock/conformance/InvariantChecker.java
@@ -1,14 +1,14 @@
 package fawndock.conformance;
 
-import fawndock.conformance.TraceEvent.Answered;
-import fawndock.conformance.TraceEvent.Arrived;
-import fawndock.conformance.TraceEvent.Asked;
-import fawndock.conformance.TraceEvent.Broke;
-import fawndock.conformance.TraceEvent.Came;
-import fawndock.conformance.TraceEvent.Killed;
-import fawndock.conformance.TraceEvent.Left;
-import fawndock.conformance.TraceEvent.Ran;
-import fawndock.conformance.TraceEvent.Told;
+import fawndock.conformance.TraceEvent.AttemptArrived;
+import fawndock.conformance.TraceEvent.ClientDisconnected;
+import fawndock.conformance.TraceEvent.ConnectionLost;
+import fawndock.conformance.TraceEvent.EffectApplied;
+import fawndock.conformance.TraceEvent.EndpointAnnounced;
+import fawndock.conformance.TraceEvent.EndpointStarted;
+import fawndock.conformance.TraceEvent.GatewayKilled;
+import fawndock.conformance.TraceEvent.RequestSent;
+import fawndock.conformance.TraceEvent.ResponseReceived;
 import fawndock.policy.config.DeduplicationScope;
 import fawndock.policy.config.Idempotency;
 import fawndock.policy.config.Plan;
@@ -31,31 +31,31 @@
   private static final int MOST_TOLD = 20;
   private final ConformanceLimits figures;
   private final List<String> breaches = new ArrayList<>();
-  private final Map<String, Asked> asked = new HashMap<>();
-  private final Map<String, List<Answered>> answers = new HashMap<>();
+  private final Map<String, RequestSent> asked = new HashMap<>();
+  private final Map<String, List<ResponseReceived>> answers = new HashMap<>();
   private final Map<String, TraceEvent> ends = new HashMap<>();
-  private final Map<String, List<Arrived>> arrivals = new HashMap<>();
+  private final Map<String, List<AttemptArrived>> arrivals = new HashMap<>();
   private final Map<String, Integer> effects = new HashMap<>();
   private final Map<Integer, List<Long>> kills = new HashMap<>();
-  private final Map<String, TreeMap<Long, Told>> told = new HashMap<>();
-  private final List<Came> starts = new ArrayList<>();
-  private final Map<String, List<Arrived>> byWorker = new HashMap<>();
+  private final Map<String, TreeMap<Long, EndpointAnnounced>> told = new HashMap<>();
+  private final List<EndpointStarted> starts = new ArrayList<>();
+  private final Map<String, List<AttemptArrived>> byWorker = new HashMap<>();
 
   private InvariantChecker(ConformanceLimits figures) {
     this.figures = figures;
   }
 
   /** Judges a trace. */
-  public static ConformanceResult judge(List<TraceEvent> trace, ConformanceLimits figures) {
+  public static ConformanceResult check(List<TraceEvent> trace, ConformanceLimits figures) {
     InvariantChecker c = new InvariantChecker(figures);
     List<TraceEvent> inOrder = new ArrayList<>(trace);
-    inOrder.sort(Comparator.comparingLong(TraceEvent::at));
+    inOrder.sort(Comparator.comparingLong(TraceEvent::atMicros));
     inOrder.forEach(c::take);
     int[] unanswered = {0};
     int[] twice = {0};
     int[] repeated = {0};
     c.asked.values().stream()
-        .sorted(Comparator.comparingLong(Asked::at))
+        .sorted(Comparator.comparingLong(RequestSent::atMicros))
         .forEach(
             a -> {
               unanswered[0] += c.unanswered(a);
@@ -75,30 +75,31 @@
   }
 
   private void take(TraceEvent seen) {
-    if (seen instanceof Asked e) {
-      asked.put(e.request(), e);
-    } else if (seen instanceof Answered e) {
-      answers.computeIfAbsent(e.request(), k -> new ArrayList<>()).add(e);
-    } else if (seen instanceof Broke e) {
-      ends.putIfAbsent(e.request(), e);
-    } else if (seen instanceof Left e) {
-      ends.putIfAbsent(e.request(), e);
-    } else if (seen instanceof Arrived e) {
-      arrivals.computeIfAbsent(e.request(), k -> new ArrayList<>()).add(e);
-      byWorker.computeIfAbsent(e.worker(), k -> new ArrayList<>()).add(e);
-    } else if (seen instanceof Ran e) {
-      effects.merge(operation(e.request()), 1, Integer::sum);
-    } else if (seen instanceof Told e) {
-      told.computeIfAbsent(e.gatekeeper() + " " + e.worker(), k -> new TreeMap<>()).put(e.at(), e);
-    } else if (seen instanceof Came e) {
+    if (seen instanceof RequestSent e) {
+      asked.put(e.requestId(), e);
+    } else if (seen instanceof ResponseReceived e) {
+      answers.computeIfAbsent(e.requestId(), k -> new ArrayList<>()).add(e);
+    } else if (seen instanceof ConnectionLost e) {
+      ends.putIfAbsent(e.requestId(), e);
+    } else if (seen instanceof ClientDisconnected e) {
+      ends.putIfAbsent(e.requestId(), e);
+    } else if (seen instanceof AttemptArrived e) {
+      arrivals.computeIfAbsent(e.requestId(), k -> new ArrayList<>()).add(e);
+      byWorker.computeIfAbsent(e.endpointId(), k -> new ArrayList<>()).add(e);
+    } else if (seen instanceof EffectApplied e) {
+      effects.merge(operationOf(e.requestId()), 1, Integer::sum);
+    } else if (seen instanceof EndpointAnnounced e) {
+      told.computeIfAbsent(e.gatewayIndex() + " " + e.endpointId(), k -> new TreeMap<>())
+          .put(e.atMicros(), e);
+    } else if (seen instanceof EndpointStarted e) {
       starts.add(e);
-    } else if (seen instanceof Killed e) {
-      kills.computeIfAbsent(e.gatekeeper(), k -> new ArrayList<>()).add(e.at());
+    } else if (seen instanceof GatewayKilled e) {
+      kills.computeIfAbsent(e.gatewayIndex(), k -> new ArrayList<>()).add(e.atMicros());
     }
   }
 
   /** What a request is a try of: its id without the number of the try. */
-  public static String operation(String request) {
+  public static String operationOf(String request) {
     int dot = request.lastIndexOf('.');
     return dot < 0 ? request : request.substring(0, dot);
   }
@@ -111,76 +112,82 @@
 
   // Rule 1: an answer before the client gives up, unless it left or its gatekeeper was killed under
   // it.
-  private int unanswered(Asked a) {
-    List<Answered> all = answers.get(a.request());
-    long limit = a.giveUpAt() + figures.rules().answerGraceMicros() + figures.slackMicros();
-    if (all != null && all.get(0).at() <= limit) {
+  private int unanswered(RequestSent a) {
+    List<ResponseReceived> all = answers.get(a.requestId());
+    long limit =
+        a.deadlineAtMicros() + figures.rules().answerGraceMicros() + figures.toleranceMicros();
+    if (all != null && all.get(0).atMicros() <= limit) {
       return 0;
     }
-    TraceEvent end = ends.get(a.request());
-    if (all == null && end instanceof Left && end.at() <= limit) {
+    TraceEvent end = ends.get(a.requestId());
+    if (all == null && end instanceof ClientDisconnected && end.atMicros() <= limit) {
       return 0;
     }
-    long until = end == null ? Long.MAX_VALUE : end.at() + figures.slackMicros();
+    long until = end == null ? Long.MAX_VALUE : end.atMicros() + figures.toleranceMicros();
     boolean killed =
-        kills.getOrDefault(a.gatekeeper(), List.of()).stream()
-            .anyMatch(at -> at >= a.at() - figures.slackMicros() && at <= until);
-    if (all == null && end instanceof Broke && killed) {
+        kills.getOrDefault(a.gatewayIndex(), List.of()).stream()
+            .anyMatch(at -> at >= a.atMicros() - figures.toleranceMicros() && at <= until);
+    if (all == null && end instanceof ConnectionLost && killed) {
       return 0;
     }
     breach(
-        a.request()
+        a.requestId()
             + " ("
-            + a.type()
+            + a.requestClass()
             + ", gatekeeper "
-            + a.gatekeeper()
+            + a.gatewayIndex()
             + ") "
             + (all == null
                 ? "had no answer"
-                : "was answered " + (all.get(0).at() - a.giveUpAt()) + " us too late"));
+                : "was answered "
+                    + (all.get(0).atMicros() - a.deadlineAtMicros())
+                    + " us too late"));
     return 1;
   }
 
   // Rule 1: one answer, and nothing sent on after it.
-  private int twice(Asked a) {
-    List<Answered> all = answers.getOrDefault(a.request(), List.of());
+  private int twice(RequestSent a) {
+    List<ResponseReceived> all = answers.getOrDefault(a.requestId(), List.of());
     if (all.size() > 1) {
-      breach(a.request() + " had " + all.size() + " answers");
+      breach(a.requestId() + " had " + all.size() + " answers");
       return 1;
     }
-    long after = all.isEmpty() ? Long.MAX_VALUE : all.get(0).at() + figures.slackMicros();
-    if (arrivals.getOrDefault(a.request(), List.of()).stream().anyMatch(e -> e.at() > after)) {
-      breach(a.request() + " was sent on after its answer");
+    long after = all.isEmpty() ? Long.MAX_VALUE : all.get(0).atMicros() + figures.toleranceMicros();
+    if (arrivals.getOrDefault(a.requestId(), List.of()).stream()
+        .anyMatch(e -> e.atMicros() > after)) {
+      breach(a.requestId() + " was sent on after its answer");
       return 1;
     }
     return 0;
   }
 
   // Rule 2, what may be sent or refused again. What a worker refused did not run.
-  private int repeated(Asked a) {
-    RequestClass type = figures.classes().get(a.type());
+  private int repeated(RequestSent a) {
+    RequestClass type = figures.requestClasses().get(a.requestClass());
     if (type == null || type.idempotency() == Idempotency.IDEMPOTENT) {
       return 0;
     }
-    List<Arrived> all = arrivals.getOrDefault(a.request(), List.of());
-    Arrived ran = all.stream().filter(e -> !e.refused()).findFirst().orElse(null);
+    List<AttemptArrived> all = arrivals.getOrDefault(a.requestId(), List.of());
+    AttemptArrived ran = all.stream().filter(e -> !e.isRejected()).findFirst().orElse(null);
     if (ran == null) {
       return 0;
     }
     boolean grouped = type.idempotency() == Idempotency.DEDUPLICATED;
-    for (Arrived later : all.subList(all.indexOf(ran) + 1, all.size())) {
+    for (AttemptArrived later : all.subList(all.indexOf(ran) + 1, all.size())) {
       if (!grouped
-          || later.at() > ran.at() + type.deduplicationWindowMicros() + figures.slackMicros()
+          || later.atMicros()
+              > ran.atMicros() + type.deduplicationWindowMicros() + figures.toleranceMicros()
           || type.deduplicationScope() != DeduplicationScope.ALL
-              && !later.worker().equals(ran.worker())) {
-        breach(a.request() + " (" + a.type() + ") was sent again to " + later.worker());
+              && !later.endpointId().equals(ran.endpointId())) {
+        breach(
+            a.requestId() + " (" + a.requestClass() + ") was sent again to " + later.endpointId());
         return 1;
       }
     }
     boolean refused =
-        answers.getOrDefault(a.request(), List.of()).stream().anyMatch(e -> e.status() == 429);
+        answers.getOrDefault(a.requestId(), List.of()).stream().anyMatch(e -> e.status() == 429);
     if (refused && !(grouped && type.deduplicationScope() == DeduplicationScope.ALL)) {
-      breach(a.request() + " (" + a.type() + ") was refused after it may have run");
+      breach(a.requestId() + " (" + a.requestClass() + ") was refused after it may have run");
       return 1;
     }
     return 0;
@@ -189,15 +196,20 @@
   private int effectsTwice() {
     int twice = 0;
     Set<String> judged = new HashSet<>();
-    for (Asked a : asked.values()) {
-      RequestClass type = figures.classes().get(a.type());
-      String operation = operation(a.request());
+    for (RequestSent a : asked.values()) {
+      RequestClass type = figures.requestClasses().get(a.requestClass());
+      String operation = operationOf(a.requestId());
       if (type != null
           && type.idempotency() != Idempotency.IDEMPOTENT
           && effects.getOrDefault(operation, 0) > 1
           && judged.add(operation)) {
         breach(
-            operation + " (" + a.type() + ") had its effect " + effects.get(operation) + " times");
+            operation
+                + " ("
+                + a.requestClass()
+                + ") had its effect "
+                + effects.get(operation)
+                + " times");
         twice++;
       }
     }
@@ -207,31 +219,32 @@
   // Rule 3: nothing new later than the grace after this gatekeeper was told.
   private int lateDrains() {
     int late = 0;
-    long grace = figures.rules().drainGraceMicros() + figures.slackMicros();
-    for (Map.Entry<String, List<Arrived>> each : arrivals.entrySet()) {
-      Asked a = asked.get(each.getKey());
-      for (Arrived e : a == null ? List.<Arrived>of() : each.getValue()) {
-        TreeMap<Long, Told> heard = told.get(a.gatekeeper() + " " + e.worker());
-        Map.Entry<Long, Told> last = heard == null ? null : heard.floorEntry(e.at());
+    long grace = figures.rules().drainGraceMicros() + figures.toleranceMicros();
+    for (Map.Entry<String, List<AttemptArrived>> each : arrivals.entrySet()) {
+      RequestSent a = asked.get(each.getKey());
+      for (AttemptArrived e : a == null ? List.<AttemptArrived>of() : each.getValue()) {
+        TreeMap<Long, EndpointAnnounced> heard = told.get(a.gatewayIndex() + " " + e.endpointId());
+        Map.Entry<Long, EndpointAnnounced> last =
+            heard == null ? null : heard.floorEntry(e.atMicros());
         if (last == null || last.getValue().state().equals("running")) {
           continue;
         }
         long since = last.getKey();
-        for (Told t : heard.headMap(since, true).descendingMap().values()) {
+        for (EndpointAnnounced t : heard.headMap(since, true).descendingMap().values()) {
           if (t.state().equals("running")) {
             break;
           }
-          since = t.at();
+          since = t.atMicros();
         }
-        if (e.at() > since + grace) {
+        if (e.atMicros() > since + grace) {
           breach(
-              e.request()
+              e.requestId()
                   + " reached "
-                  + e.worker()
+                  + e.endpointId()
                   + " "
-                  + (e.at() - since)
+                  + (e.atMicros() - since)
                   + " us after gatekeeper "
-                  + a.gatekeeper()
+                  + a.gatewayIndex()
                   + " was told that it goes");
           late++;
         }
@@ -247,18 +260,18 @@
   private int coldFalls() {
     int falls = 0;
     var rules = figures.rules();
-    for (Came start : starts) {
-      if (!start.cold()) {
+    for (EndpointStarted start : starts) {
+      if (!start.isWarmingUp()) {
         continue;
       }
-      ArrayDeque<Arrived> window = new ArrayDeque<>();
-      for (Arrived e : byWorker.getOrDefault(start.worker(), List.of())) {
-        long age = e.at() - start.at();
-        if (e.life() != start.life() || age < 0 || age >= rules.slowStartMicros()) {
+      ArrayDeque<AttemptArrived> window = new ArrayDeque<>();
+      for (AttemptArrived e : byWorker.getOrDefault(start.endpointId(), List.of())) {
+        long age = e.atMicros() - start.atMicros();
+        if (e.incarnation() != start.incarnation() || age < 0 || age >= rules.slowStartMicros()) {
           continue;
         }
         window.add(e);
-        while (window.peek().at() < e.at() - rules.collapseWindowMicros()) {
+        while (window.peek().atMicros() < e.atMicros() - rules.collapseWindowMicros()) {
           window.poll();
         }
         double warmth =
@@ -266,13 +279,13 @@
         double may =
             rules.collapseMultiple()
                 * warmth
-                * start.perSecond()
+                * start.attemptsPerSecond()
                 * rules.collapseWindowMicros()
                 / 1e6;
         long knew = window.stream().filter(w -> knewOf(w, start)).count();
         if (window.size() > may + 3 * Math.sqrt(may) && knew * 3 >= window.size() * 2) {
           breach(
-              start.worker()
+              start.endpointId()
                   + " got "
                   + window.size()
                   + " in a window that allows "
@@ -288,12 +301,13 @@
     return falls;
   }
 
-  private boolean knewOf(Arrived e, Came start) {
-    Asked a = asked.get(e.request());
-    TreeMap<Long, Told> heard = a == null ? null : told.get(a.gatekeeper() + " " + e.worker());
+  private boolean knewOf(AttemptArrived e, EndpointStarted start) {
+    RequestSent a = asked.get(e.requestId());
+    TreeMap<Long, EndpointAnnounced> heard =
+        a == null ? null : told.get(a.gatewayIndex() + " " + e.endpointId());
     return heard != null
-        && heard.headMap(e.at(), true).values().stream()
-            .anyMatch(t -> t.startedAt() >= start.at() - figures.slackMicros());
+        && heard.headMap(e.atMicros(), true).values().stream()
+            .anyMatch(t -> t.startedAtMicros() >= start.atMicros() - figures.toleranceMicros());
   }
 
   // Rule 5: each first attempt takes its units from the customer's second store.
@@ -304,16 +318,16 @@
         .values()
         .forEach(
             a -> {
-              List<Arrived> all = arrivals.get(a.request());
+              List<AttemptArrived> all = arrivals.get(a.requestId());
               if (all != null) {
                 byCustomer
                     .computeIfAbsent(a.customer(), k -> new ArrayList<>())
-                    .add(new Taken(all.get(0).at(), a.units()));
+                    .add(new Taken(all.get(0).atMicros(), a.units()));
               }
             });
     int passed = 0;
     for (Map.Entry<String, List<Taken>> each : byCustomer.entrySet()) {
-      Plan plan = figures.plans().get(each.getKey());
+      Plan plan = figures.customerPlans().get(each.getKey());
       if (plan == null || plan.ceilingUnitsPerSecond() <= 0) {
         continue;
       }
--- a/src/main/java/fawndock/experiment/Outcome.java
+++ b/src/main/java/fawndock/experiment/Outcome.java
@@ -1,6 +1,6 @@
 package fawndock.experiment;
 
-import fawndock.simulation.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.util.List;
 import java.util.Map;
 
@@ -23,5 +23,5 @@
     String build,
     Map<String, Double> figures,
     Map<String, double[]> series,
-    List<Mark> marks,
+    List<FaultWindow> marks,
     String verdict) {}
--- a/src/main/java/fawndock/experiment/Runner.java
+++ b/src/main/java/fawndock/experiment/Runner.java
@@ -5,7 +5,7 @@
 import fawndock.policy.config.PolicyConfig;
 import fawndock.settings.ConfigurationException;
 import fawndock.simulation.DeploymentFile;
-import fawndock.simulation.Emulation;
+import fawndock.simulation.Simulation;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -38,18 +38,19 @@
       throws ConfigurationException {
     this.maker = maker;
     this.build = build;
-    Map<Map<String, String>, DeploymentFile.Read> scenarios = new HashMap<>();
+    Map<Map<String, String>, DeploymentFile.ParsedDeployment> scenarios = new HashMap<>();
     for (Map<String, String> values : experiment.cells()) {
       scenarios.put(values, DeploymentFile.read(experiment.scenario(), values));
     }
     for (Run run : experiment.runs()) {
-      DeploymentFile.Read read = scenarios.get(run.values());
+      DeploymentFile.ParsedDeployment read = scenarios.get(run.values());
       planned.add(
-          new Planned(Build.hash(read.settings(), Long.toString(run.seed()), build), run, read));
+          new Planned(
+              Build.hash(read.effectiveSettings(), Long.toString(run.seed()), build), run, read));
     }
   }
 
-  private record Planned(String key, Run run, DeploymentFile.Read read) {}
+  private record Planned(String key, Run run, DeploymentFile.ParsedDeployment read) {}
 
   /** How many runs are still to be done. */
   public int left(Results results) {
@@ -113,7 +114,8 @@
   }
 
   private Outcome outcome(Planned p) {
-    Emulation.Result result = p.read.seed(p.run.seed()).emulation(maker).run();
+    Simulation.SimulationResult result =
+        p.read.withSeed(p.run.seed()).createSimulation(maker).run();
     Map<String, double[]> series = new LinkedHashMap<>();
     result
         .series()
@@ -129,11 +131,11 @@
         p.key,
         p.run.values(),
         p.run.seed(),
-        p.read.settings(),
+        p.read.effectiveSettings(),
         build,
         result.figures(),
         series,
-        p.read.marks(),
-        result.verdict().line());
+        p.read.faultWindows(),
+        result.conformance().summaryLine());
   }
 }
--- a/src/main/java/fawndock/fake/FakeBackend.java
+++ b/src/main/java/fawndock/fake/FakeBackend.java
@@ -22,79 +22,87 @@
   /** Faults, to be set through {@link FakeBackend#change}. */
   public static final class Faults {
     /** Work takes so many times as long. */
-    public double slow = 1;
+    public double workTimeFactor = 1;
 
     /** Nothing is answered and nothing runs. */
-    public boolean silent;
+    public boolean isUnresponsive;
 
     /**
      * Shares of attempts whose answer is lost after the work ran, that are reset, that are refused
      * unrun.
      */
-    public double loseAnswers;
+    public double lostResponseRatio;
 
-    public double resets;
-    public double refuses;
+    public double resetRatio;
+    public double rejectRatio;
 
     /** Share of attempts that end with status 500. */
-    public double errors;
+    public double errorRatio;
   }
 
   /**
    * How a worker is built: cores, microseconds of work an attempt, room to wait, and how it warms
    * and falls.
    */
-  public record Build(
+  public record BackendConfig(
       int cores,
       long workMicros,
-      int queue,
-      double coldShare,
-      long coldMicros,
-      double fallMultiple,
-      long fallMicros) {
+      int queueCapacity,
+      double slowStartShare,
+      long slowStartMicros,
+      double collapseMultiple,
+      long collapseWindowMicros) {
     /** Its speed as a share of when it is warm; a start at 0 is long ago. */
-    public double warmth(long startedAt, long now) {
+    public double slowStartFactor(long startedAt, long now) {
       double age = now - startedAt;
-      return startedAt == 0 || age >= coldMicros
+      return startedAt == 0 || age >= slowStartMicros
           ? 1
-          : coldShare + (1 - coldShare) * age / coldMicros;
+          : slowStartShare + (1 - slowStartShare) * age / slowStartMicros;
     }
 
     /**
      * Whether so many arrivals of late, in the time in which it falls, are too many for its warmth.
      */
-    public boolean pushedOver(int arrivals, long startedAt, long now) {
-      if (startedAt == 0 || now - startedAt >= coldMicros || now - startedAt < fallMicros) {
+    public boolean isOverloaded(int arrivals, long startedAt, long now) {
+      if (startedAt == 0
+          || now - startedAt >= slowStartMicros
+          || now - startedAt < collapseWindowMicros) {
         return false;
       }
-      double may = fallMultiple * warmth(startedAt, now) * cores * fallMicros / workMicros;
+      double may =
+          collapseMultiple
+              * slowStartFactor(startedAt, now)
+              * cores
+              * collapseWindowMicros
+              / workMicros;
       return arrivals > may + 3 * Math.sqrt(may);
     }
   }
 
   private final String id;
-  private final Build build;
+  private final BackendConfig config;
   private final TraceRecorder recorder;
   private final Vertx vertx;
   private final Context context;
   private final java.util.SplittableRandom random;
   private final Faults faults = new Faults();
-  private final ArrayDeque<HttpServerRequest> waiting = new ArrayDeque<>();
-  private final ArrayDeque<Long> arrivals = new ArrayDeque<>();
+  private final ArrayDeque<HttpServerRequest> queue = new ArrayDeque<>();
+  private final ArrayDeque<Long> recentArrivals = new ArrayDeque<>();
   private final Set<HttpConnection> connections = new HashSet<>();
-  private Set<String> keys = new HashSet<>();
+  private Set<String> appliedKeys = new HashSet<>();
   private HttpServer server;
   private int port;
-  private int busy;
-  private int life;
-  private long startedAt;
-  private boolean fell;
-  private int body = 64;
+  private int busyCores;
+  private int incarnation;
+  private long startedAtMicros;
+  private boolean hasCollapsed;
+  private int responseBytes = 64;
 
-  public FakeBackend(Vertx vertx, String id, Build build, TraceRecorder recorder, long seed) {
+  public FakeBackend(
+      Vertx vertx, String id, BackendConfig build, TraceRecorder recorder, long seed) {
     this.vertx = vertx;
     this.id = id;
-    this.build = build;
+    this.config = build;
     this.recorder = recorder;
     this.random = new java.util.SplittableRandom(seed);
     this.context = vertx.getOrCreateContext();
@@ -110,23 +118,27 @@
   }
 
   /** When it last started cold, or 0. */
-  public long startedAt() {
-    return startedAt;
+  public long startedAtMicros() {
+    return startedAtMicros;
   }
 
   /** Starts listening, cold or warm. */
   public Future<Integer> start(boolean cold) {
     return onContext(
         () -> {
-          life++;
-          fell = false;
-          busy = 0;
-          waiting.clear();
-          arrivals.clear();
-          startedAt = cold ? TraceRecorder.now() : 0;
-          recorder.add(
-              new TraceEvent.Came(
-                  TraceRecorder.now(), id, life, cold, build.cores() * 1e6 / build.workMicros()));
+          incarnation++;
+          hasCollapsed = false;
+          busyCores = 0;
+          queue.clear();
+          recentArrivals.clear();
+          startedAtMicros = cold ? TraceRecorder.nowMicros() : 0;
+          recorder.record(
+              new TraceEvent.EndpointStarted(
+                  TraceRecorder.nowMicros(),
+                  id,
+                  incarnation,
+                  cold,
+                  config.cores() * 1e6 / config.workMicros()));
           server =
               vertx
                   .createHttpServer(
@@ -140,17 +152,17 @@
                         connections.add(c);
                         c.closeHandler(v -> connections.remove(c));
                       })
-                  .requestHandler(this::arrive);
+                  .requestHandler(this::onRequest);
           return server.listen(port, "127.0.0.1").map(s -> port = s.actualPort());
         });
   }
 
   /** Dies: every connection breaks, nothing listens. */
-  public Future<Void> die() {
+  public Future<Void> kill() {
     return onContext(
         () -> {
-          life++;
-          waiting.clear();
+          incarnation++;
+          queue.clear();
           connections.forEach(HttpConnection::close);
           return server == null ? Future.succeededFuture() : server.close();
         });
@@ -166,7 +178,7 @@
   }
 
   /** Changes faults while it runs. */
-  public Future<Void> change(java.util.function.Consumer<Faults> how) {
+  public Future<Void> injectFaults(java.util.function.Consumer<Faults> how) {
     return onContext(
         () -> {
           how.accept(faults);
@@ -177,14 +189,14 @@
   /**
    * Drops repeats together with others that use the same set; it must be safe for several threads.
    */
-  public FakeBackend droppingRepeatsBy(Set<String> shared) {
-    keys = shared;
+  public FakeBackend withDeduplicationKeys(Set<String> shared) {
+    appliedKeys = shared;
     return this;
   }
 
   /** The size of each answer's body in bytes. */
-  public FakeBackend answerBytes(int bytes) {
-    body = bytes;
+  public FakeBackend withResponseBytes(int bytes) {
+    responseBytes = bytes;
     return this;
   }
 
@@ -194,55 +206,58 @@
     return done.future();
   }
 
-  private void arrive(HttpServerRequest request) {
+  private void onRequest(HttpServerRequest request) {
     String name = request.getHeader("x-request-id");
-    int mine = life;
-    boolean refuse = random.nextDouble() < faults.refuses || waiting.size() >= build.queue();
-    recorder.add(new TraceEvent.Arrived(TraceRecorder.now(), name, id, mine, refuse));
-    if (pushedOver()) {
-      die();
+    int mine = incarnation;
+    boolean refuse =
+        random.nextDouble() < faults.rejectRatio || queue.size() >= config.queueCapacity();
+    recorder.record(
+        new TraceEvent.AttemptArrived(TraceRecorder.nowMicros(), name, id, mine, refuse));
+    if (hasCollapsed()) {
+      kill();
       return;
     }
-    if (faults.silent) {
+    if (faults.isUnresponsive) {
       return;
     }
     if (refuse) {
       request.response().reset(7);
-    } else if (random.nextDouble() < faults.resets) {
+    } else if (random.nextDouble() < faults.resetRatio) {
       request.response().reset(2);
     } else {
-      waiting.add(request);
-      next();
+      queue.add(request);
+      startQueued();
     }
   }
 
   /** Whether it has fallen over: it was sent too much for its warmth for too long. */
-  private boolean pushedOver() {
-    long now = TraceRecorder.now();
-    arrivals.add(now);
-    while (!arrivals.isEmpty() && arrivals.peek() < now - build.fallMicros()) {
-      arrivals.poll();
+  private boolean hasCollapsed() {
+    long now = TraceRecorder.nowMicros();
+    recentArrivals.add(now);
+    while (!recentArrivals.isEmpty()
+        && recentArrivals.peek() < now - config.collapseWindowMicros()) {
+      recentArrivals.poll();
     }
-    fell |= build.pushedOver(arrivals.size(), startedAt, now);
-    return fell;
+    hasCollapsed |= config.isOverloaded(recentArrivals.size(), startedAtMicros, now);
+    return hasCollapsed;
   }
 
-  private void next() {
-    while (busy < build.cores() && !waiting.isEmpty()) {
-      HttpServerRequest request = waiting.poll();
-      busy++;
+  private void startQueued() {
+    while (busyCores < config.cores() && !queue.isEmpty()) {
+      HttpServerRequest request = queue.poll();
+      busyCores++;
       double micros =
-          build.workMicros()
-              * faults.slow
-              / build.warmth(startedAt, TraceRecorder.now())
+          config.workMicros()
+              * faults.workTimeFactor
+              / config.slowStartFactor(startedAtMicros, TraceRecorder.nowMicros())
               * (0.5 + random.nextDouble());
-      int mine = life;
+      int mine = incarnation;
       Runnable finished =
           () -> {
-            if (mine == life) {
-              busy--;
+            if (mine == incarnation) {
+              busyCores--;
               finish(request);
-              next();
+              startQueued();
             }
           };
       if (micros < 500) {
@@ -256,25 +271,25 @@
   private void finish(HttpServerRequest request) {
     String name = request.getHeader("x-request-id");
     String key = request.getHeader("idempotency-key");
-    long now = TraceRecorder.now();
-    if (key == null || keys.add(key)) {
-      recorder.add(new TraceEvent.Ran(now, name, id));
+    long now = TraceRecorder.nowMicros();
+    if (key == null || appliedKeys.add(key)) {
+      recorder.record(new TraceEvent.EffectApplied(now, name, id));
     }
-    if (random.nextDouble() < faults.loseAnswers || request.response().closed()) {
+    if (random.nextDouble() < faults.lostResponseRatio || request.response().closed()) {
       return;
     }
-    boolean error = random.nextDouble() < faults.errors;
+    boolean error = random.nextDouble() < faults.errorRatio;
     request
         .response()
         .setStatusCode(error ? 500 : 200)
         .putHeader(
             "endpoint-load-metrics",
             "TEXT cpu_utilization="
-                + (double) busy / build.cores()
+                + (double) busyCores / config.cores()
                 + ",named_metrics.queue="
-                + waiting.size()
+                + queue.size()
                 + ",named_metrics.in_flight="
-                + (busy + waiting.size()))
-        .end("x".repeat(body));
+                + (busyCores + queue.size()))
+        .end("x".repeat(responseBytes));
   }
 }
--- a/src/main/java/fawndock/fake/FakeCounterServer.java
+++ b/src/main/java/fawndock/fake/FakeCounterServer.java
@@ -33,17 +33,17 @@
  * one thread, with faults. It is for faults only; its numbers are plain doubles.
  */
 public final class FakeCounterServer implements AutoCloseable {
-  private record Entry(double value, long forgetAt) {}
+  private record Entry(double value, long expiresAtMillis) {}
 
   private final EventLoopGroup group = new NioEventLoopGroup(1);
   private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final Map<String, Entry> counts = new HashMap<>();
+  private final Map<String, Entry> entries = new HashMap<>();
   private Channel listener;
   private int port;
-  private volatile boolean silent;
-  private volatile boolean refusing;
-  private volatile long slowMillis;
-  private long calls;
+  private volatile boolean isUnresponsive;
+  private volatile boolean isRejecting;
+  private volatile long delayMillis;
+  private long addCount;
 
   /** Listens; the port is the same after each call. */
   public FakeCounterServer start() throws InterruptedException {
@@ -63,7 +63,7 @@
                             new RedisBulkStringAggregator(),
                             new RedisArrayAggregator(),
                             new RedisEncoder(),
-                            new Commands());
+                            new CommandHandler());
                   }
                 })
             .bind("127.0.0.1", port)
@@ -78,29 +78,30 @@
   }
 
   /** Takes connections and calls but answers nothing; calls made meanwhile count all the same. */
-  public void silent(boolean on) {
-    silent = on;
+  public void setUnresponsive(boolean on) {
+    isUnresponsive = on;
   }
 
   /** Answers every call with an error and adds nothing. */
-  public void refusing(boolean on) {
-    refusing = on;
+  public void setRejecting(boolean on) {
+    isRejecting = on;
   }
 
   /** Answers so much later. */
-  public void slow(long millis) {
-    slowMillis = millis;
+  public void setDelayMillis(long millis) {
+    delayMillis = millis;
   }
 
   /** Loses this share of every count; 1 empties it. */
-  public void lose(double share) {
+  public void dropShare(double share) {
     group
         .submit(
             () -> {
               if (share >= 1) {
-                counts.clear();
+                entries.clear();
               } else {
-                counts.replaceAll((name, e) -> new Entry(e.value() * (1 - share), e.forgetAt()));
+                entries.replaceAll(
+                    (name, e) -> new Entry(e.value() * (1 - share), e.expiresAtMillis()));
               }
             })
         .syncUninterruptibly();
@@ -113,9 +114,9 @@
   }
 
   /** Calls that added so far. */
-  public long calls() {
+  public long addCount() {
     long[] told = new long[1];
-    group.submit(() -> told[0] = calls).syncUninterruptibly();
+    group.submit(() -> told[0] = addCount).syncUninterruptibly();
     return told[0];
   }
 
@@ -125,9 +126,9 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private final class Commands extends SimpleChannelInboundHandler<ArrayRedisMessage> {
-    private final java.util.ArrayDeque<RedisMessage> waiting = new java.util.ArrayDeque<>();
-    private long readyAt = System.nanoTime();
+  private final class CommandHandler extends SimpleChannelInboundHandler<ArrayRedisMessage> {
+    private final java.util.ArrayDeque<RedisMessage> pendingReplies = new java.util.ArrayDeque<>();
+    private long readyAtNanos = System.nanoTime();
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, ArrayRedisMessage message) {
@@ -135,21 +136,23 @@
           message.children().stream()
               .map(m -> ((FullBulkStringRedisMessage) m).content().toString(StandardCharsets.UTF_8))
               .toList();
-      RedisMessage answer = answer(words);
-      if (silent) {
+      RedisMessage answer = execute(words);
+      if (isUnresponsive) {
         return;
       }
       // Answers keep the order of their calls, also when it has become quicker.
       long now = System.nanoTime();
-      readyAt = Math.max(readyAt, now + slowMillis * 1_000_000);
-      waiting.add(answer);
-      if (readyAt > now) {
+      readyAtNanos = Math.max(readyAtNanos, now + delayMillis * 1_000_000);
+      pendingReplies.add(answer);
+      if (readyAtNanos > now) {
         context
             .executor()
             .schedule(
-                () -> context.writeAndFlush(waiting.poll()), readyAt - now, TimeUnit.NANOSECONDS);
+                () -> context.writeAndFlush(pendingReplies.poll()),
+                readyAtNanos - now,
+                TimeUnit.NANOSECONDS);
       } else {
-        context.writeAndFlush(waiting.poll());
+        context.writeAndFlush(pendingReplies.poll());
       }
     }
 
@@ -159,33 +162,34 @@
     }
   }
 
-  private RedisMessage answer(List<String> words) {
+  private RedisMessage execute(List<String> words) {
     String command = words.get(0).toUpperCase(Locale.ROOT);
-    if (refusing) {
+    if (isRejecting) {
       return new ErrorRedisMessage("ERR refused for a drill");
     }
     long now = System.currentTimeMillis();
     return switch (command) {
       case "PING" -> new SimpleStringRedisMessage("PONG");
       case "INCRBYFLOAT" -> {
-        Entry entry = counts.get(words.get(1));
-        if (entry == null || entry.forgetAt() <= now) {
+        Entry entry = entries.get(words.get(1));
+        if (entry == null || entry.expiresAtMillis() <= now) {
           entry = new Entry(0, Long.MAX_VALUE);
         }
-        calls++;
-        entry = new Entry(entry.value() + Double.parseDouble(words.get(2)), entry.forgetAt());
-        counts.put(words.get(1), entry);
+        addCount++;
+        entry =
+            new Entry(entry.value() + Double.parseDouble(words.get(2)), entry.expiresAtMillis());
+        entries.put(words.get(1), entry);
         yield new FullBulkStringRedisMessage(
             io.netty.buffer.Unpooled.copiedBuffer(
                 Double.toString(entry.value()), StandardCharsets.UTF_8));
       }
       case "PEXPIRE" -> {
-        Entry entry = counts.get(words.get(1));
-        boolean set = entry != null && entry.forgetAt() == Long.MAX_VALUE;
+        Entry entry = entries.get(words.get(1));
+        boolean set = entry != null && entry.expiresAtMillis() == Long.MAX_VALUE;
         if (set) {
-          counts.put(words.get(1), new Entry(entry.value(), now + Long.parseLong(words.get(2))));
+          entries.put(words.get(1), new Entry(entry.value(), now + Long.parseLong(words.get(2))));
         }
-        counts.values().removeIf(e -> counts.size() > 10_000 && e.forgetAt() <= now);
+        entries.values().removeIf(e -> entries.size() > 10_000 && e.expiresAtMillis() <= now);
         yield new IntegerRedisMessage(set ? 1 : 0);
       }
       default -> new ErrorRedisMessage("ERR unknown command '" + words.get(0) + "'");
--- a/src/main/java/fawndock/fake/FakeDiscoveryServer.java
+++ b/src/main/java/fawndock/fake/FakeDiscoveryServer.java
@@ -16,19 +16,19 @@
  */
 public final class FakeDiscoveryServer extends LoopbackServer {
   private final Set<OutputStream> watches = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger watched = new AtomicInteger();
-  private final Object voice = new Object();
-  private boolean silent;
-  private volatile String whole;
+  private final AtomicInteger watchCount = new AtomicInteger();
+  private final Object responseLock = new Object();
+  private boolean isUnresponsive;
+  private volatile String snapshotJson;
 
   /** Serves this whole list, a JSON object. */
   public FakeDiscoveryServer(String whole) throws IOException {
-    this.whole = whole;
-    begin();
+    this.snapshotJson = whole;
+    startAccepting();
   }
 
   /** A list as the catalog writes it: an id, an address and a status for each worker. */
-  public static String list(long index, boolean whole, String... workers) {
+  public static String endpointListJson(long index, boolean whole, String... workers) {
     StringBuilder text =
         new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
     for (int i = 0; i + 2 < workers.length; i += 3) {
@@ -54,10 +54,10 @@
     for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
       // The header fields say nothing of use.
     }
-    synchronized (voice) {
-      while (silent) {
+    synchronized (responseLock) {
+      while (isUnresponsive) {
         try {
-          voice.wait();
+          responseLock.wait();
         } catch (InterruptedException e) {
           return;
         }
@@ -66,10 +66,10 @@
     if (asked != null && asked.contains("stream=1")) {
       send(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       watches.add(out);
-      watched.incrementAndGet();
+      watchCount.incrementAndGet();
       in.readLine(); // Until the other side has left.
     } else if (asked != null) {
-      String body = whole;
+      String body = snapshotJson;
       send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
   }
@@ -80,28 +80,28 @@
   }
 
   /** Tells all watches a line, whatever it is. */
-  public void tell(String line) {
-    chunk(line + "\n");
+  public void sendEvent(String line) {
+    sendChunk(line + "\n");
   }
 
   /** The whole list from now on. */
-  public void whole(String list) {
-    whole = list;
+  public void setSnapshot(String list) {
+    snapshotJson = list;
   }
 
   /**
    * Calls are accepted and get no answer, as while the catalog is down; told false, all that wait
    * get theirs.
    */
-  public void silent(boolean on) {
-    synchronized (voice) {
-      silent = on;
-      voice.notifyAll();
+  public void setUnresponsive(boolean on) {
+    synchronized (responseLock) {
+      isUnresponsive = on;
+      responseLock.notifyAll();
     }
   }
 
   /** Tells all watches these bytes of a chunked answer, as they are. */
-  public void chunk(String bytes) {
+  public void sendChunk(String bytes) {
     for (OutputStream out : watches) {
       try {
         send(out, Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
@@ -112,13 +112,13 @@
   }
 
   /** Watches begun so far. */
-  public int watched() {
-    return watched.get();
+  public int watchCount() {
+    return watchCount.get();
   }
 
   /** Ends the watches that are open. */
-  public void cut() throws IOException {
+  public void endWatches() throws IOException {
     watches.clear();
-    closeOpen();
+    closeConnections();
   }
 }
--- a/src/main/java/fawndock/fake/FakeEndpointFeed.java
+++ b/src/main/java/fawndock/fake/FakeEndpointFeed.java
@@ -18,16 +18,17 @@
  */
 public final class FakeEndpointFeed {
   /** What is told of a worker: running, stopping or deleted. */
-  public record Entry(String id, int port, String zone, int cell, String state, long startedAt) {}
+  public record EndpointEntry(
+      String id, int port, String zone, int cell, String state, long startedAtMicros) {}
 
   private final Vertx vertx;
   private final TraceRecorder recorder;
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
   private final Map<Integer, HttpServer> servers = new LinkedHashMap<>();
   private final Map<Integer, Integer> ports = new LinkedHashMap<>();
-  private final Map<HttpServerResponse, Integer> streams = new LinkedHashMap<>();
-  private long lateMillis;
-  private boolean cut;
+  private final Map<HttpServerResponse, Integer> gatewayByWatcher = new LinkedHashMap<>();
+  private long delayMillis;
+  private boolean isDisconnected;
 
   public FakeEndpointFeed(Vertx vertx, TraceRecorder recorder) {
     this.vertx = vertx;
@@ -44,13 +45,13 @@
                 request -> {
                   HttpServerResponse response = request.response();
                   synchronized (this) {
-                    if (cut) {
+                    if (isDisconnected) {
                       request.connection().close();
                       return;
                     }
                     response.setChunked(true);
-                    streams.put(response, gatekeeper);
-                    response.closeHandler(v -> forget(response));
+                    gatewayByWatcher.put(response, gatekeeper);
+                    response.closeHandler(v -> removeWatcher(response));
                     send(response, gatekeeper, "complete", new ArrayList<>(entries.values()));
                   }
                 });
@@ -72,21 +73,21 @@
    * Changes or adds workers and tells everyone, late when it is late. Entries that are deleted are
    * forgotten.
    */
-  public void tell(Entry... changed) {
+  public void publish(EndpointEntry... changed) {
     long late;
     synchronized (this) {
-      for (Entry entry : changed) {
+      for (EndpointEntry entry : changed) {
         entries.put(entry.id(), entry);
         if (entry.state().equals("deleted")) {
           entries.remove(entry.id());
         }
       }
-      late = lateMillis;
+      late = delayMillis;
     }
     Runnable tell =
         () -> {
           synchronized (this) {
-            streams.forEach(
+            gatewayByWatcher.forEach(
                 (response, gatekeeper) -> send(response, gatekeeper, "changes", List.of(changed)));
           }
         };
@@ -98,41 +99,42 @@
   }
 
   /** Sends a line as it is to everyone, for lists that no sound roster sends. */
-  public synchronized void raw(String line) {
-    streams.keySet().forEach(response -> response.write(line + "\n"));
+  public synchronized void publishRaw(String line) {
+    gatewayByWatcher.keySet().forEach(response -> response.write(line + "\n"));
   }
 
   /** Changes are told so much later from now on. */
-  public synchronized void late(long millis) {
-    lateMillis = millis;
+  public synchronized void setDelayMillis(long millis) {
+    delayMillis = millis;
   }
 
   /** Cuts everyone off, or lets them connect again. */
-  public synchronized void cut(boolean off) {
-    cut = off;
+  public synchronized void setDisconnected(boolean off) {
+    isDisconnected = off;
     if (off) {
-      List.copyOf(streams.keySet()).forEach(response -> response.reset());
-      streams.clear();
+      List.copyOf(gatewayByWatcher.keySet()).forEach(response -> response.reset());
+      gatewayByWatcher.clear();
     }
   }
 
   /** Everyone who is connected now. */
-  public synchronized int connected() {
-    return streams.size();
+  public synchronized int watcherCount() {
+    return gatewayByWatcher.size();
   }
 
-  private synchronized void forget(HttpServerResponse response) {
-    streams.remove(response);
+  private synchronized void removeWatcher(HttpServerResponse response) {
+    gatewayByWatcher.remove(response);
   }
 
   private synchronized void heartbeat() {
-    streams.keySet().forEach(response -> response.write("\n"));
+    gatewayByWatcher.keySet().forEach(response -> response.write("\n"));
   }
 
-  private void send(HttpServerResponse response, int gatekeeper, String list, List<Entry> told) {
+  private void send(
+      HttpServerResponse response, int gatekeeper, String list, List<EndpointEntry> told) {
     JsonArray servers = new JsonArray();
-    long now = TraceRecorder.now();
-    for (Entry e : told) {
+    long now = TraceRecorder.nowMicros();
+    for (EndpointEntry e : told) {
       servers.add(
           new JsonObject()
               .put("id", e.id())
@@ -142,8 +144,10 @@
               .put("cell", e.cell())
               .put("state", e.state())
               .put("weight", 1)
-              .put("started_us", e.startedAt()));
-      recorder.add(new TraceEvent.Told(now, gatekeeper, e.id(), e.state(), e.startedAt()));
+              .put("started_us", e.startedAtMicros()));
+      recorder.record(
+          new TraceEvent.EndpointAnnounced(
+              now, gatekeeper, e.id(), e.state(), e.startedAtMicros()));
     }
     response.write(new JsonObject().put("list", list).put("servers", servers).encode() + "\n");
   }
--- a/src/main/java/fawndock/fake/FakePlatform.java
+++ b/src/main/java/fawndock/fake/FakePlatform.java
@@ -29,13 +29,13 @@
             "grace-to-answer-us":16000}}""";
   private final Path file;
   private final int port;
-  private final int sockets;
-  public final FakeRespServer worker;
+  private final int socketLimit;
+  public final FakeRespServer backend;
   public final FakeRespServer counter;
-  public final FakeDiscoveryServer catalog;
+  public final FakeDiscoveryServer discovery;
 
   /** A world whose worker and counter answer as given. */
-  public FakePlatform(FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter)
+  public FakePlatform(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
       throws IOException {
     this(worker, counter, 256);
   }
@@ -46,30 +46,31 @@
    * @param sockets the limit that the configuration tells
    */
   public FakePlatform(
-      FakeRespServer.Behaviour worker, FakeRespServer.Behaviour counter, int sockets)
+      FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
       throws IOException {
-    this.sockets = sockets;
-    this.worker = new FakeRespServer(worker);
+    this.socketLimit = sockets;
+    this.backend = new FakeRespServer(worker);
     this.counter = new FakeRespServer(counter);
-    catalog =
+    discovery =
         new FakeDiscoveryServer(
-            FakeDiscoveryServer.list(7, true, "w1", "127.0.0.1:" + this.worker.port(), "ready"));
+            FakeDiscoveryServer.endpointListJson(
+                7, true, "w1", "127.0.0.1:" + this.backend.port(), "ready"));
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       port = free.getLocalPort();
     }
     file = Files.createTempFile("fawndock-platform", ".json");
-    configure(catalog.port(), this.counter.port());
+    writeConfiguration(discovery.port(), this.counter.port());
   }
 
   /** Writes the file anew, with these addresses of catalog and counter. */
-  public void configure(int catalogPort, int counterPort) throws IOException {
-    write(
+  public void writeConfiguration(int catalogPort, int counterPort) throws IOException {
+    writeFile(
         "{\"name\":\"g0\",\"listen\":\"127.0.0.1:"
             + port
             + "\",\"discovery\":\"127.0.0.1:"
             + catalogPort
             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":"
-            + sockets
+            + socketLimit
             + "},\"counter\":\"127.0.0.1:"
             + counterPort
             + "\",\"settings\":"
@@ -78,12 +79,12 @@
   }
 
   /** Writes anything into the file. */
-  public void write(String text) throws IOException {
+  public void writeFile(String text) throws IOException {
     Files.writeString(file, text);
   }
 
   /** The variables that the platform sets. */
-  public Map<String, String> variables() {
+  public Map<String, String> environment() {
     return Map.of("RELAY_CONFIG", file.toString(), "RELAY_NAME", "g0");
   }
 
@@ -93,7 +94,8 @@
   }
 
   /** The words of a request, as the platform's clients send it. */
-  public static String[] request(String type, String plan, long customer, long id, String more) {
+  public static String[] requestCommand(
+      String type, String plan, long customer, long id, String more) {
     String key = type.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
     return new String[] {
       type.equals("look") ? "Q.ASK" : "Q.DO",
@@ -105,9 +107,9 @@
 
   @Override
   public void close() throws IOException {
-    worker.close();
+    backend.close();
     counter.close();
-    catalog.close();
+    discovery.close();
     Files.deleteIfExists(file);
   }
 }
--- a/src/main/java/fawndock/fake/FakeRespServer.java
+++ b/src/main/java/fawndock/fake/FakeRespServer.java
@@ -20,16 +20,16 @@
  */
 public final class FakeRespServer extends LoopbackServer {
   /** Answers commands, each on its connection's own thread. */
-  public interface Behaviour {
-    void command(List<String> words, Link link) throws IOException, InterruptedException;
+  public interface CommandHandler {
+    void onCommand(List<String> words, Connection link) throws IOException, InterruptedException;
   }
 
   /** One connection. */
-  public static final class Link {
+  public static final class Connection {
     private final Socket socket;
     private final OutputStream out;
 
-    private Link(Socket socket) throws IOException {
+    private Connection(Socket socket) throws IOException {
       this.socket = socket;
       this.out = socket.getOutputStream();
     }
@@ -41,7 +41,7 @@
     }
 
     /** Ends the connection: in order, or by a reset. */
-    public void end(boolean reset) throws IOException {
+    public void close(boolean reset) throws IOException {
       if (reset) {
         socket.setSoLinger(true, 0);
       }
@@ -49,13 +49,13 @@
     }
   }
 
-  private final Behaviour behaviour;
-  private final AtomicInteger commands = new AtomicInteger();
+  private final CommandHandler handler;
+  private final AtomicInteger commandCount = new AtomicInteger();
 
   /** Listens from now on. */
-  public FakeRespServer(Behaviour behaviour) throws IOException {
-    this.behaviour = behaviour;
-    begin();
+  public FakeRespServer(CommandHandler behaviour) throws IOException {
+    this.handler = behaviour;
+    startAccepting();
   }
 
   @Override
@@ -64,14 +64,14 @@
     ByteBuf in = Unpooled.buffer();
     byte[] part = new byte[8_192];
     try {
-      Link link = new Link(socket);
+      Connection link = new Connection(socket);
       for (int n = socket.getInputStream().read(part);
           n >= 0;
           n = socket.getInputStream().read(part)) {
         in.discardReadBytes().writeBytes(part, 0, n);
         for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-          commands.incrementAndGet();
-          behaviour.command(
+          commandCount.incrementAndGet();
+          handler.onCommand(
               Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList(),
               link);
         }
@@ -84,18 +84,19 @@
   }
 
   /** Commands read so far. */
-  public int commands() {
-    return commands.get();
+  public int commandCount() {
+    return commandCount.get();
   }
 
   /** Answers as the platform's worker does when all is well: the value names the request's id. */
-  public static Behaviour worker() {
+  public static CommandHandler backendHandler() {
     return (words, link) ->
-        link.send(served("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
+        link.send(
+            backendResponse("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
   }
 
   /** A whole answer of a worker with a load report. */
-  public static String served(String value, String load) {
+  public static String backendResponse(String value, String load) {
     return "*3\r\n$"
         + value.length()
         + "\r\n"
@@ -108,7 +109,7 @@
   }
 
   /** Answers as the platform's counter does. */
-  public static Behaviour counter() {
+  public static CommandHandler counterHandler() {
     ConcurrentHashMap<String, Double> totals = new ConcurrentHashMap<>();
     return (words, link) -> {
       String total =
--- a/src/main/java/fawndock/fake/FaultInjectingProxy.java
+++ b/src/main/java/fawndock/fake/FaultInjectingProxy.java
@@ -20,22 +20,22 @@
  * What it holds is bounded: it stops reading from the service.
  */
 public final class FaultInjectingProxy {
-  private static final int MOST_HELD = 4_096;
+  private static final int MAX_PENDING_CHUNKS = 4_096;
 
-  private record Chunk(Buffer bytes, long dueAt) {}
+  private record Chunk(Buffer bytes, long dueAtNanos) {}
 
   private final Vertx vertx;
   private final int servicePort;
   private final NetClient client;
-  private final Set<Line> lines = new HashSet<>();
+  private final Set<ProxiedConnection> connections = new HashSet<>();
   private final io.vertx.core.Context context;
   private NetServer server;
   private int port;
-  private volatile boolean silent;
-  private volatile boolean deaf;
-  private volatile long slowMillis;
-  private volatile byte[] counted = {};
-  private final AtomicLong seen = new AtomicLong();
+  private volatile boolean areResponsesBlocked;
+  private volatile boolean areRequestsBlocked;
+  private volatile long responseDelayMillis;
+  private volatile byte[] countedWord = {};
+  private final AtomicLong occurrences = new AtomicLong();
 
   public FaultInjectingProxy(Vertx vertx, int servicePort) {
     this.vertx = vertx;
@@ -65,25 +65,25 @@
   }
 
   /** Passes calls on but holds the answers until told otherwise. */
-  public void silent(boolean on) {
-    silent = on;
+  public void setResponsesBlocked(boolean on) {
+    areResponsesBlocked = on;
     if (!on) {
-      context.runOnContext(v -> Set.copyOf(lines).forEach(Line::send));
+      context.runOnContext(v -> Set.copyOf(connections).forEach(ProxiedConnection::flushDue));
     }
   }
 
   /** Holds the calls until told otherwise. */
-  public void deaf(boolean on) {
-    deaf = on;
+  public void setRequestsBlocked(boolean on) {
+    areRequestsBlocked = on;
     context.runOnContext(
         v ->
-            Set.copyOf(lines)
+            Set.copyOf(connections)
                 .forEach(
                     line -> {
                       if (on) {
-                        line.caller.pause();
+                        line.clientSocket.pause();
                       } else {
-                        line.caller.resume();
+                        line.clientSocket.resume();
                       }
                     }));
   }
@@ -92,18 +92,18 @@
    * Counts from now on how often a word crosses towards the service, also where it is cut by the
    * packets.
    */
-  public void count(String word) {
-    counted = word.getBytes(StandardCharsets.US_ASCII);
+  public void countOccurrences(String word) {
+    countedWord = word.getBytes(StandardCharsets.US_ASCII);
   }
 
   /** How often it did. */
-  public long counted() {
-    return seen.get();
+  public long occurrenceCount() {
+    return occurrences.get();
   }
 
   /** Passes answers on so much later. */
-  public void slow(long millis) {
-    slowMillis = millis;
+  public void setResponseDelayMillis(long millis) {
+    responseDelayMillis = millis;
   }
 
   /** Breaks every connection and stops listening until started again. */
@@ -111,7 +111,7 @@
     if (server != null) {
       server.close();
     }
-    context.runOnContext(v -> Set.copyOf(lines).forEach(Line::close));
+    context.runOnContext(v -> Set.copyOf(connections).forEach(ProxiedConnection::close));
   }
 
   private void connected(NetSocket caller) {
@@ -127,90 +127,95 @@
                 service.pause();
                 context.runOnContext(
                     v -> {
-                      Line line = new Line(caller, service);
-                      lines.add(line);
-                      line.open();
+                      ProxiedConnection line = new ProxiedConnection(caller, service);
+                      connections.add(line);
+                      line.start();
                     });
               }
             });
   }
 
   /** One connection; its state is used on the relay's context alone. */
-  private final class Line {
-    private final NetSocket caller;
-    private final NetSocket service;
-    private final ArrayDeque<Chunk> held = new ArrayDeque<>();
+  private final class ProxiedConnection {
+    private final NetSocket clientSocket;
+    private final NetSocket serviceSocket;
+    private final ArrayDeque<Chunk> pendingChunks = new ArrayDeque<>();
     private int matched;
 
-    Line(NetSocket caller, NetSocket service) {
-      this.caller = caller;
-      this.service = service;
+    ProxiedConnection(NetSocket caller, NetSocket service) {
+      this.clientSocket = caller;
+      this.serviceSocket = service;
     }
 
-    void open() {
-      caller
+    void start() {
+      clientSocket
           .handler(
               bytes -> {
-                look(bytes);
-                service.write(bytes);
+                countMatches(bytes);
+                serviceSocket.write(bytes);
               })
           .closeHandler(v -> context.runOnContext(w -> close()))
           .exceptionHandler(e -> {});
-      service
-          .handler(bytes -> context.runOnContext(v -> answer(bytes)))
+      serviceSocket
+          .handler(bytes -> context.runOnContext(v -> onResponseBytes(bytes)))
           .closeHandler(v -> context.runOnContext(w -> close()))
           .exceptionHandler(e -> {});
-      if (!deaf) {
-        caller.resume();
+      if (!areRequestsBlocked) {
+        clientSocket.resume();
       }
-      service.resume();
+      serviceSocket.resume();
     }
 
     /**
      * The word's first letter stands in it once, so a mismatch needs no second look further back.
      */
-    private void look(Buffer bytes) {
-      byte[] word = counted;
+    private void countMatches(Buffer bytes) {
+      byte[] word = countedWord;
       for (int i = 0; i < bytes.length() && word.length > 0; i++) {
         byte each = bytes.getByte(i);
         matched =
             matched < word.length && each == word[matched] ? matched + 1 : each == word[0] ? 1 : 0;
         if (matched == word.length) {
-          seen.incrementAndGet();
+          occurrences.incrementAndGet();
           matched = 0;
         }
       }
     }
 
-    private void answer(Buffer bytes) {
-      long due = System.nanoTime() + slowMillis * 1_000_000;
-      held.add(new Chunk(bytes, held.isEmpty() ? due : Math.max(due, held.peekLast().dueAt)));
-      if (held.size() > MOST_HELD) {
-        service.pause();
+    private void onResponseBytes(Buffer bytes) {
+      long due = System.nanoTime() + responseDelayMillis * 1_000_000;
+      pendingChunks.add(
+          new Chunk(
+              bytes,
+              pendingChunks.isEmpty() ? due : Math.max(due, pendingChunks.peekLast().dueAtNanos)));
+      if (pendingChunks.size() > MAX_PENDING_CHUNKS) {
+        serviceSocket.pause();
       }
-      send();
+      flushDue();
     }
 
-    void send() {
-      while (!silent && !held.isEmpty() && held.peek().dueAt <= System.nanoTime()) {
-        caller.write(held.poll().bytes);
+    void flushDue() {
+      while (!areResponsesBlocked
+          && !pendingChunks.isEmpty()
+          && pendingChunks.peek().dueAtNanos <= System.nanoTime()) {
+        clientSocket.write(pendingChunks.poll().bytes);
       }
-      if (held.size() <= MOST_HELD) {
-        service.resume();
+      if (pendingChunks.size() <= MAX_PENDING_CHUNKS) {
+        serviceSocket.resume();
       }
-      if (!silent && !held.isEmpty()) {
-        long nanos = held.peek().dueAt - System.nanoTime();
+      if (!areResponsesBlocked && !pendingChunks.isEmpty()) {
+        long nanos = pendingChunks.peek().dueAtNanos - System.nanoTime();
         vertx.setTimer(
             Math.max(1, TimeUnit.NANOSECONDS.toMillis(nanos)),
-            t -> context.runOnContext(v -> send()));
+            t -> context.runOnContext(v -> flushDue()));
       }
     }
 
     void close() {
-      lines.remove(this);
-      held.clear();
-      caller.close();
-      service.close();
+      connections.remove(this);
+      pendingChunks.clear();
+      clientSocket.close();
+      serviceSocket.close();
     }
   }
 }
--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -13,17 +13,17 @@
  * many at once.
  */
 abstract class LoopbackServer implements AutoCloseable {
-  private static final int MOST_CONNECTIONS = 512;
+  private static final int MAX_CONNECTIONS = 512;
   private final ServerSocket listener;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger accepted = new AtomicInteger();
+  private final Set<Socket> openCount = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger acceptedCount = new AtomicInteger();
 
   LoopbackServer() throws IOException {
     listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
   }
 
   /** Takes connections from now on; to be called when all that serves them is made. */
-  final void begin() {
+  final void startAccepting() {
     thread(this::accept);
   }
 
@@ -37,12 +37,12 @@
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
-        accepted.incrementAndGet();
-        if (open.size() >= MOST_CONNECTIONS) {
+        acceptedCount.incrementAndGet();
+        if (openCount.size() >= MAX_CONNECTIONS) {
           socket.close();
           continue;
         }
-        open.add(socket);
+        openCount.add(socket);
         thread(
             () -> {
               try (socket) {
@@ -50,7 +50,7 @@
               } catch (IOException e) {
                 // The connection is over.
               } finally {
-                open.remove(socket);
+                openCount.remove(socket);
               }
             });
       } catch (IOException e) {
@@ -67,18 +67,18 @@
   }
 
   /** Connections taken so far. */
-  public final int accepted() {
-    return accepted.get();
+  public final int acceptedCount() {
+    return acceptedCount.get();
   }
 
   /** Connections open now. */
-  public final int open() {
-    return open.size();
+  public final int openCount() {
+    return openCount.size();
   }
 
   /** Closes the connections that are open, and goes on listening. */
-  final void closeOpen() throws IOException {
-    for (Socket socket : open) {
+  final void closeConnections() throws IOException {
+    for (Socket socket : openCount) {
       socket.close();
     }
   }
@@ -86,6 +86,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    closeOpen();
+    closeConnections();
   }
 }
--- a/src/main/java/fawndock/fake/RawHttpClient.java
+++ b/src/main/java/fawndock/fake/RawHttpClient.java
@@ -17,34 +17,35 @@
  * answered.
  */
 public final class RawHttpClient {
-  private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 ([0-9]{3}) [^\r\n]*\r\n");
-  private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *([0-9]+)\r\n");
-  private static final Pattern WAIT = Pattern.compile("(?i)\r\nretry-after: *([0-9]+)\r\n");
-  private static final long LONGEST_MILLIS = 60_000;
+  private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 ([0-9]{3}) [^\r\n]*\r\n");
+  private static final Pattern CONTENT_LENGTH =
+      Pattern.compile("(?i)\r\ncontent-length: *([0-9]+)\r\n");
+  private static final Pattern RETRY_AFTER = Pattern.compile("(?i)\r\nretry-after: *([0-9]+)\r\n");
+  private static final long MAX_EXCHANGE_MILLIS = 60_000;
 
   /**
    * How it ended for the client: the first status, or 0 when it had none; seconds to wait, or 0.
    */
-  public record End(int status, int retryAfter, boolean left) {}
+  public record ExchangeResult(int status, int retryAfterSeconds, boolean hasDisconnected) {}
 
   /**
    * One request.
    *
-   * @param leaveAfterMicros the client leaves then when it has no answer; 0 for never
+   * @param disconnectAfterMicros the client leaves then when it has no answer; 0 for never
    */
-  public record Call(
-      String id,
-      int gatekeeper,
+  public record RequestSpec(
+      String requestId,
+      int gatewayIndex,
       int port,
       String method,
       String path,
-      String type,
-      String key,
+      String requestClass,
+      String apiKey,
       String customer,
       double units,
-      long remainingMicros,
+      long timeoutMicros,
       String idempotencyKey,
-      long leaveAfterMicros) {}
+      long disconnectAfterMicros) {}
 
   private final Vertx vertx;
   private final NetClient net;
@@ -58,118 +59,120 @@
   }
 
   /** Sends a request and tells its end once. */
-  public void send(Call call, Consumer<End> ended) {
+  public void send(RequestSpec call, Consumer<ExchangeResult> ended) {
     net.connect(call.port(), "127.0.0.1")
         .onComplete(
             connected -> {
               if (connected.failed()) {
-                ended.accept(new End(0, 0, false)); // Never taken: no gatekeeper was there.
+                ended.accept(
+                    new ExchangeResult(0, 0, false)); // Never taken: no gatekeeper was there.
                 return;
               }
               NetSocket socket = connected.result();
-              long now = TraceRecorder.now();
-              recorder.add(
-                  new TraceEvent.Asked(
+              long now = TraceRecorder.nowMicros();
+              recorder.record(
+                  new TraceEvent.RequestSent(
                       now,
-                      call.id(),
-                      call.gatekeeper(),
-                      call.type(),
+                      call.requestId(),
+                      call.gatewayIndex(),
+                      call.requestClass(),
                       call.customer(),
                       call.units(),
-                      now + call.remainingMicros()));
-              new Conversation(socket, call, ended).begin();
+                      now + call.timeoutMicros()));
+              new Exchange(socket, call, ended).start();
             });
   }
 
-  private final class Conversation {
+  private final class Exchange {
     private final NetSocket socket;
-    private final Call call;
-    private final Consumer<End> ended;
+    private final RequestSpec call;
+    private final Consumer<ExchangeResult> onCompleted;
     private Buffer read = Buffer.buffer();
     private int status;
-    private int retryAfter;
-    private boolean left;
-    private boolean told;
+    private int retryAfterSeconds;
+    private boolean hasDisconnected;
+    private boolean isCompleted;
 
-    Conversation(NetSocket socket, Call call, Consumer<End> ended) {
+    Exchange(NetSocket socket, RequestSpec call, Consumer<ExchangeResult> ended) {
       this.socket = socket;
       this.call = call;
-      this.ended = ended;
+      this.onCompleted = ended;
     }
 
-    void begin() {
+    void start() {
       socket.handler(this::read);
-      socket.closeHandler(v -> closed());
+      socket.closeHandler(v -> onClosed());
       socket.exceptionHandler(e -> {});
       StringBuilder head =
           new StringBuilder(call.method())
               .append(' ')
               .append(call.path())
               .append(" HTTP/1.1\r\nhost: gateway\r\nconnection: close\r\nx-request-id: ")
-              .append(call.id())
+              .append(call.requestId())
               .append("\r\nx-api-key: ")
-              .append(call.key())
+              .append(call.apiKey())
               .append("\r\nx-envoy-expected-rq-timeout-ms: ")
-              .append(call.remainingMicros() / 1_000)
+              .append(call.timeoutMicros() / 1_000)
               .append("\r\n");
       if (call.idempotencyKey() != null) {
         head.append("idempotency-key: \"").append(call.idempotencyKey()).append("\"\r\n");
       }
       socket.write(head.append("\r\n").toString());
-      if (call.leaveAfterMicros() > 0) {
-        vertx.setTimer(Math.max(1, call.leaveAfterMicros() / 1_000), id -> leave());
+      if (call.disconnectAfterMicros() > 0) {
+        vertx.setTimer(Math.max(1, call.disconnectAfterMicros() / 1_000), id -> disconnect());
       }
-      vertx.setTimer(LONGEST_MILLIS, id -> socket.close());
+      vertx.setTimer(MAX_EXCHANGE_MILLIS, id -> socket.close());
     }
 
-    private void leave() {
-      if (status == 0 && !left && !told) {
-        left = true;
-        recorder.add(new TraceEvent.Left(TraceRecorder.now(), call.id()));
+    private void disconnect() {
+      if (status == 0 && !hasDisconnected && !isCompleted) {
+        hasDisconnected = true;
+        recorder.record(
+            new TraceEvent.ClientDisconnected(TraceRecorder.nowMicros(), call.requestId()));
         socket.close();
       }
     }
 
     /** Reads whole answers off the front of what came; each is recorded. */
     private void read(Buffer part) {
-      if (left) {
+      if (hasDisconnected) {
         return;
       }
       read.appendBuffer(part);
       while (true) {
         String text = read.toString(StandardCharsets.ISO_8859_1);
         int end = text.indexOf("\r\n\r\n");
-        Matcher line = STATUS.matcher(text);
+        Matcher line = STATUS_LINE.matcher(text);
         if (end < 0 || !line.lookingAt()) {
           return;
         }
         String head = text.substring(0, end + 2);
-        Matcher length = LENGTH.matcher(head);
+        Matcher length = CONTENT_LENGTH.matcher(head);
         int whole = end + 4 + (length.find() ? Integer.parseInt(length.group(1)) : 0);
         if (read.length() < whole) {
           return;
         }
-        recorder.add(
-            new TraceEvent.Answered(
-                TraceRecorder.now(), call.id(), Integer.parseInt(line.group(1))));
+        recorder.record(
+            new TraceEvent.ResponseReceived(
+                TraceRecorder.nowMicros(), call.requestId(), Integer.parseInt(line.group(1))));
         if (status == 0) {
           status = Integer.parseInt(line.group(1));
-          Matcher wait = WAIT.matcher(head);
-          retryAfter = wait.find() ? Integer.parseInt(wait.group(1)) : 0;
+          Matcher wait = RETRY_AFTER.matcher(head);
+          retryAfterSeconds = wait.find() ? Integer.parseInt(wait.group(1)) : 0;
         }
         read = read.getBuffer(whole, read.length());
       }
     }
 
-    private void closed() {
-      if (told) {
+    private void onClosed() {
+      if (isCompleted) {
         return;
       }
-      told = true;
-      if (status == 0 && !left) {
-        recorder.add(new TraceEvent.Broke(TraceRecorder.now(), call.id()));
+      isCompleted = true;
+      if (status == 0 && !hasDisconnected) {
+        recorder.record(new TraceEvent.ConnectionLost(TraceRecorder.nowMicros(), call.requestId()));
       }
-      ended.accept(new End(status, retryAfter, left));
+      onCompleted.accept(new ExchangeResult(status, retryAfterSeconds, hasDisconnected));
     }
   }
 }
--- a/src/main/java/fawndock/fake/RespClient.java
+++ b/src/main/java/fawndock/fake/RespClient.java
@@ -12,7 +12,7 @@
  * each with a time limit.
  */
 public final class RespClient implements AutoCloseable {
-  private static final int LIMIT_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
   private final Socket socket;
   private final InputStream in;
 
@@ -20,12 +20,12 @@
   public RespClient(int port) throws IOException {
     socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(LIMIT_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     in = socket.getInputStream();
   }
 
   /** A command as an array of bulk strings. */
-  public static String command(String... words) {
+  public static String encodeCommand(String... words) {
     StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -53,8 +53,8 @@
    * The next answer: a line as it stands, the text of a bulk string, or null when the other side
    * has closed.
    */
-  public String answer() throws IOException {
-    String line = line();
+  public String readReply() throws IOException {
+    String line = readLine();
     if (line == null || !line.startsWith("$")) {
       return line;
     }
@@ -64,11 +64,11 @@
   }
 
   /** Sends a command and reads its answer. */
-  public String ask(String... words) throws IOException {
-    return send(command(words)).answer();
+  public String call(String... words) throws IOException {
+    return send(encodeCommand(words)).readReply();
   }
 
-  private String line() throws IOException {
+  private String readLine() throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     try {
       for (int b = in.read(); b != '\n'; b = in.read()) {
--- a/src/main/java/fawndock/fake/TraceRecorder.java
+++ b/src/main/java/fawndock/fake/TraceRecorder.java
@@ -11,22 +11,22 @@
  * so.
  */
 public final class TraceRecorder {
-  private static final int MOST = 5_000_000;
-  private final List<TraceEvent> seen = new ArrayList<>();
-  private boolean full;
+  private static final int MAX_EVENTS = 5_000_000;
+  private final List<TraceEvent> events = new ArrayList<>();
+  private boolean isFull;
 
   /** Wall-clock microseconds since 1970. */
-  public static long now() {
+  public static long nowMicros() {
     Instant now = Clock.systemUTC().instant();
     return now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
   }
 
   /** Adds one. */
-  public synchronized void add(TraceEvent what) {
-    if (seen.size() < MOST) {
-      seen.add(what);
+  public synchronized void record(TraceEvent what) {
+    if (events.size() < MAX_EVENTS) {
+      events.add(what);
     } else {
-      full = true;
+      isFull = true;
     }
   }
 
@@ -35,10 +35,10 @@
    *
    * @throws IllegalStateException when some were not kept, so that nobody judges by a part
    */
-  public synchronized List<TraceEvent> all() {
-    if (full) {
-      throw new IllegalStateException("more than " + MOST + " records");
+  public synchronized List<TraceEvent> events() {
+    if (isFull) {
+      throw new IllegalStateException("more than " + MAX_EVENTS + " records");
     }
-    return new ArrayList<>(seen);
+    return new ArrayList<>(events);
   }
 }
--- a/src/main/java/fawndock/measurement/Measures.java
+++ b/src/main/java/fawndock/measurement/Measures.java
@@ -43,7 +43,7 @@
           "left",
           "attempts",
           "repeated attempts");
-  private final Map<String, TraceEvent.Asked> asked = new HashMap<>();
+  private final Map<String, TraceEvent.RequestSent> asked = new HashMap<>();
   private final Set<String> open = new HashSet<>();
   private final Map<String, Integer> arrivals = new HashMap<>();
   private final Map<String, double[]> series = new LinkedHashMap<>();
@@ -85,40 +85,40 @@
       double length) {
     Measures m = new Measures(classes, plans, begin, Math.max(1, (int) Math.ceil(length)));
     List<TraceEvent> inOrder = new ArrayList<>(trace);
-    inOrder.sort(Comparator.comparingLong(TraceEvent::at));
+    inOrder.sort(Comparator.comparingLong(TraceEvent::atMicros));
     inOrder.forEach(m::take);
     return m.told(groups);
   }
 
   private void take(TraceEvent seen) {
-    long at = seen.at() - begin;
-    if (seen instanceof TraceEvent.Asked e) {
-      if (at < seconds * 1_000_000L && asked.putIfAbsent(e.request(), e) == null) {
+    long at = seen.atMicros() - begin;
+    if (seen instanceof TraceEvent.RequestSent e) {
+      if (at < seconds * 1_000_000L && asked.putIfAbsent(e.requestId(), e) == null) {
         add("asked", at);
-        open.add(e.request());
-        use.asked(at, e.customer(), e.units());
+        open.add(e.requestId());
+        use.onRequest(at, e.customer(), e.units());
       }
-    } else if (seen instanceof TraceEvent.Arrived e) {
-      TraceEvent.Asked a = asked.get(e.request());
+    } else if (seen instanceof TraceEvent.AttemptArrived e) {
+      TraceEvent.RequestSent a = asked.get(e.requestId());
       if (a != null) {
         add("attempts", at);
-        if (arrivals.merge(e.request(), 1, Integer::sum) == 1) {
-          use.used(at, a.customer(), a.units());
+        if (arrivals.merge(e.requestId(), 1, Integer::sum) == 1) {
+          use.onForwarded(at, a.customer(), a.units());
         } else {
           add("repeated attempts", at);
         }
       }
-    } else if (seen instanceof TraceEvent.Answered e) {
+    } else if (seen instanceof TraceEvent.ResponseReceived e) {
       answered(e, at);
-    } else if (seen instanceof TraceEvent.Left e) {
-      ended(e.request(), 0, "left", at);
-    } else if (seen instanceof TraceEvent.Broke e) {
-      ended(e.request(), -1, "left", at);
+    } else if (seen instanceof TraceEvent.ClientDisconnected e) {
+      ended(e.requestId(), 0, "left", at);
+    } else if (seen instanceof TraceEvent.ConnectionLost e) {
+      ended(e.requestId(), -1, "left", at);
     }
   }
 
-  private void answered(TraceEvent.Answered e, long at) {
-    TraceEvent.Asked a = asked.get(e.request());
+  private void answered(TraceEvent.ResponseReceived e, long at) {
+    TraceEvent.RequestSent a = asked.get(e.requestId());
     if (a == null) {
       return;
     }
@@ -128,9 +128,11 @@
             ? "served"
             : e.status() != TOO_MANY
                 ? "failed"
-                : use.modest(at, a.customer()) ? "refused within plan" : "refused beyond plan";
-    if (ended(e.request(), e.status(), what, at) && ok) {
-      long took = Math.min(LONGEST, Math.max(0, e.at() - a.at()));
+                : use.isBelowPlanRate(at, a.customer())
+                    ? "refused within plan"
+                    : "refused beyond plan";
+    if (ended(e.requestId(), e.status(), what, at) && ok) {
+      long took = Math.min(LONGEST, Math.max(0, e.atMicros() - a.atMicros()));
       latency.recordValue(took);
       if (at < seconds * 1_000_000L) {
         Histogram second = bySecond.get((int) (at / 1_000_000));
@@ -140,7 +142,7 @@
         }
         second.recordValue(took);
       }
-      RequestClass type = classes.get(a.type());
+      RequestClass type = classes.get(a.requestClass());
       if (type == null || took <= type.latencyObjectiveMicros()) {
         add("good", at);
       }
@@ -174,16 +176,16 @@
     }
     figures.put("p50-ms", latency.getValueAtPercentile(50) / 1e3);
     figures.put("p99-ms", latency.getValueAtPercentile(99) / 1e3);
-    QuotaUsage.Use whole = use.of("");
-    figures.put("use", whole.worst());
-    figures.put("use-worst-customer", whole.worstCustomer());
-    figures.put("kept", whole.kept());
-    figures.put("beyond", whole.beyond());
+    QuotaUsage.Summary whole = use.summarize("");
+    figures.put("use", whole.peakPlanRatio());
+    figures.put("use-worst-customer", whole.peakCustomerPlanRatio());
+    figures.put("kept", whole.entitledUseRatio());
+    figures.put("beyond", whole.excessRatio());
     for (String group : groups) {
-      figures.put("use." + group, use.of(group + "-").worst());
-      figures.put("kept." + group, use.of(group + "-").kept());
-      figures.put("plan." + group, use.allowed(group + "-"));
-      series.put("used " + group, use.series(group + "-"));
+      figures.put("use." + group, use.summarize(group + "-").peakPlanRatio());
+      figures.put("kept." + group, use.summarize(group + "-").entitledUseRatio());
+      figures.put("plan." + group, use.planUnitsPerSecond(group + "-"));
+      series.put("used " + group, use.usedUnitsBySecond(group + "-"));
     }
     series.put("p50 ms", percentile(50));
     series.put("p99 ms", percentile(99));
--- a/src/main/java/fawndock/report/Drawing.java
+++ b/src/main/java/fawndock/report/Drawing.java
@@ -2,7 +2,7 @@
 
 import fawndock.report.Plots.Plot;
 import fawndock.report.Plots.Series;
-import fawndock.simulation.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.awt.BasicStroke;
 import java.awt.Color;
 import java.awt.Font;
@@ -47,14 +47,14 @@
 
   private Drawing() {}
 
-  static byte[] png(Plot plot, List<Mark> marks) throws IOException {
+  static byte[] png(Plot plot, List<FaultWindow> marks) throws IOException {
     Chart<?, ?> chart = plot.course() ? course(plot, marks) : along(plot);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     BitmapEncoder.saveBitmap(chart, out, BitmapEncoder.BitmapFormat.PNG);
     return out.toByteArray();
   }
 
-  private static XYChart course(Plot plot, List<Mark> marks) {
+  private static XYChart course(Plot plot, List<FaultWindow> marks) {
     XYChart chart =
         new XYChartBuilder()
             .width(WIDTH)
@@ -81,14 +81,14 @@
       chart.getStyler().setYAxisMax(1.12 * most);
     }
     int at = 0;
-    for (Mark mark : marks) {
-      chart.addAnnotation(new AnnotationLine(mark.from(), true, false));
+    for (FaultWindow mark : marks) {
+      chart.addAnnotation(new AnnotationLine(mark.fromSecond(), true, false));
       chart.addAnnotation(
-          new AnnotationLine(Math.min(mark.until(), plot.foot().size()), true, false));
+          new AnnotationLine(Math.min(mark.untilSecond(), plot.foot().size()), true, false));
       chart.addAnnotation(
           new AnnotationText(
               mark.kind(),
-              Math.min(mark.from(), plot.foot().size()) + 0.08 * plot.foot().size(),
+              Math.min(mark.fromSecond(), plot.foot().size()) + 0.08 * plot.foot().size(),
               (1.08 - 0.06 * (at++ % 4)) * most,
               false));
     }
--- a/src/main/java/fawndock/report/Page.java
+++ b/src/main/java/fawndock/report/Page.java
@@ -4,7 +4,7 @@
 import fawndock.experiment.Experiment;
 import fawndock.experiment.Outcome;
 import fawndock.report.Plots.Plot;
-import fawndock.simulation.DeploymentFile.Mark;
+import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -261,7 +261,7 @@
     }
   }
 
-  private void draw(Plot plot, List<Mark> marks) throws IOException {
+  private void draw(Plot plot, List<FaultWindow> marks) throws IOException {
     if (plot.series().isEmpty() || plot.foot().isEmpty()) {
       return;
     }
--- a/src/main/java/fawndock/scenario/Child.java
+++ b/src/main/java/fawndock/scenario/ChildProcess.java
@@ -17,7 +17,7 @@
  * @param listening completes when it says that it listens, fails when it ends before or takes too
  *     long
  */
-record Child(Process process, CompletableFuture<Void> listening) {
+record ChildProcess(Process process, CompletableFuture<Void> listening) {
   static final int START_SECONDS = 30;
 
   /**
@@ -25,7 +25,8 @@
    *
    * @param log what its standard error is appended to
    */
-  static Child start(List<String> jvmOptions, Path log, String... arguments) throws IOException {
+  static ChildProcess start(List<String> jvmOptions, Path log, String... arguments)
+      throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
@@ -57,7 +58,7 @@
             "reads " + log.getFileName());
     reader.setDaemon(true);
     reader.start();
-    return new Child(process, listening.orTimeout(START_SECONDS, TimeUnit.SECONDS));
+    return new ChildProcess(process, listening.orTimeout(START_SECONDS, TimeUnit.SECONDS));
   }
 
   /** Kills it outright (SIGKILL) and waits until it is gone. */
--- a/src/main/java/fawndock/scenario/CounterCaller.java
+++ b/src/main/java/fawndock/scenario/CounterClient.java
@@ -17,33 +17,33 @@
 /**
  * A blocking client of a counter, for drills; calls and answers may be taken apart for pipelining.
  */
-public final class CounterCaller implements Closeable {
+public final class CounterClient implements Closeable {
   /** An error that the counter answered. */
-  public record Refused(String text) {}
+  public record ErrorReply(String text) {}
 
-  private static final int LIMIT_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private final Socket socket = new Socket();
   private final InputStream in;
   private final OutputStream out;
 
-  public CounterCaller(int port) throws IOException {
+  public CounterClient(int port) throws IOException {
     this(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
   }
 
   /**
    * @param address as HOST:PORT
    */
-  public CounterCaller(String address) throws IOException {
+  public CounterClient(String address) throws IOException {
     this(
         new InetSocketAddress(
             address.substring(0, Math.max(0, address.lastIndexOf(':'))),
             Integer.parseInt(address.substring(address.lastIndexOf(':') + 1))));
   }
 
-  private CounterCaller(InetSocketAddress address) throws IOException {
+  private CounterClient(InetSocketAddress address) throws IOException {
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(LIMIT_MILLIS);
-    socket.connect(address, LIMIT_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
+    socket.connect(address, TIMEOUT_MILLIS);
     in = new BufferedInputStream(socket.getInputStream(), 1 << 16);
     out = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
   }
@@ -52,7 +52,7 @@
   public Object call(String... words) throws IOException {
     send(words);
     out.flush();
-    return answer();
+    return readReply();
   }
 
   /** Sends without waiting; must be flushed. */
@@ -72,19 +72,19 @@
     out.flush();
   }
 
-  /** The next answer: a string, a long, a list, null or {@link Refused}. */
-  Object answer() throws IOException {
-    String line = line();
+  /** The next answer: a string, a long, a list, null or {@link ErrorReply}. */
+  Object readReply() throws IOException {
+    String line = readLine();
     String rest = line.substring(1);
     return switch (line.charAt(0)) {
       case '+' -> rest;
-      case '-' -> new Refused(rest);
+      case '-' -> new ErrorReply(rest);
       case ':' -> Long.parseLong(rest);
-      case '$' -> bulk(Integer.parseInt(rest));
+      case '$' -> readBulk(Integer.parseInt(rest));
       case '*' -> {
         List<Object> all = new ArrayList<>();
         for (int i = 0; i < Integer.parseInt(rest); i++) {
-          all.add(answer());
+          all.add(readReply());
         }
         yield all;
       }
@@ -92,7 +92,7 @@
     };
   }
 
-  private String bulk(int length) throws IOException {
+  private String readBulk(int length) throws IOException {
     if (length < 0) {
       return null;
     }
@@ -103,7 +103,7 @@
     return new String(bytes, 0, length, StandardCharsets.UTF_8);
   }
 
-  private String line() throws IOException {
+  private String readLine() throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c != '\n'; c = in.read()) {
       if (c < 0) {
--- a/src/main/java/fawndock/scenario/CounterCrash.java
+++ b/src/main/java/fawndock/scenario/CounterCrashScenario.java
@@ -19,27 +19,27 @@
  * The counter service under load from several connections, killed outright at random moments and
  * started again: every recovered total is held against what the sockets acknowledged.
  */
-public final class CounterCrash {
+public final class CounterCrashScenario {
   private static final int CONNECTIONS = 6;
   private static final int NAMES = 60;
-  private static final int MOST_OUT = 200;
-  private static final String HOUR = "3600000";
+  private static final int MAX_OUTSTANDING = 200;
+  private static final String TIME_TO_LIVE_MILLIS = "3600000";
   private static final String SETTINGS = "snapshot after 512KiB\nlog text level info\n";
   private final int kills;
   private final SplittableRandom random;
   private final PrintStream out;
-  private final Totals totals = new Totals();
+  private final CounterTotalsChecker totals = new CounterTotalsChecker();
 
   /**
    * @param kills from 1
    */
-  public CounterCrash(int kills, long seed, PrintStream out) {
+  public CounterCrashScenario(int kills, long seed, PrintStream out) {
     this.kills = kills;
     this.random = new SplittableRandom(seed);
     this.out = out;
   }
 
-  private record Sent(String name, BigDecimal amount) {}
+  private record PendingAdd(String name, BigDecimal amount) {}
 
   /** Plays it, prints the verdict last; returns whether nothing was lost. */
   public boolean run() throws Exception {
@@ -51,35 +51,35 @@
             folder, SETTINGS, "-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1")) {
       start(counter);
       for (int kill = 1; kill <= kills; kill++) {
-        long before = totals.adds();
-        List<Thread> callers = load(counter.port());
+        long before = totals.acknowledgedCount();
+        List<Thread> callers = startLoad(counter.port());
         Thread.sleep(300 + random.nextInt(900));
         counter.kill();
         for (Thread each : callers) {
-          each.join(TimeUnit.SECONDS.toMillis(Child.START_SECONDS));
+          each.join(TimeUnit.SECONDS.toMillis(ChildProcess.START_SECONDS));
         }
         long took = start(counter);
         worst = Math.max(worst, took);
-        List<String> found = totals.judge(recovered(counter.port()));
+        List<String> found = totals.check(readTotals(counter.port()));
         wrong.addAll(found);
         found.forEach(w -> out.println("  " + w));
         out.printf(
             "kill %d: %d adds acknowledged, answers again after %d ms, %d names wrong%n",
-            kill, totals.adds() - before, took, found.size());
+            kill, totals.acknowledgedCount() - before, took, found.size());
       }
     }
     long lost = wrong.stream().filter(w -> w.startsWith("lost")).count();
     if (wrong.isEmpty()) {
-      Folders.remove(folder);
+      TemporaryDirectories.delete(folder);
     } else {
       out.println("settings, log and snapshots of the counter: " + folder);
     }
-    boolean kept = wrong.isEmpty() && totals.adds() > 0;
+    boolean kept = wrong.isEmpty() && totals.acknowledgedCount() > 0;
     out.println(
         (kept ? "totals kept: " : "totals broken: ")
             + kills
             + " kills, "
-            + totals.adds()
+            + totals.acknowledgedCount()
             + " acknowledged adds, "
             + lost
             + " lost, worst recovery "
@@ -92,11 +92,11 @@
   private static long start(CounterProcess counter) throws Exception {
     long begun = System.nanoTime();
     try {
-      counter.start().get(Child.START_SECONDS, TimeUnit.SECONDS);
+      counter.start().get(ChildProcess.START_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("the counter did not start: " + e.getCause(), e);
     }
-    try (CounterCaller caller = new CounterCaller(counter.port())) {
+    try (CounterClient caller = new CounterClient(counter.port())) {
       if (!"PONG".equals(caller.call("PING"))) {
         throw new IOException("the counter does not answer");
       }
@@ -104,11 +104,11 @@
     return (System.nanoTime() - begun) / 1_000_000;
   }
 
-  private List<Thread> load(int port) {
+  private List<Thread> startLoad(int port) {
     List<Thread> callers = new ArrayList<>();
     for (int i = 0; i < CONNECTIONS; i++) {
       SplittableRandom own = random.split();
-      Thread caller = new Thread(() -> call(port, own), "caller " + i);
+      Thread caller = new Thread(() -> addUntilDisconnected(port, own), "caller " + i);
       caller.setDaemon(true);
       caller.start();
       callers.add(caller);
@@ -117,44 +117,45 @@
   }
 
   /** Adds until the connection breaks, with a random number of calls out at once. */
-  private void call(int port, SplittableRandom own) {
-    ArrayDeque<Sent> sent = new ArrayDeque<>();
-    try (CounterCaller caller = new CounterCaller(port)) {
+  private void addUntilDisconnected(int port, SplittableRandom own) {
+    ArrayDeque<PendingAdd> sent = new ArrayDeque<>();
+    try (CounterClient caller = new CounterClient(port)) {
       while (true) {
-        int many = 1 + own.nextInt(MOST_OUT);
+        int many = 1 + own.nextInt(MAX_OUTSTANDING);
         for (int i = 0; i < many; i++) {
-          send(caller, own, sent);
+          sendAdd(caller, own, sent);
         }
         caller.flush();
         while (!sent.isEmpty()) {
-          Object answer = caller.answer();
-          Sent add = sent.poll();
-          if (!(answer instanceof CounterCaller.Refused)) {
-            totals.acknowledged(add.name(), add.amount());
+          Object answer = caller.readReply();
+          PendingAdd add = sent.poll();
+          if (!(answer instanceof CounterClient.ErrorReply)) {
+            totals.recordAcknowledged(add.name(), add.amount());
           }
         }
       }
     } catch (IOException e) {
       // Killed; what has no answer may or may not count.
     }
-    sent.forEach(s -> totals.unanswered(s.name(), s.amount()));
+    sent.forEach(s -> totals.recordUnanswered(s.name(), s.amount()));
   }
 
-  private static void send(CounterCaller caller, SplittableRandom own, ArrayDeque<Sent> sent)
-      throws IOException {
+  private static void sendAdd(
+      CounterClient caller, SplittableRandom own, ArrayDeque<PendingAdd> sent) throws IOException {
     String name = "quota-" + own.nextInt(NAMES);
     BigDecimal amount = BigDecimal.valueOf(1 + own.nextInt(1_000), own.nextInt(4) * 3);
-    sent.add(new Sent(name, amount)); // Before it is sent: a write that fails may have gone out.
+    sent.add(
+        new PendingAdd(name, amount)); // Before it is sent: a write that fails may have gone out.
     if (amount.scale() == 0 && own.nextInt(3) == 0) {
       caller.send("INCRBYFLOAT", name, amount.toPlainString());
     } else {
-      caller.send("FD.ADD", name, amount.toPlainString(), HOUR);
+      caller.send("FD.ADD", name, amount.toPlainString(), TIME_TO_LIVE_MILLIS);
     }
   }
 
-  private Map<String, BigDecimal> recovered(int port) throws IOException {
+  private Map<String, BigDecimal> readTotals(int port) throws IOException {
     Map<String, BigDecimal> found = new HashMap<>();
-    try (CounterCaller caller = new CounterCaller(port)) {
+    try (CounterClient caller = new CounterClient(port)) {
       String cursor = "0";
       do {
         List<?> page = (List<?>) caller.call("SCAN", cursor);
--- a/src/main/java/fawndock/scenario/SceneCounter.java
+++ b/src/main/java/fawndock/scenario/CounterFixture.java
@@ -15,11 +15,11 @@
  * The counter of a drill: the project's own in a process of its own, behind a network that can
  * fail.
  */
-public final class SceneCounter implements AutoCloseable {
+public final class CounterFixture implements AutoCloseable {
   private final CounterProcess process;
-  private final FaultInjectingProxy relay;
+  private final FaultInjectingProxy proxy;
 
-  SceneCounter(Vertx vertx, Path folder) throws IOException {
+  CounterFixture(Vertx vertx, Path folder) throws IOException {
     process =
         new CounterProcess(
             folder,
@@ -27,10 +27,10 @@
             "-Xmx128m",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1");
-    relay = new FaultInjectingProxy(vertx, process.port());
+    proxy = new FaultInjectingProxy(vertx, process.port());
     try {
-      process.start().get(Child.START_SECONDS, TimeUnit.SECONDS);
-      Scene.await(relay.start());
+      process.start().get(ChildProcess.START_SECONDS, TimeUnit.SECONDS);
+      FleetFixture.await(proxy.start());
     } catch (ExecutionException | TimeoutException e) {
       close();
       throw new IOException("the counter did not start: " + e.getCause(), e);
@@ -41,36 +41,36 @@
   }
 
   public int port() {
-    return relay.port();
+    return proxy.port();
   }
 
-  public void silent(boolean on) {
-    relay.silent(on);
+  public void setUnresponsive(boolean on) {
+    proxy.setResponsesBlocked(on);
   }
 
-  public void slow(long millis) {
-    relay.slow(millis);
+  public void setDelayMillis(long millis) {
+    proxy.setResponseDelayMillis(millis);
   }
 
   /** Kills it (SIGKILL); nothing listens on its port until it has started again. */
-  void stop() throws InterruptedException {
-    relay.stop();
+  void kill() throws InterruptedException {
+    proxy.stop();
     process.kill();
   }
 
   /** Starts it again with the counts that it had acknowledged; listens when it has recovered. */
   void start() throws IOException {
-    process.start().thenRun(relay::start);
+    process.start().thenRun(proxy::start);
   }
 
   /** Removes all that it has counted, while it is stopped. */
-  void empty() throws IOException {
-    process.empty();
+  void deleteState() throws IOException {
+    process.deleteState();
   }
 
   /** Loses a share of every count, from 0 to 1; one that is not running has nothing to lose. */
-  void lose(double share) throws IOException {
-    try (CounterCaller caller = new CounterCaller(process.port())) {
+  void dropShare(double share) throws IOException {
+    try (CounterClient caller = new CounterClient(process.port())) {
       String cursor = "0";
       do {
         List<?> page = (List<?>) caller.call("SCAN", cursor, "COUNT", "1000");
@@ -94,7 +94,7 @@
 
   @Override
   public void close() {
-    relay.stop();
+    proxy.stop();
     process.close();
   }
 }
--- a/src/main/java/fawndock/scenario/CounterFleet.java
+++ b/src/main/java/fawndock/scenario/CounterFleetFixture.java
@@ -18,31 +18,31 @@
  * Counter nodes as processes, with a relay for every way between two of them and between a
  * gatekeeper and a node.
  */
-final class CounterFleet implements AutoCloseable {
+final class CounterFleetFixture implements AutoCloseable {
   private static final String[] JVM = {"-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"};
   private final List<CounterProcess> nodes = new ArrayList<>();
-  private final Map<String, FaultInjectingProxy> relays = new LinkedHashMap<>();
-  private final int gatekeepers;
-  private final Path folder;
+  private final Map<String, FaultInjectingProxy> proxies = new LinkedHashMap<>();
+  private final int gatewayCount;
+  private final Path directory;
   private final List<CounterProcess> replaced = new ArrayList<>();
   private boolean closed;
 
-  CounterFleet(Vertx vertx, Path folder, int count, int gatekeepers)
+  CounterFleetFixture(Vertx vertx, Path folder, int count, int gatekeepers)
       throws IOException, InterruptedException {
-    this.gatekeepers = gatekeepers;
-    this.folder = folder;
+    this.gatewayCount = gatekeepers;
+    this.directory = folder;
     List<Integer> ports = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ports.add(Gatekeepers.freePort());
+      ports.add(GatewayProcesses.freePort());
     }
     for (int to = 0; to < count; to++) {
       for (int from = 0; from < count; from++) {
         if (from != to) {
-          relay(vertx, "n" + from, to, ports.get(to));
+          addProxy(vertx, "n" + from, to, ports.get(to));
         }
       }
       for (int from = 0; from < gatekeepers; from++) {
-        relay(vertx, "g" + from, to, ports.get(to));
+        addProxy(vertx, "g" + from, to, ports.get(to));
       }
     }
     for (int i = 0; i < count; i++) {
@@ -53,7 +53,7 @@
           text.append("fellow n")
               .append(j)
               .append(" 127.0.0.1:")
-              .append(way("n" + i, j).port())
+              .append(proxy("n" + i, j).port())
               .append('\n');
         }
       }
@@ -67,42 +67,42 @@
     startAll();
   }
 
-  private void relay(Vertx vertx, String from, int to, int port) throws IOException {
+  private void addProxy(Vertx vertx, String from, int to, int port) throws IOException {
     FaultInjectingProxy relay = new FaultInjectingProxy(vertx, port);
-    Scene.await(relay.start());
-    relays.put(from + ">n" + to, relay);
+    FleetFixture.await(relay.start());
+    proxies.put(from + ">n" + to, relay);
   }
 
-  private FaultInjectingProxy way(String from, int to) {
-    return relays.get(from + ">n" + to);
+  private FaultInjectingProxy proxy(String from, int to) {
+    return proxies.get(from + ">n" + to);
   }
 
   /** Counts from now on how often gatekeepers send a word to the nodes. */
-  void count(String word) {
-    relays.forEach(
+  void countCommands(String word) {
+    proxies.forEach(
         (way, relay) -> {
           if (way.startsWith("g")) {
-            relay.count(word);
+            relay.countOccurrences(word);
           }
         });
   }
 
   /** How often they did. */
-  long counted() {
-    return relays.entrySet().stream()
+  long commandCount() {
+    return proxies.entrySet().stream()
         .filter(e -> e.getKey().startsWith("g"))
-        .mapToLong(e -> e.getValue().counted())
+        .mapToLong(e -> e.getValue().occurrenceCount())
         .sum();
   }
 
   /** The settings lines of a gatekeeper. */
-  String lines(int gatekeeper) {
+  String gatewaySettings(int gatekeeper) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < nodes.size(); i++) {
       text.append("counter-node n")
           .append(i)
           .append(" 127.0.0.1:")
-          .append(way("g" + gatekeeper, i).port())
+          .append(proxy("g" + gatekeeper, i).port())
           .append('\n');
     }
     return text.toString();
@@ -126,8 +126,8 @@
     }
     CounterProcess made =
         new CounterProcess(
-            Files.createDirectories(folder.resolve("node-" + (last + 1))),
-            Gatekeepers.freePort(),
+            Files.createDirectories(directory.resolve("node-" + (last + 1))),
+            GatewayProcesses.freePort(),
             text.toString(),
             JVM);
     nodes.set(last, made);
@@ -135,7 +135,7 @@
     made.start()
         .thenRun(
             () -> {
-              try (CounterCaller caller = new CounterCaller(nodes.get(0).port())) {
+              try (CounterClient caller = new CounterClient(nodes.get(0).port())) {
                 caller.call(("FD.NODES 2 " + list + name + "=127.0.0.1:" + made.port()).split(" "));
                 old.kill();
               } catch (IOException | InterruptedException e) {
@@ -160,7 +160,7 @@
     }
     try {
       for (CompletableFuture<Void> each : starting) {
-        each.get(Child.START_SECONDS, TimeUnit.SECONDS);
+        each.get(ChildProcess.START_SECONDS, TimeUnit.SECONDS);
       }
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("a counter node did not start: " + e.getCause(), e);
@@ -169,52 +169,52 @@
 
   /** Nothing passes from or to a node, and no connection is closed. */
   void stall(int node, boolean on) {
-    relays.forEach(
+    proxies.forEach(
         (way, relay) -> {
           if (way.startsWith("n" + node + ">") || way.endsWith(">n" + node)) {
-            relay.deaf(on);
-            relay.silent(on);
+            relay.setRequestsBlocked(on);
+            relay.setResponsesBlocked(on);
           }
         });
   }
 
   /** Cuts one node and the first half of the gatekeepers off from the others. */
-  void split(int node, boolean on) {
-    relays.forEach(
+  void partition(int node, boolean on) {
+    proxies.forEach(
         (way, relay) -> {
           String from = way.substring(0, way.indexOf('>'));
           boolean here =
               from.equals("n" + node)
-                  || from.startsWith("g") && Integer.parseInt(from.substring(1)) < gatekeepers / 2;
+                  || from.startsWith("g") && Integer.parseInt(from.substring(1)) < gatewayCount / 2;
           if (here != way.endsWith(">n" + node)) {
-            relay.deaf(on);
-            relay.silent(on);
+            relay.setRequestsBlocked(on);
+            relay.setResponsesBlocked(on);
           }
         });
   }
 
   /** Nothing that one node sends reaches another, while the other way is open. */
-  void oneWay(int from, int to, boolean on) {
-    way("n" + from, to).deaf(on);
-    way("n" + to, from).silent(on);
+  void blockOneWay(int from, int to, boolean on) {
+    proxy("n" + from, to).setRequestsBlocked(on);
+    proxy("n" + to, from).setResponsesBlocked(on);
   }
 
   /**
    * Whether what is told to each node is known by all others, judged by a name of the drill's own.
    */
-  boolean agrees(long round) {
+  boolean isReplicating(long round) {
     String[] told = new String[nodes.size()];
     try {
       for (int i = 0; i < nodes.size(); i++) {
         told[i] = "probe" + i + "-" + round;
-        try (CounterCaller caller = new CounterCaller(nodes.get(i).port())) {
+        try (CounterClient caller = new CounterClient(nodes.get(i).port())) {
           if (!"1".equals(caller.call("FD.SUM", told[i], "1", "1", "0", "60000"))) {
             return false;
           }
         }
       }
       for (int tries = 0; tries < 20; tries++) {
-        if (known(told)) {
+        if (isKnownByAll(told)) {
           return true;
         }
         Thread.sleep(20);
@@ -227,9 +227,9 @@
     return false;
   }
 
-  private boolean known(String[] told) throws IOException {
+  private boolean isKnownByAll(String[] told) throws IOException {
     for (CounterProcess node : nodes) {
-      try (CounterCaller caller = new CounterCaller(node.port())) {
+      try (CounterClient caller = new CounterClient(node.port())) {
         for (String each : told) {
           if (!"1".equals(caller.call("GET", each))) {
             return false;
@@ -248,6 +248,6 @@
     closed = true;
     replaced.forEach(CounterProcess::close);
     nodes.forEach(CounterProcess::close);
-    relays.values().forEach(FaultInjectingProxy::stop);
+    proxies.values().forEach(FaultInjectingProxy::stop);
   }
 }
--- a/src/main/java/fawndock/scenario/CounterProcess.java
+++ b/src/main/java/fawndock/scenario/CounterProcess.java
@@ -13,17 +13,17 @@
  * directory.
  */
 public final class CounterProcess implements AutoCloseable {
-  private final Path folder;
+  private final Path directory;
   private final int port;
   private final List<String> jvmOptions;
-  private final Thread hook = new Thread(this::end, "end counter");
-  private Child child;
+  private final Thread shutdownHook = new Thread(this::destroy, "end counter");
+  private ChildProcess child;
 
   /**
    * @param more settings lines besides where it listens and keeps its log
    */
   public CounterProcess(Path folder, String more, String... jvmOptions) throws IOException {
-    this(folder, Gatekeepers.freePort(), more, jvmOptions);
+    this(folder, GatewayProcesses.freePort(), more, jvmOptions);
   }
 
   /**
@@ -31,17 +31,17 @@
    */
   public CounterProcess(Path folder, int port, String more, String... jvmOptions)
       throws IOException {
-    this.folder = folder;
+    this.directory = folder;
     this.jvmOptions = new ArrayList<>(List.of(jvmOptions));
     this.port = port;
     Files.writeString(
         folder.resolve("counter.conf"),
         "listen 127.0.0.1:" + port + "\ndirectory counter\n" + more);
-    Runtime.getRuntime().addShutdownHook(hook);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
   /** Gives the next start one more option of the virtual machine. */
-  void option(String option) {
+  void addJvmOption(String option) {
     jvmOptions.add(option);
   }
 
@@ -52,12 +52,12 @@
   /** Starts it; completes when it listens. */
   public synchronized CompletableFuture<Void> start() throws IOException {
     child =
-        Child.start(
+        ChildProcess.start(
             jvmOptions,
-            folder.resolve("counter.log"),
+            directory.resolve("counter.log"),
             "counter",
             "-c",
-            folder.resolve("counter.conf").toString());
+            directory.resolve("counter.conf").toString());
     return child.listening();
   }
 
@@ -71,7 +71,7 @@
   /** Asks it to end (SIGTERM) and waits until it has. */
   public synchronized void stop() throws InterruptedException {
     child.process().destroy();
-    child.process().waitFor(Child.START_SECONDS, java.util.concurrent.TimeUnit.SECONDS);
+    child.process().waitFor(ChildProcess.START_SECONDS, java.util.concurrent.TimeUnit.SECONDS);
   }
 
   /** Processor seconds that it has used. */
@@ -86,15 +86,15 @@
   }
 
   /** Removes log and snapshots of a counter that is not running. */
-  public void empty() throws IOException {
-    try (Stream<Path> files = Files.list(folder.resolve("counter"))) {
+  public void deleteState() throws IOException {
+    try (Stream<Path> files = Files.list(directory.resolve("counter"))) {
       for (Path each : files.toList()) {
         Files.delete(each);
       }
     }
   }
 
-  private synchronized void end() {
+  private synchronized void destroy() {
     if (child != null) {
       child.process().destroyForcibly();
     }
@@ -108,7 +108,7 @@
       Thread.currentThread().interrupt();
     }
     try {
-      Runtime.getRuntime().removeShutdownHook(hook);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
       // Ending already.
     }
--- a/src/main/java/fawndock/scenario/Totals.java
+++ b/src/main/java/fawndock/scenario/CounterTotalsChecker.java
@@ -11,35 +11,35 @@
  * The judge of a counter: what crossed the sockets of all that added to it, name by name. A
  * recovered total is at least what was acknowledged and at most that and what was unanswered.
  */
-final class Totals {
-  private static final class Sums {
+final class CounterTotalsChecker {
+  private static final class NameTotals {
     BigDecimal acknowledged = BigDecimal.ZERO;
     BigDecimal unanswered = BigDecimal.ZERO;
   }
 
-  private final Map<String, Sums> names = new TreeMap<>();
-  private long acknowledged;
+  private final Map<String, NameTotals> totalsByName = new TreeMap<>();
+  private long acknowledgedCount;
 
   /** An add was answered with a total. */
-  synchronized void acknowledged(String name, BigDecimal amount) {
-    Sums sums = names.computeIfAbsent(name, n -> new Sums());
+  synchronized void recordAcknowledged(String name, BigDecimal amount) {
+    NameTotals sums = totalsByName.computeIfAbsent(name, n -> new NameTotals());
     sums.acknowledged = sums.acknowledged.add(amount);
-    acknowledged++;
+    acknowledgedCount++;
   }
 
   /** An add was sent and its connection broke before an answer. */
-  synchronized void unanswered(String name, BigDecimal amount) {
-    Sums sums = names.computeIfAbsent(name, n -> new Sums());
+  synchronized void recordUnanswered(String name, BigDecimal amount) {
+    NameTotals sums = totalsByName.computeIfAbsent(name, n -> new NameTotals());
     sums.unanswered = sums.unanswered.add(amount);
   }
 
   /** Acknowledged adds so far. */
-  synchronized long adds() {
-    return acknowledged;
+  synchronized long acknowledgedCount() {
+    return acknowledgedCount;
   }
 
   synchronized List<String> names() {
-    return List.copyOf(names.keySet());
+    return List.copyOf(totalsByName.keySet());
   }
 
   /**
@@ -48,10 +48,10 @@
    * @param recovered the total of every name that has one
    * @return a line for each name that is wrong
    */
-  synchronized List<String> judge(Map<String, BigDecimal> recovered) {
+  synchronized List<String> check(Map<String, BigDecimal> recovered) {
     List<String> wrong = new ArrayList<>();
     Map<String, BigDecimal> left = new HashMap<>(recovered);
-    names.forEach(
+    totalsByName.forEach(
         (name, sums) -> {
           BigDecimal found = left.remove(name);
           found = found == null ? BigDecimal.ZERO : found;
--- a/src/main/java/fawndock/scenario/DayFile.java
+++ b/src/main/java/fawndock/scenario/DayFile.java
@@ -11,86 +11,88 @@
 
 /**
  * What a drill needs of a day that the bench drew: its size, classes, plans, load and troubles.
- * Sizes stay those of the day; {@link DayDrill} scales them.
+ * Sizes stay those of the day; {@link DayScenario} scales them.
  */
 public record DayFile(
     String name,
     double seconds,
-    int gatekeepers,
-    int servers,
+    int gatewayCount,
+    int backendCount,
     double load,
     int retries,
     double drainGraceMicros,
-    double fallMultiple,
-    double fallMicros,
-    Server server,
-    List<Kind> kinds,
-    List<PlanOf> plans,
-    double full,
-    double heavy,
-    double calm,
-    List<Trouble> troubles,
-    Counter counter,
-    double wayMicros,
-    double noticeMicros) {
-  private static final long LARGEST = 64L << 20;
+    double collapseMultiple,
+    double collapseWindowMicros,
+    DayBackend backend,
+    List<DayRequestClass> requestClasses,
+    List<DayPlan> plans,
+    double atQuotaShare,
+    double overQuotaShare,
+    double belowQuotaDemand,
+    List<DayFault> faults,
+    DayCounter counter,
+    double networkDelayMicros,
+    double discoveryDelayMicros) {
+  private static final long MAX_BYTES = 64L << 20;
 
   /** How the servers are built. */
-  public record Server(int cores, int queue, double coldShare, double coldMicros) {}
+  public record DayBackend(
+      int cores, int queueCapacity, double slowStartShare, double slowStartMicros) {}
 
   /** A request class; times in microseconds. */
-  public record Kind(
+  public record DayRequestClass(
       String name,
       double share,
       long workMicros,
-      long aimMicros,
+      long latencyObjectiveMicros,
       long deadlineMicros,
-      Idempotency repeat,
-      long windowMicros) {}
+      Idempotency idempotency,
+      long deduplicationWindowMicros) {}
 
   /**
    * A plan with its share of the use inside quotas, and its customers; each comes through so many
    * gatekeepers.
    */
-  public record PlanOf(
+  public record DayPlan(
       String name,
       double share,
-      double rate,
-      double store,
-      double pays,
-      double overCost,
-      int customers,
-      int spread) {}
+      double unitsPerSecond,
+      double burstUnits,
+      double priorityWeight,
+      double overQuotaCost,
+      int customerCount,
+      int gatewaysPerCustomer) {}
 
   /**
    * The counter: parts, calls that each takes a second, microseconds that a gatekeeper waits, and
    * that its line may take.
    */
-  public record Counter(int parts, double perSecond, double waitMicros, double queueMicros) {}
+  public record DayCounter(
+      int partitionCount, double callsPerSecond, double timeoutMicros, double maxQueueMicros) {}
 
   /**
    * A trouble: when, how long, on what part of the servers and of what size; steps hold what stops
    * when.
    */
-  public record Trouble(
+  public record DayFault(
       String kind,
-      double at,
+      double atSecond,
       double seconds,
-      double part,
+      double backendShare,
       double size,
       double extra,
-      String how,
-      int which,
-      List<Step> steps) {}
+      String mode,
+      int planIndex,
+      List<FleetStep> steps) {}
 
   /** Servers, as a share of all, that stop and start at a second. */
-  public record Step(double at, double stop, double start) {}
+  public record FleetStep(double atSecond, double stoppedShare, double startedShare) {}
 
   /**
    * @throws IOException saying what is missing, when it is no such file
    */
   public static DayFile read(Path file) throws IOException {
-    if (java.nio.file.Files.size(file) > LARGEST) {
+    if (java.nio.file.Files.size(file) > MAX_BYTES) {
       throw new IOException(file + ": over 64 MiB, expected a day file");
     }
     JsonNode day = new ObjectMapper().readTree(file.toFile());
@@ -111,24 +113,24 @@
     }
     int servers = Math.max(1, day.get("servers").size());
     JsonNode machine = day.at("/tiers/0/kinds/0");
-    List<Kind> kinds = new ArrayList<>();
+    List<DayRequestClass> kinds = new ArrayList<>();
     for (JsonNode c : day.get("classes")) {
       kinds.add(
-          new Kind(
+          new DayRequestClass(
               c.path("name").asText(),
               c.path("share").asDouble(1),
               c.path("work").asLong(1),
               c.path("aim").asLong(),
               c.path("deadline").asLong(),
-              repeat(c.path("effect").asText()),
+              idempotencyOf(c.path("effect").asText()),
               c.path("window").asLong()));
     }
-    List<PlanOf> plans = new ArrayList<>();
+    List<DayPlan> plans = new ArrayList<>();
     int i = 0;
     for (JsonNode p : day.at("/fam/plans")) {
       JsonNode tenant = day.get("tenants").path(i++);
       plans.add(
-          new PlanOf(
+          new DayPlan(
               tenant.path("name").asText("plan-" + i),
               tenant.path("share").asDouble(),
               p.path("rate").asDouble(),
@@ -142,18 +144,18 @@
                       Math.round(
                           p.path("spread").path(0).asDouble(1) * day.get("balancers").size()))));
     }
-    List<Trouble> troubles = new ArrayList<>();
+    List<DayFault> troubles = new ArrayList<>();
     for (JsonNode t : day.get("troubles")) {
-      List<Step> steps = new ArrayList<>();
+      List<FleetStep> steps = new ArrayList<>();
       for (JsonNode s : t.path("steps")) {
         steps.add(
-            new Step(
+            new FleetStep(
                 s.path("at").asDouble() / 1e6,
                 (double) s.path("stop").size() / servers,
                 (double) s.path("start").size() / servers));
       }
       troubles.add(
-          new Trouble(
+          new DayFault(
               t.path("kind").asText(),
               t.path("at").asDouble() / 1e6,
               t.path("len").asDouble() / 1e6,
@@ -174,7 +176,7 @@
         day.path("drain_grace").asDouble(2e6),
         day.path("fall_multiple").asDouble(2),
         day.path("fall_for").asDouble(2e6),
-        new Server(
+        new DayBackend(
             machine.path("cores").asInt(2),
             machine.path("queue").asInt(50),
             machine.path("cold_from").asDouble(0.2),
@@ -185,7 +187,7 @@
         day.at("/fam/heavy").asDouble(0.1),
         day.at("/fam/calm").asDouble(0.4),
         List.copyOf(troubles),
-        new Counter(
+        new DayCounter(
             day.at("/fam/counter/parts").asInt(1),
             day.at("/fam/counter/per_s").asDouble(1_000),
             day.at("/fam/counter/timeout").asDouble(30_000),
@@ -194,7 +196,7 @@
         day.at("/discovery/notice").asDouble(1_000_000));
   }
 
-  private static Idempotency repeat(String effect) {
+  private static Idempotency idempotencyOf(String effect) {
     return switch (effect.toLowerCase(Locale.ROOT)) {
       case "safe" -> Idempotency.IDEMPOTENT;
       case "keyed" -> Idempotency.DEDUPLICATED;
--- a/src/main/java/fawndock/scenario/Demo.java
+++ b/src/main/java/fawndock/scenario/DemoScenario.java
@@ -12,7 +12,7 @@
  * One gatekeeper, a counter, a roster and eight workers, with customers under, at and over their
  * plans.
  */
-public final class Demo {
+public final class DemoScenario {
   private static final String COMMON =
       """
             class lookup aim 500ms deadline 2s repeat idempotent
@@ -29,38 +29,39 @@
 
   private final PrintStream out;
 
-  public Demo(PrintStream out) {
+  public DemoScenario(PrintStream out) {
     this.out = out;
   }
 
   /** Runs for so long; returns whether anything was served and every rule kept. */
   public boolean run(int seconds) throws Exception {
-    try (Scene scene = new Scene(BadDay.WORKERS, BadDay.BUILD, 1)) {
-      scene.gatekeepers(1, COMMON);
-      scene.gatekeepers.startAll();
-      List<Traffic.Customer> customers =
+    try (FleetFixture scene =
+        new FleetFixture(BadDayScenario.BACKENDS, BadDayScenario.BACKEND_CONFIG, 1)) {
+      scene.addGateways(1, COMMON);
+      scene.gateways.startAll();
+      List<TrafficGenerator.Customer> customers =
           List.of(
-              new Traffic.Customer("small-agency", "demo-small", 10),
-              new Traffic.Customer("greedy-agency", "demo-greedy", 80),
-              new Traffic.Customer("hotel", "demo-hotel", 70));
-      Traffic traffic =
-          new Traffic(
+              new TrafficGenerator.Customer("small-agency", "demo-small", 10),
+              new TrafficGenerator.Customer("greedy-agency", "demo-greedy", 80),
+              new TrafficGenerator.Customer("hotel", "demo-hotel", 70));
+      TrafficGenerator traffic =
+          new TrafficGenerator(
               scene.vertx,
               new RawHttpClient(scene.vertx, scene.recorder),
               List.of(
-                  new Traffic.Kind(
+                  new TrafficGenerator.RequestKind(
                       "lookup", "GET", "/tours/today", Idempotency.IDEMPOTENT, 1_500_000, 1)),
               customers,
               1,
-              scene.gatekeepers::port,
+              scene.gateways::port,
               1);
       out.println(
           "gatekeeper on 127.0.0.1:"
-              + scene.gatekeepers.port(0)
+              + scene.gateways.port(0)
               + ", 8 workers, a counter, a roster; try:");
       out.println(
           "  curl -i -H 'x-api-key: demo-small' http://127.0.0.1:"
-              + scene.gatekeepers.port(0)
+              + scene.gateways.port(0)
               + "/tours/x");
       out.println(
           "each second: served / refused for each customer, who may send on so many a second in the long run");
@@ -71,7 +72,9 @@
         StringBuilder line = new StringBuilder(String.format("%4d s", second));
         RATES.forEach(
             (customer, rate) -> {
-              long[] now = {traffic.ended(customer, 200), traffic.ended(customer, 429)};
+              long[] now = {
+                traffic.completedCount(customer, 200), traffic.completedCount(customer, 429)
+              };
               long[] was = before.getOrDefault(customer, new long[2]);
               line.append(
                   String.format(
@@ -81,15 +84,17 @@
         out.println(line);
         if (second == Math.max(2, seconds / 2)) {
           out.println("       (worker-0 dies, worker-1 is 10 times slower)");
-          scene.workers.get(0).die();
-          scene.workers.get(1).change(f -> f.slow = 10);
+          scene.backends.get(0).kill();
+          scene.backends.get(1).injectFaults(f -> f.workTimeFactor = 10);
         }
       }
       traffic.stop();
-      BadDay.awaitEnds(traffic);
+      BadDayScenario.awaitCompletion(traffic);
       return scene.conclude(
-              InvariantChecker.judge(scene.recorder.all(), BadDay.figures(scene)), out)
-          && traffic.ended(200) > 0;
+              InvariantChecker.check(
+                  scene.recorder.events(), BadDayScenario.conformanceLimits(scene)),
+              out)
+          && traffic.completedCount(200) > 0;
     }
   }
 }
