--- a/src/main/java/fawndock/cli/BenchCommand.java
+++ b/src/main/java/fawndock/cli/BenchCommand.java
@@ -33,7 +33,7 @@
     @Option(names = "--turns", defaultValue = "5", description = "of each measurement")
     private int turns;
 
-    @Option(names = "--no-counter", description = "the gatekeeper asks no counter")
+    @Option(names = "--no-counter", description = "the gateway calls no counter")
     private boolean uncounted;
 
     @Override
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code fawndock drill NAME}: troubles on loopback, judged by what crossed the sockets. */
+/** {@code fawndock drill NAME}: faults on loopback, checked by what crossed the sockets. */
 @Command(
     name = "drill",
     mixinStandardHelpOptions = true,
-    description = "Plays troubles and judges the rules.",
+    description = "Plays faults on loopback and checks the five rules.",
     subcommands = {
       DrillCommand.BadDayDrill.class,
       DrillCommand.Day.class,
@@ -23,14 +23,14 @@
       DrillCommand.CounterCrashDrill.class,
       DrillCommand.CounterSplitDrill.class,
       DrillCommand.LargeFleetDrill.class,
-      DrillCommand.PlatformWayIn.class
+      DrillCommand.PlatformDrill.class
     })
 final class DrillCommand extends Group {
-  /** Three gatekeepers through overlapping troubles. */
+  /** Three gateways through overlapping faults. */
   @Command(
       name = "bad-day",
       mixinStandardHelpOptions = true,
-      description = "Three gatekeepers through overlapping troubles, in under 40 s.")
+      description = "Three gateways through overlapping faults, in under 40 s.")
   static final class BadDayDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seed",
@@ -45,11 +45,11 @@
     }
   }
 
-  /** A day that the bench drew. */
+  /** A day that lbsim drew. */
   @Command(
       name = "day",
       mixinStandardHelpOptions = true,
-      description = "Plays the troubles of a day file of lbsim draw, scaled to loopback.")
+      description = "Plays the faults of a day file of lbsim draw, scaled to loopback.")
   static final class Day implements Callable<Integer> {
     @picocli.CommandLine.Parameters(paramLabel = "FILE", description = "the day file")
     private java.nio.file.Path file;
@@ -74,11 +74,11 @@
     }
   }
 
-  /** Troubles at random. */
+  /** Faults at random. */
   @Command(
       name = "chaos",
       mixinStandardHelpOptions = true,
-      description = "Random troubles, the killing of gatekeepers among them.")
+      description = "Random faults, among them killed gateways.")
   static final class ChaosDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seconds",
@@ -92,15 +92,12 @@
         description = "counter nodes, 1 or 3")
     private int nodes;
 
-    @picocli.CommandLine.Option(
-        names = "--seed",
-        defaultValue = "1",
-        description = "of the troubles")
+    @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the faults")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
-      if (seconds < 10 || seconds > 900 || nodes != 1 && nodes != 3) {
+      if (seconds < 10 || seconds > 900 || (nodes != 1 && nodes != 3)) {
         System.err.println("--seconds is from 10 to 900, --nodes is 1 or 3");
         return 2;
       }
@@ -114,7 +111,7 @@
       name = "counter-crash",
       mixinStandardHelpOptions = true,
       description =
-          "Kills the counter under load and holds its totals against what it acknowledged.")
+          "Kills the counter under load and compares its totals with what it acknowledged.")
   static final class CounterCrashDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--kills",
@@ -139,12 +136,12 @@
     }
   }
 
-  /** Counter nodes that die, stall and are split. */
+  /** Counter nodes that are killed, stalled and partitioned. */
   @Command(
       name = "counter-split",
       mixinStandardHelpOptions = true,
       description =
-          "Three counter nodes die, stall, are split and come back, under agencies beyond their allowance.")
+          "Three counter nodes are killed, stalled, partitioned and restarted, under customers above their plans.")
   static final class CounterSplitDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--nodes",
@@ -178,7 +175,7 @@
         System.err.println("no break has '" + only + "' in its name");
         return 2;
       }
-      if (nodes != 1 && nodes != 3 || seconds < 1 || seconds > 60) {
+      if ((nodes != 1 && nodes != 3) || seconds < 1 || seconds > 60) {
         System.err.println("--nodes is 1 or 3, --seconds from 1 to 60");
         return 2;
       }
@@ -187,12 +184,12 @@
     }
   }
 
-  /** Many gatekeepers with few requests each. */
+  /** Many gateway instances with few requests each. */
   @Command(
       name = "large-fleet",
       mixinStandardHelpOptions = true,
       description =
-          "60 gatekeepers with a request a second each and three counter nodes hold quotas.")
+          "60 gateway instances with a request a second each and three counter nodes keep quotas.")
   static final class LargeFleetDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seconds",
@@ -217,12 +214,12 @@
     }
   }
 
-  /** One gatekeeper of the platform's way in. */
+  /** One gateway of the platform. */
   @Command(
       name = "platform",
       mixinStandardHelpOptions = true,
-      description = "One gatekeeper of the platform's way in among stand-ins, in this process.")
-  static final class PlatformWayIn implements Callable<Integer> {
+      description = "One gateway of the platform among fakes, in this process.")
+  static final class PlatformDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--requests",
         defaultValue = "600",
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -17,14 +17,16 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code fawndock emulate FILE}: a whole deployment in simulated time, judged by the five rules.
+ * {@code fawndock emulate FILE}: a whole deployment in simulated time, checked against the five
+ * rules.
  */
 @Command(
     name = "emulate",
     mixinStandardHelpOptions = true,
-    description = "Runs a deployment in simulated time with the real decisions, and judges it.",
+    description =
+        "Runs a deployment in simulated time with the real policy and checks the five rules.",
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:rules kept", "1:a rule was broken", "2:mistakes in the file"})
+    exitCodeList = {"0:rules kept", "1:a rule was broken", "2:errors in the file"})
 final class EmulateCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "the deployment; docs/operations/emulate.md")
   private Path file;
--- a/src/main/java/fawndock/fake/FakePlatform.java
+++ b/src/main/java/fawndock/fake/FakePlatform.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What a gatekeeper finds on the platform, on loopback: one worker, the counter, the catalog and
- * the file that names them. Plans and classes are of its own making.
+ * What a gateway finds on the platform, on loopback: one backend, the counter, endpoint discovery
+ * and the configuration file that names them, with plans and request classes of its own.
  */
 public final class FakePlatform implements AutoCloseable {
   private static final String SETTINGS =
@@ -34,16 +34,16 @@
   public final FakeRespServer counter;
   public final FakeDiscoveryServer discovery;
 
-  /** A world whose worker and counter answer as given. */
+  /** A platform whose backend and counter reply as given. */
   public FakePlatform(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
       throws IOException {
     this(worker, counter, 256);
   }
 
   /**
-   * The same with so many descriptors for the gatekeeper.
+   * The same with a limit of file descriptors for the gateway.
    *
-   * @param sockets the limit that the configuration tells
+   * @param sockets the limit in the configuration
    */
   public FakePlatform(
       FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
@@ -62,13 +62,13 @@
     writeConfiguration(discovery.port(), this.counter.port());
   }
 
-  /** Writes the file anew, with these addresses of catalog and counter. */
-  public void writeConfiguration(int catalogPort, int counterPort) throws IOException {
+  /** Writes the configuration with these addresses of discovery and counter. */
+  public void writeConfiguration(int discoveryPort, int counterPort) throws IOException {
     writeFile(
         "{\"name\":\"g0\",\"listen\":\"127.0.0.1:"
             + port
             + "\",\"discovery\":\"127.0.0.1:"
-            + catalogPort
+            + discoveryPort
             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":"
             + socketLimit
             + "},\"counter\":\"127.0.0.1:"
@@ -88,12 +88,12 @@
     return Map.of("RELAY_CONFIG", file.toString(), "RELAY_NAME", "g0");
   }
 
-  /** Where the gatekeeper listens. */
+  /** Where the gateway listens. */
   public int port() {
     return port;
   }
 
-  /** The words of a request, as the platform's clients send it. */
+  /** The words of a request command, as the platform's clients send it. */
   public static String[] requestCommand(
       String type, String plan, long customer, long id, String more) {
     String key = type.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
--- a/src/main/java/fawndock/fake/FakeRespServer.java
+++ b/src/main/java/fawndock/fake/FakeRespServer.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A server of RESP2 on a free loopback port, a thread for each connection; what it answers is given
- * as bytes, so that it can also answer what no server should. Stands in for the platform's workers
- * and its counter.
+ * A RESP2 server on a free loopback port, with a thread for each connection. Replies are given as
+ * bytes, so that it can also send what no server should. Plays the platform's backends and counter.
  */
 public final class FakeRespServer extends LoopbackServer {
-  /** Answers commands, each on its connection's own thread. */
+  /** Replies to commands, each on its connection's own thread. */
   public interface CommandHandler {
-    void onCommand(List<String> words, Connection link) throws IOException, InterruptedException;
+    void onCommand(List<String> words, Connection connection)
+        throws IOException, InterruptedException;
   }
 
   /** One connection. */
@@ -64,7 +64,7 @@
     ByteBuf in = Unpooled.buffer();
     byte[] part = new byte[8_192];
     try {
-      Connection link = new Connection(socket);
+      Connection connection = new Connection(socket);
       for (int n = socket.getInputStream().read(part);
           n >= 0;
           n = socket.getInputStream().read(part)) {
@@ -73,7 +73,7 @@
           commandCount.incrementAndGet();
           handler.onCommand(
               Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList(),
-              link);
+              connection);
         }
       }
     } catch (ProtocolException e) {
@@ -88,14 +88,14 @@
     return commandCount.get();
   }
 
-  /** Answers as the platform's worker does when all is well: the value names the request's id. */
+  /** Replies as a healthy backend of the platform does: the value names the request's id. */
   public static CommandHandler backendHandler() {
-    return (words, link) ->
-        link.send(
+    return (words, connection) ->
+        connection.send(
             backendResponse("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
   }
 
-  /** A whole answer of a worker with a load report. */
+  /** A whole reply of a backend with a load report. */
   public static String backendResponse(String value, String load) {
     return "*3\r\n$"
         + value.length()
@@ -108,13 +108,13 @@
         + "\r\n";
   }
 
-  /** Answers as the platform's counter does. */
+  /** Replies as the platform's counter does. */
   public static CommandHandler counterHandler() {
     ConcurrentHashMap<String, Double> totals = new ConcurrentHashMap<>();
-    return (words, link) -> {
+    return (words, connection) -> {
       String total =
           String.valueOf(totals.merge(words.get(1), Double.parseDouble(words.get(2)), Double::sum));
-      link.send("$" + total.length() + "\r\n" + total + "\r\n");
+      connection.send("$" + total.length() + "\r\n" + total + "\r\n");
     };
   }
 }
--- a/src/main/java/fawndock/fake/FaultInjectingProxy.java
+++ b/src/main/java/fawndock/fake/FaultInjectingProxy.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A network between clients and a service that can hold answers back, slow them down and be cut.
- * What it holds is bounded: it stops reading from the service.
+ * A TCP proxy between clients and a service that can block or delay responses and be stopped. What
+ * it buffers is bounded: beyond that it stops reading from the service. The public methods may be
+ * called from any thread.
  */
 public final class FaultInjectingProxy {
   private static final int MAX_PENDING_CHUNKS = 4_096;
@@ -64,7 +65,7 @@
     return port;
   }
 
-  /** Passes calls on but holds the answers until told otherwise. */
+  /** Forwards requests but keeps the responses back while set. */
   public void setResponsesBlocked(boolean on) {
     areResponsesBlocked = on;
     if (!on) {
@@ -72,7 +73,7 @@
     }
   }
 
-  /** Holds the calls until told otherwise. */
+  /** Keeps the requests back while set. */
   public void setRequestsBlocked(boolean on) {
     areRequestsBlocked = on;
     context.runOnContext(
@@ -101,7 +102,7 @@
     return occurrences.get();
   }
 
-  /** Passes answers on so much later. */
+  /** Delays responses. */
   public void setResponseDelayMillis(long millis) {
     responseDelayMillis = millis;
   }
--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Listens on a free loopback port and serves each connection on a thread of its own; at most so
- * many at once.
+ * Listens on a free loopback port and serves each connection on a thread of its own, up to a limit.
+ * {@link #close} ends all connections and may be called more than once.
  */
 abstract class LoopbackServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 512;
@@ -22,13 +22,13 @@
     listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
   }
 
-  /** Takes connections from now on; to be called when all that serves them is made. */
+  /** Accepts connections from now on; to be called when the subclass is ready to serve. */
   final void startAccepting() {
     thread(this::accept);
   }
 
-  private static void thread(Runnable what) {
-    Thread thread = new Thread(what, "stand-in");
+  private static void thread(Runnable task) {
+    Thread thread = new Thread(task, "fake server");
     thread.setDaemon(true);
     thread.start();
   }
@@ -66,7 +66,7 @@
     return listener.getLocalPort();
   }
 
-  /** Connections taken so far. */
+  /** Connections accepted so far. */
   public final int acceptedCount() {
     return acceptedCount.get();
   }
--- a/src/main/java/fawndock/fake/RawHttpClient.java
+++ b/src/main/java/fawndock/fake/RawHttpClient.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A client that writes one HTTP/1.1 request on a connection of its own and reads until the
- * connection closes, so that a second answer, were there one, is seen. It may leave before it is
- * answered.
+ * Sends one HTTP/1.1 request on a connection of its own and reads until the connection closes, so
+ * that a second response, were there one, is seen. It may disconnect early. Runs on its Vert.x
+ * event loops.
  */
 public final class RawHttpClient {
   private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 ([0-9]{3}) [^\r\n]*\r\n");
@@ -23,15 +23,13 @@
   private static final Pattern RETRY_AFTER = Pattern.compile("(?i)\r\nretry-after: *([0-9]+)\r\n");
   private static final long MAX_EXCHANGE_MILLIS = 60_000;
 
-  /**
-   * How it ended for the client: the first status, or 0 when it had none; seconds to wait, or 0.
-   */
+  /** How an exchange ended: the first status, or 0 without one; seconds to wait, or 0. */
   public record ExchangeResult(int status, int retryAfterSeconds, boolean hasDisconnected) {}
 
   /**
    * One request.
    *
-   * @param disconnectAfterMicros the client leaves then when it has no answer; 0 for never
+   * @param disconnectAfterMicros when the client disconnects if it has no response; 0 for never
    */
   public record RequestSpec(
       String requestId,
@@ -58,14 +56,14 @@
     this.recorder = recorder;
   }
 
-  /** Sends a request and tells its end once. */
-  public void send(RequestSpec call, Consumer<ExchangeResult> ended) {
+  /** Sends a request; the callback is called once, when the connection has closed. */
+  public void send(RequestSpec call, Consumer<ExchangeResult> onCompleted) {
     net.connect(call.port(), "127.0.0.1")
         .onComplete(
             connected -> {
               if (connected.failed()) {
-                ended.accept(
-                    new ExchangeResult(0, 0, false)); // Never taken: no gatekeeper was there.
+                onCompleted.accept(
+                    new ExchangeResult(0, 0, false)); // Not accepted: no gateway listens there.
                 return;
               }
               NetSocket socket = connected.result();
@@ -79,7 +77,7 @@
                       call.customer(),
                       call.units(),
                       now + call.timeoutMicros()));
-              new Exchange(socket, call, ended).start();
+              new Exchange(socket, call, onCompleted).start();
             });
   }
 
@@ -93,10 +91,10 @@
     private boolean hasDisconnected;
     private boolean isCompleted;
 
-    Exchange(NetSocket socket, RequestSpec call, Consumer<ExchangeResult> ended) {
+    Exchange(NetSocket socket, RequestSpec call, Consumer<ExchangeResult> onCompleted) {
       this.socket = socket;
       this.call = call;
-      this.onCompleted = ended;
+      this.onCompleted = onCompleted;
     }
 
     void start() {
@@ -133,7 +131,7 @@
       }
     }
 
-    /** Reads whole answers off the front of what came; each is recorded. */
+    /** Reads whole responses from the bytes received; each is recorded. */
     private void read(Buffer part) {
       if (hasDisconnected) {
         return;
--- a/src/main/java/fawndock/fake/TraceRecorder.java
+++ b/src/main/java/fawndock/fake/TraceRecorder.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What the stand-ins saw, in the order in which they said so. Any thread. Bounded: a full one says
- * so.
+ * Records the events of all fakes in the order in which they report them. Any thread. Bounded; it
+ * refuses to return an incomplete trace.
  */
 public final class TraceRecorder {
   private static final int MAX_EVENTS = 5_000_000;
@@ -21,10 +21,10 @@
     return now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
   }
 
-  /** Adds one. */
-  public synchronized void record(TraceEvent what) {
+  /** Records an event. */
+  public synchronized void record(TraceEvent event) {
     if (events.size() < MAX_EVENTS) {
-      events.add(what);
+      events.add(event);
     } else {
       isFull = true;
     }
@@ -33,7 +33,8 @@
   /**
    * A copy of all so far.
    *
-   * @throws IllegalStateException when some were not kept, so that nobody judges by a part
+   * @throws IllegalStateException when events were dropped, so that nobody checks an incomplete
+   *     trace
    */
   public synchronized List<TraceEvent> events() {
     if (isFull) {
--- a/src/main/java/fawndock/fake/package-info.java
+++ b/src/main/java/fawndock/fake/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Stand-ins for what surrounds a gatekeeper: workers, counter, roster and clients, small and faulty
- * on demand. Used by drills, the demo, measurements and tests alone; no host or decision may know
- * of them. They record what crossed their sockets and never ask a gatekeeper.
+ * Fakes of what surrounds a gateway: backends, counter, endpoint discovery and clients, small and
+ * with faults on demand. Used by scenarios, the demo, benchmarks and tests only; nothing that the
+ * gateway consists of depends on them. They record what crossed their sockets and never ask a
+ * gateway.
  */
 package fawndock.fake;
--- a/src/main/java/fawndock/scenario/package-info.java
+++ b/src/main/java/fawndock/scenario/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Drills: troubles played on loopback against gatekeepers in processes of their own, and judged by
- * the judge of the five rules. The judge knows only what the stand-ins recorded at their sockets;
- * it never reads a gatekeeper's log.
+ * Fault-injection scenarios (command {@code drill}): faults on loopback against gateways in
+ * processes of their own. The trace that the fakes recorded at their sockets is checked against the
+ * five rules; a gateway's log is never read.
  */
 package fawndock.scenario;
