--- a/src/main/java/fawndock/benchmark/CounterBench.java
+++ b/src/main/java/fawndock/benchmark/CounterBench.java
@@ -65,8 +65,8 @@
             load.runClosedLoop(OUTSTANDING[0], 2 * seconds, 1);
             for (int o = 0; o < OUTSTANDING.length; o++) {
               double[][] found = measureDurable(folder, counter, load, OUTSTANDING[o]);
-              durable[o] = Median.of(found[0]);
-              ratios[o] = Median.of(found[1]);
+              durable[o] = MedianStatistics.of(found[0]);
+              ratios[o] = MedianStatistics.of(found[1]);
             }
             double rate = Math.min(durable[0] / 2, MAX_ADDS_PER_SECOND);
             for (int i = 0; i < turns; i++) {
@@ -114,7 +114,7 @@
     out.printf(
         "durable ratio %s; adds in memory %.0f a second, %.0f a core second; at half load p50 %.1f, p99 "
             + "%.1f, p99.9 %.1f times a bare sync%n",
-        by, Median.of(memory), Median.of(perCore), p[0], p[1], p[2]);
+        by, MedianStatistics.of(memory), MedianStatistics.of(perCore), p[0], p[1], p[2]);
   }
 
   /**
--- a/src/main/java/fawndock/benchmark/CounterFleetBench.java
+++ b/src/main/java/fawndock/benchmark/CounterFleetBench.java
@@ -81,7 +81,7 @@
     }
     out.printf(
         "three nodes take %.2f of the sums that one takes; a call takes %.0f us more%n",
-        Median.of(ratio), Median.of(added));
+        MedianStatistics.of(ratio), MedianStatistics.of(added));
   }
 
   /** One call after the other. */
--- a/src/main/java/fawndock/benchmark/Median.java
+++ b/src/main/java/fawndock/benchmark/MedianStatistics.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /** The middle of some figures. */
-public final class Median {
-  private Median() {}
+public final class MedianStatistics {
+  private MedianStatistics() {}
 
   /** The median; of an even number the mean of the two in the middle. */
   public static double of(double[] figures) {
--- a/src/main/java/fawndock/benchmark/PassthroughBench.java
+++ b/src/main/java/fawndock/benchmark/PassthroughBench.java
@@ -122,7 +122,7 @@
           "most a second: bare %.0f, gateway %.0f (%d and %d not served)%n",
           a.perSecond(), b.perSecond(), a.notServed(), b.notServed());
     }
-    return new double[] {Median.of(ofBare), Median.of(ofGate)};
+    return new double[] {MedianStatistics.of(ofBare), MedianStatistics.of(ofGate)};
   }
 
   private double[] measureAddedLatency(Vertx vertx, int bare, int port, double rate)
@@ -144,7 +144,7 @@
           a.notServed(),
           b.notServed());
     }
-    return new double[] {Median.of(p50), Median.of(p99)};
+    return new double[] {MedianStatistics.of(p50), MedianStatistics.of(p99)};
   }
 
   private static OpenLoopHttpLoad.LoadResult runLoad(
--- a/src/main/java/fawndock/calibration/DayDescribed.java
+++ b/src/main/java/fawndock/calibration/DayDeployment.java
@@ -11,19 +11,19 @@
  * Describes a day that the bench drew to the emulator, as a deployment file. What the emulator does
  * not model is written there as a comment, so that nobody takes the two for the same.
  */
-public final class DayDescribed {
+public final class DayDeployment {
   private static final double HEAVY = 3;
   private static final double FULL = 0.95;
   private final DayFile day;
   private final StringBuilder text = new StringBuilder();
 
-  private DayDescribed(DayFile day) {
+  private DayDeployment(DayFile day) {
     this.day = day;
   }
 
   /** The text of a deployment file. */
   public static String of(DayFile day) {
-    return new DayDescribed(day).describe();
+    return new DayDeployment(day).describe();
   }
 
   private void line(String form, Object... values) {
--- a/src/main/java/fawndock/calibration/Beside.java
+++ b/src/main/java/fawndock/calibration/FigureComparison.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Two measurements of the same thing, side by side. */
-public final class Beside {
+public final class FigureComparison {
   /** From here on a difference wants a reason. */
   public static final double MUCH = 0.1;
 
@@ -23,7 +23,7 @@
     }
   }
 
-  private Beside() {}
+  private FigureComparison() {}
 
   /** Rows of the figures that both have, in the order of the first. */
   public static List<Row> rows(Map<String, Double> emulated, Map<String, Double> real) {
--- a/src/main/java/fawndock/calibration/OverSockets.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -8,7 +8,7 @@
 import fawndock.fake.FakeBackend;
 import fawndock.fake.RawHttpClient;
 import fawndock.fake.TraceRecorder;
-import fawndock.measurement.Measures;
+import fawndock.measurement.TraceMetrics;
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.RequestClass;
 import fawndock.scenario.BadDayScenario;
@@ -30,7 +30,7 @@
  * Plays a small deployment over loopback: gatekeepers and counter in processes of their own,
  * workers and clients as stand-ins.
  */
-public final class OverSockets {
+public final class SocketRun {
   private static final int MOST_GATEKEEPERS = 8;
   private static final int MOST_WORKERS = 24;
   private static final double MOST_RATE = 500;
@@ -44,13 +44,13 @@
   private static final double WARM = 3;
 
   /** What came of it. */
-  public record Played(Measures.Told told, ConformanceResult verdict) {}
+  public record SocketRunResult(TraceMetrics.Metrics told, ConformanceResult verdict) {}
 
   private final ParsedDeployment read;
   private final Deployment d;
   private final PrintStream out;
 
-  public OverSockets(ParsedDeployment read, PrintStream out) {
+  public SocketRun(ParsedDeployment read, PrintStream out) {
     this.read = read;
     this.d = read.deployment();
     this.out = out;
@@ -87,7 +87,7 @@
   }
 
   /** Plays it, in real time. */
-  public Played play() throws Exception {
+  public SocketRunResult play() throws Exception {
     try (FleetFixture scene = new FleetFixture(d.backendCount(), d.backend(), d.seed())) {
       scene.addGateways(d.gatewayCount(), settings());
       scene.gateways.startAll();
@@ -149,15 +149,15 @@
     }
   }
 
-  private Played played(List<TraceEvent> trace, long begin) {
+  private SocketRunResult played(List<TraceEvent> trace, long begin) {
     Map<String, Plan> plans = d.customerPlans();
     Map<String, RequestClass> classes =
         d.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
     ConformanceResult verdict =
         InvariantChecker.check(trace, new ConformanceLimits(classes, d.rules(), plans, SLACK));
     List<TraceEvent> measured = trace.stream().filter(s -> s.atMicros() >= begin).toList();
-    Measures.Told told =
-        Measures.of(
+    TraceMetrics.Metrics told =
+        TraceMetrics.of(
             measured,
             classes,
             plans,
@@ -169,7 +169,7 @@
             "worth",
             WeightedGoodput.shareOfOffered(
                 measured, new ConformanceLimits(classes, d.rules(), plans, SLACK)));
-    return new Played(told, verdict);
+    return new SocketRunResult(told, verdict);
   }
 
   /** The deployment's lines that a gatekeeper knows too, and a key for each customer. */
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -1,8 +1,8 @@
 package fawndock.cli;
 
-import fawndock.calibration.Beside;
-import fawndock.calibration.DayDescribed;
-import fawndock.calibration.OverSockets;
+import fawndock.calibration.DayDeployment;
+import fawndock.calibration.FigureComparison;
+import fawndock.calibration.SocketRun;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.scenario.DayFile;
 import fawndock.settings.ConfigurationException;
@@ -50,7 +50,7 @@
   @Override
   public Integer call() throws Exception {
     if (describe) {
-      System.out.print(DayDescribed.of(DayFile.read(file)));
+      System.out.print(DayDeployment.of(DayFile.read(file)));
       return 0;
     }
     DeploymentFile.ParsedDeployment read;
@@ -85,15 +85,15 @@
 
   private static int beside(DeploymentFile.ParsedDeployment read, SimulationResult emulated)
       throws Exception {
-    OverSockets real = new OverSockets(read, System.out);
+    SocketRun real = new SocketRun(read, System.out);
     if (!real.beyond().isEmpty()) {
       real.beyond().forEach(System.err::println);
       return 2;
     }
     LogConfigurator.configureForTool();
-    OverSockets.Played played = real.play();
+    SocketRun.SocketRunResult played = real.play();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
-    Beside.rows(emulated.figures(), played.told().figures())
+    FigureComparison.rows(emulated.figures(), played.told().figures())
         .forEach(
             row ->
                 System.out.printf(
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -1,12 +1,12 @@
 package fawndock.cli;
 
 import fawndock.experiment.Build;
-import fawndock.experiment.Cells;
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
-import fawndock.experiment.Outcome;
-import fawndock.experiment.Results;
-import fawndock.experiment.Runner;
+import fawndock.experiment.ExperimentRunner;
+import fawndock.experiment.ResultStore;
+import fawndock.experiment.ResultTable;
+import fawndock.experiment.RunResult;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.settings.ConfigurationException;
 import java.io.IOException;
@@ -60,20 +60,21 @@
       return 2;
     }
     Path folder = out != null ? out : file.resolveSibling(file.getFileName() + ".results");
-    try (Results results = Results.open(folder)) {
+    try (ResultStore results = ResultStore.open(folder)) {
       Experiment experiment = ExperimentFile.read(file);
-      Runner runner = new Runner(experiment, DefaultGatewayPolicy::new, Build.running());
+      ExperimentRunner runner =
+          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, Build.running());
       int left = runner.left(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
           experiment.title(), experiment.runs().size(), left, jobs);
       ProgressBar bar = new ProgressBar("runs", left, left + " runs", System.out);
-      List<Outcome> all = runner.run(results, jobs, bar::update);
+      List<RunResult> all = runner.run(results, jobs, bar::update);
       bar.finish();
-      Results.csv(folder.resolve("results.csv"), all);
+      ResultStore.csv(folder.resolve("results.csv"), all);
       Files.copy(
           file,
-          folder.resolve(Results.EXPERIMENT),
+          folder.resolve(ResultStore.EXPERIMENT),
           java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       return told(experiment, all) ? 0 : 1;
     } catch (ConfigurationException e) {
@@ -82,8 +83,8 @@
     }
   }
 
-  private boolean told(Experiment experiment, List<Outcome> all) {
-    Map<Map<String, String>, List<Outcome>> cells = Cells.by(all);
+  private boolean told(Experiment experiment, List<RunResult> all) {
+    Map<Map<String, String>, List<RunResult>> cells = ResultTable.by(all);
     if (!quiet) {
       System.out.println("median (least..most) over the seeds, simulated:");
       cells.forEach(
@@ -92,7 +93,7 @@
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
             for (String figure : experiment.shown()) {
-              Cells.Spread s = Cells.spread(outcomes, figure);
+              ResultTable.SeedSpread s = ResultTable.spread(outcomes, figure);
               line.append("  ")
                   .append(figure)
                   .append(' ')
@@ -108,7 +109,7 @@
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (Cells.Judged each : Cells.judge(experiment.expected(), all)) {
+    for (ResultTable.ExpectationResult each : ResultTable.judge(experiment.expected(), all)) {
       kept &= each.kept();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
@@ -120,7 +121,7 @@
           each.broken(),
           each.cells());
     }
-    List<Outcome> bad =
+    List<RunResult> bad =
         all.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).toList();
     bad.stream()
         .limit(5)
@@ -130,7 +131,7 @@
   }
 
   private static void differences(
-      Experiment experiment, Map<Map<String, String>, List<Outcome>> cells) {
+      Experiment experiment, Map<Map<String, String>, List<RunResult>> cells) {
     String name = experiment.compare().name();
     String base = experiment.compare().values().get(0);
     System.out.printf(
@@ -145,7 +146,7 @@
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
           for (String figure : experiment.shown()) {
-            Cells.Difference d = Cells.difference(cells.get(with), outcomes, figure);
+            ResultTable.Difference d = ResultTable.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
                 .append(' ')
--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import fawndock.loadgen.Generator;
-import fawndock.loadgen.HdrLog;
+import fawndock.loadgen.FlowStatistics;
+import fawndock.loadgen.HistogramLog;
 import fawndock.loadgen.LoadFile;
+import fawndock.loadgen.LoadGenerator;
 import fawndock.loadgen.LoadPlan;
-import fawndock.loadgen.Tally;
-import fawndock.loadgen.Trace;
+import fawndock.loadgen.RequestTrace;
 import fawndock.settings.ConfigurationException;
 import io.vertx.core.Vertx;
 import java.io.BufferedReader;
@@ -74,10 +74,10 @@
                 plan.flows().stream().map(f -> f.request().name()),
                 plan.traces().stream().map(t -> t.request().name()))
             .toList();
-    List<Trace.Read> traces = new ArrayList<>();
-    for (LoadPlan.Played each : plan.traces()) {
+    List<RequestTrace.Read> traces = new ArrayList<>();
+    for (LoadPlan.TraceReplay each : plan.traces()) {
       try (BufferedReader from = Files.newBufferedReader(each.file())) {
-        Trace.Read read = Trace.read(from, each.file().toString());
+        RequestTrace.Read read = RequestTrace.read(from, each.file().toString());
         System.out.printf(
             "%s: %d requests over %.1f s, %d out of order, %d other lines%n",
             each.file(),
@@ -89,16 +89,16 @@
       }
     }
     Vertx vertx = Vertx.vertx();
-    try (HdrLog log = hdr == null ? null : new HdrLog(hdr, names)) {
-      Generator generator =
-          new Generator(
+    try (HistogramLog log = hdr == null ? null : new HistogramLog(hdr, names)) {
+      LoadGenerator generator =
+          new LoadGenerator(
               vertx,
               plan,
               traces,
               quiet ? p -> {} : p -> line(p, plan),
               log == null ? t -> {} : log::interval);
       Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "stop"));
-      List<Tally> tallies = generator.run().get();
+      List<FlowStatistics> tallies = generator.run().get();
       return report(plan, names, tallies);
     } catch (ExecutionException e) {
       throw new IOException(e.getCause());
@@ -107,7 +107,7 @@
     }
   }
 
-  private static void line(Generator.Progress p, LoadPlan plan) {
+  private static void line(LoadGenerator.Progress p, LoadPlan plan) {
     int done = (int) Math.min(20, 20 * p.seconds() / plan.seconds());
     System.out.printf(
         "[%s%s] %6.1f s  due %d  good %d  other %d  out %d  p50 %.1f ms  p99 %.1f ms%n",
@@ -122,14 +122,15 @@
         p.p99Micros() / 1e3);
   }
 
-  private int report(LoadPlan plan, List<String> names, List<Tally> tallies) throws IOException {
+  private int report(LoadPlan plan, List<String> names, List<FlowStatistics> tallies)
+      throws IOException {
     boolean unusable = false;
     Map<String, Object> all = new LinkedHashMap<>();
     System.out.printf(
         "%-16s %9s %9s %9s %9s %9s %9s %9s %9s %10s%n",
         "latency, ms", "due", "good", "p50", "p90", "p99", "p99.9", "max", "left", "no answer");
     for (int i = 0; i < names.size(); i++) {
-      Tally tally = tallies.get(i);
+      FlowStatistics tally = tallies.get(i);
       Map<String, Object> told = tally.told();
       all.put(names.get(i), told);
       @SuppressWarnings("unchecked")
--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -2,9 +2,9 @@
 
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
-import fawndock.experiment.Outcome;
-import fawndock.experiment.Results;
-import fawndock.report.Page;
+import fawndock.experiment.ResultStore;
+import fawndock.experiment.RunResult;
+import fawndock.report.HtmlReport;
 import fawndock.settings.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -33,16 +33,17 @@
   @Override
   public Integer call() throws IOException {
     System.setProperty("java.awt.headless", "true");
-    List<Outcome> after = Results.read(folder);
-    List<Outcome> was = before == null ? List.of() : Results.read(before);
+    List<RunResult> after = ResultStore.read(folder);
+    List<RunResult> was = before == null ? List.of() : ResultStore.read(before);
     if (after.isEmpty() || (before != null && was.isEmpty())) {
       throw new IOException(
           (after.isEmpty() ? folder : before) + ": no run is done yet, expected at least one");
     }
     try {
-      Experiment experiment = ExperimentFile.asRun(folder.resolve(Results.EXPERIMENT));
+      Experiment experiment = ExperimentFile.asRun(folder.resolve(ResultStore.EXPERIMENT));
       System.out.println(
-          new Page(experiment, experiment.inOrder(after), experiment.inOrder(was), folder).write());
+          new HtmlReport(experiment, experiment.inOrder(after), experiment.inOrder(was), folder)
+              .write());
       return 0;
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -102,7 +102,7 @@
       adoptMembership(MembershipList.parse(answer.substring(prefix)));
     } else if (answer.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
         && replica.peers().contains(id)) {
-      replica.onUnknownToPeer(id, clock.nowMillis());
+      replica.onNotOnPeersList(id, clock.nowMillis());
     }
   }
 
@@ -144,7 +144,7 @@
         });
     if (wasReady != replica.isReady()) {
       wasReady = replica.isReady();
-      LOG.info(wasReady ? "caught up: answers gateways" : "answers gateways no more");
+      LOG.info(wasReady ? "caught up: answers gateways" : "no longer answers gateways");
     }
   }
 
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -40,7 +40,7 @@
 public final class CounterServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterServer.class);
   private static final long STOP_TIMEOUT_MILLIS = 5_000;
-  private static final long FIRST_LOG_TIMEOUT_SECONDS = 600;
+  private static final long FIRST_SEGMENT_TIMEOUT_SECONDS = 600;
   private static final long SWEEP_INTERVAL_MILLIS = 100;
   private static final long STALL_CHECK_INTERVAL_MILLIS = 500;
   private static final int ACCEPT_BACKLOG = 1_024;
@@ -49,10 +49,10 @@
 
   private final CounterSettings settings;
   private final Storage storage;
-  private final EventLoopGroup group =
+  private final EventLoopGroup eventLoopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventExecutor loop = group.next();
-  private final GroupCommit commit;
+  private final EventExecutor loop = eventLoopGroup.next();
+  private final GroupCommit groupCommit;
   private final ServerStats stats = new ServerStats();
   private final CommandTable commands = new CommandTable();
   private final Set<ClientConnection> connections = new HashSet<>();
@@ -72,11 +72,11 @@
   public CounterServer(CounterSettings settings, Storage storage) {
     this.settings = settings;
     this.storage = storage;
-    commit = new GroupCommit(settings.durability(), settings.syncIntervalMillis());
+    groupCommit = new GroupCommit(settings.durability(), settings.syncIntervalMillis());
   }
 
   /**
-   * Recovers and listens; returns the port. Until the log could be written changes are rejected.
+   * Recovers and listens; returns the port. Changes are rejected until the log can be written.
    *
    * @param progress is called with the bytes recovered so far
    * @throws IOException also when the log is damaged; nothing was changed in the storage then
@@ -110,14 +110,14 @@
     ServerClock clock = new ServerClock(recovered.latestTimeMillis());
     log = new WriteAheadLogThread(storage, loop);
     snapshots = new SnapshotTask(storage, loop, table, clock);
-    scheduler = new CommitScheduler(commit, log, clock, loop);
+    scheduler = new CommitScheduler(groupCommit, log, clock, loop);
     supervisor =
         new LogSupervisor(
-            settings.snapshotAfterLogBytes(), loop, commit, scheduler, log, snapshots, table);
+            settings.snapshotAfterLogBytes(), loop, groupCommit, scheduler, log, snapshots, table);
     log.listen(supervisor);
-    executor = new CommandExecutor(operations, commit, scheduler, commands, clock, stats);
-    cluster = new ClusterNode(settings, operations, clock, group);
-    ServerInfo info = new ServerInfo(stats, commit, scheduler, table, settings.durability());
+    executor = new CommandExecutor(operations, groupCommit, scheduler, commands, clock, stats);
+    cluster = new ClusterNode(settings, operations, clock, eventLoopGroup);
+    ServerInfo info = new ServerInfo(stats, groupCommit, scheduler, table, settings.durability());
     commands.addAll(AmountCommands.all());
     commands.addAll(NameCommands.all());
     commands.addAll(new ConnectionCommands(commands, info, settings.password()).all());
@@ -134,7 +134,7 @@
 
   private static void awaitFirstLog(CompletableFuture<Void> firstAttempt) throws IOException {
     try {
-      firstAttempt.get(FIRST_LOG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      firstAttempt.get(FIRST_SEGMENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("the log could not be begun: " + e.getMessage(), e);
     } catch (InterruptedException e) {
@@ -149,7 +149,7 @@
             ClientConnection.MAX_PENDING_REPLY_BYTES / 2, ClientConnection.MAX_PENDING_REPLY_BYTES);
     ServerBootstrap bootstrap =
         new ServerBootstrap()
-            .group(group)
+            .group(eventLoopGroup)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
@@ -243,7 +243,9 @@
       snapshots.close();
       log.close(STOP_TIMEOUT_MILLIS);
     }
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
+    eventLoopGroup
+        .shutdownGracefully(0, 1, TimeUnit.SECONDS)
+        .awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
   }
 
   private void drain() throws InterruptedException, ExecutionException, TimeoutException {
@@ -259,7 +261,7 @@
   }
 
   private void completeWhenIdle(CompletableFuture<Void> idle, long deadlineNanos) {
-    if (commit.isIdle() || System.nanoTime() - deadlineNanos >= 0) {
+    if (groupCommit.isIdle() || System.nanoTime() - deadlineNanos >= 0) {
       idle.complete(null);
       return;
     }
--- a/src/main/java/fawndock/counter/replication/PeerState.java
+++ b/src/main/java/fawndock/counter/replication/PeerState.java
@@ -27,7 +27,7 @@
   private boolean hasSentFullState;
 
   /** When it last answered that this node is not on its membership list. */
-  private long unknownThereAtMillis = Long.MIN_VALUE / 2;
+  private long rejectedByPeerAtMillis = Long.MIN_VALUE / 2;
 
   private final Set<SumKey> changed = new LinkedHashSet<>();
   private int nextShard;
@@ -63,12 +63,12 @@
     hasSentFullState = true;
   }
 
-  void onUnknownThere(long nowMillis) {
-    unknownThereAtMillis = nowMillis;
+  void onNotOnPeersList(long nowMillis) {
+    rejectedByPeerAtMillis = nowMillis;
   }
 
-  boolean isUnknownThere(long nowMillis, long timeoutMillis) {
-    return nowMillis - unknownThereAtMillis <= timeoutMillis;
+  boolean isNotOnPeersList(long nowMillis, long timeoutMillis) {
+    return nowMillis - rejectedByPeerAtMillis <= timeoutMillis;
   }
 
   /**
--- a/src/main/java/fawndock/counter/replication/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -16,7 +16,8 @@
  */
 public final class ReplicaNode {
   /**
-   * After so many solo-start timeouts without a sum from a peer, a node starts alone regardless.
+   * A node that gets no sum from any peer for this many solo-start timeouts becomes ready without
+   * them.
    */
   private static final int MAX_CATCH_UP_TIMEOUTS = 10;
 
@@ -236,8 +237,8 @@
   }
 
   /** A peer answered that this node is not on its membership list. */
-  public void onUnknownToPeer(String peer, long nowMillis) {
-    peers.get(peer).onUnknownThere(nowMillis);
+  public void onNotOnPeersList(String peer, long nowMillis) {
+    peers.get(peer).onNotOnPeersList(nowMillis);
   }
 
   /** A peer has sent all that it had when it began to; nothing when it is off the list. */
@@ -285,7 +286,7 @@
    */
   private boolean isUnknownToAnyPeer(long nowMillis) {
     return peers.values().stream()
-        .anyMatch(peer -> peer.isUnknownThere(nowMillis, timeouts.soloStartTimeoutMillis()));
+        .anyMatch(peer -> peer.isNotOnPeersList(nowMillis, timeouts.soloStartTimeoutMillis()));
   }
 
   /**
--- a/src/main/java/fawndock/counter/storage/LogFormat.java
+++ b/src/main/java/fawndock/counter/storage/LogFormat.java
@@ -7,8 +7,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of log and snapshots on disk; users' files of every version have them. Numbers are
- * big-endian.
+ * On-disk format of log segments and snapshots. Existing files depend on it: do not change it
+ * without raising the version. Numbers are big-endian.
  *
  * <table>
  *   <caption>A file: a header, then records without gaps</caption>
--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -20,22 +20,23 @@
 public record Experiment(
     String title,
     Path scenario,
-    List<Vary> varied,
+    List<VariedVariable> varied,
     List<Map<String, List<String>>> skipped,
     List<Long> seeds,
     List<String> shown,
-    List<Expect> expected,
-    Vary compare,
+    List<Expectation> expected,
+    VariedVariable compare,
     String axis) {
   /** A variable and the values that it takes in turns. */
-  public record Vary(String name, List<String> values) {}
+  public record VariedVariable(String name, List<String> values) {}
 
   /**
    * A bound on a figure, in each cell that has one of the values given.
    *
    * @param most whether the bound is the most; else the least
    */
-  public record Expect(String figure, boolean most, double bound, Map<String, List<String>> when) {
+  public record Expectation(
+      String figure, boolean most, double bound, Map<String, List<String>> when) {
     /** Whether a value is within the bound. */
     public boolean holds(double value) {
       return most ? value <= bound : value >= bound;
@@ -65,7 +66,7 @@
   /** All combinations that are not skipped. */
   public List<Map<String, String>> cells() {
     List<Map<String, String>> all = new ArrayList<>(List.of(Map.of()));
-    for (Vary vary : varied) {
+    for (VariedVariable vary : varied) {
       List<Map<String, String>> longer = new ArrayList<>();
       for (Map<String, String> each : all) {
         for (String value : vary.values()) {
@@ -92,8 +93,8 @@
    * Outcomes in the order of the runs, and others after them. Of several for the same values and
    * seed, by other settings or builds, those that were added last.
    */
-  public List<Outcome> inOrder(List<Outcome> all) {
-    Map<Run, Outcome> last = new LinkedHashMap<>();
+  public List<RunResult> inOrder(List<RunResult> all) {
+    Map<Run, RunResult> last = new LinkedHashMap<>();
     runs().forEach(run -> last.put(run, null));
     all.forEach(o -> last.put(new Run(o.values(), o.seed()), o));
     return last.values().stream().filter(Objects::nonNull).toList();
--- a/src/main/java/fawndock/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -1,7 +1,7 @@
 package fawndock.experiment;
 
-import fawndock.experiment.Experiment.Expect;
-import fawndock.experiment.Experiment.Vary;
+import fawndock.experiment.Experiment.Expectation;
+import fawndock.experiment.Experiment.VariedVariable;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.ConfigurationFile;
 import fawndock.settings.ConfigurationLine;
@@ -17,14 +17,14 @@
 /** Reads an experiment; what each keyword means is in docs/operations/experiment.md. */
 public final class ExperimentFile extends ConfigurationFile {
   private static final int MOST_RUNS = 100_000;
-  private final List<Vary> varied = new ArrayList<>();
+  private final List<VariedVariable> varied = new ArrayList<>();
   private final List<Map<String, List<String>>> skipped = new ArrayList<>();
-  private final List<Expect> expected = new ArrayList<>();
+  private final List<Expectation> expected = new ArrayList<>();
   private List<Long> seeds = List.of(1L, 2L, 3L, 4L, 5L);
   private List<String> shown = List.of("use", "kept", "good-a-try", "p99-ms", "calls-a-try");
   private String title = "";
   private Path scenario;
-  private Vary compare;
+  private VariedVariable compare;
   private String axis = "";
 
   private ExperimentFile(Path file) {
@@ -42,8 +42,8 @@
         "vary",
         line -> {
           if (needs(line, 2, Integer.MAX_VALUE, "vary NAME VALUE VALUE ...")) {
-            Vary vary =
-                new Vary(
+            VariedVariable vary =
+                new VariedVariable(
                     line.words().get(1), List.copyOf(line.words().subList(2, line.words().size())));
             if (Set.copyOf(vary.values()).size() < vary.values().size()) {
               addError(line, "a value of " + vary.name() + " is given twice", "each value once");
@@ -74,7 +74,7 @@
         "compare",
         line -> {
           if (needs(line, 2, 2, "compare NAME VALUE")) {
-            compare = new Vary(line.words().get(1), List.of(line.words().get(2)));
+            compare = new VariedVariable(line.words().get(1), List.of(line.words().get(2)));
             checkLater(line, compare.name(), compare.values());
           }
         });
@@ -167,7 +167,7 @@
       return;
     }
     expected.add(
-        new Expect(
+        new Expectation(
             words.get(1), words.get(2).equals("at-most"), bound, when ? pairs(line, 5) : Map.of()));
   }
 
@@ -190,7 +190,7 @@
     f.readLines(file);
     f.addFileErrorIf(f.scenario == null, "no scenario", "scenario FILE");
     long runs = f.seeds.size();
-    for (Vary vary : f.varied) {
+    for (VariedVariable vary : f.varied) {
       runs = Math.min(Integer.MAX_VALUE, runs * vary.values().size());
     }
     f.addFileErrorIf(runs > MOST_RUNS, "more than " + MOST_RUNS + " runs", "fewer values or seeds");
--- a/src/main/java/fawndock/experiment/Runner.java
+++ b/src/main/java/fawndock/experiment/ExperimentRunner.java
@@ -23,8 +23,8 @@
  * Runs what an experiment asks for and its results do not have yet, on several threads; each run is
  * on one.
  */
-public final class Runner {
-  private final List<Planned> planned = new ArrayList<>();
+public final class ExperimentRunner {
+  private final List<PlannedRun> planned = new ArrayList<>();
   private final Function<PolicyConfig, GatewayPolicy> maker;
   private final String build;
 
@@ -34,7 +34,8 @@
    * @param build that tells results of other decisions apart
    * @throws ConfigurationException when the scenario has mistakes
    */
-  public Runner(Experiment experiment, Function<PolicyConfig, GatewayPolicy> maker, String build)
+  public ExperimentRunner(
+      Experiment experiment, Function<PolicyConfig, GatewayPolicy> maker, String build)
       throws ConfigurationException {
     this.maker = maker;
     this.build = build;
@@ -45,18 +46,18 @@
     for (Run run : experiment.runs()) {
       DeploymentFile.ParsedDeployment read = scenarios.get(run.values());
       planned.add(
-          new Planned(
+          new PlannedRun(
               Build.hash(read.effectiveSettings(), Long.toString(run.seed()), build), run, read));
     }
   }
 
-  private record Planned(String key, Run run, DeploymentFile.ParsedDeployment read) {}
+  private record PlannedRun(String key, Run run, DeploymentFile.ParsedDeployment read) {}
 
   /** How many runs are still to be done. */
-  public int left(Results results) {
+  public int left(ResultStore results) {
     return (int)
         planned.stream()
-            .map(Planned::key)
+            .map(PlannedRun::key)
             .distinct()
             .filter(key -> !results.outcomes().containsKey(key))
             .count();
@@ -68,9 +69,9 @@
    * @param progress told how many runs have been done
    * @return the outcomes of all runs, in the experiment's order, whichever ended first
    */
-  public List<Outcome> run(Results results, int jobs, IntConsumer progress)
+  public List<RunResult> run(ResultStore results, int jobs, IntConsumer progress)
       throws IOException, InterruptedException {
-    Map<String, Planned> left = new LinkedHashMap<>();
+    Map<String, PlannedRun> left = new LinkedHashMap<>();
     planned.stream()
         .filter(p -> !results.outcomes().containsKey(p.key))
         .forEach(p -> left.putIfAbsent(p.key, p));
@@ -83,7 +84,7 @@
               return thread;
             });
     try {
-      ExecutorCompletionService<Outcome> done = new ExecutorCompletionService<>(pool);
+      ExecutorCompletionService<RunResult> done = new ExecutorCompletionService<>(pool);
       left.values().forEach(p -> done.submit(() -> outcome(p)));
       for (int i = 0; i < left.size(); i++) {
         results.add(done.take().get());
@@ -94,12 +95,12 @@
     } finally {
       pool.shutdownNow();
     }
-    List<Outcome> inOrder = new ArrayList<>();
-    for (Planned p :
+    List<RunResult> inOrder = new ArrayList<>();
+    for (PlannedRun p :
         planned) { // A cell may be the same run as another: it has its own values all the same.
-      Outcome o = results.outcomes().get(p.key);
+      RunResult o = results.outcomes().get(p.key);
       inOrder.add(
-          new Outcome(
+          new RunResult(
               o.key(),
               p.run.values(),
               o.seed(),
@@ -113,7 +114,7 @@
     return inOrder;
   }
 
-  private Outcome outcome(Planned p) {
+  private RunResult outcome(PlannedRun p) {
     SimulationResult result = p.read.withSeed(p.run.seed()).createSimulation(maker).run();
     Map<String, double[]> series = new LinkedHashMap<>();
     result
@@ -126,7 +127,7 @@
               }
               series.put(name, short3);
             });
-    return new Outcome(
+    return new RunResult(
         p.key,
         p.run.values(),
         p.run.seed(),
--- a/src/main/java/fawndock/experiment/Results.java
+++ b/src/main/java/fawndock/experiment/ResultStore.java
@@ -26,17 +26,17 @@
  * before the run counts as done. A line that was cut off by a stop is taken off when the folder is
  * opened again. One process at a time.
  */
-public final class Results implements AutoCloseable {
+public final class ResultStore implements AutoCloseable {
   /** The experiment as it was run last, in the same folder. */
   public static final String EXPERIMENT = "experiment.conf";
 
   private static final String LINES = "results.jsonl";
   private static final ObjectMapper JSON = new ObjectMapper();
-  private final Map<String, Outcome> outcomes = new LinkedHashMap<>();
+  private final Map<String, RunResult> outcomes = new LinkedHashMap<>();
   private final FileChannel channel;
   private final FileLock lock;
 
-  private Results(FileChannel channel, FileLock lock) {
+  private ResultStore(FileChannel channel, FileLock lock) {
     this.channel = channel;
     this.lock = lock;
   }
@@ -46,7 +46,7 @@
    *
    * @throws IOException when another process has it open, or a line in it is damaged
    */
-  public static Results open(Path folder) throws IOException {
+  public static ResultStore open(Path folder) throws IOException {
     Files.createDirectories(folder);
     Path file = folder.resolve(LINES);
     FileChannel channel =
@@ -57,7 +57,7 @@
       if (lock == null) {
         throw new IOException(file + " is in use by another process");
       }
-      Results results = new Results(channel, lock);
+      ResultStore results = new ResultStore(channel, lock);
       long whole = read(Files.readAllBytes(file), file, results.outcomes);
       channel.truncate(whole);
       channel.position(whole);
@@ -72,27 +72,28 @@
   }
 
   /** Reads what is in a folder, without the last line when it is cut off. */
-  public static List<Outcome> read(Path folder) throws IOException {
+  public static List<RunResult> read(Path folder) throws IOException {
     Path file = folder.resolve(LINES);
     if (!Files.isRegularFile(file)) {
       throw new IOException(file + ": no results there, expected what 'fawndock experiment' wrote");
     }
-    Map<String, Outcome> all = new LinkedHashMap<>();
+    Map<String, RunResult> all = new LinkedHashMap<>();
     read(Files.readAllBytes(file), file, all);
     return List.copyOf(all.values());
   }
 
   /** Returns where the last whole line ends. */
-  private static long read(byte[] bytes, Path file, Map<String, Outcome> into) throws IOException {
+  private static long read(byte[] bytes, Path file, Map<String, RunResult> into)
+      throws IOException {
     int begin = 0;
     int number = 0;
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == '\n') {
         number++;
         try {
-          Outcome each =
+          RunResult each =
               JSON.readValue(
-                  new String(bytes, begin, i - begin, StandardCharsets.UTF_8), Outcome.class);
+                  new String(bytes, begin, i - begin, StandardCharsets.UTF_8), RunResult.class);
           into.putIfAbsent(each.key(), each);
         } catch (JsonProcessingException e) {
           throw new IOException(
@@ -111,12 +112,12 @@
   }
 
   /** What is there, by its key. */
-  public Map<String, Outcome> outcomes() {
+  public Map<String, RunResult> outcomes() {
     return outcomes;
   }
 
   /** Adds a run, which is on the disk when this returns. */
-  public void add(Outcome outcome) throws IOException {
+  public void add(RunResult outcome) throws IOException {
     ByteBuffer line =
         ByteBuffer.wrap((JSON.writeValueAsString(outcome) + "\n").getBytes(StandardCharsets.UTF_8));
     while (line.hasRemaining()) {
@@ -127,7 +128,7 @@
   }
 
   /** Writes the figures of some runs as CSV, a row for each; the file is put in its place whole. */
-  public static void csv(Path file, List<Outcome> outcomes) throws IOException {
+  public static void csv(Path file, List<RunResult> outcomes) throws IOException {
     Set<String> values = new LinkedHashSet<>();
     Set<String> figures = new LinkedHashSet<>();
     outcomes.forEach(
@@ -140,7 +141,7 @@
     schema.addColumn("seed");
     figures.forEach(schema::addColumn);
     List<Map<String, Object>> rows = new ArrayList<>();
-    for (Outcome each : outcomes) {
+    for (RunResult each : outcomes) {
       Map<String, Object> row = new LinkedHashMap<>(each.values());
       row.put("seed", each.seed());
       row.putAll(each.figures());
--- a/src/main/java/fawndock/experiment/Cells.java
+++ b/src/main/java/fawndock/experiment/ResultTable.java
@@ -1,7 +1,7 @@
 package fawndock.experiment;
 
-import fawndock.benchmark.Median;
-import fawndock.experiment.Experiment.Expect;
+import fawndock.benchmark.MedianStatistics;
+import fawndock.experiment.Experiment.Expectation;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -11,11 +11,11 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /** Results put together: over seeds, against expectations, and seed by seed against each other. */
-public final class Cells {
+public final class ResultTable {
   private static final double CONFIDENCE = 0.95;
 
   /** A figure over the seeds of one cell. */
-  public record Spread(double median, double least, double most, int seeds) {}
+  public record SeedSpread(double median, double least, double most, int seeds) {}
 
   /**
    * The mean of the differences between two cells, seed by seed, and the 95% confidence interval of
@@ -29,8 +29,8 @@
   }
 
   /** An expectation in the cell where it held worst. */
-  public record Judged(
-      Expect expect,
+  public record ExpectationResult(
+      Expectation expect,
       boolean kept,
       double worst,
       Map<String, String> where,
@@ -38,17 +38,17 @@
       int cells,
       int broken) {}
 
-  private Cells() {}
+  private ResultTable() {}
 
   /** Outcomes by their values, in the order in which they come. */
-  public static Map<Map<String, String>, List<Outcome>> by(List<Outcome> all) {
-    Map<Map<String, String>, List<Outcome>> cells = new LinkedHashMap<>();
+  public static Map<Map<String, String>, List<RunResult>> by(List<RunResult> all) {
+    Map<Map<String, String>, List<RunResult>> cells = new LinkedHashMap<>();
     all.forEach(o -> cells.computeIfAbsent(o.values(), v -> new ArrayList<>()).add(o));
     return cells;
   }
 
   /** A figure of one cell's outcomes, or null when none has it. */
-  public static Spread spread(List<Outcome> cell, String figure) {
+  public static SeedSpread spread(List<RunResult> cell, String figure) {
     double[] values =
         cell.stream()
             .map(o -> o.figures().get(figure))
@@ -59,14 +59,15 @@
     if (values.length == 0) {
       return null;
     }
-    return new Spread(Median.of(values), values[0], values[values.length - 1], values.length);
+    return new SeedSpread(
+        MedianStatistics.of(values), values[0], values[values.length - 1], values.length);
   }
 
   /**
    * The differences of a figure between the outcomes of two cells that have the same seed, or null
    * when none have.
    */
-  public static Difference difference(List<Outcome> base, List<Outcome> other, String figure) {
+  public static Difference difference(List<RunResult> base, List<RunResult> other, String figure) {
     Map<Long, Double> bySeed = new TreeMap<>();
     base.stream()
         .filter(o -> o.figures().containsKey(figure))
@@ -103,13 +104,13 @@
    * Each expectation, held against every run that it is meant for; one that is meant for none is
    * not kept.
    */
-  public static List<Judged> judge(List<Expect> expected, List<Outcome> all) {
-    List<Judged> judged = new ArrayList<>();
-    for (Expect expect : expected) {
-      Outcome worst = null;
+  public static List<ExpectationResult> judge(List<Expectation> expected, List<RunResult> all) {
+    List<ExpectationResult> judged = new ArrayList<>();
+    for (Expectation expect : expected) {
+      RunResult worst = null;
       int runs = 0;
       int broken = 0;
-      for (Outcome each : all) {
+      for (RunResult each : all) {
         Double value = each.figures().get(expect.figure());
         if (value == null || !Experiment.matches(each.values(), expect.when())) {
           continue;
@@ -122,7 +123,7 @@
         }
       }
       judged.add(
-          new Judged(
+          new ExpectationResult(
               expect,
               runs > 0 && broken == 0,
               worst == null ? Double.NaN : worst.figures().get(expect.figure()),
--- a/src/main/java/fawndock/experiment/Outcome.java
+++ b/src/main/java/fawndock/experiment/RunResult.java
@@ -15,7 +15,7 @@
  * @param marks when which trouble was
  * @param verdict on the five rules
  */
-public record Outcome(
+public record RunResult(
     String key,
     Map<String, String> values,
     long seed,
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -32,8 +32,8 @@
  */
 public final class GatewayVerticle extends VerticleBase
     implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
-  /** How often the policy's timers are looked at: the least gap between two batches of events. */
-  private static final long TIMER_RESOLUTION_MICROS = 5_000;
+  /** The network round trip that the policy plans its deadline margins with. */
+  private static final long ROUND_TRIP_MICROS = 5_000;
 
   private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 1_000;
   private static final Logger LOG = LoggerFactory.getLogger(GatewayVerticle.class);
@@ -118,7 +118,7 @@
         instanceIndex,
         settings.fleetSize(),
         settings.seed() + instanceIndex,
-        TIMER_RESOLUTION_MICROS,
+        ROUND_TRIP_MICROS,
         settings.zone(),
         settings.discovery().mustWatchEndpoints(),
         settings.classes(),
--- a/src/main/java/fawndock/gateway/LoadReportParser.java
+++ b/src/main/java/fawndock/gateway/LoadReportParser.java
@@ -17,15 +17,12 @@
  */
 final class LoadReportParser {
   static final String HEADER = "endpoint-load-metrics";
-  private static final int LONGEST = 4096;
-  private static final int MOST = 64;
+  private static final int MAX_HEADER_CHARACTERS = 4096;
+  private static final int MAX_FIELDS = 64;
   private static final JsonFactory JSON = new JsonFactory();
   private static final String COST = "request_cost.units";
 
-  /**
-   * What the gatekeeper is told, and the true units of this request when the worker says them, else
-   * 0.
-   */
+  /** The load report, and the units that the backend reports for this request, else 0. */
   record Report(fawndock.policy.event.LoadReport load, double units) {}
 
   static final Report NONE = new Report(fawndock.policy.event.LoadReport.NONE, 0);
@@ -33,7 +30,7 @@
   private LoadReportParser() {}
 
   static Report parse(String header) {
-    if (header == null || header.length() > LONGEST) {
+    if (header == null || header.length() > MAX_HEADER_CHARACTERS) {
       return NONE;
     }
     String text = header.trim();
@@ -74,7 +71,7 @@
   }
 
   private static void pairs(String text, Map<String, Double> raw) {
-    for (String pair : text.split(",", MOST)) {
+    for (String pair : text.split(",", MAX_FIELDS)) {
       int sign = pair.indexOf('=') >= 0 ? pair.indexOf('=') : pair.indexOf(':');
       if (sign > 0) {
         put(pair.substring(0, sign).trim(), pair.substring(sign + 1).trim(), raw);
@@ -85,7 +82,7 @@
   private static void put(String name, String number, Map<String, Double> raw) {
     try {
       double value = Double.parseDouble(number);
-      if (Double.isFinite(value) && raw.size() < MOST) {
+      if (Double.isFinite(value) && raw.size() < MAX_FIELDS) {
         raw.put(name, value);
       }
     } catch (NumberFormatException e) {
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -60,7 +60,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(QuotaService.class);
   private static final int CALLER_COUNT = 64;
-  private static final long TIMER_RESOLUTION_MICROS = 5_000;
+  private static final long ROUND_TRIP_MICROS = 5_000;
 
   /** Units that a refunded request is settled with; the policy takes 0 for units not told. */
   private static final double REFUNDED_UNITS = 1e-9;
@@ -108,7 +108,7 @@
         instanceIndex,
         settings.fleetSize(),
         settings.seed() + instanceIndex,
-        TIMER_RESOLUTION_MICROS,
+        ROUND_TRIP_MICROS,
         "",
         false,
         settings.classes(),
--- a/src/main/java/fawndock/loadgen/Arrivals.java
+++ b/src/main/java/fawndock/loadgen/ArrivalProcess.java
@@ -6,12 +6,12 @@
  * When the requests of one flow are meant to start, drawn ahead of time and whatever becomes of
  * them. The same seed draws the same times.
  */
-public final class Arrivals {
+public final class ArrivalProcess {
   /** Seconds in which a rate is taken for constant: finer than a person would describe a load. */
   private static final double STEP = 0.001;
 
   private final double rate;
-  private final Shape shape;
+  private final RateShape shape;
   private final boolean even;
   private final double end;
   private final SplittableRandom random;
@@ -26,7 +26,8 @@
    * @param even equal gaps at a constant rate; else Poisson
    * @param end in seconds, from which on there are none
    */
-  public Arrivals(double rate, Shape shape, boolean even, double end, SplittableRandom random) {
+  public ArrivalProcess(
+      double rate, RateShape shape, boolean even, double end, SplittableRandom random) {
     this.rate = rate;
     this.shape = shape;
     this.even = even;
--- a/src/main/java/fawndock/loadgen/Manners.java
+++ b/src/main/java/fawndock/loadgen/ClientBehavior.java
@@ -9,7 +9,7 @@
  * @param tries of one request at most, from 1
  * @param heedsRetryAfter whether it waits at least as long as the answer says
  */
-public record Manners(
+public record ClientBehavior(
     long giveUpMicros, Retry retry, long waitMicros, int tries, boolean heedsRetryAfter) {
   /** Whether and when a client tries again. */
   public enum Retry {
--- a/src/main/java/fawndock/loadgen/Customers.java
+++ b/src/main/java/fawndock/loadgen/CustomerSelector.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** Which customer a request of a flow is of: by Zipf's law, of which even shares are a case. */
-public final class Customers {
+public final class CustomerSelector {
   private final double[] upTo;
 
   /**
@@ -13,7 +13,7 @@
    * @param skew exponent of Zipf's law, from 0 for even shares; at 1 the second has half of the
    *     first's share
    */
-  public Customers(int count, double skew) {
+  public CustomerSelector(int count, double skew) {
     upTo = new double[count];
     double all = 0;
     for (int i = 0; i < count; i++) {
--- a/src/main/java/fawndock/loadgen/Tally.java
+++ b/src/main/java/fawndock/loadgen/FlowStatistics.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What became of one flow's requests. On one thread. */
-public final class Tally {
+public final class FlowStatistics {
   /** Longest latency that is told apart, in microseconds: an hour. */
   private static final long LONGEST = 3_600_000_000L;
 
--- a/src/main/java/fawndock/loadgen/HdrLog.java
+++ b/src/main/java/fawndock/loadgen/HistogramLog.java
@@ -12,14 +12,14 @@
  * An HdrHistogram interval log of all flows, each under its name as the tag; latencies in
  * microseconds.
  */
-public final class HdrLog implements AutoCloseable {
+public final class HistogramLog implements AutoCloseable {
   private final List<String> names;
   private final PrintStream out;
   private final HistogramLogWriter writer;
   private long from = System.currentTimeMillis();
 
   /** Begins the log, in the place of what is in the file. */
-  public HdrLog(Path file, List<String> names) throws IOException {
+  public HistogramLog(Path file, List<String> names) throws IOException {
     this.names = names;
     out = new PrintStream(file.toFile(), StandardCharsets.UTF_8);
     writer = new HistogramLogWriter(out);
@@ -30,7 +30,7 @@
   }
 
   /** Writes what the interval that ends now holds. */
-  public void interval(List<Tally> tallies) {
+  public void interval(List<FlowStatistics> tallies) {
     long now = System.currentTimeMillis();
     for (int i = 0; i < tallies.size(); i++) {
       Histogram of = tallies.get(i).interval;
--- a/src/main/java/fawndock/loadgen/Words.java
+++ b/src/main/java/fawndock/loadgen/LoadArguments.java
@@ -3,16 +3,16 @@
 import fawndock.settings.LineArguments;
 
 /** What load files and deployment files say alike: shapes and manners. */
-public final class Words {
+public final class LoadArguments {
   private static final long MILLI = 1_000;
   private static final long SECOND = 1_000_000;
   private static final long DAY = 86_400 * SECOND;
   private static final double FOREVER = Double.POSITIVE_INFINITY;
 
-  private Words() {}
+  private LoadArguments() {}
 
   /** Reads how a rate goes over time. */
-  public static Shape shape(LineArguments a) {
+  public static RateShape shape(LineArguments a) {
     String shape = word(a, "shape", "constant", "constant|wave|jump|on-off");
     double from = a.micros("from", 0, DAY, 0) / (double) SECOND;
     long until = a.micros("until", 0, DAY, -1);
@@ -22,19 +22,20 @@
     double on = a.micros("on", MILLI, DAY, SECOND) / (double) SECOND;
     double off = a.micros("off", MILLI, DAY, SECOND) / (double) SECOND;
     return switch (shape) {
-      case "wave" -> new Shape.Wave(period, depth);
-      case "jump" -> new Shape.Jump(from, until < 0 ? FOREVER : until / (double) SECOND, times);
-      case "on-off" -> new Shape.OnOff(on, off);
-      default -> new Shape.Constant();
+      case "wave" -> new RateShape.SineWave(period, depth);
+      case "jump" ->
+          new RateShape.TemporaryStep(from, until < 0 ? FOREVER : until / (double) SECOND, times);
+      case "on-off" -> new RateShape.OnOff(on, off);
+      default -> new RateShape.Constant();
     };
   }
 
   /** Reads what clients do. */
-  public static Manners manners(LineArguments a) {
+  public static ClientBehavior manners(LineArguments a) {
     String retry = word(a, "retry", "none", "none|at-once|after");
-    return new Manners(
+    return new ClientBehavior(
         a.micros("give-up", MILLI, DAY, 10 * SECOND),
-        Manners.Retry.valueOf(retry.replace('-', '_').toUpperCase(java.util.Locale.ROOT)),
+        ClientBehavior.Retry.valueOf(retry.replace('-', '_').toUpperCase(java.util.Locale.ROOT)),
         a.micros("wait", MILLI, DAY, SECOND),
         a.integer("tries", 1, 100, 3),
         a.flag("retry-after", false));
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -1,8 +1,8 @@
 package fawndock.loadgen;
 
 import fawndock.loadgen.LoadPlan.Flow;
-import fawndock.loadgen.LoadPlan.Played;
 import fawndock.loadgen.LoadPlan.Request;
+import fawndock.loadgen.LoadPlan.TraceReplay;
 import fawndock.settings.Address;
 import fawndock.settings.ConfigurationException;
 import fawndock.settings.ConfigurationFile;
@@ -20,7 +20,7 @@
   private static final long DAY = 86_400 * SECOND;
   private final List<Address> targets = new ArrayList<>();
   private final List<Flow> flows = new ArrayList<>();
-  private final List<Played> traces = new ArrayList<>();
+  private final List<TraceReplay> traces = new ArrayList<>();
   private boolean http2;
   private double seconds = 10;
   private long seed = 1;
@@ -76,8 +76,8 @@
           "flow " + a.positional(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
           "rate or clients");
     }
-    boolean even = Words.word(a, "arrivals", "poisson", "poisson|even").equals("even");
-    Shape shape = Words.shape(a);
+    boolean even = LoadArguments.word(a, "arrivals", "poisson", "poisson|even").equals("even");
+    RateShape shape = LoadArguments.shape(a);
     int customers = a.integer("customers", 1, 1_000_000, 1);
     double skew = a.number("skew", 0, 10, 0);
     flows.add(
@@ -101,7 +101,7 @@
     if (a.isValid() && !java.nio.file.Files.isReadable(from)) {
       a.addError("no trace " + from, "a file that can be read");
     }
-    traces.add(new Played(request(a, method, path), from, speed));
+    traces.add(new TraceReplay(request(a, method, path), from, speed));
     a.rejectUnknown();
   }
 
@@ -118,7 +118,7 @@
         path,
         a.word("key", ""),
         a.integer("body", 0, 16 << 20, 0),
-        Words.manners(a));
+        LoadArguments.manners(a));
   }
 
   /**
--- a/src/main/java/fawndock/loadgen/Generator.java
+++ b/src/main/java/fawndock/loadgen/LoadGenerator.java
@@ -2,7 +2,7 @@
 
 import fawndock.loadgen.LoadPlan.Flow;
 import fawndock.loadgen.LoadPlan.Request;
-import fawndock.loadgen.Sources.Due;
+import fawndock.loadgen.RequestSchedule.ScheduledRequest;
 import fawndock.settings.Address;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -25,7 +25,7 @@
  * most the plan's number of requests is out, and what is due beyond it is counted as not sent,
  * which makes the run unusable.
  */
-public final class Generator {
+public final class LoadGenerator {
   /** How it goes, told at each interval and at the end. */
   public record Progress(
       double seconds, long due, long good, long other, int out, long p50Micros, long p99Micros) {}
@@ -36,12 +36,12 @@
   private static final long WARM_MILLIS = 5_000;
   private final Vertx vertx;
   private final LoadPlan plan;
-  private final Sources sources;
-  private final List<Tally> tallies = new ArrayList<>();
+  private final RequestSchedule sources;
+  private final List<FlowStatistics> tallies = new ArrayList<>();
   private final List<HttpClient> clients = new ArrayList<>();
   private final Consumer<Progress> progress;
-  private final Consumer<List<Tally>> interval;
-  private final CompletableFuture<List<Tally>> done = new CompletableFuture<>();
+  private final Consumer<List<FlowStatistics>> interval;
+  private final CompletableFuture<List<FlowStatistics>> done = new CompletableFuture<>();
   private final SplittableRandom random;
   private long begin;
   private double nextInterval;
@@ -56,20 +56,20 @@
    * @param traces read, in the order of the plan's
    * @param interval told at each interval, before what the tallies hold of it is cleared
    */
-  public Generator(
+  public LoadGenerator(
       Vertx vertx,
       LoadPlan plan,
-      List<Trace.Read> traces,
+      List<RequestTrace.Read> traces,
       Consumer<Progress> progress,
-      Consumer<List<Tally>> interval) {
+      Consumer<List<FlowStatistics>> interval) {
     this.vertx = vertx;
     this.plan = plan;
     this.progress = progress;
     this.interval = interval;
-    sources = new Sources(plan, traces);
+    sources = new RequestSchedule(plan, traces);
     random = new SplittableRandom(plan.seed());
-    plan.flows().forEach(flow -> tallies.add(new Tally()));
-    plan.traces().forEach(trace -> tallies.add(new Tally()));
+    plan.flows().forEach(flow -> tallies.add(new FlowStatistics()));
+    plan.traces().forEach(trace -> tallies.add(new FlowStatistics()));
     for (int i = 0; i < plan.targets().size(); i++) {
       clients.add(
           vertx.createHttpClient(
@@ -90,7 +90,7 @@
    * Runs; completes when the last request has ended, with a tally for each flow and trace of the
    * plan.
    */
-  public CompletableFuture<List<Tally>> run() {
+  public CompletableFuture<List<FlowStatistics>> run() {
     vertx.runOnContext(
         v ->
             warmUp(
@@ -99,7 +99,8 @@
                   nextInterval = plan.intervalSeconds();
                   for (int i = 0; i < plan.flows().size(); i++) {
                     Flow flow = plan.flows().get(i);
-                    Customers customers = new Customers(flow.customers(), flow.skew());
+                    CustomerSelector customers =
+                        new CustomerSelector(flow.customers(), flow.skew());
                     for (int client = 0; client < flow.closed(); client++) {
                       closed(flow, i, customers);
                     }
@@ -163,7 +164,9 @@
 
   private void tick() {
     long now = now();
-    for (Due due = stopped ? null : sources.next(now); due != null; due = sources.next(now)) {
+    for (ScheduledRequest due = stopped ? null : sources.next(now);
+        due != null;
+        due = sources.next(now)) {
       begin(due, due.atMicros(), 1, () -> {});
     }
     boolean over = stopped || (sources.done() && now >= plan.seconds() * 1e6);
@@ -185,7 +188,7 @@
     long good = 0;
     long other = 0;
     org.HdrHistogram.Histogram all = tallies.get(0).interval.copy();
-    for (Tally each : tallies) {
+    for (FlowStatistics each : tallies) {
       due += each.due;
       good += each.good();
       other += each.latency.getTotalCount() - each.good();
@@ -207,22 +210,23 @@
   }
 
   /** One client that asks again whenever it has its answer. */
-  private void closed(Flow flow, int place, Customers customers) {
+  private void closed(Flow flow, int place, CustomerSelector customers) {
     if (stopped || now() >= plan.seconds() * 1e6) {
       return;
     }
     Request r = flow.request();
     long now = now();
     begin(
-        new Due(now, place, r, r.method(), r.path(), Sources.key(flow, customers.draw(random))),
+        new ScheduledRequest(
+            now, place, r, r.method(), r.path(), RequestSchedule.key(flow, customers.draw(random))),
         now,
         1,
         () -> vertx.runOnContext(v -> closed(flow, place, customers)));
   }
 
   /** Begins one try of a request that was meant to begin at a time. */
-  private void begin(Due due, long intended, int tried, Runnable ended) {
-    Tally tally = tallies.get(due.flow());
+  private void begin(ScheduledRequest due, long intended, int tried, Runnable ended) {
+    FlowStatistics tally = tallies.get(due.flow());
     tally.due++;
     tally.retries += tried > 1 ? 1 : 0;
     if (out >= plan.outstanding()) {
@@ -234,20 +238,21 @@
       tally.late++;
     }
     out++;
-    new Try(due, intended, tried, ended, tally).send();
+    new LoadAttempt(due, intended, tried, ended, tally).send();
   }
 
-  private final class Try {
-    private final Due due;
+  private final class LoadAttempt {
+    private final ScheduledRequest due;
     private final long intended;
     private final int tried;
     private final Runnable ended;
-    private final Tally tally;
+    private final FlowStatistics tally;
     private long sentAt;
     private HttpClientRequest request;
     private boolean over;
 
-    Try(Due due, long intended, int tried, Runnable ended, Tally tally) {
+    LoadAttempt(
+        ScheduledRequest due, long intended, int tried, Runnable ended, FlowStatistics tally) {
       this.due = due;
       this.intended = intended;
       this.tried = tried;
--- a/src/main/java/fawndock/loadgen/LoadPlan.java
+++ b/src/main/java/fawndock/loadgen/LoadPlan.java
@@ -29,10 +29,10 @@
     long slackMicros,
     double intervalSeconds,
     List<Flow> flows,
-    List<Played> traces) {
+    List<TraceReplay> traces) {
   /** What the requests of a flow or a trace have in common. */
   public record Request(
-      String name, String method, String path, String key, int bodyBytes, Manners manners) {}
+      String name, String method, String path, String key, int bodyBytes, ClientBehavior manners) {}
 
   /**
    * Requests that are drawn.
@@ -46,7 +46,7 @@
   public record Flow(
       Request request,
       double rate,
-      Shape shape,
+      RateShape shape,
       boolean even,
       int closed,
       int customers,
@@ -57,5 +57,5 @@
    *
    * @param speed at which they are played, 1 for as they were
    */
-  public record Played(Request request, Path file, double speed) {}
+  public record TraceReplay(Request request, Path file, double speed) {}
 }
--- a/src/main/java/fawndock/loadgen/Shape.java
+++ b/src/main/java/fawndock/loadgen/RateShape.java
@@ -4,12 +4,12 @@
  * How a flow's rate goes over time, as a factor on its rate; times in seconds from the start of the
  * run.
  */
-public sealed interface Shape {
+public sealed interface RateShape {
   /** The factor at a time, from 0. */
   double at(double seconds);
 
   /** The same rate all along. */
-  record Constant() implements Shape {
+  record Constant() implements RateShape {
     @Override
     public double at(double seconds) {
       return 1;
@@ -22,7 +22,7 @@
    * @param period seconds, above 0
    * @param depth of the rate, 0 to 1
    */
-  record Wave(double period, double depth) implements Shape {
+  record SineWave(double period, double depth) implements RateShape {
     @Override
     public double at(double seconds) {
       return 1 + depth * Math.sin(2 * Math.PI * seconds / period);
@@ -36,7 +36,7 @@
    * @param until seconds; infinite for never
    * @param times the rate
    */
-  record Jump(double from, double until, double times) implements Shape {
+  record TemporaryStep(double from, double until, double times) implements RateShape {
     @Override
     public double at(double seconds) {
       return seconds >= from && seconds < until ? times : 1;
@@ -49,7 +49,7 @@
    * @param on seconds of each burst, above 0
    * @param off seconds between two
    */
-  record OnOff(double on, double off) implements Shape {
+  record OnOff(double on, double off) implements RateShape {
     @Override
     public double at(double seconds) {
       return seconds % (on + off) < on ? 1 : 0;
--- a/src/main/java/fawndock/loadgen/Sources.java
+++ b/src/main/java/fawndock/loadgen/RequestSchedule.java
@@ -1,8 +1,8 @@
 package fawndock.loadgen;
 
 import fawndock.loadgen.LoadPlan.Flow;
-import fawndock.loadgen.LoadPlan.Played;
 import fawndock.loadgen.LoadPlan.Request;
+import fawndock.loadgen.LoadPlan.TraceReplay;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -12,22 +12,23 @@
  * All that is due, of all flows and traces, in the order of its times; those of the same time in
  * the order of the file.
  */
-final class Sources {
+final class RequestSchedule {
   /**
    * A request that is due.
    *
    * @param atMicros from the start of the run
    * @param flow its place in the file, flows first
    */
-  record Due(long atMicros, int flow, Request request, String method, String path, String key) {}
+  record ScheduledRequest(
+      long atMicros, int flow, Request request, String method, String path, String key) {}
 
-  private interface Source {
-    Due next();
+  private interface RequestSource {
+    ScheduledRequest next();
   }
 
-  private record Head(Due due, Source from) {}
+  private record NextRequest(ScheduledRequest due, RequestSource from) {}
 
-  private final PriorityQueue<Head> heads =
+  private final PriorityQueue<NextRequest> heads =
       new PriorityQueue<>(
           (a, b) ->
               a.due.atMicros != b.due.atMicros
@@ -37,8 +38,8 @@
   /**
    * @param traces read, in the order of the plan's
    */
-  Sources(LoadPlan plan, List<Trace.Read> traces) {
-    List<Source> all = new ArrayList<>();
+  RequestSchedule(LoadPlan plan, List<RequestTrace.Read> traces) {
+    List<RequestSource> all = new ArrayList<>();
     for (int i = 0; i < plan.flows().size(); i++) {
       Flow flow = plan.flows().get(i);
       if (flow.closed() == 0) {
@@ -51,16 +52,18 @@
     all.forEach(this::refill);
   }
 
-  private static Source drawn(Flow flow, int place, double seconds, SplittableRandom random) {
-    Arrivals arrivals =
-        new Arrivals(flow.rate(), flow.shape(), flow.even(), seconds, random.split());
-    Customers customers = new Customers(flow.customers(), flow.skew());
+  private static RequestSource drawn(
+      Flow flow, int place, double seconds, SplittableRandom random) {
+    ArrivalProcess arrivals =
+        new ArrivalProcess(flow.rate(), flow.shape(), flow.even(), seconds, random.split());
+    CustomerSelector customers = new CustomerSelector(flow.customers(), flow.skew());
     Request r = flow.request();
     return () -> {
       long at = arrivals.next();
       return at < 0
           ? null
-          : new Due(at, place, r, r.method(), r.path(), key(flow, customers.draw(random)));
+          : new ScheduledRequest(
+              at, place, r, r.method(), r.path(), key(flow, customers.draw(random)));
     };
   }
 
@@ -69,18 +72,19 @@
     return flow.customers() == 1 ? flow.request().key() : flow.request().key() + customer;
   }
 
-  private static Source played(Played played, Trace.Read read, int place, double seconds) {
+  private static RequestSource played(
+      TraceReplay played, RequestTrace.Read read, int place, double seconds) {
     Request r = played.request();
     int[] next = {0};
     return () -> {
       if (next[0] == read.entries().size()) {
         return null;
       }
-      Trace.Entry e = read.entries().get(next[0]++);
+      RequestTrace.Entry e = read.entries().get(next[0]++);
       long at = (long) (e.atMicros() / played.speed());
       return at >= seconds * 1e6
           ? null
-          : new Due(
+          : new ScheduledRequest(
               at,
               place,
               r,
@@ -90,16 +94,16 @@
     };
   }
 
-  private void refill(Source from) {
-    Due due = from.next();
+  private void refill(RequestSource from) {
+    ScheduledRequest due = from.next();
     if (due != null) {
-      heads.add(new Head(due, from));
+      heads.add(new NextRequest(due, from));
     }
   }
 
   /** The next that is due by a time, or null. */
-  Due next(long untilMicros) {
-    Head head = heads.peek();
+  ScheduledRequest next(long untilMicros) {
+    NextRequest head = heads.peek();
     if (head == null || head.due.atMicros > untilMicros) {
       return null;
     }
--- a/src/main/java/fawndock/loadgen/Trace.java
+++ b/src/main/java/fawndock/loadgen/RequestTrace.java
@@ -24,7 +24,7 @@
  * {@code method}, {@code path} and {@code key}, of which only the first must be there, or a
  * gatekeeper's log in JSON. Bursts stay as they were, to the microsecond.
  */
-public final class Trace {
+public final class RequestTrace {
   /**
    * One request.
    *
@@ -47,7 +47,7 @@
 
   private static final BigDecimal MICROS = BigDecimal.valueOf(1_000_000);
 
-  private Trace() {}
+  private RequestTrace() {}
 
   /**
    * Reads a trace.
--- a/src/main/java/fawndock/loadgen/package-info.java
+++ b/src/main/java/fawndock/loadgen/package-info.java
@@ -1,7 +1,8 @@
 /**
  * The load generator: arrivals that wait for no answer, clients that behave as people describe
- * theirs, and what became of each request counted from when it was meant to start. {@code Shape},
- * {@code Arrivals}, {@code Customers}, {@code Manners} and {@code Trace} decide, free of I/O and
- * clock; {@code Generator} sends. It knows nothing of a gatekeeper.
+ * theirs, and what became of each request counted from when it was meant to start. {@code
+ * RateShape}, {@code ArrivalProcess}, {@code CustomerSelector}, {@code ClientBehavior} and {@code
+ * RequestTrace} decide, free of I/O and clock; {@code LoadGenerator} sends. It knows nothing of a
+ * gatekeeper.
  */
 package fawndock.loadgen;
--- a/src/main/java/fawndock/measurement/Measures.java
+++ b/src/main/java/fawndock/measurement/TraceMetrics.java
@@ -19,7 +19,7 @@
  * Reads a trace once, and tells what became of its requests: figures of the whole run, and series
  * with a value a second.
  */
-public final class Measures {
+public final class TraceMetrics {
   /**
    * What came of a run.
    *
@@ -27,7 +27,7 @@
    * @param series by name, one value for each second
    * @param statuses answers by status; 0 for clients that left, -1 for connections that broke
    */
-  public record Told(
+  public record Metrics(
       Map<String, Double> figures, Map<String, double[]> series, Map<Integer, Long> statuses) {}
 
   private static final long LONGEST = 3_600_000_000L;
@@ -56,7 +56,7 @@
   private final List<Histogram> bySecond = new ArrayList<>();
   private final long begin;
 
-  private Measures(
+  private TraceMetrics(
       Map<String, RequestClass> classes, Map<String, Plan> plans, long begin, int seconds) {
     this.classes = classes;
     this.begin = begin;
@@ -76,14 +76,14 @@
    * @param begin of the run, in the trace's microseconds
    * @param length of the run in seconds; what is asked later does not count
    */
-  public static Told of(
+  public static Metrics of(
       List<TraceEvent> trace,
       Map<String, RequestClass> classes,
       Map<String, Plan> plans,
       List<String> groups,
       long begin,
       double length) {
-    Measures m = new Measures(classes, plans, begin, Math.max(1, (int) Math.ceil(length)));
+    TraceMetrics m = new TraceMetrics(classes, plans, begin, Math.max(1, (int) Math.ceil(length)));
     List<TraceEvent> inOrder = new ArrayList<>(trace);
     inOrder.sort(Comparator.comparingLong(TraceEvent::atMicros));
     inOrder.forEach(m::take);
@@ -167,7 +167,7 @@
     }
   }
 
-  private Told told(List<String> groups) {
+  private Metrics told(List<String> groups) {
     Map<String, Double> figures = new LinkedHashMap<>();
     double all = Math.max(1, asked.size());
     figures.put("requests", (double) asked.size());
@@ -189,7 +189,7 @@
     }
     series.put("p50 ms", percentile(50));
     series.put("p99 ms", percentile(99));
-    return new Told(figures, series, statuses);
+    return new Metrics(figures, series, statuses);
   }
 
   private double[] percentile(double which) {
--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -29,7 +29,7 @@
   // Keys of an endpoint.
   static final String KEY_ID = "name";
   static final String KEY_ZONE = "zone";
-  static final String KEY_GROUP = "group";
+  static final String KEY_CELL = "group";
   static final String KEY_STATE = "status";
   static final String KEY_WEIGHT = "weight";
   static final String KEY_STARTED_AT_MILLIS = "since_ms";
@@ -66,7 +66,7 @@
     return new Endpoint(
         entry.text(KEY_ID),
         entry.textOr(KEY_ZONE, ""),
-        (int) entry.integerOr(KEY_GROUP, 0),
+        (int) entry.integerOr(KEY_CELL, 0),
         state(entry.textOr(KEY_STATE, STATE_RUNNING)),
         entry.numberOr(KEY_WEIGHT, 1),
         entry.integerOr(KEY_STARTED_AT_MILLIS, 0) * 1_000);
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -164,7 +164,10 @@
     return clientListener.listen(config.listen());
   }
 
-  /** Takes the addresses of a new configuration; the policy keeps its state and settings. */
+  /**
+   * Takes the addresses of a new configuration; one without a counter keeps the present one. The
+   * policy keeps its state and settings.
+   */
   void reload(PlatformConfig newConfig) {
     counter.setAddress(newConfig.counter());
     directory.watch(newConfig.discovery());
--- a/src/main/java/fawndock/platform/PlatformProcess.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -31,7 +31,7 @@
   /** Exit code for an unusable configuration. */
   public static final int EXIT_INVALID_CONFIG = 2;
 
-  /** Lets what was written last leave the process. */
+  /** Time for the last writes to reach the network before connections are closed. */
   private static final long FLUSH_MILLIS = 20;
 
   private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -44,7 +44,7 @@
   private final PendingRequestQueue queue;
   private final EndpointRouter router;
   private final RetryPolicy retries;
-  private final RequestCompletion requests;
+  private final RequestTable requests;
 
   /** The policy of one gateway instance. */
   public DefaultGatewayPolicy(PolicyConfig config) {
@@ -60,8 +60,7 @@
     router = new EndpointRouter(context, random, config, idempotency, maxObjectiveMicros);
     retries = new RetryPolicy(config.limits(), idempotency);
     requests =
-        new RequestCompletion(
-            context, queue, quotas, idempotency, config.limits().allowsCancellation());
+        new RequestTable(context, queue, quotas, idempotency, config.limits().allowsCancellation());
   }
 
   @Override
@@ -81,13 +80,13 @@
       onClientDisconnected(e);
     } else if (event instanceof ResponseStarted e) {
       onResponseStarted(e);
-    }
+    } // Health checks and peer messages are not used.
     startAttempts();
     return context.actions();
   }
 
   private void onRequestArrived(RequestArrived arrived) {
-    if (requests.isPending(arrived.requestId())) {
+    if (requests.contains(arrived.requestId())) {
       return;
     }
     PendingRequest request =
@@ -120,14 +119,17 @@
         priority.assign(request);
         queue.add(request);
       }
-      case REJECTED -> requests.reject(request, verdict.retryAfterMicros());
+      case REJECTED -> requests.rejectOrFail(request, verdict.retryAfterMicros());
       case UNDECIDED -> {
         // The counter's reply or the timer brings the verdict.
       }
     }
   }
 
-  /** Sends what waits; a retry that only some endpoints may take is stepped over. */
+  /**
+   * Sends waiting requests in order, until a first attempt finds no endpoint; retries that find
+   * none are skipped, as fewer endpoints may take them.
+   */
   private void startAttempts() {
     PendingRequest request = queue.first();
     while (request != null) {
@@ -165,16 +167,16 @@
       requests.markAnswered(request);
     }
     if (!request.isDone() && request.inFlightAttempts() == 0) {
-      retryOrReject(request);
+      retryOrEnd(request);
     }
     requests.forgetIfEnded(request);
   }
 
-  private void retryOrReject(PendingRequest request) {
+  private void retryOrEnd(PendingRequest request) {
     if (retries.tryRetry(request, context.nowMicros())) {
       queue.add(request);
     } else {
-      requests.reject(request, (long) request.requestClass().meanLatencyMicros());
+      requests.rejectOrFail(request, (long) request.requestClass().meanLatencyMicros());
     }
   }
 
@@ -212,7 +214,7 @@
             && context.nowMicros() >= request.queueTimeoutAtMicros()
             && queue.remove(request);
     if (isTimedOut && request.inFlightAttempts() == 0) {
-      requests.reject(request, (long) request.requestClass().meanLatencyMicros());
+      requests.rejectOrFail(request, (long) request.requestClass().meanLatencyMicros());
     }
   }
 
--- a/src/main/java/fawndock/policy/RequestClassState.java
+++ b/src/main/java/fawndock/policy/RequestClassState.java
@@ -4,11 +4,11 @@
 
 /** A request class and what this instance has learned of it. */
 public final class RequestClassState {
-  private static final double LATENCY_GAIN_RATIO = 0.05 / 4;
+  private static final double LATENCY_GAIN_RATIO = 0.0125;
   private static final double UNITS_GAIN_RATIO = 0.05;
 
-  /** First guess of the mean latency, of the latency objective. */
-  private static final double INITIAL_LATENCY_RATIO = 0.25;
+  /** First guess of the mean latency, as a ratio of the latency objective. */
+  private static final double INITIAL_LATENCY_RATIO = 0.125;
 
   private final RequestClass config;
   private double meanLatencyMicros;
@@ -16,7 +16,7 @@
 
   RequestClassState(RequestClass config) {
     this.config = config;
-    this.meanLatencyMicros = config.latencyObjectiveMicros() * INITIAL_LATENCY_RATIO / 2;
+    this.meanLatencyMicros = config.latencyObjectiveMicros() * INITIAL_LATENCY_RATIO;
   }
 
   /** The class as configured. */
--- a/src/main/java/fawndock/policy/RequestProfiles.java
+++ b/src/main/java/fawndock/policy/RequestProfiles.java
@@ -14,7 +14,7 @@
  * be sent twice, and there is no quota.
  */
 final class RequestProfiles {
-  private static final long DEFAULT_MICROS = 1_000_000;
+  private static final long DEFAULT_DEADLINE_MICROS = 1_000_000;
 
   private final Map<String, RequestClassState> requestClasses = new LinkedHashMap<>();
   private final Map<String, Plan> plans = new LinkedHashMap<>();
@@ -26,12 +26,15 @@
     classes.forEach(each -> requestClasses.put(each.name(), new RequestClassState(each)));
     config.plans().forEach(plan -> plans.put(plan.name(), plan));
     maxDeadlineMicros =
-        classes.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(DEFAULT_MICROS);
+        classes.stream()
+            .mapToLong(RequestClass::deadlineMicros)
+            .max()
+            .orElse(DEFAULT_DEADLINE_MICROS);
     maxLatencyObjectiveMicros =
         classes.stream()
             .mapToLong(RequestClass::latencyObjectiveMicros)
             .max()
-            .orElse(DEFAULT_MICROS);
+            .orElse(DEFAULT_DEADLINE_MICROS);
   }
 
   /** The longest latency objective of the configured classes. */
--- a/src/main/java/fawndock/policy/RequestCompletion.java
+++ b/src/main/java/fawndock/policy/RequestTable.java
@@ -13,7 +13,7 @@
  * The pending requests by number, and how each ends: rejected, failed, answered by an attempt or
  * left by its client. One that is done stays until its last attempt has ended.
  */
-final class RequestCompletion {
+final class RequestTable {
   private final EventContext context;
   private final PendingRequestQueue queue;
   private final QuotaAdmission quotas;
@@ -21,7 +21,7 @@
   private final boolean allowsCancellation;
   private final Map<Long, PendingRequest> requests = new LinkedHashMap<>();
 
-  RequestCompletion(
+  RequestTable(
       EventContext context,
       PendingRequestQueue queue,
       QuotaAdmission quotas,
@@ -34,7 +34,7 @@
     this.allowsCancellation = allowsCancellation;
   }
 
-  boolean isPending(long requestId) {
+  boolean contains(long requestId) {
     return requests.containsKey(requestId);
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Rejects a request, or fails it where trying again would not be harmless. */
-  void reject(PendingRequest request, long retryAfterMicros) {
+  void rejectOrFail(PendingRequest request, long retryAfterMicros) {
     close(request);
     context.emit(
         idempotency.allowsReject(request)
@@ -102,7 +102,10 @@
     }
   }
 
-  /** Forgets a request that is done and has no attempt in flight. */
+  /**
+   * Forgets a request that is done and has no attempt in flight, and takes back its quota if it was
+   * never forwarded.
+   */
   void forgetIfEnded(PendingRequest request) {
     if (request.isDone() && request.inFlightAttempts() == 0) {
       quotas.release(request);
--- a/src/main/java/fawndock/policy/action/LogMessage.java
+++ b/src/main/java/fawndock/policy/action/LogMessage.java
@@ -1,7 +1,7 @@
 package fawndock.policy.action;
 
 /**
- * A line for the operators' log.
+ * A line for the operators' log. Not emitted by {@code DefaultGatewayPolicy}.
  *
  * @param text the line
  */
--- a/src/main/java/fawndock/policy/action/SendPeerMessage.java
+++ b/src/main/java/fawndock/policy/action/SendPeerMessage.java
@@ -1,7 +1,7 @@
 package fawndock.policy.action;
 
 /**
- * Sends a message to other gateway instances.
+ * Sends a message to other gateway instances. Not emitted by {@code DefaultGatewayPolicy}.
  *
  * @param toInstance the index of one instance, or less than 0 for all
  * @param text the message
--- a/src/main/java/fawndock/policy/config/GatewayLimits.java
+++ b/src/main/java/fawndock/policy/config/GatewayLimits.java
@@ -4,7 +4,8 @@
  * What the site lets a gateway instance do.
  *
  * @param maxAttempts attempts of a request, the first included; at least 1
- * @param maxInFlight requests that the instance may hold at once; kept by the policy's runner
+ * @param maxInFlight requests that the instance may hold at once; enforced where requests are
+ *     accepted, not by the policy
  * @param maxRetryAfterMicros longest retry-after that may be given, in microseconds; not used
  * @param allowsHedging whether a request may have several attempts in flight; not used
  * @param allowsCancellation whether attempts may be cancelled
--- a/src/main/java/fawndock/policy/deadline/Deadlines.java
+++ b/src/main/java/fawndock/policy/deadline/Deadlines.java
@@ -7,13 +7,13 @@
   /** Round trips before the client's deadline at which it is answered at the latest. */
   private static final int ANSWER_MARGIN_ROUND_TRIPS = 2;
 
-  /** Of the client's time: the answer margin, where it is longer than the round trips. */
+  /** Answer margin as a ratio of the client's time, where that is longer than the round trips. */
   private static final double ANSWER_MARGIN_RATIO = 0.1;
 
-  /** Of the latency objective: a standing queue makes all requests late. */
+  /** Longest queueing as a ratio of the latency objective: a standing queue makes all late. */
   private static final double MAX_QUEUEING_RATIO = 0.25;
 
-  /** Of the latency objective: waiting so long makes no answer late by itself. */
+  /** Longest wait for the counter, as a ratio of the latency objective. */
   private static final double MAX_COUNTER_WAIT_RATIO = 0.1;
 
   private final long answerMarginMicros;
--- a/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
+++ b/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
@@ -2,7 +2,8 @@
 
 /**
  * A cap on attempts in flight, held as a rate (Little's law): as many may start in a mean attempt's
- * time as may be in flight, less their spread by chance. One call a request, and nothing to leak.
+ * time as may be in flight, less their spread by chance. Costs one counter call per request, and no
+ * in-flight count can leak when an instance dies.
  */
 final class ConcurrencyCap {
   private ConcurrencyCap() {}
--- a/src/main/java/fawndock/policy/quota/CounterReachability.java
+++ b/src/main/java/fawndock/policy/quota/CounterReachability.java
@@ -1,8 +1,9 @@
 package fawndock.policy.quota;
 
 /**
- * Whether the counter is unreachable rather than slow: several failures in a row, and no sign of
- * life for several time-outs. Then no request waits for it, and all are admitted.
+ * Whether the counter is unreachable rather than slow: several failures in a row, and no reply for
+ * several timeouts. Then no request waits for it, and requests are admitted, except beyond a hard
+ * ceiling ({@link LocalTokenBucket}).
  */
 final class CounterReachability {
   private static final int UNREACHABLE_FAILURES = 6;
@@ -10,7 +11,7 @@
 
   private final long unreachableAfterMicros;
   private int consecutiveFailures;
-  private long lastSignOfLifeMicros;
+  private long lastReplyAtMicros;
 
   /** A counter that has not answered yet, and whose calls take this time at the most. */
   CounterReachability(long timeoutMicros) {
@@ -19,7 +20,7 @@
 
   boolean isUnreachable(long nowMicros) {
     return consecutiveFailures >= UNREACHABLE_FAILURES
-        && nowMicros - lastSignOfLifeMicros > unreachableAfterMicros;
+        && nowMicros - lastReplyAtMicros > unreachableAfterMicros;
   }
 
   /** For how long it must be silent to be unreachable. */
@@ -27,16 +28,16 @@
     return unreachableAfterMicros;
   }
 
-  long lastSignOfLifeMicros() {
-    return lastSignOfLifeMicros;
+  long lastReplyAtMicros() {
+    return lastReplyAtMicros;
   }
 
-  void recordSignOfLife(long nowMicros) {
+  void recordReply(long nowMicros) {
     consecutiveFailures = 0;
-    lastSignOfLifeMicros = nowMicros;
+    lastReplyAtMicros = nowMicros;
   }
 
-  /** Takes in a call without a sign of life; returns whether there were enough of them in a row. */
+  /** Takes in a call without a reply; returns whether there were enough of them in a row. */
   boolean recordFailure() {
     return ++consecutiveFailures >= UNREACHABLE_FAILURES;
   }
--- a/src/main/java/fawndock/policy/quota/CounterThrottle.java
+++ b/src/main/java/fawndock/policy/quota/CounterThrottle.java
@@ -12,10 +12,10 @@
  * jammed. Where failures are common by chance, fewer requests are counted than could be.
  */
 public final class CounterThrottle {
-  /** Of the longest call time: replies within it raise the sampling rate. */
+  /** Replies within this ratio of the longest call time raise the sampling rate. */
   private static final double PROMPT_REPLY_RATIO = 0.3;
 
-  /** Of the longest call time: replies beyond it cut the sampling rate. */
+  /** Replies beyond this ratio of the longest call time cut the sampling rate. */
   private static final double LATE_REPLY_RATIO = 0.5;
 
   private static final double SAMPLING_INCREASE = 0.02;
@@ -23,8 +23,8 @@
   private static final double SAMPLING_DECREASE_FACTOR = 0.7;
   private static final double MIN_SAMPLING_RATE = 0.04;
 
-  /** Instances that may all sample each request before the counter is known. */
-  private static final double INITIAL_INSTANCES = 8;
+  /** Fleets up to this size begin with every request calling the counter. */
+  private static final double MAX_FULL_SAMPLING_INSTANCES = 8;
 
   /** Time without throttling before a request may cost a second call. */
   private static final long RECOVERY_MICROS = 5_000_000;
@@ -47,7 +47,8 @@
     this.timeoutMicros = config.counter().timeoutMicros();
     this.reachability = new CounterReachability(timeoutMicros);
     this.probe = new CounterProbe(config.instanceCount(), reachability.unreachableAfterMicros());
-    this.samplingRate = Math.min(1, INITIAL_INSTANCES / Math.max(1, config.instanceCount()));
+    this.samplingRate =
+        Math.min(1, MAX_FULL_SAMPLING_INSTANCES / Math.max(1, config.instanceCount()));
   }
 
   /** The share of requests that call the counter, from 0 to 1. */
@@ -71,8 +72,8 @@
   }
 
   /** When the counter last gave a sign of life, in microseconds; 0 if never. */
-  long lastSignOfLifeMicros() {
-    return reachability.lastSignOfLifeMicros();
+  long lastReplyAtMicros() {
+    return reachability.lastReplyAtMicros();
   }
 
   /** The chance that a request calls the counter, by sampling or as a probe. */
@@ -103,7 +104,7 @@
       increase();
     }
     if (isOk || isShed || isUnreadable) {
-      reachability.recordSignOfLife(context.nowMicros());
+      reachability.recordReply(context.nowMicros());
     } else if (reachability.recordFailure()) {
       isRampingUp = true;
     }
--- a/src/main/java/fawndock/policy/quota/CustomerRisk.java
+++ b/src/main/java/fawndock/policy/quota/CustomerRisk.java
@@ -1,6 +1,6 @@
 package fawndock.policy.quota;
 
-/** The share of one customer's requests, of late, that the counter showed to be over quota. */
+/** The share of one customer's requests, recently, that the counter showed to be over quota. */
 final class CustomerRisk {
   private static final double GAIN_RATIO = 0.3;
   private static final double MEMORY_WINDOWS = 4;
--- a/src/main/java/fawndock/policy/quota/DemandEstimator.java
+++ b/src/main/java/fawndock/policy/quota/DemandEstimator.java
@@ -1,8 +1,6 @@
 package fawndock.policy.quota;
 
-/**
- * How much one customer asks of this instance, of late, compared with an even part of its quota.
- */
+/** One customer's recent demand on this instance, relative to an even part of its quota. */
 final class DemandEstimator {
   /** Levels of demand, each twice the one below. */
   static final int LEVELS = 6;
--- a/src/main/java/fawndock/policy/quota/OverQuotaRisk.java
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRisk.java
@@ -4,9 +4,9 @@
 import fawndock.policy.config.Plan;
 
 /**
- * The chance that a request is over quota, for those that the counter is not asked about: learned
- * by the level of the customer's demand, by whether the request is a retry, and by the customer's
- * last requests.
+ * The chance that a request is over quota, for those made without a counter call: learned by the
+ * level of the customer's demand, by whether the request is a retry, and by the customer's last
+ * requests.
  */
 public final class OverQuotaRisk {
   /** First guesses: at the lowest level, for each level above it, for retries, and at the most. */
@@ -56,7 +56,7 @@
     return estimate(charge) * (1 + overQuotaLoss(charge.request().plan()));
   }
 
-  /** Whether forwarding the request without the counter's word would lose too much in the mean. */
+  /** Whether forwarding the request without a total would lose too much in the mean. */
   boolean isTooHigh(QuotaCharge charge) {
     return expectedLoss(charge) > MAX_EXPECTED_LOSS_RATIO;
   }
--- a/src/main/java/fawndock/policy/quota/OverQuotaRule.java
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRule.java
@@ -78,7 +78,6 @@
     return !charge
         .quota()
         .localBucket()
-        .tryTake(
-            charge.units(), instanceCount, throttle.lastSignOfLifeMicros(), context.nowMicros());
+        .tryTake(charge.units(), instanceCount, throttle.lastReplyAtMicros(), context.nowMicros());
   }
 }
--- a/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
+++ b/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
@@ -3,15 +3,15 @@
 import fawndock.policy.EventContext;
 
 /**
- * The previous window's use. Where throttling keeps it from being read and nothing was heard of it,
- * it is taken to be like the current one, drawn to a usual use: an instance that meets a customer
- * once in many windows would otherwise miss half of its use. May reject a customer that just began.
+ * The previous window's use. Where throttling keeps it from being read and no total of it is known,
+ * it is estimated from the current one and a prior: an instance that sees a customer once in many
+ * windows would otherwise miss half of its use. May reject a customer that just began.
  */
 final class PreviousWindowEstimate {
-  /** Weight, in windows, of the usual use. */
+  /** Weight of the prior, in windows. */
   private static final double PRIOR_WINDOWS = 0.5;
 
-  /** The usual use, of the limit. */
+  /** Use that the prior assumes, as a ratio of the limit. */
   private static final double PRIOR_USE_RATIO = 0.7;
 
   private final EventContext context;
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -60,7 +60,7 @@
       if (quota == null) {
         continue;
       }
-      QuotaCharge charge = charge(request, quota);
+      QuotaCharge charge = recordDemandAndCharge(request, quota);
       request.putCharge(kind, charge);
       if (throttle.isThrottled()
           && !throttle.isCounterUnreachable()
@@ -78,7 +78,7 @@
     return QuotaVerdict.UNDECIDED;
   }
 
-  private QuotaCharge charge(PendingRequest request, SlidingWindowQuota quota) {
+  private QuotaCharge recordDemandAndCharge(PendingRequest request, SlidingWindowQuota quota) {
     boolean isConcurrency = quota.kind() == QuotaKind.CONCURRENCY;
     double units = isConcurrency ? 1 : request.request().units();
     double limitUnits =
@@ -113,10 +113,10 @@
     if (previous.isReadAfterClose()) {
       return;
     }
-    if (previous.readInFlight() == null) {
+    if (previous.closingReadInFlight() == null) {
       previous.setReadInFlight(calls.send(previous, 0));
     }
-    waitFor(previous.readInFlight(), charge.request());
+    waitFor(previous.closingReadInFlight(), charge.request());
   }
 
   private static void waitFor(CounterCall call, PendingRequest request) {
@@ -131,7 +131,7 @@
       return null;
     }
     WindowCounter counter = call.counter();
-    boolean isPreviousRead = counter.readInFlight() == call;
+    boolean isPreviousRead = counter.closingReadInFlight() == call;
     throttle.recordReply(reply);
     if (isPreviousRead) {
       counter.setReadInFlight(null);
--- a/src/main/java/fawndock/policy/quota/QuotaCharging.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharging.java
@@ -4,7 +4,7 @@
 
 /** What is added to the counters for a request, and what is taken back. */
 final class QuotaCharging {
-  /** Of the limit: the most that one counted request may add for those like it. */
+  /** The most that one counted request may add, as a ratio of the limit. */
   private static final double MAX_SAMPLE_RATIO = 1;
 
   private final CounterThrottle throttle;
@@ -28,8 +28,8 @@
 
   /**
    * What a request's call adds. A likely rejection only reads: most would take their add back. One
-   * that would be forwarded uncounted adds for those like it, so that the count stays right in the
-   * mean at any sampling rate.
+   * that would be forwarded uncounted adds also for the uncounted requests that it stands for, so
+   * that the count stays right in the mean at any sampling rate.
    *
    * @param callChance the chance that a request calls the counter
    */
@@ -46,7 +46,10 @@
         Math.max(charge.units(), quota.limitUnits() * MAX_SAMPLE_RATIO));
   }
 
-  /** Counts an admitted request that only read, or did not call a counter that all call. */
+  /**
+   * Counts an admitted request whose call added nothing, or which made no call although calls are
+   * not throttled.
+   */
   void countAdmitted(QuotaCharge charge) {
     if (charge.countedUnits() > 0) {
       return;
--- a/src/main/java/fawndock/policy/quota/QuotaKind.java
+++ b/src/main/java/fawndock/policy/quota/QuotaKind.java
@@ -2,11 +2,14 @@
 
 import fawndock.policy.config.Plan;
 
-/** The quotas that a plan may set for each customer; each has counters of its own. */
+/**
+ * The quotas that a plan may set for each customer; each has counters of its own. The letters are
+ * in the names of stored counters and must not change.
+ */
 public enum QuotaKind {
   /** Units per second, with a burst. */
   RATE('r'),
-  /** Attempts in flight at once. */
+  /** Attempts in flight at once; 'o' for open. */
   CONCURRENCY('o'),
   /** Units per second that are never passed, whether or not the counter answers. */
   CEILING('c');
--- a/src/main/java/fawndock/policy/quota/QuotaTable.java
+++ b/src/main/java/fawndock/policy/quota/QuotaTable.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * The quotas of the customers met of late, and their counters by name. Customers without a request
- * for so long that nothing known of them counts for much are forgotten; may forget the risk of one
- * that comes in rare bursts.
+ * The quotas of the customers seen recently, and their counters by name. Customers without a
+ * request for so long that nothing known of them counts for much are forgotten; may forget the risk
+ * of one that comes in rare bursts.
  */
 final class QuotaTable {
-  /** The counter service keeps a name for 60 s, which is two windows. */
+  /** The longest window; its counters live for two windows, 60 s. */
   private static final long MAX_WINDOW_MICROS = 30_000_000;
 
   private static final long FORGET_AFTER_WINDOWS = 12;
--- a/src/main/java/fawndock/policy/quota/QuotaVerdict.java
+++ b/src/main/java/fawndock/policy/quota/QuotaVerdict.java
@@ -7,7 +7,7 @@
  * @param retryAfterMicros for a rejected request: the time until it may be admitted
  */
 public record QuotaVerdict(Status status, long retryAfterMicros) {
-  /** Not decided yet, or before. */
+  /** Not decided yet, or decided before. */
   static final QuotaVerdict UNDECIDED = new QuotaVerdict(Status.UNDECIDED, 0);
 
   static final QuotaVerdict ADMITTED = new QuotaVerdict(Status.ADMITTED, 0);
--- a/src/main/java/fawndock/policy/quota/WindowCounter.java
+++ b/src/main/java/fawndock/policy/quota/WindowCounter.java
@@ -15,7 +15,7 @@
   private double sentUnits;
   private boolean isFlushScheduled;
   private boolean isReadAfterClose;
-  private CounterCall readInFlight;
+  private CounterCall closingReadInFlight;
 
   WindowCounter(SlidingWindowQuota quota, long windowIndex) {
     this.quota = quota;
@@ -113,11 +113,11 @@
   }
 
   /** The call that reads the ended window, or null. */
-  CounterCall readInFlight() {
-    return readInFlight;
+  CounterCall closingReadInFlight() {
+    return closingReadInFlight;
   }
 
   void setReadInFlight(CounterCall call) {
-    readInFlight = call;
+    closingReadInFlight = call;
   }
 }
--- a/src/main/java/fawndock/policy/retry/RetryPolicy.java
+++ b/src/main/java/fawndock/policy/retry/RetryPolicy.java
@@ -6,7 +6,8 @@
 
 /**
  * Whether a request whose attempts have all failed is sent again: where that is harmless, in time
- * and within the budget. Shed attempts draw on the budget too, or a full fleet is hammered.
+ * and within the budget. Shed attempts draw on the budget too, so that retries do not add to an
+ * overload.
  */
 public final class RetryPolicy {
   private final GatewayLimits limits;
--- a/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
+++ b/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
@@ -6,7 +6,7 @@
  * uncounted requests. A few slow endpoints may lower the limit for all.
  */
 final class ConcurrencyLimiter {
-  /** Mean latency to keep to, of the latency objective: the slowest requests take the rest. */
+  /** Mean latency to keep to, as a ratio of the latency objective: the slowest take the rest. */
   private static final double TARGET_LATENCY_RATIO = 0.25;
 
   /** Attempts in flight at an endpoint, of all instances: at first, and at the least. */
@@ -14,13 +14,13 @@
 
   private static final double MIN_ENDPOINT_ATTEMPTS = 4;
 
-  /** Of the limit: with so many in flight, an answer in time raises it. */
+  /** With this ratio of the limit in flight, an answer in time raises the limit. */
   private static final double GROWTH_USE_RATIO = 0.7;
 
   private static final double GROWTH_RATIO = 0.02;
   private static final double GAIN_RATIO = 0.05;
 
-  /** What an even share of the limit at an endpoint may be exceeded by, where it is fast. */
+  /** How many even shares of the limit one fast endpoint may take. */
   private static final int MAX_SHARES_PER_ENDPOINT = 2;
 
   private final int instanceCount;
--- a/src/main/java/fawndock/policy/routing/EndpointSubset.java
+++ b/src/main/java/fawndock/policy/routing/EndpointSubset.java
@@ -2,8 +2,9 @@
 
 /**
  * The endpoints that this instance keeps to (deterministic subsetting), so that it knows them well
- * enough to notice slow or failing ones. Neighbours in number share most of a subset, so all
- * endpoints are met evenly. May load them unevenly where traffic is uneven among instances.
+ * enough to notice slow or failing ones. Instances with adjacent indexes share most of their
+ * subsets, so that all endpoints are covered evenly. May load them unevenly where traffic is uneven
+ * among instances.
  */
 final class EndpointSubset {
   private static final int MIN_ENDPOINTS = 8;
--- a/src/main/java/fawndock/policy/routing/EndpointTable.java
+++ b/src/main/java/fawndock/policy/routing/EndpointTable.java
@@ -13,8 +13,8 @@
 
 /** The endpoints as discovery lists them, with those that still have attempts in flight. */
 final class EndpointTable {
-  /** Of the time within which discovery must be watched: when to retry after a failure. */
-  private static final int WATCH_RETRIES = 8;
+  /** Retries that fit in the time within which discovery must be watched. */
+  private static final int WATCH_RETRIES_PER_TIME_LIMIT = 8;
 
   private final EventContext context;
   private final ConcurrencyLimiter limiter;
@@ -26,7 +26,8 @@
   EndpointTable(EventContext context, ConcurrencyLimiter limiter, PolicyConfig config) {
     this.context = context;
     this.limiter = limiter;
-    this.watchRetryMicros = Math.max(1, config.rules().watchWithinMicros() / WATCH_RETRIES);
+    this.watchRetryMicros =
+        Math.max(1, config.rules().watchWithinMicros() / WATCH_RETRIES_PER_TIME_LIMIT);
     this.mustWatchEndpoints = config.mustWatchEndpoints();
   }
 
--- a/src/main/java/fawndock/report/Page.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -1,9 +1,9 @@
 package fawndock.report;
 
-import fawndock.experiment.Cells;
 import fawndock.experiment.Experiment;
-import fawndock.experiment.Outcome;
-import fawndock.report.Plots.Plot;
+import fawndock.experiment.ResultTable;
+import fawndock.experiment.RunResult;
+import fawndock.report.PlotSelection.Plot;
 import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -19,14 +19,14 @@
 import java.util.stream.Collectors;
 
 /** Writes a report: one HTML page with its plots inside, and each plot as a PNG file beside it. */
-public final class Page {
+public final class HtmlReport {
   private static final int MOST_PLOTS = 60;
   private static final int MOST_COURSES = 6;
   private static final int MOST_ROWS = 400;
   private final StringBuilder html = new StringBuilder();
   private final Experiment experiment;
-  private final List<Outcome> after;
-  private final List<Outcome> before;
+  private final List<RunResult> after;
+  private final List<RunResult> before;
   private final Path folder;
   private int plots;
   private int left;
@@ -35,7 +35,8 @@
    * @param before results that the others are held against, or none
    * @param folder where page and plots go
    */
-  public Page(Experiment experiment, List<Outcome> after, List<Outcome> before, Path folder) {
+  public HtmlReport(
+      Experiment experiment, List<RunResult> after, List<RunResult> before, Path folder) {
     this.experiment = experiment;
     this.after = after;
     this.before = before;
@@ -57,7 +58,7 @@
         .append("</h1><p>Simulated, by <code>fawndock experiment</code>: ")
         .append(after.size())
         .append(" runs, seeds ")
-        .append(after.stream().map(Outcome::seed).distinct().count())
+        .append(after.stream().map(RunResult::seed).distinct().count())
         .append(", build ")
         .append(builds(after))
         .append(
@@ -72,13 +73,13 @@
     html.append("<h2>Along ")
         .append(safe(experiment.axis()))
         .append("</h2><p>Medians over the seeds.</p>");
-    Map<String, List<Outcome>> sets = new LinkedHashMap<>();
+    Map<String, List<RunResult>> sets = new LinkedHashMap<>();
     if (!before.isEmpty()) {
       sets.put("before", before);
     }
     sets.put(before.isEmpty() ? "" : "after", after);
     for (String figure : experiment.shown()) {
-      for (Plot plot : Plots.along(experiment.axis(), figure, sets)) {
+      for (Plot plot : PlotSelection.along(experiment.axis(), figure, sets)) {
         draw(plot, List.of());
       }
     }
@@ -95,8 +96,8 @@
         whole, page, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private static String builds(List<Outcome> all) {
-    return all.stream().map(Outcome::build).distinct().collect(Collectors.joining(", "));
+  private static String builds(List<RunResult> all) {
+    return all.stream().map(RunResult::build).distinct().collect(Collectors.joining(", "));
   }
 
   private static String safe(String text) {
@@ -110,19 +111,19 @@
   }
 
   private void expectations() {
-    List<Cells.Judged> judged = Cells.judge(experiment.expected(), after);
+    List<ResultTable.ExpectationResult> judged = ResultTable.judge(experiment.expected(), after);
     long bad =
         after.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).count();
     html.append(
         "<h2>Expected</h2><table><tr><th class=n>what<th class=n>holds<th>worst<th class=n>with<th>runs<th>break it");
-    for (Cells.Judged each : judged) {
+    for (ResultTable.ExpectationResult each : judged) {
       row(
           each.expect().text(),
           each.kept(),
           number(each.worst()),
           each.where().isEmpty()
               ? ""
-              : Plots.named(each.where(), each.where().keySet()) + ", seed " + each.seed(),
+              : PlotSelection.named(each.where(), each.where().keySet()) + ", seed " + each.seed(),
           each.cells(),
           each.broken());
     }
@@ -145,19 +146,20 @@
   }
 
   private void cells() {
-    Map<String, Set<String>> varied = Plots.varied(after);
+    Map<String, Set<String>> varied = PlotSelection.varied(after);
     html.append(
         "<h2>All cells</h2><p>Median over the seeds, least and most in brackets.</p><table><tr><th class=n>cell");
     experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<Outcome>> cell : Cells.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultTable.by(after).entrySet()) {
       if (rows++ >= MOST_ROWS) {
         html.append("<tr><td class=n>more are in results.csv");
         break;
       }
-      html.append("<tr><td class=n>").append(safe(Plots.named(cell.getKey(), varied.keySet())));
+      html.append("<tr><td class=n>")
+          .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
       for (String figure : experiment.shown()) {
-        Cells.Spread s = Cells.spread(cell.getValue(), figure);
+        ResultTable.SeedSpread s = ResultTable.spread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 s == null
@@ -174,22 +176,24 @@
   }
 
   private void differences() {
-    Map<String, Set<String>> varied = Plots.varied(after);
-    Map<Map<String, String>, List<Outcome>> was = Cells.by(before);
+    Map<String, Set<String>> varied = PlotSelection.varied(after);
+    Map<Map<String, String>, List<RunResult>> was = ResultTable.by(before);
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
     experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<Outcome>> cell : Cells.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultTable.by(after).entrySet()) {
       if (!was.containsKey(cell.getKey()) || rows++ >= MOST_ROWS) {
         continue;
       }
-      html.append("<tr><td class=n>").append(safe(Plots.named(cell.getKey(), varied.keySet())));
+      html.append("<tr><td class=n>")
+          .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
       for (String figure : experiment.shown()) {
-        Cells.Difference d = Cells.difference(was.get(cell.getKey()), cell.getValue(), figure);
-        Cells.Spread a = Cells.spread(was.get(cell.getKey()), figure);
-        Cells.Spread b = Cells.spread(cell.getValue(), figure);
+        ResultTable.Difference d =
+            ResultTable.difference(was.get(cell.getKey()), cell.getValue(), figure);
+        ResultTable.SeedSpread a = ResultTable.spread(was.get(cell.getKey()), figure);
+        ResultTable.SeedSpread b = ResultTable.spread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 d == null
@@ -209,28 +213,29 @@
       }
     }
     html.append("</table>");
-    int none = (int) Cells.by(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
+    int none =
+        (int) ResultTable.by(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
     html.append(
         none == 0 ? "" : "<p>" + none + " cells have nothing before to be held against.</p>");
   }
 
   /** The course of some cells' first runs, spread evenly over all cells. */
   private void courses() throws IOException {
-    List<List<Outcome>> cells = List.copyOf(Cells.by(after).values());
-    Set<String> varied = Plots.varied(after).keySet();
+    List<List<RunResult>> cells = List.copyOf(ResultTable.by(after).values());
+    Set<String> varied = PlotSelection.varied(after).keySet();
     int many = Math.min(MOST_COURSES, cells.size());
     html.append("<h2>How single runs went</h2>")
         .append(cells.size() > many ? "<p>" + many + " of " + cells.size() + " cells.</p>" : "");
     for (int i = 0; i < many; i++) {
-      Outcome run = cells.get(many == 1 ? 0 : i * (cells.size() - 1) / (many - 1)).get(0);
-      String name = Plots.named(run.values(), varied) + ", seed " + run.seed();
+      RunResult run = cells.get(many == 1 ? 0 : i * (cells.size() - 1) / (many - 1)).get(0);
+      String name = PlotSelection.named(run.values(), varied) + ", seed " + run.seed();
       html.append("<h3>")
           .append(safe(name))
           .append("</h3><p>")
           .append(safe(run.verdict()))
           .append("</p>");
       draw(
-          Plots.course(
+          PlotSelection.course(
               run,
               "Answers",
               "requests a second",
@@ -244,18 +249,19 @@
                   "left")),
           run.marks());
       draw(
-          Plots.course(run, "Latency of what was served", "ms", List.of("p50 ms", "p99 ms")),
+          PlotSelection.course(
+              run, "Latency of what was served", "ms", List.of("p50 ms", "p99 ms")),
           run.marks());
-      draw(Plots.quota(run), run.marks());
+      draw(PlotSelection.quota(run), run.marks());
       draw(
-          Plots.course(
+          PlotSelection.course(
               run,
               "Attempts at workers and calls to the counter",
               "a second",
               List.of("attempts", "repeated attempts", "tries asked", "counter calls")),
           run.marks());
       draw(
-          Plots.course(
+          PlotSelection.course(
               run, "Longest wait in the counter's queue", "ms", List.of("counter queue ms")),
           run.marks());
     }
@@ -269,7 +275,7 @@
       left++;
       return;
     }
-    byte[] png = Drawing.png(plot, marks);
+    byte[] png = PlotRenderer.png(plot, marks);
     Files.write(
         folder
             .resolve("plots")
@@ -281,7 +287,7 @@
                     plot.title().replaceAll("[^A-Za-z0-9]+", "-").toLowerCase(Locale.ROOT))),
         png);
     html.append("<img width=")
-        .append(Drawing.WIDTH)
+        .append(PlotRenderer.WIDTH)
         .append(" alt=\"")
         .append(safe(plot.title()).replace("\"", "&quot;"))
         .append("\" src=\"data:image/png;base64,")
--- a/src/main/java/fawndock/report/Drawing.java
+++ b/src/main/java/fawndock/report/PlotRenderer.java
@@ -1,7 +1,7 @@
 package fawndock.report;
 
-import fawndock.report.Plots.Plot;
-import fawndock.report.Plots.Series;
+import fawndock.report.PlotSelection.Plot;
+import fawndock.report.PlotSelection.Series;
 import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.awt.BasicStroke;
 import java.awt.Color;
@@ -30,7 +30,7 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Draws plots as PNG, of a size that is read without zooming at 1280 pixels. */
-final class Drawing {
+final class PlotRenderer {
   static final int WIDTH = 1160;
   private static final int HEIGHT = 380;
   private static final Color[] COLOURS = {
@@ -45,7 +45,7 @@
   };
   private static final Color TROUBLE = new Color(0x99, 0x33, 0x33, 0x90);
 
-  private Drawing() {}
+  private PlotRenderer() {}
 
   static byte[] png(Plot plot, List<FaultWindow> marks) throws IOException {
     Chart<?, ?> chart = plot.course() ? course(plot, marks) : along(plot);
--- a/src/main/java/fawndock/report/Plots.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -1,7 +1,7 @@
 package fawndock.report;
 
-import fawndock.experiment.Cells;
-import fawndock.experiment.Outcome;
+import fawndock.experiment.ResultTable;
+import fawndock.experiment.RunResult;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -17,9 +17,9 @@
  * What is plotted: figures along a variable, split into as many plots as can be read, and the
  * course of single runs.
  */
-public final class Plots {
+public final class PlotSelection {
   /** Lines in one plot that a person can still tell apart. */
-  static final int MOST_LINES = 8;
+  static final int MAX_LINES = 8;
 
   /** A line: its name, and a value for each point of the axis, NaN where there is none. */
   @SuppressWarnings("ArrayRecordComponent") // The chart library takes arrays; never compared.
@@ -39,10 +39,10 @@
       List<String> foot,
       List<Series> series) {}
 
-  private Plots() {}
+  private PlotSelection() {}
 
   /** Each variable with the values that it takes, those of one value left out. */
-  static Map<String, Set<String>> varied(List<Outcome> all) {
+  static Map<String, Set<String>> varied(List<RunResult> all) {
     Map<String, Set<String>> varied = new LinkedHashMap<>();
     all.forEach(
         o ->
@@ -72,8 +72,8 @@
    *
    * @param sets results, each with its name, empty for the only one
    */
-  public static List<Plot> along(String axis, String figure, Map<String, List<Outcome>> sets) {
-    List<Outcome> every = new ArrayList<>();
+  public static List<Plot> along(String axis, String figure, Map<String, List<RunResult>> sets) {
+    List<RunResult> every = new ArrayList<>();
     sets.values().forEach(every::addAll);
     Map<String, Set<String>> varied = varied(every);
     Set<String> foot = varied.getOrDefault(axis, Set.of());
@@ -84,7 +84,7 @@
     others.remove(axis);
     int lines = sets.size();
     int inPlot = others.size();
-    while (inPlot > 0 && lines * varied.get(others.get(inPlot - 1)).size() <= MOST_LINES) {
+    while (inPlot > 0 && lines * varied.get(others.get(inPlot - 1)).size() <= MAX_LINES) {
       lines *= varied.get(others.get(--inPlot)).size();
     }
     Set<String> plotNames = new LinkedHashSet<>(others.subList(0, inPlot));
@@ -96,10 +96,10 @@
     Map<String, Map<String, double[]>> plots = new LinkedHashMap<>();
     sets.forEach(
         (set, outcomes) ->
-            Cells.by(outcomes)
+            ResultTable.by(outcomes)
                 .forEach(
                     (values, cell) -> {
-                      Cells.Spread spread = Cells.spread(cell, figure);
+                      ResultTable.SeedSpread spread = ResultTable.spread(cell, figure);
                       String line =
                           (named(values, lineNames) + (set.isEmpty() ? "" : ", " + set))
                               .replaceFirst("^all, ", "");
@@ -135,7 +135,7 @@
   }
 
   /** How one run went: some of its series, a point a second. */
-  public static Plot course(Outcome run, String title, String yLabel, List<String> names) {
+  public static Plot course(RunResult run, String title, String yLabel, List<String> names) {
     List<Series> series = new ArrayList<>();
     int length = 0;
     for (String name : names) {
@@ -149,13 +149,13 @@
   }
 
   /** What each group of customers used beside what its plans allow. */
-  public static Plot quota(Outcome run) {
+  public static Plot quota(RunResult run) {
     List<Series> series = new ArrayList<>();
     int[] length = {0};
     new TreeMap<>(run.series())
         .forEach(
             (name, values) -> {
-              if (name.startsWith("used ") && series.size() + 2 <= MOST_LINES) {
+              if (name.startsWith("used ") && series.size() + 2 <= MAX_LINES) {
                 double[] allowed = new double[values.length];
                 Arrays.fill(
                     allowed, run.figures().getOrDefault("plan." + name.substring(5), Double.NaN));
--- a/src/main/java/fawndock/scenario/LargeFleetScenario.java
+++ b/src/main/java/fawndock/scenario/LargeFleetScenario.java
@@ -7,7 +7,7 @@
 import fawndock.conformance.TraceEvent;
 import fawndock.fake.RawHttpClient;
 import fawndock.fake.TraceRecorder;
-import fawndock.measurement.Measures;
+import fawndock.measurement.TraceMetrics;
 import fawndock.policy.config.Idempotency;
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -93,7 +93,7 @@
       ConformanceLimits figures = BadDayScenario.conformanceLimits(scene);
       ConformanceResult verdict = InvariantChecker.check(trace, figures);
       Map<String, Double> told =
-          Measures.of(
+          TraceMetrics.of(
                   trace,
                   figures.requestClasses(),
                   figures.customerPlans(),
--- a/src/main/java/fawndock/simulation/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -1,8 +1,8 @@
 package fawndock.simulation;
 
 import fawndock.fake.FakeBackend;
-import fawndock.loadgen.Manners;
-import fawndock.loadgen.Shape;
+import fawndock.loadgen.ClientBehavior;
+import fawndock.loadgen.RateShape;
 import fawndock.policy.config.GatewayLimits;
 import fawndock.policy.config.Plan;
 import fawndock.policy.config.RequestClass;
@@ -84,9 +84,9 @@
       double skew,
       int gatewaysPerCustomer,
       double requestsPerSecond,
-      Shape shape,
+      RateShape shape,
       long timeoutMicros,
-      Manners clientBehavior) {}
+      ClientBehavior clientBehavior) {}
 
   /** Each customer's plan, by the customer's name. */
   public Map<String, Plan> customerPlans() {
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -1,7 +1,7 @@
 package fawndock.simulation;
 
 import fawndock.fake.FakeBackend.BackendConfig;
-import fawndock.loadgen.Words;
+import fawndock.loadgen.LoadArguments;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.GatewayLimits;
 import fawndock.policy.config.Plan;
@@ -252,9 +252,9 @@
             a.number("skew", 0, 10, 0),
             a.integer("spread", 1, 10_000, 10_000),
             rate,
-            Words.shape(a),
+            LoadArguments.shape(a),
             a.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
-            Words.manners(a)));
+            LoadArguments.manners(a)));
     a.rejectUnknown();
     crossCheck(
         a,
--- a/src/main/java/fawndock/simulation/SimulatedClients.java
+++ b/src/main/java/fawndock/simulation/SimulatedClients.java
@@ -1,9 +1,9 @@
 package fawndock.simulation;
 
 import fawndock.conformance.TraceEvent;
-import fawndock.loadgen.Arrivals;
-import fawndock.loadgen.Customers;
-import fawndock.loadgen.Manners;
+import fawndock.loadgen.ArrivalProcess;
+import fawndock.loadgen.ClientBehavior;
+import fawndock.loadgen.CustomerSelector;
 import fawndock.policy.config.Idempotency;
 import fawndock.policy.config.RequestClass;
 import fawndock.policy.event.RequestArrived;
@@ -89,14 +89,14 @@
 
   /** Starts a demand for the whole run. */
   void startDemand(Demand demand) {
-    Arrivals arrivals =
-        new Arrivals(
+    ArrivalProcess arrivals =
+        new ArrivalProcess(
             demand.requestsPerSecond(),
             demand.shape(),
             false,
             simulation.deployment.durationSeconds(),
             random.split());
-    Customers customers = new Customers(demand.customerCount(), demand.skew());
+    CustomerSelector customers = new CustomerSelector(demand.customerCount(), demand.skew());
     scheduleNextArrival(demand, arrivals, 0, customers, random.split());
   }
 
@@ -112,22 +112,22 @@
   }
 
   private void addDemand(Demand demand, double factor, double seconds) {
-    Arrivals arrivals =
-        new Arrivals(
+    ArrivalProcess arrivals =
+        new ArrivalProcess(
             demand.requestsPerSecond() * factor, demand.shape(), false, seconds, random.split());
     scheduleNextArrival(
         demand,
         arrivals,
         simulation.events.nowMicros(),
-        new Customers(demand.customerCount(), demand.skew()),
+        new CustomerSelector(demand.customerCount(), demand.skew()),
         random.split());
   }
 
   private void scheduleNextArrival(
       Demand demand,
-      Arrivals arrivals,
+      ArrivalProcess arrivals,
       long startMicros,
-      Customers customers,
+      CustomerSelector customers,
       SplittableRandom demandRandom) {
     long atMicros = arrivals.next();
     if (atMicros < 0) {
@@ -238,10 +238,10 @@
     if (!isSafe) {
       return;
     }
-    Manners behavior =
+    ClientBehavior behavior =
         retryStormAttempts == 0
             ? operation.demand().clientBehavior()
-            : new Manners(0, Manners.Retry.AT_ONCE, 0, retryStormAttempts, false);
+            : new ClientBehavior(0, ClientBehavior.Retry.AT_ONCE, 0, retryStormAttempts, false);
     long retryAfterSeconds = (retryAfterMicros + 999_999) / 1_000_000;
     long delayMicros = behavior.again(Math.max(0, status), retryAfterSeconds, request.attempt);
     if (delayMicros >= 0) {
--- a/src/main/java/fawndock/simulation/Simulation.java
+++ b/src/main/java/fawndock/simulation/Simulation.java
@@ -5,7 +5,7 @@
 import fawndock.conformance.InvariantChecker;
 import fawndock.conformance.TraceEvent;
 import fawndock.conformance.WeightedGoodput;
-import fawndock.measurement.Measures;
+import fawndock.measurement.TraceMetrics;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.CounterConfig;
 import fawndock.policy.config.Plan;
@@ -135,8 +135,8 @@
     ConformanceLimits limits =
         new ConformanceLimits(requestClasses, deployment.rules(), plans, toleranceMicros());
     ConformanceResult conformance = InvariantChecker.check(trace, limits);
-    Measures.Told measured =
-        Measures.of(
+    TraceMetrics.Metrics measured =
+        TraceMetrics.of(
             trace,
             requestClasses,
             plans,
@@ -159,7 +159,7 @@
         + 40 * deployment.network().meanExtraDelayMicros();
   }
 
-  private void addCounterFigures(Measures.Told measured, int requestCount) {
+  private void addCounterFigures(TraceMetrics.Metrics measured, int requestCount) {
     double[] calls = new double[seconds()];
     double[] queueMillis = new double[calls.length];
     for (SimulatedCounter partition : counterPartitions) {
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -22,8 +22,10 @@
     emulated.put("b", 0.01);
     emulated.put("c", 2.0);
     emulated.put("d", 1.0);
-    List<Beside.Row> rows = Beside.rows(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
-    assertEquals(List.of(false, false, true), rows.stream().map(Beside.Row::much).toList());
+    List<FigureComparison.Row> rows =
+        FigureComparison.rows(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
+    assertEquals(
+        List.of(false, false, true), rows.stream().map(FigureComparison.Row::much).toList());
     assertEquals(0.15, rows.get(2).differs(), 1e-9);
   }
 
@@ -46,7 +48,7 @@
                 "troubles":[{"kind":"slow","at":1000000,"len":2000000,"size":3,"on":[1,2],"steps":[]},
                 {"kind":"sunspots","at":1000000,"len":2000000,"size":3,"on":[],"steps":[]}]}
                 """));
-    Path file = Files.writeString(directory.resolve("d.emu"), DayDescribed.of(day));
+    Path file = Files.writeString(directory.resolve("d.emu"), DayDeployment.of(day));
     DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
     assertEquals(4, read.deployment().backendCount());
     assertEquals(2, read.deployment().counter().partitionCount());
@@ -61,6 +63,6 @@
     assertTrue(Files.readString(file).contains("# trouble sunspots"));
     assertEquals(
         List.of("over sockets each customer comes through all gatekeepers"),
-        new OverSockets(read, System.out).beyond());
+        new SocketRun(read, System.out).beyond());
   }
 }
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.experiment.Experiment.Expect;
+import fawndock.experiment.Experiment.Expectation;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.config.PolicyConfig;
@@ -63,14 +63,14 @@
     }
   }
 
-  private List<Outcome> run(Path folder, String build) throws Exception {
-    try (Results results = Results.open(folder)) {
-      return new Runner(ExperimentFile.read(file), this::countedPolicy, build)
+  private List<RunResult> run(Path folder, String build) throws Exception {
+    try (ResultStore results = ResultStore.open(folder)) {
+      return new ExperimentRunner(ExperimentFile.read(file), this::countedPolicy, build)
           .run(results, 4, done -> {});
     }
   }
 
-  private static List<String> told(List<Outcome> all) {
+  private static List<String> told(List<RunResult> all) {
     return all.stream()
         .map(
             o ->
@@ -89,7 +89,7 @@
   @Test
   void anExperimentStoppedAtAnyMomentGoesOn() throws Exception {
     Path whole = directory.resolve("whole");
-    List<Outcome> first = run(whole, "b");
+    List<RunResult> first = run(whole, "b");
     assertEquals(8, first.size());
     assertEquals(2 * (1 + 1 + 3 + 3), made.getAndSet(0), "gatekeepers of 8 runs");
     byte[] bytes = Files.readAllBytes(whole.resolve("results.jsonl"));
@@ -113,10 +113,11 @@
           continue;
         }
         Files.write(part.resolve("results.jsonl"), Arrays.copyOf(bytes, cut));
-        try (Results results = Results.open(part)) {
+        try (ResultStore results = ResultStore.open(part)) {
           assertEquals(
               8 - line,
-              new Runner(ExperimentFile.read(file), this::countedPolicy, "b").left(results),
+              new ExperimentRunner(ExperimentFile.read(file), this::countedPolicy, "b")
+                  .left(results),
               "cut at " + cut);
         }
         assertEquals(
@@ -126,7 +127,7 @@
       }
       if (line % 3 == 2) {
         assertEquals(told(first), told(run(part, "b")));
-        assertEquals(8, Results.read(part).size());
+        assertEquals(8, ResultStore.read(part).size());
       }
     }
     made.set(0);
@@ -140,16 +141,16 @@
   void oneProcessAtATimeAndADamagedLineIsTold() throws Exception {
     Path folder = directory.resolve("r");
     run(folder, "b");
-    try (Results open = Results.open(folder)) {
+    try (ResultStore open = ResultStore.open(folder)) {
       assertTrue(
-          assertThrows(IOException.class, () -> Results.open(folder))
+          assertThrows(IOException.class, () -> ResultStore.open(folder))
               .getMessage()
               .contains("in use"));
     }
     Path lines = folder.resolve("results.jsonl");
     Files.writeString(lines, "{\"key\":12,,}\n" + Files.readString(lines));
     assertTrue(
-        assertThrows(IOException.class, () -> Results.open(folder))
+        assertThrows(IOException.class, () -> ResultStore.open(folder))
             .getMessage()
             .contains("results.jsonl:1: not a result"));
   }
@@ -164,11 +165,11 @@
           }
           return new DefaultGatewayPolicy(s);
         };
-    try (Results results = Results.open(folder)) {
-      Runner runner = new Runner(ExperimentFile.read(file), broken, "b");
+    try (ResultStore results = ResultStore.open(folder)) {
+      ExperimentRunner runner = new ExperimentRunner(ExperimentFile.read(file), broken, "b");
       assertThrows(IOException.class, () -> runner.run(results, 1, done -> {}));
     }
-    assertEquals(2, Results.read(folder).size(), "those before it");
+    assertEquals(2, ResultStore.read(folder).size(), "those before it");
   }
 
   @Test
@@ -210,8 +211,8 @@
             .contains("gatekeepers '0'"));
   }
 
-  private static Outcome outcome(String value, long seed, double use) {
-    return new Outcome(
+  private static RunResult outcome(String value, long seed, double use) {
+    return new RunResult(
         value + seed,
         Map.of("fleet", value),
         seed,
@@ -227,31 +228,32 @@
   void cellsArePutTogetherAndJudged() {
     double[] with = {1.00, 1.10, 1.30};
     double[] without = {0.90, 1.02, 1.18};
-    IntFunction<Outcome> a = i -> outcome("4", i, without[i]);
-    IntFunction<Outcome> b =
+    IntFunction<RunResult> a = i -> outcome("4", i, without[i]);
+    IntFunction<RunResult> b =
         i -> outcome("9", 2 - i, with[2 - i]); // In another order: paired by seed all the same.
-    List<Outcome> base = List.of(a.apply(0), a.apply(1), a.apply(2));
-    List<Outcome> other = List.of(b.apply(0), b.apply(1), b.apply(2));
-    Cells.Difference d = Cells.difference(base, other, "use");
+    List<RunResult> base = List.of(a.apply(0), a.apply(1), a.apply(2));
+    List<RunResult> other = List.of(b.apply(0), b.apply(1), b.apply(2));
+    ResultTable.Difference d = ResultTable.difference(base, other, "use");
     assertEquals(0.1, d.mean(), 1e-9); // 0.10, 0.08, 0.12: t(0.975, 2) = 4.303, deviation 0.02.
     assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), d.low(), 1e-6);
     assertTrue(d.told());
     assertFalse(
-        Cells.difference(base.subList(0, 1), other, "use").told(), "one pair tells nothing");
-    assertNull(Cells.difference(base, other, "kept"));
-    assertEquals(new Cells.Spread(1.02, 0.90, 1.18, 3), Cells.spread(base, "use"));
-    List<Outcome> all =
+        ResultTable.difference(base.subList(0, 1), other, "use").told(), "one pair tells nothing");
+    assertNull(ResultTable.difference(base, other, "kept"));
+    assertEquals(new ResultTable.SeedSpread(1.02, 0.90, 1.18, 3), ResultTable.spread(base, "use"));
+    List<RunResult> all =
         List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
-    List<Cells.Judged> judged =
-        Cells.judge(
+    List<ResultTable.ExpectationResult> judged =
+        ResultTable.judge(
             List.of(
-                new Expect("use", true, 1.2, Map.of("fleet", List.of("4"))),
-                new Expect("use", true, 1.2, Map.of()),
-                new Expect("use", false, 0.95, Map.of()),
-                new Expect("nothing", true, 1, Map.of())),
+                new Expectation("use", true, 1.2, Map.of("fleet", List.of("4"))),
+                new Expectation("use", true, 1.2, Map.of()),
+                new Expectation("use", false, 0.95, Map.of()),
+                new Expectation("nothing", true, 1, Map.of())),
             all);
     assertEquals(
-        List.of(true, false, false, false), judged.stream().map(Cells.Judged::kept).toList());
+        List.of(true, false, false, false),
+        judged.stream().map(ResultTable.ExpectationResult::kept).toList());
     assertEquals(1.30, judged.get(1).worst());
     assertEquals(1, judged.get(1).broken());
     assertEquals(0.90, judged.get(2).worst());
--- a/src/test/java/fawndock/loadgen/GeneratorTest.java
+++ b/src/test/java/fawndock/loadgen/GeneratorTest.java
@@ -33,15 +33,15 @@
     return LoadFile.read(file);
   }
 
-  private List<Tally> run(int port, String... lines) throws Exception {
+  private List<FlowStatistics> run(int port, String... lines) throws Exception {
     LoadPlan plan = plan(port, lines);
-    List<Trace.Read> traces = new ArrayList<>();
-    for (LoadPlan.Played each : plan.traces()) {
+    List<RequestTrace.Read> traces = new ArrayList<>();
+    for (LoadPlan.TraceReplay each : plan.traces()) {
       try (java.io.BufferedReader from = Files.newBufferedReader(each.file())) {
-        traces.add(Trace.read(from, "trace"));
+        traces.add(RequestTrace.read(from, "trace"));
       }
     }
-    return new Generator(vertx, plan, traces, p -> {}, t -> {}).run().get(60, TimeUnit.SECONDS);
+    return new LoadGenerator(vertx, plan, traces, p -> {}, t -> {}).run().get(60, TimeUnit.SECONDS);
   }
 
   private int serve(io.vertx.core.Handler<HttpServerRequest> handler) throws Exception {
@@ -84,14 +84,14 @@
                 held.forEach(each -> each.response().end());
               }
             });
-    List<Tally> all =
+    List<FlowStatistics> all =
         run(
             port,
             "for 2s",
             "seed 5",
             "flow open GET /open rate 200",
             "flow closed GET /closed clients 1");
-    Tally open = all.get(0);
+    FlowStatistics open = all.get(0);
     assertEquals(1, closed[1], "asked by the closed loop while the target stood still");
     assertEquals(open.due, open.latency.getTotalCount());
     assertEquals(open.due, open.good());
@@ -109,7 +109,7 @@
   @Test
   void clientsLeaveATargetThatNeverReads() throws Exception {
     try (ServerSocket deaf = new ServerSocket(0)) {
-      Tally tally =
+      FlowStatistics tally =
           run(
                   deaf.getLocalPort(),
                   "for 300ms",
@@ -129,7 +129,7 @@
     try (ServerSocket free = new ServerSocket(0)) {
       closed = free.getLocalPort();
     }
-    Tally tally =
+    FlowStatistics tally =
         run(closed, "for 200ms", "flow f GET /x rate 100 arrivals even retry at-once tries 3")
             .get(0);
     assertEquals(3 * (tally.due - tally.retries), tally.due);
@@ -140,7 +140,7 @@
   @Test
   void whatIsNotSentMakesTheRunUnusable() throws Exception {
     try (ServerSocket deaf = new ServerSocket(0)) {
-      Tally tally =
+      FlowStatistics tally =
           run(
                   deaf.getLocalPort(),
                   "for 200ms",
@@ -154,8 +154,8 @@
     int[] first = {0};
     int port = serve(request -> request.response().end());
     LoadPlan plan = plan(port, "for 1s", "slack 1ms", "interval 100ms", "flow f GET /x rate 500");
-    Tally late =
-        new Generator(
+    FlowStatistics late =
+        new LoadGenerator(
                 vertx,
                 plan,
                 List.of(),
@@ -192,7 +192,7 @@
                   .putHeader("retry-after", "0")
                   .end();
             });
-    Tally tally =
+    FlowStatistics tally =
         run(
                 port,
                 "connections 1",
--- a/src/test/java/fawndock/measurement/MeasuresTest.java
+++ b/src/test/java/fawndock/measurement/MeasuresTest.java
@@ -92,7 +92,7 @@
     trace.add(new TraceEvent.ClientDisconnected(3 * S + 10_000, "r2.1"));
     trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "r3.1", 429));
     trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "unknown.1", 200));
-    Measures.Told told = Measures.of(trace, Map.of(), PLANS, List.of("a"), 0, 6);
+    TraceMetrics.Metrics told = TraceMetrics.of(trace, Map.of(), PLANS, List.of("a"), 0, 6);
     assertEquals(Map.of(200, 1L, 504, 1L, 0, 1L, 429, 1L), told.statuses());
     assertEquals(0.25, told.figures().get("served-a-try"));
     assertEquals(0.25, told.figures().get("refused-within-plan-a-try"));
--- a/src/test/java/fawndock/report/ReportTest.java
+++ b/src/test/java/fawndock/report/ReportTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.experiment.Experiment;
-import fawndock.experiment.Experiment.Expect;
-import fawndock.experiment.Outcome;
+import fawndock.experiment.Experiment.Expectation;
+import fawndock.experiment.RunResult;
 import fawndock.simulation.DeploymentFile.FaultWindow;
 import java.io.ByteArrayInputStream;
 import java.nio.file.Files;
@@ -24,10 +24,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ReportTest {
-  private static Outcome run(int fleet, int rate, String mode, long seed, double use) {
+  private static RunResult run(int fleet, int rate, String mode, long seed, double use) {
     Map<String, String> values =
         new TreeMap<>(Map.of("fleet", "" + fleet, "rate", "" + rate, "mode", mode));
-    return new Outcome(
+    return new RunResult(
         "k",
         values,
         seed,
@@ -39,8 +39,8 @@
         "rules kept");
   }
 
-  private static List<Outcome> all(double more) {
-    List<Outcome> all = new ArrayList<>();
+  private static List<RunResult> all(double more) {
+    List<RunResult> all = new ArrayList<>();
     for (int fleet : new int[] {100, 20, 4}) {
       for (int rate : new int[] {1, 2, 3, 4, 5}) {
         for (String mode : List.of("calm", "silent")) {
@@ -56,7 +56,7 @@
 
   @Test
   void aPlotHasNoMoreLinesThanCanBeRead() {
-    List<Plots.Plot> plots = Plots.along("fleet", "use", Map.of("", all(0)));
+    List<PlotSelection.Plot> plots = PlotSelection.along("fleet", "use", Map.of("", all(0)));
     assertEquals(2, plots.size(), "ten lines are too many for one: a plot for each mode");
     assertEquals("use (mode calm)", plots.get(0).title());
     assertEquals(List.of("4", "20", "100"), plots.get(0).foot(), "as numbers, not as text");
@@ -66,10 +66,10 @@
         new double[] {5, Double.NaN, 101},
         plots.get(0).series().get(4).values(),
         "no run, no point");
-    assertEquals(List.of(), Plots.along("speed", "use", Map.of("", all(0))));
+    assertEquals(List.of(), PlotSelection.along("speed", "use", Map.of("", all(0))));
     assertTrue(
-        Plots.along("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
-            .allMatch(p -> p.series().size() <= Plots.MOST_LINES));
+        PlotSelection.along("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
+            .allMatch(p -> p.series().size() <= PlotSelection.MAX_LINES));
   }
 
   @Test
@@ -82,10 +82,11 @@
             List.of(),
             List.of(1L, 2L),
             List.of("use"),
-            List.of(new Expect("use", true, 50, Map.of())),
+            List.of(new Expectation("use", true, 50, Map.of())),
             null,
             "fleet");
-    String page = Files.readString(new Page(experiment, all(0), List.of(), directory).write());
+    String page =
+        Files.readString(new HtmlReport(experiment, all(0), List.of(), directory).write());
     assertTrue(page.contains("Fleets &lt;of&gt; all sizes") && page.contains("Simulated"));
     assertTrue(
         page.contains(
@@ -98,7 +99,7 @@
     int many = 0;
     while (images.find()) {
       assertEquals(
-          Drawing.WIDTH,
+          PlotRenderer.WIDTH,
           ImageIO.read(new ByteArrayInputStream(Base64.getDecoder().decode(images.group(1))))
               .getWidth());
       many++;
@@ -123,7 +124,8 @@
             null,
             "fleet");
     String page =
-        Files.readString(new Page(experiment, all(1), all(0).subList(0, 40), directory).write());
+        Files.readString(
+            new HtmlReport(experiment, all(1), all(0).subList(0, 40), directory).write());
     // 1 and 2 more: 1.5 on average, t(0.975, 1) = 12.706, deviation 0.707.
     assertTrue(page.contains("101.0 → 102.5<br>+1.500 [-4.853, 7.853]"), page.substring(0, 3000));
     assertTrue(page.contains("cells have nothing before") == all(0).size() > 40);
--- a/src/test/java/fawndock/simulation/SimulationTest.java
+++ b/src/test/java/fawndock/simulation/SimulationTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import fawndock.fake.FakeBackend;
-import fawndock.loadgen.Manners;
-import fawndock.loadgen.Shape;
+import fawndock.loadgen.ClientBehavior;
+import fawndock.loadgen.RateShape;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.policy.GatewayPolicy;
 import fawndock.policy.action.PolicyAction;
@@ -36,8 +36,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SimulationTest {
-  private static final Manners PATIENT_CLIENT =
-      new Manners(3_000_000, Manners.Retry.NONE, 0, 1, false);
+  private static final ClientBehavior PATIENT_CLIENT =
+      new ClientBehavior(3_000_000, ClientBehavior.Retry.NONE, 0, 1, false);
 
   private static Deployment deployment(long seed, double seconds) {
     return new Deployment(
@@ -73,7 +73,7 @@
                 0,
                 6,
                 120,
-                new Shape.Constant(),
+                new RateShape.Constant(),
                 1_500_000,
                 PATIENT_CLIENT),
             new Deployment.Demand(
@@ -84,7 +84,7 @@
                 0,
                 6,
                 40,
-                new Shape.Constant(),
+                new RateShape.Constant(),
                 1_500_000,
                 PATIENT_CLIENT)),
         seconds,
