--- a/src/main/java/fawndock/platform/ActivitySummary.java
+++ b/src/main/java/fawndock/platform/ActivitySummary.java
@@ -69,7 +69,7 @@
             + ", counterMeanMicros="
             + meanCounterCallMicros()
             + (lastError.isEmpty() ? "" : ", lastError='" + lastError + "'")
-            + mostFailures();
+            + describeMostFailures();
     responses.clear();
     attempts.clear();
     counterCalls.clear();
@@ -84,17 +84,23 @@
     return calls == 0 ? 0 : counterCallMicros / calls;
   }
 
-  private String mostFailures() {
-    String worstId = null;
+  private String describeMostFailures() {
+    String worstEndpointId = null;
     EndpointAttempts worst = new EndpointAttempts();
     for (Map.Entry<String, EndpointAttempts> entry : attemptsByEndpoint.entrySet()) {
       if (entry.getValue().failed > worst.failed) {
-        worstId = entry.getKey();
+        worstEndpointId = entry.getKey();
         worst = entry.getValue();
       }
     }
-    return worstId == null
+    return worstEndpointId == null
         ? ""
-        : ", mostFailures=" + worstId + " (" + worst.failed + " of " + worst.completed + ")";
+        : ", mostFailures="
+            + worstEndpointId
+            + " ("
+            + worst.failed
+            + " of "
+            + worst.completed
+            + ")";
   }
 }
--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -18,9 +18,9 @@
   private final BackendConnectionPools pools;
   private final ClientExchange exchange;
   private PooledConnection connection;
-  private int reconnects;
-  private boolean isSent;
-  private boolean isWritten;
+  private int reconnectCount;
+  private boolean isWriteStarted;
+  private boolean isWriteComplete;
   private long deadlineMicros;
 
   BackendAttempt(
@@ -62,7 +62,7 @@
   }
 
   private void write() {
-    if (result() != null || connection == null || isSent) {
+    if (result() != null || connection == null || isWriteStarted) {
       return;
     }
     long timeoutMillis = (deadlineMicros - runner.clock().now()) / 1_000;
@@ -72,26 +72,26 @@
       abandon(CallResult.NOT_SENT);
       return;
     }
-    isSent = true;
+    isWriteStarted = true;
     connection.write(exchange.command().encodeForEndpoint(timeoutMillis), this::onWritten);
   }
 
   private void onWritten(boolean isComplete) {
-    isWritten |= isComplete;
+    isWriteComplete |= isComplete;
     if (!isComplete) {
       onConnectionClosed();
     }
   }
 
   /** Returns whether any of the command may have been handed to the network. */
-  boolean isSent() {
-    return isSent;
+  boolean isWriteStarted() {
+    return isWriteStarted;
   }
 
   /** Gets another connection, as this one broke before anything was sent on it. */
   private void reconnect() {
     connection = null;
-    if (++reconnects > MAX_RECONNECTS) {
+    if (++reconnectCount > MAX_RECONNECTS) {
       onConnectFailed();
     } else if (result() == null) {
       pools.acquire(endpointId, this);
@@ -105,14 +105,14 @@
 
   void onReply(BackendReply reply) {
     if (reply.result() == CallResult.OK && result() == null) {
-      runner.deliverResponse(request, this, () -> exchange.serve(reply.value()));
+      runner.deliverResponse(request, this, () -> exchange.respondValue(reply.value()));
     }
-    finish(reply.result(), reply.load(), reply.units());
+    finish(reply.result(), reply.loadReport(), reply.unitsUsed());
   }
 
   /** The connection brought bytes that are no reply; a command that was sent may have run. */
   void onProtocolError() {
-    if (isSent) {
+    if (isWriteStarted) {
       finish(CallResult.ERROR);
     } else {
       reconnect();
@@ -120,8 +120,8 @@
   }
 
   void onConnectionClosed() {
-    if (isSent) {
-      finish(isWritten ? CallResult.RESET : CallResult.CONNECT_FAILED);
+    if (isWriteStarted) {
+      finish(isWriteComplete ? CallResult.RESET : CallResult.CONNECT_FAILED);
     } else {
       reconnect();
     }
@@ -129,12 +129,12 @@
 
   @Override
   protected void onDeadlineExceeded() {
-    abandon(isWritten ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
+    abandon(isWriteComplete ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
   }
 
   @Override
   public void cancel() {
-    abandon(isSent ? CallResult.CANCELLED : CallResult.NOT_SENT);
+    abandon(isWriteStarted ? CallResult.CANCELLED : CallResult.NOT_SENT);
   }
 
   /**
@@ -142,7 +142,7 @@
    */
   @Override
   public void onClientDisconnected() {
-    if (!isSent) {
+    if (!isWriteStarted) {
       abandon(CallResult.NOT_SENT);
     }
   }
@@ -151,7 +151,7 @@
     if (result() != null) {
       return;
     }
-    if (connection != null && isSent) {
+    if (connection != null && isWriteStarted) {
       connection.abort();
     } else if (connection != null) {
       connection.release();
@@ -163,10 +163,10 @@
     finish(outcome, LoadReport.NONE, 0);
   }
 
-  private void finish(CallResult outcome, LoadReport load, double units) {
+  private void finish(CallResult outcome, LoadReport loadReport, double unitsUsed) {
     if (result() == null) {
       pools.activity().recordAttempt(endpointId, outcome);
-      complete(outcome, load, units);
+      complete(outcome, loadReport, unitsUsed);
     }
   }
 }
--- a/src/main/java/fawndock/platform/BackendConnectionPools.java
+++ b/src/main/java/fawndock/platform/BackendConnectionPools.java
@@ -29,14 +29,14 @@
    * @param connectTimeoutMicros longest time for a connection to come up
    * @param idleTimeoutMicros after which an idle connection is closed
    */
-  record Limits(int connections, long connectTimeoutMicros, long idleTimeoutMicros) {}
+  record Limits(int maxConnections, long connectTimeoutMicros, long idleTimeoutMicros) {}
 
   /** The connections of one endpoint at one address. */
   static final class EndpointPool {
     final Address address;
 
     /** Idle connections, the longest idle first. */
-    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>(4);
+    final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>(4);
 
     private boolean isDraining;
 
@@ -50,7 +50,7 @@
   private final ActivitySummary activity;
   private final Limits limits;
   private final Map<String, EndpointPool> pools = new HashMap<>();
-  private int openCount;
+  private int openConnectionCount;
 
   /** Creates empty pools. */
   BackendConnectionPools(
@@ -87,8 +87,8 @@
   /** Removes an endpoint: its idle connections are closed now, those in use after their attempt. */
   void remove(String endpointId) {
     EndpointPool pool = pools.remove(endpointId);
-    while (pool != null && !pool.idle.isEmpty()) {
-      pool.idle.peek().abort();
+    while (pool != null && !pool.idleConnections.isEmpty()) {
+      pool.idleConnections.peek().abort();
     }
   }
 
@@ -111,10 +111,10 @@
     PooledConnection reusable = pollReusable(pool);
     if (reusable != null) {
       reusable.assign(attempt);
-    } else if (openCount >= limits.connections() && !evictIdleConnection()) {
+    } else if (openConnectionCount >= limits.maxConnections() && !evictIdleConnection()) {
       attempt.onConnectFailed();
     } else {
-      openCount++;
+      openConnectionCount++;
       // Not kept here: it calls the attempt once it is up, and joins the pool when released.
       var unused = new PooledConnection(this, pool, attempt);
     }
@@ -122,11 +122,12 @@
 
   /** Takes the connection that was used last of those that may be reused; null without one. */
   private PooledConnection pollReusable(EndpointPool pool) {
-    long idleSinceAtMost = nowMicros() - REUSE_DELAY_MICROS;
-    for (Iterator<PooledConnection> i = pool.idle.descendingIterator(); i.hasNext(); ) {
-      PooledConnection connection = i.next();
-      if (connection.idleSinceMicros() <= idleSinceAtMost) {
-        i.remove();
+    long reuseCutoffMicros = nowMicros() - REUSE_DELAY_MICROS;
+    for (Iterator<PooledConnection> iterator = pool.idleConnections.descendingIterator();
+        iterator.hasNext(); ) {
+      PooledConnection connection = iterator.next();
+      if (connection.idleSinceMicros() <= reuseCutoffMicros) {
+        iterator.remove();
         return connection;
       }
     }
@@ -136,9 +137,10 @@
   private boolean evictIdleConnection() {
     PooledConnection oldest = null;
     for (EndpointPool pool : pools.values()) {
-      PooledConnection first = pool.idle.peek();
-      if (first != null && (oldest == null || first.idleSinceMicros() < oldest.idleSinceMicros())) {
-        oldest = first;
+      PooledConnection longestIdle = pool.idleConnections.peek();
+      if (longestIdle != null
+          && (oldest == null || longestIdle.idleSinceMicros() < oldest.idleSinceMicros())) {
+        oldest = longestIdle;
       }
     }
     if (oldest != null) {
@@ -148,19 +150,20 @@
   }
 
   /** Closes connections that have been idle for too long; to be called every second or so. */
-  void closeIdle() {
-    long idleSinceAtLeast = nowMicros() - limits.idleTimeoutMicros();
+  void closeIdleConnections() {
+    long idleCutoffMicros = nowMicros() - limits.idleTimeoutMicros();
     for (EndpointPool pool : pools.values()) {
-      while (!pool.idle.isEmpty() && pool.idle.peek().idleSinceMicros() < idleSinceAtLeast) {
-        pool.idle.peek().abort();
+      while (!pool.idleConnections.isEmpty()
+          && pool.idleConnections.peek().idleSinceMicros() < idleCutoffMicros) {
+        pool.idleConnections.peek().abort();
       }
     }
   }
 
   /** Forgets a connection that is closed. */
   void onConnectionClosed(EndpointPool pool, PooledConnection connection) {
-    pool.idle.remove(connection);
-    openCount--;
+    pool.idleConnections.remove(connection);
+    openConnectionCount--;
   }
 
   /** Returns whether a pool's endpoint still listens at the pool's address. */
@@ -189,8 +192,8 @@
     return clockMicros.getAsLong();
   }
 
-  int openCount() {
-    return openCount;
+  int openConnectionCount() {
+    return openConnectionCount;
   }
 
   /** Closes all idle connections; those in use close with their attempt. Idempotent. */
--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -21,9 +21,13 @@
 // The value is passed on without a copy, and replies are never compared.
 @SuppressWarnings("ArrayRecordComponent")
 record BackendReply(
-    CallResult result, byte[] value, LoadReport load, double units, boolean isConnectionReusable) {
+    CallResult result,
+    byte[] value,
+    LoadReport loadReport,
+    double unitsUsed,
+    boolean isConnectionReusable) {
   /** Value, usage and load report. */
-  private static final int ELEMENTS = 3;
+  private static final int ELEMENT_COUNT = 3;
 
   private static final int MAX_FIELDS = 32;
   private static final BackendReply MALFORMED =
@@ -35,36 +39,36 @@
       return ofError(reply.text());
     }
     List<Reply> elements = reply.elements();
-    if (elements == null || elements.size() != ELEMENTS || !elements.get(0).isBulk()) {
+    if (elements == null || elements.size() != ELEMENT_COUNT || !elements.get(0).isBulk()) {
       return MALFORMED;
     }
-    Map<String, Double> usage = parseNumbers(elements.get(1).text());
-    double units =
+    Map<String, Double> usage = parseNumericFields(elements.get(1).text());
+    double unitsUsed =
         usage.getOrDefault(
             PlatformProtocol.FIELD_UNITS_USED,
             usage.getOrDefault(PlatformProtocol.FIELD_UNITS_USED_OLD, 0.0));
     return new BackendReply(
         CallResult.OK,
         elements.get(0).bytes(),
-        SettingsReader.load(parseNumbers(elements.get(2).text())),
-        Math.max(0, units),
+        SettingsReader.load(parseNumericFields(elements.get(2).text())),
+        Math.max(0, unitsUsed),
         true);
   }
 
   private static BackendReply ofError(String text) {
     String lastWord = text.substring(text.lastIndexOf(' ') + 1);
-    LoadReport load = SettingsReader.load(parseNumbers(lastWord));
+    LoadReport loadReport = SettingsReader.load(parseNumericFields(lastWord));
     if (text.equals(PlatformProtocol.ERROR_REJECTED)
         || text.startsWith(PlatformProtocol.ERROR_REJECTED + " ")) {
-      return new BackendReply(CallResult.SHED, null, load, 0, true);
+      return new BackendReply(CallResult.SHED, null, loadReport, 0, true);
     }
     // Only the error that the table names is known to leave the connection in order.
     boolean isConnectionReusable = text.startsWith(PlatformProtocol.ERROR);
-    return new BackendReply(CallResult.ERROR, null, load, 0, isConnectionReusable);
+    return new BackendReply(CallResult.ERROR, null, loadReport, 0, isConnectionReusable);
   }
 
   /** Parses {@code name=1.5,other=2}; fields that are malformed or negative are left out. */
-  static Map<String, Double> parseNumbers(String text) {
+  static Map<String, Double> parseNumericFields(String text) {
     Map<String, Double> numbers = new HashMap<>();
     for (String field : text.split(",", MAX_FIELDS)) {
       int separator = field.indexOf('=');
--- a/src/main/java/fawndock/platform/ByteConnection.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -14,15 +14,15 @@
  */
 abstract class ByteConnection extends ChannelInboundHandlerAdapter implements AutoCloseable {
   /** After a half-close the other side is given this time to close. */
-  private static final long LINGER_MILLIS = 1_000;
+  private static final long LINGER_TIMEOUT_MILLIS = 1_000;
 
   /** After a half-close at most so many bytes are read and dropped. */
-  private static final int LINGER_BYTES = 256 << 10;
+  private static final int MAX_LINGER_BYTES = 256 << 10;
 
   private ChannelHandlerContext context;
-  private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+  private ByteBuf bufferedBytes = Unpooled.EMPTY_BUFFER;
   private boolean isClosed;
-  private int droppedBytes;
+  private int discardedBytes;
 
   /** Reads what it can; bytes left unread are given again, together with the next ones. */
   abstract void onBytes(ByteBuf in);
@@ -31,12 +31,12 @@
   abstract void onDisconnected();
 
   @Override
-  public void handlerAdded(ChannelHandlerContext handler) {
-    context = handler;
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext handler) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     if (!isClosed) {
       markClosed();
       onDisconnected();
@@ -44,52 +44,52 @@
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     // A reset, most often.
     closeChannel();
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext handler, Object message) {
-    ByteBuf part = (ByteBuf) message;
+  public void channelRead(ChannelHandlerContext handlerContext, Object message) {
+    ByteBuf received = (ByteBuf) message;
     try {
       if (isClosed) {
-        drop(part.readableBytes());
-      } else if (buffered.isReadable()) {
-        int size = buffered.readableBytes() + part.readableBytes();
-        deliver(Unpooled.buffer(size).writeBytes(buffered).writeBytes(part), false);
+        discard(received.readableBytes());
+      } else if (bufferedBytes.isReadable()) {
+        int size = bufferedBytes.readableBytes() + received.readableBytes();
+        deliver(Unpooled.buffer(size).writeBytes(bufferedBytes).writeBytes(received), false);
       } else {
-        deliver(part, true);
+        deliver(received, true);
       }
     } finally {
-      part.release();
+      received.release();
     }
   }
 
   private void deliver(ByteBuf bytes, boolean mustCopy) {
-    buffered = Unpooled.EMPTY_BUFFER;
+    bufferedBytes = Unpooled.EMPTY_BUFFER;
     onBytes(bytes);
     if (!isClosed && bytes.isReadable()) {
-      buffered = mustCopy ? Unpooled.buffer(bytes.readableBytes()).writeBytes(bytes) : bytes;
+      bufferedBytes = mustCopy ? Unpooled.buffer(bytes.readableBytes()).writeBytes(bytes) : bytes;
     }
   }
 
-  private void drop(int bytes) {
-    droppedBytes += bytes;
-    if (droppedBytes > LINGER_BYTES) {
+  private void discard(int bytes) {
+    discardedBytes += bytes;
+    if (discardedBytes > MAX_LINGER_BYTES) {
       closeChannel();
     }
   }
 
   /** Delivers the buffered bytes once more. */
-  final void redeliverBuffered() {
-    if (!isClosed && buffered.isReadable()) {
-      deliver(buffered, false);
+  final void redeliverBufferedBytes() {
+    if (!isClosed && bufferedBytes.isReadable()) {
+      deliver(bufferedBytes, false);
     }
   }
 
   final boolean hasBufferedBytes() {
-    return buffered.isReadable();
+    return bufferedBytes.isReadable();
   }
 
   /** Writes bytes; the future tells whether all were handed to the network. */
@@ -120,7 +120,9 @@
         send(Unpooled.EMPTY_BUFFER)
             .addListener(written -> shutDownOutput(channel, written.isSuccess()));
     var lingerTimer =
-        context.executor().schedule(this::closeChannel, LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        context
+            .executor()
+            .schedule(this::closeChannel, LINGER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     var unusedCancel = channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
   }
 
@@ -162,7 +164,7 @@
 
   private void markClosed() {
     isClosed = true;
-    buffered = Unpooled.EMPTY_BUFFER;
+    bufferedBytes = Unpooled.EMPTY_BUFFER;
   }
 
   final boolean isClosed() {
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -14,15 +14,15 @@
   private static final int ATTRIBUTES_INDEX = 3;
   private static final int BODY_INDEX = 4;
   private static final String TIMEOUT_PREFIX = PlatformProtocol.FIELD_TIMEOUT_MILLIS + "=";
-  private static final int HEADER_BYTES = 96;
+  private static final int FRAMING_BYTES = 96;
 
-  private final byte[][] words;
+  private final byte[][] arguments;
   private final String attributeList;
   private final String id;
   private final RequestAttributes attributes;
 
-  ClientCommand(byte[][] words, String attributeList, String id, RequestAttributes attributes) {
-    this.words = words;
+  ClientCommand(byte[][] arguments, String attributeList, String id, RequestAttributes attributes) {
+    this.arguments = arguments;
     this.attributeList = attributeList;
     this.id = id;
     this.attributes = attributes;
@@ -43,28 +43,28 @@
   }
 
   private int bodyBytes() {
-    return words.length > BODY_INDEX ? words[BODY_INDEX].length : 0;
+    return arguments.length > BODY_INDEX ? arguments[BODY_INDEX].length : 0;
   }
 
   /** Encodes the command for an endpoint, with this timeout in place of the client's. */
   ByteBuf encodeForEndpoint(long timeoutMillis) {
     byte[] attributeBytes = withTimeout(timeoutMillis).getBytes(StandardCharsets.ISO_8859_1);
-    ByteBuf out = Unpooled.buffer(HEADER_BYTES + attributeBytes.length + bodyBytes());
+    ByteBuf out = Unpooled.buffer(FRAMING_BYTES + attributeBytes.length + bodyBytes());
     ReplyWriter writer = new ReplyWriter(out);
-    writer.array(words.length);
-    for (int i = 0; i < words.length; i++) {
-      writer.bulk(i == ATTRIBUTES_INDEX ? attributeBytes : words[i]);
+    writer.array(arguments.length);
+    for (int i = 0; i < arguments.length; i++) {
+      writer.bulk(i == ATTRIBUTES_INDEX ? attributeBytes : arguments[i]);
     }
     return out;
   }
 
   private String withTimeout(long timeoutMillis) {
-    int from =
+    int valueStart =
         attributeList.startsWith(TIMEOUT_PREFIX)
             ? TIMEOUT_PREFIX.length()
             : attributeList.indexOf("," + TIMEOUT_PREFIX) + 1 + TIMEOUT_PREFIX.length();
-    int to = attributeList.indexOf(',', from);
-    String rest = to < 0 ? "" : attributeList.substring(to);
-    return attributeList.substring(0, from) + timeoutMillis + rest;
+    int valueEnd = attributeList.indexOf(',', valueStart);
+    String remainder = valueEnd < 0 ? "" : attributeList.substring(valueEnd);
+    return attributeList.substring(0, valueStart) + timeoutMillis + remainder;
   }
 }
--- a/src/main/java/fawndock/platform/ClientCommandParser.java
+++ b/src/main/java/fawndock/platform/ClientCommandParser.java
@@ -35,15 +35,15 @@
   }
 
   /** Returns whether a command's first word names a request. */
-  static boolean isRequest(byte[] word) {
-    return isWord(word, PlatformProtocol.COMMAND_IDEMPOTENT)
-        || isWord(word, PlatformProtocol.COMMAND_NOT_IDEMPOTENT);
+  static boolean isRequest(byte[] commandName) {
+    return matchesIgnoreCase(commandName, PlatformProtocol.COMMAND_IDEMPOTENT)
+        || matchesIgnoreCase(commandName, PlatformProtocol.COMMAND_NOT_IDEMPOTENT);
   }
 
   /** Returns whether a word is this one, in any case. */
-  static boolean isWord(byte[] word, String expected) {
-    return word.length == expected.length()
-        && new String(word, StandardCharsets.ISO_8859_1).equalsIgnoreCase(expected);
+  static boolean matchesIgnoreCase(byte[] argument, String expected) {
+    return argument.length == expected.length()
+        && new String(argument, StandardCharsets.ISO_8859_1).equalsIgnoreCase(expected);
   }
 
   /**
@@ -52,25 +52,26 @@
    * @param nowMicros when the command was read
    * @throws InvalidCommandException with the error reply
    */
-  ClientCommand parse(byte[][] words, long nowMicros) throws InvalidCommandException {
-    if (words.length != 4 && words.length != 5) {
+  ClientCommand parse(byte[][] arguments, long nowMicros) throws InvalidCommandException {
+    if (arguments.length != 4 && arguments.length != 5) {
       throw new InvalidCommandException(
           "a customer, an id, a list and at most a body are expected");
     }
-    String customer = hexadecimal(words[1], "the customer");
+    String customer = parseHexadecimal(arguments[1], "the customer");
     if (Long.compareUnsigned(Long.parseUnsignedLong(customer, 16), CUSTOMER_ID_LIMIT) >= 0) {
       throw new InvalidCommandException("the customer is out of range");
     }
-    String id = hexadecimal(words[2], "the id");
-    String attributeList = new String(words[3], StandardCharsets.ISO_8859_1);
-    Map<String, String> fields = fields(attributeList);
-    RequestClass requestClass = requestClass(fields, words[0]);
+    String id = parseHexadecimal(arguments[2], "the id");
+    String attributeList = new String(arguments[3], StandardCharsets.ISO_8859_1);
+    Map<String, String> fields = parseFields(attributeList);
+    RequestClass requestClass = resolveRequestClass(fields, arguments[0]);
     checkIdempotencyKey(fields, requestClass);
-    RequestAttributes attributes = attributes(fields, requestClass, customer, id, nowMicros);
-    return new ClientCommand(words, attributeList, id, attributes);
+    RequestAttributes attributes = parseAttributes(fields, requestClass, customer, id, nowMicros);
+    return new ClientCommand(arguments, attributeList, id, attributes);
   }
 
-  private static Map<String, String> fields(String attributeList) throws InvalidCommandException {
+  private static Map<String, String> parseFields(String attributeList)
+      throws InvalidCommandException {
     Map<String, String> fields = new HashMap<>();
     for (String pair : attributeList.split(",", -1)) {
       int separator = pair.indexOf('=');
@@ -83,7 +84,7 @@
     return fields;
   }
 
-  private RequestClass requestClass(Map<String, String> fields, byte[] commandWord)
+  private RequestClass resolveRequestClass(Map<String, String> fields, byte[] commandName)
       throws InvalidCommandException {
     RequestClass requestClass =
         classes.get(fields.getOrDefault(PlatformProtocol.FIELD_REQUEST_CLASS, ""));
@@ -92,7 +93,7 @@
       throw new InvalidCommandException("no such class or plan");
     }
     boolean isIdempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
-    if (isWord(commandWord, PlatformProtocol.COMMAND_IDEMPOTENT) != isIdempotent) {
+    if (matchesIgnoreCase(commandName, PlatformProtocol.COMMAND_IDEMPOTENT) != isIdempotent) {
       throw new InvalidCommandException("the class is another command's");
     }
     return requestClass;
@@ -110,7 +111,7 @@
     }
   }
 
-  private RequestAttributes attributes(
+  private RequestAttributes parseAttributes(
       Map<String, String> fields,
       RequestClass requestClass,
       String customer,
@@ -118,39 +119,40 @@
       long nowMicros)
       throws InvalidCommandException {
     long timeoutMillis =
-        integer(fields, PlatformProtocol.FIELD_TIMEOUT_MILLIS, 1, MAX_TIMEOUT_MILLIS);
-    int customerInstances =
-        (int) integer(fields, PlatformProtocol.FIELD_INSTANCE_COUNT, 1, instanceCount);
+        parseInteger(fields, PlatformProtocol.FIELD_TIMEOUT_MILLIS, 1, MAX_TIMEOUT_MILLIS);
+    int customerInstanceCount =
+        (int) parseInteger(fields, PlatformProtocol.FIELD_INSTANCE_COUNT, 1, instanceCount);
     int firstInstance =
-        (int) integer(fields, PlatformProtocol.FIELD_FIRST_INSTANCE, 0, instanceCount - 1);
+        (int) parseInteger(fields, PlatformProtocol.FIELD_FIRST_INSTANCE, 0, instanceCount - 1);
     boolean isRetry =
         fields.containsKey(PlatformProtocol.FIELD_IS_RETRY)
-            && integer(fields, PlatformProtocol.FIELD_IS_RETRY, 0, 1) == 1;
+            && parseInteger(fields, PlatformProtocol.FIELD_IS_RETRY, 0, 1) == 1;
     return new RequestAttributes(
         requestClass,
         fields.get(PlatformProtocol.FIELD_PLAN),
         customer,
         nowMicros,
         nowMicros + timeoutMillis * 1_000,
-        units(fields.getOrDefault(PlatformProtocol.FIELD_UNITS, "")),
-        customerInstances,
+        parseUnits(fields.getOrDefault(PlatformProtocol.FIELD_UNITS, "")),
+        customerInstanceCount,
         firstInstance,
         isRetry,
         id);
   }
 
-  private static String hexadecimal(byte[] word, String what) throws InvalidCommandException {
-    boolean isValid = word.length == ID_DIGITS;
-    for (byte b : word) {
+  private static String parseHexadecimal(byte[] argument, String name)
+      throws InvalidCommandException {
+    boolean isValid = argument.length == ID_DIGITS;
+    for (byte b : argument) {
       isValid &= (b >= '0' && b <= '9') || (b >= 'a' && b <= 'f');
     }
     if (!isValid) {
-      throw new InvalidCommandException(what + " is not 16 hexadecimal digits");
+      throw new InvalidCommandException(name + " is not 16 hexadecimal digits");
     }
-    return new String(word, StandardCharsets.ISO_8859_1);
+    return new String(argument, StandardCharsets.ISO_8859_1);
   }
 
-  private static long integer(Map<String, String> fields, String name, long min, long max)
+  private static long parseInteger(Map<String, String> fields, String name, long min, long max)
       throws InvalidCommandException {
     String text = fields.getOrDefault(name, "");
     long number = INTEGER.matcher(text).matches() ? Long.parseLong(text) : -1;
@@ -160,7 +162,7 @@
     return number;
   }
 
-  private double units(String text) throws InvalidCommandException {
+  private double parseUnits(String text) throws InvalidCommandException {
     double units = DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : 0;
     if (!(units > 0 && units <= maxUnits)) {
       throw new InvalidCommandException("'units' is missing, no number or out of range");
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -21,7 +21,8 @@
   /** Buffered from a client that does not read its responses; one that exceeds this is closed. */
   private static final int MAX_BUFFERED_BYTES = 128 << 10;
 
-  private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
+  private static final CommandReader.Limits COMMAND_LIMITS =
+      new CommandReader.Limits(66 << 10, 8, 0);
 
   /** Value of the times below while the condition does not hold. */
   private static final long NEVER = 0;
@@ -43,9 +44,9 @@
       flushResponses();
     }
 
-    void respondError(String line) {
-      ByteBuf out = Unpooled.buffer(line.length() + 4);
-      new ReplyWriter(out).error(line);
+    void respondError(String error) {
+      ByteBuf out = Unpooled.buffer(error.length() + 4);
+      new ReplyWriter(out).error(error);
       respond(out);
     }
 
@@ -55,8 +56,8 @@
   }
 
   private final ClientListener listener;
-  private final CommandReader reader = new CommandReader(LIMITS);
-  private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>(2);
+  private final CommandReader reader = new CommandReader(COMMAND_LIMITS);
+  private final ArrayDeque<ResponseSlot> responseSlots = new ArrayDeque<>(2);
 
   /** When the connection was accepted, or last wrote a response. */
   private long idleSinceMicros;
@@ -71,8 +72,8 @@
   private long failedSinceMicros = NEVER;
 
   private boolean hasSentCommand;
-  private boolean isReading;
-  private boolean isReleased;
+  private boolean isReadingCommands;
+  private boolean isDisconnectHandled;
 
   ClientConnection(ClientListener listener) {
     this.listener = listener;
@@ -80,7 +81,7 @@
   }
 
   @Override
-  public void channelActive(ChannelHandlerContext handler) {
+  public void channelActive(ChannelHandlerContext handlerContext) {
     listener.onAccepted(this);
   }
 
@@ -103,20 +104,20 @@
   /** Reads all complete commands; returns whether there were any. */
   private boolean readCommands(ByteBuf in) {
     boolean hasReadCommand = false;
-    isReading = true;
+    isReadingCommands = true;
     try {
-      for (byte[][] words = nextCommand(in); words != null; words = nextCommand(in)) {
+      for (byte[][] arguments = nextCommand(in); arguments != null; arguments = nextCommand(in)) {
         hasReadCommand = true;
-        if (slots.size() >= MAX_PENDING_RESPONSES) {
+        if (responseSlots.size() >= MAX_PENDING_RESPONSES) {
           fail(PlatformProtocol.ERROR_TOO_MANY_COMMANDS);
         } else {
-          onCommand(words);
+          onCommand(arguments);
         }
       }
     } catch (ProtocolException e) {
       fail(e.getMessage());
     }
-    isReading = false;
+    isReadingCommands = false;
     return hasReadCommand;
   }
 
@@ -135,13 +136,13 @@
     }
   }
 
-  private void onCommand(byte[][] words) {
+  private void onCommand(byte[][] arguments) {
     hasSentCommand = true;
     ResponseSlot slot = addSlot();
-    if (ClientCommandParser.isRequest(words[0])) {
-      onRequest(words, slot);
-    } else if (words.length == 1
-        && ClientCommandParser.isWord(words[0], PlatformProtocol.COMMAND_PING)) {
+    if (ClientCommandParser.isRequest(arguments[0])) {
+      onRequest(arguments, slot);
+    } else if (arguments.length == 1
+        && ClientCommandParser.matchesIgnoreCase(arguments[0], PlatformProtocol.COMMAND_PING)) {
       ByteBuf out = Unpooled.buffer(8);
       new ReplyWriter(out).simple(PlatformProtocol.REPLY_PONG);
       slot.respond(out);
@@ -150,9 +151,9 @@
     }
   }
 
-  private void onRequest(byte[][] words, ResponseSlot slot) {
+  private void onRequest(byte[][] arguments, ResponseSlot slot) {
     try {
-      ClientCommand command = listener.parser().parse(words, listener.nowMicros());
+      ClientCommand command = listener.parser().parse(arguments, listener.nowMicros());
       String error = listener.admissionError(command);
       if (error != null) {
         slot.respondError(error);
@@ -167,7 +168,7 @@
 
   private ResponseSlot addSlot() {
     ResponseSlot slot = new ResponseSlot();
-    slots.add(slot);
+    responseSlots.add(slot);
     return slot;
   }
 
@@ -181,12 +182,12 @@
 
   /** Writes the responses that are due, in order. */
   private void flushResponses() {
-    if (isReading || isClosed()) {
+    if (isReadingCommands || isClosed()) {
       return;
     }
     ByteBuf out = null;
-    while (!slots.isEmpty() && slots.peek().response != null) {
-      ByteBuf next = slots.poll().response;
+    while (!responseSlots.isEmpty() && responseSlots.peek().response != null) {
+      ByteBuf next = responseSlots.poll().response;
       out = out == null ? next : Unpooled.wrappedBuffer(out, next);
     }
     if (out != null) {
@@ -197,20 +198,20 @@
         unwritableSinceMicros = idleSinceMicros;
       }
     }
-    boolean isDrained = listener.isDraining() && isQuiet();
-    if (slots.isEmpty() && (failedSinceMicros != NEVER || isDrained)) {
+    boolean isDrained = listener.isDraining() && isQuiescent();
+    if (responseSlots.isEmpty() && (failedSinceMicros != NEVER || isDrained)) {
       closeGracefully();
     }
   }
 
   /** Returns whether no response is pending and no byte of a further command has come. */
-  private boolean isQuiet() {
-    return slots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
+  private boolean isQuiescent() {
+    return responseSlots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
   }
 
   /** Returns whether nothing has been in flight on the connection for this long. */
-  boolean isIdle(long nowMicros, long minMicros) {
-    return isQuiet() && nowMicros - idleSinceMicros >= minMicros;
+  boolean isIdle(long nowMicros, long minIdleMicros) {
+    return isQuiescent() && nowMicros - idleSinceMicros >= minIdleMicros;
   }
 
   boolean hasSentCommand() {
@@ -218,19 +219,21 @@
   }
 
   boolean hasPendingResponses() {
-    return !slots.isEmpty();
+    return !responseSlots.isEmpty();
   }
 
   /** Closes the connection when it exceeds one of the listener's time limits. */
   void checkTimeouts(long nowMicros) {
-    boolean isSilent = !hasSentCommand && isIdle(nowMicros, ClientListener.SILENT_TIMEOUT_MICROS);
-    if (isSilent
-        || hasElapsed(nowMicros, unwritableSinceMicros, ClientListener.UNREAD_TIMEOUT_MICROS)
-        || hasElapsed(nowMicros, failedSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)
+    boolean isFirstCommandOverdue =
+        !hasSentCommand && isIdle(nowMicros, ClientListener.COMMAND_TIMEOUT_MICROS);
+    if (isFirstCommandOverdue
+        || hasElapsed(
+            nowMicros, unwritableSinceMicros, ClientListener.UNREAD_RESPONSE_TIMEOUT_MICROS)
+        || hasElapsed(nowMicros, failedSinceMicros, ClientListener.COMMAND_TIMEOUT_MICROS)
         || isIdle(nowMicros, listener.idleTimeoutMicros())) {
       closeGracefully();
     } else if (failedSinceMicros == NEVER
-        && hasElapsed(nowMicros, incompleteSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)) {
+        && hasElapsed(nowMicros, incompleteSinceMicros, ClientListener.COMMAND_TIMEOUT_MICROS)) {
       fail(PlatformProtocol.ERROR_INCOMPLETE_COMMAND);
     }
   }
@@ -240,15 +243,15 @@
   }
 
   /** Closes the connection unless a response is pending or part of a command has come. */
-  void closeIfQuiet() {
-    if (isQuiet()) {
+  void closeIfQuiescent() {
+    if (isQuiescent()) {
       closeGracefully();
     }
   }
 
   /** Responds to all requests in flight with an error. */
-  void failInFlight() {
-    for (ResponseSlot slot : List.copyOf(slots)) {
+  void failRequestsInFlight() {
+    for (ResponseSlot slot : List.copyOf(responseSlots)) {
       if (slot.isInFlight()) {
         listener.onClientDisconnected(slot.requestId);
         slot.respondError(PlatformProtocol.ERROR_SHUTTING_DOWN);
@@ -264,27 +267,27 @@
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext handler) {
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
     if (unwritableSinceMicros != NEVER && isWritable()) {
       unwritableSinceMicros = NEVER;
-      redeliverBuffered();
+      redeliverBufferedBytes();
     }
-    handler.fireChannelWritabilityChanged();
+    handlerContext.fireChannelWritabilityChanged();
   }
 
   @Override
   void onDisconnected() {
-    if (isReleased) {
+    if (isDisconnectHandled) {
       return;
     }
-    isReleased = true;
+    isDisconnectHandled = true;
     listener.onClosed(this);
-    for (ResponseSlot slot : slots) {
+    for (ResponseSlot slot : responseSlots) {
       if (slot.isInFlight()) {
         listener.release(slot.exchange);
         listener.onClientDisconnected(slot.requestId);
       }
     }
-    slots.clear();
+    responseSlots.clear();
   }
 }
--- a/src/main/java/fawndock/platform/ClientExchange.java
+++ b/src/main/java/fawndock/platform/ClientExchange.java
@@ -7,7 +7,7 @@
 
 /** A client's request in flight, and the slot for its response on the client's connection. */
 final class ClientExchange implements ServerExchange {
-  private static final int HEADER_BYTES = 16;
+  private static final int FRAMING_BYTES = 16;
 
   private final ClientCommand command;
   private final ClientConnection.ResponseSlot slot;
@@ -27,8 +27,8 @@
   }
 
   /** Responds with the value that an endpoint gave. */
-  void serve(byte[] value) {
-    ByteBuf out = Unpooled.buffer(value.length + HEADER_BYTES);
+  void respondValue(byte[] value) {
+    ByteBuf out = Unpooled.buffer(value.length + FRAMING_BYTES);
     new ReplyWriter(out).bulk(value);
     slot.respond(out);
   }
--- a/src/main/java/fawndock/platform/ClientListener.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -20,10 +20,10 @@
    * A connection is closed after this time without a first command, with an incomplete command, or
    * after a protocol error.
    */
-  static final long SILENT_TIMEOUT_MICROS = 2_000_000;
+  static final long COMMAND_TIMEOUT_MICROS = 2_000_000;
 
   /** A connection is closed when its client has not read its responses for this time. */
-  static final long UNREAD_TIMEOUT_MICROS = 4_000_000;
+  static final long UNREAD_RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
   /** Idle time while connections are plenty. Long, as a request may cross each close. */
   private static final long LONG_IDLE_TIMEOUT_MICROS = 120_000_000;
@@ -36,11 +36,11 @@
   /**
    * Upper bounds.
    *
-   * @param connections at once, half-closed ones included
-   * @param requests in flight at once
-   * @param requestBytes of all requests in flight
+   * @param maxConnections at once, half-closed ones included
+   * @param maxRequests in flight at once
+   * @param maxRequestBytes of all requests in flight
    */
-  record Limits(int connections, int requests, long requestBytes) {}
+  record Limits(int maxConnections, int maxRequests, long maxRequestBytes) {}
 
   private final TcpTransport transport;
   private final PolicyRunner runner;
@@ -76,13 +76,13 @@
   }
 
   void onAccepted(ClientConnection connection) {
-    while (connections.size() + halfClosedConnections.size() >= limits.connections()
+    while (connections.size() + halfClosedConnections.size() >= limits.maxConnections()
         && !halfClosedConnections.isEmpty()) {
       ClientConnection oldest = halfClosedConnections.iterator().next();
       halfClosedConnections.remove(oldest);
       oldest.closeNow();
     }
-    if (connections.size() >= limits.connections() && !evictIdleConnection()) {
+    if (connections.size() >= limits.maxConnections() && !evictIdleConnection()) {
       connection.close();
     } else {
       connections.add(connection);
@@ -124,8 +124,8 @@
 
   /** Returns after which time an idle connection is closed. */
   long idleTimeoutMicros() {
-    boolean isScarce = 2 * connections.size() > limits.connections();
-    return isScarce ? SHORT_IDLE_TIMEOUT_MICROS : LONG_IDLE_TIMEOUT_MICROS;
+    boolean areConnectionsScarce = 2 * connections.size() > limits.maxConnections();
+    return areConnectionsScarce ? SHORT_IDLE_TIMEOUT_MICROS : LONG_IDLE_TIMEOUT_MICROS;
   }
 
   /** Returns the error reply to a command that cannot be taken, or null when it can. */
@@ -134,8 +134,8 @@
       return PlatformProtocol.ERROR_DUPLICATE_ID;
     }
     boolean isOverLimit =
-        inFlightIds.size() >= limits.requests()
-            || inFlightBytes + command.sizeBytes() > limits.requestBytes();
+        inFlightIds.size() >= limits.maxRequests()
+            || inFlightBytes + command.sizeBytes() > limits.maxRequestBytes();
     return isOverLimit ? PlatformProtocol.ERROR_REJECTED : null;
   }
 
@@ -172,7 +172,7 @@
     isDraining = true;
     this.drainedListener = drainedListener;
     stopAccepting();
-    List.copyOf(connections).forEach(ClientConnection::closeIfQuiet);
+    List.copyOf(connections).forEach(ClientConnection::closeIfQuiescent);
     notifyIfDrained();
   }
 
@@ -185,9 +185,9 @@
   }
 
   /** Fails all requests in flight and closes all connections; nothing is read afterwards. */
-  void failInFlight() {
+  void failRequestsInFlight() {
     for (ClientConnection connection : List.copyOf(connections)) {
-      connection.failInFlight();
+      connection.failRequestsInFlight();
       connection.closeGracefully();
     }
   }
--- a/src/main/java/fawndock/platform/ConfigFileWatcher.java
+++ b/src/main/java/fawndock/platform/ConfigFileWatcher.java
@@ -17,7 +17,7 @@
   private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
   /** What tells one version of a file from another; {@code key} differs for a replaced file. */
-  private record FileVersion(FileTime modifiedAt, long sizeBytes, Object key) {}
+  private record FileVersion(FileTime modifiedAt, long sizeBytes, Object fileKey) {}
 
   private final Path file;
   private final Runnable listener;
--- a/src/main/java/fawndock/platform/CounterCall.java
+++ b/src/main/java/fawndock/platform/CounterCall.java
@@ -18,7 +18,7 @@
   private final AddToCounter action;
 
   /** Whether all of the command was handed to the network: it may have been added. */
-  boolean isWritten;
+  boolean isWriteComplete;
 
   /** Fires when the call has taken too long; null once it has fired. */
   Timers.Timer timeoutTimer;
--- a/src/main/java/fawndock/platform/CounterClient.java
+++ b/src/main/java/fawndock/platform/CounterClient.java
@@ -20,10 +20,10 @@
  */
 final class CounterClient implements AutoCloseable {
   /** Few: a malformed reply ends all calls behind it, and each connection needs a descriptor. */
-  private static final int CONNECTIONS = 4;
+  private static final int CONNECTION_COUNT = 4;
 
   private static final int MAX_PENDING_CALLS = 4_096;
-  private static final long CHECK_INTERVAL_MICROS = CounterConnection.SILENT_TIMEOUT_MICROS / 4;
+  private static final long CHECK_INTERVAL_MICROS = CounterConnection.REPLY_TIMEOUT_MICROS / 4;
   private static final long MIN_BACKOFF_MICROS = 20_000;
   private static final long MAX_BACKOFF_MICROS = 500_000;
 
@@ -56,9 +56,9 @@
     }
 
     @Override
-    public void onClosed(CounterConnection closed, boolean wasConnected) {
-      openConnections.remove(closed);
-      if (connection == closed) {
+    public void onClosed(CounterConnection closedConnection, boolean wasConnected) {
+      openConnections.remove(closedConnection);
+      if (connection == closedConnection) {
         connection = null;
         reopenAtMicros = wasConnected ? 0 : clock.now() + backoffMicros;
         backoffMicros =
@@ -122,7 +122,7 @@
     address = newAddress;
     openConnections.forEach(CounterConnection::retire);
     List<ConnectionSlot> newSlots = new ArrayList<>();
-    for (int i = 0; i < CONNECTIONS; i++) {
+    for (int i = 0; i < CONNECTION_COUNT; i++) {
       newSlots.add(new ConnectionSlot());
     }
     slots = newSlots;
@@ -147,13 +147,13 @@
     if (address == null || pendingCallCount >= MAX_PENDING_CALLS) {
       return null;
     }
-    return slots.get(Math.floorMod(counterName.hashCode(), CONNECTIONS)).connection();
+    return slots.get(Math.floorMod(counterName.hashCode(), CONNECTION_COUNT)).connection();
   }
 
   private void onTimeout(CounterCall call) {
     pendingCallCount--;
     call.timeoutTimer = null;
-    complete(call, call.isWritten ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED, 0);
+    complete(call, call.isWriteComplete ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED, 0);
   }
 
   private void complete(CounterCall call, CallResult result, double total) {
@@ -171,7 +171,7 @@
 
   private void checkConnections() {
     long nowMicros = clock.now();
-    List.copyOf(openConnections).forEach(connection -> connection.check(nowMicros));
+    List.copyOf(openConnections).forEach(connection -> connection.abortIfUnusable(nowMicros));
     checkTimer = timers.schedule(CHECK_INTERVAL_MICROS, this::checkConnections);
   }
 
--- a/src/main/java/fawndock/platform/CounterConnection.java
+++ b/src/main/java/fawndock/platform/CounterConnection.java
@@ -13,10 +13,11 @@
  */
 final class CounterConnection implements RespConnection.Listener {
   /** A connection with calls in flight and no reply for this time is taken to be dead. */
-  static final long SILENT_TIMEOUT_MICROS = 2_000_000;
+  static final long REPLY_TIMEOUT_MICROS = 2_000_000;
 
   private static final int MAX_REPLY_BYTES = 512;
-  private static final ReplyReader READER = new ReplyReader(MAX_REPLY_BYTES, MAX_REPLY_BYTES, 0);
+  private static final ReplyReader REPLY_READER =
+      new ReplyReader(MAX_REPLY_BYTES, MAX_REPLY_BYTES, 0);
 
   /** Learns how calls end and when the connection is closed. */
   interface Listener {
@@ -46,7 +47,7 @@
       TcpTransport transport, Address address, long connectTimeoutMicros, Listener listener) {
     this.listener = listener;
     lastReplyMicros = listener.nowMicros();
-    connection = new RespConnection(transport, address, connectTimeoutMicros, READER, this);
+    connection = new RespConnection(transport, address, connectTimeoutMicros, REPLY_READER, this);
   }
 
   /** Sends a call, now or once the connection is up. */
@@ -61,7 +62,7 @@
   }
 
   private void write(CounterCall call) {
-    connection.write(call.encode(), isWritten -> call.isWritten |= isWritten);
+    connection.write(call.encode(), isWriteComplete -> call.isWriteComplete |= isWriteComplete);
   }
 
   /** Has the connection closed once nothing is pending on it: it gets no further calls. */
@@ -70,10 +71,10 @@
   }
 
   /** Aborts the connection when its counter has gone silent, or when it is retired and done. */
-  void check(long nowMicros) {
-    boolean isUseless =
-        pendingCalls.isEmpty() ? isRetired : nowMicros - lastReplyMicros > SILENT_TIMEOUT_MICROS;
-    if (isUseless) {
+  void abortIfUnusable(long nowMicros) {
+    boolean isUnusable =
+        pendingCalls.isEmpty() ? isRetired : nowMicros - lastReplyMicros > REPLY_TIMEOUT_MICROS;
+    if (isUnusable) {
       abort();
     }
   }
@@ -123,7 +124,7 @@
   public void onClosed(boolean wasConnected) {
     listener.onClosed(this, wasConnected);
     for (CounterCall call = pendingCalls.poll(); call != null; call = pendingCalls.poll()) {
-      CallResult result = call.isWritten ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED;
+      CallResult result = call.isWriteComplete ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED;
       listener.onCompleted(call, result, 0);
     }
   }
--- a/src/main/java/fawndock/platform/DiscoveryCall.java
+++ b/src/main/java/fawndock/platform/DiscoveryCall.java
@@ -92,32 +92,32 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext handler) {
-    context = handler;
-    handler.pipeline().addBefore(handler.name(), "http", new HttpClientCodec());
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
+    handlerContext.pipeline().addBefore(handlerContext.name(), "http", new HttpClientCodec());
   }
 
   @Override
-  public void channelActive(ChannelHandlerContext handler) {
+  public void channelActive(ChannelHandlerContext handlerContext) {
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
     request.headers().set(HttpHeaderNames.HOST, hostHeader);
     // A write that fails closes the connection, and channelInactive ends the call.
-    var unused = handler.writeAndFlush(request);
+    var unused = handlerContext.writeAndFlush(request);
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext handler) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     end("closed", false);
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     end(cause.toString(), false);
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext handler, Object message) {
+  public void channelRead(ChannelHandlerContext handlerContext, Object message) {
     try {
       if (!isClosed) {
         onMessage(message);
@@ -130,10 +130,10 @@
   private void onMessage(Object message) {
     if (((HttpObject) message).decoderResult().isFailure()) {
       end("not an HTTP response", false);
-    } else if (message instanceof HttpResponse head && head.status().code() != STATUS_OK) {
+    } else if (message instanceof HttpResponse response && response.status().code() != STATUS_OK) {
       // Statuses below are informational: the response itself is still to come.
-      if (head.status().code() > STATUS_OK) {
-        end("status " + head.status().code(), false);
+      if (response.status().code() > STATUS_OK) {
+        end("status " + response.status().code(), false);
       }
     } else if (message instanceof HttpContent content) {
       framer.read(content.content(), this);
--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -52,27 +52,27 @@
     List<Endpoint> endpoints = new ArrayList<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
     for (JsonObject entry : list.objects(KEY_ENDPOINTS)) {
-      Endpoint endpoint = endpoint(entry);
+      Endpoint endpoint = decodeEndpoint(entry);
       endpoints.add(endpoint);
       if (entry.has(KEY_ADDRESS)) {
-        addresses.put(endpoint.id(), address(KEY_ADDRESS, entry.text(KEY_ADDRESS)));
+        addresses.put(endpoint.id(), decodeAddress(KEY_ADDRESS, entry.text(KEY_ADDRESS)));
       }
     }
     return new EndpointList(
         list.integer(KEY_VERSION), list.flag(KEY_IS_SNAPSHOT), endpoints, addresses);
   }
 
-  private static Endpoint endpoint(JsonObject entry) {
+  private static Endpoint decodeEndpoint(JsonObject entry) {
     return new Endpoint(
         entry.text(KEY_ID),
         entry.textOr(KEY_ZONE, ""),
         (int) entry.integerOr(KEY_CELL, 0),
-        state(entry.textOr(KEY_STATE, STATE_RUNNING)),
+        decodeState(entry.textOr(KEY_STATE, STATE_RUNNING)),
         entry.numberOr(KEY_WEIGHT, 1),
         entry.integerOr(KEY_STARTED_AT_MILLIS, 0) * 1_000);
   }
 
-  private static EndpointState state(String status) {
+  private static EndpointState decodeState(String status) {
     return switch (status) {
       case STATE_RUNNING -> EndpointState.RUNNING;
       case STATE_DRAINING -> EndpointState.DRAINING;
@@ -89,7 +89,7 @@
    * @param key named in the error
    * @throws MalformedMessageException when the text is none
    */
-  static Address address(String key, String text) {
+  static Address decodeAddress(String key, String text) {
     Address address = Address.parse(text);
     if (address != null && address.port() > 0) {
       return address;
--- a/src/main/java/fawndock/platform/EndpointWatch.java
+++ b/src/main/java/fawndock/platform/EndpointWatch.java
@@ -130,7 +130,7 @@
       onEnded(call, e.getMessage(), true);
       return;
     }
-    accept(call, list);
+    acceptIfCurrent(call, list);
     if (call.isSnapshotCall && calls.contains(call)) {
       closeCall(call);
       if (version == NO_VERSION) {
@@ -141,7 +141,7 @@
     }
   }
 
-  private void accept(DiscoveryCall call, EndpointList list) {
+  private void acceptIfCurrent(DiscoveryCall call, EndpointList list) {
     boolean isNewestCall = calls.peekLast() == call;
     if (list.isSnapshot() && list.endpoints().isEmpty()) {
       LOG.warn("empty endpoint list ignored, discovery={}", address);
--- a/src/main/java/fawndock/platform/GracefulShutdown.java
+++ b/src/main/java/fawndock/platform/GracefulShutdown.java
@@ -24,7 +24,7 @@
   private static final long FAIL_DELAY_MICROS = 450_000;
 
   /** Left to the last responses and closes on their way. */
-  private static final long LINGER_MICROS = 100_000;
+  private static final long FINAL_FLUSH_MICROS = 100_000;
 
   private final Vertx vertx;
   private final ClientListener clientListener;
@@ -53,13 +53,13 @@
   void start() {
     long servingMicros = Math.max(MIN_SERVING_MICROS, (long) (SERVING_RATIO * deadlineMicros));
     schedule(servingMicros, () -> clientListener.drain(finishedListener));
-    schedule(deadlineMicros + FAIL_DELAY_MICROS, this::failInFlight);
+    schedule(deadlineMicros + FAIL_DELAY_MICROS, this::failRequestsInFlight);
   }
 
   /** Fails what is in flight: an error reply serves clients better than a reset at SIGKILL. */
-  private void failInFlight() {
-    clientListener.failInFlight();
-    schedule(LINGER_MICROS, finishedListener);
+  private void failRequestsInFlight() {
+    clientListener.failRequestsInFlight();
+    schedule(FINAL_FLUSH_MICROS, finishedListener);
   }
 
   private void schedule(long delayMicros, Runnable task) {
--- a/src/main/java/fawndock/platform/InMemoryTransport.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -20,7 +20,7 @@
  * WarmUp}. Confined to one event loop.
  */
 final class InMemoryTransport extends TcpTransport {
-  private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
+  private final Map<Address, Supplier<ChannelHandler>> handlerFactories = new HashMap<>();
 
   InMemoryTransport(Context context) {
     super(context);
@@ -65,12 +65,12 @@
     ChannelPromise connected = new DefaultChannelPromise(client, eventLoop);
     eventLoop.execute(
         () -> {
-          Supplier<ChannelHandler> listener = listeners.get(address);
-          if (listener == null) {
+          Supplier<ChannelHandler> handlerFactory = handlerFactories.get(address);
+          if (handlerFactory == null) {
             connected.setFailure(new ConnectException("nothing listens at " + address));
             return;
           }
-          InMemoryChannel server = new InMemoryChannel(listener.get());
+          InMemoryChannel server = new InMemoryChannel(handlerFactory.get());
           client.peer = server;
           server.peer = client;
           connected.setSuccess();
@@ -79,10 +79,10 @@
   }
 
   @Override
-  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
-    listeners.put(address, handlers);
-    InMemoryChannel bound = new InMemoryChannel(new ChannelInboundHandlerAdapter());
-    ChannelPromise listening = new DefaultChannelPromise(bound, eventLoop);
+  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlerFactory) {
+    handlerFactories.put(address, handlerFactory);
+    InMemoryChannel serverChannel = new InMemoryChannel(new ChannelInboundHandlerAdapter());
+    ChannelPromise listening = new DefaultChannelPromise(serverChannel, eventLoop);
     eventLoop.execute(listening::setSuccess);
     return listening;
   }
--- a/src/main/java/fawndock/platform/JsonFramer.java
+++ b/src/main/java/fawndock/platform/JsonFramer.java
@@ -23,7 +23,7 @@
   }
 
   private final int maxObjectBytes;
-  private final ByteBuf object = Unpooled.buffer(256);
+  private final ByteBuf objectBytes = Unpooled.buffer(256);
   private int depth;
   private boolean isInString;
   private boolean isEscaped;
@@ -49,13 +49,13 @@
   }
 
   private void readObjectByte(byte b, Listener listener) {
-    object.writeByte(b);
+    objectBytes.writeByte(b);
     updateDepth(b);
     if (depth == 0) {
-      String json = object.toString(StandardCharsets.UTF_8);
-      object.clear();
+      String json = objectBytes.toString(StandardCharsets.UTF_8);
+      objectBytes.clear();
       listener.onObject(json);
-    } else if (object.readableBytes() > maxObjectBytes) {
+    } else if (objectBytes.readableBytes() > maxObjectBytes) {
       fail(listener, "an object of more than " + maxObjectBytes + " bytes");
     }
   }
--- a/src/main/java/fawndock/platform/PlatformConfigReader.java
+++ b/src/main/java/fawndock/platform/PlatformConfigReader.java
@@ -51,69 +51,69 @@
    *
    * @throws InvalidConfigException with what was read, what is expected and where
    */
-  static PlatformConfig read(Map<String, String> variables) throws InvalidConfigException {
-    String file = variables.get(VARIABLE_CONFIG_FILE);
-    if (file == null || file.isBlank()) {
+  static PlatformConfig read(Map<String, String> environment) throws InvalidConfigException {
+    String path = environment.get(VARIABLE_CONFIG_FILE);
+    if (path == null || path.isBlank()) {
       throw new InvalidConfigException(
           VARIABLE_CONFIG_FILE + " is not set: the path of the configuration is expected");
     }
-    String text = readFile(file);
+    String text = readFile(path);
     try {
-      return parse(text, variables);
+      return parse(text, environment);
     } catch (IOException e) {
       throw new InvalidConfigException(
-          file + ": not JSON: " + e.getMessage().lines().findFirst().orElse(""));
+          path + ": not JSON: " + e.getMessage().lines().findFirst().orElse(""));
     } catch (MalformedMessageException | IllegalArgumentException e) {
-      throw new InvalidConfigException(file + ": " + e.getMessage());
+      throw new InvalidConfigException(path + ": " + e.getMessage());
     }
   }
 
-  private static String readFile(String file) throws InvalidConfigException {
+  private static String readFile(String path) throws InvalidConfigException {
     try {
-      if (Files.size(Path.of(file)) > MAX_FILE_BYTES) {
-        throw new InvalidConfigException(file + ": larger than " + MAX_FILE_BYTES + " bytes");
+      if (Files.size(Path.of(path)) > MAX_FILE_BYTES) {
+        throw new InvalidConfigException(path + ": larger than " + MAX_FILE_BYTES + " bytes");
       }
-      return Files.readString(Path.of(file));
+      return Files.readString(Path.of(path));
     } catch (IOException e) {
       throw new InvalidConfigException(
-          file + ": cannot be read (" + e + "), a JSON file is expected");
+          path + ": cannot be read (" + e + "), a JSON file is expected");
     }
   }
 
-  private static PlatformConfig parse(String text, Map<String, String> variables)
+  private static PlatformConfig parse(String text, Map<String, String> environment)
       throws IOException {
-    JsonObject file = Json.parse(text);
-    JsonObject limits = file.objectOr(KEY_LIMITS);
-    JsonObject settings = file.object(KEY_POLICY);
+    JsonObject root = Json.parse(text);
+    JsonObject processLimits = root.objectOr(KEY_LIMITS);
+    JsonObject settings = root.object(KEY_POLICY);
     JsonObject policyLimits = settings.objectOr(KEY_POLICY_LIMITS);
     PolicyConfig policy =
-        SettingsReader.settings(settings, randomSeed(file.textOr(KEY_RANDOM_SEED, "0")));
+        SettingsReader.settings(settings, parseRandomSeed(root.textOr(KEY_RANDOM_SEED, "0")));
     if (policy.requestClasses().isEmpty() || policy.plans().isEmpty()) {
       throw new MalformedMessageException(
           "'" + KEY_POLICY + "' names no class or no plan; at least one of each is expected");
     }
-    String counter = file.textOr(KEY_COUNTER, "");
+    String counter = root.textOr(KEY_COUNTER, "");
     return new PlatformConfig(
-        file.textOr(KEY_NAME, variables.getOrDefault(VARIABLE_NAME, "gatekeeper")),
-        address(file, KEY_LISTEN, variables.getOrDefault(VARIABLE_LISTEN, "")),
-        address(file, KEY_DISCOVERY, variables.getOrDefault(VARIABLE_DISCOVERY, "")),
-        counter.isEmpty() ? null : EndpointListCodec.address(KEY_COUNTER, counter),
+        root.textOr(KEY_NAME, environment.getOrDefault(VARIABLE_NAME, "gatekeeper")),
+        readAddress(root, KEY_LISTEN, environment.getOrDefault(VARIABLE_LISTEN, "")),
+        readAddress(root, KEY_DISCOVERY, environment.getOrDefault(VARIABLE_DISCOVERY, "")),
+        counter.isEmpty() ? null : EndpointListCodec.decodeAddress(KEY_COUNTER, counter),
         policy,
-        file.has(KEY_KNOWN_ENDPOINTS)
-            ? EndpointListCodec.decode(file.object(KEY_KNOWN_ENDPOINTS))
+        root.has(KEY_KNOWN_ENDPOINTS)
+            ? EndpointListCodec.decode(root.object(KEY_KNOWN_ENDPOINTS))
             : EndpointList.EMPTY,
-        (int) limits.integerOr(KEY_MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
-        limits.integerOr(KEY_MEMORY_MEGABYTES, DEFAULT_MEMORY_MEGABYTES) << 20,
+        (int) processLimits.integerOr(KEY_MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
+        processLimits.integerOr(KEY_MEMORY_MEGABYTES, DEFAULT_MEMORY_MEGABYTES) << 20,
         policyLimits.integerOr(KEY_CONNECT_TIMEOUT_MICROS, DEFAULT_CONNECT_TIMEOUT_MICROS),
         policyLimits.integerOr(KEY_ENDPOINT_IDLE_TIMEOUT_MICROS, 0),
         settings.objectOr(KEY_POLICY_EXTRAS).numberOr(KEY_MAX_REQUEST_UNITS, 1));
   }
 
-  private static Address address(JsonObject file, String key, String other) {
-    return EndpointListCodec.address(key, file.textOr(key, other));
+  private static Address readAddress(JsonObject root, String key, String defaultValue) {
+    return EndpointListCodec.decodeAddress(key, root.textOr(key, defaultValue));
   }
 
-  private static long randomSeed(String text) {
+  private static long parseRandomSeed(String text) {
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (NumberFormatException e) {
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -76,14 +76,18 @@
       Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.transport = transport;
     this.config = config;
-    PolicyConfig policy = config.policy();
+    PolicyConfig policyConfig = config.policy();
     timers = new Timers(vertx);
-    runner = new PolicyRunner(clock, timers, this, policy.limits().maxAttempts(), 1, activity);
-    runner.setPolicy(policyFactory.apply(policy));
+    runner =
+        new PolicyRunner(clock, timers, this, policyConfig.limits().maxAttempts(), 1, activity);
+    runner.setPolicy(policyFactory.apply(policyConfig));
     pools = new BackendConnectionPools(transport, clock::now, activity, poolLimits(config));
     directory =
         new EndpointDirectory(
-            transport, runner, pools, new SplittableRandom(policy.randomSeed() ^ JITTER_SEED_MASK));
+            transport,
+            runner,
+            pools,
+            new SplittableRandom(policyConfig.randomSeed() ^ JITTER_SEED_MASK));
     counter = createCounterClient();
     clientListener = createClientListener();
     closeIdleConnections();
@@ -197,14 +201,14 @@
         "activity, openRequests={}, clientConnections={}, backendConnections={}, loopDelayMillis={}, {}",
         runner.openCount(),
         clientListener.connectionCount(),
-        pools.openCount(),
+        pools.openConnectionCount(),
         delayMicros / 1_000,
         activity.summarizeAndReset());
     scheduleActivityLog();
   }
 
   private void closeIdleConnections() {
-    pools.closeIdle();
+    pools.closeIdleConnections();
     timers.schedule(CLOSE_IDLE_INTERVAL_MICROS, this::closeIdleConnections);
   }
 
--- a/src/main/java/fawndock/platform/PlatformProcess.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -35,14 +35,14 @@
   public static final int EXIT_INVALID_CONFIG = 2;
 
   /** Time for the last writes to reach the network before connections are closed. */
-  private static final long FLUSH_MILLIS = 20;
+  private static final long FLUSH_DELAY_MILLIS = 20;
 
   private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
   /** Blocked threads are not checked: the check would need a thread of its own. */
   private static final long BLOCKED_THREAD_CHECK_MILLIS = 3_600_000;
 
-  private final Map<String, String> variables;
+  private final Map<String, String> environment;
   private final CountDownLatch listening = new CountDownLatch(1);
   private final CountDownLatch finished = new CountDownLatch(1);
   private Vertx vertx;
@@ -59,8 +59,8 @@
   private ConfigFileWatcher configFileWatcher;
 
   /** Creates a process that is not started, with the platform's environment variables. */
-  public PlatformProcess(Map<String, String> variables) {
-    this.variables = variables;
+  public PlatformProcess(Map<String, String> environment) {
+    this.environment = environment;
   }
 
   /**
@@ -71,10 +71,10 @@
     vertx = createVertx();
     context = vertx.getOrCreateContext();
     // Before the file is read: a signal would end the process, or its change be missed.
-    boolean canReload = installSignalHandlers();
+    boolean hasReloadSignal = installSignalHandlers();
     try {
       start(policyFactory);
-      if (!canReload) {
+      if (!hasReloadSignal) {
         watchConfigFile();
       }
     } catch (InvalidConfigException e) {
@@ -108,7 +108,7 @@
 
   private synchronized void start(Function<PolicyConfig, GatewayPolicy> policyFactory)
       throws InvalidConfigException {
-    PlatformConfig config = PlatformConfigReader.read(variables);
+    PlatformConfig config = PlatformConfigReader.read(environment);
     context.runOnContext(v -> warmUpAndServe(config, policyFactory));
   }
 
@@ -137,14 +137,14 @@
    */
   public synchronized void reload() {
     try {
-      PlatformConfig newConfig = PlatformConfigReader.read(variables);
-      context.runOnContext(v -> takeConfig(newConfig));
+      PlatformConfig newConfig = PlatformConfigReader.read(environment);
+      context.runOnContext(v -> applyConfig(newConfig));
     } catch (InvalidConfigException e) {
       LOG.error("configuration rejected, keeping the current one, reason={}", e.getMessage());
     }
   }
 
-  private void takeConfig(PlatformConfig newConfig) {
+  private void applyConfig(PlatformConfig newConfig) {
     if (gateway != null) {
       gateway.reload(newConfig);
     } else {
@@ -195,7 +195,7 @@
   private void finish(int code) {
     if (finished.getCount() > 0) {
       exitCode = code;
-      vertx.setTimer(FLUSH_MILLIS, id -> closeGateway());
+      vertx.setTimer(FLUSH_DELAY_MILLIS, id -> closeGateway());
     }
   }
 
@@ -203,7 +203,7 @@
     if (gateway != null) {
       gateway.close();
     }
-    vertx.setTimer(FLUSH_MILLIS, id -> finished.countDown());
+    vertx.setTimer(FLUSH_DELAY_MILLIS, id -> finished.countDown());
   }
 
   private void closeVertx() throws InterruptedException {
@@ -222,7 +222,7 @@
   }
 
   private void watchConfigFile() {
-    Path file = Path.of(variables.get(PlatformConfigReader.VARIABLE_CONFIG_FILE));
+    Path file = Path.of(environment.get(PlatformConfigReader.VARIABLE_CONFIG_FILE));
     LOG.warn("watching the configuration file instead, file={}", file);
     configFileWatcher = new ConfigFileWatcher(file, this::reload);
     configFileWatcher.start();
--- a/src/main/java/fawndock/platform/PooledConnection.java
+++ b/src/main/java/fawndock/platform/PooledConnection.java
@@ -13,7 +13,7 @@
   private static final int MAX_VALUE_BYTES = 64 << 10;
   private static final int MAX_LINE_BYTES = 1_024;
   private static final int MAX_ELEMENTS = 8;
-  private static final ReplyReader READER =
+  private static final ReplyReader REPLY_READER =
       new ReplyReader(MAX_VALUE_BYTES, MAX_LINE_BYTES, MAX_ELEMENTS);
 
   private final BackendConnectionPools pools;
@@ -35,13 +35,13 @@
     this.attempt = attempt;
     connection =
         new RespConnection(
-            pools.transport(), pool.address, pools.connectTimeoutMicros(), READER, this);
+            pools.transport(), pool.address, pools.connectTimeoutMicros(), REPLY_READER, this);
   }
 
   /** Gives an idle connection to an attempt. */
-  void assign(BackendAttempt next) {
-    attempt = next;
-    next.onConnectionAvailable(this);
+  void assign(BackendAttempt newAttempt) {
+    attempt = newAttempt;
+    newAttempt.onConnectionAvailable(this);
   }
 
   /** Writes a command; the listener is told whether all of it was handed to the network. */
@@ -55,7 +55,7 @@
 
   @Override
   public boolean expectsReply() {
-    return attempt != null && attempt.isSent();
+    return attempt != null && attempt.isWriteStarted();
   }
 
   @Override
@@ -67,7 +67,7 @@
 
   @Override
   public void onReply(Reply reply, boolean hasMoreBytes) {
-    BackendAttempt completed = attempt;
+    BackendAttempt completedAttempt = attempt;
     attempt = null;
     BackendReply backendReply = BackendReply.of(reply);
     if (reply.isError() || !backendReply.isConnectionReusable()) {
@@ -79,7 +79,7 @@
     } else {
       release();
     }
-    completed.onReply(backendReply);
+    completedAttempt.onReply(backendReply);
   }
 
   @Override
@@ -106,7 +106,7 @@
     attempt = null;
     if (pools.isCurrent(pool)) {
       idleSinceMicros = pools.nowMicros();
-      pool.idle.add(this);
+      pool.idleConnections.add(this);
     } else {
       abort();
     }
--- a/src/main/java/fawndock/platform/RespConnection.java
+++ b/src/main/java/fawndock/platform/RespConnection.java
@@ -90,7 +90,7 @@
    *     connection broke before
    */
   void write(ByteBuf command, Consumer<Boolean> writeListener) {
-    connection.send(command).addListener(done -> writeListener.accept(done.isSuccess()));
+    connection.send(command).addListener(written -> writeListener.accept(written.isSuccess()));
   }
 
   private void readReplies(ByteBuf in) {
--- a/src/main/java/fawndock/platform/TcpTransport.java
+++ b/src/main/java/fawndock/platform/TcpTransport.java
@@ -23,7 +23,7 @@
  * times as much for each connection. Confined to one event loop.
  */
 class TcpTransport {
-  private static final int BACKLOG = 1_024;
+  private static final int ACCEPT_BACKLOG = 1_024;
 
   /** The event loop of all connections. */
   protected final EventLoop eventLoop;
@@ -66,18 +66,18 @@
    *
    * @param handlers makes the handler of each accepted connection
    */
-  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
+  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlerFactory) {
     return new ServerBootstrap()
         .group(eventLoop)
         .channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(handlers.get());
+                channel.pipeline().addLast(handlerFactory.get());
               }
             })
         .bind(new InetSocketAddress(address.host(), address.port()));
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -33,8 +33,8 @@
  */
 final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
-  private static final int REQUESTS = 700;
-  private static final int CLIENTS = 6;
+  private static final int REQUEST_COUNT = 700;
+  private static final int CLIENT_COUNT = 6;
   private static final long TIME_LIMIT_MILLIS = 2_500;
   private static final String ENDPOINT_ID = "w";
   private static final Address BACKEND_ADDRESS = new Address("worker", 1);
@@ -50,7 +50,7 @@
     this.vertx = vertx;
     this.config = config;
     this.policyFactory = policyFactory;
-    progress = new WarmUpProgress(vertx, REQUESTS, TIME_LIMIT_MILLIS);
+    progress = new WarmUpProgress(vertx, REQUEST_COUNT, TIME_LIMIT_MILLIS);
   }
 
   /** Runs the warm-up; the future never fails. */
@@ -76,7 +76,7 @@
         .startForWarmUp(endpoints)
         .addListener(
             bound -> {
-              for (int i = 0; i < CLIENTS && bound.isSuccess(); i++) {
+              for (int i = 0; i < CLIENT_COUNT && bound.isSuccess(); i++) {
                 connectClient(transport);
               }
             });
@@ -127,12 +127,12 @@
   }
 
   private ByteBuf encodeNextRequest() {
-    int number = progress.nextRequest();
+    int requestNumber = progress.nextRequest();
     List<RequestClass> classes = config.policy().requestClasses();
     List<Plan> plans = config.policy().plans();
-    RequestClass requestClass = classes.get((number - 1) % classes.size());
-    Plan plan = plans.get((number - 1) % plans.size());
-    String id = "00000000" + Integer.toHexString(0x10000000 | number);
+    RequestClass requestClass = classes.get((requestNumber - 1) % classes.size());
+    Plan plan = plans.get((requestNumber - 1) % plans.size());
+    String id = "00000000" + Integer.toHexString(0x10000000 | requestNumber);
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
     writer.array(4);
@@ -202,31 +202,31 @@
   /** Backend and counter in one. */
   private static final class Backend extends ByteConnection {
     private static final String LOAD_REPORT = "recent_ms=7.25,throughput=2.5,backlog=0";
-    private static final String TOTAL = "0.5";
+    private static final String COUNTER_TOTAL = "0.5";
 
     private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
 
     @Override
     void onBytes(ByteBuf in) {
       try {
-        for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
+        for (byte[][] arguments = reader.next(in); arguments != null; arguments = reader.next(in)) {
           // A client that does not get its response leaves the rest to the time limit.
-          var unused = send(response(words));
+          var unused = send(response(arguments));
         }
       } catch (ProtocolException e) {
         close();
       }
     }
 
-    private static ByteBuf response(byte[][] words) {
+    private static ByteBuf response(byte[][] arguments) {
       ByteBuf out = Unpooled.buffer(96);
       ReplyWriter writer = new ReplyWriter(out);
-      String command = new String(words[0], StandardCharsets.ISO_8859_1);
+      String command = new String(arguments[0], StandardCharsets.ISO_8859_1);
       if (command.equals(PlatformProtocol.COMMAND_ADD_AND_GET)) {
-        writer.bulk(TOTAL);
+        writer.bulk(COUNTER_TOTAL);
       } else {
         writer.array(3);
-        writer.bulk(words[2]);
+        writer.bulk(arguments[2]);
         writer.nullBulk();
         writer.bulk(LOAD_REPORT);
       }
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -218,8 +218,8 @@
   void malformedLoadReport_isIgnored() {
     assertEquals(
         new LoadReport.Builder().queuedRequests(2).build(),
-        BackendReply.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).load());
-    assertEquals(LoadReport.NONE, BackendReply.of(reply("\u0000\u00ff")).load());
+        BackendReply.of(reply("backlog=2,recent_ms=soon,=,x,throughput=-1")).loadReport());
+    assertEquals(LoadReport.NONE, BackendReply.of(reply("\u0000\u00ff")).loadReport());
     assertNotEquals(null, BackendReply.of(reply("")).value());
   }
 
--- a/src/test/java/fawndock/platform/ClientDisconnectTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -214,7 +214,8 @@
                       .gateway()
                       .runner()
                       .timers()
-                      .schedule(ClientListener.UNREAD_TIMEOUT_MICROS / 2, late::countDown));
+                      .schedule(
+                          ClientListener.UNREAD_RESPONSE_TIMEOUT_MICROS / 2, late::countDown));
       client.close();
       Await.until(() -> harness.process.gateway().runner().openCount() == 0);
       assertEquals(1, late.getCount());
