--- a/src/main/java/fawndock/platform/ActivitySummary.java
+++ b/src/main/java/fawndock/platform/ActivitySummary.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 
 /**
- * Counts responses, attempts and counter calls since the last summary, for the periodic log line.
- * Confined to one event loop.
+ * Counts responses, attempts and counter calls between two summaries, for the periodic activity log
+ * line. Confined to one event loop.
  */
 final class ActivitySummary implements ResponseRecorder {
   private static final int MAX_ERROR_CHARACTERS = 80;
 
-  /** Attempts at one endpoint. */
+  /** Numbers of attempts at one endpoint. */
   private static final class EndpointAttempts {
     private int completed;
     private int failed;
@@ -24,7 +24,7 @@
   private final Map<CallResult, Integer> attempts = new EnumMap<>(CallResult.class);
   private final Map<CallResult, Integer> counterCalls = new EnumMap<>(CallResult.class);
 
-  /** Only endpoints with attempts since the last summary, so that the map stays small. */
+  /** Holds only endpoints with attempts since the last summary, so that the map stays small. */
   private final Map<String, EndpointAttempts> attemptsByEndpoint = new HashMap<>();
 
   private String lastError = "";
@@ -51,13 +51,13 @@
     counterCallMicros += durationMicros;
   }
 
-  /** Records an endpoint's error reply, or what was wrong with a malformed one. */
+  /** Records an endpoint's error reply, or the reason why a reply is malformed. */
   void recordError(String error) {
     lastError =
         error.length() > MAX_ERROR_CHARACTERS ? error.substring(0, MAX_ERROR_CHARACTERS) : error;
   }
 
-  /** Returns the summary as fields of a log line, and starts over. */
+  /** Returns the summary as fields of a log line, and resets all counts. */
   String summarizeAndReset() {
     String summary =
         "responses="
--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -7,12 +7,15 @@
 import fawndock.runtime.PolicyRunner;
 
 /**
- * One attempt at a backend, on a connection that carries nothing else meanwhile: abandoning the
- * attempt closes the connection. An attempt cannot have run before its last byte was written.
+ * One attempt at a backend, on a connection that it uses exclusively: abandoning a sent attempt
+ * closes the connection. The backend cannot have run the request before its last byte was written.
  * Confined to one event loop.
  */
 final class BackendAttempt extends InFlightAttempt {
-  /** Connections that may break under the attempt before it is sent. */
+  /**
+   * Number of connections that may break before the request is sent; the next one fails the
+   * attempt.
+   */
   private static final int MAX_RECONNECTS = 3;
 
   private final BackendConnectionPools pools;
@@ -40,23 +43,23 @@
     pools.acquire(endpointId, this);
   }
 
-  /** The endpoint's address is not known. */
+  /** Completes the attempt as not sent, because the endpoint's address is unknown. */
   void onUnknownEndpoint() {
     finish(CallResult.NOT_SENT);
   }
 
   /**
-   * A connection is available.
+   * Uses a connection that is available.
    *
-   * @return whether the attempt still wants it
+   * @return false if the attempt has already completed and does not use the connection
    */
   boolean onConnectionAvailable(PooledConnection available) {
     if (result() != null) {
       return false;
     }
     connection = available;
-    // Written after all that this turn has read: by then it is seen when the client or the backend
-    // has closed its connection, or when the backend has sent a response twice.
+    // The command is written after all reads of this event loop turn. By then a close by the client
+    // or the backend, or a duplicate response of the backend, has been noticed.
     pools.runAfterReads(this::write);
     return true;
   }
@@ -66,8 +69,8 @@
       return;
     }
     long timeoutMillis = (deadlineMicros - runner.clock().now()) / 1_000;
-    // The endpoint may have been reported as draining in the turn in which it was chosen. Nothing
-    // has been sent, so that the policy may choose another one.
+    // The endpoint may have been reported as draining in the same turn in which it was selected.
+    // Nothing has been sent, so the policy may select another one.
     if (timeoutMillis <= 0 || pools.isUnavailable(endpointId)) {
       abandon(CallResult.NOT_SENT);
       return;
@@ -83,12 +86,12 @@
     }
   }
 
-  /** Returns whether any of the command may have been handed to the network. */
+  /** Returns whether any byte of the command may have been handed to the network. */
   boolean isWriteStarted() {
     return isWriteStarted;
   }
 
-  /** Gets another connection, as this one broke before anything was sent on it. */
+  /** Acquires another connection, because this one broke before anything was sent on it. */
   private void reconnect() {
     connection = null;
     if (++reconnectCount > MAX_RECONNECTS) {
@@ -98,7 +101,7 @@
     }
   }
 
-  /** No connection could be had. */
+  /** Completes the attempt as failed to connect, because no connection could be opened. */
   void onConnectFailed() {
     finish(CallResult.CONNECT_FAILED);
   }
@@ -110,7 +113,7 @@
     finish(reply.result(), reply.loadReport(), reply.unitsUsed());
   }
 
-  /** The connection brought bytes that are no reply; a command that was sent may have run. */
+  /** Handles bytes that are not a valid reply; a command that was sent may have run. */
   void onProtocolError() {
     if (isWriteStarted) {
       finish(CallResult.ERROR);
@@ -138,7 +141,8 @@
   }
 
   /**
-   * Nothing is sent for a client that has disconnected, whatever the settings say of cancelling.
+   * Sends nothing for a client that has disconnected, even where the settings do not cancel
+   * attempts.
    */
   @Override
   public void onClientDisconnected() {
--- a/src/main/java/fawndock/platform/BackendConnectionPools.java
+++ b/src/main/java/fawndock/platform/BackendConnectionPools.java
@@ -10,28 +10,28 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections to the backends, with one pool for each endpoint. Together they are bounded: when
- * they are spent, the connection that has been idle longest is closed, whatever its endpoint.
+ * The connections to the backends, in one pool for each endpoint. The total number is limited: at
+ * the limit, a new connection replaces the one that has been idle longest, whatever its endpoint.
  * Confined to one event loop.
  */
 final class BackendConnectionPools implements AutoCloseable {
   /**
-   * A connection is not reused before it has been idle for this time, so that a second copy of a
-   * response, some milliseconds late, is not taken for the next one's. May open more connections
-   * when attempts come close together.
+   * A connection is reused only after it has been idle for this time, so that a duplicate response
+   * that arrives some milliseconds late is not taken for the response to the next request. Attempts
+   * in quick succession may therefore open more connections.
    */
   private static final long REUSE_DELAY_MICROS = 30_000;
 
   /**
    * Limits of all pools together.
    *
-   * @param connections at once
-   * @param connectTimeoutMicros longest time for a connection to come up
-   * @param idleTimeoutMicros after which an idle connection is closed
+   * @param maxConnections open connections of all pools
+   * @param connectTimeoutMicros timeout for opening a connection
+   * @param idleTimeoutMicros time after which an idle connection is closed
    */
   record Limits(int maxConnections, long connectTimeoutMicros, long idleTimeoutMicros) {}
 
-  /** The connections of one endpoint at one address. */
+  /** The pool of one endpoint at one address. */
   static final class EndpointPool {
     final Address address;
 
@@ -61,7 +61,7 @@
     this.limits = limits;
   }
 
-  /** Sets where an endpoint listens; connections to another address are closed once idle. */
+  /** Sets an endpoint's address. Connections to its former address are closed once idle. */
   void setAddress(String endpointId, Address address) {
     EndpointPool pool = pools.get(endpointId);
     if (pool == null || !pool.address.equals(address)) {
@@ -78,13 +78,17 @@
     }
   }
 
-  /** Returns whether an endpoint is draining or unknown: nothing new may be sent to it. */
+  /**
+   * Returns whether an endpoint is draining or unknown, so that no new request may be sent to it.
+   */
   boolean isUnavailable(String endpointId) {
     EndpointPool pool = pools.get(endpointId);
     return pool == null || pool.isDraining;
   }
 
-  /** Removes an endpoint: its idle connections are closed now, those in use after their attempt. */
+  /**
+   * Removes an endpoint. Its idle connections are closed now, those in use when their attempt ends.
+   */
   void remove(String endpointId) {
     EndpointPool pool = pools.remove(endpointId);
     while (pool != null && !pool.idleConnections.isEmpty()) {
@@ -92,7 +96,7 @@
     }
   }
 
-  /** Removes all endpoints but these. */
+  /** Removes all endpoints except these. */
   void retainAll(Set<String> endpointIds) {
     for (String endpointId : List.copyOf(pools.keySet())) {
       if (!endpointIds.contains(endpointId)) {
@@ -101,7 +105,10 @@
     }
   }
 
-  /** Gives an attempt a connection, now or once one is up, or tells it that there is none. */
+  /**
+   * Assigns a connection to an attempt, now or once one is open, or notifies it that none is
+   * available.
+   */
   void acquire(String endpointId, BackendAttempt attempt) {
     EndpointPool pool = pools.get(endpointId);
     if (pool == null) {
@@ -115,12 +122,16 @@
       attempt.onConnectFailed();
     } else {
       openConnectionCount++;
-      // Not kept here: it calls the attempt once it is up, and joins the pool when released.
+      // The pool holds no reference yet: the connection calls the attempt once it is open, and is
+      // added to the pool when released.
       var unused = new PooledConnection(this, pool, attempt);
     }
   }
 
-  /** Takes the connection that was used last of those that may be reused; null without one. */
+  /**
+   * Removes and returns the most recently used of the reusable connections, or null if there is
+   * none.
+   */
   private PooledConnection pollReusable(EndpointPool pool) {
     long reuseCutoffMicros = nowMicros() - REUSE_DELAY_MICROS;
     for (Iterator<PooledConnection> iterator = pool.idleConnections.descendingIterator();
@@ -149,7 +160,7 @@
     return oldest != null;
   }
 
-  /** Closes connections that have been idle for too long; to be called every second or so. */
+  /** Closes connections that have exceeded the idle timeout. Call this about once a second. */
   void closeIdleConnections() {
     long idleCutoffMicros = nowMicros() - limits.idleTimeoutMicros();
     for (EndpointPool pool : pools.values()) {
@@ -160,18 +171,22 @@
     }
   }
 
-  /** Forgets a connection that is closed. */
+  /** Removes a closed connection from its pool. */
   void onConnectionClosed(EndpointPool pool, PooledConnection connection) {
     pool.idleConnections.remove(connection);
     openConnectionCount--;
   }
 
-  /** Returns whether a pool's endpoint still listens at the pool's address. */
+  /**
+   * Returns whether a pool is in use, rather than removed or replaced by one at another address.
+   */
   boolean isCurrent(EndpointPool pool) {
     return pools.containsValue(pool);
   }
 
-  /** Runs a task after all that has come in this turn of the event loop has been read. */
+  /**
+   * Runs a task after all bytes that have arrived in this turn of the event loop have been read.
+   */
   void runAfterReads(Runnable task) {
     transport.runAfterReads(task);
   }
@@ -196,7 +211,7 @@
     return openConnectionCount;
   }
 
-  /** Closes all idle connections; those in use close with their attempt. Idempotent. */
+  /** Closes all idle connections. Those in use are closed when their attempt ends. Idempotent. */
   @Override
   public void close() {
     List.copyOf(pools.keySet()).forEach(this::remove);
--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -10,15 +10,16 @@
 import java.util.Map;
 
 /**
- * What a backend's reply says, by the platform's table of outcomes. A reply that is not in the
+ * The meaning of a backend's reply by the platform's table of outcomes. A reply that is not in the
  * table is a failed attempt that may have run; a malformed load report or usage is ignored.
  *
  * @param value the response to the client, or null
- * @param load the load report
- * @param units the units that the request has used, or 0 where none are reported
- * @param isConnectionReusable whether further replies on the connection can be trusted
+ * @param loadReport load of the endpoint as it reports it
+ * @param unitsUsed the units that the request has used, or 0 if none are reported
+ * @param isConnectionReusable whether the connection's byte stream is still in sync
  */
-// The value is passed on without a copy, and replies are never compared.
+// The array component is safe: the value is passed on without a copy, and replies are never
+// compared.
 @SuppressWarnings("ArrayRecordComponent")
 record BackendReply(
     CallResult result,
@@ -26,14 +27,14 @@
     LoadReport loadReport,
     double unitsUsed,
     boolean isConnectionReusable) {
-  /** Value, usage and load report. */
+  /** Elements of a successful reply: value, usage and load report. */
   private static final int ELEMENT_COUNT = 3;
 
   private static final int MAX_FIELDS = 32;
   private static final BackendReply MALFORMED =
       new BackendReply(CallResult.ERROR, null, LoadReport.NONE, 0, false);
 
-  /** Interprets a reply. */
+  /** Converts a RESP reply to its meaning. */
   static BackendReply of(Reply reply) {
     if (reply.isError()) {
       return ofError(reply.text());
@@ -62,12 +63,12 @@
         || text.startsWith(PlatformProtocol.ERROR_REJECTED + " ")) {
       return new BackendReply(CallResult.SHED, null, loadReport, 0, true);
     }
-    // Only the error that the table names is known to leave the connection in order.
+    // Only after the errors that the table names is the connection known to be in sync.
     boolean isConnectionReusable = text.startsWith(PlatformProtocol.ERROR);
     return new BackendReply(CallResult.ERROR, null, loadReport, 0, isConnectionReusable);
   }
 
-  /** Parses {@code name=1.5,other=2}; fields that are malformed or negative are left out. */
+  /** Parses {@code name=1.5,other=2}; malformed and negative fields are ignored. */
   static Map<String, Double> parseNumericFields(String text) {
     Map<String, Double> numbers = new HashMap<>();
     for (String field : text.split(",", MAX_FIELDS)) {
@@ -86,7 +87,7 @@
     try {
       return Double.parseDouble(text);
     } catch (NumberFormatException e) {
-      return Double.NaN; // Left out by the caller.
+      return Double.NaN; // The caller ignores the field.
     }
   }
 }
--- a/src/main/java/fawndock/platform/ByteConnection.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Base class of connections: bytes in and out, with unread bytes buffered until more come, and a
- * half-close that loses no response. Confined to one event loop.
+ * Base class of connections: reads and writes bytes, buffers unread bytes until more arrive, and
+ * can half-close without losing a response. Confined to one event loop.
  */
 abstract class ByteConnection extends ChannelInboundHandlerAdapter implements AutoCloseable {
-  /** After a half-close the other side is given this time to close. */
+  /** Time that the peer has to close after a half-close. */
   private static final long LINGER_TIMEOUT_MILLIS = 1_000;
 
-  /** After a half-close at most so many bytes are read and dropped. */
+  /** Number of bytes that are read and discarded after a half-close; more close the connection. */
   private static final int MAX_LINGER_BYTES = 256 << 10;
 
   private ChannelHandlerContext context;
@@ -24,10 +24,15 @@
   private boolean isClosed;
   private int discardedBytes;
 
-  /** Reads what it can; bytes left unread are given again, together with the next ones. */
+  /**
+   * Reads as many bytes as possible. Bytes left unread are passed again, together with the next
+   * ones.
+   */
   abstract void onBytes(ByteBuf in);
 
-  /** The other side closed the connection, or it broke; not called after {@link #close}. */
+  /**
+   * Called when the peer has closed the connection or it broke; not called after {@link #close}.
+   */
   abstract void onDisconnected();
 
   @Override
@@ -45,7 +50,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
-    // A reset, most often.
+    // Most often the peer has reset the connection.
     closeChannel();
   }
 
@@ -81,7 +86,7 @@
     }
   }
 
-  /** Delivers the buffered bytes once more. */
+  /** Passes the buffered bytes to {@link #onBytes} once more. */
   final void redeliverBufferedBytes() {
     if (!isClosed && bufferedBytes.isReadable()) {
       deliver(bufferedBytes, false);
@@ -92,7 +97,7 @@
     return bufferedBytes.isReadable();
   }
 
-  /** Writes bytes; the future tells whether all were handed to the network. */
+  /** Writes bytes. The future succeeds once all of them were handed to the network. */
   final ChannelFuture send(ByteBuf bytes) {
     return context.writeAndFlush(bytes);
   }
@@ -102,9 +107,9 @@
   }
 
   /**
-   * Closes the connection for both directions after what was written: output is shut down, and
-   * input is read and dropped until the other side closes, within limits. A plain close over unread
-   * bytes would be a reset, which can destroy a response on its way. Idempotent.
+   * Closes the connection once everything written has been sent: output is shut down, and input is
+   * read and discarded until the peer closes, within limits. A plain close with unread bytes would
+   * send a reset, which can destroy a response in transit. Idempotent.
    */
   final void halfClose() {
     if (isClosed) {
@@ -115,7 +120,8 @@
       closeChannel();
       return;
     }
-    // Within this turn where all has been written, as it mostly has; else as soon as it is.
+    // The listener runs in this turn if everything has been written, as is mostly the case;
+    // otherwise as soon as it is.
     var unusedShutdown =
         send(Unpooled.EMPTY_BUFFER)
             .addListener(written -> shutDownOutput(channel, written.isSuccess()));
@@ -128,7 +134,7 @@
 
   private void shutDownOutput(DuplexChannel channel, boolean isWritten) {
     if (isWritten) {
-      // Should it fail, the linger timer closes the channel.
+      // If the shutdown fails, the linger timer closes the channel.
       var unused = channel.shutdownOutput();
     } else {
       closeChannel();
@@ -136,11 +142,11 @@
   }
 
   private void closeChannel() {
-    // Needs no follow-up: channelInactive reports the close.
+    // The future is not needed: channelInactive reports the close.
     var unused = context.close();
   }
 
-  /** Closes the channel at once, also after {@link #halfClose}. */
+  /** Closes the channel immediately, even after {@link #halfClose}. */
   final void closeNow() {
     closeChannel();
   }
@@ -151,8 +157,8 @@
   }
 
   /**
-   * Closes the connection at once, without calling {@link #onDisconnected}; unread bytes make it a
-   * reset. Idempotent.
+   * Closes the connection immediately, without calling {@link #onDisconnected}. With unread bytes
+   * the peer gets a reset. Idempotent.
    */
   @Override
   public final void close() {
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -7,13 +7,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A valid request command of a client, as {@link ClientCommandParser} reads it. Endpoints get the
- * same command, unchanged but for the timeout.
+ * A client's valid request command, as parsed by {@link ClientCommandParser}. It is forwarded to
+ * endpoints unchanged except for the timeout.
  */
 final class ClientCommand {
   private static final int ATTRIBUTES_INDEX = 3;
   private static final int BODY_INDEX = 4;
   private static final String TIMEOUT_PREFIX = PlatformProtocol.FIELD_TIMEOUT_MILLIS + "=";
+
+  /** Estimate of all bytes other than attribute list and body, for the buffer's initial size. */
   private static final int FRAMING_BYTES = 96;
 
   private final byte[][] arguments;
@@ -32,12 +34,12 @@
     return attributes;
   }
 
-  /** Returns the client's id of the request; unique among those in flight. */
+  /** Returns the request id that the client chose; unique among the requests in flight. */
   String id() {
     return id;
   }
 
-  /** Returns the bytes that the command holds while it is in flight. */
+  /** Returns the number of bytes that the command holds in memory while it is in flight. */
   int sizeBytes() {
     return bodyBytes() + attributeList.length();
   }
@@ -46,7 +48,7 @@
     return arguments.length > BODY_INDEX ? arguments[BODY_INDEX].length : 0;
   }
 
-  /** Encodes the command for an endpoint, with this timeout in place of the client's. */
+  /** Encodes the command for an endpoint, with this timeout instead of the client's. */
   ByteBuf encodeForEndpoint(long timeoutMillis) {
     byte[] attributeBytes = withTimeout(timeoutMillis).getBytes(StandardCharsets.ISO_8859_1);
     ByteBuf out = Unpooled.buffer(FRAMING_BYTES + attributeBytes.length + bodyBytes());
--- a/src/main/java/fawndock/platform/ClientCommandParser.java
+++ b/src/main/java/fawndock/platform/ClientCommandParser.java
@@ -9,11 +9,14 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Parses and validates clients' request commands against the configured classes and plans. */
+/**
+ * Parses clients' request commands and validates them against the configured request classes and
+ * plans. Immutable after construction.
+ */
 final class ClientCommandParser {
   private static final long MAX_TIMEOUT_MILLIS = 600_000;
 
-  /** Customer ids are below this. */
+  /** Exclusive upper bound of customer ids. */
   private static final long CUSTOMER_ID_LIMIT = 1L << 33;
 
   private static final int ID_DIGITS = 16;
@@ -34,23 +37,23 @@
     maxUnits = config.maxRequestUnits();
   }
 
-  /** Returns whether a command's first word names a request. */
+  /** Returns whether a command name is that of a request. */
   static boolean isRequest(byte[] commandName) {
     return matchesIgnoreCase(commandName, PlatformProtocol.COMMAND_IDEMPOTENT)
         || matchesIgnoreCase(commandName, PlatformProtocol.COMMAND_NOT_IDEMPOTENT);
   }
 
-  /** Returns whether a word is this one, in any case. */
+  /** Returns whether a command argument equals the expected text, ignoring case. */
   static boolean matchesIgnoreCase(byte[] argument, String expected) {
     return argument.length == expected.length()
         && new String(argument, StandardCharsets.ISO_8859_1).equalsIgnoreCase(expected);
   }
 
   /**
-   * Parses a request command: command, customer, id, attribute list and optionally a body.
+   * Parses a request command: command name, customer, id, attribute list and optionally a body.
    *
-   * @param nowMicros when the command was read
-   * @throws InvalidCommandException with the error reply
+   * @param nowMicros time at which the command was read
+   * @throws InvalidCommandException if the command is invalid; its message is the error reply
    */
   ClientCommand parse(byte[][] arguments, long nowMicros) throws InvalidCommandException {
     if (arguments.length != 4 && arguments.length != 5) {
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -10,32 +10,38 @@
 import java.util.List;
 
 /**
- * One client's connection: commands are read and their responses written in the same order. After a
- * protocol error the client gets an error reply in its turn and nothing more is read. Confined to
- * one event loop.
+ * One client's connection: reads commands and writes their responses in the same order. After a
+ * protocol error the client gets an error reply after all pending responses, and no further command
+ * is read. Confined to one event loop.
  */
 final class ClientConnection extends ByteConnection {
-  /** Commands in flight on one connection; a client that exceeds this is disconnected. */
+  /**
+   * Maximum number of commands in flight on one connection; a client that exceeds it is
+   * disconnected.
+   */
   private static final int MAX_PENDING_RESPONSES = 64;
 
-  /** Buffered from a client that does not read its responses; one that exceeds this is closed. */
+  /**
+   * Maximum number of bytes buffered from a client that does not read its responses; a connection
+   * that exceeds it is closed.
+   */
   private static final int MAX_BUFFERED_BYTES = 128 << 10;
 
   private static final CommandReader.Limits COMMAND_LIMITS =
       new CommandReader.Limits(66 << 10, 8, 0);
 
-  /** Value of the times below while the condition does not hold. */
+  /** Value of the timestamps below while their condition does not hold. */
   private static final long NEVER = 0;
 
   private static final long NO_REQUEST = -1;
 
-  /** The place of one command's response among those of the connection. */
+  /** The position of one command's response in the connection's response order. */
   final class ResponseSlot {
     private ByteBuf response;
     private ClientExchange exchange;
     private long requestId = NO_REQUEST;
 
-    /** Responds; the bytes are written once all responses before have been. */
+    /** Sets the response, which is written once all earlier responses have been. */
     void respond(ByteBuf bytes) {
       response = bytes;
       if (exchange != null) {
@@ -59,16 +65,16 @@
   private final CommandReader reader = new CommandReader(COMMAND_LIMITS);
   private final ArrayDeque<ResponseSlot> responseSlots = new ArrayDeque<>(2);
 
-  /** When the connection was accepted, or last wrote a response. */
+  /** Time at which the connection was accepted or last wrote a response. */
   private long idleSinceMicros;
 
-  /** When an incomplete command began. */
+  /** Time at which the incomplete command began. */
   private long incompleteSinceMicros = NEVER;
 
-  /** When the client stopped reading its responses. */
+  /** Time at which the client stopped reading its responses. */
   private long unwritableSinceMicros = NEVER;
 
-  /** When a protocol error made the connection unusable. */
+  /** Time at which a protocol error made the connection unusable. */
   private long failedSinceMicros = NEVER;
 
   private boolean hasSentCommand;
@@ -92,7 +98,7 @@
       in.skipBytes(in.readableBytes());
     }
     // Bytes are read even while the client does not read its responses, so that a disconnect is
-    // noticed; commands are not.
+    // noticed. Commands are not processed meanwhile.
     if (unwritableSinceMicros != NEVER && in.readableBytes() > MAX_BUFFERED_BYTES) {
       closeGracefully();
       return;
@@ -101,7 +107,7 @@
     flushResponses();
   }
 
-  /** Reads all complete commands; returns whether there were any. */
+  /** Processes all complete commands; returns whether there were any. */
   private boolean readCommands(ByteBuf in) {
     boolean hasReadCommand = false;
     isReadingCommands = true;
@@ -172,7 +178,7 @@
     return slot;
   }
 
-  /** Responds with an error after all pending responses, and closes the connection after it. */
+  /** Responds with an error after all pending responses, and then closes the connection. */
   private void fail(String error) {
     ResponseSlot slot = addSlot();
     failedSinceMicros = listener.nowMicros();
@@ -180,7 +186,7 @@
     slot.respondError(error);
   }
 
-  /** Writes the responses that are due, in order. */
+  /** Writes, in order, the responses that wait for no earlier one. */
   private void flushResponses() {
     if (isReadingCommands || isClosed()) {
       return;
@@ -192,7 +198,7 @@
     }
     if (out != null) {
       idleSinceMicros = listener.nowMicros();
-      // A write that fails closes the connection, which is reported as a disconnect.
+      // A failed write closes the connection, which is reported as a disconnect.
       var unused = send(out);
       if (!isWritable() && unwritableSinceMicros == NEVER) {
         unwritableSinceMicros = idleSinceMicros;
@@ -204,12 +210,12 @@
     }
   }
 
-  /** Returns whether no response is pending and no byte of a further command has come. */
+  /** Returns whether no response is pending and no byte of another command has been received. */
   private boolean isQuiescent() {
     return responseSlots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
   }
 
-  /** Returns whether nothing has been in flight on the connection for this long. */
+  /** Returns whether the connection has been quiescent for at least this time. */
   boolean isIdle(long nowMicros, long minIdleMicros) {
     return isQuiescent() && nowMicros - idleSinceMicros >= minIdleMicros;
   }
@@ -222,7 +228,7 @@
     return !responseSlots.isEmpty();
   }
 
-  /** Closes the connection when it exceeds one of the listener's time limits. */
+  /** Closes the connection if it exceeds one of the listener's timeouts. */
   void checkTimeouts(long nowMicros) {
     boolean isFirstCommandOverdue =
         !hasSentCommand && isIdle(nowMicros, ClientListener.COMMAND_TIMEOUT_MICROS);
@@ -242,14 +248,14 @@
     return sinceMicros != NEVER && nowMicros - sinceMicros >= timeoutMicros;
   }
 
-  /** Closes the connection unless a response is pending or part of a command has come. */
+  /** Closes the connection unless a response is pending or part of a command has been received. */
   void closeIfQuiescent() {
     if (isQuiescent()) {
       closeGracefully();
     }
   }
 
-  /** Responds to all requests in flight with an error. */
+  /** Responds to all requests in flight with the error for a shutdown. */
   void failRequestsInFlight() {
     for (ResponseSlot slot : List.copyOf(responseSlots)) {
       if (slot.isInFlight()) {
@@ -259,7 +265,10 @@
     }
   }
 
-  /** Closes the connection after what was written; bytes that come meanwhile are dropped. */
+  /**
+   * Closes the connection once everything written has been sent; bytes received meanwhile are
+   * discarded.
+   */
   void closeGracefully() {
     halfClose();
     listener.onHalfClosed(this);
--- a/src/main/java/fawndock/platform/ClientExchange.java
+++ b/src/main/java/fawndock/platform/ClientExchange.java
@@ -5,8 +5,12 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** A client's request in flight, and the slot for its response on the client's connection. */
+/**
+ * A client's request in flight and the slot for its response on the client's connection. Confined
+ * to one event loop.
+ */
 final class ClientExchange implements ServerExchange {
+  /** Estimate of all bytes other than the value, for the buffer's initial size. */
   private static final int FRAMING_BYTES = 16;
 
   private final ClientCommand command;
@@ -26,7 +30,7 @@
     return command.attributes();
   }
 
-  /** Responds with the value that an endpoint gave. */
+  /** Responds with the value of an endpoint's reply. */
   void respondValue(byte[] value) {
     ByteBuf out = Unpooled.buffer(value.length + FRAMING_BYTES);
     new ReplyWriter(out).bulk(value);
--- a/src/main/java/fawndock/platform/ClientListener.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -11,34 +11,40 @@
 import java.util.Set;
 
 /**
- * Accepts clients and bounds their connections, requests and memory. When connections are spent, a
- * half-closed one is closed first, then one that has never sent a command, then an idle one; one
- * with a request in flight never is. Confined to one event loop.
+ * Accepts client connections and limits their number, requests and memory. At the connection limit
+ * it closes a half-closed connection first, then one that has never sent a command, then an idle
+ * one, but never one with a request in flight. Confined to one event loop.
  */
 final class ClientListener implements AutoCloseable {
   /**
-   * A connection is closed after this time without a first command, with an incomplete command, or
-   * after a protocol error.
+   * Time after which a connection is closed that has sent no first command, holds an incomplete
+   * command, or had a protocol error.
    */
   static final long COMMAND_TIMEOUT_MICROS = 2_000_000;
 
-  /** A connection is closed when its client has not read its responses for this time. */
+  /** Time after which a connection is closed whose client does not read its responses. */
   static final long UNREAD_RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-  /** Idle time while connections are plenty. Long, as a request may cross each close. */
+  /**
+   * Idle timeout below half of the connection limit. It is long because a request may be in transit
+   * whenever a connection is closed.
+   */
   private static final long LONG_IDLE_TIMEOUT_MICROS = 120_000_000;
 
-  /** Idle time while connections are scarce; a close after it seldom meets a request. */
+  /**
+   * Idle timeout above half of the connection limit. A close after this time seldom coincides with
+   * a request.
+   */
   private static final long SHORT_IDLE_TIMEOUT_MICROS = 2_000_000;
 
   private static final long CHECK_INTERVAL_MICROS = 250_000;
 
   /**
-   * Upper bounds.
+   * Limits of all connections together.
    *
-   * @param maxConnections at once, half-closed ones included
-   * @param maxRequests in flight at once
-   * @param maxRequestBytes of all requests in flight
+   * @param maxConnections connections, including half-closed ones
+   * @param maxRequests requests in flight
+   * @param maxRequestBytes bytes held by all requests in flight
    */
   record Limits(int maxConnections, int maxRequests, long maxRequestBytes) {}
 
@@ -48,7 +54,9 @@
   private final Limits limits;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Half-closed: nothing is in flight on them, but each still holds its descriptor. */
+  /**
+   * Half-closed connections: nothing is in flight on them, but each still uses a file descriptor.
+   */
   private final Set<ClientConnection> halfClosedConnections = new LinkedHashSet<>();
 
   private final Set<String> inFlightIds = new HashSet<>();
@@ -58,7 +66,7 @@
   private Runnable drainedListener;
   private Timers.Timer checkTimer;
 
-  /** Creates a listener that does not listen yet. */
+  /** Creates a listener that does not accept connections yet. */
   ClientListener(
       TcpTransport transport, PolicyRunner runner, ClientCommandParser parser, Limits limits) {
     this.transport = transport;
@@ -67,7 +75,7 @@
     this.limits = limits;
   }
 
-  /** Listens; the future fails when the address cannot be bound. */
+  /** Starts to accept connections; the future fails if the address cannot be bound. */
   ChannelFuture listen(Address address) {
     checkTimer = runner.timers().schedule(CHECK_INTERVAL_MICROS, this::checkTimeouts);
     ChannelFuture bound = transport.listen(address, () -> new ClientConnection(this));
@@ -122,13 +130,13 @@
     checkTimer = runner.timers().schedule(CHECK_INTERVAL_MICROS, this::checkTimeouts);
   }
 
-  /** Returns after which time an idle connection is closed. */
+  /** Returns the time after which an idle connection is closed. */
   long idleTimeoutMicros() {
     boolean areConnectionsScarce = 2 * connections.size() > limits.maxConnections();
     return areConnectionsScarce ? SHORT_IDLE_TIMEOUT_MICROS : LONG_IDLE_TIMEOUT_MICROS;
   }
 
-  /** Returns the error reply to a command that cannot be taken, or null when it can. */
+  /** Returns the error reply for a command that is not admitted, or null if it is admitted. */
   String admissionError(ClientCommand command) {
     if (inFlightIds.contains(command.id())) {
       return PlatformProtocol.ERROR_DUPLICATE_ID;
@@ -139,14 +147,16 @@
     return isOverLimit ? PlatformProtocol.ERROR_REJECTED : null;
   }
 
-  /** Gives a request to the runner; returns the runner's id of it. */
+  /** Submits a request to the runner and returns the runner's id for it. */
   long submit(ClientExchange exchange) {
     inFlightIds.add(exchange.command().id());
     inFlightBytes += exchange.command().sizeBytes();
     return runner.onRequest(exchange);
   }
 
-  /** Releases what a request held, as it has its response or its client has disconnected. */
+  /**
+   * Releases the id and memory of a request that has its response or whose client has disconnected.
+   */
   void release(ClientExchange exchange) {
     if (inFlightIds.remove(exchange.command().id())) {
       inFlightBytes -= exchange.command().sizeBytes();
@@ -163,10 +173,10 @@
   }
 
   /**
-   * Stops accepting, and closes each connection as soon as nothing is in flight on it and no part
-   * of a command has come.
+   * Stops accepting connections, and closes each connection as soon as nothing is in flight on it
+   * and it holds no part of a command.
    *
-   * @param drainedListener is called once the last connection is closed on both sides
+   * @param drainedListener called once the last connection is closed in both directions
    */
   void drain(Runnable drainedListener) {
     isDraining = true;
@@ -184,7 +194,7 @@
     }
   }
 
-  /** Fails all requests in flight and closes all connections; nothing is read afterwards. */
+  /** Fails all requests in flight and closes all connections. No command is read afterwards. */
   void failRequestsInFlight() {
     for (ClientConnection connection : List.copyOf(connections)) {
       connection.failRequestsInFlight();
@@ -198,12 +208,12 @@
 
   private void stopAccepting() {
     if (serverChannel != null) {
-      // Nothing follows on it: connections are closed one by one.
+      // The future is not needed: accepted connections are closed one by one.
       var unused = serverChannel.close();
     }
   }
 
-  /** Closes all connections after what was written. Idempotent. */
+  /** Closes all connections once everything written has been sent. Idempotent. */
   @Override
   public void close() {
     runner.timers().cancel(checkTimer);
--- a/src/main/java/fawndock/platform/ConfigFileWatcher.java
+++ b/src/main/java/fawndock/platform/ConfigFileWatcher.java
@@ -8,15 +8,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls a listener when the configuration file has changed, for processes that cannot receive the
- * reload signal. The first look counts as a change, so that none is missed before it. Runs on a
- * daemon thread of its own; {@link #close} may be called from any thread.
+ * Polls the configuration file and calls a listener when it has changed, for processes that cannot
+ * receive the reload signal. The first check counts as a change, so that no change before it is
+ * missed. Runs on its own daemon thread; {@link #close} may be called from any thread.
  */
 final class ConfigFileWatcher implements AutoCloseable {
-  /** The platform expects a new configuration to be in use within 4 s. */
+  /** Interval between checks. The platform expects a new configuration to be in use within 4 s. */
   private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
-  /** What tells one version of a file from another; {@code key} differs for a replaced file. */
+  /**
+   * Attributes that change with the file's content; {@code fileKey} changes when the file is
+   * replaced.
+   */
   private record FileVersion(FileTime modifiedAt, long sizeBytes, Object fileKey) {}
 
   private final Path file;
@@ -31,7 +34,7 @@
     thread.setDaemon(true);
   }
 
-  /** Starts watching; to be called once. */
+  /** Starts watching. Call this once. */
   void start() {
     thread.start();
   }
@@ -48,7 +51,8 @@
   }
 
   private void checkFile() {
-    // Read before the listener reads the file: a change meanwhile is seen by the next check.
+    // The version is read before the listener reads the file, so that the next check detects a
+    // change in between.
     FileVersion version = readVersion();
     if (version != null && !version.equals(lastVersion)) {
       lastVersion = version;
@@ -62,7 +66,7 @@
       return new FileVersion(
           attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
     } catch (IOException e) {
-      return null; // Being replaced, perhaps; the next check sees the new file.
+      return null; // The file may be being replaced; the next check reads the new one.
     }
   }
 
--- a/src/main/java/fawndock/platform/CounterCall.java
+++ b/src/main/java/fawndock/platform/CounterCall.java
@@ -9,7 +9,10 @@
 import io.netty.buffer.Unpooled;
 import java.math.BigDecimal;
 
-/** One {@code ADDGET} call in flight, and its encoding. Confined to one event loop. */
+/**
+ * One {@code ADDGET} call in flight and the encoding of its command and reply. Confined to one
+ * event loop.
+ */
 final class CounterCall extends CounterReplySequencer.PendingCall {
   private static final int COMMAND_BYTES = 128;
   private static final int MAX_TOTAL_CHARACTERS = 39;
@@ -17,10 +20,13 @@
 
   private final AddToCounter action;
 
-  /** Whether all of the command was handed to the network: it may have been added. */
+  /**
+   * Whether the whole command was handed to the network, so that the counter may have added the
+   * amount.
+   */
   boolean isWriteComplete;
 
-  /** Fires when the call has taken too long; null once it has fired. */
+  /** Timer of the call's timeout; null once it has fired. */
   Timers.Timer timeoutTimer;
 
   CounterCall(AddToCounter action, long startedAtMicros) {
@@ -48,7 +54,7 @@
         : BigDecimal.valueOf(amount).toPlainString();
   }
 
-  /** Decodes the total of a reply; null when the reply holds none. */
+  /** Returns the total that a reply holds, or null if it holds none. */
   static Double decodeTotal(Reply reply) {
     if (!reply.isBulk()) {
       return null;
--- a/src/main/java/fawndock/platform/CounterClient.java
+++ b/src/main/java/fawndock/platform/CounterClient.java
@@ -14,12 +14,15 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the platform's counter: {@code ADDGET} calls, pipelined on a few connections, those of
- * one counter on the same one. Each call is reported exactly once, by its reply or its timeout, and
- * in the order of its counter's calls. Confined to one event loop.
+ * Client of the platform's counter: pipelines {@code ADDGET} calls on a few connections, with all
+ * calls for one counter on the same connection. Each call is reported exactly once, by its reply or
+ * its timeout, and calls for one counter are reported in order. Confined to one event loop.
  */
 final class CounterClient implements AutoCloseable {
-  /** Few: a malformed reply ends all calls behind it, and each connection needs a descriptor. */
+  /**
+   * Number of connections. It is small because each connection needs a file descriptor, but a
+   * malformed reply ends all calls pipelined behind it on its connection.
+   */
   private static final int CONNECTION_COUNT = 4;
 
   private static final int MAX_PENDING_CALLS = 4_096;
@@ -27,16 +30,16 @@
   private static final long MIN_BACKOFF_MICROS = 20_000;
   private static final long MAX_BACKOFF_MICROS = 500_000;
 
-  /** Time limits of this client, in microseconds. */
+  /** Timeouts for opening a connection and for one call, in microseconds. */
   record Timeouts(long connectMicros, long callMicros) {}
 
-  /** One of the connections; reopened on demand, with a backoff while it cannot be. */
+  /** One of the connections. It is reopened on demand, with a backoff after failures to connect. */
   private final class ConnectionSlot implements CounterConnection.Listener {
     private CounterConnection connection;
     private long backoffMicros = MIN_BACKOFF_MICROS;
     private long reopenAtMicros;
 
-    /** Returns the open connection, or null within the backoff. */
+    /** Returns the connection, opening one if necessary, or null during the backoff. */
     CounterConnection connection() {
       if (connection == null && clock.now() >= reopenAtMicros) {
         connection = new CounterConnection(transport, address, timeouts.connectMicros(), this);
@@ -80,7 +83,7 @@
   private final CounterReplySequencer sequencer;
   private List<ConnectionSlot> slots = List.of();
 
-  /** All connections that are not closed, those to earlier addresses included. */
+  /** All connections that are not closed, including those to former addresses. */
   private final Set<CounterConnection> openConnections = new HashSet<>();
 
   private Address address;
@@ -88,9 +91,9 @@
   private Timers.Timer checkTimer;
 
   /**
-   * Creates a client that connects at the first call.
+   * Creates a client that connects on the first call.
    *
-   * @param address null where there is no counter
+   * @param address the counter's address, or null without a counter
    * @param listener receives the replies
    */
   CounterClient(
@@ -112,8 +115,8 @@
   }
 
   /**
-   * Sends further calls to this address; pending ones stay on their connections. Null, or the
-   * address in use, changes nothing.
+   * Sets the address for subsequent calls; pending calls stay on their connections. Null, or the
+   * current address, changes nothing.
    */
   void setAddress(Address newAddress) {
     if (newAddress == null || newAddress.equals(address)) {
@@ -128,7 +131,7 @@
     slots = newSlots;
   }
 
-  /** Calls the counter; the listener gets exactly one reply. */
+  /** Sends a call to the counter; the listener gets exactly one reply. */
   void add(AddToCounter action) {
     CounterCall call = new CounterCall(action, clock.now());
     sequencer.begin(call);
@@ -142,7 +145,7 @@
     connection.send(call);
   }
 
-  /** Returns the connection for a counter's calls, or null when there is none to be had. */
+  /** Returns the connection for a counter's calls, or null if none is available. */
   private CounterConnection connectionFor(String counterName) {
     if (address == null || pendingCallCount >= MAX_PENDING_CALLS) {
       return null;
@@ -175,7 +178,7 @@
     checkTimer = timers.schedule(CHECK_INTERVAL_MICROS, this::checkConnections);
   }
 
-  /** Closes all connections; no reply is reported any more. Idempotent. */
+  /** Closes all connections. No reply is reported afterwards. Idempotent. */
   @Override
   public void close() {
     sequencer.close();
--- a/src/main/java/fawndock/platform/CounterConnection.java
+++ b/src/main/java/fawndock/platform/CounterConnection.java
@@ -8,26 +8,26 @@
 import java.util.List;
 
 /**
- * One pipelined connection to the counter. A call that has timed out keeps its place among the
- * replies, so that its total is not taken for another call's. Confined to one event loop.
+ * One pipelined connection to the counter. A call that has timed out stays in the queue of expected
+ * replies, so that its total is not taken for that of another call. Confined to one event loop.
  */
 final class CounterConnection implements RespConnection.Listener {
-  /** A connection with calls in flight and no reply for this time is taken to be dead. */
+  /** A connection with calls in flight and no reply for this time is considered dead. */
   static final long REPLY_TIMEOUT_MICROS = 2_000_000;
 
   private static final int MAX_REPLY_BYTES = 512;
   private static final ReplyReader REPLY_READER =
       new ReplyReader(MAX_REPLY_BYTES, MAX_REPLY_BYTES, 0);
 
-  /** Learns how calls end and when the connection is closed. */
+  /** Receives the results of calls and the state of the connection. */
   interface Listener {
-    /** The connection is up. */
+    /** Called when the connection is open. */
     void onConnected();
 
-    /** A call has its result; {@code total} is 0 where the result carries none. */
+    /** Called when a call has its result; {@code total} is 0 if the result carries none. */
     void onCompleted(CounterCall call, CallResult result, double total);
 
-    /** The connection is closed; called before its pending calls end. */
+    /** Called when the connection is closed, before its pending calls complete. */
     void onClosed(CounterConnection connection, boolean wasConnected);
 
     /** Returns the time in microseconds. */
@@ -36,7 +36,7 @@
 
   private final Listener listener;
 
-  /** Calls in the order in which they are sent, from the first without a reply. */
+  /** Calls without a reply, in the order in which they are sent. */
   private final ArrayDeque<CounterCall> pendingCalls = new ArrayDeque<>();
 
   private final RespConnection connection;
@@ -50,7 +50,7 @@
     connection = new RespConnection(transport, address, connectTimeoutMicros, REPLY_READER, this);
   }
 
-  /** Sends a call, now or once the connection is up. */
+  /** Sends a call, now or once the connection is open. */
   void send(CounterCall call) {
     if (pendingCalls.isEmpty()) {
       lastReplyMicros = listener.nowMicros();
@@ -65,12 +65,12 @@
     connection.write(call.encode(), isWriteComplete -> call.isWriteComplete |= isWriteComplete);
   }
 
-  /** Has the connection closed once nothing is pending on it: it gets no further calls. */
+  /** Marks the connection to be closed once no call is pending; it must get no further calls. */
   void retire() {
     isRetired = true;
   }
 
-  /** Aborts the connection when its counter has gone silent, or when it is retired and done. */
+  /** Aborts the connection if replies have stopped, or if it is retired and no call is pending. */
   void abortIfUnusable(long nowMicros) {
     boolean isUnusable =
         pendingCalls.isEmpty() ? isRetired : nowMicros - lastReplyMicros > REPLY_TIMEOUT_MICROS;
@@ -88,7 +88,7 @@
   public void onConnected() {
     listener.onConnected();
     lastReplyMicros = listener.nowMicros();
-    // Calls that timed out before they were sent: nothing of them may be added.
+    // Calls that timed out before they were sent are dropped: their amounts must not be added.
     pendingCalls.removeIf(CounterCall::isCompleted);
     List.copyOf(pendingCalls).forEach(this::write);
   }
@@ -109,7 +109,7 @@
     if (total != null) {
       listener.onCompleted(call, CallResult.OK, total);
     } else {
-      // Malformed: the amount was added, and the replies behind it cannot be trusted.
+      // The reply is malformed: the amount was added, and the replies after it cannot be trusted.
       listener.onCompleted(call, CallResult.TIMEOUT, 0);
       abort();
     }
@@ -129,7 +129,7 @@
     }
   }
 
-  /** Closes the connection; its pending calls end as if it had broken. */
+  /** Closes the connection; its pending calls complete as if it had broken. */
   void abort() {
     connection.close();
     onClosed(true);
--- a/src/main/java/fawndock/platform/DiscoveryCall.java
+++ b/src/main/java/fawndock/platform/DiscoveryCall.java
@@ -16,24 +16,24 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One HTTP call to endpoint discovery on a connection of its own: a complete list, or a watch. Uses
- * Netty's HTTP/1.1 codec, as Vert.x's HTTP client alone takes a quarter of the start. Confined to
- * one event loop.
+ * One HTTP call to endpoint discovery on its own connection, for a complete list or a watch. It
+ * uses Netty's HTTP/1.1 codec because Vert.x's HTTP client alone takes a quarter of the startup
+ * time. Confined to one event loop.
  */
 final class DiscoveryCall extends ChannelInboundHandlerAdapter
     implements JsonFramer.Listener, AutoCloseable {
   /**
-   * Receives what the call brings. {@link #onEnded} is called once at most, and nothing is after it
-   * or after {@link DiscoveryCall#close}.
+   * Receives the results of a call. {@link #onEnded} is called at most once, and no method is
+   * called after it or after {@link DiscoveryCall#close}.
    */
   interface Listener {
-    /** A list has come, as JSON text. */
+    /** Called with each list that is received, as JSON text. */
     void onEndpointList(DiscoveryCall call, String json);
 
-    /** A list or an empty line has come: the call is alive. */
+    /** Called when a list or an empty line is received, which shows that the call is alive. */
     void onActivity(DiscoveryCall call);
 
-    /** The call has ended, was refused, or brought something that cannot be read. */
+    /** Called when the call has ended, was refused, or received malformed data. */
     void onEnded(DiscoveryCall call, String reason, boolean isMalformed);
   }
 
@@ -41,13 +41,15 @@
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
   private static final int STATUS_OK = 200;
 
-  /** Whether this is a call for a complete list, rather than a watch. */
+  /** Whether this call fetches a complete list, rather than being a watch. */
   final boolean isSnapshotCall;
 
-  /** Fires when nothing has come for too long; the listener's. */
+  /** Timer that fires when nothing has been received for too long; owned by the listener. */
   Timers.Timer idleTimer;
 
-  /** Nothing has come for too long, and another call has been opened beside this one. */
+  /**
+   * Whether nothing has been received for too long, so that another call was opened in parallel.
+   */
   boolean isSuspected;
 
   private final Listener listener;
@@ -79,7 +81,7 @@
             });
   }
 
-  /** Opens a call for a complete list. */
+  /** Opens a call that fetches a complete list. */
   static DiscoveryCall fetchSnapshot(TcpTransport transport, Address address, Listener listener) {
     return new DiscoveryCall(transport, address, EndpointListCodec.SNAPSHOT_PATH, true, listener);
   }
@@ -102,7 +104,7 @@
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
     request.headers().set(HttpHeaderNames.HOST, hostHeader);
-    // A write that fails closes the connection, and channelInactive ends the call.
+    // A failed write closes the connection, and channelInactive ends the call.
     var unused = handlerContext.writeAndFlush(request);
   }
 
@@ -131,9 +133,9 @@
     if (((HttpObject) message).decoderResult().isFailure()) {
       end("not an HTTP response", false);
     } else if (message instanceof HttpResponse response && response.status().code() != STATUS_OK) {
-      // Statuses below are informational: the response itself is still to come.
+      // Statuses below 200 are informational, and the final response is still to come.
       if (response.status().code() > STATUS_OK) {
-        end("status " + response.status().code(), false);
+        end("HTTP status " + response.status().code(), false);
       }
     } else if (message instanceof HttpContent content) {
       framer.read(content.content(), this);
@@ -166,7 +168,7 @@
     }
   }
 
-  /** Closes the connection; the listener is not called any more. Idempotent. */
+  /** Closes the connection. The listener is not called afterwards. Idempotent. */
   @Override
   public void close() {
     isClosed = true;
@@ -177,7 +179,7 @@
   }
 
   private void closeChannel() {
-    // Needs no follow-up: nothing of this call is reported any more.
+    // The future is not needed: a closed call reports nothing.
     var unused = context.close();
   }
 }
--- a/src/main/java/fawndock/platform/EndpointDirectory.java
+++ b/src/main/java/fawndock/platform/EndpointDirectory.java
@@ -13,8 +13,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Applies endpoint lists to the connection pools and to the policy, and holds the watch that brings
- * them. Confined to one event loop.
+ * Applies endpoint lists to the connection pools and the policy, and manages the watch that
+ * receives them. Confined to one event loop.
  */
 final class EndpointDirectory implements AutoCloseable {
   private final TcpTransport transport;
@@ -23,12 +23,14 @@
   private final SplittableRandom random;
   private final Promise<Void> firstList = Promise.promise();
 
-  /** The newest last; those before it stay open until it has brought its first list. */
+  /**
+   * Watches, the newest last. Earlier ones stay open until the newest has received its first list.
+   */
   private final ArrayDeque<EndpointWatch> watches = new ArrayDeque<>();
 
   private Address discoveryAddress;
 
-  /** Creates an empty directory that watches nothing yet. */
+  /** Creates an empty directory without a watch. */
   EndpointDirectory(
       TcpTransport transport,
       PolicyRunner runner,
@@ -40,7 +42,10 @@
     this.random = random;
   }
 
-  /** Watches discovery at this address from now on; does nothing when it does so already. */
+  /**
+   * Watches discovery at this address instead of the former one; does nothing if the address is
+   * unchanged.
+   */
   void watch(Address address) {
     if (address.equals(discoveryAddress)) {
       return;
@@ -59,14 +64,15 @@
   }
 
   private void onEndpointList(EndpointList list, List<EndpointWatch> olderWatches) {
-    // Not closed sooner: until the new watch has brought a list, theirs are valid.
+    // Older watches are closed only now: until the new watch has received a list, their lists are
+    // valid.
     olderWatches.forEach(EndpointWatch::close);
     watches.removeAll(olderWatches);
     apply(list, list.isSnapshot() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.CHANGES);
     firstList.tryComplete();
   }
 
-  /** Fetches a complete list anew and watches for changes after it. */
+  /** Fetches a complete list again and watches for changes after it. */
   void refresh() {
     watches.getLast().start();
   }
@@ -89,9 +95,9 @@
   }
 
   /**
-   * Completes when discovery has brought its first list.
+   * Returns a future that completes when the first list from discovery has been applied.
    *
-   * @param timeoutMicros after which it completes in any case; 0 to wait without limit
+   * @param timeoutMicros time after which the future completes in any case; 0 for no timeout
    */
   Future<Void> awaitFirstList(long timeoutMicros) {
     if (timeoutMicros > 0) {
--- a/src/main/java/fawndock/platform/EndpointList.java
+++ b/src/main/java/fawndock/platform/EndpointList.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * One list of endpoints from endpoint discovery; read by {@link EndpointListCodec}.
+ * One list of endpoints from endpoint discovery, as decoded by {@link EndpointListCodec}.
  *
- * @param version grows with each change
- * @param isSnapshot whether the list is complete, rather than only what has changed
- * @param addresses where each endpoint listens, by id
+ * @param version version of the list, which grows with each change
+ * @param isSnapshot whether the list is complete, rather than only the changed endpoints
+ * @param addresses addresses of the endpoints by endpoint id
  */
 record EndpointList(
     long version, boolean isSnapshot, List<Endpoint> endpoints, Map<String, Address> addresses) {
--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 
 /**
- * The discovery protocol: its paths and the JSON of its endpoint lists, under the names that the
- * platform fixes.
+ * The discovery protocol: its paths, and the decoding of its JSON endpoint lists. The platform
+ * defines all names.
  */
 final class EndpointListCodec {
-  /** Path of a complete list. */
+  /** Path of a call for a complete list. */
   static final String SNAPSHOT_PATH = "/catalog/members";
 
-  /** Path and query of a watch; the version of the last list follows. */
+  /** Path and query of a watch; the version of the last list is appended. */
   static final String WATCH_PATH = SNAPSHOT_PATH + "?stream=1&index=";
 
   // Keys of a list.
@@ -43,10 +43,11 @@
   private EndpointListCodec() {}
 
   /**
-   * Decodes a list. One malformed endpoint makes the whole list malformed, so that no draining is
-   * missed unnoticed.
+   * Decodes a list. One malformed endpoint makes the whole list malformed, so that no draining
+   * endpoint is missed silently.
    *
-   * @throws MalformedMessageException with the key, its value and what is expected
+   * @throws MalformedMessageException if the list is malformed; the message names the key, its
+   *     value and the expected form
    */
   static EndpointList decode(JsonObject list) {
     List<Endpoint> endpoints = new ArrayList<>();
@@ -84,10 +85,10 @@
   }
 
   /**
-   * Decodes HOST:PORT.
+   * Decodes an address of the form HOST:PORT.
    *
-   * @param key named in the error
-   * @throws MalformedMessageException when the text is none
+   * @param key the key to name in the error message
+   * @throws MalformedMessageException if the text is not an address
    */
   static Address decodeAddress(String key, String text) {
     Address address = Address.parse(text);
--- a/src/main/java/fawndock/platform/EndpointWatch.java
+++ b/src/main/java/fawndock/platform/EndpointWatch.java
@@ -12,22 +12,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches endpoint discovery at one address: a complete list, then the changes after it. A watch
- * without even an empty line for too long is suspected; another is opened beside it, from the last
- * version, and the suspected one is closed only once the new one is alive. So at every moment a
- * call waits there, and a change that discovery reports when it recovers is not missed. Confined to
- * one event loop.
+ * Watches endpoint discovery at one address: fetches a complete list, then receives the changes
+ * after it. When a call receives nothing for too long, it is suspected and another is opened in
+ * parallel from the last version; the suspected call is closed only once the new one is alive, so
+ * that a call is open at all times and a change that discovery reports when it recovers is not
+ * missed. Confined to one event loop.
  */
 final class EndpointWatch implements DiscoveryCall.Listener, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
 
-  /** Empty lines come every 2 s; a watch that misses one is suspected. */
+  /** Discovery sends an empty line every 2 s; a watch call that misses one is suspected. */
   private static final long WATCH_IDLE_TIMEOUT_MICROS = 2_600_000;
 
-  /** A complete list is sent at once. */
+  /** Shorter than for a watch, because discovery sends a complete list immediately. */
   private static final long SNAPSHOT_TIMEOUT_MICROS = 1_500_000;
 
-  /** Backoff between failed calls. Short, as changes meanwhile arrive late. */
+  /**
+   * Backoff between failed calls. It is short because changes during the backoff are received late.
+   */
   private static final long MIN_BACKOFF_MICROS = 10_000;
 
   private static final long MAX_BACKOFF_MICROS = 200_000;
@@ -51,8 +53,9 @@
   /**
    * Creates a watch that is not started.
    *
-   * @param random jitters retries, so that a fleet does not retry all at once
-   * @param listener receives each list that is not outdated
+   * @param random source of the retry jitter, which keeps the instances of a fleet from retrying
+   *     simultaneously
+   * @param listener called with each list that is not outdated
    */
   EndpointWatch(
       TcpTransport transport,
@@ -67,7 +70,10 @@
     this.listener = listener;
   }
 
-  /** Fetches a complete list and watches for changes after it. Called again, starts over. */
+  /**
+   * Fetches a complete list and watches for changes after it. Another call starts again with a
+   * complete list.
+   */
   void start() {
     version = NO_VERSION;
     openCall();
@@ -98,7 +104,7 @@
 
   private void onIdle(DiscoveryCall call) {
     if (!call.isSuspected) {
-      LOG.info("watch idle, opening another, discovery={}", address);
+      LOG.info("endpoint watch idle, opening another: address={}", address);
       call.isSuspected = true;
       openCall();
     }
@@ -113,7 +119,7 @@
   @Override
   public void onActivity(DiscoveryCall call) {
     call.isSuspected = false;
-    // Older calls are not needed any more; a newer one, opened beside this one, may stay.
+    // Older calls are no longer needed; a newer one, opened in parallel to this one, stays open.
     while (calls.peek() != call && calls.contains(call)) {
       closeCall(calls.peek());
     }
@@ -144,14 +150,14 @@
   private void acceptIfCurrent(DiscoveryCall call, EndpointList list) {
     boolean isNewestCall = calls.peekLast() == call;
     if (list.isSnapshot() && list.endpoints().isEmpty()) {
-      LOG.warn("empty endpoint list ignored, discovery={}", address);
+      LOG.warn("empty endpoint list ignored: address={}", address);
     } else if (list.version() >= version || (list.isSnapshot() && isNewestCall)) {
       version = Math.max(0, list.version());
       backoffMicros = MIN_BACKOFF_MICROS;
       listener.accept(list);
     } else {
       LOG.info(
-          "outdated endpoint list ignored, discovery={}, version={}, current={}",
+          "outdated endpoint list ignored: address={} version={} current_version={}",
           address,
           list.version(),
           version);
@@ -163,11 +169,11 @@
     timers.cancel(call.idleTimer);
     calls.remove(call);
     if (isMalformed) {
-      LOG.warn("endpoint list malformed, discovery={}, reason={}", address, reason);
+      LOG.warn("endpoint list malformed: address={} reason={}", address, reason);
       version = NO_VERSION;
     }
     if (isMalformed || calls.stream().allMatch(c -> c.isSuspected)) {
-      LOG.info("watch ended, reopening, discovery={}, reason={}", address, reason);
+      LOG.info("endpoint watch ended, reopening: address={} reason={}", address, reason);
       scheduleRetry();
     }
   }
@@ -181,7 +187,7 @@
     backoffMicros = Math.min(MAX_BACKOFF_MICROS, 2 * backoffMicros);
   }
 
-  /** Closes all calls; the listener is not called any more. Idempotent. */
+  /** Closes all calls. The listener is not called afterwards. Idempotent. */
   @Override
   public void close() {
     isClosed = true;
--- a/src/main/java/fawndock/platform/InMemoryTransport.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -15,9 +15,9 @@
 import java.util.function.Supplier;
 
 /**
- * Connections within this process, in memory: no descriptor, port or file is used. What one side
- * writes reaches the other in a later turn of the event loop, as from a network. For {@link
- * WarmUp}. Confined to one event loop.
+ * A transport for {@link WarmUp} that connects within this process, in memory, without file
+ * descriptors, ports or files. Bytes reach the other side in a later turn of the event loop, as on
+ * a network. Confined to one event loop.
  */
 final class InMemoryTransport extends TcpTransport {
   private final Map<Address, Supplier<ChannelHandler>> handlerFactories = new HashMap<>();
@@ -52,7 +52,7 @@
       eventLoop.execute(
           () -> {
             if (peer != null) {
-              // Closes in memory cannot fail.
+              // An in-memory close cannot fail.
               var unused = peer.close();
             }
           });
--- a/src/main/java/fawndock/platform/InvalidCommandException.java
+++ b/src/main/java/fawndock/platform/InvalidCommandException.java
@@ -1,6 +1,6 @@
 package fawndock.platform;
 
-/** An invalid client command; the message is the error reply to the client. */
+/** Thrown for an invalid client command; the message is the error reply to the client. */
 final class InvalidCommandException extends PlatformException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fawndock/platform/InvalidConfigException.java
+++ b/src/main/java/fawndock/platform/InvalidConfigException.java
@@ -1,6 +1,8 @@
 package fawndock.platform;
 
-/** An unusable configuration; the message names the file, the key and what is expected. */
+/**
+ * Thrown for an invalid configuration; the message names the file, the key and the expected form.
+ */
 final class InvalidConfigException extends PlatformException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fawndock/platform/JsonFramer.java
+++ b/src/main/java/fawndock/platform/JsonFramer.java
@@ -5,20 +5,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a byte stream into JSON objects by their brackets, however the bytes are cut, indented or
- * spread over lines. Between objects only blanks and line ends may stand. Confined to one event
- * loop.
+ * Splits a byte stream into JSON objects by matching brackets, independent of chunk boundaries,
+ * indentation and line breaks. Only whitespace may separate objects. Confined to one event loop.
  */
 final class JsonFramer {
-  /** Is called in the order of the bytes. */
+  /** Receives the parts of the stream in order. */
   interface Listener {
-    /** A complete object has come. */
+    /** Called with each complete object. */
     void onObject(String json);
 
-    /** A line has ended outside of any object. */
+    /** Called at each line end outside of any object. */
     void onLineEnd();
 
-    /** The stream is malformed, or an object is too long; nothing is called after it. */
+    /**
+     * Called when the stream is malformed or an object is too long; no method is called afterwards.
+     */
     void onMalformed(String reason);
   }
 
@@ -33,7 +34,7 @@
     this.maxObjectBytes = maxObjectBytes;
   }
 
-  /** Reads all of the bytes. */
+  /** Consumes all of the bytes. */
   void read(ByteBuf bytes, Listener listener) {
     while (bytes.isReadable() && !isClosed) {
       byte b = bytes.readByte();
@@ -78,7 +79,7 @@
     listener.onMalformed(reason);
   }
 
-  /** Stops reading; the listener is not called any more. Idempotent. */
+  /** Stops reading. The listener is not called afterwards. Idempotent. */
   void close() {
     isClosed = true;
   }
--- a/src/main/java/fawndock/platform/PlatformConfig.java
+++ b/src/main/java/fawndock/platform/PlatformConfig.java
@@ -4,20 +4,20 @@
 import fawndock.settings.Address;
 
 /**
- * The configuration that the platform gives to this gateway instance; read by {@link
+ * The configuration that the platform gives to this gateway instance, as read by {@link
  * PlatformConfigReader}.
  *
- * @param name the instance's name, for the log
- * @param listen where clients connect
+ * @param name name of the instance, for the log
+ * @param listen address that clients connect to
  * @param discovery address of endpoint discovery
- * @param counter address of the counter, or null without one
+ * @param counter address of the counter, or null if there is none
  * @param policy settings of the policy
  * @param knownEndpoints the last known endpoint list; may be out of date
- * @param maxSockets descriptors that the process may hold
- * @param memoryBytes memory that the process may hold
- * @param connectTimeoutMicros longest time for a connection to an endpoint or the counter
- * @param endpointIdleTimeoutMicros after which endpoints close idle connections; 0 when unknown
- * @param maxRequestUnits the most units of one request
+ * @param maxSockets maximum number of file descriptors of the process
+ * @param memoryBytes memory limit of the process
+ * @param connectTimeoutMicros timeout for opening a connection to an endpoint or the counter
+ * @param endpointIdleTimeoutMicros time after which endpoints close idle connections; 0 if unknown
+ * @param maxRequestUnits maximum cost of one request in units
  */
 record PlatformConfig(
     String name,
--- a/src/main/java/fawndock/platform/PlatformConfigReader.java
+++ b/src/main/java/fawndock/platform/PlatformConfigReader.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Reads the configuration file that the platform writes; environment variables stand in for keys
- * that the file leaves out. A file is taken whole or not at all.
+ * Reads the configuration file that the platform writes; environment variables supply values for
+ * keys that the file omits. A file with any invalid value is rejected as a whole. Stateless.
  */
 final class PlatformConfigReader {
   // Environment variables.
@@ -22,7 +22,8 @@
   static final String VARIABLE_LISTEN = "RELAY_LISTEN";
   static final String VARIABLE_DISCOVERY = "RELAY_DISCOVERY";
 
-  // Keys of the file; those within KEY_POLICY that concern the policy are SettingsReader's.
+  // Keys of the file. SettingsReader defines the other keys within KEY_POLICY, which concern the
+  // policy.
   static final String KEY_NAME = "name";
   static final String KEY_LISTEN = "listen";
   static final String KEY_DISCOVERY = "discovery";
@@ -47,9 +48,10 @@
   private PlatformConfigReader() {}
 
   /**
-   * Reads the file that {@link #VARIABLE_CONFIG_FILE} names.
+   * Reads the file whose path is the value of {@link #VARIABLE_CONFIG_FILE}.
    *
-   * @throws InvalidConfigException with what was read, what is expected and where
+   * @throws InvalidConfigException if the configuration is invalid; the message names the file, the
+   *     key, the value and the expected form
    */
   static PlatformConfig read(Map<String, String> environment) throws InvalidConfigException {
     String path = environment.get(VARIABLE_CONFIG_FILE);
@@ -71,7 +73,8 @@
   private static String readFile(String path) throws InvalidConfigException {
     try {
       if (Files.size(Path.of(path)) > MAX_FILE_BYTES) {
-        throw new InvalidConfigException(path + ": larger than " + MAX_FILE_BYTES + " bytes");
+        throw new InvalidConfigException(
+            path + ": file is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return Files.readString(Path.of(path));
     } catch (IOException e) {
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -23,37 +23,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One gateway instance on the platform: wires clients, backends, counter and endpoint discovery to
- * one policy. Confined to one event loop.
+ * One gateway instance on the platform: connects clients, backends, the counter and endpoint
+ * discovery to one policy. Confined to one event loop.
  */
 final class PlatformGateway implements PolicyRunner.GatewayConnections, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformGateway.class);
 
-  /** Share of the descriptors for clients. */
+  /** Share of the file descriptors that client connections may use. */
   private static final double CLIENT_SOCKET_RATIO = 0.45;
 
-  /** Share for backends; the rest is left to counter, discovery and files, with a reserve. */
+  /**
+   * Share for backend connections. The rest is for the counter, discovery and files, with a
+   * reserve.
+   */
   private static final double BACKEND_SOCKET_RATIO = 0.32;
 
-  /** Requests in flight hold at most the memory divided by this. */
+  /** Requests in flight may hold the process's memory limit divided by this. */
   private static final long REQUEST_MEMORY_DIVISOR = 16;
 
-  /** The known endpoint list is used when discovery has brought none after this time. */
+  /** Time to wait for a list from discovery before listening with the known endpoint list. */
   private static final long FIRST_LIST_TIMEOUT_MICROS = 3_000_000;
 
   private static final long ACTIVITY_INTERVAL_MICROS = 5_000_000;
   private static final long CLOSE_IDLE_INTERVAL_MICROS = 1_000_000;
 
   /**
-   * Share of the time after which endpoints close idle connections. A request on a connection that
-   * is used up to that time would meet a reset.
+   * Share of the endpoints' idle timeout after which the gateway closes an idle connection. If
+   * connections were reused up to the full timeout, requests would meet a reset.
    */
   private static final double IDLE_TIMEOUT_RATIO = 0.5;
 
-  /** Where the endpoints' idle timeout is not known. */
+  /** Idle timeout of backend connections if that of the endpoints is unknown. */
   private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 20_000_000;
 
-  /** Keeps the retry jitter apart from the policy's random numbers, which have the same seed. */
+  /**
+   * Separates the random sequence of the retry jitter from the policy's, which has the same seed.
+   */
   private static final long JITTER_SEED_MASK = 0x5DEECE66DL;
 
   private final TcpTransport transport;
@@ -68,7 +73,7 @@
   private final ClientListener clientListener;
   private long activityLoggedAtMicros;
 
-  /** Creates the gateway on the event loop that it belongs to; it does not listen yet. */
+  /** Creates the gateway, on its event loop; it does not listen yet. */
   PlatformGateway(
       Vertx vertx,
       TcpTransport transport,
@@ -126,7 +131,7 @@
             config.memoryBytes() / REQUEST_MEMORY_DIVISOR));
   }
 
-  /** Watches endpoint discovery, and listens once there is an endpoint list. */
+  /** Watches endpoint discovery, and listens once an endpoint list is available. */
   Future<?> start() {
     boolean hasKnownEndpoints = !config.knownEndpoints().endpoints().isEmpty();
     if (hasKnownEndpoints) {
@@ -140,7 +145,7 @@
         .onSuccess(
             listening ->
                 LOG.info(
-                    "listening, name={}, instance={}/{}, address={}",
+                    "gateway listening: name={} instance={}/{} address={}",
                     config.name(),
                     config.policy().instanceIndex(),
                     config.policy().instanceCount(),
@@ -162,21 +167,21 @@
     return listening.future();
   }
 
-  /** Listens with this endpoint list and without endpoint discovery: for {@link WarmUp}. */
+  /** Listens with this endpoint list and without endpoint discovery, for {@link WarmUp}. */
   ChannelFuture startForWarmUp(EndpointList endpoints) {
     directory.apply(endpoints, EndpointUpdateKind.SNAPSHOT);
     return clientListener.listen(config.listen());
   }
 
   /**
-   * Takes the addresses of a new configuration; one without a counter keeps the present one. The
-   * policy keeps its state and settings.
+   * Applies the addresses of a new configuration. Without a counter address the current counter
+   * stays in use. The policy keeps its state and settings.
    */
   void reload(PlatformConfig newConfig) {
     counter.setAddress(newConfig.counter());
     directory.watch(newConfig.discovery());
     LOG.info(
-        "configuration reloaded, discovery={}, counter={}",
+        "configuration reloaded: discovery={} counter={}",
         newConfig.discovery(),
         newConfig.counter());
   }
@@ -189,7 +194,7 @@
     return runner;
   }
 
-  /** Logs one line every few seconds, whatever the load. */
+  /** Schedules the activity log line, which is written every few seconds at any load. */
   private void scheduleActivityLog() {
     activityLoggedAtMicros = clock.now();
     timers.schedule(ACTIVITY_INTERVAL_MICROS, this::logActivity);
@@ -229,7 +234,7 @@
 
   @Override
   public void sendPeerMessage(SendPeerMessage action) {
-    LOG.debug("peer message dropped, the platform carries none");
+    LOG.debug("peer message dropped, the platform has no connections between instances");
   }
 
   @Override
@@ -247,7 +252,7 @@
     return new BackendAttempt(runner, request, index, endpointId, pools);
   }
 
-  /** The platform has no health checks: the policy is told that none was sent. */
+  /** Reports to the policy that no health check was sent, because the platform has none. */
   @Override
   public void startHealthCheck(String endpointId) {
     runner.onEvent(new HealthCheckCompleted(endpointId, 0, CallResult.NOT_SENT, LoadReport.NONE));
--- a/src/main/java/fawndock/platform/PlatformProcess.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -18,28 +18,28 @@
 import sun.misc.SignalHandler;
 
 /**
- * The gateway's process on the platform: start, configuration reload on SIGHUP, shutdown on SIGTERM
- * or SIGINT. {@link #run} blocks its thread; the other public methods may be called from any
- * thread.
+ * The gateway process on the platform: startup, configuration reload on SIGHUP, shutdown on SIGTERM
+ * or SIGINT. {@link #run} blocks the calling thread; the other public methods may be called from
+ * any thread.
  */
 public final class PlatformProcess {
   private static final Logger LOG = LoggerFactory.getLogger(PlatformProcess.class);
 
-  /** Exit code after a shutdown. */
+  /** Exit code after a graceful shutdown. */
   public static final int EXIT_STOPPED = 0;
 
-  /** Exit code when the address cannot be listened on. */
+  /** Exit code if the listen address cannot be bound. */
   public static final int EXIT_CANNOT_LISTEN = 1;
 
-  /** Exit code for an unusable configuration. */
+  /** Exit code for an invalid configuration. */
   public static final int EXIT_INVALID_CONFIG = 2;
 
-  /** Time for the last writes to reach the network before connections are closed. */
+  /** Delay before connections are closed, in which the last writes reach the network. */
   private static final long FLUSH_DELAY_MILLIS = 20;
 
   private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
-  /** Blocked threads are not checked: the check would need a thread of its own. */
+  /** Effectively disables Vert.x's check for blocked threads, which would need its own thread. */
   private static final long BLOCKED_THREAD_CHECK_MILLIS = 3_600_000;
 
   private final Map<String, String> environment;
@@ -49,28 +49,31 @@
   private volatile Context context;
   private PlatformGateway gateway;
 
-  /** The configuration that the gateway starts with; newer than the first after a reload. */
+  /** The configuration that the gateway starts with; a reload during the warm-up replaces it. */
   private PlatformConfig currentConfig;
 
   private boolean isShuttingDown;
   private volatile int exitCode;
 
-  /** Stands in for the reload signal where it is ignored; else null. */
+  /** Replaces the reload signal if the process ignores it; otherwise null. */
   private ConfigFileWatcher configFileWatcher;
 
-  /** Creates a process that is not started, with the platform's environment variables. */
+  /**
+   * Creates a process that is not started, with the environment variables that the platform sets.
+   */
   public PlatformProcess(Map<String, String> environment) {
     this.environment = environment;
   }
 
   /**
-   * Serves until the process is stopped; returns the exit code. An unusable configuration is
+   * Serves until the process is stopped and returns the exit code. An invalid configuration is
    * reported on standard error in one line.
    */
   public int run(Function<PolicyConfig, GatewayPolicy> policyFactory) throws InterruptedException {
     vertx = createVertx();
     context = vertx.getOrCreateContext();
-    // Before the file is read: a signal would end the process, or its change be missed.
+    // Handlers are installed before the file is read. Without them a signal would end the process,
+    // or a change of the file would be missed.
     boolean hasReloadSignal = installSignalHandlers();
     try {
       start(policyFactory);
@@ -82,7 +85,7 @@
       exitCode = EXIT_INVALID_CONFIG;
       finished.countDown();
     } catch (RuntimeException e) {
-      closeVertx(); // Its threads would keep the process alive.
+      closeVertx(); // Vert.x's threads would keep the process alive.
       throw e;
     }
     finished.await();
@@ -121,7 +124,7 @@
         .onSuccess(started -> listening.countDown())
         .onFailure(
             e -> {
-              LOG.error("cannot listen, address={}, cause={}", config.listen(), e.toString());
+              LOG.error("cannot listen: address={} reason={}", config.listen(), e.toString());
               finish(EXIT_CANNOT_LISTEN);
             });
   }
@@ -132,7 +135,7 @@
   }
 
   /**
-   * Reads the configuration file, on the calling thread, and takes its addresses. An unusable file
+   * Reads the configuration file on the calling thread and applies its addresses. An invalid file
    * is logged and changes nothing.
    */
   public synchronized void reload() {
@@ -140,7 +143,7 @@
       PlatformConfig newConfig = PlatformConfigReader.read(environment);
       context.runOnContext(v -> applyConfig(newConfig));
     } catch (InvalidConfigException e) {
-      LOG.error("configuration rejected, keeping the current one, reason={}", e.getMessage());
+      LOG.error("configuration rejected, keeping the current one: reason={}", e.getMessage());
     }
   }
 
@@ -148,28 +151,28 @@
     if (gateway != null) {
       gateway.reload(newConfig);
     } else {
-      currentConfig = newConfig; // Still warming up.
+      currentConfig = newConfig; // The gateway is created with it after the warm-up.
     }
   }
 
-  /** Shuts down gracefully, and then ends {@link #run}. Idempotent. */
+  /** Shuts down gracefully, after which {@link #run} returns. Idempotent. */
   public void stop() {
     if (finished.getCount() > 0) {
       context.runOnContext(v -> shutDown());
     }
   }
 
-  /** Waits until the gateway listens; returns false when it does not within this time. */
+  /** Waits until the gateway listens; returns false if it does not within the timeout. */
   public boolean awaitReady(long timeout, TimeUnit unit) throws InterruptedException {
     return listening.await(timeout, unit);
   }
 
-  /** Returns the context of the event loop that all of the gateway runs on. */
+  /** Returns the context of the event loop that the whole gateway runs on. */
   Context context() {
     return context;
   }
 
-  /** Returns the gateway, or null before the warm-up is done. */
+  /** Returns the gateway, or null before the warm-up has finished. */
   PlatformGateway gateway() {
     return gateway;
   }
@@ -183,7 +186,7 @@
       finish(EXIT_STOPPED);
       return;
     }
-    LOG.info("shutting down, openRequests={}", gateway.runner().openCount());
+    LOG.info("shutting down: open_requests={}", gateway.runner().openCount());
     new GracefulShutdown(
             vertx,
             gateway.clientListener(),
@@ -210,11 +213,12 @@
     CountDownLatch closed = new CountDownLatch(1);
     vertx.close().onComplete(v -> closed.countDown());
     if (!closed.await(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-      LOG.warn("event loop still open after {} ms, exiting anyway", CLOSE_TIMEOUT_MILLIS);
+      LOG.warn(
+          "event loop not closed in time, exiting anyway: timeout_ms={}", CLOSE_TIMEOUT_MILLIS);
     }
   }
 
-  /** Returns whether the reload signal can be received. */
+  /** Installs all signal handlers; returns whether the reload signal can be received. */
   private boolean installSignalHandlers() {
     installSignalHandler("TERM", this::stop);
     installSignalHandler("INT", this::stop);
@@ -223,20 +227,20 @@
 
   private void watchConfigFile() {
     Path file = Path.of(environment.get(PlatformConfigReader.VARIABLE_CONFIG_FILE));
-    LOG.warn("watching the configuration file instead, file={}", file);
+    LOG.warn("watching the configuration file instead of the reload signal: file={}", file);
     configFileWatcher = new ConfigFileWatcher(file, this::reload);
     configFileWatcher.start();
   }
 
   /**
-   * Installs a handler; returns false when the parent process has the signal ignored, as nohup does
-   * with SIGHUP: the JVM leaves such a signal ignored.
+   * Installs a handler; returns false if the signal was ignored by the parent process, as by nohup
+   * with SIGHUP, because the JVM leaves such a signal ignored.
    */
   private static boolean installSignalHandler(String name, Runnable handler) {
     SignalHandler previous = Signal.handle(new Signal(name), signal -> handler.run());
     boolean isIgnored = previous == SignalHandler.SIG_IGN;
     if (isIgnored) {
-      LOG.warn("signal ignored by the parent process, it has no effect, signal=SIG{}", name);
+      LOG.warn("signal ignored by the parent process, it has no effect: signal=SIG{}", name);
     }
     return !isIgnored;
   }
--- a/src/main/java/fawndock/platform/PlatformProtocol.java
+++ b/src/main/java/fawndock/platform/PlatformProtocol.java
@@ -1,22 +1,23 @@
 package fawndock.platform;
 
 /**
- * The words of the platform's RESP protocols, with clients, backends and the counter. They are
- * fixed by the platform; beside each stands the term that the code uses for it.
+ * Command names, field names and replies of the platform's RESP protocols with clients, backends
+ * and the counter. The platform defines them; each constant is named by the term that the code
+ * uses.
  */
 final class PlatformProtocol {
   // Commands.
 
-  /** Idempotent request. */
+  /** An idempotent request. */
   static final String COMMAND_IDEMPOTENT = "Q.ASK";
 
-  /** Request that must not run twice, or is deduplicated by its key. */
+  /** A request that must not run twice, or is deduplicated by its idempotency key. */
   static final String COMMAND_NOT_IDEMPOTENT = "Q.DO";
 
-  /** Liveness check of a client connection. */
+  /** A liveness check of a client connection. */
   static final String COMMAND_PING = "PING";
 
-  /** Counter increment that returns the new total. */
+  /** A counter increment that returns the new total. */
   static final String COMMAND_ADD_AND_GET = "ADDGET";
 
   // Fields of a request's attribute list, "name=value,name=value".
@@ -27,13 +28,13 @@
   /** Plan of the customer. */
   static final String FIELD_PLAN = "t";
 
-  /** Timeout: milliseconds that the client still waits. */
+  /** Time that the client still waits, in milliseconds. */
   static final String FIELD_TIMEOUT_MILLIS = "d";
 
   /** Idempotency key. */
   static final String FIELD_IDEMPOTENCY_KEY = "k";
 
-  /** 1 where the client retries an earlier request. */
+  /** 1 if the client retries an earlier request. */
   static final String FIELD_IS_RETRY = "r";
 
   /** Cost of the request in units of its plan. */
@@ -45,12 +46,12 @@
   /** Index of the first of these instances. */
   static final String FIELD_FIRST_INSTANCE = "first";
 
-  // Fields of a backend's reply; those of its load report are in SettingsReader.
+  // Fields of a backend's reply; SettingsReader defines those of its load report.
 
   /** Units that the request has used. */
   static final String FIELD_UNITS_USED = "charged";
 
-  /** The same, under its older name. */
+  /** Former name of {@link #FIELD_UNITS_USED}. */
   static final String FIELD_UNITS_USED_OLD = "cost";
 
   // Replies.
@@ -64,25 +65,25 @@
   /** Prefix of any other error reply. */
   static final String ERROR = "ERR ";
 
-  /** The last attempt failed. */
+  /** Error reply if the last attempt failed. */
   static final String ERROR_FAILED = "ERR failed";
 
-  /** The client's deadline has passed. */
+  /** Error reply if the client's deadline has passed. */
   static final String ERROR_TIMEOUT = "ERR no answer in time";
 
-  /** The gateway shuts down. */
+  /** Error reply if the gateway is shutting down. */
   static final String ERROR_SHUTTING_DOWN = "ERR stopping";
 
-  /** The command is not one of this protocol's. */
+  /** Error reply to a command that the protocol does not define. */
   static final String ERROR_UNKNOWN_COMMAND = "ERR unknown command";
 
-  /** A request of the same id is in flight. */
+  /** Error reply if a request with the same id is in flight. */
   static final String ERROR_DUPLICATE_ID = "ERR the id is open already";
 
-  /** Too many commands of one connection are in flight. */
+  /** Error reply if too many commands of one connection are in flight. */
   static final String ERROR_TOO_MANY_COMMANDS = "ERR too many commands at once";
 
-  /** The rest of a command did not arrive in time. */
+  /** Error reply if the rest of a command does not arrive in time. */
   static final String ERROR_INCOMPLETE_COMMAND = "ERR the command did not end";
 
   private PlatformProtocol() {}
--- a/src/main/java/fawndock/platform/PooledConnection.java
+++ b/src/main/java/fawndock/platform/PooledConnection.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to a backend: used by one attempt, or idle in its pool. Bytes on an idle
- * connection, such as a late second copy of a response, close it. Confined to one event loop.
+ * One connection to a backend, either used by one attempt or idle in its pool. Bytes received on an
+ * idle connection, such as a late duplicate response, close it. Confined to one event loop.
  */
 final class PooledConnection implements RespConnection.Listener {
   private static final int MAX_VALUE_BYTES = 64 << 10;
@@ -25,7 +25,7 @@
 
   private long idleSinceMicros;
 
-  /** Connects for an attempt. */
+  /** Opens a connection for an attempt. */
   PooledConnection(
       BackendConnectionPools pools,
       BackendConnectionPools.EndpointPool pool,
@@ -38,13 +38,13 @@
             pools.transport(), pool.address, pools.connectTimeoutMicros(), REPLY_READER, this);
   }
 
-  /** Gives an idle connection to an attempt. */
+  /** Assigns the idle connection to an attempt. */
   void assign(BackendAttempt newAttempt) {
     attempt = newAttempt;
     newAttempt.onConnectionAvailable(this);
   }
 
-  /** Writes a command; the listener is told whether all of it was handed to the network. */
+  /** Writes a command; the listener receives whether all of it was handed to the network. */
   void write(ByteBuf command, Consumer<Boolean> writeListener) {
     connection.write(command, writeListener);
   }
@@ -61,7 +61,7 @@
   @Override
   public void onConnected() {
     if (!attempt.onConnectionAvailable(this)) {
-      release(); // The attempt has ended meanwhile; the connection is as good as any.
+      release(); // The attempt has completed meanwhile; the connection can serve another one.
     }
   }
 
@@ -73,7 +73,8 @@
     if (reply.isError() || !backendReply.isConnectionReusable()) {
       pools.activity().recordError(reply.type() + reply.text());
     }
-    // Released before the attempt learns of its reply: what is sent next may want the connection.
+    // The connection is released before the attempt gets its reply, because the next attempt may
+    // need it.
     if (hasMoreBytes || !backendReply.isConnectionReusable()) {
       abort();
     } else {
@@ -101,7 +102,7 @@
     }
   }
 
-  /** Returns the connection to its pool, or closes it when its endpoint has been removed. */
+  /** Returns the connection to its pool, or closes it if its endpoint has been removed. */
   void release() {
     attempt = null;
     if (pools.isCurrent(pool)) {
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Closes the connection; nothing of it is reported any more. */
+  /** Closes the connection. Nothing is reported for it afterwards. */
   void abort() {
     attempt = null;
     pools.onConnectionClosed(pool, this);
--- a/src/main/java/fawndock/platform/RespConnection.java
+++ b/src/main/java/fawndock/platform/RespConnection.java
@@ -8,32 +8,35 @@
 import java.util.function.Consumer;
 
 /**
- * One RESP client connection, to an endpoint or to the counter: commands out, replies in. It is
- * never reopened. Confined to one event loop.
+ * One RESP client connection to an endpoint or the counter: writes commands and reads replies. A
+ * connection is never reopened. Confined to one event loop.
  */
 final class RespConnection implements AutoCloseable {
   /**
-   * Is called on the event loop. Exactly one of {@link #onProtocolError} and {@link #onClosed} is
-   * called last, neither after {@link RespConnection#close}.
+   * Receives replies and the state of the connection, on the event loop. The last call is exactly
+   * one of {@link #onProtocolError} and {@link #onClosed}, unless {@link RespConnection#close} was
+   * called before; after it neither is called.
    */
   interface Listener {
-    /** The connection is up. */
+    /** Called when the connection is open. */
     void onConnected();
 
-    /** Returns whether a reply is outstanding; bytes while none is are a protocol error. */
+    /**
+     * Returns whether a reply is outstanding; bytes received while none is are a protocol error.
+     */
     boolean expectsReply();
 
     /**
-     * A reply has come.
+     * Called with each reply.
      *
-     * @param hasMoreBytes whether bytes stand behind it
+     * @param hasMoreBytes whether bytes that follow the reply have been received
      */
     void onReply(Reply reply, boolean hasMoreBytes);
 
-    /** Bytes that are no reply have come; the connection has been closed. */
+    /** Called after the connection was closed because of bytes that are not a valid reply. */
     void onProtocolError(String reason);
 
-    /** The connection did not come up, or was closed by the other side. */
+    /** Called when the connection could not be opened, or was closed by the peer. */
     void onClosed(boolean wasConnected);
   }
 
@@ -54,7 +57,9 @@
   private boolean isConnected;
   private boolean isClosed;
 
-  /** Connects at once; {@link Listener#onConnected} is called in a later turn. */
+  /**
+   * Starts to connect; {@link Listener#onConnected} is called in a later turn of the event loop.
+   */
   RespConnection(
       TcpTransport transport,
       Address address,
@@ -86,7 +91,7 @@
   /**
    * Writes a command.
    *
-   * @param writeListener is told whether all bytes were handed to the network; false when the
+   * @param writeListener receives whether all bytes were handed to the network; false if the
    *     connection broke before
    */
   void write(ByteBuf command, Consumer<Boolean> writeListener) {
@@ -118,7 +123,7 @@
     }
   }
 
-  /** Closes the connection; the listener is not called any more. Idempotent. */
+  /** Closes the connection. The listener is not called afterwards. Idempotent. */
   @Override
   public void close() {
     isClosed = true;
--- a/src/main/java/fawndock/platform/TcpTransport.java
+++ b/src/main/java/fawndock/platform/TcpTransport.java
@@ -19,36 +19,37 @@
 
 /**
  * Opens and accepts TCP connections with Netty, on Vert.x's event loop. Vert.x's own sockets are
- * not used: they accept on another thread without limit while the event loop is busy, and cost ten
- * times as much for each connection. Confined to one event loop.
+ * not used because they accept without limit on another thread while the event loop is busy, and
+ * cost ten times as much per connection. Confined to one event loop.
  */
 class TcpTransport {
   private static final int ACCEPT_BACKLOG = 1_024;
 
-  /** The event loop of all connections. */
+  /** The event loop that all connections run on. */
   protected final EventLoop eventLoop;
 
-  /** Uses the event loop of this context. */
+  /** Creates a transport on the event loop of this context. */
   TcpTransport(Context context) {
     eventLoop = ((ContextInternal) context).nettyEventLoop();
   }
 
   /**
-   * Runs a task after the reads of the next turn of the event loop: a close that stands behind
-   * bytes which were read in this turn has been seen by then.
+   * Runs a task after the reads of the next turn of the event loop. By then a close that follows
+   * bytes read in this turn has been noticed.
    */
   void runAfterReads(Runnable task) {
     eventLoop.execute(
         () -> {
-          // Nothing waits for the task, and the event loop logs its exceptions.
+          // The future is not needed: nothing waits for the task, and the event loop logs its
+          // exceptions.
           var unused = eventLoop.schedule(task, 0, TimeUnit.NANOSECONDS);
         });
   }
 
   /**
-   * Connects. The future completes in a later turn of the event loop.
+   * Opens a connection. The future completes in a later turn of the event loop.
    *
-   * @param handler receives the bytes
+   * @param handler handler of the connection, which receives the bytes
    */
   ChannelFuture connect(Address address, long timeoutMicros, ChannelHandler handler) {
     int timeoutMillis = (int) Math.max(1, timeoutMicros / 1_000);
@@ -62,9 +63,9 @@
   }
 
   /**
-   * Listens; a few connections are accepted in each turn of the event loop.
+   * Listens at an address. A few connections are accepted in each turn of the event loop.
    *
-   * @param handlers makes the handler of each accepted connection
+   * @param handlerFactory creates the handler of each accepted connection
    */
   ChannelFuture listen(Address address, Supplier<ChannelHandler> handlerFactory) {
     return new ServerBootstrap()
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -26,10 +26,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests through a temporary gateway to a temporary backend and counter, over connections
- * in memory, before the first client is accepted. Code that is not compiled yet takes four times as
- * long: on a small core the first seconds' requests would exceed their deadlines. Delays the start
- * by its time limit at most. Confined to one event loop.
+ * Warms up the JIT compiler before the first client is accepted: sends requests through a temporary
+ * gateway to a temporary backend and counter, over in-memory connections. Code that is not compiled
+ * yet takes four times as long, so that on a slow core the requests of the first seconds would
+ * exceed their deadlines. Delays startup by at most its time limit; confined to one event loop.
  */
 final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
@@ -53,14 +53,14 @@
     progress = new WarmUpProgress(vertx, REQUEST_COUNT, TIME_LIMIT_MILLIS);
   }
 
-  /** Runs the warm-up; the future never fails. */
+  /** Runs the warm-up. The future never fails. */
   Future<Void> run() {
     long startNanos = System.nanoTime();
     try {
       start();
     } catch (RuntimeException e) {
-      // The gateway serves without a warm-up too, only more slowly at first.
-      LOG.warn("warm-up failed, cause={}", e.toString());
+      // The gateway serves without a warm-up too, but more slowly at first.
+      LOG.warn("warm-up failed: reason={}", e.toString());
       progress.complete();
     }
     return progress.completion().onComplete(v -> finish(startNanos));
@@ -70,7 +70,7 @@
     TcpTransport transport = new InMemoryTransport(vertx.getOrCreateContext());
     EndpointList endpoints = endpoints();
     gateway = new PlatformGateway(vertx, transport, warmUpConfig(endpoints), policyFactory);
-    // Only a socket can fail to listen.
+    // In memory, listening cannot fail.
     var unused = transport.listen(BACKEND_ADDRESS, Backend::new);
     gateway
         .startForWarmUp(endpoints)
@@ -112,7 +112,7 @@
 
   private void finish(long startNanos) {
     LOG.info(
-        "warm-up finished, responses={}, requests={}, durationMillis={}",
+        "warm-up finished: responses={} requests={} duration_ms={}",
         progress.responseCount(),
         progress.requestCount(),
         (System.nanoTime() - startNanos) / 1_000_000);
@@ -168,12 +168,12 @@
         + "=0";
   }
 
-  /** One client with one request in flight at a time. */
+  /** A client with one request in flight at a time. */
   private final class Client extends ByteConnection {
     private final ReplyReader reader = new ReplyReader(64 << 10, 1_024, 0);
 
     void sendRequest() {
-      // A request that cannot be written has no response; the time limit ends the warm-up.
+      // If the request cannot be written, no response arrives and the time limit ends the warm-up.
       var unused = send(encodeNextRequest());
     }
 
@@ -195,11 +195,11 @@
 
     @Override
     void onDisconnected() {
-      // The other clients go on.
+      // The other clients continue.
     }
   }
 
-  /** Backend and counter in one. */
+  /** A server that acts as both backend and counter. */
   private static final class Backend extends ByteConnection {
     private static final String LOAD_REPORT = "recent_ms=7.25,throughput=2.5,backlog=0";
     private static final String COUNTER_TOTAL = "0.5";
@@ -210,7 +210,7 @@
     void onBytes(ByteBuf in) {
       try {
         for (byte[][] arguments = reader.next(in); arguments != null; arguments = reader.next(in)) {
-          // A client that does not get its response leaves the rest to the time limit.
+          // If the response cannot be written, the time limit ends the warm-up.
           var unused = send(response(arguments));
         }
       } catch (ProtocolException e) {
@@ -235,7 +235,7 @@
 
     @Override
     void onDisconnected() {
-      // Nothing to release.
+      // There is nothing to release.
     }
   }
 }
