--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/** The platform's table of attempt outcomes, row by row, and malformed replies. */
+/** Tests each row of the platform's table of attempt outcomes, and malformed replies. */
 class AttemptOutcomeTest {
-  /** Handles the first attempt as given, and all others well. */
+  /** Returns a handler that passes the first command to {@code first} and serves all others. */
   private static FakeRespServer.CommandHandler handlerWithFirstReply(
       FakeRespServer.CommandHandler first) {
-    AtomicInteger many = new AtomicInteger();
+    AtomicInteger commandCount = new AtomicInteger();
     return (command, connection) -> {
-      if (many.getAndIncrement() == 0) {
+      if (commandCount.getAndIncrement() == 0) {
         first.onCommand(command, connection);
       } else {
         FakeRespServer.backendHandler().onCommand(command, connection);
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Returns the client's response when the first attempt ends like this, and how many attempts the
-   * backend read.
+   * Returns the kind of the client's response if {@code first} handles the first attempt, and the
+   * number of attempts that the backend has read.
    */
   private static Map.Entry<String, Integer> responseAndAttempts(
       String type, FakeRespServer.CommandHandler first) throws Exception {
@@ -42,20 +42,20 @@
             new PlatformHarness(handlerWithFirstReply(first), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       String[] command = harness.newRequest(type);
-      String answer = client.call(command);
+      String response = client.call(command);
       return Map.entry(
-          answer.equals("value of " + command[2]) ? "served" : answer.split(" ", 0)[0],
+          response.equals("value of " + command[2]) ? "served" : response.split(" ", 0)[0],
           harness.platform.backend.commandCount());
     }
   }
 
   @Test
-  void servedRequest_returnsValueAndForwardsCommandUnchangedButForTimeout() throws Exception {
-    Map<String, String> lists = new ConcurrentHashMap<>();
+  void servedRequest_returnsValueAndForwardsCommandUnchangedExceptForTimeout() throws Exception {
+    Map<String, String> commandsById = new ConcurrentHashMap<>();
     try (PlatformHarness harness =
             new PlatformHarness(
                 (command, connection) -> {
-                  lists.put(command.get(2), String.join(" ", command));
+                  commandsById.put(command.get(2), String.join(" ", command));
                   FakeRespServer.backendHandler().onCommand(command, connection);
                 },
                 FakeRespServer.counterHandler());
@@ -64,21 +64,21 @@
       assertEquals(
           "value of " + command[2],
           client.call(command[0], command[1], command[2], command[3], "BODY \r\n $5"));
-      String sent = lists.get(command[2]);
+      String forwarded = commandsById.get(command[2]);
       assertTrue(
-          sent.matches(
+          forwarded.matches(
               "Q\\.DO "
                   + command[1]
                   + " "
                   + command[2]
                   + " c=note,t=large,d=1[0-9]{3},k=5c0f6e1a2b3d4c59,units=1,"
                   + "spread=1,first=0 BODY \r\n \\$5"),
-          sent);
+          forwarded);
     }
   }
 
   @Test
-  void errorReply_isNotRetriedAsItMayHaveRun() throws Exception {
+  void errorReply_isNotRetriedBecauseRequestMayHaveRun() throws Exception {
     assertEquals(
         Map.entry("-ERR", 1),
         responseAndAttempts(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void busyReply_isRetriedAsItNeverRan() throws Exception {
+  void busyReply_isRetriedBecauseRequestDidNotRun() throws Exception {
     assertEquals(
         Map.entry("served", 2),
         responseAndAttempts(
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void connectionLossAfterLastByte_isNotRetriedAsItMayHaveRun() throws Exception {
+  void connectionLossAfterLastByte_isNotRetriedBecauseRequestMayHaveRun() throws Exception {
     assertEquals(
         Map.entry("-ERR", 1),
         responseAndAttempts("pay", (command, connection) -> connection.close(true)));
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void refusedConnection_isRejectedAsItNeverRan() throws Exception {
+  void refusedConnection_rejectsRequestBecauseItDidNotRun() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
@@ -115,10 +115,10 @@
 
   @Test
   void malformedReplies_failTheRequestAndCloseTheConnection() throws Exception {
-    AtomicReference<String> next = new AtomicReference<>();
+    AtomicReference<String> nextReply = new AtomicReference<>();
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
-          String malformed = next.getAndSet(null);
+          String malformed = nextReply.getAndSet(null);
           connection.send(
               malformed == null
                   ? FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0")
@@ -126,7 +126,7 @@
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
-      int connections = 0;
+      int acceptedBefore = 0;
       for (String malformed :
           new String[] {
             "noise\r\n",
@@ -140,25 +140,25 @@
             "+" + "x".repeat(3_000),
             "*2\r\n$1\r\nv\r\n$-1\r\n"
           }) {
-        next.set(malformed);
+        nextReply.set(malformed);
         assertTrue(client.call(harness.newRequest("pay")).startsWith("-ERR"), malformed);
-        assertTrue(harness.platform.backend.acceptedCount() > connections, malformed);
-        connections = harness.platform.backend.acceptedCount();
+        assertTrue(harness.platform.backend.acceptedCount() > acceptedBefore, malformed);
+        acceptedBefore = harness.platform.backend.acceptedCount();
       }
       Await.until(() -> harness.platform.backend.openCount() == 0);
     }
   }
 
   @Test
-  void duplicateReply_isNeverTakenForTheNextRequests() throws Exception {
-    FakeRespServer.CommandHandler duplicating =
+  void duplicateReply_isNotTakenForReplyToNextRequest() throws Exception {
+    FakeRespServer.CommandHandler duplicatingBackend =
         (command, connection) -> {
-          String answer =
+          String response =
               FakeRespServer.backendResponse("value of " + command.get(2), "queue=x,noise");
-          connection.send(answer + answer);
+          connection.send(response + response);
         };
     try (PlatformHarness harness =
-            new PlatformHarness(duplicating, FakeRespServer.counterHandler());
+            new PlatformHarness(duplicatingBackend, FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       for (int i = 0; i < 5; i++) {
         String[] command = harness.newRequest("pay");
@@ -168,26 +168,32 @@
     }
   }
 
-  /** Bytes behind a reply may be the beginning of another; they are no part of the next one. */
+  /**
+   * Bytes after a reply may be the start of a duplicate; they must not become part of the next
+   * reply.
+   */
   @Test
-  void partialReplyBehindAReply_isNeverPartOfTheNext() throws Exception {
-    FakeRespServer.CommandHandler more =
+  void partialReplyAfterReply_isNotPartOfNextReply() throws Exception {
+    FakeRespServer.CommandHandler backend =
         (command, connection) ->
             connection.send(
                 FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0")
                     + "*3\r\n$5\r\nva");
-    try (PlatformHarness harness = new PlatformHarness(more, FakeRespServer.counterHandler());
+    try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       for (int i = 0; i < 3; i++) {
         String[] command = harness.newRequest("pay");
         assertEquals("value of " + command[2], client.call(command));
-        Thread.sleep(10); // Long enough for the next request to be a new one.
+        Thread.sleep(10); // Long enough that the next request does not follow immediately.
       }
       assertEquals(3, harness.platform.backend.acceptedCount());
     }
   }
 
-  /** The backend closes after 3 s; a request that crossed that would end as a reset. */
+  /**
+   * The backend closes idle connections after 3 s; a request sent at that moment would end in a
+   * reset.
+   */
   @Test
   void idleConnections_areClosedBeforeTheBackendClosesThem() throws Exception {
     try (PlatformHarness harness =
@@ -201,14 +207,14 @@
 
   @Test
   void abandonedAttempt_closesItsConnection() throws Exception {
-    CountDownLatch asked = new CountDownLatch(1);
+    CountDownLatch commandReceived = new CountDownLatch(1);
     try (PlatformHarness harness =
         new PlatformHarness(
-            handlerWithFirstReply((command, connection) -> asked.countDown()),
+            handlerWithFirstReply((command, connection) -> commandReceived.countDown()),
             FakeRespServer.counterHandler())) {
       RespClient client = harness.connectClient();
       client.send(RespClient.encodeCommand(harness.newRequest("pay")));
-      asked.await();
+      commandReceived.await();
       client.close();
       Await.until(() -> harness.platform.backend.openCount() == 0);
     }
--- a/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
+++ b/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
@@ -12,22 +12,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reuse of backend connections: late duplicates, closes by the backend, and the timeout of retries.
+ * Tests reuse of backend connections after late duplicate replies and closes by the backend, and
+ * the timeout that attempts forward.
  */
 class BackendConnectionReuseTest {
-  private static final long RESTED_MILLIS = 80;
+  /** Longer than the idle time after which a connection may be reused. */
+  private static final long REUSABLE_AFTER_MILLIS = 80;
 
-  /** A duplicate some milliseconds behind a reply is not the next request's. */
+  /**
+   * A duplicate some milliseconds after a reply must not be taken for the reply to the next
+   * request.
+   */
   @Test
-  void lateDuplicateReply_isDropped() throws Exception {
-    AtomicInteger many = new AtomicInteger();
+  void lateDuplicateReply_isDiscarded() throws Exception {
+    AtomicInteger commandCount = new AtomicInteger();
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
-          String answer = FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0");
-          connection.send(answer);
-          if (many.getAndIncrement() == 0) {
+          String response =
+              FakeRespServer.backendResponse("value of " + command.get(2), "backlog=0");
+          connection.send(response);
+          if (commandCount.getAndIncrement() == 0) {
             Thread.sleep(20);
-            connection.send(answer);
+            connection.send(response);
           }
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
@@ -41,11 +47,10 @@
   }
 
   /**
-   * The close of the connection to be reused is read in the same turn of the event loop as the
-   * request.
+   * The event loop reads the close of the connection to be reused in the same turn as the request.
    */
   @Test
-  void requestCrossingABackendClose_getsAnotherConnection() throws Exception {
+  void requestConcurrentWithBackendClose_usesAnotherConnection() throws Exception {
     CopyOnWriteArrayList<FakeRespServer.Connection> connections = new CopyOnWriteArrayList<>();
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
@@ -55,24 +60,24 @@
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       client.call(harness.newRequest("pay"));
-      Thread.sleep(RESTED_MILLIS);
-      for (boolean reset : new boolean[] {false, true}) {
-        CountDownLatch release = harness.blockEventLoop();
+      Thread.sleep(REUSABLE_AFTER_MILLIS);
+      for (boolean isReset : new boolean[] {false, true}) {
+        CountDownLatch releaseEventLoop = harness.blockEventLoop();
         String[] command = harness.newRequest("pay");
         client.send(RespClient.encodeCommand(command));
         Thread.sleep(20);
-        connections.get(connections.size() - 1).close(reset);
+        connections.get(connections.size() - 1).close(isReset);
         Thread.sleep(20);
-        release.countDown();
+        releaseEventLoop.countDown();
         assertEquals("value of " + command[2], client.readReply());
-        Thread.sleep(RESTED_MILLIS);
+        Thread.sleep(REUSABLE_AFTER_MILLIS);
       }
     }
   }
 
-  /** Bytes on a connection that would be reused, even if they are part of a reply. */
+  /** Any bytes received on an idle connection close it, even if they are the start of a reply. */
   @Test
-  void bytesOnAnIdleConnection_closeIt() throws Exception {
+  void bytesOnIdleConnection_closeConnection() throws Exception {
     CopyOnWriteArrayList<FakeRespServer.Connection> connections = new CopyOnWriteArrayList<>();
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
@@ -84,7 +89,7 @@
       for (int i = 0; i < 3; i++) {
         String[] command = harness.newRequest("pay");
         assertEquals("value of " + command[2], client.call(command));
-        Thread.sleep(RESTED_MILLIS);
+        Thread.sleep(REUSABLE_AFTER_MILLIS);
         connections.get(i).send("*3\r\n$5\r\nva");
         Await.until(() -> harness.platform.backend.openCount() == 0);
       }
@@ -92,9 +97,9 @@
     }
   }
 
-  /** What is left of the client's timeout, not all of it. */
+  /** A retry forwards the remaining time of the client's timeout, not the whole timeout. */
   @Test
-  void retry_forwardsTheRemainingTimeout() throws Exception {
+  void retry_forwardsRemainingTimeout() throws Exception {
     List<Integer> timeouts = new CopyOnWriteArrayList<>();
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
@@ -116,14 +121,14 @@
     }
   }
 
-  /** No attempt starts for a request whose deadline has passed. */
+  /** No attempt is started for a request whose deadline has passed. */
   @Test
   void expiredRequest_isNotForwarded() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       client.call(harness.newRequest("look"));
-      Thread.sleep(RESTED_MILLIS);
+      Thread.sleep(REUSABLE_AFTER_MILLIS);
       String[] command = harness.newRequest("look");
       command[3] = command[3].replace("d=1500", "d=1");
       assertTrue(client.call(command).startsWith("-"));
--- a/src/test/java/fawndock/platform/ClientDisconnectTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ends of client connections that cross bytes or requests: the event loop is blocked until both
- * have happened.
+ * Tests disconnects that coincide with incoming bytes or requests: the event loop is blocked until
+ * both have happened, so that it reads them in one turn.
  */
 class ClientDisconnectTest {
-  /** Long enough for a backend connection to be reused. */
-  private static final long RESTED_MILLIS = 80;
+  /** Longer than the idle time after which a backend connection may be reused. */
+  private static final long REUSABLE_AFTER_MILLIS = 80;
 
-  private static Socket socket(PlatformHarness harness) throws Exception {
+  private static Socket connectSocket(PlatformHarness harness) throws Exception {
     Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), harness.platform.port());
     socket.setSoTimeout(10_000);
     return socket;
@@ -32,8 +32,8 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Reads a line; any exception is a failure. */
-  private static String line(InputStream in) throws Exception {
+  /** Reads a line; an exception, such as a reset, fails the test. */
+  private static String readLine(InputStream in) throws Exception {
     StringBuilder line = new StringBuilder();
     for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
       line.append((char) b);
@@ -42,15 +42,16 @@
   }
 
   @Test
-  void closeOverUnreadBytes_isNoReset() throws Exception {
+  void closeWithUnreadBytes_doesNotReset() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        Socket bad = socket(harness)) {
-      CountDownLatch release = harness.blockEventLoop();
-      send(bad, "*x\r\n" + "y".repeat(100_000));
-      release.countDown();
-      assertTrue(line(bad.getInputStream()).startsWith("-ERR"));
-      assertEquals(-1, bad.getInputStream().read()); // Not a reset: that would be an exception.
+        Socket misbehavingSocket = connectSocket(harness)) {
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      send(misbehavingSocket, "*x\r\n" + "y".repeat(100_000));
+      releaseEventLoop.countDown();
+      assertTrue(readLine(misbehavingSocket.getInputStream()).startsWith("-ERR"));
+      // A reset would throw an exception.
+      assertEquals(-1, misbehavingSocket.getInputStream().read());
     }
   }
 
@@ -58,133 +59,138 @@
   void requestAfterHalfClose_isNotForwarded() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
-        Socket bad = socket(harness);
-        RespClient wellBehaved = harness.connectClient()) {
-      send(bad, "*x\r\n");
-      assertTrue(line(bad.getInputStream()).startsWith("-ERR"));
-      assertEquals(-1, bad.getInputStream().read());
-      send(bad, RespClient.encodeCommand(harness.newRequest("pay")));
+        Socket misbehavingSocket = connectSocket(harness);
+        RespClient conformingClient = harness.connectClient()) {
+      send(misbehavingSocket, "*x\r\n");
+      assertTrue(readLine(misbehavingSocket.getInputStream()).startsWith("-ERR"));
+      assertEquals(-1, misbehavingSocket.getInputStream().read());
+      send(misbehavingSocket, RespClient.encodeCommand(harness.newRequest("pay")));
       String[] command = harness.newRequest("look");
-      assertEquals("value of " + command[2], wellBehaved.call(command));
+      assertEquals("value of " + command[2], conformingClient.call(command));
       assertEquals(1, harness.platform.backend.commandCount());
     }
   }
 
   /**
-   * A connection is evicted in the turn in which its request comes: the request is answered, or
-   * closed unread; never both or neither.
+   * A connection is evicted in the turn in which its request arrives. The request is either served,
+   * or not forwarded and its connection closed.
    */
   @Test
-  void requestCrossingAnEviction_isServedOrNeverForwarded() throws Exception {
+  void requestConcurrentWithEviction_isServedOrNotForwarded() throws Exception {
     try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
-      RespClient silent = harness.connectClient();
+      RespClient silentClient = harness.connectClient();
       Await.until(() -> harness.process.gateway().clientListener().connectionCount() == 1);
-      int most = (int) (0.45 * 64);
-      CountDownLatch release = harness.blockEventLoop();
-      RespClient[] others = new RespClient[most];
-      for (int i = 0; i < most; i++) {
-        others[i] = harness.connectClient();
+      int maxClientConnections = (int) (0.45 * 64);
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      RespClient[] otherClients = new RespClient[maxClientConnections];
+      for (int i = 0; i < maxClientConnections; i++) {
+        otherClients[i] = harness.connectClient();
       }
       String[] command = harness.newRequest("pay");
-      silent.send(RespClient.encodeCommand(command));
-      release.countDown();
-      String answer = silent.readReply();
-      others[most - 1].call("PING");
-      assertEquals(answer == null ? 0 : 1, harness.platform.backend.commandCount());
-      assertTrue(answer == null || answer.equals("value of " + command[2]), answer);
+      silentClient.send(RespClient.encodeCommand(command));
+      releaseEventLoop.countDown();
+      String response = silentClient.readReply();
+      otherClients[maxClientConnections - 1].call("PING");
+      assertEquals(response == null ? 0 : 1, harness.platform.backend.commandCount());
+      assertTrue(response == null || response.equals("value of " + command[2]), response);
     }
   }
 
   @Test
-  void disconnectDuringTheCounterCall_isNotForwarded() throws Exception {
-    CountDownLatch[] counting = {null};
+  void disconnectDuringCounterCall_preventsForwarding() throws Exception {
+    CountDownLatch[] counterLatch = {null};
     FakeRespServer.CommandHandler counter =
         (command, connection) -> {
-          if (counting[0] != null) {
-            counting[0].await();
+          if (counterLatch[0] != null) {
+            counterLatch[0].await();
           }
           FakeRespServer.counterHandler().onCommand(command, connection);
         };
     try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
-        RespClient wellBehaved = harness.connectClient()) {
-      wellBehaved.call(harness.newRequest("pay"));
-      Thread.sleep(RESTED_MILLIS);
-      counting[0] = new CountDownLatch(1);
-      RespClient leaving = harness.connectClient();
-      int calls = harness.platform.counter.commandCount();
-      leaving.send(RespClient.encodeCommand(harness.newRequest("pay")));
-      Await.until(() -> harness.platform.counter.commandCount() > calls);
-      CountDownLatch release = harness.blockEventLoop();
-      counting[0].countDown(); // Its reply comes first, then the close; both are read in one turn.
+        RespClient conformingClient = harness.connectClient()) {
+      conformingClient.call(harness.newRequest("pay"));
+      Thread.sleep(REUSABLE_AFTER_MILLIS);
+      counterLatch[0] = new CountDownLatch(1);
+      RespClient disconnectingClient = harness.connectClient();
+      int counterCallsBefore = harness.platform.counter.commandCount();
+      disconnectingClient.send(RespClient.encodeCommand(harness.newRequest("pay")));
+      Await.until(() -> harness.platform.counter.commandCount() > counterCallsBefore);
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      // The counter's reply arrives first, then the close; both are read in one turn.
+      counterLatch[0].countDown();
       Thread.sleep(20);
-      leaving.close();
+      disconnectingClient.close();
       Thread.sleep(20);
-      release.countDown();
-      counting[0] = null;
+      releaseEventLoop.countDown();
+      counterLatch[0] = null;
       String[] command = harness.newRequest("look");
-      assertEquals("value of " + command[2], wellBehaved.call(command));
+      assertEquals("value of " + command[2], conformingClient.call(command));
       assertEquals(2, harness.platform.backend.commandCount());
     }
   }
 
   @Test
-  void disconnectDuringTheAttempt_isNotRetried() throws Exception {
-    CountDownLatch[] working = {null};
+  void disconnectDuringAttempt_preventsRetry() throws Exception {
+    CountDownLatch[] backendLatch = {null};
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
-          if (working[0] != null) {
-            working[0].await();
+          if (backendLatch[0] != null) {
+            backendLatch[0].await();
             connection.send("-ERR failed\r\n");
           } else {
             FakeRespServer.backendHandler().onCommand(command, connection);
           }
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
-        RespClient wellBehaved = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(backend)) {
+        RespClient conformingClient = harness.connectClient();
+        FakeRespServer secondBackend = new FakeRespServer(backend)) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
       harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
-              9, false, "w2", "127.0.0.1:" + second.port(), "ready"));
+              9, false, "w2", "127.0.0.1:" + secondBackend.port(), "ready"));
       Await.until(
           () -> {
-            wellBehaved.call(harness.newRequest("look"));
-            return second.commandCount() > 0 && harness.platform.backend.commandCount() > 0;
+            conformingClient.call(harness.newRequest("look"));
+            return secondBackend.commandCount() > 0 && harness.platform.backend.commandCount() > 0;
           });
-      Thread.sleep(RESTED_MILLIS);
-      working[0] = new CountDownLatch(1);
-      int before = second.commandCount() + harness.platform.backend.commandCount();
-      RespClient leaving = harness.connectClient();
-      leaving.send(RespClient.encodeCommand(harness.newRequest("look")));
+      Thread.sleep(REUSABLE_AFTER_MILLIS);
+      backendLatch[0] = new CountDownLatch(1);
+      int attemptsBefore = secondBackend.commandCount() + harness.platform.backend.commandCount();
+      RespClient disconnectingClient = harness.connectClient();
+      disconnectingClient.send(RespClient.encodeCommand(harness.newRequest("look")));
       Await.until(
-          () -> second.commandCount() + harness.platform.backend.commandCount() == before + 1);
-      CountDownLatch release = harness.blockEventLoop();
-      working[0].countDown();
+          () ->
+              secondBackend.commandCount() + harness.platform.backend.commandCount()
+                  == attemptsBefore + 1);
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      backendLatch[0].countDown();
       Thread.sleep(20);
-      leaving.close();
+      disconnectingClient.close();
       Thread.sleep(20);
-      release.countDown();
-      working[0] = null;
+      releaseEventLoop.countDown();
+      backendLatch[0] = null;
       String[] command = harness.newRequest("look");
-      assertEquals("value of " + command[2], wellBehaved.call(command));
-      assertEquals(before + 2, second.commandCount() + harness.platform.backend.commandCount());
+      assertEquals("value of " + command[2], conformingClient.call(command));
+      assertEquals(
+          attemptsBefore + 2,
+          secondBackend.commandCount() + harness.platform.backend.commandCount());
     }
   }
 
-  /** The disconnect is noticed before the time limit for clients that do not read. */
+  /** The disconnect is detected before the timeout for clients that do not read their responses. */
   @Test
-  void disconnectOfAClientThatDoesNotRead_isNoticed() throws Exception {
-    CountDownLatch hang = new CountDownLatch(1);
-    CountDownLatch asked = new CountDownLatch(1);
-    String large = "v".repeat(60_000);
+  void disconnectOfClientThatDoesNotRead_isDetected() throws Exception {
+    CountDownLatch releaseBackend = new CountDownLatch(1);
+    CountDownLatch commandReceived = new CountDownLatch(1);
+    String largeValue = "v".repeat(60_000);
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
           if (command.get(0).equals("Q.DO")) {
-            asked.countDown();
-            hang.await();
+            commandReceived.countDown();
+            releaseBackend.await();
           }
-          connection.send(FakeRespServer.backendResponse(large, "backlog=0"));
+          connection.send(FakeRespServer.backendResponse(largeValue, "backlog=0"));
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler());
         Socket client = new Socket()) {
@@ -196,14 +202,10 @@
       String[] command = harness.newRequest("pay");
       command[3] = command[3].replace("d=1500", "d=60000");
       send(client, RespClient.encodeCommand(command));
-      assertTrue(
-          asked.await(
-              10,
-              java.util.concurrent.TimeUnit
-                  .SECONDS)); // Of those before it a few may have been refused, where the machine
-      // is slow.
-      Thread.sleep(200); // All 3.6 MB have been written, as far as they go.
-      CountDownLatch late = new CountDownLatch(1);
+      // On a slow machine some of the requests before it may have been rejected.
+      assertTrue(commandReceived.await(10, java.util.concurrent.TimeUnit.SECONDS));
+      Thread.sleep(200); // As much of the 3.6 MB of responses as fits has been written by now.
+      CountDownLatch timeLimitReached = new CountDownLatch(1);
       harness
           .process
           .context()
@@ -215,56 +217,57 @@
                       .runner()
                       .timers()
                       .schedule(
-                          ClientListener.UNREAD_RESPONSE_TIMEOUT_MICROS / 2, late::countDown));
+                          ClientListener.UNREAD_RESPONSE_TIMEOUT_MICROS / 2,
+                          timeLimitReached::countDown));
       client.close();
       Await.until(() -> harness.process.gateway().runner().openCount() == 0);
-      assertEquals(1, late.getCount());
-      hang.countDown();
+      assertEquals(1, timeLimitReached.getCount());
+      releaseBackend.countDown();
     }
   }
 
   @Test
-  void shutdown_answersAllRequestsAndClosesAllConnections() throws Exception {
-    CountDownLatch hang = new CountDownLatch(1);
+  void shutdown_respondsToAllRequestsAndClosesAllConnections() throws Exception {
+    CountDownLatch releaseBackend = new CountDownLatch(1);
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
           if (command.get(0).equals("Q.DO")) {
-            hang.await();
+            releaseBackend.await();
           }
           FakeRespServer.backendHandler().onCommand(command, connection);
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler())) {
-      Socket resting = socket(harness);
-      send(resting, "*1\r\n$4\r\nPING\r\n");
-      assertEquals("+PONG", line(resting.getInputStream()));
-      Socket half = socket(harness);
-      send(half, "*4\r\n$5\r\nQ.A");
-      RespClient waiting = harness.connectClient();
-      waiting.send(RespClient.encodeCommand(harness.newRequest("pay")));
+      Socket idleSocket = connectSocket(harness);
+      send(idleSocket, "*1\r\n$4\r\nPING\r\n");
+      assertEquals("+PONG", readLine(idleSocket.getInputStream()));
+      Socket incompleteSocket = connectSocket(harness);
+      send(incompleteSocket, "*4\r\n$5\r\nQ.A");
+      RespClient waitingClient = harness.connectClient();
+      waitingClient.send(RespClient.encodeCommand(harness.newRequest("pay")));
       Await.until(() -> harness.platform.backend.commandCount() == 1);
       harness.process.stop();
       harness.process.stop();
-      RespClient late = harness.connectClient();
+      RespClient lateClient = harness.connectClient();
       String[] command = harness.newRequest("look");
-      assertEquals("value of " + command[2], late.call(command));
-      assertTrue(waiting.readReply().startsWith("-ERR"));
-      assertNull(waiting.readReply());
-      assertEquals(-1, resting.getInputStream().read());
-      assertEquals(-1, half.getInputStream().read());
+      assertEquals("value of " + command[2], lateClient.call(command));
+      assertTrue(waitingClient.readReply().startsWith("-ERR"));
+      assertNull(waitingClient.readReply());
+      assertEquals(-1, idleSocket.getInputStream().read());
+      assertEquals(-1, incompleteSocket.getInputStream().read());
       assertEquals(0, harness.stop());
-      hang.countDown();
+      releaseBackend.countDown();
     }
   }
 
-  /** A request comes in the turn in which the shutdown closes idle connections. */
+  /** A request arrives in the turn in which the shutdown closes idle connections. */
   @Test
-  void requestCrossingAShutdown_isServedOrNeverForwarded() throws Exception {
+  void requestConcurrentWithShutdown_isServedOrNotForwarded() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       client.call("PING");
       harness.process.stop();
-      CountDownLatch release = harness.blockEventLoop();
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
       String[] command = harness.newRequest("pay");
       CountDownLatch drained = new CountDownLatch(1);
       harness
@@ -275,12 +278,12 @@
                 client.sendUnchecked(RespClient.encodeCommand(command));
                 harness.process.gateway().clientListener().drain(drained::countDown);
               });
-      release.countDown();
-      String answer = client.readReply();
+      releaseEventLoop.countDown();
+      String response = client.readReply();
       client.close();
       drained.await();
-      assertEquals(answer == null ? 0 : 1, harness.platform.backend.commandCount());
-      assertTrue(answer == null || answer.equals("value of " + command[2]), answer);
+      assertEquals(response == null ? 0 : 1, harness.platform.backend.commandCount());
+      assertTrue(response == null || response.equals("value of " + command[2]), response);
     }
   }
 }
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Discovery falls silent, recovers, ends its watches or uses other layouts: no draining is missed.
+ * Tests that no draining endpoint is missed when discovery stops responding, recovers, ends its
+ * watches or formats its JSON differently.
  */
 class EndpointDiscoveryTest {
   private static void assertServed(PlatformHarness harness, RespClient client) throws Exception {
@@ -22,26 +23,26 @@
     assertEquals("value of " + command[2], client.call(command));
   }
 
-  /** A list in which the first backend is draining and the second is running. */
+  /** Returns a list in which the first backend is draining and the second is running. */
   private static String listWithDrainingFirst(
-      PlatformHarness harness, FakeRespServer second, boolean whole) {
+      PlatformHarness harness, FakeRespServer secondBackend, boolean isSnapshot) {
     return FakeDiscoveryServer.endpointListJson(
         20,
-        whole,
+        isSnapshot,
         "w1",
         "127.0.0.1:" + harness.platform.backend.port(),
         "draining",
         "w2",
-        "127.0.0.1:" + second.port(),
+        "127.0.0.1:" + secondBackend.port(),
         "ready");
   }
 
   private static void assertOnlySecondIsUsed(
-      PlatformHarness harness, RespClient client, FakeRespServer second) throws Exception {
+      PlatformHarness harness, RespClient client, FakeRespServer secondBackend) throws Exception {
     Await.until(
         () -> {
           assertServed(harness, client);
-          return second.commandCount() > 0;
+          return secondBackend.commandCount() > 0;
         });
     int before = harness.platform.backend.commandCount();
     for (int i = 0; i < 5; i++) {
@@ -51,15 +52,15 @@
   }
 
   @Test
-  void change_isReadInAnyLayoutAndPieces() throws Exception {
+  void change_isReadInAnyLayoutAndChunking() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
       String indented =
           "\n"
-              + listWithDrainingFirst(harness, second, false)
+              + listWithDrainingFirst(harness, secondBackend, false)
                   .replace(",", ",\n    ")
                   .replace("{", "{\n  ")
               + "\n";
@@ -67,78 +68,82 @@
         harness.platform.discovery.sendChunk(
             indented.substring(i, Math.min(indented.length(), i + 7)));
       }
-      assertOnlySecondIsUsed(harness, client, second);
+      assertOnlySecondIsUsed(harness, client, secondBackend);
       assertEquals(1, harness.platform.discovery.watchCount());
     }
   }
 
-  /** A change that discovery sends when it recovers reaches a call that waits there. */
+  /**
+   * A call is open at all times, so that a change which discovery sends when it recovers is
+   * received.
+   */
   @Test
-  void silentDiscovery_hasACallOpenAtEveryMoment() throws Exception {
+  void unresponsiveDiscovery_hasOpenCallAtAllTimes() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
       assertServed(harness, client);
       harness.platform.discovery.setUnresponsive(true);
-      AtomicBoolean waited = new AtomicBoolean(true);
-      AtomicBoolean watching = new AtomicBoolean(true);
-      Thread watcher =
+      AtomicBoolean hadOpenCallThroughout = new AtomicBoolean(true);
+      AtomicBoolean isMonitoring = new AtomicBoolean(true);
+      Thread monitor =
           new Thread(
               () -> {
-                while (watching.get()) {
-                  waited.compareAndSet(true, harness.platform.discovery.openCount() > 0);
+                while (isMonitoring.get()) {
+                  hadOpenCallThroughout.compareAndSet(
+                      true, harness.platform.discovery.openCount() > 0);
                   Thread.onSpinWait();
                 }
               });
-      watcher.start();
+      monitor.start();
       int before = harness.platform.discovery.acceptedCount();
       Await.until(() -> harness.platform.discovery.acceptedCount() >= before + 3);
-      harness.platform.discovery.setSnapshot(listWithDrainingFirst(harness, second, true));
+      harness.platform.discovery.setSnapshot(listWithDrainingFirst(harness, secondBackend, true));
       harness.platform.discovery.setUnresponsive(false);
       Await.until(() -> harness.platform.discovery.watchCount() >= 2);
-      watching.set(false);
-      watcher.join();
-      assertTrue(waited.get());
-      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
-      assertOnlySecondIsUsed(harness, client, second);
+      isMonitoring.set(false);
+      monitor.join();
+      assertTrue(hadOpenCallThroughout.get());
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, secondBackend, false));
+      assertOnlySecondIsUsed(harness, client, secondBackend);
     }
   }
 
   /**
-   * The counter's reply is read first, the draining in the same turn: the endpoint was selected
-   * before it was known to drain.
+   * The counter's reply and then the list with the draining endpoint are read in one turn, so that
+   * the endpoint is selected before it is known to drain.
    */
   @Test
-  void drainInTheTurnOfTheSelection_isObeyed() throws Exception {
-    AtomicReference<CountDownLatch> counting = new AtomicReference<>(new CountDownLatch(0));
+  void drainInSameTurnAsSelection_isRespected() throws Exception {
+    AtomicReference<CountDownLatch> counterLatch = new AtomicReference<>(new CountDownLatch(0));
     FakeRespServer.CommandHandler counter =
         (command, connection) -> {
-          counting.get().await();
+          counterLatch.get().await();
           FakeRespServer.counterHandler().onCommand(command, connection);
         };
     try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
       assertServed(harness, client);
-      Thread.sleep(80); // The backend connection will be reused.
-      CountDownLatch counted = new CountDownLatch(1);
-      counting.set(counted);
-      int calls = harness.platform.counter.commandCount();
+      Thread.sleep(80); // Long enough that the backend connection is reused.
+      CountDownLatch counterReplyLatch = new CountDownLatch(1);
+      counterLatch.set(counterReplyLatch);
+      int callsBefore = harness.platform.counter.commandCount();
       String[] command = harness.newRequest("look");
       client.send(RespClient.encodeCommand(command));
-      Await.until(() -> harness.platform.counter.commandCount() > calls);
-      CountDownLatch release = harness.blockEventLoop();
-      counted.countDown();
+      Await.until(() -> harness.platform.counter.commandCount() > callsBefore);
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      counterReplyLatch.countDown();
       Thread.sleep(20);
-      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, secondBackend, false));
       Thread.sleep(20);
-      release.countDown();
+      releaseEventLoop.countDown();
       assertEquals("value of " + command[2], client.readReply());
       assertEquals(1, harness.platform.backend.commandCount());
-      assertEquals(1, second.commandCount());
+      assertEquals(1, secondBackend.commandCount());
     }
   }
 
@@ -147,15 +152,15 @@
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       for (int i = 1; i <= 5; i++) {
-        int many = i;
-        Await.until(() -> harness.platform.discovery.watchCount() == many);
+        int expectedWatchCount = i;
+        Await.until(() -> harness.platform.discovery.watchCount() == expectedWatchCount);
         harness.platform.discovery.endWatches();
       }
       Await.until(() -> harness.platform.discovery.watchCount() == 6);
-      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, true));
-      assertOnlySecondIsUsed(harness, client, second);
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, secondBackend, true));
+      assertOnlySecondIsUsed(harness, client, secondBackend);
     }
   }
 
@@ -164,65 +169,68 @@
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
-      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, second, false));
+      harness.platform.discovery.sendEvent(listWithDrainingFirst(harness, secondBackend, false));
       harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
               8, false, "w1", "127.0.0.1:" + harness.platform.backend.port(), "ready"));
-      assertOnlySecondIsUsed(harness, client, second);
+      assertOnlySecondIsUsed(harness, client, secondBackend);
     }
   }
 
   /**
-   * A reload, and another before the first address has brought a list: both earlier addresses are
-   * left once the newest brings one.
+   * A second reload happens before the address of the first has sent a list. The watches at both
+   * earlier addresses are closed once the newest one sends a list.
    */
   @Test
-  void earlierAddresses_areLeftOnceTheNewestBringsAList() throws Exception {
+  void formerAddresses_areClosedOnceNewestSendsList() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler());
-        FakeDiscoveryServer mute =
-            new FakeDiscoveryServer(listWithDrainingFirst(harness, second, true));
-        FakeDiscoveryServer last =
-            new FakeDiscoveryServer(listWithDrainingFirst(harness, second, true))) {
-      mute.setUnresponsive(true);
-      last.setUnresponsive(true);
-      harness.platform.writeConfiguration(mute.port(), harness.platform.counter.port());
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler());
+        FakeDiscoveryServer unresponsiveDiscovery =
+            new FakeDiscoveryServer(listWithDrainingFirst(harness, secondBackend, true));
+        FakeDiscoveryServer newestDiscovery =
+            new FakeDiscoveryServer(listWithDrainingFirst(harness, secondBackend, true))) {
+      unresponsiveDiscovery.setUnresponsive(true);
+      newestDiscovery.setUnresponsive(true);
+      harness.platform.writeConfiguration(
+          unresponsiveDiscovery.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> mute.acceptedCount() > 0);
-      harness.platform.writeConfiguration(last.port(), harness.platform.counter.port());
+      Await.until(() -> unresponsiveDiscovery.acceptedCount() > 0);
+      harness.platform.writeConfiguration(newestDiscovery.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> last.acceptedCount() > 0);
+      Await.until(() -> newestDiscovery.acceptedCount() > 0);
       assertServed(harness, client);
       assertTrue(harness.platform.discovery.openCount() > 0);
-      last.setUnresponsive(false);
-      Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openCount() == 0);
-      assertOnlySecondIsUsed(harness, client, second);
-      int calls = mute.acceptedCount();
-      mute.setUnresponsive(false);
-      Await.until(() -> mute.openCount() == 0);
-      assertEquals(calls, mute.acceptedCount());
+      newestDiscovery.setUnresponsive(false);
+      Await.until(
+          () -> newestDiscovery.watchCount() > 0 && harness.platform.discovery.openCount() == 0);
+      assertOnlySecondIsUsed(harness, client, secondBackend);
+      int callsBefore = unresponsiveDiscovery.acceptedCount();
+      unresponsiveDiscovery.setUnresponsive(false);
+      Await.until(() -> unresponsiveDiscovery.openCount() == 0);
+      assertEquals(callsBefore, unresponsiveDiscovery.acceptedCount());
     }
   }
 
   @Test
-  void watch_isReopenedWhileClientsHoldTheirDescriptors() throws Exception {
+  void watch_isReopenedWhileClientsUseAllTheirDescriptors() throws Exception {
     try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler(), 64)) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
-      CountDownLatch release = harness.blockEventLoop();
-      List<RespClient> idle = new ArrayList<>();
+      CountDownLatch releaseEventLoop = harness.blockEventLoop();
+      List<RespClient> idleClients = new ArrayList<>();
       for (int i = 0; i < 60; i++) {
-        idle.add(harness.connectClient());
+        idleClients.add(harness.connectClient());
       }
       harness.platform.discovery.endWatches();
-      release.countDown();
+      releaseEventLoop.countDown();
       Await.until(() -> harness.platform.discovery.watchCount() == 2);
       assertServed(harness, harness.connectClient());
-      assertEquals(60, idle.size()); // Referenced until here: none of them is closed before.
+      // Keeps the clients reachable until here, so that none is closed earlier.
+      assertEquals(60, idleClients.size());
     }
   }
 }
--- a/src/test/java/fawndock/platform/EventLoopDelayTest.java
+++ b/src/test/java/fawndock/platform/EventLoopDelayTest.java
@@ -14,34 +14,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The event loop is held up among its reads: what came meanwhile, in time, is read before the
- * timers that have fallen due.
+ * Tests that after a delay of the event loop, bytes that arrived in time are read before expired
+ * timers run.
  */
 class EventLoopDelayTest {
-  private static final long HELD_UP_CUSTOMER = 9;
-  private static final long DEADLINE_MILLIS = 1_500; // As FakePlatform.requestCommand says.
+  private static final long BLOCKING_CUSTOMER = 9;
+  private static final long DEADLINE_MILLIS = 1_500; // The timeout in FakePlatform.requestCommand.
 
-  /** A policy that is held up by a request of one customer until the latch is counted down. */
-  private static GatewayPolicy heldUpBy(
-      GatewayPolicy policy, CountDownLatch heldUp, CountDownLatch release) {
+  /**
+   * Returns a policy that blocks on the requests of one customer until {@code releaseEventLoop} is
+   * counted down.
+   */
+  private static GatewayPolicy blockingPolicy(
+      GatewayPolicy policy, CountDownLatch eventLoopBlocked, CountDownLatch releaseEventLoop) {
     return (nowMicros, event) -> {
       if (event instanceof RequestArrived arrived
-          && arrived.customer().equals(String.format("%016x", HELD_UP_CUSTOMER))) {
-        heldUp.countDown();
-        Await.latch(release);
+          && arrived.customer().equals(String.format("%016x", BLOCKING_CUSTOMER))) {
+        eventLoopBlocked.countDown();
+        Await.latch(releaseEventLoop);
       }
       return policy.onEvent(nowMicros, event);
     };
   }
 
   @Test
-  void responseThatCameInTime_isServedAlthoughTheDeadlineHasPassedMeanwhile() throws Exception {
-    CountDownLatch respond = new CountDownLatch(1);
-    CountDownLatch heldUp = new CountDownLatch(1);
-    CountDownLatch release = new CountDownLatch(1);
+  void responseReceivedInTime_isServedEvenIfDeadlineHasPassedMeanwhile() throws Exception {
+    CountDownLatch releaseBackend = new CountDownLatch(1);
+    CountDownLatch eventLoopBlocked = new CountDownLatch(1);
+    CountDownLatch releaseEventLoop = new CountDownLatch(1);
     FakeRespServer.CommandHandler backend =
         (command, connection) -> {
-          respond.await();
+          releaseBackend.await();
           FakeRespServer.backendHandler().onCommand(command, connection);
         };
     try (PlatformHarness harness =
@@ -49,19 +52,21 @@
                 backend,
                 FakeRespServer.counterHandler(),
                 256,
-                config -> heldUpBy(new DefaultGatewayPolicy(config), heldUp, release));
+                config ->
+                    blockingPolicy(
+                        new DefaultGatewayPolicy(config), eventLoopBlocked, releaseEventLoop));
         RespClient client = harness.connectClient();
-        RespClient other = harness.connectClient()) {
+        RespClient blockingClient = harness.connectClient()) {
       String[] command = harness.newRequest("look");
       client.send(RespClient.encodeCommand(command));
       Await.until(() -> harness.platform.backend.commandCount() == 1);
-      other.send(
+      blockingClient.send(
           RespClient.encodeCommand(
-              FakePlatform.requestCommand("look", "large", HELD_UP_CUSTOMER, 1 << 20, "")));
-      assertTrue(heldUp.await(20, TimeUnit.SECONDS));
-      respond.countDown();
-      Thread.sleep(DEADLINE_MILLIS); // The time that is to pass.
-      release.countDown();
+              FakePlatform.requestCommand("look", "large", BLOCKING_CUSTOMER, 1 << 20, "")));
+      assertTrue(eventLoopBlocked.await(20, TimeUnit.SECONDS));
+      releaseBackend.countDown();
+      Thread.sleep(DEADLINE_MILLIS); // Lets the deadline pass.
+      releaseEventLoop.countDown();
       assertEquals("value of " + command[2], client.readReply());
     }
   }
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -30,13 +30,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Faults of counter and discovery, reloads and shutdowns, each with requests. */
+/**
+ * Tests that requests are served despite faults of the counter and discovery, reloads and
+ * shutdowns.
+ */
 class FaultTest {
-  private static String ask(PlatformHarness harness, RespClient client, String type)
+  private static String sendRequest(PlatformHarness harness, RespClient client, String type)
       throws Exception {
     String[] command = harness.newRequest(type);
-    String answer = client.call(command);
-    return answer.equals("value of " + command[2]) ? "served" : answer;
+    String response = client.call(command);
+    return response.equals("value of " + command[2]) ? "served" : response;
   }
 
   @Test
@@ -55,7 +58,7 @@
       try (PlatformHarness harness = new PlatformHarness(FakeRespServer.backendHandler(), counter);
           RespClient client = harness.connectClient()) {
         for (int i = 0; i < 3; i++) {
-          assertEquals("served", ask(harness, client, "look"));
+          assertEquals("served", sendRequest(harness, client, "look"));
         }
         assertTrue(harness.platform.counter.commandCount() > 0);
       }
@@ -63,7 +66,7 @@
   }
 
   @Test
-  void amountsAreEncodedWithoutExponent() {
+  void amounts_areEncodedWithoutExponent() {
     assertEquals("-2.5", CounterCall.encodeAmount(-2.5));
     assertEquals("0", CounterCall.encodeAmount(0));
     assertEquals("0.00000012", CounterCall.encodeAmount(1.2e-7));
@@ -71,37 +74,45 @@
   }
 
   @Test
-  void endpointReplacedAtItsAddress_isUsedAndDrainingOneIsNot() throws Exception {
+  void endpointReplacedAtSameAddress_isUsedAndDrainingOneIsNot() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
-        FakeRespServer second = new FakeRespServer(FakeRespServer.backendHandler())) {
+        FakeRespServer secondBackend = new FakeRespServer(FakeRespServer.backendHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
-      assertEquals("served", ask(harness, client, "look"));
-      String at = "127.0.0.1:" + harness.platform.backend.port();
+      assertEquals("served", sendRequest(harness, client, "look"));
+      String address = "127.0.0.1:" + harness.platform.backend.port();
       harness.platform.discovery.sendEvent("what is no JSON");
       harness.platform.discovery.setSnapshot(
-          FakeDiscoveryServer.endpointListJson(9, true, "w9", at, "ready"));
+          FakeDiscoveryServer.endpointListJson(9, true, "w9", address, "ready"));
       Await.until(() -> harness.platform.discovery.watchCount() == 2);
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       harness.platform.discovery.sendEvent(
           FakeDiscoveryServer.endpointListJson(
-              10, false, "w9", at, "draining", "w10", "127.0.0.1:" + second.port(), "ready"));
+              10,
+              false,
+              "w9",
+              address,
+              "draining",
+              "w10",
+              "127.0.0.1:" + secondBackend.port(),
+              "ready"));
       Await.until(
           () -> {
-            assertEquals("served", ask(harness, client, "look"));
-            return second.commandCount() > 0;
+            assertEquals("served", sendRequest(harness, client, "look"));
+            return secondBackend.commandCount() > 0;
           });
-      int before = harness.platform.backend.commandCount();
+      int commandsBefore = harness.platform.backend.commandCount();
       for (int i = 0; i < 5; i++) {
-        assertEquals("served", ask(harness, client, "look"));
+        assertEquals("served", sendRequest(harness, client, "look"));
       }
-      assertEquals(before, harness.platform.backend.commandCount());
+      assertEquals(commandsBefore, harness.platform.backend.commandCount());
     }
   }
 
   /**
-   * Its requests stay in memory: no Unix socket, no file, no request to a backend or the counter.
+   * The warm-up's requests stay in memory: they use no Unix socket, no file and no connection to a
+   * backend or the counter.
    */
   @Test
   void warmUp_leavesNoSocketFileOrConnection() throws Exception {
@@ -110,15 +121,16 @@
         RespClient client = harness.connectClient()) {
       assertEquals(0, harness.platform.backend.acceptedCount());
       assertEquals(0, harness.platform.counter.acceptedCount());
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       assertTrue(
           Files.readAllLines(Path.of("/proc/net/unix")).stream()
               .noneMatch(line -> line.contains("fawndock")));
-      try (Stream<Path> left = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
+      try (Stream<Path> remainingFiles =
+          Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
         assertTrue(
-            left.noneMatch(
-                each ->
-                    each.getFileName()
+            remainingFiles.noneMatch(
+                file ->
+                    file.getFileName()
                         .toString()
                         .startsWith("fawndock-" + ProcessHandle.current().pid())));
       }
@@ -128,32 +140,32 @@
   @Test
   void warmUp_servesItsRequests() throws Exception {
     Vertx vertx = Vertx.vertx();
-    try (FakePlatform world =
+    try (FakePlatform platform =
         new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
-      PlatformConfig config = PlatformConfigReader.read(world.environment());
-      CompletableFuture<Integer> served = new CompletableFuture<>();
+      PlatformConfig config = PlatformConfigReader.read(platform.environment());
+      CompletableFuture<Integer> servedCount = new CompletableFuture<>();
       vertx
           .getOrCreateContext()
           .runOnContext(
               v -> {
                 WarmUp warmUp = new WarmUp(vertx, config, DefaultGatewayPolicy::new);
-                warmUp.run().onComplete(done -> served.complete(warmUp.servedCount()));
+                warmUp.run().onComplete(done -> servedCount.complete(warmUp.servedCount()));
               });
-      assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
-      assertEquals(0, world.backend.acceptedCount());
+      assertTrue(servedCount.get(20, TimeUnit.SECONDS) > 0);
+      assertEquals(0, platform.backend.acceptedCount());
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
   }
 
-  /** Connections to a silent counter that is no longer configured are closed. */
+  /** Connections to an unresponsive counter that is no longer configured are closed. */
   @Test
-  void connectionsToAnEarlierCounter_areClosed() throws Exception {
+  void connectionsToFormerCounter_areClosed() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), (command, connection) -> {});
         RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler())) {
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       assertTrue(harness.platform.counter.openCount() > 0);
       harness.platform.writeConfiguration(harness.platform.discovery.port(), counter.port());
       harness.process.reload();
@@ -161,28 +173,34 @@
     }
   }
 
-  /** The fake sends no empty lines, so its watches are taken to be dead after a while. */
+  /**
+   * The fake discovery server sends no empty lines, so its watches are suspected to be dead after
+   * the idle timeout.
+   */
   @Test
   void silentWatch_isReopened() throws Exception {
     try (PlatformHarness harness =
         new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
       Await.until(() -> harness.platform.discovery.watchCount() >= 2);
-      assertEquals("served", ask(harness, harness.connectClient(), "look"));
+      assertEquals("served", sendRequest(harness, harness.connectClient(), "look"));
     }
   }
 
-  /** A call that has timed out keeps its place: the next one does not get its total. */
+  /**
+   * A call that has timed out stays in the queue of expected replies, so the next call does not get
+   * its total.
+   */
   @Test
-  void lateTotal_isNotTakenForTheNextCalls() throws Exception {
+  void lateTotal_isNotTakenForTotalOfNextCall() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    AtomicInteger many = new AtomicInteger();
+    AtomicInteger replyCount = new AtomicInteger();
     Vertx vertx = Vertx.vertx();
     List<CounterReply> replies = new CopyOnWriteArrayList<>();
     try (FakeRespServer server =
         new FakeRespServer(
             (command, connection) -> {
               release.await();
-              connection.send("$1\r\n" + many.incrementAndGet() + "\r\n");
+              connection.send("$1\r\n" + replyCount.incrementAndGet() + "\r\n");
             })) {
       Context context = vertx.getOrCreateContext();
       CounterClient[] counter = new CounterClient[1];
@@ -221,40 +239,40 @@
       Await.until(() -> harness.platform.discovery.watchCount() == 1);
       harness.platform.discovery.setSnapshot(FakeDiscoveryServer.endpointListJson(11, true));
       harness.platform.discovery.sendEvent(FakeDiscoveryServer.endpointListJson(11, true));
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       harness.platform.discovery.endWatches();
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
     }
   }
 
   @Test
-  void reload_takesANewConfigurationButNoDamagedOne() throws Exception {
+  void reload_appliesNewConfigurationButNotMalformedOne() throws Exception {
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler());
-        FakeDiscoveryServer catalog =
+        FakeDiscoveryServer newDiscovery =
             new FakeDiscoveryServer(
                 FakeDiscoveryServer.endpointListJson(
                     3, true, "w1", "127.0.0.1:" + harness.platform.backend.port(), "ready"))) {
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       harness.platform.writeFile("{\"name\":");
       harness.process.reload();
-      assertEquals("served", ask(harness, client, "look"));
+      assertEquals("served", sendRequest(harness, client, "look"));
       assertEquals(0, counter.commandCount());
-      harness.platform.writeConfiguration(catalog.port(), counter.port());
+      harness.platform.writeConfiguration(newDiscovery.port(), counter.port());
       harness.process.reload();
       harness.process.reload();
       Await.until(
           () -> {
-            assertEquals("served", ask(harness, client, "look"));
-            return counter.commandCount() > 0 && catalog.watchCount() == 1;
+            assertEquals("served", sendRequest(harness, client, "look"));
+            return counter.commandCount() > 0 && newDiscovery.watchCount() == 1;
           });
       harness.platform.counter.close();
       harness.platform.discovery.close();
-      int before = counter.commandCount();
-      assertEquals("served", ask(harness, client, "look"));
-      assertTrue(counter.commandCount() > before);
+      int commandsBefore = counter.commandCount();
+      assertEquals("served", sendRequest(harness, client, "look"));
+      assertTrue(counter.commandCount() > commandsBefore);
     }
   }
 
@@ -269,15 +287,15 @@
           FakeRespServer.backendHandler().onCommand(command, connection);
         };
     try (PlatformHarness harness = new PlatformHarness(backend, FakeRespServer.counterHandler())) {
-      RespClient open = harness.connectClient();
+      RespClient waitingClient = harness.connectClient();
       String[] command = harness.newRequest("pay");
-      open.send(RespClient.encodeCommand(command));
+      waitingClient.send(RespClient.encodeCommand(command));
       Await.until(() -> harness.platform.backend.commandCount() == 1);
       harness.process.stop();
-      assertEquals("served", ask(harness, harness.connectClient(), "look"));
+      assertEquals("served", sendRequest(harness, harness.connectClient(), "look"));
       release.countDown();
-      assertEquals("value of " + command[2], open.readReply());
-      assertNull(open.readReply());
+      assertEquals("value of " + command[2], waitingClient.readReply());
+      assertNull(waitingClient.readReply());
       assertEquals(0, harness.stop());
     }
   }
@@ -288,35 +306,38 @@
         "RELAY_CONFIG is not set: the path of the configuration is expected",
         assertThrows(InvalidConfigException.class, () -> PlatformConfigReader.read(Map.of()))
             .getMessage());
-    try (FakePlatform world =
+    try (FakePlatform platform =
         new FakePlatform(FakeRespServer.backendHandler(), FakeRespServer.counterHandler())) {
-      String file = world.environment().get("RELAY_CONFIG");
-      String good = Files.readString(Path.of(file));
-      for (String[] each :
+      String path = platform.environment().get("RELAY_CONFIG");
+      String validConfig = Files.readString(Path.of(path));
+      for (String[] invalidCase :
           new String[][] {
             {"{\"name\":", "not JSON"},
             {"[]", "not a JSON object"},
             {"{}", "'settings' is missing"},
             {
-              good.replace("\"listen\":\"127", "\"listen\":\"nowhere\",\"was\":\"127"),
+              validConfig.replace("\"listen\":\"127", "\"listen\":\"nowhere\",\"was\":\"127"),
               "'listen' is 'nowhere', HOST:PORT is expected"
             },
             {
-              good.replace(":" + world.discovery.port(), ":0"),
+              validConfig.replace(":" + platform.discovery.port(), ":0"),
               "'discovery' is '127.0.0.1:0', HOST:PORT is expected"
             },
-            {good.replace("8c1f30d27a5be964", "xyz"), "'seed' is 'xyz'"},
-            {good.replace("at_most_once", "ever"), "unknown word 'ever'"},
-            {good.replace("\"name\":\"small\"", "\"title\":\"small\""), "'name' is missing"}
+            {validConfig.replace("8c1f30d27a5be964", "xyz"), "'seed' is 'xyz'"},
+            {validConfig.replace("at_most_once", "ever"), "unknown word 'ever'"},
+            {validConfig.replace("\"name\":\"small\"", "\"title\":\"small\""), "'name' is missing"}
           }) {
-        world.writeFile(each[0]);
-        String line =
+        platform.writeFile(invalidCase[0]);
+        String message =
             assertThrows(
                     InvalidConfigException.class,
-                    () -> PlatformConfigReader.read(world.environment()))
+                    () -> PlatformConfigReader.read(platform.environment()))
                 .getMessage();
         assertTrue(
-            line.startsWith(file + ": ") && line.contains(each[1]) && !line.contains("\n"), line);
+            message.startsWith(path + ": ")
+                && message.contains(invalidCase[1])
+                && !message.contains("\n"),
+            message);
       }
     }
   }
--- a/src/test/java/fawndock/platform/JsonFramerTest.java
+++ b/src/test/java/fawndock/platform/JsonFramerTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Objects are found however the bytes are cut, indented and spread over lines. */
+/** Tests that objects are found independent of chunk boundaries, indentation and line breaks. */
 class JsonFramerTest {
   private static final class RecordingListener implements JsonFramer.Listener {
     final List<String> objects = new ArrayList<>();
@@ -29,16 +29,16 @@
     }
 
     @Override
-    public void onMalformed(String why) {
-      malformedReason = why;
+    public void onMalformed(String reason) {
+      malformedReason = reason;
     }
   }
 
-  private static RecordingListener read(String... parts) {
+  private static RecordingListener read(String... chunks) {
     RecordingListener listener = new RecordingListener();
     JsonFramer framer = new JsonFramer(2_000);
-    for (String part : parts) {
-      ByteBuf bytes = Unpooled.copiedBuffer(part, StandardCharsets.UTF_8);
+    for (String chunk : chunks) {
+      ByteBuf bytes = Unpooled.copiedBuffer(chunk, StandardCharsets.UTF_8);
       framer.read(bytes, listener);
       assertEquals(0, bytes.readableBytes());
     }
@@ -46,19 +46,19 @@
   }
 
   @Test
-  void objectsAreFoundHoweverTheBytesAreCut() throws Exception {
+  void objects_areFoundAtAnyChunkBoundary() throws Exception {
     String first =
         FakeDiscoveryServer.endpointListJson(
             41, true, "a", "127.0.0.1:1", "ready", "b{\\\"}", "127.0.0.1:2", "draining");
     String second = FakeDiscoveryServer.endpointListJson(42, false, "ä", "127.0.0.1:3", "gone");
     String indented = "{\n  \"index\": 43,\n  \"snapshot\": false,\n  \"endpoints\": [\n\n  ]\n}";
-    String all = first + "\n\n" + second + "\r\n" + indented + "\n";
-    for (int cut = 0; cut <= all.length(); cut++) {
-      RecordingListener listener = read(all.substring(0, cut), all.substring(cut));
+    String stream = first + "\n\n" + second + "\r\n" + indented + "\n";
+    for (int boundary = 0; boundary <= stream.length(); boundary++) {
+      RecordingListener listener = read(stream.substring(0, boundary), stream.substring(boundary));
       assertEquals(List.of(first, second, indented), listener.objects);
       assertEquals(4, listener.lineEnds);
     }
-    assertEquals(List.of(first, second, indented), read(all.split("")).objects);
+    assertEquals(List.of(first, second, indented), read(stream.split("")).objects);
     assertEquals(43, EndpointListCodec.decode(Json.parse(indented)).version());
   }
 
--- a/src/test/java/fawndock/platform/PlatformHarness.java
+++ b/src/test/java/fawndock/platform/PlatformHarness.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** One gateway process on a fake platform, for one test. */
+/**
+ * Runs one gateway on a fake platform for one test. The test's thread uses it; the gateway runs on
+ * threads of its own.
+ */
 final class PlatformHarness implements AutoCloseable {
   final FakePlatform platform;
   final PlatformProcess process;
@@ -50,7 +53,7 @@
             });
     thread.start();
     if (!process.awaitReady(30, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("not ready within 30 s");
+      throw new IllegalStateException("gateway not ready within 30 s");
     }
   }
 
@@ -58,31 +61,31 @@
     return new RespClient(platform.port());
   }
 
-  /** Returns the words of a new request command. */
+  /** Returns the arguments of a new request command. */
   String[] newRequest(String type) {
     return FakePlatform.requestCommand(type, "large", 7, nextId++, "");
   }
 
   /**
-   * Blocks the event loop until the latch is counted down: all that comes meanwhile is read in one
-   * turn.
+   * Blocks the event loop until the returned latch is counted down. All bytes that arrive meanwhile
+   * are read in one turn.
    */
   CountDownLatch blockEventLoop() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch release = new CountDownLatch(1);
+    CountDownLatch eventLoopBlocked = new CountDownLatch(1);
+    CountDownLatch releaseEventLoop = new CountDownLatch(1);
     process
         .context()
         .runOnContext(
             v -> {
-              held.countDown();
+              eventLoopBlocked.countDown();
               try {
-                release.await();
+                releaseEventLoop.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-    held.await();
-    return release;
+    eventLoopBlocked.await();
+    return releaseEventLoop;
   }
 
   /** Stops the process and waits for its end; returns the exit code. */
--- a/src/test/java/fawndock/platform/PlatformProtocolTest.java
+++ b/src/test/java/fawndock/platform/PlatformProtocolTest.java
@@ -13,24 +13,26 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Holds the command of the platform's protocols and of its configuration file. */
+/**
+ * Tests that the names and texts of the platform's protocols and configuration file do not change.
+ */
 class PlatformProtocolTest {
   @Test
-  void commandWordsAreThoseOfThePlatform() throws Exception {
+  void commandNames_areThoseOfThePlatform() throws Exception {
     assertEquals(
         List.of("ADDGET", "PING", "Q.ASK", "Q.DO"),
         StringConstants.of(PlatformProtocol.class, "COMMAND_"));
   }
 
   @Test
-  void fieldNamesAreThoseOfThePlatform() throws Exception {
+  void fieldNames_areThoseOfThePlatform() throws Exception {
     assertEquals(
         StringConstants.sorted("c t d k r units spread first charged cost"),
         StringConstants.of(PlatformProtocol.class, "FIELD_"));
   }
 
   @Test
-  void repliesAreThoseOfThePlatform() throws Exception {
+  void replies_areThoseOfThePlatform() throws Exception {
     assertEquals(List.of("PONG"), StringConstants.of(PlatformProtocol.class, "REPLY_"));
     assertEquals(
         List.of(
@@ -47,7 +49,7 @@
   }
 
   @Test
-  void discoveryWordsAreThoseOfThePlatform() throws Exception {
+  void discoveryNames_areThoseOfThePlatform() throws Exception {
     assertEquals("/catalog/members", EndpointListCodec.SNAPSHOT_PATH);
     assertEquals("/catalog/members?stream=1&index=", EndpointListCodec.WATCH_PATH);
     assertEquals(
@@ -60,7 +62,7 @@
   }
 
   @Test
-  void configurationKeysAndVariablesAreThoseOfThePlatform() throws Exception {
+  void configurationKeysAndVariables_areThoseOfThePlatform() throws Exception {
     assertEquals(
         StringConstants.sorted(
             "name listen discovery counter seed known limits sockets memory_mb settings caps"
@@ -72,7 +74,7 @@
   }
 
   @Test
-  void everyKeyOfAnEndpointIsReadIntoItsOwnComponent() throws Exception {
+  void eachEndpointKey_isDecodedIntoItsOwnComponent() throws Exception {
     EndpointList list =
         EndpointListCodec.decode(
             Json.parse(
@@ -89,7 +91,7 @@
   }
 
   @Test
-  void aCounterCallHasNameAmountAndMilliseconds() {
+  void counterCall_encodesNameAmountAndMilliseconds() {
     CounterCall call = new CounterCall(new AddToCounter("r7.0", 2.5, 4_000_001), 0);
     assertEquals(
         "*4\r\n$6\r\nADDGET\r\n$4\r\nr7.0\r\n$3\r\n2.5\r\n$4\r\n4001\r\n",
--- a/src/test/java/fawndock/platform/SignalTest.java
+++ b/src/test/java/fawndock/platform/SignalTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Signals as a gateway process of its own receives them. */
+/** Tests signals and reloads, partly with a gateway in a separate process. */
 class SignalTest {
   /** Starts a gateway with SIGHUP ignored, as nohup and some supervisors do. */
   private static Process startWithHangupIgnored(FakePlatform platform) throws IOException {
@@ -42,7 +42,10 @@
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** A gateway that missed its reload would use the former discovery, and miss drains. */
+  /**
+   * A gateway that missed the reload would keep using the former discovery address and miss
+   * draining endpoints.
+   */
   @Test
   void reload_takesEffectAlthoughTheParentProcessIgnoresTheSignal() throws Exception {
     try (FakePlatform platform =
@@ -67,7 +70,9 @@
     }
   }
 
-  /** Reloaded while it warms up, a gateway uses the new discovery from its start. */
+  /**
+   * A gateway that is reloaded during its warm-up uses the new discovery address from the start.
+   */
   @Test
   void reload_duringTheWarmUp_isNotLost() throws Exception {
     try (FakePlatform platform =
@@ -78,14 +83,14 @@
                     9, true, "w1", "127.0.0.1:" + platform.backend.port(), "ready"))) {
       PlatformProcess process = new PlatformProcess(platform.environment());
       CountDownLatch warmUpStarted = new CountDownLatch(1);
-      CountDownLatch reloaded = new CountDownLatch(1);
+      CountDownLatch reloadFinished = new CountDownLatch(1);
       CompletableFuture<Integer> exitCode =
-          CompletableFuture.supplyAsync(() -> runToItsEnd(process, warmUpStarted, reloaded));
+          CompletableFuture.supplyAsync(() -> runUntilExit(process, warmUpStarted, reloadFinished));
       assertTrue(warmUpStarted.await(20, TimeUnit.SECONDS));
       platform.writeConfiguration(newDiscovery.port(), platform.counter.port());
       process.reload();
-      assertNull(process.gateway(), "reloaded after the warm-up");
-      reloaded.countDown();
+      assertNull(process.gateway(), "the reload came after the warm-up");
+      reloadFinished.countDown();
       assertTrue(process.awaitReady(30, TimeUnit.SECONDS));
       Await.until(() -> newDiscovery.watchCount() > 0);
       assertEquals(0, platform.discovery.acceptedCount());
@@ -94,14 +99,17 @@
     }
   }
 
-  /** Runs a process; its warm-up, which makes the first policy, begins and is held up there. */
-  private static int runToItsEnd(
-      PlatformProcess process, CountDownLatch warmUpStarted, CountDownLatch reloaded) {
+  /**
+   * Runs a process whose warm-up blocks, when it creates the first policy, until {@code
+   * reloadFinished} is counted down.
+   */
+  private static int runUntilExit(
+      PlatformProcess process, CountDownLatch warmUpStarted, CountDownLatch reloadFinished) {
     try {
       return process.run(
           config -> {
             warmUpStarted.countDown();
-            Await.latch(reloaded);
+            Await.latch(reloadFinished);
             return new DefaultGatewayPolicy(config);
           });
     } catch (InterruptedException e) {
@@ -114,7 +122,7 @@
     try (RespClient client = new RespClient(platform.port())) {
       return client.call(command).equals("value of " + command[2]);
     } catch (IOException e) {
-      return false; // Not listening yet.
+      return false; // The gateway does not listen yet.
     }
   }
 }
