--- a/src/main/java/fawndock/platform/CounterClient.java
+++ b/src/main/java/fawndock/platform/CounterClient.java
@@ -20,8 +20,8 @@
  */
 final class CounterClient implements AutoCloseable {
   /**
-   * Number of connections. It is small because each connection needs a file descriptor, but a
-   * malformed reply ends all calls pipelined behind it on its connection.
+   * Number of connections. It is small because each connection needs a file descriptor, and greater
+   * than one because a malformed reply ends all calls pipelined behind it on its connection.
    */
   private static final int CONNECTION_COUNT = 4;
 
