--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -7,20 +7,23 @@
 import fawndock.runtime.PolicyRunner;
 
 /**
- * One attempt at a backend, on a connection that carries nothing else meanwhile: abandoning the
- * attempt closes the connection. An attempt cannot have run before its last byte was written.
+ * One attempt at a backend, on a connection that it uses exclusively: abandoning a sent attempt
+ * closes the connection. The backend cannot have run the request before its last byte was written.
  * Confined to one event loop.
  */
 final class BackendAttempt extends InFlightAttempt {
-  /** Connections that may break under the attempt before it is sent. */
+  /**
+   * Number of connections that may break before the request is sent; the next one fails the
+   * attempt.
+   */
   private static final int MAX_RECONNECTS = 3;
 
   private final BackendConnectionPools pools;
   private final ClientExchange exchange;
   private PooledConnection connection;
-  private int reconnects;
-  private boolean isSent;
-  private boolean isWritten;
+  private int reconnectCount;
+  private boolean isWriteStarted;
+  private boolean isWriteComplete;
   private long deadlineMicros;
 
   BackendAttempt(
@@ -40,79 +43,79 @@
     pools.acquire(endpointId, this);
   }
 
-  /** The endpoint's address is not known. */
+  /** Completes the attempt as not sent, because the endpoint's address is unknown. */
   void onUnknownEndpoint() {
     finish(CallResult.NOT_SENT);
   }
 
   /**
-   * A connection is available.
+   * Uses a connection that is available.
    *
-   * @return whether the attempt still wants it
+   * @return false if the attempt has already completed and does not use the connection
    */
   boolean onConnectionAvailable(PooledConnection available) {
     if (result() != null) {
       return false;
     }
     connection = available;
-    // Written after all that this turn has read: by then it is seen when the client or the backend
-    // has closed its connection, or when the backend has sent a response twice.
+    // The command is written after all reads of this event loop turn. By then a close by the client
+    // or the backend, or a duplicate response of the backend, has been noticed.
     pools.runAfterReads(this::write);
     return true;
   }
 
   private void write() {
-    if (result() != null || connection == null || isSent) {
+    if (result() != null || connection == null || isWriteStarted) {
       return;
     }
     long timeoutMillis = (deadlineMicros - runner.clock().now()) / 1_000;
-    // The endpoint may have been reported as draining in the turn in which it was chosen. Nothing
-    // has been sent, so that the policy may choose another one.
+    // The endpoint may have been reported as draining in the same turn in which it was selected.
+    // Nothing has been sent, so the policy may select another one.
     if (timeoutMillis <= 0 || pools.isUnavailable(endpointId)) {
       abandon(CallResult.NOT_SENT);
       return;
     }
-    isSent = true;
+    isWriteStarted = true;
     connection.write(exchange.command().encodeForEndpoint(timeoutMillis), this::onWritten);
   }
 
   private void onWritten(boolean isComplete) {
-    isWritten |= isComplete;
+    isWriteComplete |= isComplete;
     if (!isComplete) {
       onConnectionClosed();
     }
   }
 
-  /** Returns whether any of the command may have been handed to the network. */
-  boolean isSent() {
-    return isSent;
+  /** Returns whether any byte of the command may have been handed to the network. */
+  boolean isWriteStarted() {
+    return isWriteStarted;
   }
 
-  /** Gets another connection, as this one broke before anything was sent on it. */
+  /** Acquires another connection, because this one broke before anything was sent on it. */
   private void reconnect() {
     connection = null;
-    if (++reconnects > MAX_RECONNECTS) {
+    if (++reconnectCount > MAX_RECONNECTS) {
       onConnectFailed();
     } else if (result() == null) {
       pools.acquire(endpointId, this);
     }
   }
 
-  /** No connection could be had. */
+  /** Completes the attempt as failed to connect, because no connection could be opened. */
   void onConnectFailed() {
     finish(CallResult.CONNECT_FAILED);
   }
 
   void onReply(BackendReply reply) {
     if (reply.result() == CallResult.OK && result() == null) {
-      runner.deliverResponse(request, this, () -> exchange.serve(reply.value()));
+      runner.deliverResponse(request, this, () -> exchange.respondValue(reply.value()));
     }
-    finish(reply.result(), reply.load(), reply.units());
+    finish(reply.result(), reply.loadReport(), reply.unitsUsed());
   }
 
-  /** The connection brought bytes that are no reply; a command that was sent may have run. */
+  /** Handles bytes that are not a valid reply; a command that was sent may have run. */
   void onProtocolError() {
-    if (isSent) {
+    if (isWriteStarted) {
       finish(CallResult.ERROR);
     } else {
       reconnect();
@@ -120,8 +123,8 @@
   }
 
   void onConnectionClosed() {
-    if (isSent) {
-      finish(isWritten ? CallResult.RESET : CallResult.CONNECT_FAILED);
+    if (isWriteStarted) {
+      finish(isWriteComplete ? CallResult.RESET : CallResult.CONNECT_FAILED);
     } else {
       reconnect();
     }
@@ -129,20 +132,21 @@
 
   @Override
   protected void onDeadlineExceeded() {
-    abandon(isWritten ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
+    abandon(isWriteComplete ? CallResult.TIMEOUT : CallResult.CONNECT_FAILED);
   }
 
   @Override
   public void cancel() {
-    abandon(isSent ? CallResult.CANCELLED : CallResult.NOT_SENT);
+    abandon(isWriteStarted ? CallResult.CANCELLED : CallResult.NOT_SENT);
   }
 
   /**
-   * Nothing is sent for a client that has disconnected, whatever the settings say of cancelling.
+   * Sends nothing for a client that has disconnected, even where the settings do not cancel
+   * attempts.
    */
   @Override
   public void onClientDisconnected() {
-    if (!isSent) {
+    if (!isWriteStarted) {
       abandon(CallResult.NOT_SENT);
     }
   }
@@ -151,7 +155,7 @@
     if (result() != null) {
       return;
     }
-    if (connection != null && isSent) {
+    if (connection != null && isWriteStarted) {
       connection.abort();
     } else if (connection != null) {
       connection.release();
@@ -163,10 +167,10 @@
     finish(outcome, LoadReport.NONE, 0);
   }
 
-  private void finish(CallResult outcome, LoadReport load, double units) {
+  private void finish(CallResult outcome, LoadReport loadReport, double unitsUsed) {
     if (result() == null) {
       pools.activity().recordAttempt(endpointId, outcome);
-      complete(outcome, load, units);
+      complete(outcome, loadReport, unitsUsed);
     }
   }
 }
--- a/src/main/java/fawndock/platform/BackendConnectionPools.java
+++ b/src/main/java/fawndock/platform/BackendConnectionPools.java
@@ -10,33 +10,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections to the backends, with one pool for each endpoint. Together they are bounded: when
- * they are spent, the connection that has been idle longest is closed, whatever its endpoint.
+ * The connections to the backends, in one pool for each endpoint. The total number is limited: at
+ * the limit, a new connection replaces the one that has been idle longest, whatever its endpoint.
  * Confined to one event loop.
  */
 final class BackendConnectionPools implements AutoCloseable {
   /**
-   * A connection is not reused before it has been idle for this time, so that a second copy of a
-   * response, some milliseconds late, is not taken for the next one's. May open more connections
-   * when attempts come close together.
+   * A connection is reused only after it has been idle for this time, so that a duplicate response
+   * that arrives some milliseconds late is not taken for the response to the next request. Attempts
+   * in quick succession may therefore open more connections.
    */
   private static final long REUSE_DELAY_MICROS = 30_000;
 
   /**
    * Limits of all pools together.
    *
-   * @param connections at once
-   * @param connectTimeoutMicros longest time for a connection to come up
-   * @param idleTimeoutMicros after which an idle connection is closed
+   * @param maxConnections open connections of all pools
+   * @param connectTimeoutMicros timeout for opening a connection
+   * @param idleTimeoutMicros time after which an idle connection is closed
    */
-  record Limits(int connections, long connectTimeoutMicros, long idleTimeoutMicros) {}
+  record Limits(int maxConnections, long connectTimeoutMicros, long idleTimeoutMicros) {}
 
-  /** The connections of one endpoint at one address. */
+  /** The pool of one endpoint at one address. */
   static final class EndpointPool {
     final Address address;
 
     /** Idle connections, the longest idle first. */
-    final ArrayDeque<PooledConnection> idle = new ArrayDeque<>(4);
+    final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>(4);
 
     private boolean isDraining;
 
@@ -50,7 +50,7 @@
   private final ActivitySummary activity;
   private final Limits limits;
   private final Map<String, EndpointPool> pools = new HashMap<>();
-  private int openCount;
+  private int openConnectionCount;
 
   /** Creates empty pools. */
   BackendConnectionPools(
@@ -61,7 +61,7 @@
     this.limits = limits;
   }
 
-  /** Sets where an endpoint listens; connections to another address are closed once idle. */
+  /** Sets an endpoint's address. Connections to its former address are closed once idle. */
   void setAddress(String endpointId, Address address) {
     EndpointPool pool = pools.get(endpointId);
     if (pool == null || !pool.address.equals(address)) {
@@ -78,21 +78,25 @@
     }
   }
 
-  /** Returns whether an endpoint is draining or unknown: nothing new may be sent to it. */
+  /**
+   * Returns whether an endpoint is draining or unknown, so that no new request may be sent to it.
+   */
   boolean isUnavailable(String endpointId) {
     EndpointPool pool = pools.get(endpointId);
     return pool == null || pool.isDraining;
   }
 
-  /** Removes an endpoint: its idle connections are closed now, those in use after their attempt. */
+  /**
+   * Removes an endpoint. Its idle connections are closed now, those in use when their attempt ends.
+   */
   void remove(String endpointId) {
     EndpointPool pool = pools.remove(endpointId);
-    while (pool != null && !pool.idle.isEmpty()) {
-      pool.idle.peek().abort();
+    while (pool != null && !pool.idleConnections.isEmpty()) {
+      pool.idleConnections.peek().abort();
     }
   }
 
-  /** Removes all endpoints but these. */
+  /** Removes all endpoints except these. */
   void retainAll(Set<String> endpointIds) {
     for (String endpointId : List.copyOf(pools.keySet())) {
       if (!endpointIds.contains(endpointId)) {
@@ -101,7 +105,10 @@
     }
   }
 
-  /** Gives an attempt a connection, now or once one is up, or tells it that there is none. */
+  /**
+   * Assigns a connection to an attempt, now or once one is open, or notifies it that none is
+   * available.
+   */
   void acquire(String endpointId, BackendAttempt attempt) {
     EndpointPool pool = pools.get(endpointId);
     if (pool == null) {
@@ -111,22 +118,27 @@
     PooledConnection reusable = pollReusable(pool);
     if (reusable != null) {
       reusable.assign(attempt);
-    } else if (openCount >= limits.connections() && !evictIdleConnection()) {
+    } else if (openConnectionCount >= limits.maxConnections() && !evictIdleConnection()) {
       attempt.onConnectFailed();
     } else {
-      openCount++;
-      // Not kept here: it calls the attempt once it is up, and joins the pool when released.
+      openConnectionCount++;
+      // The pool holds no reference yet: the connection calls the attempt once it is open, and is
+      // added to the pool when released.
       var unused = new PooledConnection(this, pool, attempt);
     }
   }
 
-  /** Takes the connection that was used last of those that may be reused; null without one. */
+  /**
+   * Removes and returns the most recently used of the reusable connections, or null if there is
+   * none.
+   */
   private PooledConnection pollReusable(EndpointPool pool) {
-    long idleSinceAtMost = nowMicros() - REUSE_DELAY_MICROS;
-    for (Iterator<PooledConnection> i = pool.idle.descendingIterator(); i.hasNext(); ) {
-      PooledConnection connection = i.next();
-      if (connection.idleSinceMicros() <= idleSinceAtMost) {
-        i.remove();
+    long reuseCutoffMicros = nowMicros() - REUSE_DELAY_MICROS;
+    for (Iterator<PooledConnection> iterator = pool.idleConnections.descendingIterator();
+        iterator.hasNext(); ) {
+      PooledConnection connection = iterator.next();
+      if (connection.idleSinceMicros() <= reuseCutoffMicros) {
+        iterator.remove();
         return connection;
       }
     }
@@ -136,9 +148,10 @@
   private boolean evictIdleConnection() {
     PooledConnection oldest = null;
     for (EndpointPool pool : pools.values()) {
-      PooledConnection first = pool.idle.peek();
-      if (first != null && (oldest == null || first.idleSinceMicros() < oldest.idleSinceMicros())) {
-        oldest = first;
+      PooledConnection longestIdle = pool.idleConnections.peek();
+      if (longestIdle != null
+          && (oldest == null || longestIdle.idleSinceMicros() < oldest.idleSinceMicros())) {
+        oldest = longestIdle;
       }
     }
     if (oldest != null) {
@@ -147,28 +160,33 @@
     return oldest != null;
   }
 
-  /** Closes connections that have been idle for too long; to be called every second or so. */
-  void closeIdle() {
-    long idleSinceAtLeast = nowMicros() - limits.idleTimeoutMicros();
+  /** Closes connections that have exceeded the idle timeout. Call this about once a second. */
+  void closeIdleConnections() {
+    long idleCutoffMicros = nowMicros() - limits.idleTimeoutMicros();
     for (EndpointPool pool : pools.values()) {
-      while (!pool.idle.isEmpty() && pool.idle.peek().idleSinceMicros() < idleSinceAtLeast) {
-        pool.idle.peek().abort();
+      while (!pool.idleConnections.isEmpty()
+          && pool.idleConnections.peek().idleSinceMicros() < idleCutoffMicros) {
+        pool.idleConnections.peek().abort();
       }
     }
   }
 
-  /** Forgets a connection that is closed. */
+  /** Removes a closed connection from its pool. */
   void onConnectionClosed(EndpointPool pool, PooledConnection connection) {
-    pool.idle.remove(connection);
-    openCount--;
+    pool.idleConnections.remove(connection);
+    openConnectionCount--;
   }
 
-  /** Returns whether a pool's endpoint still listens at the pool's address. */
+  /**
+   * Returns whether a pool is in use, rather than removed or replaced by one at another address.
+   */
   boolean isCurrent(EndpointPool pool) {
     return pools.containsValue(pool);
   }
 
-  /** Runs a task after all that has come in this turn of the event loop has been read. */
+  /**
+   * Runs a task after all bytes that have arrived in this turn of the event loop have been read.
+   */
   void runAfterReads(Runnable task) {
     transport.runAfterReads(task);
   }
@@ -189,11 +207,11 @@
     return clockMicros.getAsLong();
   }
 
-  int openCount() {
-    return openCount;
+  int openConnectionCount() {
+    return openConnectionCount;
   }
 
-  /** Closes all idle connections; those in use close with their attempt. Idempotent. */
+  /** Closes all idle connections. Those in use are closed when their attempt ends. Idempotent. */
   @Override
   public void close() {
     List.copyOf(pools.keySet()).forEach(this::remove);
--- a/src/main/java/fawndock/platform/ByteConnection.java
+++ b/src/main/java/fawndock/platform/ByteConnection.java
@@ -9,34 +9,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Base class of connections: bytes in and out, with unread bytes buffered until more come, and a
- * half-close that loses no response. Confined to one event loop.
+ * Base class of connections: reads and writes bytes, buffers unread bytes until more arrive, and
+ * can half-close without losing a response. Confined to one event loop.
  */
 abstract class ByteConnection extends ChannelInboundHandlerAdapter implements AutoCloseable {
-  /** After a half-close the other side is given this time to close. */
-  private static final long LINGER_MILLIS = 1_000;
+  /** Time that the peer has to close after a half-close. */
+  private static final long LINGER_TIMEOUT_MILLIS = 1_000;
 
-  /** After a half-close at most so many bytes are read and dropped. */
-  private static final int LINGER_BYTES = 256 << 10;
+  /** Number of bytes that are read and discarded after a half-close; more close the connection. */
+  private static final int MAX_LINGER_BYTES = 256 << 10;
 
   private ChannelHandlerContext context;
-  private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+  private ByteBuf bufferedBytes = Unpooled.EMPTY_BUFFER;
   private boolean isClosed;
-  private int droppedBytes;
+  private int discardedBytes;
 
-  /** Reads what it can; bytes left unread are given again, together with the next ones. */
+  /**
+   * Reads as many bytes as possible. Bytes left unread are passed again, together with the next
+   * ones.
+   */
   abstract void onBytes(ByteBuf in);
 
-  /** The other side closed the connection, or it broke; not called after {@link #close}. */
+  /**
+   * Called when the peer has closed the connection or it broke; not called after {@link #close}.
+   */
   abstract void onDisconnected();
 
   @Override
-  public void handlerAdded(ChannelHandlerContext handler) {
-    context = handler;
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext handler) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     if (!isClosed) {
       markClosed();
       onDisconnected();
@@ -44,55 +49,55 @@
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    // A reset, most often.
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    // Most often the peer has reset the connection.
     closeChannel();
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext handler, Object message) {
-    ByteBuf part = (ByteBuf) message;
+  public void channelRead(ChannelHandlerContext handlerContext, Object message) {
+    ByteBuf received = (ByteBuf) message;
     try {
       if (isClosed) {
-        drop(part.readableBytes());
-      } else if (buffered.isReadable()) {
-        int size = buffered.readableBytes() + part.readableBytes();
-        deliver(Unpooled.buffer(size).writeBytes(buffered).writeBytes(part), false);
+        discard(received.readableBytes());
+      } else if (bufferedBytes.isReadable()) {
+        int size = bufferedBytes.readableBytes() + received.readableBytes();
+        deliver(Unpooled.buffer(size).writeBytes(bufferedBytes).writeBytes(received), false);
       } else {
-        deliver(part, true);
+        deliver(received, true);
       }
     } finally {
-      part.release();
+      received.release();
     }
   }
 
   private void deliver(ByteBuf bytes, boolean mustCopy) {
-    buffered = Unpooled.EMPTY_BUFFER;
+    bufferedBytes = Unpooled.EMPTY_BUFFER;
     onBytes(bytes);
     if (!isClosed && bytes.isReadable()) {
-      buffered = mustCopy ? Unpooled.buffer(bytes.readableBytes()).writeBytes(bytes) : bytes;
+      bufferedBytes = mustCopy ? Unpooled.buffer(bytes.readableBytes()).writeBytes(bytes) : bytes;
     }
   }
 
-  private void drop(int bytes) {
-    droppedBytes += bytes;
-    if (droppedBytes > LINGER_BYTES) {
+  private void discard(int bytes) {
+    discardedBytes += bytes;
+    if (discardedBytes > MAX_LINGER_BYTES) {
       closeChannel();
     }
   }
 
-  /** Delivers the buffered bytes once more. */
-  final void redeliverBuffered() {
-    if (!isClosed && buffered.isReadable()) {
-      deliver(buffered, false);
+  /** Passes the buffered bytes to {@link #onBytes} once more. */
+  final void redeliverBufferedBytes() {
+    if (!isClosed && bufferedBytes.isReadable()) {
+      deliver(bufferedBytes, false);
     }
   }
 
   final boolean hasBufferedBytes() {
-    return buffered.isReadable();
+    return bufferedBytes.isReadable();
   }
 
-  /** Writes bytes; the future tells whether all were handed to the network. */
+  /** Writes bytes. The future succeeds once all of them were handed to the network. */
   final ChannelFuture send(ByteBuf bytes) {
     return context.writeAndFlush(bytes);
   }
@@ -102,9 +107,9 @@
   }
 
   /**
-   * Closes the connection for both directions after what was written: output is shut down, and
-   * input is read and dropped until the other side closes, within limits. A plain close over unread
-   * bytes would be a reset, which can destroy a response on its way. Idempotent.
+   * Closes the connection once everything written has been sent: output is shut down, and input is
+   * read and discarded until the peer closes, within limits. A plain close with unread bytes would
+   * send a reset, which can destroy a response in transit. Idempotent.
    */
   final void halfClose() {
     if (isClosed) {
@@ -115,18 +120,21 @@
       closeChannel();
       return;
     }
-    // Within this turn where all has been written, as it mostly has; else as soon as it is.
+    // The listener runs in this turn if everything has been written, as is mostly the case;
+    // otherwise as soon as it is.
     var unusedShutdown =
         send(Unpooled.EMPTY_BUFFER)
             .addListener(written -> shutDownOutput(channel, written.isSuccess()));
     var lingerTimer =
-        context.executor().schedule(this::closeChannel, LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        context
+            .executor()
+            .schedule(this::closeChannel, LINGER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     var unusedCancel = channel.closeFuture().addListener(closed -> lingerTimer.cancel(false));
   }
 
   private void shutDownOutput(DuplexChannel channel, boolean isWritten) {
     if (isWritten) {
-      // Should it fail, the linger timer closes the channel.
+      // If the shutdown fails, the linger timer closes the channel.
       var unused = channel.shutdownOutput();
     } else {
       closeChannel();
@@ -134,11 +142,11 @@
   }
 
   private void closeChannel() {
-    // Needs no follow-up: channelInactive reports the close.
+    // The future is not needed: channelInactive reports the close.
     var unused = context.close();
   }
 
-  /** Closes the channel at once, also after {@link #halfClose}. */
+  /** Closes the channel immediately, even after {@link #halfClose}. */
   final void closeNow() {
     closeChannel();
   }
@@ -149,8 +157,8 @@
   }
 
   /**
-   * Closes the connection at once, without calling {@link #onDisconnected}; unread bytes make it a
-   * reset. Idempotent.
+   * Closes the connection immediately, without calling {@link #onDisconnected}. With unread bytes
+   * the peer gets a reset. Idempotent.
    */
   @Override
   public final void close() {
@@ -162,7 +170,7 @@
 
   private void markClosed() {
     isClosed = true;
-    buffered = Unpooled.EMPTY_BUFFER;
+    bufferedBytes = Unpooled.EMPTY_BUFFER;
   }
 
   final boolean isClosed() {
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -10,31 +10,38 @@
 import java.util.List;
 
 /**
- * One client's connection: commands are read and their responses written in the same order. After a
- * protocol error the client gets an error reply in its turn and nothing more is read. Confined to
- * one event loop.
+ * One client's connection: reads commands and writes their responses in the same order. After a
+ * protocol error the client gets an error reply after all pending responses, and no further command
+ * is read. Confined to one event loop.
  */
 final class ClientConnection extends ByteConnection {
-  /** Commands in flight on one connection; a client that exceeds this is disconnected. */
+  /**
+   * Maximum number of commands in flight on one connection; a client that exceeds it is
+   * disconnected.
+   */
   private static final int MAX_PENDING_RESPONSES = 64;
 
-  /** Buffered from a client that does not read its responses; one that exceeds this is closed. */
+  /**
+   * Maximum number of bytes buffered from a client that does not read its responses; a connection
+   * that exceeds it is closed.
+   */
   private static final int MAX_BUFFERED_BYTES = 128 << 10;
 
-  private static final CommandReader.Limits LIMITS = new CommandReader.Limits(66 << 10, 8, 0);
+  private static final CommandReader.Limits COMMAND_LIMITS =
+      new CommandReader.Limits(66 << 10, 8, 0);
 
-  /** Value of the times below while the condition does not hold. */
+  /** Value of the timestamps below while their condition does not hold. */
   private static final long NEVER = 0;
 
   private static final long NO_REQUEST = -1;
 
-  /** The place of one command's response among those of the connection. */
+  /** The position of one command's response in the connection's response order. */
   final class ResponseSlot {
     private ByteBuf response;
     private ClientExchange exchange;
     private long requestId = NO_REQUEST;
 
-    /** Responds; the bytes are written once all responses before have been. */
+    /** Sets the response, which is written once all earlier responses have been. */
     void respond(ByteBuf bytes) {
       response = bytes;
       if (exchange != null) {
@@ -43,9 +50,9 @@
       flushResponses();
     }
 
-    void respondError(String line) {
-      ByteBuf out = Unpooled.buffer(line.length() + 4);
-      new ReplyWriter(out).error(line);
+    void respondError(String error) {
+      ByteBuf out = Unpooled.buffer(error.length() + 4);
+      new ReplyWriter(out).error(error);
       respond(out);
     }
 
@@ -55,24 +62,24 @@
   }
 
   private final ClientListener listener;
-  private final CommandReader reader = new CommandReader(LIMITS);
-  private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>(2);
+  private final CommandReader reader = new CommandReader(COMMAND_LIMITS);
+  private final ArrayDeque<ResponseSlot> responseSlots = new ArrayDeque<>(2);
 
-  /** When the connection was accepted, or last wrote a response. */
+  /** Time at which the connection was accepted or last wrote a response. */
   private long idleSinceMicros;
 
-  /** When an incomplete command began. */
+  /** Time at which the incomplete command began. */
   private long incompleteSinceMicros = NEVER;
 
-  /** When the client stopped reading its responses. */
+  /** Time at which the client stopped reading its responses. */
   private long unwritableSinceMicros = NEVER;
 
-  /** When a protocol error made the connection unusable. */
+  /** Time at which a protocol error made the connection unusable. */
   private long failedSinceMicros = NEVER;
 
   private boolean hasSentCommand;
-  private boolean isReading;
-  private boolean isReleased;
+  private boolean isReadingCommands;
+  private boolean isDisconnectHandled;
 
   ClientConnection(ClientListener listener) {
     this.listener = listener;
@@ -80,7 +87,7 @@
   }
 
   @Override
-  public void channelActive(ChannelHandlerContext handler) {
+  public void channelActive(ChannelHandlerContext handlerContext) {
     listener.onAccepted(this);
   }
 
@@ -91,7 +98,7 @@
       in.skipBytes(in.readableBytes());
     }
     // Bytes are read even while the client does not read its responses, so that a disconnect is
-    // noticed; commands are not.
+    // noticed. Commands are not processed meanwhile.
     if (unwritableSinceMicros != NEVER && in.readableBytes() > MAX_BUFFERED_BYTES) {
       closeGracefully();
       return;
@@ -100,23 +107,23 @@
     flushResponses();
   }
 
-  /** Reads all complete commands; returns whether there were any. */
+  /** Processes all complete commands; returns whether there were any. */
   private boolean readCommands(ByteBuf in) {
     boolean hasReadCommand = false;
-    isReading = true;
+    isReadingCommands = true;
     try {
-      for (byte[][] words = nextCommand(in); words != null; words = nextCommand(in)) {
+      for (byte[][] arguments = nextCommand(in); arguments != null; arguments = nextCommand(in)) {
         hasReadCommand = true;
-        if (slots.size() >= MAX_PENDING_RESPONSES) {
+        if (responseSlots.size() >= MAX_PENDING_RESPONSES) {
           fail(PlatformProtocol.ERROR_TOO_MANY_COMMANDS);
         } else {
-          onCommand(words);
+          onCommand(arguments);
         }
       }
     } catch (ProtocolException e) {
       fail(e.getMessage());
     }
-    isReading = false;
+    isReadingCommands = false;
     return hasReadCommand;
   }
 
@@ -135,13 +142,13 @@
     }
   }
 
-  private void onCommand(byte[][] words) {
+  private void onCommand(byte[][] arguments) {
     hasSentCommand = true;
     ResponseSlot slot = addSlot();
-    if (ClientCommandParser.isRequest(words[0])) {
-      onRequest(words, slot);
-    } else if (words.length == 1
-        && ClientCommandParser.isWord(words[0], PlatformProtocol.COMMAND_PING)) {
+    if (ClientCommandParser.isRequest(arguments[0])) {
+      onRequest(arguments, slot);
+    } else if (arguments.length == 1
+        && ClientCommandParser.matchesIgnoreCase(arguments[0], PlatformProtocol.COMMAND_PING)) {
       ByteBuf out = Unpooled.buffer(8);
       new ReplyWriter(out).simple(PlatformProtocol.REPLY_PONG);
       slot.respond(out);
@@ -150,9 +157,9 @@
     }
   }
 
-  private void onRequest(byte[][] words, ResponseSlot slot) {
+  private void onRequest(byte[][] arguments, ResponseSlot slot) {
     try {
-      ClientCommand command = listener.parser().parse(words, listener.nowMicros());
+      ClientCommand command = listener.parser().parse(arguments, listener.nowMicros());
       String error = listener.admissionError(command);
       if (error != null) {
         slot.respondError(error);
@@ -167,11 +174,11 @@
 
   private ResponseSlot addSlot() {
     ResponseSlot slot = new ResponseSlot();
-    slots.add(slot);
+    responseSlots.add(slot);
     return slot;
   }
 
-  /** Responds with an error after all pending responses, and closes the connection after it. */
+  /** Responds with an error after all pending responses, and then closes the connection. */
   private void fail(String error) {
     ResponseSlot slot = addSlot();
     failedSinceMicros = listener.nowMicros();
@@ -179,38 +186,38 @@
     slot.respondError(error);
   }
 
-  /** Writes the responses that are due, in order. */
+  /** Writes, in order, the responses that wait for no earlier one. */
   private void flushResponses() {
-    if (isReading || isClosed()) {
+    if (isReadingCommands || isClosed()) {
       return;
     }
     ByteBuf out = null;
-    while (!slots.isEmpty() && slots.peek().response != null) {
-      ByteBuf next = slots.poll().response;
+    while (!responseSlots.isEmpty() && responseSlots.peek().response != null) {
+      ByteBuf next = responseSlots.poll().response;
       out = out == null ? next : Unpooled.wrappedBuffer(out, next);
     }
     if (out != null) {
       idleSinceMicros = listener.nowMicros();
-      // A write that fails closes the connection, which is reported as a disconnect.
+      // A failed write closes the connection, which is reported as a disconnect.
       var unused = send(out);
       if (!isWritable() && unwritableSinceMicros == NEVER) {
         unwritableSinceMicros = idleSinceMicros;
       }
     }
-    boolean isDrained = listener.isDraining() && isQuiet();
-    if (slots.isEmpty() && (failedSinceMicros != NEVER || isDrained)) {
+    boolean isDrained = listener.isDraining() && isQuiescent();
+    if (responseSlots.isEmpty() && (failedSinceMicros != NEVER || isDrained)) {
       closeGracefully();
     }
   }
 
-  /** Returns whether no response is pending and no byte of a further command has come. */
-  private boolean isQuiet() {
-    return slots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
+  /** Returns whether no response is pending and no byte of another command has been received. */
+  private boolean isQuiescent() {
+    return responseSlots.isEmpty() && incompleteSinceMicros == NEVER && !hasBufferedBytes();
   }
 
-  /** Returns whether nothing has been in flight on the connection for this long. */
-  boolean isIdle(long nowMicros, long minMicros) {
-    return isQuiet() && nowMicros - idleSinceMicros >= minMicros;
+  /** Returns whether the connection has been quiescent for at least this time. */
+  boolean isIdle(long nowMicros, long minIdleMicros) {
+    return isQuiescent() && nowMicros - idleSinceMicros >= minIdleMicros;
   }
 
   boolean hasSentCommand() {
@@ -218,19 +225,21 @@
   }
 
   boolean hasPendingResponses() {
-    return !slots.isEmpty();
+    return !responseSlots.isEmpty();
   }
 
-  /** Closes the connection when it exceeds one of the listener's time limits. */
+  /** Closes the connection if it exceeds one of the listener's timeouts. */
   void checkTimeouts(long nowMicros) {
-    boolean isSilent = !hasSentCommand && isIdle(nowMicros, ClientListener.SILENT_TIMEOUT_MICROS);
-    if (isSilent
-        || hasElapsed(nowMicros, unwritableSinceMicros, ClientListener.UNREAD_TIMEOUT_MICROS)
-        || hasElapsed(nowMicros, failedSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)
+    boolean isFirstCommandOverdue =
+        !hasSentCommand && isIdle(nowMicros, ClientListener.COMMAND_TIMEOUT_MICROS);
+    if (isFirstCommandOverdue
+        || hasElapsed(
+            nowMicros, unwritableSinceMicros, ClientListener.UNREAD_RESPONSE_TIMEOUT_MICROS)
+        || hasElapsed(nowMicros, failedSinceMicros, ClientListener.COMMAND_TIMEOUT_MICROS)
         || isIdle(nowMicros, listener.idleTimeoutMicros())) {
       closeGracefully();
     } else if (failedSinceMicros == NEVER
-        && hasElapsed(nowMicros, incompleteSinceMicros, ClientListener.SILENT_TIMEOUT_MICROS)) {
+        && hasElapsed(nowMicros, incompleteSinceMicros, ClientListener.COMMAND_TIMEOUT_MICROS)) {
       fail(PlatformProtocol.ERROR_INCOMPLETE_COMMAND);
     }
   }
@@ -239,16 +248,16 @@
     return sinceMicros != NEVER && nowMicros - sinceMicros >= timeoutMicros;
   }
 
-  /** Closes the connection unless a response is pending or part of a command has come. */
-  void closeIfQuiet() {
-    if (isQuiet()) {
+  /** Closes the connection unless a response is pending or part of a command has been received. */
+  void closeIfQuiescent() {
+    if (isQuiescent()) {
       closeGracefully();
     }
   }
 
-  /** Responds to all requests in flight with an error. */
-  void failInFlight() {
-    for (ResponseSlot slot : List.copyOf(slots)) {
+  /** Responds to all requests in flight with the error for a shutdown. */
+  void failRequestsInFlight() {
+    for (ResponseSlot slot : List.copyOf(responseSlots)) {
       if (slot.isInFlight()) {
         listener.onClientDisconnected(slot.requestId);
         slot.respondError(PlatformProtocol.ERROR_SHUTTING_DOWN);
@@ -256,7 +265,10 @@
     }
   }
 
-  /** Closes the connection after what was written; bytes that come meanwhile are dropped. */
+  /**
+   * Closes the connection once everything written has been sent; bytes received meanwhile are
+   * discarded.
+   */
   void closeGracefully() {
     halfClose();
     listener.onHalfClosed(this);
@@ -264,27 +276,27 @@
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext handler) {
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
     if (unwritableSinceMicros != NEVER && isWritable()) {
       unwritableSinceMicros = NEVER;
-      redeliverBuffered();
+      redeliverBufferedBytes();
     }
-    handler.fireChannelWritabilityChanged();
+    handlerContext.fireChannelWritabilityChanged();
   }
 
   @Override
   void onDisconnected() {
-    if (isReleased) {
+    if (isDisconnectHandled) {
       return;
     }
-    isReleased = true;
+    isDisconnectHandled = true;
     listener.onClosed(this);
-    for (ResponseSlot slot : slots) {
+    for (ResponseSlot slot : responseSlots) {
       if (slot.isInFlight()) {
         listener.release(slot.exchange);
         listener.onClientDisconnected(slot.requestId);
       }
     }
-    slots.clear();
+    responseSlots.clear();
   }
 }
--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 
 /**
- * The discovery protocol: its paths and the JSON of its endpoint lists, under the names that the
- * platform fixes.
+ * The discovery protocol: its paths, and the decoding of its JSON endpoint lists. The platform
+ * defines all names.
  */
 final class EndpointListCodec {
-  /** Path of a complete list. */
+  /** Path of a call for a complete list. */
   static final String SNAPSHOT_PATH = "/catalog/members";
 
-  /** Path and query of a watch; the version of the last list follows. */
+  /** Path and query of a watch; the version of the last list is appended. */
   static final String WATCH_PATH = SNAPSHOT_PATH + "?stream=1&index=";
 
   // Keys of a list.
@@ -43,36 +43,37 @@
   private EndpointListCodec() {}
 
   /**
-   * Decodes a list. One malformed endpoint makes the whole list malformed, so that no draining is
-   * missed unnoticed.
+   * Decodes a list. One malformed endpoint makes the whole list malformed, so that no draining
+   * endpoint is missed silently.
    *
-   * @throws MalformedMessageException with the key, its value and what is expected
+   * @throws MalformedMessageException if the list is malformed; the message names the key, its
+   *     value and the expected form
    */
   static EndpointList decode(JsonObject list) {
     List<Endpoint> endpoints = new ArrayList<>();
     Map<String, Address> addresses = new LinkedHashMap<>();
     for (JsonObject entry : list.objects(KEY_ENDPOINTS)) {
-      Endpoint endpoint = endpoint(entry);
+      Endpoint endpoint = decodeEndpoint(entry);
       endpoints.add(endpoint);
       if (entry.has(KEY_ADDRESS)) {
-        addresses.put(endpoint.id(), address(KEY_ADDRESS, entry.text(KEY_ADDRESS)));
+        addresses.put(endpoint.id(), decodeAddress(KEY_ADDRESS, entry.text(KEY_ADDRESS)));
       }
     }
     return new EndpointList(
         list.integer(KEY_VERSION), list.flag(KEY_IS_SNAPSHOT), endpoints, addresses);
   }
 
-  private static Endpoint endpoint(JsonObject entry) {
+  private static Endpoint decodeEndpoint(JsonObject entry) {
     return new Endpoint(
         entry.text(KEY_ID),
         entry.textOr(KEY_ZONE, ""),
         (int) entry.integerOr(KEY_CELL, 0),
-        state(entry.textOr(KEY_STATE, STATE_RUNNING)),
+        decodeState(entry.textOr(KEY_STATE, STATE_RUNNING)),
         entry.numberOr(KEY_WEIGHT, 1),
         entry.integerOr(KEY_STARTED_AT_MILLIS, 0) * 1_000);
   }
 
-  private static EndpointState state(String status) {
+  private static EndpointState decodeState(String status) {
     return switch (status) {
       case STATE_RUNNING -> EndpointState.RUNNING;
       case STATE_DRAINING -> EndpointState.DRAINING;
@@ -84,12 +85,12 @@
   }
 
   /**
-   * Decodes HOST:PORT.
+   * Decodes an address of the form HOST:PORT.
    *
-   * @param key named in the error
-   * @throws MalformedMessageException when the text is none
+   * @param key the key to name in the error message
+   * @throws MalformedMessageException if the text is not an address
    */
-  static Address address(String key, String text) {
+  static Address decodeAddress(String key, String text) {
     Address address = Address.parse(text);
     if (address != null && address.port() > 0) {
       return address;
--- a/src/main/java/fawndock/platform/InMemoryTransport.java
+++ b/src/main/java/fawndock/platform/InMemoryTransport.java
@@ -15,12 +15,12 @@
 import java.util.function.Supplier;
 
 /**
- * Connections within this process, in memory: no descriptor, port or file is used. What one side
- * writes reaches the other in a later turn of the event loop, as from a network. For {@link
- * WarmUp}. Confined to one event loop.
+ * A transport for {@link WarmUp} that connects within this process, in memory, without file
+ * descriptors, ports or files. Bytes reach the other side in a later turn of the event loop, as on
+ * a network. Confined to one event loop.
  */
 final class InMemoryTransport extends TcpTransport {
-  private final Map<Address, Supplier<ChannelHandler>> listeners = new HashMap<>();
+  private final Map<Address, Supplier<ChannelHandler>> handlerFactories = new HashMap<>();
 
   InMemoryTransport(Context context) {
     super(context);
@@ -52,7 +52,7 @@
       eventLoop.execute(
           () -> {
             if (peer != null) {
-              // Closes in memory cannot fail.
+              // An in-memory close cannot fail.
               var unused = peer.close();
             }
           });
@@ -65,12 +65,12 @@
     ChannelPromise connected = new DefaultChannelPromise(client, eventLoop);
     eventLoop.execute(
         () -> {
-          Supplier<ChannelHandler> listener = listeners.get(address);
-          if (listener == null) {
+          Supplier<ChannelHandler> handlerFactory = handlerFactories.get(address);
+          if (handlerFactory == null) {
             connected.setFailure(new ConnectException("nothing listens at " + address));
             return;
           }
-          InMemoryChannel server = new InMemoryChannel(listener.get());
+          InMemoryChannel server = new InMemoryChannel(handlerFactory.get());
           client.peer = server;
           server.peer = client;
           connected.setSuccess();
@@ -79,10 +79,10 @@
   }
 
   @Override
-  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlers) {
-    listeners.put(address, handlers);
-    InMemoryChannel bound = new InMemoryChannel(new ChannelInboundHandlerAdapter());
-    ChannelPromise listening = new DefaultChannelPromise(bound, eventLoop);
+  ChannelFuture listen(Address address, Supplier<ChannelHandler> handlerFactory) {
+    handlerFactories.put(address, handlerFactory);
+    InMemoryChannel serverChannel = new InMemoryChannel(new ChannelInboundHandlerAdapter());
+    ChannelPromise listening = new DefaultChannelPromise(serverChannel, eventLoop);
     eventLoop.execute(listening::setSuccess);
     return listening;
   }
--- a/src/main/java/fawndock/platform/PooledConnection.java
+++ b/src/main/java/fawndock/platform/PooledConnection.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to a backend: used by one attempt, or idle in its pool. Bytes on an idle
- * connection, such as a late second copy of a response, close it. Confined to one event loop.
+ * One connection to a backend, either used by one attempt or idle in its pool. Bytes received on an
+ * idle connection, such as a late duplicate response, close it. Confined to one event loop.
  */
 final class PooledConnection implements RespConnection.Listener {
   private static final int MAX_VALUE_BYTES = 64 << 10;
   private static final int MAX_LINE_BYTES = 1_024;
   private static final int MAX_ELEMENTS = 8;
-  private static final ReplyReader READER =
+  private static final ReplyReader REPLY_READER =
       new ReplyReader(MAX_VALUE_BYTES, MAX_LINE_BYTES, MAX_ELEMENTS);
 
   private final BackendConnectionPools pools;
@@ -25,7 +25,7 @@
 
   private long idleSinceMicros;
 
-  /** Connects for an attempt. */
+  /** Opens a connection for an attempt. */
   PooledConnection(
       BackendConnectionPools pools,
       BackendConnectionPools.EndpointPool pool,
@@ -35,16 +35,16 @@
     this.attempt = attempt;
     connection =
         new RespConnection(
-            pools.transport(), pool.address, pools.connectTimeoutMicros(), READER, this);
+            pools.transport(), pool.address, pools.connectTimeoutMicros(), REPLY_READER, this);
   }
 
-  /** Gives an idle connection to an attempt. */
-  void assign(BackendAttempt next) {
-    attempt = next;
-    next.onConnectionAvailable(this);
+  /** Assigns the idle connection to an attempt. */
+  void assign(BackendAttempt newAttempt) {
+    attempt = newAttempt;
+    newAttempt.onConnectionAvailable(this);
   }
 
-  /** Writes a command; the listener is told whether all of it was handed to the network. */
+  /** Writes a command; the listener receives whether all of it was handed to the network. */
   void write(ByteBuf command, Consumer<Boolean> writeListener) {
     connection.write(command, writeListener);
   }
@@ -55,31 +55,32 @@
 
   @Override
   public boolean expectsReply() {
-    return attempt != null && attempt.isSent();
+    return attempt != null && attempt.isWriteStarted();
   }
 
   @Override
   public void onConnected() {
     if (!attempt.onConnectionAvailable(this)) {
-      release(); // The attempt has ended meanwhile; the connection is as good as any.
+      release(); // The attempt has completed meanwhile; the connection can serve another one.
     }
   }
 
   @Override
   public void onReply(Reply reply, boolean hasMoreBytes) {
-    BackendAttempt completed = attempt;
+    BackendAttempt completedAttempt = attempt;
     attempt = null;
     BackendReply backendReply = BackendReply.of(reply);
     if (reply.isError() || !backendReply.isConnectionReusable()) {
       pools.activity().recordError(reply.type() + reply.text());
     }
-    // Released before the attempt learns of its reply: what is sent next may want the connection.
+    // The connection is released before the attempt gets its reply, because the next attempt may
+    // need it.
     if (hasMoreBytes || !backendReply.isConnectionReusable()) {
       abort();
     } else {
       release();
     }
-    completed.onReply(backendReply);
+    completedAttempt.onReply(backendReply);
   }
 
   @Override
@@ -101,18 +102,18 @@
     }
   }
 
-  /** Returns the connection to its pool, or closes it when its endpoint has been removed. */
+  /** Returns the connection to its pool, or closes it if its endpoint has been removed. */
   void release() {
     attempt = null;
     if (pools.isCurrent(pool)) {
       idleSinceMicros = pools.nowMicros();
-      pool.idle.add(this);
+      pool.idleConnections.add(this);
     } else {
       abort();
     }
   }
 
-  /** Closes the connection; nothing of it is reported any more. */
+  /** Closes the connection. Nothing is reported for it afterwards. */
   void abort() {
     attempt = null;
     pools.onConnectionClosed(pool, this);
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -26,15 +26,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests through a temporary gateway to a temporary backend and counter, over connections
- * in memory, before the first client is accepted. Code that is not compiled yet takes four times as
- * long: on a small core the first seconds' requests would exceed their deadlines. Delays the start
- * by its time limit at most. Confined to one event loop.
+ * Warms up the JIT compiler before the first client is accepted: sends requests through a temporary
+ * gateway to a temporary backend and counter, over in-memory connections. Code that is not compiled
+ * yet takes four times as long, so that on a slow core the requests of the first seconds would
+ * exceed their deadlines. Delays startup by at most its time limit; confined to one event loop.
  */
 final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
-  private static final int REQUESTS = 700;
-  private static final int CLIENTS = 6;
+  private static final int REQUEST_COUNT = 700;
+  private static final int CLIENT_COUNT = 6;
   private static final long TIME_LIMIT_MILLIS = 2_500;
   private static final String ENDPOINT_ID = "w";
   private static final Address BACKEND_ADDRESS = new Address("worker", 1);
@@ -50,17 +50,17 @@
     this.vertx = vertx;
     this.config = config;
     this.policyFactory = policyFactory;
-    progress = new WarmUpProgress(vertx, REQUESTS, TIME_LIMIT_MILLIS);
+    progress = new WarmUpProgress(vertx, REQUEST_COUNT, TIME_LIMIT_MILLIS);
   }
 
-  /** Runs the warm-up; the future never fails. */
+  /** Runs the warm-up. The future never fails. */
   Future<Void> run() {
     long startNanos = System.nanoTime();
     try {
       start();
     } catch (RuntimeException e) {
-      // The gateway serves without a warm-up too, only more slowly at first.
-      LOG.warn("warm-up failed, cause={}", e.toString());
+      // The gateway serves without a warm-up too, but more slowly at first.
+      LOG.warn("warm-up failed: reason={}", e.toString());
       progress.complete();
     }
     return progress.completion().onComplete(v -> finish(startNanos));
@@ -70,13 +70,13 @@
     TcpTransport transport = new InMemoryTransport(vertx.getOrCreateContext());
     EndpointList endpoints = endpoints();
     gateway = new PlatformGateway(vertx, transport, warmUpConfig(endpoints), policyFactory);
-    // Only a socket can fail to listen.
+    // In memory, listening cannot fail.
     var unused = transport.listen(BACKEND_ADDRESS, Backend::new);
     gateway
         .startForWarmUp(endpoints)
         .addListener(
             bound -> {
-              for (int i = 0; i < CLIENTS && bound.isSuccess(); i++) {
+              for (int i = 0; i < CLIENT_COUNT && bound.isSuccess(); i++) {
                 connectClient(transport);
               }
             });
@@ -112,7 +112,7 @@
 
   private void finish(long startNanos) {
     LOG.info(
-        "warm-up finished, responses={}, requests={}, durationMillis={}",
+        "warm-up finished: responses={} requests={} duration_ms={}",
         progress.responseCount(),
         progress.requestCount(),
         (System.nanoTime() - startNanos) / 1_000_000);
@@ -127,12 +127,12 @@
   }
 
   private ByteBuf encodeNextRequest() {
-    int number = progress.nextRequest();
+    int requestNumber = progress.nextRequest();
     List<RequestClass> classes = config.policy().requestClasses();
     List<Plan> plans = config.policy().plans();
-    RequestClass requestClass = classes.get((number - 1) % classes.size());
-    Plan plan = plans.get((number - 1) % plans.size());
-    String id = "00000000" + Integer.toHexString(0x10000000 | number);
+    RequestClass requestClass = classes.get((requestNumber - 1) % classes.size());
+    Plan plan = plans.get((requestNumber - 1) % plans.size());
+    String id = "00000000" + Integer.toHexString(0x10000000 | requestNumber);
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
     writer.array(4);
@@ -168,12 +168,12 @@
         + "=0";
   }
 
-  /** One client with one request in flight at a time. */
+  /** A client with one request in flight at a time. */
   private final class Client extends ByteConnection {
     private final ReplyReader reader = new ReplyReader(64 << 10, 1_024, 0);
 
     void sendRequest() {
-      // A request that cannot be written has no response; the time limit ends the warm-up.
+      // If the request cannot be written, no response arrives and the time limit ends the warm-up.
       var unused = send(encodeNextRequest());
     }
 
@@ -195,38 +195,38 @@
 
     @Override
     void onDisconnected() {
-      // The other clients go on.
+      // The other clients continue.
     }
   }
 
-  /** Backend and counter in one. */
+  /** A server that acts as both backend and counter. */
   private static final class Backend extends ByteConnection {
     private static final String LOAD_REPORT = "recent_ms=7.25,throughput=2.5,backlog=0";
-    private static final String TOTAL = "0.5";
+    private static final String COUNTER_TOTAL = "0.5";
 
     private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
 
     @Override
     void onBytes(ByteBuf in) {
       try {
-        for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-          // A client that does not get its response leaves the rest to the time limit.
-          var unused = send(response(words));
+        for (byte[][] arguments = reader.next(in); arguments != null; arguments = reader.next(in)) {
+          // If the response cannot be written, the time limit ends the warm-up.
+          var unused = send(response(arguments));
         }
       } catch (ProtocolException e) {
         close();
       }
     }
 
-    private static ByteBuf response(byte[][] words) {
+    private static ByteBuf response(byte[][] arguments) {
       ByteBuf out = Unpooled.buffer(96);
       ReplyWriter writer = new ReplyWriter(out);
-      String command = new String(words[0], StandardCharsets.ISO_8859_1);
+      String command = new String(arguments[0], StandardCharsets.ISO_8859_1);
       if (command.equals(PlatformProtocol.COMMAND_ADD_AND_GET)) {
-        writer.bulk(TOTAL);
+        writer.bulk(COUNTER_TOTAL);
       } else {
         writer.array(3);
-        writer.bulk(words[2]);
+        writer.bulk(arguments[2]);
         writer.nullBulk();
         writer.bulk(LOAD_REPORT);
       }
@@ -235,7 +235,7 @@
 
     @Override
     void onDisconnected() {
-      // Nothing to release.
+      // There is nothing to release.
     }
   }
 }
