--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -64,7 +64,7 @@
   private static int start(GatewayServer server, GatewaySettings settings)
       throws InterruptedException, ExecutionException, TimeoutException {
     if (settings.rateLimit().listen() != null) {
-      await(server.deployBeside(new RateLimitService(settings, DefaultGatewayPolicy::new)));
+      await(server.deployVerticle(new RateLimitService(settings, DefaultGatewayPolicy::new)));
     }
     return await(server.start());
   }
--- a/src/main/java/fawndock/gateway/GatewayServer.java
+++ b/src/main/java/fawndock/gateway/GatewayServer.java
@@ -69,7 +69,7 @@
   /**
    * Starts another verticle beside the instances, on an event loop of its own; it stops with them.
    */
-  public Future<String> deployBeside(VerticleBase other) {
+  public Future<String> deployVerticle(VerticleBase other) {
     return vertx.deployVerticle(other, new DeploymentOptions());
   }
 
