--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -161,7 +161,7 @@
       return; // A heartbeat.
     }
     try {
-      EndpointWatchCodec.Message message = EndpointWatchCodec.decode(line.toString());
+      EndpointWatchParser.Message message = EndpointWatchParser.parse(line.toString());
       if (!stream.hasSnapshot && message.kind() != EndpointUpdateKind.SNAPSHOT) {
         throw new IllegalArgumentException("changes before a complete list");
       }
@@ -173,7 +173,7 @@
     }
   }
 
-  private void onMessage(EndpointWatchCodec.Message message) {
+  private void onMessage(EndpointWatchParser.Message message) {
     boolean isSnapshot = message.kind() == EndpointUpdateKind.SNAPSHOT;
     if (isSnapshot && message.endpoints().isEmpty()) {
       LOG.warn("empty endpoint list ignored: address={}", settings.address());
--- a/src/main/java/fawndock/gateway/EndpointWatchCodec.java
+++ b/src/main/java/fawndock/gateway/EndpointWatchParser.java
@@ -18,7 +18,7 @@
  * words, such as {@code {"list":"changes","servers":[{"id":"w1","host":"127.0.0.1",
  * "port":7001,"zone":"here","cell":0,"state":"running","weight":1,"started_us":0}]}}. Stateless.
  */
-final class EndpointWatchCodec {
+final class EndpointWatchParser {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int MAX_ENDPOINTS = 100_000;
   private static final int MAX_ID_CHARACTERS = 256;
@@ -36,7 +36,7 @@
       Map<String, Address> addresses,
       Set<String> duplicateIds) {}
 
-  private EndpointWatchCodec() {}
+  private EndpointWatchParser() {}
 
   /**
    * Decodes a line. An endpoint that it has twice counts as the entry that is nearer to removal:
@@ -44,7 +44,7 @@
    *
    * @throws IllegalArgumentException saying what was read and what was expected
    */
-  static Message decode(String text) {
+  static Message parse(String text) {
     JsonNode line;
     try {
       line = JSON.readTree(text);
--- a/src/test/java/fawndock/gateway/EndpointWatchTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -22,8 +22,8 @@
         List.of(
             entry("w", "stopping") + "," + entry("w", "running"),
             entry("w", "running") + "," + entry("w", "stopping"))) {
-      EndpointWatchCodec.Message line =
-          EndpointWatchCodec.decode("{\"list\":\"complete\",\"servers\":[" + order + "]}");
+      EndpointWatchParser.Message line =
+          EndpointWatchParser.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
       assertEquals(1, line.endpoints().size());
       assertEquals(EndpointState.DRAINING, line.endpoints().get(0).state());
       assertEquals(1, line.duplicateIds().size());
@@ -40,7 +40,7 @@
             "{\"list\":\"complete\"}",
             "{\"list\":\"complete\",\"servers\":[{\"id\":\"w\",\"state\":\"running\"}]}",
             "{\"list\":\"complete\",\"servers\":[" + entry("w", "sleeping") + "]}")) {
-      assertThrows(IllegalArgumentException.class, () -> EndpointWatchCodec.decode(bad), bad);
+      assertThrows(IllegalArgumentException.class, () -> EndpointWatchParser.parse(bad), bad);
     }
   }
 
--- a/src/test/java/fawndock/gateway/WireNamesTest.java
+++ b/src/test/java/fawndock/gateway/WireNamesTest.java
@@ -131,8 +131,8 @@
     for (Map.Entry<String, EndpointUpdateKind> list :
         Map.of("complete", EndpointUpdateKind.SNAPSHOT, "changes", EndpointUpdateKind.CHANGES)
             .entrySet()) {
-      EndpointWatchCodec.Message line =
-          EndpointWatchCodec.decode(
+      EndpointWatchParser.Message line =
+          EndpointWatchParser.parse(
               "{\"list\":\""
                   + list.getKey()
                   + "\",\"servers\":["
