--- a/src/main/java/fawndock/gateway/CounterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClient.java
@@ -18,9 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the counter service: shards, or one replicated cluster. A name's shard is XXH3 of the
- * name, then jump consistent hashing (Lamping and Veach, 2014), both from hash4j: every gateway
- * with the same list of shards picks the same one. One context.
+ * Client of the counter service, which is either sharded or one replicated cluster. The shard of a
+ * name is chosen by jump consistent hashing (Lamping and Veach, 2014) of its XXH3 hash, both from
+ * hash4j, so that every gateway with the same list of shards chooses the same shard. The client is
+ * confined to one event-loop context.
  */
 final class CounterClient implements AutoCloseable {
   private static final Hasher64 HASH = Hashing.xxh3_64();
@@ -28,10 +29,10 @@
       ConsistentHashing.jumpHash(PseudoRandomGeneratorProvider.splitMix64_V1());
   private final List<CounterShardClient> shards = new ArrayList<>();
 
-  /** Null where the counter is sharded. */
+  /** Null if the counter service is sharded. */
   private final CounterClusterClient cluster;
 
-  /** Connects; replies are given to the listener on the context. */
+  /** Starts connecting. The listener receives the replies on the context. */
   CounterClient(
       Vertx vertx,
       Context context,
@@ -49,7 +50,10 @@
     }
   }
 
-  /** Adds to a count; exactly one reply is given, in a later turn, in order for each name. */
+  /**
+   * Adds an amount to a counter. The listener receives exactly one reply, in a later turn; the
+   * replies of one counter name arrive in the order of the calls.
+   */
   void add(AddToCounter command) {
     if (cluster != null) {
       cluster.add(command);
@@ -58,12 +62,15 @@
     }
   }
 
-  /** The shard of a name. Synchronized since the hasher keeps state that all clients share. */
+  /**
+   * Returns the index of a name's shard. Synchronized because the hasher has mutable state that all
+   * clients share.
+   */
   static synchronized int shardOf(String counterName, int shardCount) {
     return shardCount == 1 ? 0 : BUCKETS.getBucket(HASH.hashCharsToLong(counterName), shardCount);
   }
 
-  /** Closes all connections; closing it again has no effect. */
+  /** Closes all connections. Closing it again has no effect. */
   @Override
   public void close() {
     shards.forEach(CounterShardClient::close);
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -41,26 +41,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of a replicated counter cluster. {@link ReplicaClient} decides which node is asked; this
- * keeps the connections and the time, and completes the calls of a name in the order in which they
- * were made, each once. One context.
+ * Client of a replicated counter cluster. {@link ReplicaClient} decides which node a command goes
+ * to; this class manages the connections and the timers. Each call completes exactly once, and
+ * calls with the same counter name complete in the order in which they were made. The client is
+ * confined to one event-loop context.
  */
 final class CounterClusterClient implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterClusterClient.class);
   private static final long TICK_INTERVAL_MICROS = 5_000;
   private static final long MAX_BACKOFF_MICROS = 500_000;
 
-  /** Commands in flight to a node beside those of calls, such as membership lists. */
-  private static final int EXTRA_COMMANDS = 64;
+  /**
+   * Number of commands in flight to a node that is allowed in addition to calls, for heartbeats and
+   * membership lists.
+   */
+  private static final int MAX_CONTROL_COMMANDS_IN_FLIGHT = 64;
 
-  /** Share of a call's timeout after which the next node is asked as well. */
+  /** The next node is also asked after a call's timeout divided by this number. */
   private static final int HEDGE_DIVISOR = 5;
 
   private static final Command SUM = Command.create("FD.SUM");
   private static final Command NODES = Command.create("FD.NODES");
-  private static final Command HERE = Command.create("FD.HERE");
+  private static final Command HEARTBEAT = Command.create("FD.HERE");
 
-  /** The connection to one node, for as long as its address stays. */
+  /** The connection to one node at one address. */
   private final class Node implements CounterConnection.Listener {
     final String id;
     final CounterConnection connection;
@@ -74,12 +78,14 @@
               address,
               timers,
               new CounterConnection.Options(
-                  "counter node", settings.maxCallsInFlight() + EXTRA_COMMANDS, MAX_BACKOFF_MICROS),
+                  "counter node",
+                  settings.maxCallsInFlight() + MAX_CONTROL_COMMANDS_IN_FLIGHT,
+                  MAX_BACKOFF_MICROS),
               this);
     }
 
     @Override
-    public Future<?> onConnecting(RedisConnection connecting) {
+    public Future<?> handshake(RedisConnection newConnection) {
       return Future.succeededFuture();
     }
 
@@ -102,18 +108,24 @@
   private final Context context;
   private final ReplicaClient client;
 
-  /** This start of this instance; two starts have the same with a chance of some one in 10^18. */
+  /**
+   * Random id that identifies this start of this instance; the probability that two starts have the
+   * same id is about 1 in 10^18.
+   */
   private final long origin = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
 
   private final Map<String, Node> nodes = new LinkedHashMap<>();
 
-  /** Nodes at a new address that are not connected yet; the old one is used meanwhile. */
+  /**
+   * Nodes that moved to a new address and are not connected there yet; the connection to the old
+   * address is used until then.
+   */
   private final Map<String, Node> replacements = new HashMap<>();
 
   private final Map<Long, CounterReplySequencer.PendingCall> pendingCalls = new HashMap<>();
   private boolean isClosed;
 
-  /** Connects to all nodes; replies are given to the listener on the context. */
+  /** Starts connecting to all nodes. The listener receives the replies on the context. */
   CounterClusterClient(
       Vertx vertx,
       Context context,
@@ -129,8 +141,8 @@
     sequencer = new CounterReplySequencer(replyListener);
     settings.clusterNodes().forEach((id, address) -> nodes.put(id, connect(id, address)));
     long timeoutMillis = Math.max(2, settings.timeoutMicros() / 1_000);
-    // The next node is asked early: the policy takes a late reply for a throttled counter, and a
-    // second call costs little.
+    // The next node is asked early because the policy treats a late reply as a sign of a throttled
+    // counter, and a second call is cheap.
     client =
         new ReplicaClient(
             origin,
@@ -149,12 +161,15 @@
     return node;
   }
 
-  /** A node at a new address replaces the old one, which may still reply for a call's timeout. */
+  /**
+   * Replaces the connection to a node's old address; that connection stays open for one call
+   * timeout, since it may still reply.
+   */
   private void onConnected(Node node) {
     if (replacements.remove(node.id, node)) {
-      Node old = nodes.put(node.id, node);
-      if (old != null) {
-        timers.schedule(settings.timeoutMicros(), old.connection::close);
+      Node previous = nodes.put(node.id, node);
+      if (previous != null) {
+        timers.schedule(settings.timeoutMicros(), previous.connection::close);
       }
     }
   }
@@ -172,7 +187,10 @@
     return clock.now() / 1_000;
   }
 
-  /** Adds to a count; exactly one reply is given, in a later turn of the context. */
+  /**
+   * Adds an amount to a counter. The listener receives exactly one reply, in a later turn of the
+   * context.
+   */
   void add(AddToCounter command) {
     CounterReplySequencer.PendingCall call =
         new CounterReplySequencer.PendingCall(command.counterName(), clock.now());
@@ -189,35 +207,36 @@
       long id = client.add(command.counterName(), amount, timeToLiveMillis, nowMillis(), actions);
       pendingCalls.put(id, call);
     } catch (CommandException e) {
-      // In a later turn, since the policy is still handling the event that led to this call.
-      context.runOnContext(later -> complete(call, CallResult.SHED, 0));
+      // Completes in a later turn because the policy is still handling the event that caused this
+      // call.
+      context.runOnContext(v -> complete(call, CallResult.SHED, 0));
       return;
     }
     if (actions.stream().anyMatch(CallEnded.class::isInstance)) {
-      context.runOnContext(later -> execute(actions));
+      context.runOnContext(v -> execute(actions));
     } else {
       execute(actions);
     }
   }
 
   private void execute(List<ClientAction> actions) {
-    for (ClientAction each : actions) {
-      if (each instanceof SendSum action) {
-        sendSum(action);
-      } else if (each instanceof SendHeartbeat heartbeat) {
+    for (ClientAction action : actions) {
+      if (action instanceof SendSum sumCommand) {
+        sendSum(sumCommand);
+      } else if (action instanceof SendHeartbeat heartbeat) {
         sendHeartbeat(heartbeat);
-      } else if (each instanceof FetchMembership fetch) {
+      } else if (action instanceof FetchMembership fetch) {
         exchangeMembershipList(fetch.node(), Request.cmd(NODES));
-      } else if (each instanceof PushMembership push) {
+      } else if (action instanceof PushMembership push) {
         Request request = Request.cmd(NODES);
-        for (String word : push.list().toString().split(" ", 0)) {
-          request.arg(word);
+        for (String argument : push.list().toString().split(" ", 0)) {
+          request.arg(argument);
         }
         exchangeMembershipList(push.node(), request);
-      } else if (each instanceof CallEnded end) {
-        CounterReplySequencer.PendingCall call = pendingCalls.remove(end.callId());
+      } else if (action instanceof CallEnded callEnded) {
+        CounterReplySequencer.PendingCall call = pendingCalls.remove(callEnded.callId());
         if (call != null) {
-          complete(call, callResult(end.outcome()), end.total());
+          complete(call, callResult(callEnded.outcome()), callEnded.total());
         }
       }
     }
@@ -235,7 +254,7 @@
   private void sendHeartbeat(SendHeartbeat heartbeat) {
     send(
         heartbeat.node(),
-        Request.cmd(HERE).arg(origin).arg(heartbeat.stamp()),
+        Request.cmd(HEARTBEAT).arg(origin).arg(heartbeat.stamp()),
         reply -> {
           if (reply.succeeded()) {
             List<ClientAction> actions = new ArrayList<>();
@@ -249,7 +268,10 @@
         });
   }
 
-  /** Asks a node for its membership list, or gives it a newer one; adopts the reply if newer. */
+  /**
+   * Fetches a node's membership list or pushes a newer one to the node. A list in the reply is
+   * adopted if it is newer than the current one.
+   */
   private void exchangeMembershipList(String node, Request request) {
     send(
         node,
@@ -275,51 +297,51 @@
     }
     replacements.values().forEach(node -> node.connection.close());
     replacements.clear();
-    list.addresses().forEach(this::connectIfMoved);
+    list.addresses().forEach(this::connectIfNewOrMoved);
     execute(actions);
   }
 
-  private void connectIfMoved(String id, String address) {
+  private void connectIfNewOrMoved(String id, String address) {
     Node current = nodes.get(id);
     if (current == null) {
       nodes.put(id, connect(id, Address.of(address)));
     } else if (!current.connection.address().toString().equals(address)) {
-      // The old address is used until the new one is connected, since otherwise there would be no
-      // node at all for a moment when all have moved.
+      // The connection to the old address is used until the new one is open. Otherwise no node
+      // would be reachable for a moment after all of them have moved.
       replacements.put(id, connect(id, Address.of(address)));
     }
   }
 
   private void send(String node, Request request, Consumer<AsyncResult<Response>> replyHandler) {
-    Node to = nodes.get(node);
-    if (to != null) {
-      to.connection.send(request, settings.maxCallsInFlight(), replyHandler);
+    Node target = nodes.get(node);
+    if (target != null) {
+      target.connection.send(request, settings.maxCallsInFlight(), replyHandler);
     }
   }
 
-  private void sendSum(SendSum action) {
-    ReplicatedSum sum = action.sum();
+  private void sendSum(SendSum sumCommand) {
+    ReplicatedSum sum = sumCommand.sum();
     send(
-        action.node(),
+        sumCommand.node(),
         Request.cmd(SUM)
             .arg(sum.name())
             .arg(sum.origin())
             .arg(sum.added().toString())
             .arg(sum.withdrawn().toString())
             .arg(sum.timeToLiveMillis()),
-        reply -> onSumReply(action, reply));
+        reply -> onSumReply(sumCommand, reply));
   }
 
-  private void onSumReply(SendSum action, AsyncResult<Response> reply) {
+  private void onSumReply(SendSum sumCommand, AsyncResult<Response> reply) {
     List<ClientAction> actions = new ArrayList<>();
     if (reply.succeeded()) {
       double total = Double.parseDouble(reply.result().toString());
-      client.onTotal(action.node(), action.callId(), total, actions);
+      client.onTotal(sumCommand.node(), sumCommand.callId(), total, actions);
     } else if (CounterConnection.isErrorReply(reply.cause())) {
       String text = String.valueOf(reply.cause().getMessage());
       boolean isNotReady =
           text.startsWith("LOADING") || text.startsWith("FENCED") || text.startsWith("MISCONF");
-      client.onRejected(action.node(), action.callId(), isNotReady, nowMillis(), actions);
+      client.onRejected(sumCommand.node(), sumCommand.callId(), isNotReady, nowMillis(), actions);
     }
     execute(actions);
   }
@@ -337,7 +359,7 @@
     sequencer.complete(call, result, total, clock.now());
   }
 
-  /** Closes all connections; no reply is given any more. Closing it again has no effect. */
+  /** Closes all connections and stops delivering replies. Closing it again has no effect. */
   @Override
   public void close() {
     isClosed = true;
--- a/src/main/java/fawndock/gateway/CounterConnection.java
+++ b/src/main/java/fawndock/gateway/CounterConnection.java
@@ -18,8 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to one counter server, in the Redis serialization protocol (RESP2). There is one
- * at a time; a lost one is replaced after an exponential backoff. One context.
+ * Connection to one counter server over the Redis serialization protocol (RESP2). At most one
+ * connection is open at a time; a lost one is replaced after an exponential backoff. The object is
+ * confined to one event-loop context.
  */
 final class CounterConnection implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterConnection.class);
@@ -27,23 +28,26 @@
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * How a connection is used.
+   * Options of a connection.
    *
-   * @param role its name in the log
-   * @param maxPendingReplies replies that may be pending at once
-   * @param maxBackoffMicros between attempts to connect
+   * @param role name of the connection in log lines
+   * @param maxPendingReplies limit on the replies that are pending at the same time
+   * @param maxBackoffMicros longest delay between attempts to connect
    */
   record Options(String role, int maxPendingReplies, long maxBackoffMicros) {}
 
-  /** Receives the connection's changes, on its context. */
+  /** Receives changes of the connection state, on the connection's context. */
   interface Listener {
-    /** Greets a new connection; it is used when that has succeeded, within the connect timeout. */
-    Future<?> onConnecting(RedisConnection connecting);
+    /**
+     * Performs the handshake on a new connection. The connection is used once the future succeeds;
+     * it is dropped if that takes longer than the connect timeout.
+     */
+    Future<?> handshake(RedisConnection newConnection);
 
-    /** The connection can be used, from the next turn of the context on. */
+    /** Called when the connection can be used, in a turn after the handshake has succeeded. */
     default void onConnected() {}
 
-    /** The connection is lost; what is in flight on it fails after this. */
+    /** Called when the connection is lost, before the commands in flight on it fail. */
     void onLost();
   }
 
@@ -59,7 +63,7 @@
   private long backoffMicros = INITIAL_BACKOFF_MICROS;
   private boolean isClosed;
 
-  /** A connection that {@link #connect} opens. */
+  /** Creates a connection that {@link #connect} opens. */
   CounterConnection(
       Vertx vertx,
       Context context,
@@ -79,55 +83,58 @@
     return address;
   }
 
-  /** The open connection, or null. */
+  /** Returns the open connection, or null if there is none. */
   RedisConnection current() {
     return connection;
   }
 
-  /** Whether the server replied with an error, rather than not at all. */
+  /** Returns whether the failure is an error reply of the server, rather than a missing reply. */
   static boolean isErrorReply(Throwable cause) {
     return cause instanceof ErrorType error && !error.is("CONNECTION_CLOSED");
   }
 
   /**
-   * Sends a command. Dropped when there is no connection or too many commands are in flight; the
-   * reply is not given when the connection is lost before.
+   * Sends a command. The command is dropped if there is no connection or the limit of commands in
+   * flight is reached. The handler is not called if the connection is lost before the reply.
    */
   void send(Request command, int maxInFlight, Consumer<AsyncResult<Response>> replyHandler) {
-    RedisConnection used = connection;
-    if (used == null || commandsInFlight >= maxInFlight) {
+    RedisConnection requestConnection = connection;
+    if (requestConnection == null || commandsInFlight >= maxInFlight) {
       return;
     }
     commandsInFlight++;
-    used.send(command)
+    requestConnection
+        .send(command)
         .onComplete(
             reply -> {
-              if (used == connection) {
+              if (requestConnection == connection) {
                 commandsInFlight--;
                 replyHandler.accept(reply);
               }
             });
   }
 
+  /** Opens the connection, and reopens it after a backoff whenever it is lost. */
   void connect() {
     if (isClosed) {
       return;
     }
-    Redis connecting = Redis.createClient(vertx, redisOptions());
-    client = connecting;
-    // The greeting has no timeout of its own.
+    Redis newClient = Redis.createClient(vertx, redisOptions());
+    client = newClient;
+    // The handshake has no timeout of its own.
     Timers.Timer timeout =
-        timers.schedule(CONNECT_TIMEOUT_MICROS, () -> reconnect(connecting, "no greeting"));
-    connecting
+        timers.schedule(
+            CONNECT_TIMEOUT_MICROS, () -> reconnect(newClient, "no connection within the timeout"));
+    newClient
         .connect()
-        .compose(connected -> listener.onConnecting(connected).map(connected))
+        .compose(connected -> listener.handshake(connected).map(connected))
         .onComplete(
             connected -> {
               timers.cancel(timeout);
-              if (client != connecting || isClosed) {
-                connecting.close();
+              if (client != newClient || isClosed) {
+                newClient.close();
               } else if (connected.failed()) {
-                reconnect(connecting, connected.cause().getMessage());
+                reconnect(newClient, connected.cause().getMessage());
               } else {
                 onConnected(connected.result());
               }
@@ -159,7 +166,7 @@
     context.runOnContext(v -> listener.onConnected());
   }
 
-  /** Gives up a connection, if it is still the current one, and connects again. */
+  /** Drops a connection if it is still the current one, and reconnects. */
   void drop(RedisConnection dropped, String reason) {
     if (dropped == connection && dropped != null) {
       Redis droppedClient = client;
@@ -169,12 +176,12 @@
     }
   }
 
-  private void reconnect(Redis lost, String reason) {
-    if (isClosed || client != lost || connection != null) {
+  private void reconnect(Redis lostClient, String reason) {
+    if (isClosed || client != lostClient || connection != null) {
       return;
     }
     client = null;
-    lost.close(); // Fails the commands in flight.
+    lostClient.close(); // This fails the commands in flight.
     LOG.warn(
         "{} connection lost, reconnecting: address={} reason=\"{}\" backoff_ms={}",
         options.role(),
@@ -185,7 +192,7 @@
     backoffMicros = Math.min(options.maxBackoffMicros(), backoffMicros * 2);
   }
 
-  /** Closes the connection for good; closing it again has no effect. */
+  /** Closes the connection permanently. Closing it again has no effect. */
   @Override
   public void close() {
     isClosed = true;
--- a/src/main/java/fawndock/gateway/CounterShardClient.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -25,26 +25,34 @@
 import java.util.regex.Pattern;
 
 /**
- * Client of one shard of the counter service. A call is {@code FD.ADD name amount ms} where the
- * server knows it, as the project's own does; elsewhere {@code INCRBYFLOAT name amount} and {@code
- * PEXPIRE name ms NX}, pipelined. It completes exactly once, by its reply or its timeout, whichever
- * is first, in the order of the calls of its name. A call belongs to the connection that it was
- * sent on, which replies in order, so no total is given to another call. One context.
+ * Client of one shard of the counter service. A call is {@code FD.ADD name amount ms} if the server
+ * supports that command, as this project's counter server does, and otherwise {@code INCRBYFLOAT
+ * name amount} and {@code PEXPIRE name ms NX}, pipelined. A call completes exactly once, by its
+ * reply or its timeout, whichever comes first, and calls with the same counter name complete in the
+ * order in which they were made. A call is bound to the connection that it was sent on, which
+ * replies in order, so a total never reaches a different call. The client is confined to one
+ * event-loop context.
  */
 final class CounterShardClient implements CounterConnection.Listener, AutoCloseable {
   private static final long MAX_BACKOFF_MICROS = 1_000_000;
 
-  /** Timeouts in a row, without any reply, after which the connection counts as half open. */
-  private static final int HALF_OPEN_TIMEOUTS = 20;
+  /**
+   * Number of consecutive timeouts, without any reply, after which the connection is treated as
+   * half-open.
+   */
+  private static final int MAX_CONSECUTIVE_TIMEOUTS = 20;
 
   private static final Command ADD = Command.create("FD.ADD");
 
-  /** An error of the Redis client itself, such as a lost connection, in the form of a reply. */
+  /**
+   * Matches an error that the Redis client raises itself, such as a lost connection, and reports in
+   * the form of an error reply.
+   */
   private static final Pattern CLIENT_ERROR =
       Pattern.compile(
           "ERR \\[[0-9]+] (CONNECTION_CLOSED|ILLEGAL_STATE|Connection |[a-z]+(\\.[a-z0-9]+)*\\.[A-Z])");
 
-  /** A call in flight. */
+  /** A call that is queued or in flight, with its timeout. */
   private static final class Call extends CounterReplySequencer.PendingCall {
     final AddToCounter command;
     Timers.Timer timeoutTimer;
@@ -63,13 +71,13 @@
   private final CounterConnection connection;
   private final Set<Call> inFlight = new HashSet<>();
 
-  /** Calls of this turn of the event loop, which go out in one write. */
+  /** Calls made in the current event-loop turn; they are sent in one write. */
   private final List<Call> unsentCalls = new ArrayList<>();
 
   private int commandsPerCall = 2;
   private int consecutiveTimeouts;
 
-  /** Connects; replies are given to the listener on the context. */
+  /** Starts connecting. The listener receives the replies on the context. */
   CounterShardClient(
       Vertx vertx,
       Context context,
@@ -95,52 +103,57 @@
     connection.connect();
   }
 
-  /** Adds to a count; exactly one reply is given, in a later turn of the context. */
+  /**
+   * Adds an amount to a counter. The listener receives exactly one reply, in a later turn of the
+   * context.
+   */
   void add(AddToCounter command) {
     Call call = new Call(command, clock.now());
     sequencer.begin(call);
     boolean isConnected = connection.current() != null;
     if (!isConnected || inFlight.size() >= settings.maxCallsInFlight()) {
-      // In a later turn, since the policy is still handling the event that led to this call.
+      // Completes in a later turn because the policy is still handling the event that caused this
+      // call.
       CallResult result = isConnected ? CallResult.SHED : CallResult.CONNECT_FAILED;
-      context.runOnContext(later -> complete(call, result, 0));
+      context.runOnContext(v -> complete(call, result, 0));
       return;
     }
     inFlight.add(call);
     call.timeoutTimer = timers.schedule(settings.timeoutMicros(), () -> onTimeout(call));
     unsentCalls.add(call);
     if (unsentCalls.size() == 1) {
-      context.runOnContext(later -> flush());
+      context.runOnContext(v -> flush());
     }
   }
 
   private void flush() {
     List<Call> calls = List.copyOf(unsentCalls);
     unsentCalls.clear();
-    RedisConnection used = connection.current();
+    RedisConnection requestConnection = connection.current();
     if (calls.isEmpty()) {
-      return; // The connection was lost in the same turn, and they were completed then.
+      return; // The connection was lost in the same turn, which completed the calls.
     }
-    int perCall = commandsPerCall;
-    used.batch(requests(calls, perCall))
+    int commandsPerBatchedCall = commandsPerCall;
+    requestConnection
+        .batch(requests(calls, commandsPerBatchedCall))
         .onComplete(
             replies -> {
-              if (used == connection.current()) {
+              if (requestConnection == connection.current()) {
                 consecutiveTimeouts = 0;
               }
               for (int i = 0; i < calls.size(); i++) {
-                onReply(calls.get(i), perCall * i, replies);
+                onReply(calls.get(i), commandsPerBatchedCall * i, replies);
               }
             });
   }
 
-  private static List<Request> requests(List<Call> calls, int perCall) {
-    List<Request> requests = new ArrayList<>(perCall * calls.size());
+  private static List<Request> requests(List<Call> calls, int commandsPerBatchedCall) {
+    List<Request> requests = new ArrayList<>(commandsPerBatchedCall * calls.size());
     for (Call call : calls) {
       AddToCounter command = call.command;
       String amount = Double.toString(command.amount());
       long timeToLiveMillis = Math.max(1, (command.timeToLiveMicros() + 999) / 1_000);
-      if (perCall == 1) {
+      if (commandsPerBatchedCall == 1) {
         requests.add(Request.cmd(ADD).arg(command.counterName()).arg(amount).arg(timeToLiveMillis));
       } else {
         requests.add(Request.cmd(Command.INCRBYFLOAT).arg(command.counterName()).arg(amount));
@@ -154,13 +167,14 @@
     return requests;
   }
 
-  /** Completes the call whose first command has this index in its batch. */
+  /** Completes the call whose first command has the given index in the batch. */
   private void onReply(Call call, int index, AsyncResult<List<Response>> replies) {
     if (replies.succeeded()) {
       try {
         complete(call, CallResult.OK, Double.parseDouble(replies.result().get(index).toString()));
       } catch (NumberFormatException | NullPointerException e) {
-        complete(call, CallResult.TIMEOUT, 0); // Not a total, and the amount may have been added.
+        // The reply is not a total, but the amount may have been added.
+        complete(call, CallResult.TIMEOUT, 0);
       }
     } else {
       boolean isRejected = isRejected(replies.cause(), index);
@@ -169,14 +183,15 @@
   }
 
   /**
-   * Whether the server replied to this command with an error, so that nothing was added. The Redis
-   * client gives all errors of a batch in one text, a line for each, and no totals beside them: the
-   * others may have been added. It gives a lost connection in the same form, with an error word of
-   * its own or the name of an exception's class.
+   * Returns whether the server replied to this command with an error, so that nothing was added.
+   * The Redis client reports all errors of a batch in one message, one line each, without the
+   * totals of the commands that succeeded, so those amounts may have been added. It reports a lost
+   * connection in the same form, with its own error code or an exception class name.
    */
   private static boolean isRejected(Throwable cause, int index) {
-    String text = cause instanceof ErrorType ? String.valueOf(cause.getMessage()) : "";
-    return text.lines()
+    String message = cause instanceof ErrorType ? String.valueOf(cause.getMessage()) : "";
+    return message
+        .lines()
         .anyMatch(
             line ->
                 line.startsWith("ERR [" + index + "] ") && !CLIENT_ERROR.matcher(line).lookingAt());
@@ -185,9 +200,9 @@
   private void onTimeout(Call call) {
     complete(call, CallResult.TIMEOUT, 0);
     consecutiveTimeouts++;
-    // A half-open connection would never reply again. This may drop one that is only slow, whose
-    // calls have timed out by then anyway.
-    if (consecutiveTimeouts >= HALF_OPEN_TIMEOUTS) {
+    // A half-open connection never replies again. This may also drop a connection that is merely
+    // slow, but its calls have already timed out.
+    if (consecutiveTimeouts >= MAX_CONSECUTIVE_TIMEOUTS) {
       connection.drop(connection.current(), "silent");
     }
   }
@@ -202,30 +217,32 @@
   }
 
   @Override
-  public Future<?> onConnecting(RedisConnection connecting) {
-    return connecting
+  public Future<?> handshake(RedisConnection newConnection) {
+    return newConnection
         .send(Request.cmd(Command.COMMAND).arg("INFO").arg("FD.ADD"))
-        .map(known -> known != null && known.size() == 1 && known.get(0) != null)
+        .map(
+            commandInfo ->
+                commandInfo != null && commandInfo.size() == 1 && commandInfo.get(0) != null)
         .recover(
             e ->
                 CounterConnection.isErrorReply(e)
                     ? Future.succeededFuture(false)
                     : Future.failedFuture(e))
         .onSuccess(
-            knowsAdd -> {
-              commandsPerCall = knowsAdd ? 1 : 2;
+            supportsAdd -> {
+              commandsPerCall = supportsAdd ? 1 : 2;
               consecutiveTimeouts = 0;
             });
   }
 
   @Override
   public void onLost() {
-    List<Call> neverSent = List.copyOf(unsentCalls);
+    List<Call> unsent = List.copyOf(unsentCalls);
     unsentCalls.clear();
-    neverSent.forEach(call -> complete(call, CallResult.CONNECT_FAILED, 0));
+    unsent.forEach(call -> complete(call, CallResult.CONNECT_FAILED, 0));
   }
 
-  /** Closes the connection; no reply is given any more. Closing it again has no effect. */
+  /** Closes the connection and stops delivering replies. Closing it again has no effect. */
   @Override
   public void close() {
     sequencer.close();
