--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -27,11 +27,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watch of the endpoints at the discovery server: {@code GET /roster} answers with lines of JSON
- * that never end, first a snapshot, then changes and snapshots; an empty line is a heartbeat. A
- * stream that is lost, idle or unreadable is reopened, and the endpoints known stay meanwhile. An
- * empty snapshot is reported as a failed update, since a discovery server that has just started
- * knows no endpoint; endpoints that are to go are listed as draining and removed. One context.
+ * Watches the endpoints at the discovery server. {@code GET /roster} returns an endless stream of
+ * JSON lines: a snapshot first, then changes and further snapshots; an empty line is a heartbeat. A
+ * stream that is lost, idle or unreadable is reopened, and the known endpoints are kept in the
+ * meantime. An empty snapshot is reported as a failed update, since a discovery server that has
+ * just started has no endpoints; endpoints are taken out of service by listing them as draining or
+ * removed. The watch is confined to one event-loop context.
  */
 final class EndpointWatch implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
@@ -46,7 +47,10 @@
   private final HttpClient httpClient;
   private final Map<String, Address> addresses = new HashMap<>();
 
-  /** The stream that counts, or that is to be opened after the backoff; events of others do not. */
+  /**
+   * The active stream, or a placeholder for the one that is opened after the backoff; events of all
+   * other streams are ignored.
+   */
   private WatchStream current = new WatchStream();
 
   private boolean isStarted;
@@ -54,22 +58,22 @@
   private long backoffMicros = INITIAL_BACKOFF_MICROS;
   private Timers.Timer idleTimer;
 
-  /** One stream, from connecting to its end. */
+  /** One stream, from the connection attempt to its end. */
   private static final class WatchStream {
-    /** Null until the response head is there. */
+    /** Null until the response head arrives. */
     HttpClientRequest request;
 
     boolean hasSnapshot;
 
     void reset() {
       if (request != null) {
-        var unused = request.reset(); // It may be half open or unreadable: nothing is expected.
+        var unused = request.reset(); // The stream may be half-open or unreadable.
         request = null;
       }
     }
   }
 
-  /** A watch that {@link #start} starts; updates are given to the listener on its context. */
+  /** Creates a watch that {@link #start} starts. The listener receives updates on its context. */
   EndpointWatch(
       Vertx vertx, EndpointDiscovery settings, Timers timers, Consumer<EndpointUpdate> listener) {
     this.settings = settings;
@@ -80,15 +84,23 @@
             new HttpClientOptions().setKeepAlive(false).setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
   }
 
-  /** Reports the settings' own endpoints, then watches unless the policy is to ask for that. */
+  /**
+   * Reports the endpoints of the settings, then starts the watch unless the settings leave that to
+   * the policy.
+   */
   void start() {
     if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
       List<Endpoint> endpoints = new ArrayList<>();
-      for (StaticEndpoint each : settings.staticEndpoints()) {
-        addresses.put(each.id(), each.address());
+      for (StaticEndpoint endpoint : settings.staticEndpoints()) {
+        addresses.put(endpoint.id(), endpoint.address());
         endpoints.add(
             new Endpoint(
-                each.id(), each.zone(), each.cell(), EndpointState.RUNNING, each.weight(), 0));
+                endpoint.id(),
+                endpoint.zone(),
+                endpoint.cell(),
+                EndpointState.RUNNING,
+                endpoint.weight(),
+                0));
       }
       listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
     }
@@ -97,12 +109,12 @@
     }
   }
 
-  /** The address of an endpoint, or null when it is not known. */
+  /** Returns the address of an endpoint, or null if it is unknown. */
   Address address(String endpointId) {
     return addresses.get(endpointId);
   }
 
-  /** Opens the stream, or reopens it: the discovery server begins with a snapshot. */
+  /** Opens or reopens the stream, which the discovery server starts with a snapshot. */
   void watch() {
     if (settings.address() != null && !isClosed) {
       isStarted = true;
@@ -113,7 +125,7 @@
   private void connect() {
     WatchStream previous = current;
     WatchStream stream = new WatchStream();
-    current = stream; // First, so that what resetting the previous one causes is ignored.
+    current = stream; // Set first, so that events from resetting the previous stream are ignored.
     previous.reset();
     restartIdleTimer(stream);
     httpClient
@@ -130,7 +142,7 @@
   private void onResponse(WatchStream stream, AsyncResult<HttpClientResponse> response) {
     if (current != stream) {
       if (response.succeeded()) {
-        var unused = response.result().request().reset(); // Another stream counts by now.
+        var unused = response.result().request().reset(); // Another stream has replaced this one.
       }
     } else if (response.failed()) {
       onLost(stream, response.cause().getMessage());
@@ -158,12 +170,12 @@
 
   private void onLine(WatchStream stream, Buffer line) {
     if (line.length() == 0) {
-      return; // A heartbeat.
+      return; // An empty line is a heartbeat.
     }
     try {
       EndpointWatchParser.Message message = EndpointWatchParser.parse(line.toString());
       if (!stream.hasSnapshot && message.kind() != EndpointUpdateKind.SNAPSHOT) {
-        throw new IllegalArgumentException("changes before a complete list");
+        throw new IllegalArgumentException("changes received before a complete list");
       }
       stream.hasSnapshot = true;
       backoffMicros = INITIAL_BACKOFF_MICROS;
@@ -203,7 +215,7 @@
       return;
     }
     WatchStream next = new WatchStream();
-    current = next; // First, so that what resetting the lost one causes is ignored.
+    current = next; // Set first, so that events from resetting the lost stream are ignored.
     timers.cancel(idleTimer);
     stream.reset();
     LOG.warn(
@@ -224,11 +236,11 @@
     }
   }
 
-  /** Closes the stream and the client; closing it again has no effect. */
+  /** Closes the stream and the HTTP client. Closing it again has no effect. */
   @Override
   public void close() {
     isClosed = true;
     timers.cancel(idleTimer);
-    var unused = httpClient.close(); // The process or the event loop ends with it.
+    var unused = httpClient.close(); // The process or the event loop is closing.
   }
 }
--- a/src/main/java/fawndock/gateway/EndpointWatchParser.java
+++ b/src/main/java/fawndock/gateway/EndpointWatchParser.java
@@ -14,9 +14,10 @@
 import java.util.TreeSet;
 
 /**
- * Decodes the lines of a discovery server's stream, as docs/operations.md gives their fields and
- * words, such as {@code {"list":"changes","servers":[{"id":"w1","host":"127.0.0.1",
- * "port":7001,"zone":"here","cell":0,"state":"running","weight":1,"started_us":0}]}}. Stateless.
+ * Parses the lines of a discovery server's stream, such as {@code
+ * {"list":"changes","servers":[{"id":"w1","host":"127.0.0.1",
+ * "port":7001,"zone":"here","cell":0,"state":"running","weight":1,"started_us":0}]}}.
+ * docs/operations.md specifies the fields and their values. The class is stateless.
  */
 final class EndpointWatchParser {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -27,8 +28,8 @@
   /**
    * One line of the stream.
    *
-   * @param addresses of the endpoints, by id
-   * @param duplicateIds endpoints that the line has more than once
+   * @param addresses the addresses of the endpoints, by id
+   * @param duplicateIds ids of the endpoints that the line lists more than once
    */
   record Message(
       EndpointUpdateKind kind,
@@ -39,20 +40,21 @@
   private EndpointWatchParser() {}
 
   /**
-   * Decodes a line. An endpoint that it has twice counts as the entry that is nearer to removal:
-   * nothing may go to one that is draining.
+   * Parses a line. For an endpoint that is listed more than once, the entry whose state is nearest
+   * to removal applies, since no request may be sent to a draining endpoint.
    *
-   * @throws IllegalArgumentException saying what was read and what was expected
+   * @throws IllegalArgumentException if the line is invalid; the message gives the actual and the
+   *     expected value
    */
-  static Message parse(String text) {
-    JsonNode line;
+  static Message parse(String json) {
+    JsonNode root;
     try {
-      line = JSON.readTree(text);
+      root = JSON.readTree(json);
     } catch (JsonProcessingException e) {
       throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage(), e);
     }
-    EndpointUpdateKind kind = kind(line.path("list").asText());
-    JsonNode entries = line.path("servers");
+    EndpointUpdateKind kind = kind(root.path("list").asText());
+    JsonNode entries = root.path("servers");
     if (!entries.isArray() || entries.size() > MAX_ENDPOINTS) {
       throw new IllegalArgumentException("servers is not a list of at most " + MAX_ENDPOINTS);
     }
@@ -61,11 +63,11 @@
     Set<String> duplicateIds = new TreeSet<>();
     for (JsonNode entry : entries) {
       Endpoint endpoint = endpoint(entry);
-      Endpoint before = endpoints.get(endpoint.id());
-      if (before != null) {
+      Endpoint previous = endpoints.get(endpoint.id());
+      if (previous != null) {
         duplicateIds.add(endpoint.id());
       }
-      if (before == null || endpoint.state().compareTo(before.state()) >= 0) {
+      if (previous == null || endpoint.state().compareTo(previous.state()) >= 0) {
         endpoints.put(endpoint.id(), endpoint);
         addresses.put(endpoint.id(), address(entry));
       }
@@ -73,30 +75,31 @@
     return new Message(kind, List.copyOf(endpoints.values()), addresses, duplicateIds);
   }
 
-  private static EndpointUpdateKind kind(String word) {
-    return switch (word) {
+  private static EndpointUpdateKind kind(String value) {
+    return switch (value) {
       case "complete" -> EndpointUpdateKind.SNAPSHOT;
       case "changes" -> EndpointUpdateKind.CHANGES;
       default ->
-          throw new IllegalArgumentException("list is '" + word + "', not complete or changes");
+          throw new IllegalArgumentException(
+              "list is '" + value + "', expected complete or changes");
     };
   }
 
-  private static EndpointState state(String word, String id) {
-    return switch (word) {
+  private static EndpointState state(String value, String id) {
+    return switch (value) {
       case "running" -> EndpointState.RUNNING;
       case "stopping" -> EndpointState.DRAINING;
       case "deleted" -> EndpointState.REMOVED;
       default ->
           throw new IllegalArgumentException(
-              "state of " + id + " is '" + word + "', not running, stopping or deleted");
+              "state of " + id + " is '" + value + "', expected running, stopping or deleted");
     };
   }
 
   private static Endpoint endpoint(JsonNode entry) {
     String id = entry.path("id").asText();
     if (id.isEmpty() || id.length() > MAX_ID_CHARACTERS) {
-      throw new IllegalArgumentException("a server without an id");
+      throw new IllegalArgumentException("the id of a server is missing or too long");
     }
     double weight = entry.path("weight").asDouble(1);
     return new Endpoint(
@@ -113,7 +116,7 @@
     int port = entry.path("port").asInt();
     if (host.isEmpty() || port < 1 || port > 65_535) {
       throw new IllegalArgumentException(
-          "server " + entry.path("id").asText() + " has no host and port");
+          "server " + entry.path("id").asText() + " has no valid host and port");
     }
     return new Address(host, port);
   }
