--- a/src/main/java/fawndock/gateway/AccessLog.java
+++ b/src/main/java/fawndock/gateway/AccessLog.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one line for each final answer, under the logger {@code fawndock.answers};
- * docs/operations.md lists its fields. One context.
+ * Writes one line for each final response to the logger {@code fawndock.answers};
+ * docs/operations.md lists its fields. The log is confined to one event-loop context.
  */
 final class AccessLog implements ResponseRecorder {
   private static final Logger LOG = LoggerFactory.getLogger("fawndock.answers");
@@ -36,7 +36,7 @@
           kv("plan", attributes.plan()),
           kv("customer", attributes.customer()),
           kv("attempts", request.attempts.size()),
-          kv("verdict", outcomeWord(outcome)),
+          kv("verdict", verdict(outcome)),
           kv("reason", reason),
           kv("status", status(request, outcome)),
           kv("took_us", nowMicros - attributes.arrivedAtMicros()),
@@ -44,8 +44,8 @@
     }
   }
 
-  /** The operators' word for an outcome, as docs/operations.md lists it. */
-  private static String outcomeWord(RequestOutcome outcome) {
+  /** Returns the verdict of an outcome as it is logged; docs/operations.md lists the values. */
+  private static String verdict(RequestOutcome outcome) {
     return switch (outcome) {
       case SERVED -> "served";
       case REJECTED -> "refused";
@@ -54,7 +54,9 @@
     };
   }
 
-  /** The status that the client got, 0 for none or one that was streamed. */
+  /**
+   * Returns the status that the client received, or 0 if there was no response or it was streamed.
+   */
   private static int status(InFlightRequest request, RequestOutcome outcome) {
     return switch (outcome) {
       case SERVED -> request.exchange instanceof HttpExchange http ? http.status() : 0;
@@ -64,8 +66,8 @@
     };
   }
 
-  /** A request that the gateway answered itself, without the policy. */
-  void onUncountedResponse(String label, int status, String reason) {
+  /** Logs a response that the gateway sent without passing the request to the policy. */
+  void onLocalResponse(String label, int status, String reason) {
     if (isEnabled && LOG.isInfoEnabled()) {
       LOG.info(
           "{} {} {} {} {}",
--- a/src/main/java/fawndock/gateway/BackendAttempt.java
+++ b/src/main/java/fawndock/gateway/BackendAttempt.java
@@ -12,11 +12,12 @@
 import io.vertx.core.http.RequestOptions;
 
 /**
- * One attempt at a backend over HTTP, from the pool's connection to the end of the response. One
- * context. How each end is classified is in docs/design/gateway.md.
+ * One attempt to send a request to a backend over HTTP, from opening a stream to the end of the
+ * response. docs/design/gateway.md specifies the result of each way to end. The attempt is confined
+ * to one event-loop context.
  */
 final class BackendAttempt extends InFlightAttempt {
-  /** How far an attempt has come. */
+  /** Progress of an attempt. */
   private enum Stage {
     CONNECTING,
     SENT,
@@ -24,14 +25,14 @@
     COMPLETED
   }
 
-  /** What attempts need of their gateway. */
+  /** Access to the endpoints and connections of the gateway. */
   interface Backends {
-    /** Where and how to send to an endpoint, or null when its address is unknown. */
+    /** Returns request options with an endpoint's address, or null if the address is unknown. */
     RequestOptions requestOptions(String endpointId);
 
     BackendPools backendPools();
 
-    /** Bytes of a response that are buffered before it is streamed. */
+    /** Returns the number of response body bytes above which a response is streamed. */
     int maxBufferedResponseBytes();
   }
 
@@ -83,7 +84,8 @@
   }
 
   private MultiMap headers(ForwardedRequest forwarded, long deadlineAtMicros) {
-    // The first attempt takes the fields as they are; a later one may be in flight beside it.
+    // The first attempt uses the header fields without a copy. Later attempts need a copy because
+    // an earlier one may still be in flight.
     MultiMap headers =
         index == 0 ? forwarded.headers() : HttpHeaders.headers().addAll(forwarded.headers());
     long timeoutMillis = Math.max(1, (deadlineAtMicros - runner.clock().now()) / 1_000);
@@ -122,7 +124,7 @@
       finish(result);
       response.resume();
     } else if (!request.isOpen()) {
-      response.endHandler(end -> finish(CallResult.OK));
+      response.endHandler(v -> finish(CallResult.OK));
     } else if (exchange.requestAttributes().requestClass().isStreamed()) {
       stream(response);
     } else {
@@ -139,7 +141,7 @@
           }
         });
     response.endHandler(
-        end -> {
+        v -> {
           if (stage == Stage.SENT) {
             exchange.setStatus(response.statusCode());
             runner.deliverResponse(
@@ -151,11 +153,14 @@
         });
   }
 
-  /** From here on the response is the client's: neither deadline nor cancel ends it. */
+  /**
+   * Starts to stream the response to the client. From then on neither the deadline nor a
+   * cancellation ends the attempt.
+   */
   private void stream(HttpClientResponse response) {
     if (!request.isOpen()) {
       response.handler(null);
-      response.endHandler(end -> finish(CallResult.OK));
+      response.endHandler(v -> finish(CallResult.OK));
       return;
     }
     stage = Stage.STREAMING;
@@ -210,7 +215,7 @@
   }
 
   private static void resetIgnoringResult(HttpClientRequest stream) {
-    var unused = stream.reset(CallResults.CANCEL); // The attempt has completed; nobody waits.
+    var unused = stream.reset(CallResults.CANCEL); // The attempt has already completed.
   }
 
   private void finish(CallResult result) {
--- a/src/main/java/fawndock/gateway/BackendPools.java
+++ b/src/main/java/fawndock/gateway/BackendPools.java
@@ -14,14 +14,17 @@
 import java.util.IdentityHashMap;
 
 /**
- * Connections to the backends: HTTP/2 in clear text, a pool for each backend, streams shared among
- * requests. Remembers the last stream that a connection's GOAWAY says may be processed, since that
- * alone proves which attempts never ran. One context.
+ * Connection pools to the backends, one for each backend, over cleartext HTTP/2 with multiplexed
+ * streams. It records the last stream id of each GOAWAY frame, since only that id proves which
+ * attempts the backend did not process. The pools are confined to one event-loop context.
  */
 final class BackendPools {
   private final HttpClient httpClient;
 
-  /** By connection that has sent a GOAWAY; they have no equality of their own. */
+  /**
+   * Last stream ids of the connections that received a GOAWAY; connections are compared by identity
+   * since they do not define equality.
+   */
   private final IdentityHashMap<HttpConnection, Integer> lastStreamIds = new IdentityHashMap<>();
 
   BackendPools(Vertx vertx, GatewaySettings settings) {
@@ -49,21 +52,25 @@
 
   private void onConnected(Context context, HttpConnection connection) {
     connection.goAwayHandler(goAway -> lastStreamIds.put(connection, goAway.getLastStreamId()));
-    // In a later turn: the connection's streams fail before, or in the same turn, and look it up.
+    // The entry is removed in a later turn because the connection's streams fail before the close
+    // or in the same turn, and look it up.
     connection.closeHandler(closed -> context.runOnContext(v -> lastStreamIds.remove(connection)));
   }
 
-  /** A stream to a backend, on a pooled connection. */
+  /** Opens a stream to a backend on a pooled connection. */
   Future<HttpClientRequest> request(RequestOptions options) {
     return httpClient.request(options);
   }
 
-  /** The last stream of a connection that may be processed: all of them without a GOAWAY. */
+  /**
+   * Returns the id of a connection's last stream that the backend may have processed, or MAX_VALUE
+   * without a GOAWAY.
+   */
   int lastProcessedStreamId(HttpConnection connection) {
     return lastStreamIds.getOrDefault(connection, Integer.MAX_VALUE);
   }
 
-  /** Closes all connections; closing them again has no effect. */
+  /** Closes all connections. Closing them again has no effect. */
   Future<Void> close() {
     return httpClient.close();
   }
--- a/src/main/java/fawndock/gateway/ForwardedHeaders.java
+++ b/src/main/java/fawndock/gateway/ForwardedHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Selects the header fields that are forwarded, in both directions: all but hop-by-hop ones (RFC
- * 9110, 7.6.1). Stateless.
+ * Selects the header fields of requests and responses that are forwarded: all except hop-by-hop
+ * fields (RFC 9110, section 7.6.1). The class is stateless.
  */
 final class ForwardedHeaders {
   private static final Set<String> HOP_BY_HOP =
@@ -30,9 +30,10 @@
   private ForwardedHeaders() {}
 
   /**
-   * A copy without hop-by-hop fields, those that {@code Connection} names, and the excluded ones.
+   * Returns a copy without hop-by-hop fields, fields named in {@code Connection}, and the excluded
+   * fields.
    *
-   * @param excluded in lower case
+   * @param excluded field names in lower case
    */
   static MultiMap filter(MultiMap headers, Set<String> excluded) {
     MultiMap forwarded = HttpHeaders.headers();
@@ -40,32 +41,32 @@
     return forwarded;
   }
 
-  /** Adds the fields that {@link #filter} selects to others. */
+  /** Adds the fields that {@link #filter} selects to {@code target}. */
   static void copyEndToEnd(MultiMap headers, MultiMap target, Set<String> excluded) {
-    Set<String> connectionNamed = namedByConnection(headers);
+    Set<String> connectionOptions = connectionOptions(headers);
     for (Map.Entry<String, String> field : headers) {
       String name = field.getKey().toLowerCase(Locale.ROOT);
       if (name.charAt(0) != ':'
           && !HOP_BY_HOP.contains(name)
           && !excluded.contains(name)
-          && !connectionNamed.contains(name)) {
+          && !connectionOptions.contains(name)) {
         target.add(name, field.getValue());
       }
     }
   }
 
-  private static Set<String> namedByConnection(MultiMap headers) {
-    Set<String> named = Set.of();
+  private static Set<String> connectionOptions(MultiMap headers) {
+    Set<String> options = Set.of();
     for (String value : headers.getAll("connection")) {
-      for (String each : value.split(",", 0)) {
-        String name = each.trim().toLowerCase(Locale.ROOT);
+      for (String option : value.split(",", 0)) {
+        String name = option.trim().toLowerCase(Locale.ROOT);
         if (!HOP_BY_HOP.contains(name) && !name.equals("close")) {
-          // Allocated for the rare request that names any.
-          named = named.isEmpty() ? new HashSet<>() : named;
-          named.add(name);
+          // Few requests name any field, so the set is allocated only when it is needed.
+          options = options.isEmpty() ? new HashSet<>() : options;
+          options.add(name);
         }
       }
     }
-    return named;
+    return options;
   }
 }
--- a/src/main/java/fawndock/gateway/ForwardedRequest.java
+++ b/src/main/java/fawndock/gateway/ForwardedRequest.java
@@ -5,9 +5,9 @@
 import io.vertx.core.http.HttpMethod;
 
 /**
- * What of a client's HTTP request is forwarded to a backend.
+ * The part of a client's HTTP request that is forwarded to a backend.
  *
- * @param headers without those of the connection and of the gateway
- * @param body grows until it is collected
+ * @param headers the header fields without hop-by-hop fields and those that the gateway consumes
+ * @param body the body; it grows until it is completely collected
  */
 record ForwardedRequest(HttpMethod method, String uri, MultiMap headers, Buffer body) {}
--- a/src/main/java/fawndock/gateway/GatewayServer.java
+++ b/src/main/java/fawndock/gateway/GatewayServer.java
@@ -17,9 +17,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
-/** The gateway instances of one process, started and stopped together. Any thread. */
+/**
+ * Runs the gateway instances of one process and starts and stops them together. All methods may be
+ * called from any thread, except for {@link #stopAndWait} on an event loop.
+ */
 public final class GatewayServer {
-  private static final long CLOSE_MILLIS = 5_000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
 
   private final GatewaySettings settings;
   private final Function<PolicyConfig, GatewayPolicy> policyFactory;
@@ -28,14 +31,14 @@
   private final AtomicInteger openConnections = new AtomicInteger();
   private Future<Void> stopped;
 
-  /** A server whose requests {@link DefaultGatewayPolicy} decides. */
+  /** Creates a server that uses {@link DefaultGatewayPolicy}. */
   public GatewayServer(GatewaySettings settings) {
     this(settings, DefaultGatewayPolicy::new);
   }
 
-  GatewayServer(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
+  GatewayServer(GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.settings = settings;
-    this.policyFactory = maker;
+    this.policyFactory = policyFactory;
     this.vertx =
         Vertx.vertx(
             new VertxOptions()
@@ -44,8 +47,8 @@
   }
 
   /**
-   * Starts all instances; completes with the port that clients connect to, or fails when one could
-   * not listen.
+   * Starts all instances. The future completes with the port that clients connect to, or fails if
+   * an instance could not listen.
    */
   public synchronized Future<Integer> start() {
     Future<Integer> started = Future.succeededFuture(settings.listen().port());
@@ -67,36 +70,38 @@
   }
 
   /**
-   * Starts another verticle beside the instances, on an event loop of its own; it stops with them.
+   * Deploys another verticle on a separate event loop; it is stopped together with the instances.
    */
-  public Future<String> deployVerticle(VerticleBase other) {
-    return vertx.deployVerticle(other, new DeploymentOptions());
+  public Future<String> deployVerticle(VerticleBase verticle) {
+    return vertx.deployVerticle(verticle, new DeploymentOptions());
   }
 
   /**
-   * Drains, then closes everything. Takes at most the settings' drain timeout and 5 s; calling it
-   * again gives the same future.
+   * Drains all instances, then closes them and all connections. This takes at most the configured
+   * drain timeout plus 5 s. Later calls return the same future.
    */
   public synchronized Future<Void> stop() {
     if (stopped == null) {
       stopped =
           Future.join(gateways.stream().map(GatewayVerticle::drain).toList())
-              .transform(all -> vertx.close());
+              .transform(v -> vertx.close());
     }
     return stopped;
   }
 
-  /** Stops and waits for it; not to be called on an event loop. */
+  /** Stops the server and waits until it is stopped; must not be called on an event loop. */
   public void stopAndWait() {
     try {
       stop()
           .toCompletionStage()
           .toCompletableFuture()
-          .get(settings.http().drainTimeoutMicros() / 1_000 + CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+          .get(
+              settings.http().drainTimeoutMicros() / 1_000 + CLOSE_TIMEOUT_MILLIS,
+              TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
-      var unused = vertx.close(); // The process ends without what did not stop in time.
+      var unused = vertx.close(); // The process exits without waiting any longer.
     }
   }
 }
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -27,12 +27,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One gateway instance on one event loop: the policy, the listener for clients, and the connections
- * to backends, counter, discovery and peers. A process runs one or several.
+ * One gateway instance: the policy, the listener for clients, and the connections to backends,
+ * counter, discovery server and peers. All of it runs on one event loop, except that {@link #drain}
+ * may be called from any thread. A process runs one or more instances.
  */
 public final class GatewayVerticle extends VerticleBase
     implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
-  /** The network round trip that the policy plans its deadline margins with. */
+  /** Network round-trip time that the policy assumes for its deadline margins. */
   private static final long ROUND_TRIP_MICROS = 5_000;
 
   private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 1_000;
@@ -51,12 +52,12 @@
   private EndpointWatch endpointWatch;
 
   /**
-   * An instance that is not started yet.
+   * Creates an instance that is not started yet.
    *
-   * @param instanceIndex its index in the fleet
-   * @param listenPort that of the settings, or the free one that the first instance got
-   * @param openConnections of the process, all instances together
-   * @param policyFactory makes the policy from its configuration
+   * @param instanceIndex index of the instance in the fleet
+   * @param listenPort the port from the settings, or the free port that the first instance bound
+   * @param openConnections number of open client connections of all instances of the process
+   * @param policyFactory creates the policy from its configuration
    */
   GatewayVerticle(
       GatewaySettings settings,
@@ -98,11 +99,11 @@
             new RequestHandler(settings, policyRunner, accessLog));
     Future<?> peersListening =
         peerMessenger == null ? Future.succeededFuture() : peerMessenger.start();
-    // Discovery and counter connect during the warm-up, so that the policy knows both when the
-    // first client connects.
+    // The discovery and counter connections are opened during the warm-up, so that the policy has
+    // the state of both when the first client connects.
     return peersListening
-        .compose(any -> new WarmUp(vertx, settings, policyFactory).run())
-        .compose(any -> listener.listen(listenPort))
+        .compose(v -> new WarmUp(vertx, settings, policyFactory).run())
+        .compose(v -> listener.listen(listenPort))
         .onSuccess(
             port ->
                 LOG.info(
@@ -136,8 +137,8 @@
   }
 
   /**
-   * Takes no new connections; completes when the requests in flight have their answers, or after
-   * the settings' drain timeout.
+   * Stops accepting connections. The future completes when all requests in flight have their
+   * responses, or after the configured drain timeout.
    */
   Future<Void> drain() {
     Promise<Void> drained = Promise.promise();
--- a/src/main/java/fawndock/gateway/HttpExchange.java
+++ b/src/main/java/fawndock/gateway/HttpExchange.java
@@ -12,17 +12,18 @@
 import java.util.function.Consumer;
 
 /**
- * A client's HTTP request and the one response that it gets, as docs/operations.md gives it. One
- * context.
+ * A client's HTTP request and its single response, as docs/operations.md specifies it. The exchange
+ * is confined to one event-loop context.
  */
 final class HttpExchange implements ServerExchange {
+  /** HTTP/2 error code INTERNAL_ERROR. */
   private static final int INTERNAL_ERROR = 2;
 
   private final HttpServerRequest request;
   private final RequestAttributes attributes;
   private final ForwardedRequest forwardedRequest;
 
-  /** Null when the key's plan is not there. */
+  /** Null if the plan of the API key does not exist. */
   private final Plan plan;
 
   private int status;
@@ -47,17 +48,17 @@
     return forwardedRequest;
   }
 
-  /** The status of the buffered response that is served, or 0. */
+  /** Returns the status of the buffered response that is served, or 0 if there is none. */
   int status() {
     return status;
   }
 
-  /** A buffered response is about to be served with this status. */
+  /** Sets the status of the buffered response that is about to be served. */
   void setStatus(int status) {
     this.status = status;
   }
 
-  /** Serves a backend's buffered response, unless the client has left. */
+  /** Sends a backend's buffered response, unless the client has disconnected. */
   void serve(int status, MultiMap headers, Buffer body) {
     HttpServerResponse response = request.response();
     if (response.closed()) {
@@ -74,9 +75,10 @@
   }
 
   /**
-   * Streams a response, with what came of it so far; the rest is piped at the client's pace.
+   * Streams a response to the client: sends the part that is already buffered, then pipes the rest
+   * with backpressure from the client.
    *
-   * @param endListener given null when all of it was passed on, else what failed on either side
+   * @param endListener receives null if the whole response was sent, or the failure on either side
    */
   void stream(HttpClientResponse response, Buffer buffered, Consumer<Throwable> endListener) {
     HttpServerResponse clientResponse = request.response();
@@ -93,18 +95,21 @@
         .onComplete(end -> endListener.accept(end.cause()));
   }
 
-  /** 429 with {@code Retry-After} and the fields of draft-ietf-httpapi-ratelimit-headers-10. */
+  /**
+   * Responds with status 429, {@code Retry-After} and the header fields of
+   * draft-ietf-httpapi-ratelimit-headers-10.
+   */
   @Override
   public void reject(long retryAfterMicros) {
     long retryAfterSeconds = Math.max(1, (retryAfterMicros + 999_999) / 1_000_000);
     HttpServerResponse response = request.response();
     response.putHeader("retry-after", Long.toString(retryAfterSeconds));
     if (plan != null && plan.unitsPerSecond() > 0) {
-      String policy = '"' + plan.name().replaceAll("[^ !#-\\[\\]-~]", "") + '"';
+      String policyName = '"' + plan.name().replaceAll("[^ !#-\\[\\]-~]", "") + '"';
       long quota = (long) Math.floor(plan.burstUnits());
       long windowSeconds = Math.max(1, (long) Math.ceil(plan.burstUnits() / plan.unitsPerSecond()));
-      response.putHeader("ratelimit-policy", policy + ";q=" + quota + ";w=" + windowSeconds);
-      response.putHeader("ratelimit", policy + ";r=0;t=" + retryAfterSeconds);
+      response.putHeader("ratelimit-policy", policyName + ";q=" + quota + ";w=" + windowSeconds);
+      response.putHeader("ratelimit", policyName + ";r=0;t=" + retryAfterSeconds);
     }
     new ProblemDetails(
             429,
@@ -114,7 +119,7 @@
         .respond(request);
   }
 
-  /** 502 when the last attempt failed, else 504. */
+  /** Responds with status 502 if the last attempt failed, and with 504 otherwise. */
   @Override
   public void fail(boolean hasAttemptFailure, String reason) {
     int failureStatus = hasAttemptFailure ? 502 : 504;
@@ -129,7 +134,7 @@
   @Override
   public void abort() {
     if (!request.response().ended()) {
-      var unused = request.response().reset(INTERNAL_ERROR); // The stream is over either way.
+      var unused = request.response().reset(INTERNAL_ERROR); // The stream has ended in either case.
     }
   }
 }
--- a/src/main/java/fawndock/gateway/HttpServerListener.java
+++ b/src/main/java/fawndock/gateway/HttpServerListener.java
@@ -12,14 +12,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Listens for clients, HTTP/1.1 and HTTP/2 in clear text, and closes connections beyond the
- * process's limit. One context.
+ * Listens for clients over HTTP/1.1 and cleartext HTTP/2, and closes connections above the
+ * process's limit. The listener is confined to one event-loop context.
  */
 final class HttpServerListener {
   private static final int MIN_IDLE_TIMEOUT_SECONDS = 120;
   private static final int MAX_STREAMS_PER_CONNECTION = 1_000;
 
-  /** Stream resets a connection may send in the window; cancelled requests are such resets. */
+  /**
+   * Limit on the stream resets of one connection in a window; each request that a client cancels is
+   * such a reset.
+   */
   private static final int MAX_RESETS_PER_WINDOW = 20_000;
 
   private static final int RESET_WINDOW_SECONDS = 60;
@@ -29,9 +32,9 @@
   private final HttpServer server;
 
   /**
-   * A listener that {@link #listen} starts.
+   * Creates a listener that {@link #listen} starts.
    *
-   * @param openConnections of the process, all its instances together
+   * @param openConnections number of open client connections of all instances of the process
    */
   HttpServerListener(
       Vertx vertx,
@@ -64,12 +67,12 @@
 
   private void onConnection(HttpConnection connection) {
     if (openConnections.incrementAndGet() > settings.http().maxClientConnections()) {
-      var unused = connection.close(); // Nothing is in flight on it.
+      var unused = connection.close(); // No request is in flight on it.
     }
     connection.closeHandler(closed -> openConnections.decrementAndGet());
   }
 
-  /** Listens; completes with the port. */
+  /** Starts listening; the future completes with the bound port. */
   Future<Integer> listen(int port) {
     return server.listen(port, settings.listen().host()).map(HttpServer::actualPort);
   }
@@ -78,7 +81,10 @@
     return server.actualPort();
   }
 
-  /** Takes no new connections; completes when the open ones are done, or after the time given. */
+  /**
+   * Stops accepting connections. The future completes when the open connections are done, or after
+   * the timeout.
+   */
   Future<Void> shutdown(long timeoutMillis) {
     return server.shutdown(timeoutMillis, TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/fawndock/gateway/LoadReportParser.java
+++ b/src/main/java/fawndock/gateway/LoadReportParser.java
@@ -9,53 +9,60 @@
 import java.util.Map;
 
 /**
- * Reads a load report in the {@code endpoint-load-metrics} answer header (Open Request Cost
- * Aggregation, as gRFC A51 and Envoy's ORCA have it): {@code TEXT
+ * Parses load reports in the {@code endpoint-load-metrics} response header (Open Request Cost
+ * Aggregation, ORCA, as specified by gRFC A51 and Envoy): {@code TEXT
  * cpu_utilization=0.3,rps_fractional=90,named_metrics.queue=4} or {@code JSON
- * {"cpu_utilization":0.3,"named_metrics":{"queue":4}}}. What is not known or not a finite number is
- * skipped; a report that cannot be read is none.
+ * {"cpu_utilization":0.3,"named_metrics":{"queue":4}}}. Unknown fields and values that are not
+ * finite, non-negative numbers are skipped; an unreadable report yields {@link #NONE}. The class is
+ * stateless.
  */
 final class LoadReportParser {
   static final String HEADER = "endpoint-load-metrics";
   private static final int MAX_HEADER_CHARACTERS = 4096;
   private static final int MAX_FIELDS = 64;
   private static final JsonFactory JSON = new JsonFactory();
-  private static final String COST = "request_cost.units";
+  private static final String REQUEST_UNITS = "request_cost.units";
 
-  /** The load report, and the units that the backend reports for this request, else 0. */
+  /**
+   * A parsed header.
+   *
+   * @param load the endpoint's load report
+   * @param units the units that the backend reports for this request, or 0 if it reports none
+   */
   record Report(fawndock.policy.event.LoadReport load, double units) {}
 
   static final Report NONE = new Report(fawndock.policy.event.LoadReport.NONE, 0);
 
   private LoadReportParser() {}
 
+  /** Parses a header value, which may be null. Returns {@link #NONE} if it is not readable. */
   static Report parse(String header) {
     if (header == null || header.length() > MAX_HEADER_CHARACTERS) {
       return NONE;
     }
     String text = header.trim();
-    Map<String, Double> raw = new HashMap<>();
-    String form = text.length() < 5 ? "" : text.substring(0, 5).toUpperCase(Locale.ROOT);
-    if (form.equals("TEXT ")) {
-      pairs(text.substring(5), raw);
-    } else if (form.equals("JSON ")) {
-      if (!json(text.substring(5), raw)) {
+    Map<String, Double> metrics = new HashMap<>();
+    String format = text.length() < 5 ? "" : text.substring(0, 5).toUpperCase(Locale.ROOT);
+    if (format.equals("TEXT ")) {
+      parseText(text.substring(5), metrics);
+    } else if (format.equals("JSON ")) {
+      if (!parseJson(text.substring(5), metrics)) {
         return NONE;
       }
     } else {
       return NONE;
     }
     var load = new fawndock.policy.event.LoadReport.Builder();
-    raw.forEach(
+    metrics.forEach(
         (name, value) -> {
           if (value >= 0) {
-            set(name, value, load);
+            setField(name, value, load);
           }
         });
-    return new Report(load.build(), Math.max(0, raw.getOrDefault(COST, 0.0)));
+    return new Report(load.build(), Math.max(0, metrics.getOrDefault(REQUEST_UNITS, 0.0)));
   }
 
-  private static void set(
+  private static void setField(
       String name, double value, fawndock.policy.event.LoadReport.Builder load) {
     switch (name) {
       case "cpu_utilization", "application_utilization" -> load.utilization(value);
@@ -65,37 +72,38 @@
       case "named_metrics.in_flight" -> load.inFlightRequests(value);
       case "named_metrics.recent_ms" -> load.recentMillis(value);
       default -> {
-        // Not known: skipped, as stated above.
+        // Unknown fields are skipped.
       }
     }
   }
 
-  private static void pairs(String text, Map<String, Double> raw) {
+  private static void parseText(String text, Map<String, Double> metrics) {
     for (String pair : text.split(",", MAX_FIELDS)) {
-      int sign = pair.indexOf('=') >= 0 ? pair.indexOf('=') : pair.indexOf(':');
-      if (sign > 0) {
-        put(pair.substring(0, sign).trim(), pair.substring(sign + 1).trim(), raw);
+      int separator = pair.indexOf('=') >= 0 ? pair.indexOf('=') : pair.indexOf(':');
+      if (separator > 0) {
+        putIfFinite(
+            pair.substring(0, separator).trim(), pair.substring(separator + 1).trim(), metrics);
       }
     }
   }
 
-  private static void put(String name, String number, Map<String, Double> raw) {
+  private static void putIfFinite(String name, String number, Map<String, Double> metrics) {
     try {
       double value = Double.parseDouble(number);
-      if (Double.isFinite(value) && raw.size() < MAX_FIELDS) {
-        raw.put(name, value);
+      if (Double.isFinite(value) && metrics.size() < MAX_FIELDS) {
+        metrics.put(name, value);
       }
     } catch (NumberFormatException e) {
-      // Skipped, as stated above.
+      // Values that are not numbers are skipped.
     }
   }
 
-  private static boolean json(String text, Map<String, Double> raw) {
+  private static boolean parseJson(String text, Map<String, Double> metrics) {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return false;
       }
-      String outer = "";
+      String prefix = "";
       int depth = 1;
       while (depth > 0) {
         JsonToken token = parser.nextToken();
@@ -104,14 +112,14 @@
         }
         if (token == JsonToken.START_OBJECT) {
           depth++;
-          outer = depth == 2 ? parser.currentName() + "." : outer;
+          prefix = depth == 2 ? parser.currentName() + "." : prefix;
         } else if (token == JsonToken.END_OBJECT) {
           depth--;
-          outer = depth == 1 ? "" : outer;
+          prefix = depth == 1 ? "" : prefix;
         } else if (token == JsonToken.START_ARRAY) {
           parser.skipChildren();
         } else if (token.isNumeric() && depth <= 2) {
-          put(outer + parser.currentName(), parser.getText(), raw);
+          putIfFinite(prefix + parser.currentName(), parser.getText(), metrics);
         }
       }
       return true;
--- a/src/main/java/fawndock/gateway/PeerMessenger.java
+++ b/src/main/java/fawndock/gateway/PeerMessenger.java
@@ -16,13 +16,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages among the fleet's instances: a UDP datagram {@code fd1 TO FROM TEXT} of at most 256
- * bytes in all. Nothing is sent again; what is too long to send, comes from elsewhere, is for
- * another instance or comes too fast is dropped. One context.
+ * Exchanges messages with the other instances of the fleet, each as one UDP datagram {@code fd1 TO
+ * FROM TEXT} of at most 256 bytes in total. Messages are not retransmitted. A message is dropped if
+ * it is too long, comes from an unknown instance, is addressed to another instance or exceeds the
+ * receive rate limit. The messenger is confined to one event-loop context.
  */
 final class PeerMessenger implements AutoCloseable {
   static final int MAX_DATAGRAM_BYTES = 256;
-  private static final String MAGIC = "fd1";
+  private static final String PROTOCOL_VERSION = "fd1";
   private static final Logger LOG = LoggerFactory.getLogger(PeerMessenger.class);
   private final Peers peers;
   private final int instanceIndex;
@@ -30,13 +31,16 @@
   private final Consumer<PeerMessageReceived> listener;
   private final DatagramSocket socket;
 
-  /** Messages that may be received now: a token bucket of one second's messages. */
+  /**
+   * Tokens of the receive rate limit, one for each message; the bucket holds the tokens of one
+   * second.
+   */
   private double receiveTokens;
 
   private long refilledAtMicros;
   private boolean isListening;
 
-  /** Makes a messenger that {@link #start} starts. */
+  /** Creates a messenger that {@link #start} starts. */
   PeerMessenger(
       Vertx vertx,
       Peers peers,
@@ -51,69 +55,71 @@
     this.socket = vertx.createDatagramSocket();
   }
 
-  /** Listens; completes with the port. */
+  /** Starts listening; the future completes with the bound port. */
   Future<Integer> start() {
     return socket
         .listen(peers.listen().port(), peers.listen().host())
         .map(
-            bound -> {
+            boundSocket -> {
               isListening = true;
               socket.handler(packet -> onDatagram(packet.data()));
               socket.exceptionHandler(
-                  e -> LOG.warn("peer datagram failed: reason=\"{}\"", e.getMessage()));
-              return bound.localAddress().port();
+                  error -> LOG.warn("peer datagram failed: reason=\"{}\"", error.getMessage()));
+              return boundSocket.localAddress().port();
             });
   }
 
-  /** Sends to one instance, or to all others when the index is negative. */
+  /** Sends a message to one instance, or to all others if the index is negative. */
   void send(SendPeerMessage message) {
     for (Map.Entry<Integer, Address> peer : peers.addresses().entrySet()) {
-      int to = peer.getKey();
-      boolean isAddressed = message.toInstance() < 0 || message.toInstance() == to;
-      if (to == instanceIndex || !isAddressed) {
+      int toInstance = peer.getKey();
+      boolean isAddressed = message.toInstance() < 0 || message.toInstance() == toInstance;
+      if (toInstance == instanceIndex || !isAddressed) {
         continue;
       }
-      Buffer datagram = encode(to, instanceIndex, message.text());
+      Buffer datagram = encode(toInstance, instanceIndex, message.text());
       if (datagram.length() <= MAX_DATAGRAM_BYTES && isListening) {
         var unused =
             socket.send(
                 datagram,
                 peer.getValue().port(),
-                peer.getValue().host()); // Lost messages are not sent again.
+                peer.getValue().host()); // Lost messages are not retransmitted.
       } else {
         LOG.debug("peer message not sent: bytes={}", datagram.length());
       }
     }
   }
 
-  static Buffer encode(int to, int from, String text) {
-    return Buffer.buffer(MAGIC + " " + to + " " + from + " " + text, StandardCharsets.UTF_8.name());
+  static Buffer encode(int toInstance, int fromInstance, String text) {
+    return Buffer.buffer(
+        PROTOCOL_VERSION + " " + toInstance + " " + fromInstance + " " + text,
+        StandardCharsets.UTF_8.name());
   }
 
   private void onDatagram(Buffer data) {
     long nowMicros = clock.now();
-    double refilled =
+    double tokens =
         receiveTokens + (nowMicros - refilledAtMicros) / 1e6 * peers.maxMessagesPerSecond();
-    receiveTokens = Math.min(peers.maxMessagesPerSecond(), refilled);
+    receiveTokens = Math.min(peers.maxMessagesPerSecond(), tokens);
     refilledAtMicros = nowMicros;
-    String[] words =
+    String[] fields =
         data.length() > MAX_DATAGRAM_BYTES ? new String[0] : data.toString().split(" ", 4);
-    boolean isForThis =
-        words.length == 4
-            && words[0].equals(MAGIC)
-            && words[1].equals(Integer.toString(instanceIndex))
-            && words[2].matches("[0-9]{1,4}")
-            && peers.addresses().containsKey(Integer.parseInt(words[2]));
-    if (isForThis && receiveTokens >= 1) {
+    boolean isValid =
+        fields.length == 4
+            && fields[0].equals(PROTOCOL_VERSION)
+            && fields[1].equals(Integer.toString(instanceIndex))
+            && fields[2].matches("[0-9]{1,4}")
+            && peers.addresses().containsKey(Integer.parseInt(fields[2]));
+    if (isValid && receiveTokens >= 1) {
       receiveTokens--;
-      listener.accept(new PeerMessageReceived(Integer.parseInt(words[2]), words[3]));
+      listener.accept(new PeerMessageReceived(Integer.parseInt(fields[2]), fields[3]));
     }
   }
 
-  /** Closes the socket; closing it again has no effect. */
+  /** Closes the socket. Closing it again has no effect. */
   @Override
   public void close() {
     isListening = false;
-    var unused = socket.close(); // The process or the event loop ends with it.
+    var unused = socket.close(); // The process or the event loop is closing.
   }
 }
--- a/src/main/java/fawndock/gateway/ProblemDetails.java
+++ b/src/main/java/fawndock/gateway/ProblemDetails.java
@@ -5,17 +5,17 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * An answer of the gateway's own, with problem details as its body (RFC 9457).
+ * A response that the gateway generates itself, with problem details (RFC 9457) as its body.
  *
- * @param status the HTTP status
- * @param type the last word of the problem's type
- * @param title what kind of problem it is, the same each time
- * @param detail what it is this time
+ * @param status the HTTP status code
+ * @param type the last segment of the problem type URI
+ * @param title a summary of the problem type, the same for every occurrence
+ * @param detail an explanation of this occurrence
  */
 record ProblemDetails(int status, String type, String title, String detail) {
   private static final String TYPE_PREFIX = "urn:fawndock:problem:";
 
-  /** Sends it, unless the request has its response or its client has left. */
+  /** Sends the response, unless one has already been sent or the client has disconnected. */
   void respond(HttpServerRequest request) {
     HttpServerResponse response = request.response();
     if (response.ended() || response.closed()) {
--- a/src/main/java/fawndock/gateway/ProblemException.java
+++ b/src/main/java/fawndock/gateway/ProblemException.java
@@ -1,6 +1,9 @@
 package fawndock.gateway;
 
-/** A request that the gateway answers itself, with {@link ProblemDetails}, and never counts. */
+/**
+ * Thrown for an invalid request, which the gateway answers with {@link ProblemDetails}; such a
+ * request does not reach the policy and uses no quota.
+ */
 final class ProblemException extends RuntimeException {
   private static final long serialVersionUID = 1;
   private final transient ProblemDetails details;
@@ -9,7 +12,10 @@
     this(new ProblemDetails(status, type, title, detail));
   }
 
-  /** Without a stack trace: it is an answer to a client, not a fault of the program. */
+  /**
+   * Creates an exception without a stack trace, since it stands for a response to a client and not
+   * for an error in the program.
+   */
   ProblemException(ProblemDetails details) {
     super(details.detail(), null, false, false);
     this.details = details;
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -35,34 +35,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Quota decisions for work that the caller does itself, such as calls of the gRPC rate limit
- * service. It has a policy of its own, with endpoints that stand for the callers, so that many
- * calls take no concurrency from forwarded requests; the counts are the same, by the same names on
- * the same counter. One context.
+ * Quota decisions for requests that the caller processes itself, such as those of the gRPC rate
+ * limit service. It runs a separate policy with virtual endpoints, so that many calls do not reduce
+ * the concurrency of forwarded requests; both use the same counter names on the same counter and
+ * thus share the quotas. The service is confined to one event-loop context.
  */
 public final class QuotaService implements AutoCloseable {
-  /** How a request for quota ended. */
+  /** Result of a request for quota. */
   public enum Decision {
     ALLOWED,
     REJECTED,
     UNDECIDED
   }
 
-  /** Receives a decision, once, unless the request was cancelled before. */
+  /** Receives the decision on a request exactly once, unless the request is cancelled first. */
   public interface DecisionListener {
     /**
      * Called on the context of the service.
      *
-     * @param retryAfterMicros after which a rejected caller may ask again, else 0
+     * @param retryAfterMicros delay after which a rejected caller may retry, or 0
      */
     void onDecision(Decision decision, long retryAfterMicros);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(QuotaService.class);
-  private static final int CALLER_COUNT = 64;
+  private static final int VIRTUAL_ENDPOINT_COUNT = 64;
   private static final long ROUND_TRIP_MICROS = 5_000;
 
-  /** Units that a refunded request is settled with; the policy takes 0 for units not told. */
+  /** Units that a refunded request is settled with; the policy treats 0 as units not reported. */
   private static final double REFUNDED_UNITS = 1e-9;
 
   private final MicroClock clock = new MicroClock();
@@ -70,18 +70,18 @@
   private final CounterClient counterClient;
   private final PolicyEventQueue eventQueue;
   private final int instanceCount;
-  private final Map<Long, DecisionListener> undecided = new HashMap<>();
+  private final Map<Long, DecisionListener> pendingListeners = new HashMap<>();
 
-  /** Endpoint id of each request that is allowed and neither committed nor refunded. */
-  private final Map<Long, String> allowed = new HashMap<>();
+  /** Virtual endpoint ids of the requests that are allowed and not yet committed or refunded. */
+  private final Map<Long, String> allowedEndpointIds = new HashMap<>();
 
   private long nextRequestId = 1;
 
   /**
-   * Connects to the counter; everything happens on the context given.
+   * Creates the service and starts connecting to the counter. All work runs on the given context.
    *
-   * @param instanceIndex its index in the fleet
-   * @param policyFactory makes the policy from its configuration
+   * @param instanceIndex index of the gateway instance in the fleet
+   * @param policyFactory creates the policy from its configuration
    */
   public QuotaService(
       Vertx vertx,
@@ -96,11 +96,11 @@
             policyFactory.apply(policyConfig(settings, instanceIndex)), clock, this::execute, LOG);
     counterClient =
         new CounterClient(vertx, context, settings.counter(), clock, timers, this::submit);
-    List<Endpoint> callers = new ArrayList<>();
-    for (int i = 0; i < CALLER_COUNT; i++) {
-      callers.add(new Endpoint("caller-" + i, "", 0, EndpointState.RUNNING, 1, 0));
+    List<Endpoint> virtualEndpoints = new ArrayList<>();
+    for (int i = 0; i < VIRTUAL_ENDPOINT_COUNT; i++) {
+      virtualEndpoints.add(new Endpoint("caller-" + i, "", 0, EndpointState.RUNNING, 1, 0));
     }
-    submit(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, callers));
+    submit(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, virtualEndpoints));
   }
 
   private static PolicyConfig policyConfig(GatewaySettings settings, int instanceIndex) {
@@ -120,11 +120,11 @@
   }
 
   /**
-   * Requests units of a customer's quota. What is allowed is charged from then on, and is to be
-   * ended by {@link #commit} or {@link #refund}.
+   * Requests units of a customer's quota. If the request is allowed, the units are charged, and the
+   * caller must end the request with {@link #commit} or {@link #refund}.
    *
-   * @param timeoutMicros in which the caller wants the decision
-   * @return the request's id
+   * @param timeoutMicros time within which the decision is made; after it the request is undecided
+   * @return the id of the request
    */
   public long request(
       String requestClass,
@@ -134,9 +134,9 @@
       long timeoutMicros,
       DecisionListener listener) {
     long id = nextRequestId++;
-    undecided.put(id, listener);
-    // A backstop, should the policy fail to decide in time.
-    timers.schedule(timeoutMicros, () -> decide(id, Decision.UNDECIDED, 0));
+    pendingListeners.put(id, listener);
+    // This ensures a decision even if the policy does not decide in time.
+    timers.schedule(timeoutMicros, () -> deliverDecision(id, Decision.UNDECIDED, 0));
     long deadlineAtMicros = clock.now() + timeoutMicros;
     submit(
         new RequestArrived(
@@ -144,34 +144,34 @@
     return id;
   }
 
-  /** The caller has left: no decision is given, and nothing is charged. */
+  /** Cancels a request: no decision is delivered, and nothing is charged. */
   public void cancel(long id) {
-    if (undecided.remove(id) != null) {
+    if (pendingListeners.remove(id) != null) {
       submit(new ClientDisconnected(id));
     }
     refund(id);
   }
 
-  /** The allowed work is done: its units stay charged. */
+  /** Ends an allowed request whose work is done; its units stay charged. */
   public void commit(long id, double units) {
     settle(id, units);
   }
 
-  /** The allowed work is not done: its units are given back. */
+  /** Ends an allowed request whose work is not done; its units are refunded. */
   public void refund(long id) {
     settle(id, REFUNDED_UNITS);
   }
 
   private void settle(long id, double units) {
-    String endpointId = allowed.remove(id);
+    String endpointId = allowedEndpointIds.remove(id);
     if (endpointId != null) {
       submit(
           new AttemptCompleted(id, 0, endpointId, 1, CallResult.OK, true, units, LoadReport.NONE));
     }
   }
 
-  private void decide(long id, Decision decision, long retryAfterMicros) {
-    DecisionListener listener = undecided.remove(id);
+  private void deliverDecision(long id, Decision decision, long retryAfterMicros) {
+    DecisionListener listener = pendingListeners.remove(id);
     if (listener != null) {
       listener.onDecision(decision, retryAfterMicros);
     }
@@ -182,25 +182,25 @@
   }
 
   private void execute(PolicyAction action) {
-    if (action instanceof StartAttempt a) {
-      allowed.put(a.requestId(), a.endpointId());
-      if (undecided.containsKey(a.requestId())) {
-        decide(a.requestId(), Decision.ALLOWED, 0);
+    if (action instanceof StartAttempt start) {
+      allowedEndpointIds.put(start.requestId(), start.endpointId());
+      if (pendingListeners.containsKey(start.requestId())) {
+        deliverDecision(start.requestId(), Decision.ALLOWED, 0);
       } else {
-        refund(a.requestId());
+        refund(start.requestId());
       }
-    } else if (action instanceof RejectRequest a) {
-      decide(a.requestId(), Decision.REJECTED, a.retryAfterMicros());
-    } else if (action instanceof FailRequest a) {
-      decide(a.requestId(), Decision.UNDECIDED, 0);
-    } else if (action instanceof AddToCounter a) {
-      counterClient.add(a);
-    } else if (action instanceof ScheduleTimer a) {
-      timers.schedule(a.delayMicros(), () -> submit(new TimerFired(a.timer())));
+    } else if (action instanceof RejectRequest rejection) {
+      deliverDecision(rejection.requestId(), Decision.REJECTED, rejection.retryAfterMicros());
+    } else if (action instanceof FailRequest failure) {
+      deliverDecision(failure.requestId(), Decision.UNDECIDED, 0);
+    } else if (action instanceof AddToCounter addition) {
+      counterClient.add(addition);
+    } else if (action instanceof ScheduleTimer schedule) {
+      timers.schedule(schedule.delayMicros(), () -> submit(new TimerFired(schedule.timer())));
     }
   }
 
-  /** Closes its connections and timers; closing it again has no effect. */
+  /** Closes the counter connections and the timers. Closing it again has no effect. */
   @Override
   public void close() {
     counterClient.close();
--- a/src/main/java/fawndock/gateway/RequestBodyCollector.java
+++ b/src/main/java/fawndock/gateway/RequestBodyCollector.java
@@ -9,8 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Collects the body of one request, which a retry may need again, up to a size and a time. Ends at
- * most once: complete, as a problem, or not at all when the client disconnects. One context.
+ * Buffers the body of one request, so that a retry can send it again, up to a maximum size and a
+ * deadline. It calls at most one of its callbacks: completion, a problem, or neither if the client
+ * disconnects. The collector is confined to one event-loop context.
  */
 final class RequestBodyCollector {
   private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
@@ -23,9 +24,9 @@
   private boolean isEnded;
 
   /**
-   * A collector that {@link #start} starts.
+   * Creates a collector that {@link #start} starts.
    *
-   * @param body that chunks are added to
+   * @param body buffer that the chunks are appended to
    */
   RequestBodyCollector(
       HttpServerRequest request,
@@ -41,9 +42,9 @@
   }
 
   /**
-   * Collects until the deadline.
+   * Starts to collect the body, until the deadline at the latest.
    *
-   * @throws ProblemException at once, for a stated length that is too large or cannot be read
+   * @throws ProblemException if the Content-Length is too large or invalid
    */
   void start(long deadlineAtMicros, MicroClock clock, Timers timers) {
     String length = request.getHeader("content-length");
@@ -54,11 +55,12 @@
     if (length == null
         && request.version() != HttpVersion.HTTP_2
         && !request.headers().contains("transfer-encoding")) {
-      onComplete.run(); // No body can come (RFC 9112, 6.3).
+      onComplete.run(); // The request has no body (RFC 9112, section 6.3).
       return;
     }
     Timers.Timer timeout =
-        timers.schedule(deadlineAtMicros - clock.now(), () -> end(() -> onProblem.accept(slow())));
+        timers.schedule(
+            deadlineAtMicros - clock.now(), () -> end(() -> onProblem.accept(bodyTimeout())));
     request.exceptionHandler(
         e -> {
           isEnded = true;
@@ -73,20 +75,21 @@
           }
         });
     request.endHandler(
-        end -> {
+        v -> {
           timers.cancel(timeout);
           end(onComplete);
         });
   }
 
-  private void end(Runnable how) {
+  /** Calls the callback unless the collector has already ended. */
+  private void end(Runnable callback) {
     if (!isEnded) {
       isEnded = true;
-      how.run();
+      callback.run();
     }
   }
 
-  private static ProblemDetails slow() {
+  private static ProblemDetails bodyTimeout() {
     return new ProblemDetails(408, "slow", "Body came too late", "The time given ran out.");
   }
 
--- a/src/main/java/fawndock/gateway/RequestHandler.java
+++ b/src/main/java/fawndock/gateway/RequestHandler.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * Takes in clients' HTTP requests: gives each to the {@link PolicyRunner} once head and body are
- * read. What cannot be read is answered here and never counted. One context.
+ * Handles clients' HTTP requests: passes each one to the {@link PolicyRunner} once its head and
+ * body are read. An invalid request is answered here; it does not reach the policy and uses no
+ * quota. The handler is confined to one event-loop context.
  */
 final class RequestHandler {
   private final GatewaySettings settings;
@@ -26,8 +27,11 @@
     settings.plans().forEach(plan -> plans.put(plan.name(), plan));
   }
 
-  /** The client's side of a request, which knows its id once the policy runner has given one. */
-  private final class ClientConnection {
+  /**
+   * Reports a client's disconnect to the policy runner, by the request id, which is set once the
+   * policy runner has assigned it.
+   */
+  private final class DisconnectHandler {
     private long requestId = -1;
 
     void onDisconnected() {
@@ -35,6 +39,7 @@
     }
   }
 
+  /** Reads a request, then passes it to the policy runner or responds with a problem. */
   void handle(HttpServerRequest request) {
     long arrivedAtMicros = policyRunner.clock().now();
     try {
@@ -59,12 +64,13 @@
           new ProblemDetails(503, "open", "Too many open requests", "Trying again is harmless."));
       return;
     }
-    ClientConnection client = new ClientConnection();
-    // Set before the policy runs: it may answer at once, and the client may have left by then.
-    request.response().closeHandler(closed -> client.onDisconnected());
-    request.response().exceptionHandler(e -> client.onDisconnected());
-    request.exceptionHandler(e -> client.onDisconnected());
-    client.requestId =
+    DisconnectHandler disconnectHandler = new DisconnectHandler();
+    // The handlers are set before the policy runs because the policy may respond immediately, and
+    // the client may have disconnected by then.
+    request.response().closeHandler(closed -> disconnectHandler.onDisconnected());
+    request.response().exceptionHandler(e -> disconnectHandler.onDisconnected());
+    request.exceptionHandler(e -> disconnectHandler.onDisconnected());
+    disconnectHandler.requestId =
         policyRunner.onRequest(
             new HttpExchange(
                 request, head.attributes(), head.forwarded(), plans.get(head.attributes().plan())));
@@ -72,7 +78,7 @@
 
   private void respond(HttpServerRequest request, ProblemDetails problem) {
     String label = request.getHeader("x-request-id");
-    accessLog.onUncountedResponse(label == null ? "" : label, problem.status(), problem.type());
+    accessLog.onLocalResponse(label == null ? "" : label, problem.status(), problem.type());
     if (problem.status() == 413 || problem.status() == 408) {
       request.response().putHeader("connection", "close");
     }
--- a/src/main/java/fawndock/gateway/RequestReader.java
+++ b/src/main/java/fawndock/gateway/RequestReader.java
@@ -18,30 +18,31 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the head of a client's HTTP request: method and path give the class, the key gives customer
- * and plan, a header field gives the time that the client still waits. Header names are in
- * docs/operations.md. One context.
+ * Parses the head of a client's HTTP request: the method and path determine the request class, the
+ * API key determines the customer and plan, and a header field gives the client's remaining
+ * timeout. docs/operations.md lists the header names. The reader is confined to one event-loop
+ * context.
  */
 final class RequestReader {
   private static final Pattern STRUCTURED_STRING =
       Pattern.compile("\"(?:[ !#-\\[\\]-~]|\\\\[\"\\\\]){1,255}\"");
-  private static final Pattern DOT_SEGMENT =
+  private static final Pattern AMBIGUOUS_PATH =
       Pattern.compile("(?i)(^|/)(\\.|%2e){1,2}(/|$)|%2f|%5c|\\\\");
   private static final Pattern POSITIVE_INTEGER = Pattern.compile("0*[1-9][0-9]{0,8}");
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,6})?");
   private static final int MAX_LABEL_CHARACTERS = 64;
 
   /**
-   * A request head that was read.
+   * A parsed request head.
    *
-   * @param forwarded its body is empty and collected later
+   * @param forwarded the request to forward; its body is empty until it is collected
    */
   record RequestHead(RequestAttributes attributes, ForwardedRequest forwarded) {}
 
   private final GatewaySettings settings;
   private final Map<String, RequestClass> classes = new HashMap<>();
 
-  /** Header fields that are not forwarded, in lower case. */
+  /** Lower-case names of the header fields that are consumed here and not forwarded. */
   private final Set<String> gatewayHeaders = new HashSet<>();
 
   RequestReader(GatewaySettings settings) {
@@ -54,22 +55,22 @@
             "content-length")) {
       gatewayHeaders.add(name.toLowerCase(Locale.ROOT));
     }
-    settings.classes().forEach(c -> classes.put(c.name(), c));
+    settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
   }
 
   /**
-   * Reads a request's head.
+   * Parses a request's head.
    *
-   * @throws ProblemException when the gateway is to answer it itself
+   * @throws ProblemException if the request is invalid; the gateway then sends the response itself
    */
   RequestHead read(HttpServerRequest request, long arrivedAtMicros) {
     String path = request.path();
-    if (path == null || DOT_SEGMENT.matcher(path).find()) {
+    if (path == null || AMBIGUOUS_PATH.matcher(path).find()) {
       throw new ProblemException(
           400, "path", "Path cannot be read", "Send it without dot segments.");
     }
     ApiKey apiKey = apiKey(request);
-    RequestClass requestClass = classes.get(route(request, path).requestClass());
+    RequestClass requestClass = classes.get(findRoute(request, path).requestClass());
     checkIdempotencyKey(request, requestClass);
     long timeoutMicros = timeoutMicros(request, requestClass);
     boolean isRetry = positiveInteger(request, settings.http().attemptHeader(), 1) > 1;
@@ -110,10 +111,10 @@
     return apiKey;
   }
 
-  private Route route(HttpServerRequest request, String path) {
-    for (Route each : settings.routes()) {
-      if (each.matches(request.method().name(), path)) {
-        return each;
+  private Route findRoute(HttpServerRequest request, String path) {
+    for (Route route : settings.routes()) {
+      if (route.matches(request.method().name(), path)) {
+        return route;
       }
     }
     throw new ProblemException(
@@ -167,10 +168,10 @@
         name + " is a number above 0 and at most " + settings.http().maxUnits() + ".");
   }
 
-  private static long positiveInteger(HttpServerRequest request, String name, long otherwise) {
+  private static long positiveInteger(HttpServerRequest request, String name, long defaultValue) {
     String text = name.isEmpty() ? null : singleHeader(request, name);
     if (text == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!POSITIVE_INTEGER.matcher(text).matches()) {
       throw new ProblemException(
--- a/src/main/java/fawndock/gateway/WarmUp.java
+++ b/src/main/java/fawndock/gateway/WarmUp.java
@@ -29,32 +29,33 @@
 import java.util.function.Function;
 
 /**
- * Sends requests through a temporary gateway to a temporary endpoint, all in this process, before
- * the first client is accepted. Without it the first clients wait about 350 ms for classes to load.
- * Delays the start by its time limit at most; calls neither discovery, counter nor real endpoints.
- * Confined to one event loop.
+ * Sends requests through a temporary gateway to a temporary endpoint in the same process before the
+ * listener accepts clients. Without the warm-up the first clients wait about 350 ms for class
+ * loading. It delays the start by at most its timeout and uses no discovery server, counter or real
+ * endpoint. It is confined to one event loop.
  */
 final class WarmUp implements PolicyRunner.GatewayConnections, BackendAttempt.Backends {
-  private static final int REQUESTS = 200;
-  private static final int AT_ONCE = 10;
-  private static final long LIMIT_MILLIS = 3_000;
-  private static final String KEY = "warm-up";
+  private static final int REQUEST_COUNT = 200;
+  private static final int BATCH_SIZE = 10;
+  private static final long TIMEOUT_MILLIS = 3_000;
+  private static final String WARM_UP_NAME = "warm-up";
   private final Vertx vertx;
   private final GatewaySettings settings;
-  private final Function<PolicyConfig, GatewayPolicy> maker;
-  private int workerPort;
-  private BackendPools pools;
-  private PolicyRunner host;
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
+  private int backendPort;
+  private BackendPools backendPools;
+  private PolicyRunner policyRunner;
 
-  WarmUp(Vertx vertx, GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> maker) {
+  WarmUp(
+      Vertx vertx, GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.vertx = vertx;
     this.settings = settings;
-    this.maker = maker;
+    this.policyFactory = policyFactory;
   }
 
-  /** Runs the warm-up; the future never fails. */
+  /** Runs the warm-up. The future never fails. */
   Future<Void> run() {
-    GatewaySettings own =
+    GatewaySettings warmUpSettings =
         new GatewaySettings(
             settings.listen(),
             1,
@@ -64,7 +65,7 @@
             settings.zone(),
             settings.classes(),
             settings.plans(),
-            Map.of(KEY, new GatewaySettings.ApiKey(KEY, KEY, 0, 1)),
+            Map.of(WARM_UP_NAME, new GatewaySettings.ApiKey(WARM_UP_NAME, WARM_UP_NAME, 0, 1)),
             settings.routes(),
             settings.limits(),
             settings.rules(),
@@ -75,24 +76,24 @@
             settings.log(),
             settings.rateLimit());
     Timers timers = new Timers(vertx);
-    pools = new BackendPools(vertx, own);
-    AccessLog silent = new AccessLog(-1, false);
-    host = new PolicyRunner(new MicroClock(), timers, this, 1, 1, silent);
-    host.setPolicy(
-        maker.apply(
+    backendPools = new BackendPools(vertx, warmUpSettings);
+    AccessLog disabledAccessLog = new AccessLog(-1, false);
+    policyRunner = new PolicyRunner(new MicroClock(), timers, this, 1, 1, disabledAccessLog);
+    policyRunner.setPolicy(
+        policyFactory.apply(
             new PolicyConfig(
                 0,
                 1,
                 1,
                 5_000,
-                own.zone(),
+                warmUpSettings.zone(),
                 false,
-                own.classes(),
-                own.plans(),
-                own.limits(),
-                own.rules(),
+                warmUpSettings.classes(),
+                warmUpSettings.plans(),
+                warmUpSettings.limits(),
+                warmUpSettings.rules(),
                 new CounterConfig(false, 50_000, false))));
-    HttpServer worker =
+    HttpServer backend =
         vertx
             .createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(true))
             .requestHandler(
@@ -101,59 +102,72 @@
                         .response()
                         .putHeader(LoadReportParser.HEADER, "TEXT cpu_utilization=0")
                         .end());
-    HttpServer front =
-        vertx.createHttpServer().requestHandler(new RequestHandler(own, host, silent)::handle);
+    HttpServer gateway =
+        vertx
+            .createHttpServer()
+            .requestHandler(
+                new RequestHandler(warmUpSettings, policyRunner, disabledAccessLog)::handle);
     HttpClient client = vertx.createHttpClient();
-    WarmUpProgress progress = new WarmUpProgress(vertx, REQUESTS, LIMIT_MILLIS);
-    worker
+    WarmUpProgress progress = new WarmUpProgress(vertx, REQUEST_COUNT, TIMEOUT_MILLIS);
+    backend
         .listen(0, "127.0.0.1")
         .compose(
-            w -> {
-              workerPort = w.actualPort();
-              host.onEvent(
+            server -> {
+              backendPort = server.actualPort();
+              policyRunner.onEvent(
                   new EndpointUpdate(
                       EndpointUpdateKind.SNAPSHOT,
-                      List.of(new Endpoint(KEY, own.zone(), 0, EndpointState.RUNNING, 1, 0))));
-              return front.listen(0, "127.0.0.1");
+                      List.of(
+                          new Endpoint(
+                              WARM_UP_NAME,
+                              warmUpSettings.zone(),
+                              0,
+                              EndpointState.RUNNING,
+                              1,
+                              0))));
+              return gateway.listen(0, "127.0.0.1");
             })
-        .onSuccess(f -> send(client, f.actualPort(), REQUESTS, progress))
+        .onSuccess(server -> send(client, server.actualPort(), REQUEST_COUNT, progress))
         .onFailure(e -> progress.complete());
     return progress
         .completion()
         .onComplete(
             v -> {
               client.close();
-              front.close();
-              worker.close();
-              pools.close();
-              vertx.setTimer(LIMIT_MILLIS, id -> timers.close());
+              gateway.close();
+              backend.close();
+              backendPools.close();
+              vertx.setTimer(TIMEOUT_MILLIS, id -> timers.close());
             });
   }
 
-  private void send(HttpClient client, int port, int left, WarmUpProgress progress) {
-    if (left <= 0 || progress.isComplete()) {
+  private void send(HttpClient client, int port, int remaining, WarmUpProgress progress) {
+    if (remaining <= 0 || progress.isComplete()) {
       progress.complete();
       return;
     }
     GatewaySettings.Route route = settings.routes().get(0);
+    // The last batch has an unknown API key and receives error responses.
     RequestOptions options =
         new RequestOptions()
             .setHost("127.0.0.1")
             .setPort(port)
             .setMethod(HttpMethod.valueOf(route.method().equals("*") ? "GET" : route.method()))
             .setURI(route.prefix())
-            .putHeader(settings.http().keyHeader(), left > AT_ONCE ? KEY : "nobody")
+            .putHeader(
+                settings.http().keyHeader(), remaining > BATCH_SIZE ? WARM_UP_NAME : "nobody")
             .putHeader("idempotency-key", "\"warm-up\"");
-    Future<?>[] all = new Future<?>[AT_ONCE];
-    for (int i = 0; i < AT_ONCE; i++) {
-      all[i] =
+    Future<?>[] responses = new Future<?>[BATCH_SIZE];
+    for (int i = 0; i < BATCH_SIZE; i++) {
+      responses[i] =
           client
               .request(options)
-              .compose(r -> r.send())
-              .compose(answer -> answer.body())
-              .timeout(LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+              .compose(request -> request.send())
+              .compose(response -> response.body())
+              .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
-    Future.join(List.of(all)).onComplete(v -> send(client, port, left - AT_ONCE, progress));
+    Future.join(List.of(responses))
+        .onComplete(v -> send(client, port, remaining - BATCH_SIZE, progress));
   }
 
   @Override
@@ -178,12 +192,12 @@
 
   @Override
   public RequestOptions requestOptions(String endpointId) {
-    return new RequestOptions().setHost("127.0.0.1").setPort(workerPort);
+    return new RequestOptions().setHost("127.0.0.1").setPort(backendPort);
   }
 
   @Override
   public InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId) {
-    return new BackendAttempt(host, request, index, endpointId, this);
+    return new BackendAttempt(policyRunner, request, index, endpointId, this);
   }
 
   @Override
@@ -193,7 +207,7 @@
 
   @Override
   public BackendPools backendPools() {
-    return pools;
+    return backendPools;
   }
 
   @Override
