--- a/src/test/java/fawndock/gateway/BackendAttemptTest.java
+++ b/src/test/java/fawndock/gateway/BackendAttemptTest.java
@@ -22,54 +22,63 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Each line of the table of attempt results in docs/design/gateway.md, on sockets. */
+/** Tests each row of the table of attempt results in docs/design/gateway.md, over sockets. */
 class BackendAttemptTest {
   @Test
   void noConnection_isConnectFailed() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
-      GatewayHarness.await(s.backend.close());
-      assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.CONNECT_FAILED, s.policy.await(AttemptCompleted.class).result());
+    try (GatewayHarness gateway = new GatewayHarness(request -> request.response().end())) {
+      GatewayHarness.await(gateway.backend.close());
+      assertEquals(502, gateway.get("/lookup").statusCode());
+      assertEquals(
+          CallResult.CONNECT_FAILED, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void refusedStream_isShed() throws Exception {
-    try (GatewayHarness s =
-        new GatewayHarness(r -> r.response().reset(CallResults.REFUSED_STREAM))) {
-      assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.SHED, s.policy.await(AttemptCompleted.class).result());
+    try (GatewayHarness gateway =
+        new GatewayHarness(request -> request.response().reset(CallResults.REFUSED_STREAM))) {
+      assertEquals(502, gateway.get("/lookup").statusCode());
+      assertEquals(CallResult.SHED, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void goAway_shedsStreamsAboveItsLastAndLeavesTheOthers() throws Exception {
-    List<HttpServerRequest> held = new ArrayList<>();
-    try (GatewayHarness s =
+    List<HttpServerRequest> heldRequests = new ArrayList<>();
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> {
-              held.add(r);
-              if (held.size() == 2) {
-                r.connection().goAway(0, Math.min(held.get(0).streamId(), held.get(1).streamId()));
-                HttpServerRequest below =
-                    held.get(0).streamId() < held.get(1).streamId() ? held.get(0) : held.get(1);
-                below.response().end("below");
+            request -> {
+              heldRequests.add(request);
+              if (heldRequests.size() == 2) {
+                request
+                    .connection()
+                    .goAway(
+                        0,
+                        Math.min(heldRequests.get(0).streamId(), heldRequests.get(1).streamId()));
+                HttpServerRequest requestBelowLast =
+                    heldRequests.get(0).streamId() < heldRequests.get(1).streamId()
+                        ? heldRequests.get(0)
+                        : heldRequests.get(1);
+                requestBelowLast.response().end("below");
               }
             },
             "pool connections 1")) {
-      CompletableFuture<HttpResponse<String>> one = s.send(s.to("/lookup"));
-      s.policy.await(RequestArrived.class);
-      CompletableFuture<HttpResponse<String>> two = s.send(s.to("/lookup"));
+      CompletableFuture<HttpResponse<String>> firstResponse =
+          gateway.send(gateway.requestTo("/lookup"));
+      gateway.policy.await(RequestArrived.class);
+      CompletableFuture<HttpResponse<String>> secondResponse =
+          gateway.send(gateway.requestTo("/lookup"));
       List<Integer> statuses =
           new ArrayList<>(
               List.of(
-                  one.get(20, TimeUnit.SECONDS).statusCode(),
-                  two.get(20, TimeUnit.SECONDS).statusCode()));
+                  firstResponse.get(20, TimeUnit.SECONDS).statusCode(),
+                  secondResponse.get(20, TimeUnit.SECONDS).statusCode()));
       statuses.sort(null);
       assertEquals(List.of(200, 502), statuses);
       assertEquals(
           List.of(CallResult.OK, CallResult.SHED),
-          s.policy.all(AttemptCompleted.class).stream()
+          gateway.policy.eventsOf(AttemptCompleted.class).stream()
               .map(AttemptCompleted::result)
               .sorted()
               .toList());
@@ -78,120 +87,124 @@
 
   @Test
   void connectionLostAfterGoAway_isResetForStreamsBelowItsLast() throws Exception {
-    try (GatewayHarness s =
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> {
-              r.connection().goAway(0, r.streamId());
-              r.connection().close();
+            request -> {
+              request.connection().goAway(0, request.streamId());
+              request.connection().close();
             })) {
-      assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
+      assertEquals(502, gateway.get("/lookup").statusCode());
+      assertEquals(CallResult.RESET, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void streamResetWithAnotherCode_isReset() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().reset(2))) {
-      assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
+    try (GatewayHarness gateway = new GatewayHarness(request -> request.response().reset(2))) {
+      assertEquals(502, gateway.get("/lookup").statusCode());
+      assertEquals(CallResult.RESET, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
-  void responseThatBreaksHalfway_isResetAndNotServed() throws Exception {
-    try (GatewayHarness s =
+  void responseResetHalfway_isResetAndNotServed() throws Exception {
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r ->
-                r.response()
+            request ->
+                request
+                    .response()
                     .setChunked(true)
                     .write("half")
-                    .onSuccess(v -> r.response().reset(2)))) {
-      assertEquals(502, s.get("/lookup").statusCode());
-      assertEquals(CallResult.RESET, s.policy.await(AttemptCompleted.class).result());
+                    .onSuccess(v -> request.response().reset(2)))) {
+      assertEquals(502, gateway.get("/lookup").statusCode());
+      assertEquals(CallResult.RESET, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
   void status5xx_isError() throws Exception {
-    try (GatewayHarness s =
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r ->
-                r.response()
+            request ->
+                request
+                    .response()
                     .setStatusCode(503)
                     .putHeader("endpoint-load-metrics", "TEXT cpu_utilization=0.5")
                     .end())) {
-      HttpResponse<String> answer = s.get("/lookup");
-      assertEquals(502, answer.statusCode());
+      HttpResponse<String> response = gateway.get("/lookup");
+      assertEquals(502, response.statusCode());
       assertEquals(
-          "application/problem+json", answer.headers().firstValue("content-type").orElse(""));
-      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
-      assertEquals(CallResult.ERROR, outcome.result());
-      assertEquals(0.5, outcome.load().utilization());
+          "application/problem+json", response.headers().firstValue("content-type").orElse(""));
+      AttemptCompleted completed = gateway.policy.await(AttemptCompleted.class);
+      assertEquals(CallResult.ERROR, completed.result());
+      assertEquals(0.5, completed.load().utilization());
     }
   }
 
   @Test
   void statusBelow500_isServed() throws Exception {
-    try (GatewayHarness s =
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> r.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
-      HttpResponse<String> answer = s.get("/lookup");
-      assertEquals(404, answer.statusCode());
-      assertEquals("none", answer.body());
-      assertEquals("1", answer.headers().firstValue("x-own").orElse(""));
-      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
-      assertEquals(CallResult.OK, outcome.result());
-      assertTrue(outcome.isFinal());
+            request -> request.response().setStatusCode(404).putHeader("x-own", "1").end("none"))) {
+      HttpResponse<String> response = gateway.get("/lookup");
+      assertEquals(404, response.statusCode());
+      assertEquals("none", response.body());
+      assertEquals("1", response.headers().firstValue("x-own").orElse(""));
+      AttemptCompleted completed = gateway.policy.await(AttemptCompleted.class);
+      assertEquals(CallResult.OK, completed.result());
+      assertTrue(completed.isFinal());
     }
   }
 
-  /** Also a backend that answers after the attempt was abandoned: nobody gets that answer. */
+  /** A response that arrives after the attempt timed out is dropped. */
   @Test
-  void noResponseByTheDeadline_isTimeoutAndALateOneIsDropped() throws Exception {
-    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+  void noResponseByTheDeadline_isTimeoutAndALateResponseIsDropped() throws Exception {
+    CompletableFuture<HttpServerRequest> heldRequest = new CompletableFuture<>();
     CountDownLatch reset = new CountDownLatch(1);
-    try (GatewayHarness s =
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> {
-              r.response().exceptionHandler(e -> reset.countDown());
-              held.complete(r);
+            request -> {
+              request.response().exceptionHandler(error -> reset.countDown());
+              heldRequest.complete(request);
             })) {
-      s.policy.respondWith(
-          (now, e) ->
-              e instanceof RequestArrived r
-                  ? List.of(new StartAttempt(r.requestId(), "w", now + 1_500_000))
-                  : ScriptedPolicy.forwardOnce(now, e));
-      HttpResponse<String> answer = s.get("/lookup");
-      assertEquals(504, answer.statusCode());
-      assertEquals(CallResult.TIMEOUT, s.policy.await(AttemptCompleted.class).result());
-      assertTrue(reset.await(20, TimeUnit.SECONDS), "the worker is told that nobody waits");
-      held.get().response().end("late");
-      assertEquals(1, s.policy.all(AttemptCompleted.class).size());
+      gateway.policy.respondWith(
+          (nowMicros, event) ->
+              event instanceof RequestArrived arrived
+                  ? List.of(new StartAttempt(arrived.requestId(), "w", nowMicros + 1_500_000))
+                  : ScriptedPolicy.forwardOnce(nowMicros, event));
+      HttpResponse<String> response = gateway.get("/lookup");
+      assertEquals(504, response.statusCode());
+      assertEquals(CallResult.TIMEOUT, gateway.policy.await(AttemptCompleted.class).result());
+      assertTrue(reset.await(20, TimeUnit.SECONDS), "the stream to the backend was not reset");
+      heldRequest.get().response().end("late");
+      assertEquals(1, gateway.policy.eventsOf(AttemptCompleted.class).size());
     }
   }
 
   @Test
   void cancel_resetsTheStream() throws Exception {
     CountDownLatch reset = new CountDownLatch(1);
-    try (GatewayHarness s =
-        new GatewayHarness(r -> r.response().exceptionHandler(e -> reset.countDown()))) {
-      s.policy.respondWith(
-          (now, e) -> {
-            if (e instanceof RequestArrived r) {
+    try (GatewayHarness gateway =
+        new GatewayHarness(
+            request -> request.response().exceptionHandler(error -> reset.countDown()))) {
+      gateway.policy.respondWith(
+          (nowMicros, event) -> {
+            if (event instanceof RequestArrived arrived) {
               return List.of(
-                  new StartAttempt(r.requestId(), "w", 0),
-                  new ScheduleTimer(100_000, new PolicyTimer.AnswerDeadline(r.requestId())));
+                  new StartAttempt(arrived.requestId(), "w", 0),
+                  new ScheduleTimer(100_000, new PolicyTimer.AnswerDeadline(arrived.requestId())));
             }
-            return e instanceof TimerFired w
-                    && w.timer() instanceof PolicyTimer.AnswerDeadline deadline
+            return event instanceof TimerFired fired
+                    && fired.timer() instanceof PolicyTimer.AnswerDeadline deadline
                 ? List.of(
                     new CancelAttempt(deadline.requestId(), 0),
                     new FailRequest(deadline.requestId()))
                 : List.of();
           });
-      assertEquals(504, s.get("/lookup").statusCode());
-      CallResult result = s.policy.await(AttemptCompleted.class).result();
-      // Sent or not by then, it ends once; what was sent may have run.
+      assertEquals(504, gateway.get("/lookup").statusCode());
+      CallResult result = gateway.policy.await(AttemptCompleted.class).result();
+      // Whether it was sent by then or not, the attempt completes once; a request that was sent may
+      // have been processed.
       assertTrue(
           (result == CallResult.CANCELLED && reset.await(20, TimeUnit.SECONDS))
               || result == CallResult.NOT_SENT);
@@ -199,81 +212,86 @@
   }
 
   /**
-   * The loop is held until the backend's answer is there and the time-out is due: exactly one of
-   * them counts.
+   * Guards against two results of one attempt: the event loop is blocked until the response has
+   * arrived and the timeout has expired, and exactly one of them takes effect.
    */
   @Test
   void responseAndTimeoutInOneTurn_completeTheAttemptOnce() throws Exception {
-    CountDownLatch answered = new CountDownLatch(1);
-    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    try (GatewayHarness s = new GatewayHarness(held::complete)) {
-      long[] due = {0};
-      s.policy.respondWith(
-          (now, e) -> {
-            if (e instanceof RequestArrived r) {
-              due[0] = System.nanoTime() + 1_500_000_000;
+    CountDownLatch responseSent = new CountDownLatch(1);
+    CompletableFuture<HttpServerRequest> heldRequest = new CompletableFuture<>();
+    try (GatewayHarness gateway = new GatewayHarness(heldRequest::complete)) {
+      long[] deadlineNanos = {0};
+      gateway.policy.respondWith(
+          (nowMicros, event) -> {
+            if (event instanceof RequestArrived arrived) {
+              deadlineNanos[0] = System.nanoTime() + 1_500_000_000;
               return List.of(
-                  new StartAttempt(r.requestId(), "w", now + 1_500_000),
+                  new StartAttempt(arrived.requestId(), "w", nowMicros + 1_500_000),
                   new ScheduleTimer(10_000, new PolicyTimer.UnknownTimer("hold")));
             }
-            if (e instanceof TimerFired && !held.isDone()) {
+            if (event instanceof TimerFired && !heldRequest.isDone()) {
               return List.of(new ScheduleTimer(10_000, new PolicyTimer.UnknownTimer("hold")));
             }
-            if (e instanceof TimerFired) {
+            if (event instanceof TimerFired) {
               try {
-                held.get(20, TimeUnit.SECONDS)
+                heldRequest
+                    .get(20, TimeUnit.SECONDS)
                     .response()
                     .end("in time")
-                    .onComplete(v -> answered.countDown());
-                answered.await(20, TimeUnit.SECONDS);
-                TimeUnit.NANOSECONDS.sleep(Math.max(0, due[0] + 20_000_000 - System.nanoTime()));
-              } catch (Exception interrupted) {
-                throw new IllegalStateException(interrupted);
+                    .onComplete(v -> responseSent.countDown());
+                responseSent.await(20, TimeUnit.SECONDS);
+                TimeUnit.NANOSECONDS.sleep(
+                    Math.max(0, deadlineNanos[0] + 20_000_000 - System.nanoTime()));
+              } catch (Exception exception) {
+                throw new IllegalStateException(exception);
               }
             }
             return ScriptedPolicy.forwardOnce(
-                now,
-                e instanceof TimerFired ? new TimerFired(new PolicyTimer.UnknownTimer("")) : e);
+                nowMicros,
+                event instanceof TimerFired
+                    ? new TimerFired(new PolicyTimer.UnknownTimer(""))
+                    : event);
           });
-      HttpResponse<String> answer = s.get("/lookup");
-      AttemptCompleted outcome = s.policy.await(AttemptCompleted.class);
-      assertEquals(outcome.result() == CallResult.OK ? 200 : 504, answer.statusCode());
-      assertEquals(1, s.policy.all(AttemptCompleted.class).size());
+      HttpResponse<String> response = gateway.get("/lookup");
+      AttemptCompleted completed = gateway.policy.await(AttemptCompleted.class);
+      assertEquals(completed.result() == CallResult.OK ? 200 : 504, response.statusCode());
+      assertEquals(1, gateway.policy.eventsOf(AttemptCompleted.class).size());
     }
   }
 
   @Test
   void streamedResponse_hasNoDeadlineOnceStarted() throws Exception {
-    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    try (GatewayHarness s =
+    CompletableFuture<HttpServerRequest> heldRequest = new CompletableFuture<>();
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> {
-              r.response().setChunked(true).write("first ");
-              held.complete(r);
+            request -> {
+              request.response().setChunked(true).write("first ");
+              heldRequest.complete(request);
             })) {
-      s.policy.respondWith(
-          (now, e) ->
-              e instanceof RequestArrived r
+      gateway.policy.respondWith(
+          (nowMicros, event) ->
+              event instanceof RequestArrived arrived
                   ? List.of(
-                      new StartAttempt(r.requestId(), "w", now + 2_000_000),
+                      new StartAttempt(arrived.requestId(), "w", nowMicros + 2_000_000),
                       new ScheduleTimer(2_100_000, new PolicyTimer.UnknownTimer("after")))
                   : List.of());
-      CompletableFuture<HttpResponse<String>> answer = s.send(s.to("/stream"));
-      s.policy.await(ResponseStarted.class);
-      s.policy.await(TimerFired.class); // The time of the attempt is over by now.
-      assertEquals(0, s.policy.all(AttemptCompleted.class).size());
-      held.get().response().end("last");
-      assertEquals("first last", answer.get(20, TimeUnit.SECONDS).body());
-      assertEquals(CallResult.OK, s.policy.await(AttemptCompleted.class).result());
+      CompletableFuture<HttpResponse<String>> response = gateway.send(gateway.requestTo("/stream"));
+      gateway.policy.await(ResponseStarted.class);
+      gateway.policy.await(TimerFired.class); // The deadline of the attempt has passed by now.
+      assertEquals(0, gateway.policy.eventsOf(AttemptCompleted.class).size());
+      heldRequest.get().response().end("last");
+      assertEquals("first last", response.get(20, TimeUnit.SECONDS).body());
+      assertEquals(CallResult.OK, gateway.policy.await(AttemptCompleted.class).result());
     }
   }
 
   @Test
-  void responseBeyondTheBuffer_isStreamed() throws Exception {
-    try (GatewayHarness s =
-        new GatewayHarness(r -> r.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
-      assertEquals(100_000, s.get("/lookup").body().length());
-      s.policy.await(ResponseStarted.class);
+  void responseAboveTheBufferLimit_isStreamed() throws Exception {
+    try (GatewayHarness gateway =
+        new GatewayHarness(
+            request -> request.response().end("x".repeat(100_000)), "sizes answer 10KiB")) {
+      assertEquals(100_000, gateway.get("/lookup").body().length());
+      gateway.policy.await(ResponseStarted.class);
     }
   }
 }
--- a/src/test/java/fawndock/gateway/CounterClientTest.java
+++ b/src/test/java/fawndock/gateway/CounterClientTest.java
@@ -33,6 +33,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import redis.clients.jedis.Jedis;
 
+/** Tests the counter client against a fake server and real counter servers. */
 class CounterClientTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
@@ -55,7 +56,7 @@
     counter.close();
   }
 
-  private void connect(long timeoutMicros, int most) throws Exception {
+  private void connect(long timeoutMicros, int maxCallsInFlight) throws Exception {
     context.runOnContext(
         v ->
             client =
@@ -67,19 +68,19 @@
                         nodes,
                         timeoutMicros,
                         false,
-                        most),
+                        maxCallsInFlight),
                     new MicroClock(),
                     new Timers(vertx),
                     replies::add));
-    while (true) { // Until the connection is there: each probe is told exactly once.
-      count("probe", 0);
-      if (next().result() == CallResult.OK) {
+    while (true) { // Probes until the connection is open; each probe has exactly one reply.
+      add("probe", 0);
+      if (nextReply().result() == CallResult.OK) {
         return;
       }
     }
   }
 
-  private void count(String name, double... amounts) {
+  private void add(String name, double... amounts) {
     context.runOnContext(
         v -> {
           for (double amount : amounts) {
@@ -88,116 +89,131 @@
         });
   }
 
-  private CounterReply next() throws InterruptedException {
-    CounterReply next = replies.poll(20, TimeUnit.SECONDS);
-    assertTrue(next != null, "a call was never told");
-    return next;
+  private CounterReply nextReply() throws InterruptedException {
+    CounterReply reply = replies.poll(20, TimeUnit.SECONDS);
+    assertTrue(reply != null, "a call had no reply within 20 s");
+    return reply;
   }
 
   @Test
-  void totals_comeInTheOrderOfTheCalls() throws Exception {
+  void totals_arriveInCallOrder() throws Exception {
     connect(20_000_000, 4_096);
-    count("n", 1, 0.5, -1);
-    assertEquals(List.of(1.0, 1.5, 0.5), List.of(next().total(), next().total(), next().total()));
+    add("n", 1, 0.5, -1);
+    assertEquals(
+        List.of(1.0, 1.5, 0.5),
+        List.of(nextReply().total(), nextReply().total(), nextReply().total()));
   }
 
-  /** Add, expiry and total are one command where the server knows it. */
+  /**
+   * Adding, setting the expiry and reading the total take one command if the server supports it.
+   */
   @Test
-  void ownCounter_isCalledWithOneCommand(@TempDir Path directory) throws Exception {
-    try (FileStorage disk = new FileStorage(directory, true)) {
-      CounterServer own =
-          ownCounter(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
-      port = own.start(bytes -> {});
+  void addCommand_isUsedWhenTheServerSupportsIt(@TempDir Path directory) throws Exception {
+    try (FileStorage storage = new FileStorage(directory, true)) {
+      CounterServer counterServer =
+          createCounterServer(
+              storage, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
+      port = counterServer.start(bytes -> {});
       connect(20_000_000, 4_096);
-      count("n", 1, 0.1, -0.1);
-      assertEquals(List.of(1.0, 1.1, 1.0), List.of(next().total(), next().total(), next().total()));
-      try (Jedis asked = new Jedis("127.0.0.1", port)) {
-        long before = commands(asked);
-        count("n", 1, 1, 1);
-        assertEquals(4, List.of(next(), next(), next()).get(2).total());
-        assertEquals(before + 4, commands(asked), "and one INFO");
-        assertTrue(asked.pttl("n") > 50_000 && asked.pttl("n") <= 60_000);
+      add("n", 1, 0.1, -0.1);
+      assertEquals(
+          List.of(1.0, 1.1, 1.0),
+          List.of(nextReply().total(), nextReply().total(), nextReply().total()));
+      try (Jedis jedis = new Jedis("127.0.0.1", port)) {
+        long commandsBefore = processedCommandCount(jedis);
+        add("n", 1, 1, 1);
+        assertEquals(4, List.of(nextReply(), nextReply(), nextReply()).get(2).total());
+        assertEquals(
+            commandsBefore + 4,
+            processedCommandCount(jedis),
+            "one command for each call, and one INFO command");
+        assertTrue(jedis.pttl("n") > 50_000 && jedis.pttl("n") <= 60_000);
       } finally {
-        own.close();
+        counterServer.close();
       }
     }
   }
 
-  /** Of nodes that stand in for each other, those that say nothing cost no call its answer. */
+  /**
+   * Guards against calls without a reply when two of three replicas accept connections but never
+   * respond.
+   */
   @Test
-  void unresponsiveNodes_costNoCallItsReply(@TempDir Path directory) throws Exception {
-    try (FileStorage disk = new FileStorage(directory, true);
-        ServerSocket one = new ServerSocket(0);
-        ServerSocket two = new ServerSocket(0)) {
-      CounterServer own =
-          ownCounter(disk, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
+  void unresponsiveNodes_doNotPreventReplies(@TempDir Path directory) throws Exception {
+    try (FileStorage storage = new FileStorage(directory, true);
+        ServerSocket firstSilentNode = new ServerSocket(0);
+        ServerSocket secondSilentNode = new ServerSocket(0)) {
+      CounterServer counterServer =
+          createCounterServer(
+              storage, directory, new CounterSettings.Cluster("", 1, 150, 2_000, Map.of()));
       nodes =
           Map.of(
               "n0",
-              new Address("127.0.0.1", one.getLocalPort()),
+              new Address("127.0.0.1", firstSilentNode.getLocalPort()),
               "n1",
-              new Address("127.0.0.1", own.start(bytes -> {})),
+              new Address("127.0.0.1", counterServer.start(bytes -> {})),
               "n2",
-              new Address("127.0.0.1", two.getLocalPort()));
+              new Address("127.0.0.1", secondSilentNode.getLocalPort()));
       try {
         connect(3_000_000, 4_096);
-        for (int i = 0; i < 6; i++) { // Each name has an order of its own.
-          count("name-" + i + ".1", 2, -1);
-          double first = next().total(); // With the second in it when it was asked again elsewhere.
-          assertTrue(first == 2 || first == 1, "total " + first);
-          assertEquals(1.0, next().total());
+        for (int i = 0; i < 6; i++) { // Replies are ordered separately for each name.
+          add("name-" + i + ".1", 2, -1);
+          // The total includes the second amount if the call was retried on another node.
+          double firstTotal = nextReply().total();
+          assertTrue(firstTotal == 2 || firstTotal == 1, "total " + firstTotal);
+          assertEquals(1.0, nextReply().total());
         }
       } finally {
-        own.close();
+        counterServer.close();
       }
     }
   }
 
   /**
-   * A gateway learns of a new list from a node that is off it, and puts its own part back where it
-   * goes.
+   * A gateway learns of a new membership list from a node that is not on it, and restores its own
+   * contribution to the counters on the new node.
    */
   @Test
   void newMembershipList_isAdopted(@TempDir Path directory) throws Exception {
-    try (FileStorage old = new FileStorage(directory.resolve("old"), true);
-        FileStorage fresh = new FileStorage(directory.resolve("fresh"), true)) {
-      CounterServer off =
-          ownCounter(
-              old,
+    try (FileStorage removedStorage = new FileStorage(directory.resolve("old"), true);
+        FileStorage newStorage = new FileStorage(directory.resolve("fresh"), true)) {
+      CounterServer removedNode =
+          createCounterServer(
+              removedStorage,
               directory.resolve("old"),
               new CounterSettings.Cluster("n0", 1, 150, 200, Map.of()));
-      int offPort = off.start(bytes -> {});
-      CounterServer on =
-          ownCounter(
-              fresh,
+      int removedPort = removedNode.start(bytes -> {});
+      CounterServer newNode =
+          createCounterServer(
+              newStorage,
               directory.resolve("fresh"),
               new CounterSettings.Cluster(
-                  "n1", 1, 150, 200, Map.of("n0", new Address("127.0.0.1", offPort))));
-      int onPort = on.start(bytes -> {});
-      nodes = Map.of("n0", new Address("127.0.0.1", offPort));
-      try (Jedis operator = new Jedis("127.0.0.1", offPort)) {
+                  "n1", 1, 150, 200, Map.of("n0", new Address("127.0.0.1", removedPort))));
+      int newPort = newNode.start(bytes -> {});
+      nodes = Map.of("n0", new Address("127.0.0.1", removedPort));
+      try (Jedis operator = new Jedis("127.0.0.1", removedPort)) {
         connect(3_000_000, 4_096);
-        count("a.1", 5);
-        assertEquals(5, next().total());
+        add("a.1", 5);
+        assertEquals(5, nextReply().total());
         operator.sendCommand(
-            () -> "FD.NODES".getBytes(StandardCharsets.US_ASCII), "2", "n1=127.0.0.1:" + onPort);
-        CounterReply counted;
+            () -> "FD.NODES".getBytes(StandardCharsets.US_ASCII), "2", "n1=127.0.0.1:" + newPort);
+        CounterReply reply;
         do {
-          count("a.1", 0);
-          counted = next();
-        } while (counted.result() != CallResult.OK); // The old one answers no more.
-        assertEquals(5, counted.total());
-        off.close();
-        count("a.1", 1);
-        assertEquals(6, next().total());
+          add("a.1", 0);
+          reply = nextReply();
+        } while (reply.result() != CallResult.OK); // The removed node no longer responds.
+        assertEquals(5, reply.total());
+        removedNode.close();
+        add("a.1", 1);
+        assertEquals(6, nextReply().total());
       } finally {
-        on.close();
+        newNode.close();
       }
     }
   }
 
-  private static CounterServer ownCounter(
-      FileStorage disk, Path directory, CounterSettings.Cluster fleet) {
+  private static CounterServer createCounterServer(
+      FileStorage storage, Path directory, CounterSettings.Cluster cluster) {
     return new CounterServer(
         new CounterSettings(
             new Address("127.0.0.1", 0),
@@ -210,75 +226,79 @@
             1 << 20,
             10_000,
             new LogSettings(false, "warn"),
-            fleet),
-        disk);
+            cluster),
+        storage);
   }
 
-  private static long commands(Jedis asked) {
-    return Long.parseLong(asked.info("stats").replaceAll("(?s).*processed:([0-9]+).*", "$1"));
+  private static long processedCommandCount(Jedis jedis) {
+    return Long.parseLong(jedis.info("stats").replaceAll("(?s).*processed:([0-9]+).*", "$1"));
   }
 
-  /** The answer to a call that timed out comes while another call of the same name is out. */
+  /**
+   * Guards against delivering the reply of a timed-out call to a later call with the same name that
+   * is in flight when the reply arrives.
+   */
   @Test
-  void lateTotal_isNotGivenToAnotherCall() throws Exception {
+  void lateTotal_isNotDeliveredToAnotherCall() throws Exception {
     connect(2_000_000, 4_096);
     counter.setDelayMillis(2_600);
-    count("n", 100);
-    assertEquals(CallResult.TIMEOUT, next().result());
+    add("n", 100);
+    assertEquals(CallResult.TIMEOUT, nextReply().result());
     counter.setDelayMillis(0);
-    count("n", 1);
-    CounterReply second = next();
-    assertEquals(CallResult.OK, second.result());
-    assertEquals(101, second.total());
+    add("n", 1);
+    CounterReply secondReply = nextReply();
+    assertEquals(CallResult.OK, secondReply.result());
+    assertEquals(101, secondReply.total());
     assertTrue(replies.isEmpty());
   }
 
   /**
-   * A connection that is open and silent is given up, and calls are answered again on a new one.
+   * Guards against a half-open connection, on which no reply ever arrives: it is replaced, and
+   * later calls succeed on the new one.
    */
   @Test
   void halfOpenConnection_isReplaced() throws Exception {
     connect(20_000, 4_096);
     counter.setUnresponsive(true);
-    double[] many = new double[30];
-    count("n", many);
-    for (int i = 0; i < many.length; i++) {
-      assertEquals(CallResult.TIMEOUT, next().result());
+    double[] amounts = new double[30];
+    add("n", amounts);
+    for (int i = 0; i < amounts.length; i++) {
+      assertEquals(CallResult.TIMEOUT, nextReply().result());
     }
     counter.setUnresponsive(false);
-    List<CallResult> ends = new ArrayList<>();
-    while (!ends.contains(CallResult.OK)) {
-      count("after", 1);
-      ends.add(next().result());
+    List<CallResult> results = new ArrayList<>();
+    while (!results.contains(CallResult.OK)) {
+      add("after", 1);
+      results.add(nextReply().result());
     }
-    assertTrue(ends.size() > 1 || ends.get(0) == CallResult.OK);
+    assertTrue(results.size() > 1 || results.get(0) == CallResult.OK);
   }
 
   @Test
   void errorReply_isShedAndLostConnectionIsTimeout() throws Exception {
     connect(20_000_000, 4_096);
     counter.setRejecting(true);
-    count("n", 5);
-    assertEquals(CallResult.SHED, next().result());
+    add("n", 5);
+    assertEquals(CallResult.SHED, nextReply().result());
     counter.setRejecting(false);
     counter.setUnresponsive(true);
-    long calls = counter.addCount();
-    count("n", 7);
-    GatewayHarness.awaitTrue(
-        () -> counter.addCount() > calls); // It has reached the counter, so it is out.
+    long addCountBefore = counter.addCount();
+    add("n", 7);
+    // Once the call has reached the counter, it is in flight.
+    GatewayHarness.awaitTrue(() -> counter.addCount() > addCountBefore);
     counter.stop();
-    assertEquals(CallResult.TIMEOUT, next().result());
-    count("n", 1);
-    assertEquals(CallResult.CONNECT_FAILED, next().result());
+    assertEquals(CallResult.TIMEOUT, nextReply().result());
+    add("n", 1);
+    assertEquals(CallResult.CONNECT_FAILED, nextReply().result());
   }
 
-  /** One call too many is turned away, but told after the older call of its name. */
+  /** A call above the limit is shed, but completes after the older call with the same name. */
   @Test
-  void callBeyondTheLimit_completesAfterOlderCallsOfItsName() throws Exception {
+  void callAboveTheLimit_completesAfterOlderCallsOfItsName() throws Exception {
     connect(5_000_000, 1);
     counter.setDelayMillis(60);
-    count("n", 1, 1);
-    assertEquals(CallResult.OK, next().result());
-    assertEquals(CallResult.SHED, next().result());
+    add("n", 1, 1);
+    assertEquals(CallResult.OK, nextReply().result());
+    assertEquals(CallResult.SHED, nextReply().result());
   }
 }
--- a/src/test/java/fawndock/gateway/EndpointWatchTest.java
+++ b/src/test/java/fawndock/gateway/EndpointWatchTest.java
@@ -11,28 +11,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the parsing of discovery messages and the recovery of the watch. */
 class EndpointWatchTest {
   private static String entry(String id, String state) {
     return "{\"id\":\"" + id + "\",\"host\":\"127.0.0.1\",\"port\":1,\"state\":\"" + state + "\"}";
   }
 
   @Test
-  void endpointListedTwice_countsAsTheEntryNearerToRemoval() {
-    for (String order :
+  void endpointListedTwice_hasTheStateNearestToRemoval() {
+    for (String entries :
         List.of(
             entry("w", "stopping") + "," + entry("w", "running"),
             entry("w", "running") + "," + entry("w", "stopping"))) {
-      EndpointWatchParser.Message line =
-          EndpointWatchParser.parse("{\"list\":\"complete\",\"servers\":[" + order + "]}");
-      assertEquals(1, line.endpoints().size());
-      assertEquals(EndpointState.DRAINING, line.endpoints().get(0).state());
-      assertEquals(1, line.duplicateIds().size());
+      EndpointWatchParser.Message message =
+          EndpointWatchParser.parse("{\"list\":\"complete\",\"servers\":[" + entries + "]}");
+      assertEquals(1, message.endpoints().size());
+      assertEquals(EndpointState.DRAINING, message.endpoints().get(0).state());
+      assertEquals(1, message.duplicateIds().size());
     }
   }
 
   @Test
-  void unreadableLine_isRejected() {
-    for (String bad :
+  void invalidLine_isRejected() {
+    for (String invalidLine :
         List.of(
             "{",
             "{}",
@@ -40,75 +41,86 @@
             "{\"list\":\"complete\"}",
             "{\"list\":\"complete\",\"servers\":[{\"id\":\"w\",\"state\":\"running\"}]}",
             "{\"list\":\"complete\",\"servers\":[" + entry("w", "sleeping") + "]}")) {
-      assertThrows(IllegalArgumentException.class, () -> EndpointWatchParser.parse(bad), bad);
+      assertThrows(
+          IllegalArgumentException.class,
+          () -> EndpointWatchParser.parse(invalidLine),
+          invalidLine);
     }
   }
 
   /**
-   * A stream that does not begin with everything may hide servers that drain: it is given up, not
-   * followed.
+   * Guards against missing draining endpoints: a stream that does not start with a snapshot may
+   * omit them, so it is reopened.
    */
   @Test
   void streamThatBeginsWithChanges_isReopened() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
-    int[] connections = {0};
+    int[] connectionCount = {0};
     int port =
         GatewayHarness.await(
                 vertx
                     .createHttpServer()
                     .requestHandler(
-                        r ->
-                            r.response()
+                        request ->
+                            request
+                                .response()
                                 .setChunked(true)
                                 .write(
                                     "{\"list\":\""
-                                        + (connections[0]++ == 0 ? "changes" : "complete")
+                                        + (connectionCount[0]++ == 0 ? "changes" : "complete")
                                         + "\",\"servers\":["
                                         + entry("w", "running")
                                         + "]}\n"))
                     .listen(0, "127.0.0.1"))
             .actualPort();
-    try (GatewayHarness s =
-        new GatewayHarness(r -> r.response().end(), "roster 127.0.0.1:" + port)) {
-      assertEquals(EndpointUpdateKind.SNAPSHOT, s.policy.await(EndpointUpdate.class).kind());
+    try (GatewayHarness gateway =
+        new GatewayHarness(request -> request.response().end(), "roster 127.0.0.1:" + port)) {
+      assertEquals(EndpointUpdateKind.SNAPSHOT, gateway.policy.await(EndpointUpdate.class).kind());
     }
     GatewayHarness.await(vertx.close());
   }
 
-  /** Cut off, back, nobody listed, nonsense: the gateway is never told that the fleet is empty. */
+  /**
+   * Guards against an empty list of endpoints after a reconnect, an empty snapshot or an unreadable
+   * line of the discovery server.
+   */
   @Test
   void lostOrEmptyList_neverRemovesAllEndpoints() throws Exception {
     io.vertx.core.Vertx vertx = io.vertx.core.Vertx.vertx();
-    FakeEndpointFeed roster = new FakeEndpointFeed(vertx, new TraceRecorder());
-    roster.publish(
+    FakeEndpointFeed discoveryServer = new FakeEndpointFeed(vertx, new TraceRecorder());
+    discoveryServer.publish(
         new FakeEndpointFeed.EndpointEntry("a", 1, "", 0, "running", 0),
         new FakeEndpointFeed.EndpointEntry("b", 2, "", 0, "running", 0));
-    int port = GatewayHarness.await(roster.listen(0));
-    try (GatewayHarness s =
-        new GatewayHarness(r -> r.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
-      s.policy.await(
+    int port = GatewayHarness.await(discoveryServer.listen(0));
+    try (GatewayHarness gateway =
+        new GatewayHarness(
+            request -> request.response().end(), "roster 127.0.0.1:" + port + " silence 3s")) {
+      gateway.policy.await(
           EndpointUpdate.class,
-          e -> e.kind() == EndpointUpdateKind.SNAPSHOT && e.endpoints().size() == 2);
-      roster.setDisconnected(true);
-      roster.setDisconnected(false);
-      GatewayHarness.awaitTrue(
-          () -> complete(s) >= 2); // It connects again and has the complete list once more.
-      roster.publishRaw("{\"list\":\"complete\",\"servers\":[]}");
-      s.policy.await(EndpointUpdate.class, e -> e.kind() == EndpointUpdateKind.FAILED);
-      roster.publishRaw("nonsense");
-      GatewayHarness.awaitTrue(() -> complete(s) >= 3);
+          update -> update.kind() == EndpointUpdateKind.SNAPSHOT && update.endpoints().size() == 2);
+      discoveryServer.setDisconnected(true);
+      discoveryServer.setDisconnected(false);
+      // The watch reconnects and receives another snapshot.
+      GatewayHarness.awaitTrue(() -> snapshotCount(gateway) >= 2);
+      discoveryServer.publishRaw("{\"list\":\"complete\",\"servers\":[]}");
+      gateway.policy.await(
+          EndpointUpdate.class, update -> update.kind() == EndpointUpdateKind.FAILED);
+      discoveryServer.publishRaw("nonsense");
+      GatewayHarness.awaitTrue(() -> snapshotCount(gateway) >= 3);
       assertEquals(
           0,
-          s.policy.all(EndpointUpdate.class).stream()
-              .filter(e -> e.kind() != EndpointUpdateKind.FAILED && e.endpoints().isEmpty())
+          gateway.policy.eventsOf(EndpointUpdate.class).stream()
+              .filter(
+                  update ->
+                      update.kind() != EndpointUpdateKind.FAILED && update.endpoints().isEmpty())
               .count());
     }
     GatewayHarness.await(vertx.close());
   }
 
-  private static long complete(GatewayHarness s) {
-    return s.policy.all(EndpointUpdate.class).stream()
-        .filter(e -> e.kind() == EndpointUpdateKind.SNAPSHOT)
+  private static long snapshotCount(GatewayHarness gateway) {
+    return gateway.policy.eventsOf(EndpointUpdate.class).stream()
+        .filter(update -> update.kind() == EndpointUpdateKind.SNAPSHOT)
         .count();
   }
 }
--- a/src/test/java/fawndock/gateway/GatewayHarness.java
+++ b/src/test/java/fawndock/gateway/GatewayHarness.java
@@ -19,24 +19,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A gateway with a scripted policy and one backend, on free loopback ports. */
+/** A gateway with a scripted policy and one backend, on free loopback ports, for tests. */
 final class GatewayHarness implements AutoCloseable {
   final Vertx vertx = Vertx.vertx();
   final ScriptedPolicy policy = new ScriptedPolicy();
-  final HttpClient http = HttpClient.newHttpClient();
+  final HttpClient httpClient = HttpClient.newHttpClient();
   GatewayServer server;
   HttpServer backend;
   int port;
 
-  GatewayHarness(Handler<HttpServerRequest> worker, String... lines) throws Exception {
+  /** Starts the backend and the gateway; the lines are added to the default settings. */
+  GatewayHarness(Handler<HttpServerRequest> backendHandler, String... settingsLines)
+      throws Exception {
     this.backend =
         vertx
             .createHttpServer(
                 new HttpServerOptions()
                     .setHttp2ClearTextEnabled(true)
                     .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(20_000)))
-            .requestHandler(worker);
-    int workerPort = await(this.backend.listen(0, "127.0.0.1")).actualPort();
+            .requestHandler(backendHandler);
+    int backendPort = await(this.backend.listen(0, "127.0.0.1")).actualPort();
     Path file = Files.createTempFile("fawndock", ".conf");
     Files.writeString(
         file,
@@ -51,48 +53,50 @@
                 plan basic rate 2 store 8
                 key k1 customer one plan basic
                 """
-            + (String.join(" ", lines).contains("stop ") ? "" : "stop 1s\n")
-            + String.join("\n", lines)
-            + (String.join("", lines).contains("roster")
+            + (String.join(" ", settingsLines).contains("stop ") ? "" : "stop 1s\n")
+            + String.join("\n", settingsLines)
+            + (String.join("", settingsLines).contains("roster")
                 ? ""
-                : "\nserver w 127.0.0.1:" + workerPort)
+                : "\nserver w 127.0.0.1:" + backendPort)
             + "\n");
     GatewaySettings settings = GatewaySettingsFile.read(file);
     Files.delete(file);
-    AtomicInteger made = new AtomicInteger();
+    AtomicInteger policyCount = new AtomicInteger();
     server =
         new GatewayServer(
-            settings, s -> made.getAndIncrement() == 0 ? policy : new ScriptedPolicy());
+            settings, config -> policyCount.getAndIncrement() == 0 ? policy : new ScriptedPolicy());
     port = await(server.start());
   }
 
+  /** Returns the result of a future; waits for it for up to 20 s. */
   static <T> T await(Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  /** Polls a condition until it holds, 20 s at most. */
-  static void awaitTrue(java.util.function.BooleanSupplier what) {
-    long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    while (!what.getAsBoolean()) {
-      if (System.nanoTime() > limit) {
-        throw new AssertionError("the condition never held");
+  /** Polls a condition until it holds, for up to 20 s. */
+  static void awaitTrue(java.util.function.BooleanSupplier condition) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > deadlineNanos) {
+        throw new AssertionError("the condition did not hold within 20 s");
       }
       Thread.onSpinWait();
     }
   }
 
-  HttpRequest.Builder to(String path) {
+  /** Returns a request to the gateway with a valid API key. */
+  HttpRequest.Builder requestTo(String path) {
     return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
         .header("x-api-key", "k1")
         .version(HttpClient.Version.HTTP_1_1);
   }
 
   CompletableFuture<HttpResponse<String>> send(HttpRequest.Builder request) {
-    return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
+    return httpClient.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
   }
 
   HttpResponse<String> get(String path) throws Exception {
-    return send(to(path)).get(20, TimeUnit.SECONDS);
+    return send(requestTo(path)).get(20, TimeUnit.SECONDS);
   }
 
   @Override
--- a/src/test/java/fawndock/gateway/GatewayPartsTest.java
+++ b/src/test/java/fawndock/gateway/GatewayPartsTest.java
@@ -22,73 +22,73 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The small parts: clock, timers, shards, load reports, header fields, peer messages. */
+/** Tests the clock, timers, sharding, load reports, header fields and peer messages. */
 class GatewayPartsTest {
   @Test
-  void clock_neverRunsBackwardsAndStillMoves() {
-    long[] wall = {1_000_000};
+  void clock_neverRunsBackwardsAndStillAdvances() {
+    long[] wallMicros = {1_000_000};
     long[] nanos = {0};
-    MicroClock clock = new MicroClock(() -> wall[0], () -> nanos[0]);
+    MicroClock clock = new MicroClock(() -> wallMicros[0], () -> nanos[0]);
     assertEquals(1_000_000, clock.now());
-    wall[0] = 500_000;
+    wallMicros[0] = 500_000;
     nanos[0] = 100_000_000;
-    assertEquals(1_050_000, clock.now(), "half speed while it is ahead of the wall clock");
-    wall[0] = 1_040_000;
+    assertEquals(
+        1_050_000, clock.now(), "the clock runs at half speed while it is ahead of the wall clock");
+    wallMicros[0] = 1_040_000;
     assertEquals(1_050_000, clock.now());
-    wall[0] = 2_000_000;
+    wallMicros[0] = 2_000_000;
     assertEquals(2_000_000, clock.now());
   }
 
   @Test
   void timers_fireOnceInOrderUnlessCancelled() throws Exception {
     Vertx vertx = Vertx.vertx();
-    List<Integer> rung = new ArrayList<>();
-    CompletableFuture<Void> last = new CompletableFuture<>();
+    List<Integer> fired = new ArrayList<>();
+    CompletableFuture<Void> lastFired = new CompletableFuture<>();
     vertx.runOnContext(
         v -> {
-          Timers alarms = new Timers(vertx);
-          alarms.schedule(20_000, () -> rung.add(3));
-          alarms.schedule(1_000, () -> rung.add(1));
-          Timers.Timer cancelled = alarms.schedule(10_000, () -> rung.add(2));
-          alarms.cancel(cancelled);
-          List<Timers.Timer> many = new ArrayList<>();
+          Timers timers = new Timers(vertx);
+          timers.schedule(20_000, () -> fired.add(3));
+          timers.schedule(1_000, () -> fired.add(1));
+          Timers.Timer cancelled = timers.schedule(10_000, () -> fired.add(2));
+          timers.cancel(cancelled);
+          List<Timers.Timer> cancelledTimers = new ArrayList<>();
           for (int i = 0; i < 5_000; i++) {
-            many.add(alarms.schedule(3_600_000_000L, () -> rung.add(9)));
+            cancelledTimers.add(timers.schedule(3_600_000_000L, () -> fired.add(9)));
           }
-          many.forEach(alarms::cancel);
-          assertEquals(2, alarms.pendingCount());
-          alarms.schedule(
-              4_200_000,
-              () -> rung.add(4)); // Beyond one round of the wheel: its slot comes up early.
-          alarms.schedule(1_000_000, () -> rung.add(5));
-          alarms.schedule(4_250_000, () -> last.complete(null));
+          cancelledTimers.forEach(timers::cancel);
+          assertEquals(2, timers.pendingCount());
+          // This delay is longer than one turn of the timer wheel, so its slot is visited early.
+          timers.schedule(4_200_000, () -> fired.add(4));
+          timers.schedule(1_000_000, () -> fired.add(5));
+          timers.schedule(4_250_000, () -> lastFired.complete(null));
         });
-    last.get(20, TimeUnit.SECONDS);
-    assertEquals(List.of(1, 3, 5, 4), rung);
+    lastFired.get(20, TimeUnit.SECONDS);
+    assertEquals(List.of(1, 3, 5, 4), fired);
     GatewayHarness.await(vertx.close());
   }
 
   /**
-   * Each part has about its share of the names, and a further part takes names without moving
-   * others.
+   * Checks that each shard has about an equal number of names, and that an additional shard takes
+   * over names without moving names between the other shards.
    */
   @Test
   void counterNames_areSpreadEvenlyOverShards() {
-    int[] names = new int[3];
+    int[] namesPerShard = new int[3];
     for (int i = 0; i < 3_000; i++) {
       String name = "customer-" + i + ":" + i % 7;
-      int part = CounterClient.shardOf(name, 3);
-      names[part]++;
-      int of4 = CounterClient.shardOf(name, 4);
-      assertTrue(of4 == part || of4 == 3, name);
+      int shard = CounterClient.shardOf(name, 3);
+      namesPerShard[shard]++;
+      int shardOfFour = CounterClient.shardOf(name, 4);
+      assertTrue(shardOfFour == shard || shardOfFour == 3, name);
     }
-    for (int each : names) {
-      assertTrue(each > 900 && each < 1_100, "one part has " + each + " of 3000");
+    for (int count : namesPerShard) {
+      assertTrue(count > 900 && count < 1_100, "one shard has " + count + " of 3000");
     }
   }
 
   @Test
-  void loadReports_areReadInBothFormsAndNonsenseIsSkipped() {
+  void loadReports_areParsedInBothFormatsAndInvalidFieldsAreSkipped() {
     LoadReport expected =
         new LoadReport.Builder().utilization(0.3).requestsPerSecond(90).queuedRequests(4).build();
     assertEquals(
@@ -102,7 +102,7 @@
                 + "\"request_cost\":{\"units\":2.5},\"named_metrics\":{\"queue\":4,\"deep\":{\"queue\":9}}}");
     assertEquals(expected, json.load());
     assertEquals(2.5, json.units());
-    for (String bad :
+    for (String invalidHeader :
         List.of(
             "",
             "JSON",
@@ -111,14 +111,14 @@
             "TEXT cpu_utilization=NaN,eps=-1",
             "BIN x",
             "TEXT " + "x".repeat(5_000))) {
-      assertEquals(LoadReport.NONE, LoadReportParser.parse(bad).load(), bad);
+      assertEquals(LoadReport.NONE, LoadReportParser.parse(invalidHeader).load(), invalidHeader);
     }
     assertEquals(LoadReport.NONE, LoadReportParser.parse(null).load());
   }
 
   @Test
   void hopByHopFields_areNotForwarded() {
-    MultiMap passed =
+    MultiMap forwarded =
         ForwardedHeaders.filter(
             MultiMap.caseInsensitiveMultiMap()
                 .add("Connection", "X-Hop, close")
@@ -127,8 +127,8 @@
                 .add("X-Kept", "a")
                 .add("x-kept", "b"),
             Set.of("x-key"));
-    assertEquals(List.of("a", "b"), passed.getAll("x-kept"));
-    assertEquals(1, passed.names().size());
+    assertEquals(List.of("a", "b"), forwarded.getAll("x-kept"));
+    assertEquals(1, forwarded.names().size());
     assertFalse(
         ForwardedHeaders.filter(
                 MultiMap.caseInsensitiveMultiMap().add("X-Key", "s"), Set.of("x-key"))
@@ -138,33 +138,33 @@
   @Test
   void peerMessages_areReceivedWithinTheirLimits() throws Exception {
     Vertx vertx = Vertx.vertx();
-    LinkedBlockingQueue<PeerMessageReceived> heard = new LinkedBlockingQueue<>();
+    LinkedBlockingQueue<PeerMessageReceived> received = new LinkedBlockingQueue<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
-    Address nowhere = new Address("127.0.0.1", 0);
+    Address unboundAddress = new Address("127.0.0.1", 0);
     vertx.runOnContext(
         v ->
             new PeerMessenger(
                     vertx,
-                    new Peers(nowhere, Map.of(0, nowhere, 1, nowhere), 2),
+                    new Peers(unboundAddress, Map.of(0, unboundAddress, 1, unboundAddress), 2),
                     1,
                     new MicroClock(() -> 0, () -> 0),
-                    heard::add)
+                    received::add)
                 .start()
                 .onSuccess(port::complete));
-    Address listener = new Address("127.0.0.1", port.get(20, TimeUnit.SECONDS));
+    Address receiverAddress = new Address("127.0.0.1", port.get(20, TimeUnit.SECONDS));
     vertx.runOnContext(
         v -> {
           PeerMessenger sender =
               new PeerMessenger(
                   vertx,
-                  new Peers(nowhere, Map.of(1, listener), 100),
+                  new Peers(unboundAddress, Map.of(1, receiverAddress), 100),
                   0,
                   new MicroClock(),
-                  m -> {});
+                  message -> {});
           sender
               .start()
               .onSuccess(
-                  p -> {
+                  boundPort -> {
                     sender.send(new SendPeerMessage(-1, "x".repeat(300)));
                     sender.send(new SendPeerMessage(7, "for another"));
                     for (int i = 0; i < 10; i++) {
@@ -172,9 +172,9 @@
                     }
                   });
         });
-    assertEquals(new PeerMessageReceived(0, "hi 0"), heard.poll(20, TimeUnit.SECONDS));
-    assertEquals(new PeerMessageReceived(0, "hi 1"), heard.poll(20, TimeUnit.SECONDS));
+    assertEquals(new PeerMessageReceived(0, "hi 0"), received.poll(20, TimeUnit.SECONDS));
+    assertEquals(new PeerMessageReceived(0, "hi 1"), received.poll(20, TimeUnit.SECONDS));
     GatewayHarness.await(vertx.close());
-    assertEquals(0, heard.size(), "more than its intake was taken in");
+    assertEquals(0, received.size(), "more messages were received than the rate limit allows");
   }
 }
--- a/src/test/java/fawndock/gateway/HttpServerListenerTest.java
+++ b/src/test/java/fawndock/gateway/HttpServerListenerTest.java
@@ -31,73 +31,102 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** Tests the handling of client requests and connections over sockets. */
 class HttpServerListenerTest {
   @Test
-  void requestHead_givesThePolicyCustomerClassAndDeadline() throws Exception {
-    try (GatewayHarness s =
+  void requestHead_determinesCustomerClassAndDeadline() throws Exception {
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r ->
-                r.response()
+            request ->
+                request
+                    .response()
                     .end(
                         "ok "
-                            + r.getHeader("x-api-key")
+                            + request.getHeader("x-api-key")
                             + " "
-                            + r.getHeader("idempotency-key")
+                            + request.getHeader("idempotency-key")
                             + " "
-                            + r.version()
+                            + request.version()
                             + " "
-                            + r.getHeader("x-request-id")))) {
-      HttpResponse<String> answer =
-          s.send(
-                  s.to("/update")
+                            + request.getHeader("x-request-id")))) {
+      HttpResponse<String> response =
+          gateway
+              .send(
+                  gateway
+                      .requestTo("/update")
                       .PUT(HttpRequest.BodyPublishers.ofString("body"))
                       .header("idempotency-key", "\"abc\"")
                       .header("x-envoy-expected-rq-timeout-ms", "700")
                       .header("x-envoy-attempt-count", "2")
                       .version(HttpClient.Version.HTTP_2))
               .get(20, TimeUnit.SECONDS);
-      RequestArrived r = s.policy.await(RequestArrived.class);
+      RequestArrived arrived = gateway.policy.await(RequestArrived.class);
       assertEquals(
-          "ok null \"abc\" HTTP_2 " + r.requestId(),
-          answer.body(),
-          "the key stays here, the idempotency key goes on");
+          "ok null \"abc\" HTTP_2 " + arrived.requestId(),
+          response.body(),
+          "the API key is not forwarded, the idempotency key is");
       assertEquals(
           "update basic one true",
-          r.requestClass() + " " + r.plan() + " " + r.customer() + " " + r.isRetry());
-      long left = r.deadlineAtMicros() - MicroClock.systemMicros();
-      assertTrue(left < 700_000, "it says " + left);
+          arrived.requestClass()
+              + " "
+              + arrived.plan()
+              + " "
+              + arrived.customer()
+              + " "
+              + arrived.isRetry());
+      long remainingMicros = arrived.deadlineAtMicros() - MicroClock.systemMicros();
+      assertTrue(remainingMicros < 700_000, "remaining microseconds: " + remainingMicros);
     }
   }
 
   @Test
-  void unreadableRequest_isAnsweredAndNeverCounted() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB")) {
+  void invalidRequest_isRejectedWithoutThePolicy() throws Exception {
+    try (GatewayHarness gateway =
+        new GatewayHarness(request -> request.response().end(), "sizes body 1KiB")) {
       assertEquals(
-          401, s.send(s.to("/lookup").setHeader("x-api-key", "nobody's")).get().statusCode());
-      assertEquals(404, s.get("/elsewhere").statusCode());
-      assertEquals(404, s.get("/lookups").statusCode(), "a prefix ends where a segment ends");
-      assertEquals(400, s.get("/lookup/%2e%2E/admin").statusCode());
+          401,
+          gateway
+              .send(gateway.requestTo("/lookup").setHeader("x-api-key", "nobody's"))
+              .get()
+              .statusCode());
+      assertEquals(404, gateway.get("/elsewhere").statusCode());
+      assertEquals(
+          404,
+          gateway.get("/lookups").statusCode(),
+          "a route prefix matches whole path segments only");
+      assertEquals(400, gateway.get("/lookup/%2e%2E/admin").statusCode());
       assertEquals(
           400,
-          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "soon"))
+          gateway
+              .send(gateway.requestTo("/lookup").header("x-envoy-expected-rq-timeout-ms", "soon"))
               .get()
               .statusCode());
       assertEquals(
-          400, s.send(s.to("/update").PUT(HttpRequest.BodyPublishers.noBody())).get().statusCode());
+          400,
+          gateway
+              .send(gateway.requestTo("/update").PUT(HttpRequest.BodyPublishers.noBody()))
+              .get()
+              .statusCode());
       assertEquals(
           400,
-          s.send(
-                  s.to("/update")
+          gateway
+              .send(
+                  gateway
+                      .requestTo("/update")
                       .PUT(HttpRequest.BodyPublishers.noBody())
                       .header("idempotency-key", "bare"))
               .get()
               .statusCode());
       assertEquals(
           413,
-          s.send(s.to("/lookup").POST(HttpRequest.BodyPublishers.ofString("x".repeat(2_000))))
+          gateway
+              .send(
+                  gateway
+                      .requestTo("/lookup")
+                      .POST(HttpRequest.BodyPublishers.ofString("x".repeat(2_000))))
               .get()
               .statusCode());
-      try (Socket socket = new Socket("127.0.0.1", s.port)) {
+      try (Socket socket = new Socket("127.0.0.1", gateway.port)) {
         socket.setSoTimeout(20_000);
         socket
             .getOutputStream()
@@ -108,14 +137,15 @@
             new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                 .endsWith(" 400"));
       }
-      assertEquals(0, s.policy.all(RequestArrived.class).size());
+      assertEquals(0, gateway.policy.eventsOf(RequestArrived.class).size());
     }
   }
 
   @Test
-  void chunkedBodyBeyondTheLimit_isAnsweredWith413() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().end(), "sizes body 1KiB");
-        Socket socket = new Socket("127.0.0.1", s.port)) {
+  void chunkedBodyAboveTheLimit_isRejectedWith413() throws Exception {
+    try (GatewayHarness gateway =
+            new GatewayHarness(request -> request.response().end(), "sizes body 1KiB");
+        Socket socket = new Socket("127.0.0.1", gateway.port)) {
       socket.setSoTimeout(20_000);
       socket
           .getOutputStream()
@@ -128,86 +158,90 @@
       assertTrue(
           new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
               .endsWith(" 413"));
-      assertEquals(0, s.policy.all(RequestArrived.class).size());
+      assertEquals(0, gateway.policy.eventsOf(RequestArrived.class).size());
     }
   }
 
   @Test
   void rejection_hasRetryAfterAndRateLimitFields() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
-      s.policy.respondWith(
-          (now, e) ->
-              e instanceof RequestArrived r
-                  ? List.of(new RejectRequest(r.requestId(), 2_400_000))
+    try (GatewayHarness gateway = new GatewayHarness(request -> request.response().end())) {
+      gateway.policy.respondWith(
+          (nowMicros, event) ->
+              event instanceof RequestArrived arrived
+                  ? List.of(new RejectRequest(arrived.requestId(), 2_400_000))
                   : List.of());
-      HttpResponse<String> answer = s.get("/lookup");
-      assertEquals(429, answer.statusCode());
-      assertEquals("3", answer.headers().firstValue("retry-after").orElse(""));
-      assertEquals("\"basic\";q=8;w=4", answer.headers().firstValue("ratelimit-policy").orElse(""));
-      assertEquals("\"basic\";r=0;t=3", answer.headers().firstValue("ratelimit").orElse(""));
+      HttpResponse<String> response = gateway.get("/lookup");
+      assertEquals(429, response.statusCode());
+      assertEquals("3", response.headers().firstValue("retry-after").orElse(""));
+      assertEquals(
+          "\"basic\";q=8;w=4", response.headers().firstValue("ratelimit-policy").orElse(""));
+      assertEquals("\"basic\";r=0;t=3", response.headers().firstValue("ratelimit").orElse(""));
     }
   }
 
   /**
-   * A gateway that forgets a request, or fails on it, does not leave its client without an answer.
+   * Guards against a client that never gets a response because the policy loses its request or
+   * throws an exception.
    */
   @Test
-  void policyThatThrows_isBackedUpBy504AtTheDeadline() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> r.response().end())) {
-      s.policy.respondWith(
-          (now, e) -> {
-            if (e instanceof RequestArrived) {
-              throw new IllegalStateException("a defect, for a test");
+  void policyException_leadsTo504AtTheDeadline() throws Exception {
+    try (GatewayHarness gateway = new GatewayHarness(request -> request.response().end())) {
+      gateway.policy.respondWith(
+          (nowMicros, event) -> {
+            if (event instanceof RequestArrived) {
+              throw new IllegalStateException("policy failure in a test");
             }
             return List.of();
           });
       assertEquals(
           504,
-          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "50"))
+          gateway
+              .send(gateway.requestTo("/lookup").header("x-envoy-expected-rq-timeout-ms", "50"))
               .get()
               .statusCode());
-      s.policy.await(ClientDisconnected.class);
+      gateway.policy.await(ClientDisconnected.class);
     }
   }
 
   @Test
-  void disconnectDuringCounterCall_isReportedAndTheReplyStillGiven() throws Exception {
+  void disconnectDuringCounterCall_isReportedAndTheReplyStillDelivered() throws Exception {
     try (FakeCounterServer counter = new FakeCounterServer().start()) {
-      try (GatewayHarness s =
+      try (GatewayHarness gateway =
           new GatewayHarness(
-              r -> r.response().end(),
+              request -> request.response().end(),
               "counter 127.0.0.1:" + counter.port(),
               "counter-limits timeout 20s")) {
-        CompletableFuture<Long> asked = new CompletableFuture<>();
-        s.policy.respondWith(
-            (now, e) -> {
-              if (e instanceof RequestArrived r) {
-                asked.complete(r.requestId());
+        CompletableFuture<Long> arrivedRequestId = new CompletableFuture<>();
+        gateway.policy.respondWith(
+            (nowMicros, event) -> {
+              if (event instanceof RequestArrived arrived) {
+                arrivedRequestId.complete(arrived.requestId());
                 return List.of(new AddToCounter("n", 1, 1_000_000));
               }
               return List.of();
             });
         counter.setDelayMillis(300);
-        try (Socket socket = new Socket("127.0.0.1", s.port)) {
+        try (Socket socket = new Socket("127.0.0.1", gateway.port)) {
           socket
               .getOutputStream()
               .write(
                   "GET /lookup HTTP/1.1\r\nhost: x\r\nx-api-key: k1\r\n\r\n"
                       .getBytes(StandardCharsets.ISO_8859_1));
-          asked.get(20, TimeUnit.SECONDS);
+          arrivedRequestId.get(20, TimeUnit.SECONDS);
         }
-        assertEquals(asked.get(), s.policy.await(ClientDisconnected.class).requestId());
-        assertEquals("n", s.policy.await(CounterReply.class).counterName());
-        assertEquals(1, s.policy.all(CounterReply.class).size());
+        assertEquals(
+            arrivedRequestId.get(), gateway.policy.await(ClientDisconnected.class).requestId());
+        assertEquals("n", gateway.policy.await(CounterReply.class).counterName());
+        assertEquals(1, gateway.policy.eventsOf(CounterReply.class).size());
       }
     }
   }
 
   @Test
   void streamReset_countsAsDisconnect() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> {})) {
+    try (GatewayHarness gateway = new GatewayHarness(request -> {})) {
       var client =
-          s.vertx.createHttpClient(
+          gateway.vertx.createHttpClient(
               new HttpClientOptions()
                   .setProtocolVersion(HttpVersion.HTTP_2)
                   .setHttp2ClearTextUpgrade(false));
@@ -216,96 +250,98 @@
               client.request(
                   new RequestOptions()
                       .setHost("127.0.0.1")
-                      .setPort(s.port)
+                      .setPort(gateway.port)
                       .setURI("/lookup")
                       .putHeader("x-api-key", "k1")));
       request.send();
-      long id = s.policy.await(RequestArrived.class).requestId();
+      long id = gateway.policy.await(RequestArrived.class).requestId();
       request.reset(CallResults.CANCEL);
-      assertEquals(id, s.policy.await(ClientDisconnected.class).requestId());
+      assertEquals(id, gateway.policy.await(ClientDisconnected.class).requestId());
     }
   }
 
   @Test
   void tenThousandRequestsInFlight_areAllAnswered() throws Exception {
     int count = 10_000;
-    List<HttpServerRequest> held = new ArrayList<>();
-    try (GatewayHarness s =
+    List<HttpServerRequest> heldRequests = new ArrayList<>();
+    try (GatewayHarness gateway =
         new GatewayHarness(
-            r -> {
-              held.add(r);
-              if (held.size() == count) {
-                held.forEach(each -> each.response().end());
+            request -> {
+              heldRequests.add(request);
+              if (heldRequests.size() == count) {
+                heldRequests.forEach(heldRequest -> heldRequest.response().end());
               }
             },
             "limits open 10000 attempts 1",
             "pool connections 4 streams 5000")) {
-      s.policy.respondWith(
-          (now, e) ->
-              e instanceof RequestArrived r
-                  ? List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()))
-                  : ScriptedPolicy.forwardOnce(now, e));
+      gateway.policy.respondWith(
+          (nowMicros, event) ->
+              event instanceof RequestArrived arrived
+                  ? List.of(new StartAttempt(arrived.requestId(), "w", arrived.deadlineAtMicros()))
+                  : ScriptedPolicy.forwardOnce(nowMicros, event));
       var client =
-          s.vertx.createHttpClient(
+          gateway.vertx.createHttpClient(
               new HttpClientOptions()
                   .setProtocolVersion(HttpVersion.HTTP_2)
                   .setHttp2ClearTextUpgrade(false),
               new PoolOptions().setHttp2MaxSize(20));
-      List<Future<Integer>> answers = new ArrayList<>();
+      List<Future<Integer>> responses = new ArrayList<>();
       for (int i = 0; i < count; i++) {
-        answers.add(
+        responses.add(
             client
                 .request(
                     new RequestOptions()
                         .setMethod(HttpMethod.GET)
                         .setHost("127.0.0.1")
-                        .setPort(s.port)
+                        .setPort(gateway.port)
                         .setURI("/lookup")
                         .putHeader("x-api-key", "k1"))
-                .compose(r -> r.send())
+                .compose(request -> request.send())
                 .map(HttpClientResponse::statusCode));
       }
-      GatewayHarness.await(Future.all(answers));
-      assertEquals(count, answers.stream().filter(a -> a.result() == 200).count());
-      assertEquals(count, s.policy.all(AttemptCompleted.class).size());
+      GatewayHarness.await(Future.all(responses));
+      assertEquals(count, responses.stream().filter(response -> response.result() == 200).count());
+      assertEquals(count, gateway.policy.eventsOf(AttemptCompleted.class).size());
     }
   }
 
   @Test
-  void requestBeyondTheInFlightLimit_isAnsweredWith503WithoutThePolicy() throws Exception {
-    try (GatewayHarness s = new GatewayHarness(r -> {}, "limits open 1")) {
+  void requestAboveTheInFlightLimit_isRejectedWith503WithoutThePolicy() throws Exception {
+    try (GatewayHarness gateway = new GatewayHarness(request -> {}, "limits open 1")) {
       CompletableFuture<HttpResponse<String>> first =
-          s.send(s.to("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
-      s.policy.await(RequestArrived.class);
-      assertEquals(503, s.get("/lookup").statusCode());
-      assertEquals(1, s.policy.all(RequestArrived.class).size());
+          gateway.send(
+              gateway.requestTo("/lookup").header("x-envoy-expected-rq-timeout-ms", "2000"));
+      gateway.policy.await(RequestArrived.class);
+      assertEquals(503, gateway.get("/lookup").statusCode());
+      assertEquals(1, gateway.policy.eventsOf(RequestArrived.class).size());
       assertEquals(504, first.get(20, TimeUnit.SECONDS).statusCode());
     }
   }
 
   @Test
   void draining_answersRequestsInFlightAndRefusesConnections() throws Exception {
-    CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-    GatewayHarness s = new GatewayHarness(held::complete, "stop 30s");
-    CompletableFuture<HttpResponse<String>> open = s.send(s.to("/lookup"));
-    HttpServerRequest request = held.get(20, TimeUnit.SECONDS);
-    var stopped = s.server.stop();
-    CompletableFuture<Boolean> refused =
+    CompletableFuture<HttpServerRequest> heldRequest = new CompletableFuture<>();
+    GatewayHarness gateway = new GatewayHarness(heldRequest::complete, "stop 30s");
+    CompletableFuture<HttpResponse<String>> pendingResponse =
+        gateway.send(gateway.requestTo("/lookup"));
+    HttpServerRequest request = heldRequest.get(20, TimeUnit.SECONDS);
+    var stopped = gateway.server.stop();
+    CompletableFuture<Boolean> connectionRefused =
         CompletableFuture.supplyAsync(
             () -> {
               while (true) {
-                try (Socket socket = new Socket("127.0.0.1", s.port)) {
+                try (Socket socket = new Socket("127.0.0.1", gateway.port)) {
                   Thread.onSpinWait();
-                } catch (java.io.IOException e) {
+                } catch (java.io.IOException exception) {
                   return true;
                 }
               }
             });
-    assertTrue(refused.get(20, TimeUnit.SECONDS));
-    assertTrue(!stopped.isComplete(), "it waits for the open request");
+    assertTrue(connectionRefused.get(20, TimeUnit.SECONDS));
+    assertTrue(!stopped.isComplete(), "the server stopped before the open request had a response");
     request.response().end("kept");
-    assertEquals("kept", open.get(20, TimeUnit.SECONDS).body());
+    assertEquals("kept", pendingResponse.get(20, TimeUnit.SECONDS).body());
     GatewayHarness.await(stopped);
-    s.close();
+    gateway.close();
   }
 }
--- a/src/test/java/fawndock/gateway/ScriptedPolicy.java
+++ b/src/test/java/fawndock/gateway/ScriptedPolicy.java
@@ -13,25 +13,32 @@
 import java.util.function.BiFunction;
 import java.util.function.Predicate;
 
-/** A policy whose actions a test scripts; records its events. Any thread. */
+/**
+ * A policy whose actions are scripted by a test; it records all events. Methods may be called from
+ * any thread.
+ */
 final class ScriptedPolicy implements GatewayPolicy {
   private final List<PolicyEvent> events = new ArrayList<>();
   private volatile BiFunction<Long, PolicyEvent, List<PolicyAction>> script =
       ScriptedPolicy::forwardOnce;
 
-  /** Starts one attempt at the endpoint "w" for each request, and fails it when that fails. */
-  static List<PolicyAction> forwardOnce(long now, PolicyEvent event) {
-    if (event instanceof RequestArrived r) {
-      return List.of(new StartAttempt(r.requestId(), "w", r.deadlineAtMicros()));
+  /**
+   * Starts one attempt at the endpoint "w" for each request, and fails the request if the attempt
+   * fails.
+   */
+  static List<PolicyAction> forwardOnce(long nowMicros, PolicyEvent event) {
+    if (event instanceof RequestArrived arrived) {
+      return List.of(new StartAttempt(arrived.requestId(), "w", arrived.deadlineAtMicros()));
     }
-    if (event instanceof AttemptCompleted o && !o.isFinal()) {
-      return List.of(new FailRequest(o.requestId()));
+    if (event instanceof AttemptCompleted completed && !completed.isFinal()) {
+      return List.of(new FailRequest(completed.requestId()));
     }
     return List.of();
   }
 
-  ScriptedPolicy respondWith(BiFunction<Long, PolicyEvent, List<PolicyAction>> what) {
-    script = what;
+  /** Replaces the script that returns the actions for each event. */
+  ScriptedPolicy respondWith(BiFunction<Long, PolicyEvent, List<PolicyAction>> newScript) {
+    script = newScript;
     return this;
   }
 
@@ -45,37 +52,39 @@
     return actions;
   }
 
-  synchronized <T extends PolicyEvent> List<T> all(Class<T> type) {
+  /** Returns the recorded events of a type. */
+  synchronized <T extends PolicyEvent> List<T> eventsOf(Class<T> type) {
     synchronized (events) {
       return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
   }
 
-  /** Waits for an event that is already there or still comes. */
-  <T extends PolicyEvent> T await(Class<T> type, Predicate<T> which) {
-    long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+  /** Returns the first recorded event that matches; waits for one for up to 20 s. */
+  <T extends PolicyEvent> T await(Class<T> type, Predicate<T> predicate) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     synchronized (events) {
       while (true) {
-        for (PolicyEvent e : events) {
-          if (type.isInstance(e) && which.test(type.cast(e))) {
-            return type.cast(e);
+        for (PolicyEvent event : events) {
+          if (type.isInstance(event) && predicate.test(type.cast(event))) {
+            return type.cast(event);
           }
         }
-        long left = limit - System.nanoTime();
-        if (left <= 0) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
           throw new AssertionError(
               "no matching " + type.getSimpleName() + " among the events: " + events);
         }
         try {
-          TimeUnit.NANOSECONDS.timedWait(events, left);
-        } catch (InterruptedException e) {
-          throw new AssertionError(e);
+          TimeUnit.NANOSECONDS.timedWait(events, remainingNanos);
+        } catch (InterruptedException exception) {
+          throw new AssertionError(exception);
         }
       }
     }
   }
 
+  /** Returns the first recorded event of a type; waits for one for up to 20 s. */
   <T extends PolicyEvent> T await(Class<T> type) {
-    return await(type, e -> true);
+    return await(type, event -> true);
   }
 }
