--- a/src/main/java/fawndock/gateway/BackendAttempt.java
+++ b/src/main/java/fawndock/gateway/BackendAttempt.java
@@ -86,7 +86,7 @@
     // The first attempt takes the fields as they are; a later one may be in flight beside it.
     MultiMap headers =
         index == 0 ? forwarded.headers() : HttpHeaders.headers().addAll(forwarded.headers());
-    long timeoutMillis = Math.max(1, (deadlineAtMicros - runner.clock().now()) / 1_000);
+    long timeoutMillis = Math.max(1, (deadlineAtMicros - runner.clock().nowMicros()) / 1_000);
     headers.set("x-envoy-expected-rq-timeout-ms", Long.toString(timeoutMillis));
     if (!headers.contains("x-request-id")) {
       headers.set("x-request-id", Long.toString(request.id));
--- a/src/main/java/fawndock/gateway/CounterClusterClient.java
+++ b/src/main/java/fawndock/gateway/CounterClusterClient.java
@@ -169,13 +169,13 @@
   }
 
   private long nowMillis() {
-    return clock.now() / 1_000;
+    return clock.nowMicros() / 1_000;
   }
 
   /** Adds to a count; exactly one reply is given, in a later turn of the context. */
   void add(AddToCounter command) {
     CounterReplySequencer.PendingCall call =
-        new CounterReplySequencer.PendingCall(command.counterName(), clock.now());
+        new CounterReplySequencer.PendingCall(command.counterName(), clock.nowMicros());
     sequencer.begin(call);
     List<ClientAction> actions = new ArrayList<>();
     try {
@@ -334,7 +334,7 @@
   }
 
   private void complete(CounterReplySequencer.PendingCall call, CallResult result, double total) {
-    sequencer.complete(call, result, total, clock.now());
+    sequencer.complete(call, result, total, clock.nowMicros());
   }
 
   /** Closes all connections; no reply is given any more. Closing it again has no effect. */
--- a/src/main/java/fawndock/gateway/CounterShardClient.java
+++ b/src/main/java/fawndock/gateway/CounterShardClient.java
@@ -97,7 +97,7 @@
 
   /** Adds to a count; exactly one reply is given, in a later turn of the context. */
   void add(AddToCounter command) {
-    Call call = new Call(command, clock.now());
+    Call call = new Call(command, clock.nowMicros());
     sequencer.begin(call);
     boolean isConnected = connection.current() != null;
     if (!isConnected || inFlight.size() >= settings.maxCallsInFlight()) {
@@ -198,7 +198,7 @@
     }
     timers.cancel(call.timeoutTimer);
     inFlight.remove(call);
-    sequencer.complete(call, result, total, clock.now());
+    sequencer.complete(call, result, total, clock.nowMicros());
   }
 
   @Override
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -79,7 +79,7 @@
     backendPools = new BackendPools(vertx, settings);
     policyRunner =
         new PolicyRunner(
-            clock, timers, this, settings.limits().maxAttempts(), clock.now(), accessLog);
+            clock, timers, this, settings.limits().maxAttempts(), clock.nowMicros(), accessLog);
     policyRunner.setPolicy(policyFactory.apply(policyConfig()));
     counterClient =
         new CounterClient(vertx, context, settings.counter(), clock, timers, policyRunner::onEvent);
@@ -213,7 +213,7 @@
 
   @Override
   public void startHealthCheck(String endpointId) {
-    long startedAtMicros = policyRunner.clock().now();
+    long startedAtMicros = policyRunner.clock().nowMicros();
     RequestOptions options = requestOptions(endpointId);
     if (options == null) {
       policyRunner.onEvent(
@@ -229,7 +229,7 @@
 
   private void onHealthCheckResponse(
       String endpointId, long startedAtMicros, AsyncResult<HttpClientResponse> response) {
-    long latencyMicros = policyRunner.clock().now() - startedAtMicros;
+    long latencyMicros = policyRunner.clock().nowMicros() - startedAtMicros;
     policyRunner.onEvent(
         new HealthCheckCompleted(
             endpointId,
--- a/src/main/java/fawndock/gateway/PeerMessenger.java
+++ b/src/main/java/fawndock/gateway/PeerMessenger.java
@@ -91,7 +91,7 @@
   }
 
   private void onDatagram(Buffer data) {
-    long nowMicros = clock.now();
+    long nowMicros = clock.nowMicros();
     double refilled =
         receiveTokens + (nowMicros - refilledAtMicros) / 1e6 * peers.maxMessagesPerSecond();
     receiveTokens = Math.min(peers.maxMessagesPerSecond(), refilled);
--- a/src/main/java/fawndock/gateway/QuotaService.java
+++ b/src/main/java/fawndock/gateway/QuotaService.java
@@ -137,7 +137,7 @@
     undecided.put(id, listener);
     // A backstop, should the policy fail to decide in time.
     timers.schedule(timeoutMicros, () -> decide(id, Decision.UNDECIDED, 0));
-    long deadlineAtMicros = clock.now() + timeoutMicros;
+    long deadlineAtMicros = clock.nowMicros() + timeoutMicros;
     submit(
         new RequestArrived(
             id, requestClass, plan, customer, deadlineAtMicros, units, instanceCount, 0, false));
--- a/src/main/java/fawndock/gateway/RequestBodyCollector.java
+++ b/src/main/java/fawndock/gateway/RequestBodyCollector.java
@@ -58,7 +58,8 @@
       return;
     }
     Timers.Timer timeout =
-        timers.schedule(deadlineAtMicros - clock.now(), () -> end(() -> onProblem.accept(slow())));
+        timers.schedule(
+            deadlineAtMicros - clock.nowMicros(), () -> end(() -> onProblem.accept(slow())));
     request.exceptionHandler(
         e -> {
           isEnded = true;
--- a/src/main/java/fawndock/gateway/RequestHandler.java
+++ b/src/main/java/fawndock/gateway/RequestHandler.java
@@ -36,7 +36,7 @@
   }
 
   void handle(HttpServerRequest request) {
-    long arrivedAtMicros = policyRunner.clock().now();
+    long arrivedAtMicros = policyRunner.clock().nowMicros();
     try {
       RequestReader.RequestHead head = reader.read(request, arrivedAtMicros);
       new RequestBodyCollector(
--- a/src/main/java/fawndock/platform/BackendAttempt.java
+++ b/src/main/java/fawndock/platform/BackendAttempt.java
@@ -65,7 +65,7 @@
     if (result() != null || connection == null || isSent) {
       return;
     }
-    long timeoutMillis = (deadlineMicros - runner.clock().now()) / 1_000;
+    long timeoutMillis = (deadlineMicros - runner.clock().nowMicros()) / 1_000;
     // The endpoint may have been reported as draining in the turn in which it was chosen. Nothing
     // has been sent, so that the policy may choose another one.
     if (timeoutMillis <= 0 || pools.isUnavailable(endpointId)) {
--- a/src/main/java/fawndock/platform/ClientListener.java
+++ b/src/main/java/fawndock/platform/ClientListener.java
@@ -216,7 +216,7 @@
   }
 
   long nowMicros() {
-    return runner.clock().now();
+    return runner.clock().nowMicros();
   }
 
   int connectionCount() {
--- a/src/main/java/fawndock/platform/CounterClient.java
+++ b/src/main/java/fawndock/platform/CounterClient.java
@@ -38,7 +38,7 @@
 
     /** Returns the open connection, or null within the backoff. */
     CounterConnection connection() {
-      if (connection == null && clock.now() >= reopenAtMicros) {
+      if (connection == null && clock.nowMicros() >= reopenAtMicros) {
         connection = new CounterConnection(transport, address, timeouts.connectMicros(), this);
         openConnections.add(connection);
       }
@@ -60,7 +60,7 @@
       openConnections.remove(closed);
       if (connection == closed) {
         connection = null;
-        reopenAtMicros = wasConnected ? 0 : clock.now() + backoffMicros;
+        reopenAtMicros = wasConnected ? 0 : clock.nowMicros() + backoffMicros;
         backoffMicros =
             wasConnected ? MIN_BACKOFF_MICROS : Math.min(MAX_BACKOFF_MICROS, 2 * backoffMicros);
       }
@@ -68,7 +68,7 @@
 
     @Override
     public long nowMicros() {
-      return clock.now();
+      return clock.nowMicros();
     }
   }
 
@@ -130,7 +130,7 @@
 
   /** Calls the counter; the listener gets exactly one reply. */
   void add(AddToCounter action) {
-    CounterCall call = new CounterCall(action, clock.now());
+    CounterCall call = new CounterCall(action, clock.nowMicros());
     sequencer.begin(call);
     CounterConnection connection = connectionFor(action.counterName());
     if (connection == null) {
@@ -164,13 +164,13 @@
       timers.cancel(call.timeoutTimer);
       pendingCallCount--;
     }
-    long nowMicros = clock.now();
+    long nowMicros = clock.nowMicros();
     activity.recordCounterCall(result, call.elapsedMicros(nowMicros));
     sequencer.complete(call, result, total, nowMicros);
   }
 
   private void checkConnections() {
-    long nowMicros = clock.now();
+    long nowMicros = clock.nowMicros();
     List.copyOf(openConnections).forEach(connection -> connection.check(nowMicros));
     checkTimer = timers.schedule(CHECK_INTERVAL_MICROS, this::checkConnections);
   }
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -80,7 +80,7 @@
     timers = new Timers(vertx);
     runner = new PolicyRunner(clock, timers, this, policy.limits().maxAttempts(), 1, activity);
     runner.setPolicy(policyFactory.apply(policy));
-    pools = new BackendConnectionPools(transport, clock::now, activity, poolLimits(config));
+    pools = new BackendConnectionPools(transport, clock::nowMicros, activity, poolLimits(config));
     directory =
         new EndpointDirectory(
             transport, runner, pools, new SplittableRandom(policy.randomSeed() ^ JITTER_SEED_MASK));
@@ -187,12 +187,12 @@
 
   /** Logs one line every few seconds, whatever the load. */
   private void scheduleActivityLog() {
-    activityLoggedAtMicros = clock.now();
+    activityLoggedAtMicros = clock.nowMicros();
     timers.schedule(ACTIVITY_INTERVAL_MICROS, this::logActivity);
   }
 
   private void logActivity() {
-    long delayMicros = clock.now() - activityLoggedAtMicros - ACTIVITY_INTERVAL_MICROS;
+    long delayMicros = clock.nowMicros() - activityLoggedAtMicros - ACTIVITY_INTERVAL_MICROS;
     LOG.info(
         "activity, openRequests={}, clientConnections={}, backendConnections={}, loopDelayMillis={}, {}",
         runner.openCount(),
--- a/src/main/java/fawndock/runtime/InFlightAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -27,7 +27,7 @@
     this.request = request;
     this.index = index;
     this.endpointId = endpointId;
-    this.startedAtMicros = runner.clock().now();
+    this.startedAtMicros = runner.clock().nowMicros();
   }
 
   /**
@@ -87,7 +87,7 @@
     }
     result = outcome;
     runner.timers().cancel(deadlineTimer);
-    long durationMicros = runner.clock().now() - startedAtMicros;
+    long durationMicros = runner.clock().nowMicros() - startedAtMicros;
     runner.onAttemptCompleted(request, this, durationMicros, load, units);
   }
 }
--- a/src/main/java/fawndock/runtime/MicroClock.java
+++ b/src/main/java/fawndock/runtime/MicroClock.java
@@ -27,7 +27,7 @@
   }
 
   /** Returns microseconds since 1970, never less than before. */
-  public long now() {
+  public long nowMicros() {
     long wall = wallMicros.getAsLong();
     long monotonic = monotonicNanos.getAsLong();
     if (wall >= lastMicros) {
--- a/src/main/java/fawndock/runtime/PolicyEventQueue.java
+++ b/src/main/java/fawndock/runtime/PolicyEventQueue.java
@@ -52,7 +52,7 @@
 
   private void dispatch(PolicyEvent event) {
     try {
-      policy.onEvent(clock.now(), event).forEach(actionExecutor);
+      policy.onEvent(clock.nowMicros(), event).forEach(actionExecutor);
     } catch (RuntimeException | StackOverflowError e) {
       // One failing event must not stop the event loop. The requests that it concerns are answered
       // when their deadline timers fire.
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -116,7 +116,7 @@
     // to, and fires late when the event loop itself is late.
     request.deadlineTimer =
         timers.schedule(
-            attributes.deadlineAtMicros() - clock.now(), () -> onDeadlineExceeded(request));
+            attributes.deadlineAtMicros() - clock.nowMicros(), () -> onDeadlineExceeded(request));
     onEvent(
         new RequestArrived(
             request.id,
@@ -190,7 +190,7 @@
         action.deadlineAtMicros() <= 0
             ? clientDeadlineMicros
             : Math.min(action.deadlineAtMicros(), clientDeadlineMicros);
-    if (!request.isOpen() || attempt.index >= maxAttempts || deadlineMicros <= clock.now()) {
+    if (!request.isOpen() || attempt.index >= maxAttempts || deadlineMicros <= clock.nowMicros()) {
       attempt.complete(CallResult.NOT_SENT);
       return;
     }
@@ -306,7 +306,7 @@
     request.complete();
     timers.cancel(request.deadlineTimer);
     openCount--;
-    recorder.onResponse(request, clock.now(), outcome, reason);
+    recorder.onResponse(request, clock.nowMicros(), outcome, reason);
   }
 
   /** Forgets a request that has its response and no attempt in flight. */
--- a/src/test/java/fawndock/gateway/GatewayPartsTest.java
+++ b/src/test/java/fawndock/gateway/GatewayPartsTest.java
@@ -29,14 +29,14 @@
     long[] wall = {1_000_000};
     long[] nanos = {0};
     MicroClock clock = new MicroClock(() -> wall[0], () -> nanos[0]);
-    assertEquals(1_000_000, clock.now());
+    assertEquals(1_000_000, clock.nowMicros());
     wall[0] = 500_000;
     nanos[0] = 100_000_000;
-    assertEquals(1_050_000, clock.now(), "half speed while it is ahead of the wall clock");
+    assertEquals(1_050_000, clock.nowMicros(), "half speed while it is ahead of the wall clock");
     wall[0] = 1_040_000;
-    assertEquals(1_050_000, clock.now());
+    assertEquals(1_050_000, clock.nowMicros());
     wall[0] = 2_000_000;
-    assertEquals(2_000_000, clock.now());
+    assertEquals(2_000_000, clock.nowMicros());
   }
 
   @Test
