--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -147,7 +147,7 @@
           LOG.info(
               "gateway draining: instance={} in_flight={}",
               instanceIndex,
-              policyRunner.openCount());
+              policyRunner.openRequestCount());
           Future<Void> closing = listener.shutdown(timeoutMillis);
           policyRunner.whenIdle(() -> closing.onComplete(closed -> drained.tryComplete()));
           vertx.setTimer(timeoutMillis, id -> drained.tryComplete());
--- a/src/main/java/fawndock/gateway/RequestHandler.java
+++ b/src/main/java/fawndock/gateway/RequestHandler.java
@@ -52,7 +52,7 @@
   }
 
   private void accept(HttpServerRequest request, RequestReader.RequestHead head) {
-    if (policyRunner.openCount() >= settings.limits().maxInFlight()) {
+    if (policyRunner.openRequestCount() >= settings.limits().maxInFlight()) {
       request.response().putHeader("retry-after", "1");
       respond(
           request,
--- a/src/main/java/fawndock/platform/PlatformGateway.java
+++ b/src/main/java/fawndock/platform/PlatformGateway.java
@@ -195,7 +195,7 @@
     long delayMicros = clock.nowMicros() - activityLoggedAtMicros - ACTIVITY_INTERVAL_MICROS;
     LOG.info(
         "activity, openRequests={}, clientConnections={}, backendConnections={}, loopDelayMillis={}, {}",
-        runner.openCount(),
+        runner.openRequestCount(),
         clientListener.connectionCount(),
         pools.openCount(),
         delayMicros / 1_000,
--- a/src/main/java/fawndock/platform/PlatformProcess.java
+++ b/src/main/java/fawndock/platform/PlatformProcess.java
@@ -183,7 +183,7 @@
       finish(EXIT_STOPPED);
       return;
     }
-    LOG.info("shutting down, openRequests={}", gateway.runner().openCount());
+    LOG.info("shutting down, openRequests={}", gateway.runner().openRequestCount());
     new GracefulShutdown(
             vertx,
             gateway.clientListener(),
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -71,7 +71,7 @@
   private final Map<Long, InFlightRequest> inFlightRequests = new HashMap<>();
   private PolicyEventQueue eventQueue;
   private long nextRequestId;
-  private int openCount;
+  private int openRequestCount;
   private Runnable idleListener;
 
   /**
@@ -111,7 +111,7 @@
     RequestAttributes attributes = exchange.requestAttributes();
     InFlightRequest request = new InFlightRequest(nextRequestId++, exchange);
     inFlightRequests.put(request.id, request);
-    openCount++;
+    openRequestCount++;
     // The policy responds before the client's deadline. This timer answers for a policy that failed
     // to, and fires late when the event loop itself is late.
     request.deadlineTimer =
@@ -305,7 +305,7 @@
   private void complete(InFlightRequest request, RequestOutcome outcome, String reason) {
     request.complete();
     timers.cancel(request.deadlineTimer);
-    openCount--;
+    openRequestCount--;
     recorder.onResponse(request, clock.nowMicros(), outcome, reason);
   }
 
@@ -321,8 +321,8 @@
   }
 
   /** Returns how many requests have no final response yet. */
-  public int openCount() {
-    return openCount;
+  public int openRequestCount() {
+    return openRequestCount;
   }
 
   /** Calls the listener whenever no request and no attempt is in flight; at once if so now. */
--- a/src/test/java/fawndock/platform/ClientDisconnectTest.java
+++ b/src/test/java/fawndock/platform/ClientDisconnectTest.java
@@ -216,7 +216,7 @@
                       .timers()
                       .schedule(ClientListener.UNREAD_TIMEOUT_MICROS / 2, late::countDown));
       client.close();
-      Await.until(() -> harness.process.gateway().runner().openCount() == 0);
+      Await.until(() -> harness.process.gateway().runner().openRequestCount() == 0);
       assertEquals(1, late.getCount());
       hang.countDown();
     }
