--- a/src/main/java/fawndock/platform/PlatformConfigReader.java
+++ b/src/main/java/fawndock/platform/PlatformConfigReader.java
@@ -87,7 +87,7 @@
     JsonObject settings = file.object(KEY_POLICY);
     JsonObject policyLimits = settings.objectOr(KEY_POLICY_LIMITS);
     PolicyConfig policy =
-        SettingsReader.settings(settings, randomSeed(file.textOr(KEY_RANDOM_SEED, "0")));
+        SettingsReader.readPolicyConfig(settings, randomSeed(file.textOr(KEY_RANDOM_SEED, "0")));
     if (policy.requestClasses().isEmpty() || policy.plans().isEmpty()) {
       throw new MalformedMessageException(
           "'" + KEY_POLICY + "' names no class or no plan; at least one of each is expected");
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -25,7 +25,7 @@
    * @param randomSeed of the policy's random numbers
    * @throws MalformedMessageException when a required key is missing or a value is of another type
    */
-  public static PolicyConfig settings(JsonObject settings, long randomSeed) {
+  public static PolicyConfig readPolicyConfig(JsonObject settings, long randomSeed) {
     String discoveryMode =
         settings.textOr(SettingsKeys.DISCOVERY_MODE, SettingsKeys.DISCOVERY_MODE_AUTOMATIC);
     return new PolicyConfig(
--- a/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
@@ -114,7 +114,7 @@
       case EVENT_KILLED -> policies.remove(instance);
       case EVENT_ATTACH -> {
         PolicyConfig config =
-            SettingsReader.settings(
+            SettingsReader.readPolicyConfig(
                 event.object(FIELD_SETTINGS), event.integerOr(FIELD_RANDOM_SEED, 0));
         attach(instance, config, writer);
       }
--- a/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
+++ b/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
@@ -73,7 +73,7 @@
             new GatewayLimits(19, 20, 21, true, false, true, false, true),
             new ServiceRules(22, 23, 24, 25, 26, 27, 28),
             new CounterConfig(true, 29, false));
-    assertEquals(expected, SettingsReader.settings(Json.parse(text), 30));
+    assertEquals(expected, SettingsReader.readPolicyConfig(Json.parse(text), 30));
   }
 
   @Test
