--- a/src/main/java/fawndock/platform/BackendReply.java
+++ b/src/main/java/fawndock/platform/BackendReply.java
@@ -46,14 +46,14 @@
     return new BackendReply(
         CallResult.OK,
         elements.get(0).bytes(),
-        SettingsReader.load(parseNumbers(elements.get(2).text())),
+        SettingsReader.readLoadReport(parseNumbers(elements.get(2).text())),
         Math.max(0, units),
         true);
   }
 
   private static BackendReply ofError(String text) {
     String lastWord = text.substring(text.lastIndexOf(' ') + 1);
-    LoadReport load = SettingsReader.load(parseNumbers(lastWord));
+    LoadReport load = SettingsReader.readLoadReport(parseNumbers(lastWord));
     if (text.equals(PlatformProtocol.ERROR_REJECTED)
         || text.startsWith(PlatformProtocol.ERROR_REJECTED + " ")) {
       return new BackendReply(CallResult.SHED, null, load, 0, true);
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -104,12 +104,12 @@
   }
 
   /** A load report; figures that are not known are left out. */
-  public static LoadReport load(JsonObject stats) {
-    return load(stats.all());
+  public static LoadReport readLoadReport(JsonObject stats) {
+    return readLoadReport(stats.all());
   }
 
   /** The same of plain names and values; those that are no numbers are left out. */
-  public static LoadReport load(Map<String, ?> stats) {
+  public static LoadReport readLoadReport(Map<String, ?> stats) {
     LoadReport.Builder load = new LoadReport.Builder();
     stats.forEach(
         (name, value) -> {
