--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -83,8 +83,8 @@
         deadlineMicros,
         entry.numberOr(SettingsKeys.CLASS_PRIORITY_WEIGHT, 1),
         entry.numberOr(SettingsKeys.LATE_PRIORITY_WEIGHT, 0),
-        constant(Idempotency.class, entry.textOr(SettingsKeys.IDEMPOTENCY, "at_most_once")),
-        constant(DeduplicationScope.class, entry.textOr(SettingsKeys.DEDUPLICATION_SCOPE, "cell")),
+        parseEnum(Idempotency.class, entry.textOr(SettingsKeys.IDEMPOTENCY, "at_most_once")),
+        parseEnum(DeduplicationScope.class, entry.textOr(SettingsKeys.DEDUPLICATION_SCOPE, "cell")),
         entry.integerOr(SettingsKeys.DEDUPLICATION_WINDOW_MICROS, 0),
         entry.flag(SettingsKeys.IS_STREAMED));
   }
@@ -139,7 +139,7 @@
    *
    * @throws MalformedMessageException when there is none
    */
-  public static <T extends Enum<T>> T constant(Class<T> type, String word) {
+  public static <T extends Enum<T>> T parseEnum(Class<T> type, String word) {
     for (T constant : type.getEnumConstants()) {
       if (constant.name().equalsIgnoreCase(word)) {
         return constant;
--- a/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
+++ b/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
@@ -78,18 +78,18 @@
 
   @Test
   void wordsOfIdempotencyAndScopeAreThoseOfTheUsersPages() {
-    assertEquals(Idempotency.IDEMPOTENT, SettingsReader.constant(Idempotency.class, "idempotent"));
+    assertEquals(Idempotency.IDEMPOTENT, SettingsReader.parseEnum(Idempotency.class, "idempotent"));
     assertEquals(
-        Idempotency.DEDUPLICATED, SettingsReader.constant(Idempotency.class, "deduplicated"));
+        Idempotency.DEDUPLICATED, SettingsReader.parseEnum(Idempotency.class, "deduplicated"));
     assertEquals(
-        Idempotency.AT_MOST_ONCE, SettingsReader.constant(Idempotency.class, "at_most_once"));
-    assertEquals(DeduplicationScope.ALL, SettingsReader.constant(DeduplicationScope.class, "all"));
+        Idempotency.AT_MOST_ONCE, SettingsReader.parseEnum(Idempotency.class, "at_most_once"));
+    assertEquals(DeduplicationScope.ALL, SettingsReader.parseEnum(DeduplicationScope.class, "all"));
     assertEquals(
-        DeduplicationScope.ZONE, SettingsReader.constant(DeduplicationScope.class, "zone"));
+        DeduplicationScope.ZONE, SettingsReader.parseEnum(DeduplicationScope.class, "zone"));
     assertEquals(
-        DeduplicationScope.CELL, SettingsReader.constant(DeduplicationScope.class, "cell"));
+        DeduplicationScope.CELL, SettingsReader.parseEnum(DeduplicationScope.class, "cell"));
     assertThrows(
         MalformedMessageException.class,
-        () -> SettingsReader.constant(DeduplicationScope.class, "pod"));
+        () -> SettingsReader.parseEnum(DeduplicationScope.class, "pod"));
   }
 }
