--- a/src/main/java/fawndock/counter/ClientConnection.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -142,7 +142,7 @@
     boolean isIncomplete =
         !isBackpressured()
             && commandCount < MAX_COMMANDS_PER_TURN
-            && (reader.isWithinCommand() || input.isReadable());
+            && (reader.hasPartialCommand() || input.isReadable());
     if (!isIncomplete) {
       stalledSinceNanos = 0;
     } else if (commandCount > 0 || stalledSinceNanos == 0) {
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -127,7 +127,7 @@
 
   private void updateIncompleteSince(ByteBuf in, boolean hasReadCommand) {
     boolean isIncomplete =
-        unwritableSinceMicros == NEVER && (reader.isWithinCommand() || in.isReadable());
+        unwritableSinceMicros == NEVER && (reader.hasPartialCommand() || in.isReadable());
     if (!isIncomplete) {
       incompleteSinceMicros = NEVER;
     } else if (hasReadCommand || incompleteSinceMicros == NEVER) {
--- a/src/main/java/fawndock/resp/CommandReader.java
+++ b/src/main/java/fawndock/resp/CommandReader.java
@@ -84,7 +84,7 @@
   }
 
   /** Returns whether a command has begun and is incomplete. */
-  public boolean isWithinCommand() {
+  public boolean hasPartialCommand() {
     return words != null;
   }
 
