--- a/src/main/java/fawndock/platform/PlatformConfigReader.java
+++ b/src/main/java/fawndock/platform/PlatformConfigReader.java
@@ -83,9 +83,9 @@
   private static PlatformConfig parse(String text, Map<String, String> variables)
       throws IOException {
     JsonObject file = Json.parse(text);
-    JsonObject limits = file.objectOr(KEY_LIMITS);
+    JsonObject limits = file.objectOrEmpty(KEY_LIMITS);
     JsonObject settings = file.object(KEY_POLICY);
-    JsonObject policyLimits = settings.objectOr(KEY_POLICY_LIMITS);
+    JsonObject policyLimits = settings.objectOrEmpty(KEY_POLICY_LIMITS);
     PolicyConfig policy =
         SettingsReader.readPolicyConfig(settings, randomSeed(file.textOr(KEY_RANDOM_SEED, "0")));
     if (policy.requestClasses().isEmpty() || policy.plans().isEmpty()) {
@@ -106,7 +106,7 @@
         limits.integerOr(KEY_MEMORY_MEGABYTES, DEFAULT_MEMORY_MEGABYTES) << 20,
         policyLimits.integerOr(KEY_CONNECT_TIMEOUT_MICROS, DEFAULT_CONNECT_TIMEOUT_MICROS),
         policyLimits.integerOr(KEY_ENDPOINT_IDLE_TIMEOUT_MICROS, 0),
-        settings.objectOr(KEY_POLICY_EXTRAS).numberOr(KEY_MAX_REQUEST_UNITS, 1));
+        settings.objectOrEmpty(KEY_POLICY_EXTRAS).numberOr(KEY_MAX_REQUEST_UNITS, 1));
   }
 
   private static Address address(JsonObject file, String key, String other) {
--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns an object; an empty one when it is missing. */
-    public JsonObject objectOr(String key) {
+    public JsonObject objectOrEmpty(String key) {
       return has(key) ? object(key) : new JsonObject(Map.of());
     }
 
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -39,9 +39,9 @@
             .map(SettingsReader::requestClass)
             .toList(),
         settings.objectsOr(SettingsKeys.PLANS).stream().map(SettingsReader::plan).toList(),
-        limits(settings.objectOr(SettingsKeys.LIMITS)),
-        rules(settings.objectOr(SettingsKeys.RULES)),
-        counter(settings.objectOr(SettingsKeys.EXTRAS)));
+        limits(settings.objectOrEmpty(SettingsKeys.LIMITS)),
+        rules(settings.objectOrEmpty(SettingsKeys.RULES)),
+        counter(settings.objectOrEmpty(SettingsKeys.EXTRAS)));
   }
 
   private static GatewayLimits limits(JsonObject limits) {
--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -106,7 +106,7 @@
               result(event.text(FIELD_RESULT)),
               event.flag(FIELD_IS_REQUEST_COMPLETED),
               event.numberOr(FIELD_UNITS_USED, 0),
-              SettingsReader.readLoadReport(event.objectOr(FIELD_LOAD_REPORT)));
+              SettingsReader.readLoadReport(event.objectOrEmpty(FIELD_LOAD_REPORT)));
       case EVENT_RESPONSE_STARTED ->
           new ResponseStarted(
               event.integer(FIELD_REQUEST_ID),
@@ -117,7 +117,7 @@
               event.text(FIELD_ENDPOINT),
               event.integerOr(FIELD_DURATION_MICROS, 0),
               result(event.text(FIELD_RESULT)),
-              SettingsReader.readLoadReport(event.objectOr(FIELD_LOAD_REPORT)));
+              SettingsReader.readLoadReport(event.objectOrEmpty(FIELD_LOAD_REPORT)));
       case EVENT_COUNTER_REPLY ->
           new CounterReply(
               event.text(FIELD_COUNTER),
