--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -71,7 +71,7 @@
     }
 
     /** Returns a list of objects; an empty one when it is missing. */
-    public List<JsonObject> objectsOr(String key) {
+    public List<JsonObject> objectsOrEmpty(String key) {
       return has(key) ? objects(key) : List.of();
     }
 
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -35,10 +35,10 @@
         settings.integerOr(SettingsKeys.ROUND_TRIP_MICROS, 1_000),
         settings.textOr(SettingsKeys.ZONE, ""),
         discoveryMode.equals(SettingsKeys.DISCOVERY_MODE_WATCH),
-        settings.objectsOr(SettingsKeys.REQUEST_CLASSES).stream()
+        settings.objectsOrEmpty(SettingsKeys.REQUEST_CLASSES).stream()
             .map(SettingsReader::requestClass)
             .toList(),
-        settings.objectsOr(SettingsKeys.PLANS).stream().map(SettingsReader::plan).toList(),
+        settings.objectsOrEmpty(SettingsKeys.PLANS).stream().map(SettingsReader::plan).toList(),
         limits(settings.objectOrEmpty(SettingsKeys.LIMITS)),
         rules(settings.objectOrEmpty(SettingsKeys.RULES)),
         counter(settings.objectOrEmpty(SettingsKeys.EXTRAS)));
--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -131,7 +131,7 @@
       case EVENT_ENDPOINT_UPDATE ->
           new EndpointUpdate(
               updateKind(event.text(FIELD_LIST_KIND)),
-              event.objectsOr(FIELD_ENDPOINTS).stream()
+              event.objectsOrEmpty(FIELD_ENDPOINTS).stream()
                   .map(SimulatorEventReader::endpoint)
                   .toList());
       default -> throw new MalformedMessageException("unknown event '" + type + "'");
