--- a/src/main/java/fawndock/platform/EndpointListCodec.java
+++ b/src/main/java/fawndock/platform/EndpointListCodec.java
@@ -59,7 +59,7 @@
       }
     }
     return new EndpointList(
-        list.integer(KEY_VERSION), list.flag(KEY_IS_SNAPSHOT), endpoints, addresses);
+        list.integer(KEY_VERSION), list.booleanOrFalse(KEY_IS_SNAPSHOT), endpoints, addresses);
   }
 
   private static Endpoint endpoint(JsonObject entry) {
--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns a boolean; false when it is missing. */
-    public boolean flag(String key) {
+    public boolean booleanOrFalse(String key) {
       return has(key) && required(key, Boolean.class);
     }
 
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -49,11 +49,11 @@
         (int) limits.integerOr(SettingsKeys.MAX_ATTEMPTS, 1),
         (int) limits.integerOr(SettingsKeys.MAX_IN_FLIGHT, Integer.MAX_VALUE),
         limits.integerOr(SettingsKeys.MAX_RETRY_AFTER_MICROS, 0),
-        limits.flag(SettingsKeys.ALLOWS_HEDGING),
-        limits.flag(SettingsKeys.ALLOWS_CANCELLATION),
-        limits.flag(SettingsKeys.ALLOWS_HEALTH_CHECKS),
-        limits.flag(SettingsKeys.ALLOWS_PEER_MESSAGES),
-        limits.flag(SettingsKeys.ALLOWS_RETRY_AFTER));
+        limits.booleanOrFalse(SettingsKeys.ALLOWS_HEDGING),
+        limits.booleanOrFalse(SettingsKeys.ALLOWS_CANCELLATION),
+        limits.booleanOrFalse(SettingsKeys.ALLOWS_HEALTH_CHECKS),
+        limits.booleanOrFalse(SettingsKeys.ALLOWS_PEER_MESSAGES),
+        limits.booleanOrFalse(SettingsKeys.ALLOWS_RETRY_AFTER));
   }
 
   private static ServiceRules rules(JsonObject rules) {
@@ -69,9 +69,9 @@
 
   private static CounterConfig counter(JsonObject extras) {
     return new CounterConfig(
-        extras.flag(SettingsKeys.HAS_COUNTER),
+        extras.booleanOrFalse(SettingsKeys.HAS_COUNTER),
         extras.integerOr(SettingsKeys.COUNTER_TIMEOUT_MICROS, 0),
-        extras.flag(SettingsKeys.SETTLES_UNITS));
+        extras.booleanOrFalse(SettingsKeys.SETTLES_UNITS));
   }
 
   private static RequestClass requestClass(JsonObject entry) {
@@ -86,7 +86,7 @@
         parseEnum(Idempotency.class, entry.textOr(SettingsKeys.IDEMPOTENCY, "at_most_once")),
         parseEnum(DeduplicationScope.class, entry.textOr(SettingsKeys.DEDUPLICATION_SCOPE, "cell")),
         entry.integerOr(SettingsKeys.DEDUPLICATION_WINDOW_MICROS, 0),
-        entry.flag(SettingsKeys.IS_STREAMED));
+        entry.booleanOrFalse(SettingsKeys.IS_STREAMED));
   }
 
   private static Plan plan(JsonObject entry) {
--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -104,7 +104,7 @@
               event.text(FIELD_ENDPOINT),
               event.integerOr(FIELD_DURATION_MICROS, 0),
               result(event.text(FIELD_RESULT)),
-              event.flag(FIELD_IS_REQUEST_COMPLETED),
+              event.booleanOrFalse(FIELD_IS_REQUEST_COMPLETED),
               event.numberOr(FIELD_UNITS_USED, 0),
               SettingsReader.readLoadReport(event.objectOrEmpty(FIELD_LOAD_REPORT)));
       case EVENT_RESPONSE_STARTED ->
