--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -30,7 +30,7 @@
   }
 
   private static void mget(CommandInvocation c) {
-    c.reply().array(c.words().length - 1);
+    c.reply().beginArray(c.words().length - 1);
     for (int i = 1; i < c.words().length; i++) {
       replyAmount(c, i);
     }
--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -71,7 +71,7 @@
    */
   private void gatewayHeartbeat(CommandInvocation c) throws CommandException {
     replica.onOriginStamp(c.integer(1), c.integer(2), c.nowMillis());
-    c.reply().array(2);
+    c.reply().beginArray(2);
     c.reply().flag(replica.isReady());
     c.reply().integer(replica.membershipVersion());
   }
@@ -159,7 +159,7 @@
       String heard = replica.isPeerAlive(peer, c.nowMillis()) ? " heard" : " missing";
       lines.add("  " + peer + heard + " lag " + (lag < 0 ? "everything" : Integer.toString(lag)));
     }
-    c.reply().array(lines.size());
+    c.reply().beginArray(lines.size());
     lines.forEach(c.reply()::bulk);
   }
 }
--- a/src/main/java/fawndock/counter/CommandExecutor.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -153,7 +153,7 @@
     if (bytes > 0) {
       reserve(bytes);
     }
-    reply.array(transaction.commands().size());
+    reply.beginArray(transaction.commands().size());
     for (byte[][] words : transaction.commands()) {
       try {
         perform(commands.find(words), words, reply, connection, nowMillis);
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -134,7 +134,7 @@
     for (String each : List.of("mode", "standalone", "role", "master", "modules")) {
       c.reply().bulk(each);
     }
-    c.reply().array(0);
+    c.reply().beginArray(0);
   }
 
   private static void select(CommandInvocation c) throws CommandException {
@@ -176,11 +176,11 @@
       case "COUNT" -> c.reply().integer(all.size());
       case "DOCS" -> c.reply().map(0);
       case "LIST" -> {
-        c.reply().array(all.size());
+        c.reply().beginArray(all.size());
         all.forEach(each -> c.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
       }
       case "INFO" -> {
-        c.reply().array(c.words().length - 2);
+        c.reply().beginArray(c.words().length - 2);
         for (int i = 2; i < c.words().length; i++) {
           Command found = commands.get(c.option(i));
           if (found == null) {
@@ -197,15 +197,15 @@
   }
 
   private static void describeAll(CommandInvocation c, Collection<Command> commands) {
-    c.reply().array(commands.size());
+    c.reply().beginArray(commands.size());
     commands.forEach(each -> describe(c, each));
   }
 
   private static void describe(CommandInvocation c, Command command) {
-    c.reply().array(6);
+    c.reply().beginArray(6);
     c.reply().bulk(command.name().toLowerCase(Locale.ROOT));
     c.reply().integer(command.arity());
-    c.reply().array(1);
+    c.reply().beginArray(1);
     c.reply().simple(command.isWrite() ? "write" : "readonly");
     c.reply().integer(command.firstName());
     c.reply().integer(command.lastName());
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -156,9 +156,9 @@
           });
       seen += Math.max(all[0], names.size() - before);
     }
-    c.reply().array(2);
+    c.reply().beginArray(2);
     c.reply().bulk(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
-    c.reply().array(none ? 0 : names.size());
+    c.reply().beginArray(none ? 0 : names.size());
     if (!none) {
       names.forEach(c.reply()::bulk);
     }
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -51,7 +51,7 @@
     byte[] attributeBytes = withTimeout(timeoutMillis).getBytes(StandardCharsets.ISO_8859_1);
     ByteBuf out = Unpooled.buffer(HEADER_BYTES + attributeBytes.length + bodyBytes());
     ReplyWriter writer = new ReplyWriter(out);
-    writer.array(words.length);
+    writer.beginArray(words.length);
     for (int i = 0; i < words.length; i++) {
       writer.bulk(i == ATTRIBUTES_INDEX ? attributeBytes : words[i]);
     }
--- a/src/main/java/fawndock/platform/CounterCall.java
+++ b/src/main/java/fawndock/platform/CounterCall.java
@@ -32,7 +32,7 @@
     long timeToLiveMillis = Math.max(1, (action.timeToLiveMicros() + 999) / 1_000);
     ByteBuf command = Unpooled.buffer(COMMAND_BYTES);
     ReplyWriter writer = new ReplyWriter(command);
-    writer.array(4);
+    writer.beginArray(4);
     writer.bulk(PlatformProtocol.COMMAND_ADD_AND_GET);
     writer.bulk(action.counterName());
     writer.bulk(encodeAmount(action.amount()));
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -135,7 +135,7 @@
     String id = "00000000" + Integer.toHexString(0x10000000 | number);
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
-    writer.array(4);
+    writer.beginArray(4);
     writer.bulk(
         requestClass.idempotency() == Idempotency.IDEMPOTENT
             ? PlatformProtocol.COMMAND_IDEMPOTENT
@@ -225,7 +225,7 @@
       if (command.equals(PlatformProtocol.COMMAND_ADD_AND_GET)) {
         writer.bulk(TOTAL);
       } else {
-        writer.array(3);
+        writer.beginArray(3);
         writer.bulk(words[2]);
         writer.nullBulk();
         writer.bulk(LOAD_REPORT);
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -78,7 +78,7 @@
   }
 
   /** Begins an array; its elements are to be written next. */
-  public void array(int elements) {
+  public void beginArray(int elements) {
     head('*', elements);
   }
 
