--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -123,7 +123,7 @@
               + "RESP protocol version at the same time");
     }
     c.reply().version = version;
-    c.reply().map(7);
+    c.reply().beginMap(7);
     for (String each : List.of("server", "fawndock", "version", ServerInfo.VERSION)) {
       c.reply().bulk(each);
     }
@@ -174,7 +174,7 @@
     switch (subcommand) {
       case "" -> describeAll(c, all);
       case "COUNT" -> c.reply().integer(all.size());
-      case "DOCS" -> c.reply().map(0);
+      case "DOCS" -> c.reply().beginMap(0);
       case "LIST" -> {
         c.reply().beginArray(all.size());
         all.forEach(each -> c.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -83,7 +83,7 @@
   }
 
   /** Begins a map of this many pairs; version 2 writes an array of twice as many elements. */
-  public void map(int pairs) {
+  public void beginMap(int pairs) {
     head(version == 3 ? '%' : '*', version == 3 ? pairs : 2L * pairs);
   }
 }
