--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -123,7 +123,7 @@
     if (newer == null) {
       c.reply().ok();
     } else {
-      c.reply().simple(NEWER_LIST_PREFIX + newer);
+      c.reply().simpleString(NEWER_LIST_PREFIX + newer);
     }
   }
 
--- a/src/main/java/fawndock/counter/CommandExecutor.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -108,7 +108,7 @@
       connection.transaction = null;
       perform(command, words, reply, connection, 0);
     } else if (connection.transaction.add(words)) {
-      reply.simple("QUEUED");
+      reply.simpleString("QUEUED");
     } else {
       throw new CommandException(
           "ERR a transaction has at most " + Transaction.MAX_COMMANDS + " commands and 256 KiB");
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -60,7 +60,7 @@
     if (c.words().length == 2) {
       c.reply().bulk(c.word(1));
     } else {
-      c.reply().simple("PONG");
+      c.reply().simpleString("PONG");
     }
   }
 
@@ -206,7 +206,7 @@
     c.reply().bulk(command.name().toLowerCase(Locale.ROOT));
     c.reply().integer(command.arity());
     c.reply().beginArray(1);
-    c.reply().simple(command.isWrite() ? "write" : "readonly");
+    c.reply().simpleString(command.isWrite() ? "write" : "readonly");
     c.reply().integer(command.firstName());
     c.reply().integer(command.lastName());
     c.reply().integer(command.firstName() == 0 ? 0 : 1);
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -37,7 +37,7 @@
             1,
             c ->
                 c.reply()
-                    .simple(
+                    .simpleString(
                         c.operations().table().get(c.word(1), c.nowMillis()) == null
                             ? "none"
                             : "string")),
--- a/src/main/java/fawndock/platform/ClientConnection.java
+++ b/src/main/java/fawndock/platform/ClientConnection.java
@@ -143,7 +143,7 @@
     } else if (words.length == 1
         && ClientCommandParser.isWord(words[0], PlatformProtocol.COMMAND_PING)) {
       ByteBuf out = Unpooled.buffer(8);
-      new ReplyWriter(out).simple(PlatformProtocol.REPLY_PONG);
+      new ReplyWriter(out).simpleString(PlatformProtocol.REPLY_PONG);
       slot.respond(out);
     } else {
       slot.respondError(PlatformProtocol.ERROR_UNKNOWN_COMMAND);
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -37,13 +37,13 @@
   }
 
   /** Writes a simple string. */
-  public void simple(String text) {
+  public void simpleString(String text) {
     line('+', text);
   }
 
   /** Writes the simple string OK. */
   public void ok() {
-    simple("OK");
+    simpleString("OK");
   }
 
   /** Writes an error; the text begins with its code. */
