--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -25,7 +25,7 @@
     if (amount == null) {
       c.reply().nullBulk();
     } else {
-      c.reply().bulk(amount.toString());
+      c.reply().bulkString(amount.toString());
     }
   }
 
@@ -57,7 +57,7 @@
   private static void incrByFloat(CommandInvocation c) throws CommandException {
     byte[] name = c.requireName(1);
     DecimalAmount by = DecimalAmount.parse(c.word(2));
-    c.reply().bulk(c.operations().add(name, by, 0, c.nowMillis(), c.changes()).toString());
+    c.reply().bulkString(c.operations().add(name, by, 0, c.nowMillis(), c.changes()).toString());
   }
 
   /**
@@ -73,7 +73,7 @@
       throw new CommandException("ERR invalid expire time in 'fd.add' command");
     }
     c.reply()
-        .bulk(
+        .bulkString(
             c.operations().add(name, by, timeToLiveMillis, c.nowMillis(), c.changes()).toString());
   }
 
@@ -87,7 +87,7 @@
       set(c, name, amount, previous != null, options);
     }
     if (options.returnsPrevious() && previous != null) {
-      c.reply().bulk(previous.toString());
+      c.reply().bulkString(previous.toString());
     } else if (options.returnsPrevious() || !shouldSet) {
       c.reply().nullBulk();
     } else {
--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -49,7 +49,7 @@
   /** {@code FD.SUM name origin added withdrawn ttl-ms}: merges a gateway's sum; the total back. */
   private void sum(CommandInvocation c) throws CommandException {
     DecimalAmount total = replica.mergeAndTotal(readSum(c, 1), c.nowMillis(), c.changes());
-    c.reply().bulk(total.toString());
+    c.reply().bulkString(total.toString());
   }
 
   /** Reads the {@link #WORDS_PER_SUM} words of a sum from a place on. */
@@ -96,7 +96,7 @@
       }
     }
     MembershipList list = replica.adoptedMembership();
-    c.reply().bulk(list == null ? "" : list.toString());
+    c.reply().bulkString(list == null ? "" : list.toString());
   }
 
   private void requirePeer(String id) throws CommandException {
@@ -160,6 +160,6 @@
       lines.add("  " + peer + heard + " lag " + (lag < 0 ? "everything" : Integer.toString(lag)));
     }
     c.reply().beginArray(lines.size());
-    lines.forEach(c.reply()::bulk);
+    lines.forEach(c.reply()::bulkString);
   }
 }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -25,7 +25,7 @@
   List<Command> all() {
     return List.of(
         new Command("PING", -1, false, 0, 0, ConnectionCommands::ping),
-        new Command("ECHO", 2, false, 0, 0, c -> c.reply().bulk(c.word(1))),
+        new Command("ECHO", 2, false, 0, 0, c -> c.reply().bulkString(c.word(1))),
         new Command("HELLO", -1, false, 0, 0, this::hello),
         new Command("AUTH", -2, false, 0, 0, this::auth),
         new Command("SELECT", 2, false, 0, 0, ConnectionCommands::select),
@@ -41,7 +41,7 @@
             }),
         new Command("CLIENT", -2, false, 0, 0, ConnectionCommands::client),
         new Command("COMMAND", -1, false, 0, 0, this::command),
-        new Command("INFO", -1, false, 0, 0, c -> c.reply().bulk(info.text())));
+        new Command("INFO", -1, false, 0, 0, c -> c.reply().bulkString(info.text())));
   }
 
   /** Whether a connection may run it before it has given the password. */
@@ -58,7 +58,7 @@
       throw wrongArity("ping");
     }
     if (c.words().length == 2) {
-      c.reply().bulk(c.word(1));
+      c.reply().bulkString(c.word(1));
     } else {
       c.reply().simpleString("PONG");
     }
@@ -125,14 +125,14 @@
     c.reply().version = version;
     c.reply().beginMap(7);
     for (String each : List.of("server", "fawndock", "version", ServerInfo.VERSION)) {
-      c.reply().bulk(each);
+      c.reply().bulkString(each);
     }
-    c.reply().bulk("proto");
+    c.reply().bulkString("proto");
     c.reply().integer(version);
-    c.reply().bulk("id");
+    c.reply().bulkString("id");
     c.reply().integer(c.connection().id);
     for (String each : List.of("mode", "standalone", "role", "master", "modules")) {
-      c.reply().bulk(each);
+      c.reply().bulkString(each);
     }
     c.reply().beginArray(0);
   }
@@ -152,7 +152,7 @@
         if (c.connection().name.isEmpty()) {
           c.reply().nullBulk();
         } else {
-          c.reply().bulk(c.connection().name);
+          c.reply().bulkString(c.connection().name);
         }
       }
       case "SETNAME 3" -> {
@@ -177,7 +177,7 @@
       case "DOCS" -> c.reply().beginMap(0);
       case "LIST" -> {
         c.reply().beginArray(all.size());
-        all.forEach(each -> c.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
+        all.forEach(each -> c.reply().bulkString(each.name().toLowerCase(Locale.ROOT)));
       }
       case "INFO" -> {
         c.reply().beginArray(c.words().length - 2);
@@ -203,7 +203,7 @@
 
   private static void describe(CommandInvocation c, Command command) {
     c.reply().beginArray(6);
-    c.reply().bulk(command.name().toLowerCase(Locale.ROOT));
+    c.reply().bulkString(command.name().toLowerCase(Locale.ROOT));
     c.reply().integer(command.arity());
     c.reply().beginArray(1);
     c.reply().simpleString(command.isWrite() ? "write" : "readonly");
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -157,10 +157,10 @@
       seen += Math.max(all[0], names.size() - before);
     }
     c.reply().beginArray(2);
-    c.reply().bulk(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
+    c.reply().bulkString(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
     c.reply().beginArray(none ? 0 : names.size());
     if (!none) {
-      names.forEach(c.reply()::bulk);
+      names.forEach(c.reply()::bulkString);
     }
   }
 }
--- a/src/main/java/fawndock/platform/ClientCommand.java
+++ b/src/main/java/fawndock/platform/ClientCommand.java
@@ -53,7 +53,7 @@
     ReplyWriter writer = new ReplyWriter(out);
     writer.beginArray(words.length);
     for (int i = 0; i < words.length; i++) {
-      writer.bulk(i == ATTRIBUTES_INDEX ? attributeBytes : words[i]);
+      writer.bulkString(i == ATTRIBUTES_INDEX ? attributeBytes : words[i]);
     }
     return out;
   }
--- a/src/main/java/fawndock/platform/ClientExchange.java
+++ b/src/main/java/fawndock/platform/ClientExchange.java
@@ -29,7 +29,7 @@
   /** Responds with the value that an endpoint gave. */
   void serve(byte[] value) {
     ByteBuf out = Unpooled.buffer(value.length + HEADER_BYTES);
-    new ReplyWriter(out).bulk(value);
+    new ReplyWriter(out).bulkString(value);
     slot.respond(out);
   }
 
--- a/src/main/java/fawndock/platform/CounterCall.java
+++ b/src/main/java/fawndock/platform/CounterCall.java
@@ -33,10 +33,10 @@
     ByteBuf command = Unpooled.buffer(COMMAND_BYTES);
     ReplyWriter writer = new ReplyWriter(command);
     writer.beginArray(4);
-    writer.bulk(PlatformProtocol.COMMAND_ADD_AND_GET);
-    writer.bulk(action.counterName());
-    writer.bulk(encodeAmount(action.amount()));
-    writer.bulk(Long.toString(timeToLiveMillis));
+    writer.bulkString(PlatformProtocol.COMMAND_ADD_AND_GET);
+    writer.bulkString(action.counterName());
+    writer.bulkString(encodeAmount(action.amount()));
+    writer.bulkString(Long.toString(timeToLiveMillis));
     return command;
   }
 
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -136,13 +136,13 @@
     ByteBuf out = Unpooled.buffer(160);
     ReplyWriter writer = new ReplyWriter(out);
     writer.beginArray(4);
-    writer.bulk(
+    writer.bulkString(
         requestClass.idempotency() == Idempotency.IDEMPOTENT
             ? PlatformProtocol.COMMAND_IDEMPOTENT
             : PlatformProtocol.COMMAND_NOT_IDEMPOTENT);
-    writer.bulk(id);
-    writer.bulk(id);
-    writer.bulk(attributeList(requestClass, plan));
+    writer.bulkString(id);
+    writer.bulkString(id);
+    writer.bulkString(attributeList(requestClass, plan));
     return out;
   }
 
@@ -223,12 +223,12 @@
       ReplyWriter writer = new ReplyWriter(out);
       String command = new String(words[0], StandardCharsets.ISO_8859_1);
       if (command.equals(PlatformProtocol.COMMAND_ADD_AND_GET)) {
-        writer.bulk(TOTAL);
+        writer.bulkString(TOTAL);
       } else {
         writer.beginArray(3);
-        writer.bulk(words[2]);
+        writer.bulkString(words[2]);
         writer.nullBulk();
-        writer.bulk(LOAD_REPORT);
+        writer.bulkString(LOAD_REPORT);
       }
       return out;
     }
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -62,14 +62,14 @@
   }
 
   /** Writes a bulk string. */
-  public void bulk(byte[] bytes) {
+  public void bulkString(byte[] bytes) {
     head('$', bytes.length);
     out.writeBytes(bytes).writeByte('\r').writeByte('\n');
   }
 
   /** Writes a bulk string in UTF-8. */
-  public void bulk(String text) {
-    bulk(text.getBytes(StandardCharsets.UTF_8));
+  public void bulkString(String text) {
+    bulkString(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Writes the null value. */
