--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -23,7 +23,7 @@
   private static void replyAmount(CommandInvocation c, int place) {
     DecimalAmount amount = c.operations().table().get(c.word(place), c.nowMillis());
     if (amount == null) {
-      c.reply().nullBulk();
+      c.reply().nullValue();
     } else {
       c.reply().bulkString(amount.toString());
     }
@@ -89,7 +89,7 @@
     if (options.returnsPrevious() && previous != null) {
       c.reply().bulkString(previous.toString());
     } else if (options.returnsPrevious() || !shouldSet) {
-      c.reply().nullBulk();
+      c.reply().nullValue();
     } else {
       c.reply().ok();
     }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -150,7 +150,7 @@
       case "ID 2" -> c.reply().integer(c.connection().id);
       case "GETNAME 2" -> {
         if (c.connection().name.isEmpty()) {
-          c.reply().nullBulk();
+          c.reply().nullValue();
         } else {
           c.reply().bulkString(c.connection().name);
         }
@@ -184,7 +184,7 @@
         for (int i = 2; i < c.words().length; i++) {
           Command found = commands.get(c.option(i));
           if (found == null) {
-            c.reply().nullBulk();
+            c.reply().nullValue();
           } else {
             describe(c, found);
           }
--- a/src/main/java/fawndock/platform/WarmUp.java
+++ b/src/main/java/fawndock/platform/WarmUp.java
@@ -227,7 +227,7 @@
       } else {
         writer.beginArray(3);
         writer.bulkString(words[2]);
-        writer.nullBulk();
+        writer.nullValue();
         writer.bulkString(LOAD_REPORT);
       }
       return out;
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -73,7 +73,7 @@
   }
 
   /** Writes the null value. */
-  public void nullBulk() {
+  public void nullValue() {
     out.writeCharSequence(version == 3 ? "_\r\n" : "$-1\r\n", StandardCharsets.US_ASCII);
   }
 
