--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -72,7 +72,7 @@
   private void gatewayHeartbeat(CommandInvocation c) throws CommandException {
     replica.onOriginStamp(c.integer(1), c.integer(2), c.nowMillis());
     c.reply().beginArray(2);
-    c.reply().flag(replica.isReady());
+    c.reply().booleanAsInteger(replica.isReady());
     c.reply().integer(replica.membershipVersion());
   }
 
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -28,7 +28,10 @@
             true,
             1,
             1,
-            c -> c.reply().flag(c.operations().persist(c.word(1), c.nowMillis(), c.changes()))),
+            c ->
+                c.reply()
+                    .booleanAsInteger(
+                        c.operations().persist(c.word(1), c.nowMillis(), c.changes()))),
         new Command(
             "TYPE",
             2,
@@ -103,7 +106,8 @@
             ? must ? ExpiryCondition.XX : ExpiryCondition.ALWAYS
             : ExpiryCondition.valueOf(options.iterator().next());
     boolean may = !must || c.operations().table().expiryMillis(name, c.nowMillis()) > 0;
-    c.reply().flag(may && c.operations().expire(name, at, when, c.nowMillis(), c.changes()));
+    c.reply()
+        .booleanAsInteger(may && c.operations().expire(name, at, when, c.nowMillis(), c.changes()));
   }
 
   private static void ttl(CommandInvocation c, long unit) {
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -57,7 +57,7 @@
   }
 
   /** Writes a boolean as the integer 1 or 0. */
-  public void flag(boolean value) {
+  public void booleanAsInteger(boolean value) {
     integer(value ? 1 : 0);
   }
 
