--- a/src/main/java/fawndock/runtime/CounterReplySequencer.java
+++ b/src/main/java/fawndock/runtime/CounterReplySequencer.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Reports each counter call exactly once, and the calls of one counter in the order in which they
- * were made. Confined to one event loop.
+ * Reports the reply of each counter call exactly once, and the replies of one counter in the order
+ * in which its calls were made. Confined to one event loop.
  */
 public final class CounterReplySequencer {
   /** A call whose reply has not been reported yet. */
@@ -18,7 +18,7 @@
     private final long startedAtMicros;
     private CounterReply reply;
 
-    /** Describes a call of this counter, made at this time. */
+    /** Creates a call to this counter that starts at this time. */
     public PendingCall(String counterName, long startedAtMicros) {
       this.counterName = counterName;
       this.startedAtMicros = startedAtMicros;
@@ -29,7 +29,7 @@
       return nowMicros - startedAtMicros;
     }
 
-    /** Returns whether the call has its result, reported or not. */
+    /** Returns whether the call has a result, reported or not. */
     public boolean isCompleted() {
       return reply != null;
     }
@@ -39,21 +39,21 @@
   private final Consumer<CounterReply> replyListener;
   private boolean isClosed;
 
-  /** Reports replies to the listener. */
+  /** Creates a sequencer that reports replies to this listener. */
   public CounterReplySequencer(Consumer<CounterReply> replyListener) {
     this.replyListener = replyListener;
   }
 
-  /** Registers a call that is being made. */
+  /** Registers a call that is about to be made. */
   public void begin(PendingCall call) {
     pendingCallsByCounter.computeIfAbsent(call.counterName, name -> new ArrayDeque<>(2)).add(call);
   }
 
   /**
-   * Completes a call. When an older call of the same counter is still pending, this one is reported
-   * after it.
+   * Completes a call. While an earlier call to the same counter is pending, the reply is held back
+   * and reported after that call's reply.
    *
-   * @param total the counter's value after the call; 0 where the result carries none
+   * @param total the counter's value after the call; 0 when the result has none
    */
   public void complete(PendingCall call, CallResult result, double total, long nowMicros) {
     call.reply = new CounterReply(call.counterName, result, total, call.elapsedMicros(nowMicros));
--- a/src/main/java/fawndock/runtime/InFlightAttempt.java
+++ b/src/main/java/fawndock/runtime/InFlightAttempt.java
@@ -5,13 +5,13 @@
 
 /**
  * One attempt of a request at an endpoint, independent of the protocol. It completes exactly once,
- * by whatever happens first; later outcomes are dropped. Confined to one event loop.
+ * with the first outcome; later outcomes are ignored. Confined to one event loop.
  */
 public abstract class InFlightAttempt {
   protected final PolicyRunner runner;
   protected final InFlightRequest request;
 
-  /** Index among the request's attempts, from 0. */
+  /** Index among the request's attempts, starting at 0. */
   public final int index;
 
   /** The endpoint's id, as discovery reports it. */
@@ -34,7 +34,7 @@
    * Starts the attempt. At the deadline {@link #onDeadlineExceeded} is called, unless the attempt
    * has completed or {@link #cancelDeadline} was called before.
    *
-   * @param deadlineMicros on the runner's clock
+   * @param deadlineMicros the deadline on the runner's clock
    */
   final void start(long deadlineMicros) {
     deadlineTimer =
@@ -43,24 +43,27 @@
   }
 
   /**
-   * Connects and sends. An attempt that cannot be sent completes as {@link CallResult#NOT_SENT}.
+   * Connects to the endpoint and sends the request. An attempt that cannot be sent completes as
+   * {@link CallResult#NOT_SENT}.
    *
-   * @param deadlineMicros on the runner's clock
+   * @param deadlineMicros the deadline on the runner's clock
    */
   protected abstract void send(long deadlineMicros);
 
   /** Completes the attempt because its deadline has passed. */
   protected abstract void onDeadlineExceeded();
 
-  /** Cancels the attempt for the policy, unless its response is being passed to the client. */
+  /**
+   * Cancels the attempt for the policy, unless its response is already being passed to the client.
+   */
   public abstract void cancel();
 
-  /** Ends a response that is being streamed, as the client has disconnected. */
+  /** Ends a response that is being streamed, because the client has disconnected. */
   public void onClientDisconnected() {
-    // Only protocols that stream have something to end.
+    // Protocols without streaming have nothing to end.
   }
 
-  /** Disarms the deadline: the response belongs to the client from now on. */
+  /** Cancels the deadline timer, because the response is passed to the client from now on. */
   protected final void cancelDeadline() {
     runner.timers().cancel(deadlineTimer);
   }
@@ -70,16 +73,16 @@
     return result;
   }
 
-  /** Completes the attempt without a load report; does nothing when it has completed before. */
+  /** Completes the attempt without a load report; does nothing when it has already completed. */
   protected final void complete(CallResult outcome) {
     complete(outcome, LoadReport.NONE, 0);
   }
 
   /**
-   * Completes the attempt; does nothing when it has completed before.
+   * Completes the attempt; does nothing when it has already completed.
    *
    * @param load the endpoint's load report
-   * @param units the request's true units where the endpoint reported them, else 0
+   * @param units the request's actual cost in units when the endpoint reported it, else 0
    */
   protected final void complete(CallResult outcome, LoadReport load, double units) {
     if (result != null) {
--- a/src/main/java/fawndock/runtime/InFlightRequest.java
+++ b/src/main/java/fawndock/runtime/InFlightRequest.java
@@ -5,11 +5,14 @@
 import java.util.List;
 
 /**
- * One request that the policy knows of, with its attempts, until the last of them has completed.
- * Confined to one event loop.
+ * A request that has been reported to the policy, with its attempts. It is kept until the response
+ * is complete and the last attempt has completed. Confined to one event loop.
  */
 public final class InFlightRequest {
-  /** Where a request stands with its client; stages are passed in this order only. */
+  /**
+   * Progress of the response to the client. A request goes through the stages in this order; one
+   * whose response is not streamed skips {@link #STREAMING}.
+   */
   public enum Stage {
     /** The client has received nothing yet. */
     OPEN,
@@ -19,7 +22,7 @@
     COMPLETED
   }
 
-  /** Number of the request within this process. */
+  /** Id of the request, unique within this process. */
   public final long id;
 
   /** The client's side of the request. */
@@ -28,7 +31,7 @@
   /** All attempts in the order in which they were started. */
   public final List<InFlightAttempt> attempts = new ArrayList<>(1);
 
-  /** Attempts that have not completed. */
+  /** Number of attempts that have not completed. */
   int activeAttemptCount;
 
   /** Fires at the client's deadline. */
@@ -42,7 +45,7 @@
     this.exchange = exchange;
   }
 
-  /** Returns whether the client still waits for its response and none has begun. */
+  /** Returns whether the client waits for a response and none has begun. */
   public boolean isOpen() {
     return stage == Stage.OPEN;
   }
@@ -72,9 +75,9 @@
   }
 
   /**
-   * Marks the end of the response, or that the client has disconnected.
+   * Marks the end of the response or the disconnection of the client.
    *
-   * @throws IllegalStateException when the request has completed before
+   * @throws IllegalStateException when the request has already completed
    */
   void complete() {
     checkTransition(stage != Stage.COMPLETED, Stage.COMPLETED);
@@ -87,7 +90,10 @@
     }
   }
 
-  /** Returns whether the last attempt failed by the endpoint or network, not by its deadline. */
+  /**
+   * Returns whether the last attempt failed because of the endpoint or the network, and not because
+   * of its deadline.
+   */
   public boolean hasLastAttemptFailed() {
     CallResult result = lastResult();
     return result == CallResult.ERROR
@@ -96,7 +102,7 @@
         || result == CallResult.SHED;
   }
 
-  /** Returns the outcome of the last attempt, or null when there is none. */
+  /** Returns the result of the last attempt; null when there is no attempt or it is in flight. */
   CallResult lastResult() {
     return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).result();
   }
--- a/src/main/java/fawndock/runtime/MicroClock.java
+++ b/src/main/java/fawndock/runtime/MicroClock.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The wall clock in microseconds, guarded so that it never runs backwards. When the wall clock is
- * set back, this one runs at half the speed of the monotonic clock until the wall clock has caught
- * up: times stay in order and waits still end. One thread at a time.
+ * A wall clock in microseconds that never runs backwards. After the system's wall clock is set
+ * back, this clock runs at half the speed of the monotonic clock until the wall clock has caught
+ * up, so that timestamps stay in order and waits still end. Not thread-safe.
  */
 public final class MicroClock {
   private final LongSupplier wallMicros;
@@ -15,18 +15,21 @@
   private long lastMicros = Long.MIN_VALUE;
   private long lastNanos;
 
-  /** Reads the system's clocks. */
+  /** Creates a clock that reads the system's clocks. */
   public MicroClock() {
     this(MicroClock::systemMicros, System::nanoTime);
   }
 
-  /** Reads the clocks given: microseconds since 1970, and monotonic nanoseconds. */
+  /**
+   * Creates a clock from a wall clock in microseconds since 1970 and a monotonic clock in
+   * nanoseconds.
+   */
   public MicroClock(LongSupplier wallMicros, LongSupplier monotonicNanos) {
     this.wallMicros = wallMicros;
     this.monotonicNanos = monotonicNanos;
   }
 
-  /** Returns microseconds since 1970, never less than before. */
+  /** Returns the time in microseconds since 1970, never less than the value returned before. */
   public long nowMicros() {
     long wall = wallMicros.getAsLong();
     long monotonic = monotonicNanos.getAsLong();
--- a/src/main/java/fawndock/runtime/PolicyEventQueue.java
+++ b/src/main/java/fawndock/runtime/PolicyEventQueue.java
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 
 /**
- * Feeds events to a policy in order and has its actions executed. Events that arrive while an
- * action is executed are queued, so that the policy is never entered recursively. Confined to one
+ * Passes events to a policy in order and has its actions executed. Events that are submitted while
+ * an action is executed are queued, so that the policy is never called recursively. Confined to one
  * event loop.
  */
 public final class PolicyEventQueue {
@@ -23,8 +23,8 @@
   /**
    * Creates an empty queue.
    *
-   * @param actionExecutor is given each action that the policy returns
-   * @param log receives exceptions of the policy and of the executor
+   * @param actionExecutor executes each action that the policy returns
+   * @param log logger for exceptions of the policy and of the executor
    */
   public PolicyEventQueue(
       GatewayPolicy policy, MicroClock clock, Consumer<PolicyAction> actionExecutor, Logger log) {
@@ -34,7 +34,7 @@
     this.log = log;
   }
 
-  /** Dispatches an event: now, or after the event that is being dispatched. */
+  /** Dispatches an event now, or after the event that is being dispatched. */
   public void submit(PolicyEvent event) {
     pendingEvents.add(event);
     if (isDispatching) {
@@ -54,8 +54,8 @@
     try {
       policy.onEvent(clock.nowMicros(), event).forEach(actionExecutor);
     } catch (RuntimeException | StackOverflowError e) {
-      // One failing event must not stop the event loop. The requests that it concerns are answered
-      // when their deadline timers fire.
+      // An exception for one event must not stop the event loop. The affected requests get their
+      // responses when their deadline timers fire.
       log.error("policy failed, event={}", event, e);
     }
   }
--- a/src/main/java/fawndock/runtime/PolicyRunner.java
+++ b/src/main/java/fawndock/runtime/PolicyRunner.java
@@ -33,30 +33,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs one {@link GatewayPolicy} on one event loop: feeds it events in order, executes the actions
- * that it returns, and guards each request's deadline. All methods belong to that one event loop.
+ * Runs one {@link GatewayPolicy} on one event loop: passes events to it in order, executes the
+ * actions that it returns, and enforces each request's deadline. Confined to that event loop.
  */
 public final class PolicyRunner {
   private static final Logger LOG = LoggerFactory.getLogger(PolicyRunner.class);
 
-  /** The gateway's connections to endpoints, counter service, peers and endpoint discovery. */
+  /** The gateway's connections to endpoints, the counter service, peers and endpoint discovery. */
   public interface GatewayConnections {
     /**
-     * Adds to a counter; reports exactly one {@link CounterReply}, in a later turn of the event
-     * loop, and in order for each counter.
+     * Adds to a counter. Reports exactly one {@link CounterReply}, in a later task of the event
+     * loop, and in the order of the calls to each counter.
      */
     void addToCounter(AddToCounter action);
 
-    /** Sends a message to one peer or to all; delivery is not guaranteed. */
+    /** Sends a message to one peer or to all peers; delivery is not guaranteed. */
     void sendPeerMessage(SendPeerMessage action);
 
-    /** Watches discovery: a complete endpoint list, and all changes after it. */
+    /** Watches discovery, which reports a complete endpoint list and then each change. */
     void watchEndpoints();
 
     /** Fetches a complete endpoint list once. */
     void fetchEndpoints();
 
-    /** Creates an attempt that is not started yet. */
+    /** Creates an attempt without starting it. */
     InFlightAttempt createAttempt(InFlightRequest request, int index, String endpointId);
 
     /** Checks an endpoint's health; reports exactly one {@link HealthCheckCompleted}. */
@@ -75,11 +75,11 @@
   private Runnable idleListener;
 
   /**
-   * Creates a runner that has no policy yet.
+   * Creates a runner without a policy; {@link #setPolicy} sets it.
    *
-   * @param maxAttempts the most attempts of one request; more are never sent
-   * @param firstRequestId where endpoints see request ids, above those of an earlier incarnation of
-   *     this process
+   * @param maxAttempts maximum number of attempts of a request; further attempts are not sent
+   * @param firstRequestId id of the first request; where endpoints receive request ids, it must be
+   *     above the ids of an earlier run of this process
    */
   public PolicyRunner(
       MicroClock clock,
@@ -96,14 +96,14 @@
     this.nextRequestId = firstRequestId;
   }
 
-  /** Sets the policy; to be called before the first event. */
+  /** Sets the policy; must be called before the first event. */
   public void setPolicy(GatewayPolicy policy) {
     eventQueue = new PolicyEventQueue(policy, clock, this::execute, LOG);
   }
 
   /**
-   * Takes a client's request. Its exchange gets exactly one final response, unless the client
-   * disconnects before.
+   * Accepts a client's request and reports it to the policy. Its exchange gets exactly one final
+   * response, unless the client disconnects first.
    *
    * @return the request's id
    */
@@ -112,8 +112,8 @@
     InFlightRequest request = new InFlightRequest(nextRequestId++, exchange);
     inFlightRequests.put(request.id, request);
     openRequestCount++;
-    // The policy responds before the client's deadline. This timer answers for a policy that failed
-    // to, and fires late when the event loop itself is late.
+    // The policy is expected to respond before the client's deadline. This timer fails the request
+    // when the policy has not responded, and fires late when the event loop is delayed.
     request.deadlineTimer =
         timers.schedule(
             attributes.deadlineAtMicros() - clock.nowMicros(), () -> onDeadlineExceeded(request));
@@ -131,7 +131,9 @@
     return request.id;
   }
 
-  /** Drops a request whose client has disconnected; does nothing once it has its response. */
+  /**
+   * Completes a request whose client has disconnected; does nothing when it has already completed.
+   */
   public void onClientDisconnected(long requestId) {
     InFlightRequest request = inFlightRequests.get(requestId);
     if (request == null || request.isCompleted()) {
@@ -143,7 +145,7 @@
     removeIfFinished(request);
   }
 
-  /** Feeds an event to the policy and executes its actions, now or after the current event. */
+  /** Passes an event to the policy and executes its actions, now or after the current event. */
   public void onEvent(PolicyEvent event) {
     eventQueue.submit(event);
   }
@@ -178,7 +180,7 @@
   private void startAttempt(StartAttempt action) {
     InFlightRequest request = inFlightRequests.get(action.requestId());
     if (request == null) {
-      LOG.error("attempt for an unknown request, request={}", action.requestId());
+      LOG.error("attempt for unknown request: request={}", action.requestId());
       return;
     }
     InFlightAttempt attempt =
@@ -206,26 +208,29 @@
   }
 
   /**
-   * Passes an attempt's complete response to the client, unless another attempt's was passed on
-   * before.
+   * Passes an attempt's complete response to the client. Does nothing when the request is no longer
+   * open, for example because another attempt's response has been passed on.
    *
-   * @param serve writes the response to the client
+   * @param responseWriter writes the response to the client
    */
-  public void deliverResponse(InFlightRequest request, InFlightAttempt attempt, Runnable serve) {
+  public void deliverResponse(
+      InFlightRequest request, InFlightAttempt attempt, Runnable responseWriter) {
     if (request.isOpen()) {
       complete(request, RequestOutcome.SERVED, attempt.endpointId);
-      serve.run();
+      responseWriter.run();
     }
   }
 
-  /** Records that an attempt's response is being streamed to the client, which must be open. */
+  /**
+   * Records that an attempt's response is being streamed to the client; the request must be open.
+   */
   public void onStreamStarted(InFlightRequest request, InFlightAttempt attempt) {
     request.startStreaming();
     timers.cancel(request.deadlineTimer);
     onEvent(new ResponseStarted(request.id, attempt.index, attempt.endpointId));
   }
 
-  /** Records the end of a streamed response; an incomplete one aborts the client's side. */
+  /** Records the end of a streamed response; aborts the exchange if the response is incomplete. */
   public void onStreamEnded(InFlightRequest request, InFlightAttempt attempt, boolean isComplete) {
     if (!request.isStreaming()) {
       return;
@@ -288,17 +293,19 @@
     }
   }
 
-  /** Says why there is no response, as far as the last attempt shows. */
+  /** Returns why there is no response, according to the last attempt. */
   private static String failureReason(InFlightRequest request) {
     if (request.attempts.isEmpty()) {
       return "not sent";
     }
     CallResult result = request.lastResult();
-    return result == null ? "no answer yet" : "last attempt " + resultWord(result);
+    return result == null ? "no answer yet" : "last attempt " + resultName(result);
   }
 
-  /** The word for a result in the access log and in problem details, which operators search for. */
-  private static String resultWord(CallResult result) {
+  /**
+   * Returns the name of a result in the access log and in problem details; operators search for it.
+   */
+  private static String resultName(CallResult result) {
     return result == CallResult.NOT_SENT ? "unused" : result.name().toLowerCase(Locale.ROOT);
   }
 
@@ -309,7 +316,7 @@
     recorder.onResponse(request, clock.nowMicros(), outcome, reason);
   }
 
-  /** Forgets a request that has its response and no attempt in flight. */
+  /** Removes a request that has completed and has no attempt in flight. */
   private void removeIfFinished(InFlightRequest request) {
     if (!request.isCompleted() || request.activeAttemptCount > 0) {
       return;
@@ -320,12 +327,15 @@
     }
   }
 
-  /** Returns how many requests have no final response yet. */
+  /** Returns the number of requests that have no final response yet. */
   public int openRequestCount() {
     return openRequestCount;
   }
 
-  /** Calls the listener whenever no request and no attempt is in flight; at once if so now. */
+  /**
+   * Calls the listener whenever the last request or attempt in flight has completed, and
+   * immediately if none is in flight now.
+   */
   public void whenIdle(Runnable listener) {
     idleListener = listener;
     if (inFlightRequests.isEmpty()) {
@@ -333,7 +343,7 @@
     }
   }
 
-  /** Returns the clock that all times of this runner are on. */
+  /** Returns the clock that this runner takes all times from. */
   public MicroClock clock() {
     return clock;
   }
--- a/src/main/java/fawndock/runtime/ResponseRecorder.java
+++ b/src/main/java/fawndock/runtime/ResponseRecorder.java
@@ -9,18 +9,18 @@
   enum RequestOutcome {
     /** The client received an endpoint's response. */
     SERVED,
-    /** The request was rejected before any endpoint ran it. */
+    /** The request was rejected before an endpoint processed it. */
     REJECTED,
-    /** The request failed; an endpoint may have run it. */
+    /** The request failed; an endpoint may have processed it. */
     FAILED,
-    /** The client disconnected before its response. */
+    /** The client disconnected before its response was complete. */
     DISCONNECTED
   }
 
   /**
-   * Records that a request has had its final response, or that its client has disconnected.
+   * Records that a request has received its final response or that its client has disconnected.
    *
-   * @param nowMicros on the runner's clock
+   * @param nowMicros the time on the runner's clock
    * @param reason the serving endpoint's id, or why there was no response
    */
   void onResponse(InFlightRequest request, long nowMicros, RequestOutcome outcome, String reason);
--- a/src/main/java/fawndock/runtime/ServerExchange.java
+++ b/src/main/java/fawndock/runtime/ServerExchange.java
@@ -3,21 +3,22 @@
 import fawndock.policy.config.RequestClass;
 
 /**
- * The client's side of one request, independent of the protocol. The client gets exactly one final
- * response: an endpoint's, passed on by the protocol's own attempt, or one of {@link #reject} and
- * {@link #fail}; none when it has disconnected.
+ * The client's side of one request, independent of the protocol. Unless it disconnects, the client
+ * gets exactly one final response: an endpoint's response, which the protocol's {@link
+ * InFlightAttempt} passes on, or that of {@link #reject} or {@link #fail}.
  */
 public interface ServerExchange {
   /**
-   * What was requested and by whom.
+   * What a client requests and for which customer.
    *
-   * @param plan the customer's plan
+   * @param plan name of the customer's plan
    * @param arrivedAtMicros when the request was read, in microseconds since 1970
    * @param deadlineAtMicros when the client stops waiting, in microseconds since 1970
-   * @param units the request's cost by the client's own account
-   * @param customerInstanceCount how many gateway instances the customer's requests are spread over
+   * @param units the request's cost as the client states it
+   * @param customerInstanceCount number of gateway instances that the customer's requests are
+   *     spread over
    * @param customerFirstInstance index of the first of these instances
-   * @param label the client's own name for the request, for the log
+   * @param label the client's name for the request, for the log
    */
   record RequestAttributes(
       RequestClass requestClass,
@@ -31,21 +32,22 @@
       boolean isRetry,
       String label) {}
 
-  /** Returns what was requested and by whom. */
+  /** Returns what the client requests and for which customer. */
   RequestAttributes requestAttributes();
 
   /** Rejects the request; the client may retry after this time in microseconds. */
   void reject(long retryAfterMicros);
 
   /**
-   * Fails the request, with no promise whether an endpoint ran it.
+   * Fails the request; an endpoint may or may not have processed it.
    *
-   * @param hasLastAttemptFailed whether the last attempt failed, rather than that time ran out
+   * @param hasLastAttemptFailed whether the last attempt failed; false when the deadline was
+   *     exceeded instead
    */
   void fail(boolean hasLastAttemptFailed, String reason);
 
-  /** Closes the client's side at once after a streamed response broke. */
+  /** Closes the client's side immediately, because a streamed response is incomplete. */
   default void abort() {
-    // Only protocols that stream have something to close.
+    // Protocols without streaming have nothing to close.
   }
 }
--- a/src/main/java/fawndock/runtime/Timers.java
+++ b/src/main/java/fawndock/runtime/Timers.java
@@ -5,36 +5,39 @@
 
 /**
  * The timers of one event loop: a hashed timing wheel (Varghese and Lauck, 1987) with one slot for
- * each millisecond, and one Vert.x timer for the next slot in use. Scheduling and cancelling cost
- * the same however many timers are pending: at full load the timers that requests leave until their
- * deadlines are hundreds of thousands, too many for a sorted queue. After the event loop was held
- * up, what came meanwhile is read before timers fire. Confined to one event loop.
+ * each millisecond, and one Vert.x timer for the next slot in use. Scheduling and cancelling take
+ * constant time: at full load, hundreds of thousands of request timers are pending until their
+ * deadlines, too many for a sorted queue. After a delay of the event loop, received data is read
+ * before timers fire. Confined to one event loop.
  */
 public final class Timers implements AutoCloseable {
-  private static final int SLOTS = 4_096;
+  private static final int SLOT_COUNT = 4_096;
   private static final long TICK_NANOS = 1_000_000;
 
-  /** A wake-up that is later than this was held up: reads come first. */
-  private static final long MAX_PUNCTUAL_DELAY_TICKS = 5;
+  /**
+   * After a wake-up that is delayed by more than this, the event loop reads received data before
+   * timers fire.
+   */
+  private static final long LATE_WAKE_UP_THRESHOLD_TICKS = 5;
 
-  /** One timer; it fires once, unless cancelled before. */
+  /** A timer, which fires once unless it is cancelled before. */
   public static final class Timer {
-    private final long tick;
+    private final long dueTick;
     private Runnable task;
     private Timer next;
 
-    private Timer(long tick, Runnable task) {
-      this.tick = tick;
+    private Timer(long dueTick, Runnable task) {
+      this.dueTick = dueTick;
       this.task = task;
     }
   }
 
   private final Vertx vertx;
   private final long originNanos = System.nanoTime();
-  private final Timer[] heads = new Timer[SLOTS];
-  private final Timer[] tails = new Timer[SLOTS];
+  private final Timer[] heads = new Timer[SLOT_COUNT];
+  private final Timer[] tails = new Timer[SLOT_COUNT];
 
-  /** All timers of ticks up to this one have fired. */
+  /** All timers due at this tick or earlier have fired. */
   private long lastFiredTick;
 
   private int pendingCount;
@@ -45,17 +48,19 @@
   private long wakeUpTick;
   private boolean isFiring;
 
-  /** Whether the late wake-up under way has let the event loop read. */
-  private boolean hasLetReadsGoFirst;
+  /**
+   * Whether the current late wake-up has been postponed once so that the event loop reads first.
+   */
+  private boolean hasDeferredToReads;
 
-  /** Creates the timers of the event loop that this is called on. */
+  /** Creates the timers of the event loop that runs the caller. */
   public Timers(Vertx vertx) {
     this.vertx = vertx;
   }
 
   /**
-   * Runs a task on this event loop after at least this delay. Timers of one millisecond fire in the
-   * order in which they were scheduled.
+   * Runs a task on this event loop after at least this delay. Timers due in the same millisecond
+   * fire in the order in which they were scheduled.
    */
   public Timer schedule(long delayMicros, Runnable task) {
     long dueNanos = elapsedNanos() + Math.max(0, delayMicros) * 1_000;
@@ -63,15 +68,15 @@
     Timer timer = new Timer(Math.max(dueTick, lastFiredTick + 1), task);
     append(timer);
     pendingCount++;
-    if (!isFiring && (wakeUpTimerId < 0 || timer.tick < wakeUpTick)) {
-      scheduleWakeUp(timer.tick);
+    if (!isFiring && (wakeUpTimerId < 0 || timer.dueTick < wakeUpTick)) {
+      scheduleWakeUp(timer.dueTick);
     }
     return timer;
   }
 
   /**
    * Cancels a timer; does nothing for null or a timer that has fired. A cancelled timer stays in
-   * its slot until its time but no longer references its task.
+   * its slot until it is due but no longer references its task.
    */
   public void cancel(Timer timer) {
     if (timer != null && timer.task != null) {
@@ -80,12 +85,12 @@
     }
   }
 
-  /** Returns how many timers have neither fired nor been cancelled. */
+  /** Returns the number of timers that have neither fired nor been cancelled. */
   public int pendingCount() {
     return pendingCount;
   }
 
-  /** Drops all timers without firing them. Idempotent. */
+  /** Discards all timers without firing them. Idempotent. */
   @Override
   public void close() {
     Arrays.fill(heads, null);
@@ -99,7 +104,7 @@
   }
 
   private void append(Timer timer) {
-    int slot = slot(timer.tick);
+    int slot = slot(timer.dueTick);
     if (heads[slot] == null) {
       heads[slot] = timer;
     } else {
@@ -109,7 +114,7 @@
   }
 
   private static int slot(long tick) {
-    return (int) (tick % SLOTS);
+    return (int) (tick % SLOT_COUNT);
   }
 
   private void scheduleWakeUp(long tick) {
@@ -129,19 +134,19 @@
 
   private void onWakeUp() {
     wakeUpTimerId = -1;
-    if (mustLetReadsGoFirst()) {
-      hasLetReadsGoFirst = true;
+    if (mustDeferToReads()) {
+      hasDeferredToReads = true;
       wakeUpTimerId = vertx.setTimer(1, id -> onWakeUp());
       return;
     }
-    hasLetReadsGoFirst = false;
+    hasDeferredToReads = false;
     isFiring = true;
     try {
       long nowTick = elapsedNanos() / TICK_NANOS;
       long firstTick = lastFiredTick + 1;
       lastFiredTick = nowTick;
-      // At most one round of the wheel: after a longer pause of the loop each slot is due once.
-      for (long tick = firstTick; tick <= nowTick && tick < firstTick + SLOTS; tick++) {
+      // At most one revolution of the wheel: after a longer delay, each slot is due once.
+      for (long tick = firstTick; tick <= nowTick && tick < firstTick + SLOT_COUNT; tick++) {
         fireSlot(slot(tick), nowTick);
       }
     } finally {
@@ -153,23 +158,23 @@
   }
 
   /**
-   * Returns whether the event loop was held up past the wake-up. What came meanwhile, and was in
-   * time, may still be unread; the loop reads it before it runs a timer that is set now.
+   * Returns whether the event loop ran the wake-up late and has not read since. Data that arrived
+   * in time may still be unread; the event loop reads it before it runs a timer that is set now.
    */
-  private boolean mustLetReadsGoFirst() {
+  private boolean mustDeferToReads() {
     long delayTicks = elapsedNanos() / TICK_NANOS - wakeUpTick;
-    return !hasLetReadsGoFirst && delayTicks > MAX_PUNCTUAL_DELAY_TICKS;
+    return !hasDeferredToReads && delayTicks > LATE_WAKE_UP_THRESHOLD_TICKS;
   }
 
   private long nextTickInUse() {
     long tick = lastFiredTick + 1;
-    while (!hasPendingTimer(slot(tick)) && tick < lastFiredTick + SLOTS) {
+    while (!hasPendingTimer(slot(tick)) && tick < lastFiredTick + SLOT_COUNT) {
       tick++;
     }
     return tick;
   }
 
-  /** Returns whether a slot holds a pending timer; drops cancelled timers at its head. */
+  /** Returns whether a slot holds a pending timer; removes cancelled timers at its head. */
   private boolean hasPendingTimer(int slot) {
     while (heads[slot] != null && heads[slot].task == null) {
       heads[slot] = heads[slot].next;
@@ -185,8 +190,8 @@
       Timer next = timer.next;
       timer.next = null;
       boolean isCancelled = timer.task == null;
-      if (!isCancelled && timer.tick > nowTick) {
-        append(timer); // Due in a later round of the wheel.
+      if (!isCancelled && timer.dueTick > nowTick) {
+        append(timer); // Due in a later revolution of the wheel.
       } else if (!isCancelled) {
         Runnable task = timer.task;
         timer.task = null;
--- a/src/main/java/fawndock/runtime/WarmUpProgress.java
+++ b/src/main/java/fawndock/runtime/WarmUpProgress.java
@@ -5,9 +5,9 @@
 import io.vertx.core.Vertx;
 
 /**
- * Progress of a warm-up: it is complete after enough responses or after its time limit, whichever
- * comes first, and never fails, as a warm-up that does not work out is no reason not to start.
- * Confined to one event loop.
+ * Progress of a warm-up. The warm-up completes after enough responses or at its time limit,
+ * whichever comes first. It never fails, because an unsuccessful warm-up must not prevent the
+ * start. Confined to one event loop.
  */
 public final class WarmUpProgress {
   private final int targetResponses;
@@ -16,13 +16,13 @@
   private int responseCount;
   private int servedCount;
 
-  /** Starts the time limit. */
+  /** Creates the progress of a warm-up whose time limit starts now. */
   public WarmUpProgress(Vertx vertx, int targetResponses, long timeLimitMillis) {
     this.targetResponses = targetResponses;
     vertx.setTimer(timeLimitMillis, id -> complete());
   }
 
-  /** Counts a request that is about to be sent; returns its number, from 1. */
+  /** Counts a request that is about to be sent and returns its number, starting at 1. */
   public int nextRequest() {
     return ++requestCount;
   }
@@ -30,7 +30,7 @@
   /**
    * Counts a response.
    *
-   * @param isServed whether it is an endpoint's, rather than a rejection or failure
+   * @param isServed whether the response came from an endpoint and is not a rejection or failure
    */
   public void onResponse(boolean isServed) {
     responseCount++;
@@ -50,22 +50,22 @@
     return completed.future().isComplete();
   }
 
-  /** Completes with the warm-up; never fails. */
+  /** Returns a future that completes with the warm-up and never fails. */
   public Future<Void> completion() {
     return completed.future();
   }
 
-  /** Returns how many requests were sent. */
+  /** Returns the number of requests that were sent. */
   public int requestCount() {
     return requestCount;
   }
 
-  /** Returns how many responses have come. */
+  /** Returns the number of responses that were received. */
   public int responseCount() {
     return responseCount;
   }
 
-  /** Returns how many of the responses were an endpoint's. */
+  /** Returns the number of responses that came from an endpoint. */
   public int servedCount() {
     return servedCount;
   }
--- a/src/main/java/fawndock/runtime/package-info.java
+++ b/src/main/java/fawndock/runtime/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Runs a {@link fawndock.policy.GatewayPolicy} on one event loop: feeds it events, executes its
- * actions, and keeps in-flight requests, deadlines and timers. Shared by the HTTP gateway and the
- * platform; knows no protocol (no type of HTTP or RESP may be used here) and takes no routing,
- * retry or admission decision of its own.
+ * Runs a {@link fawndock.policy.GatewayPolicy} on one event loop: passes events to it, executes its
+ * actions, and keeps the in-flight requests, deadlines and timers. The HTTP gateway and the
+ * platform share this package. It does not depend on a protocol (no type of HTTP or RESP may be
+ * used here) and makes no routing, retry or admission decisions.
  */
 package fawndock.runtime;
