--- a/src/main/java/fawndock/platformconfig/Json.java
+++ b/src/main/java/fawndock/platformconfig/Json.java
@@ -9,21 +9,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses JSON objects with typed access to their fields. Stateless; any thread. */
+/** Parses JSON objects and gives typed access to their fields. Stateless and thread-safe. */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   /**
    * One JSON object. Its accessors throw {@link MalformedMessageException} when a value is missing
-   * or of another type; those with a default return it when the value is missing or null.
+   * or has another type; those with a default return it when the value is missing or null.
    */
   public record JsonObject(Map<String, Object> fields) {
-    /** Returns a required text. */
+    /** Returns a required string. */
     public String text(String key) {
       return required(key, String.class);
     }
 
-    /** Returns a text, or the default. */
+    /** Returns a string, or the default. */
     public String textOr(String key, String defaultValue) {
       return has(key) ? required(key, String.class) : defaultValue;
     }
@@ -43,7 +43,7 @@
       return has(key) ? required(key, Number.class).doubleValue() : defaultValue;
     }
 
-    /** Returns a boolean; false when it is missing. */
+    /** Returns a boolean; false when it is missing or null. */
     public boolean booleanOrFalse(String key) {
       return has(key) && required(key, Boolean.class);
     }
@@ -53,24 +53,24 @@
       return required(key, JsonObject.class);
     }
 
-    /** Returns an object; an empty one when it is missing. */
+    /** Returns an object; an empty one when it is missing or null. */
     public JsonObject objectOrEmpty(String key) {
       return has(key) ? object(key) : new JsonObject(Map.of());
     }
 
     /** Returns a required list of objects. */
     public List<JsonObject> objects(String key) {
-      List<JsonObject> found = new ArrayList<>();
+      List<JsonObject> objects = new ArrayList<>();
       for (Object element : required(key, List.class)) {
-        if (!(element instanceof JsonObject obj)) {
+        if (!(element instanceof JsonObject object)) {
           throw new MalformedMessageException("'" + key + "' holds something other than an object");
         }
-        found.add(obj);
+        objects.add(object);
       }
-      return found;
+      return objects;
     }
 
-    /** Returns a list of objects; an empty one when it is missing. */
+    /** Returns a list of objects; an empty one when it is missing or null. */
     public List<JsonObject> objectsOrEmpty(String key) {
       return has(key) ? objects(key) : List.of();
     }
@@ -80,7 +80,7 @@
       return fields;
     }
 
-    /** Returns whether there is a value, other than null, under this key. */
+    /** Returns whether this key has a value other than null. */
     public boolean has(String key) {
       return fields.get(key) != null;
     }
@@ -91,7 +91,7 @@
         throw new MalformedMessageException("'" + key + "' is missing");
       }
       if (!type.isInstance(value)) {
-        throw new MalformedMessageException("'" + key + "' is not of the right type");
+        throw new MalformedMessageException("'" + key + "' has the wrong type");
       }
       return type.cast(value);
     }
@@ -100,33 +100,33 @@
   private Json() {}
 
   /**
-   * Parses a text that holds exactly one object.
+   * Parses a text that contains exactly one object.
    *
    * @throws IOException when the text is not JSON
-   * @throws MalformedMessageException when it is something other than one object
+   * @throws MalformedMessageException when it is anything other than one object
    */
   public static JsonObject parse(String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       parser.nextToken();
-      Object value = value(parser);
-      if (!(value instanceof JsonObject obj)) {
+      Object value = readValue(parser);
+      if (!(value instanceof JsonObject object)) {
         throw new MalformedMessageException("not a JSON object");
       }
       if (parser.nextToken() != null) {
         throw new MalformedMessageException("more than one JSON value");
       }
-      return obj;
+      return object;
     }
   }
 
-  private static Object value(JsonParser parser) throws IOException {
+  private static Object readValue(JsonParser parser) throws IOException {
     JsonToken token = parser.currentToken();
     if (token == null) {
-      throw new MalformedMessageException("the JSON ends too early");
+      throw new MalformedMessageException("unexpected end of the JSON text");
     }
     return switch (token) {
-      case START_OBJECT -> object(parser);
-      case START_ARRAY -> array(parser);
+      case START_OBJECT -> readObject(parser);
+      case START_ARRAY -> readArray(parser);
       case VALUE_STRING -> parser.getText();
       case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
       case VALUE_TRUE -> true;
@@ -135,21 +135,21 @@
     };
   }
 
-  private static JsonObject object(JsonParser parser) throws IOException {
+  private static JsonObject readObject(JsonParser parser) throws IOException {
     Map<String, Object> fields = new LinkedHashMap<>();
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       parser.nextToken();
-      fields.put(name, value(parser));
+      fields.put(name, readValue(parser));
     }
     return new JsonObject(fields);
   }
 
-  private static List<Object> array(JsonParser parser) throws IOException {
-    List<Object> items = new ArrayList<>();
+  private static List<Object> readArray(JsonParser parser) throws IOException {
+    List<Object> elements = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      items.add(value(parser));
+      elements.add(readValue(parser));
     }
-    return items;
+    return elements;
   }
 }
--- a/src/main/java/fawndock/platformconfig/MalformedMessageException.java
+++ b/src/main/java/fawndock/platformconfig/MalformedMessageException.java
@@ -1,10 +1,13 @@
 package fawndock.platformconfig;
 
-/** A message or settings object that is not as its format has it; the message names the key. */
+/**
+ * Thrown when a message or settings object does not have the expected format. The exception's
+ * message names the wrong key or value.
+ */
 public final class MalformedMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception that says what was read and what is expected. */
+  /** Creates an exception whose message says what was read and what is expected. */
   public MalformedMessageException(String message) {
     super(message);
   }
--- a/src/main/java/fawndock/platformconfig/SettingsKeys.java
+++ b/src/main/java/fawndock/platformconfig/SettingsKeys.java
@@ -1,11 +1,11 @@
 package fawndock.platformconfig;
 
 /**
- * The keys of the settings object. They are fixed by the platform and the simulator; each constant
- * is named by the term that the code uses.
+ * The keys of the settings object. The platform and the simulator define the keys; each constant is
+ * named after the term that the code uses.
  */
 final class SettingsKeys {
-  // Top level.
+  // Top-level keys.
   static final String INSTANCE_INDEX = "me";
   static final String INSTANCE_COUNT = "peers-total";
   static final String ROUND_TRIP_MICROS = "round-us";
@@ -17,11 +17,11 @@
   static final String RULES = "rules";
   static final String EXTRAS = "extra";
 
-  // Values of DISCOVERY_MODE: whether the policy has to ask for a watch itself.
+  // Values of DISCOVERY_MODE: whether the policy must request the endpoint watch itself.
   static final String DISCOVERY_MODE_AUTOMATIC = "automatic";
   static final String DISCOVERY_MODE_WATCH = "subscribe";
 
-  // Within LIMITS.
+  // Keys of LIMITS.
   static final String MAX_ATTEMPTS = "max-attempts";
   static final String MAX_IN_FLIGHT = "max-open";
   static final String MAX_RETRY_AFTER_MICROS = "max-retry-after-us";
@@ -31,7 +31,7 @@
   static final String ALLOWS_PEER_MESSAGES = "peers";
   static final String ALLOWS_RETRY_AFTER = "retry-after";
 
-  // Within RULES.
+  // Keys of RULES.
   static final String ANSWER_GRACE_MICROS = "grace-to-answer-us";
   static final String DRAIN_GRACE_MICROS = "drain-grace-us";
   static final String SLOW_START_INITIAL_RATIO = "cold-share";
@@ -40,15 +40,15 @@
   static final String SLOW_START_OVERLOAD_WINDOW_MICROS = "fall-us";
   static final String WATCH_WITHIN_MICROS = "ask-within-us";
 
-  // Within EXTRAS.
+  // Keys of EXTRAS.
   static final String HAS_COUNTER = "counter";
   static final String COUNTER_TIMEOUT_MICROS = "count-wait-us";
   static final String SETTLES_UNITS = "trued-up";
 
-  // Within a request class or plan.
+  // Keys of a request class or a plan.
   static final String NAME = "name";
 
-  // Within a request class.
+  // Keys of a request class.
   static final String LATENCY_OBJECTIVE_MICROS = "aim-us";
   static final String LATENCY_OBJECTIVE_STRETCH = "aim-stretch";
   static final String DEADLINE_MICROS = "deadline-us";
@@ -59,7 +59,7 @@
   static final String DEDUPLICATION_WINDOW_MICROS = "window-us";
   static final String IS_STREAMED = "streaming";
 
-  // Within a plan.
+  // Keys of a plan.
   static final String UNITS_PER_SECOND = "rate";
   static final String BURST_UNITS = "store-size";
   static final String MAX_CONCURRENT = "concurrency";
--- a/src/main/java/fawndock/platformconfig/SettingsReader.java
+++ b/src/main/java/fawndock/platformconfig/SettingsReader.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Reads the settings object, whose keys are in {@link SettingsKeys}, and the words that it shares
- * with the protocols. Stateless.
+ * Reads the settings object, whose keys are in {@link SettingsKeys}, and the load reports and enum
+ * names that the platform's and the simulator's protocols share. Stateless and thread-safe.
  */
 public final class SettingsReader {
   private SettingsReader() {}
@@ -22,8 +22,8 @@
   /**
    * Reads the settings object.
    *
-   * @param randomSeed of the policy's random numbers
-   * @throws MalformedMessageException when a required key is missing or a value is of another type
+   * @param randomSeed seed of the policy's random numbers
+   * @throws MalformedMessageException when a required key is missing or a value has the wrong type
    */
   public static PolicyConfig readPolicyConfig(JsonObject settings, long randomSeed) {
     String discoveryMode =
@@ -36,15 +36,15 @@
         settings.textOr(SettingsKeys.ZONE, ""),
         discoveryMode.equals(SettingsKeys.DISCOVERY_MODE_WATCH),
         settings.objectsOrEmpty(SettingsKeys.REQUEST_CLASSES).stream()
-            .map(SettingsReader::requestClass)
+            .map(SettingsReader::readRequestClass)
             .toList(),
-        settings.objectsOrEmpty(SettingsKeys.PLANS).stream().map(SettingsReader::plan).toList(),
-        limits(settings.objectOrEmpty(SettingsKeys.LIMITS)),
-        rules(settings.objectOrEmpty(SettingsKeys.RULES)),
-        counter(settings.objectOrEmpty(SettingsKeys.EXTRAS)));
+        settings.objectsOrEmpty(SettingsKeys.PLANS).stream().map(SettingsReader::readPlan).toList(),
+        readLimits(settings.objectOrEmpty(SettingsKeys.LIMITS)),
+        readRules(settings.objectOrEmpty(SettingsKeys.RULES)),
+        readCounterConfig(settings.objectOrEmpty(SettingsKeys.EXTRAS)));
   }
 
-  private static GatewayLimits limits(JsonObject limits) {
+  private static GatewayLimits readLimits(JsonObject limits) {
     return new GatewayLimits(
         (int) limits.integerOr(SettingsKeys.MAX_ATTEMPTS, 1),
         (int) limits.integerOr(SettingsKeys.MAX_IN_FLIGHT, Integer.MAX_VALUE),
@@ -56,7 +56,7 @@
         limits.booleanOrFalse(SettingsKeys.ALLOWS_RETRY_AFTER));
   }
 
-  private static ServiceRules rules(JsonObject rules) {
+  private static ServiceRules readRules(JsonObject rules) {
     return new ServiceRules(
         rules.integerOr(SettingsKeys.ANSWER_GRACE_MICROS, 0),
         rules.integerOr(SettingsKeys.DRAIN_GRACE_MICROS, 0),
@@ -67,14 +67,14 @@
         rules.integerOr(SettingsKeys.WATCH_WITHIN_MICROS, 0));
   }
 
-  private static CounterConfig counter(JsonObject extras) {
+  private static CounterConfig readCounterConfig(JsonObject extras) {
     return new CounterConfig(
         extras.booleanOrFalse(SettingsKeys.HAS_COUNTER),
         extras.integerOr(SettingsKeys.COUNTER_TIMEOUT_MICROS, 0),
         extras.booleanOrFalse(SettingsKeys.SETTLES_UNITS));
   }
 
-  private static RequestClass requestClass(JsonObject entry) {
+  private static RequestClass readRequestClass(JsonObject entry) {
     long deadlineMicros = entry.integer(SettingsKeys.DEADLINE_MICROS);
     return new RequestClass(
         entry.text(SettingsKeys.NAME),
@@ -89,7 +89,7 @@
         entry.booleanOrFalse(SettingsKeys.IS_STREAMED));
   }
 
-  private static Plan plan(JsonObject entry) {
+  private static Plan readPlan(JsonObject entry) {
     return new Plan(
         entry.text(SettingsKeys.NAME),
         entry.numberOr(SettingsKeys.UNITS_PER_SECOND, 0),
@@ -103,24 +103,24 @@
         entry.numberOr(SettingsKeys.CEILING_TOLERANCE_UNITS, 0));
   }
 
-  /** A load report; figures that are not known are left out. */
-  public static LoadReport readLoadReport(JsonObject stats) {
-    return readLoadReport(stats.all());
+  /** Reads a load report; unknown metrics are ignored. */
+  public static LoadReport readLoadReport(JsonObject metrics) {
+    return readLoadReport(metrics.all());
   }
 
-  /** The same of plain names and values; those that are no numbers are left out. */
-  public static LoadReport readLoadReport(Map<String, ?> stats) {
+  /** Reads a load report from metric names and values; values that are not numbers are ignored. */
+  public static LoadReport readLoadReport(Map<String, ?> metrics) {
     LoadReport.Builder load = new LoadReport.Builder();
-    stats.forEach(
+    metrics.forEach(
         (name, value) -> {
           if (value instanceof Number number) {
-            setLoad(name, number.doubleValue(), load);
+            setMetric(name, number.doubleValue(), load);
           }
         });
     return load.build();
   }
 
-  private static void setLoad(String name, double value, LoadReport.Builder load) {
+  private static void setMetric(String name, double value, LoadReport.Builder load) {
     switch (name) {
       case "outstanding" -> load.inFlightRequests(value);
       case "backlog" -> load.queuedRequests(value);
@@ -129,22 +129,22 @@
       case "throughput" -> load.requestsPerSecond(value);
       case "errors_per_s" -> load.errorsPerSecond(value);
       default -> {
-        // Not known to the policy.
+        // The policy does not use other metrics.
       }
     }
   }
 
   /**
-   * Returns the constant that a word names, whatever its case.
+   * Returns the enum constant with this name, ignoring case.
    *
-   * @throws MalformedMessageException when there is none
+   * @throws MalformedMessageException when there is no such constant
    */
-  public static <T extends Enum<T>> T parseEnum(Class<T> type, String word) {
+  public static <T extends Enum<T>> T parseEnum(Class<T> type, String name) {
     for (T constant : type.getEnumConstants()) {
-      if (constant.name().equalsIgnoreCase(word)) {
+      if (constant.name().equalsIgnoreCase(name)) {
         return constant;
       }
     }
-    throw new MalformedMessageException("unknown word '" + word + "'");
+    throw new MalformedMessageException("unknown word '" + name + "'");
   }
 }
--- a/src/main/java/fawndock/platformconfig/package-info.java
+++ b/src/main/java/fawndock/platformconfig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The JSON settings object that a gateway instance is started with, as the simulator and the
- * platform both write it. JSON in, the policy's configuration out; opens nothing.
+ * Reads the JSON settings object that a gateway instance is started with into the policy's
+ * configuration. The simulator and the platform both write this object. Performs no I/O.
  */
 package fawndock.platformconfig;
--- a/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
+++ b/src/test/java/fawndock/platformconfig/SettingsReaderTest.java
@@ -14,10 +14,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Holds the keys of the settings object as the platform and the simulator write them. */
+/**
+ * Compares the keys of the settings object with a golden list and checks which component each key
+ * sets.
+ */
 class SettingsReaderTest {
   @Test
-  void keysAreThoseOfTheUsersPages() throws Exception {
+  void keysMatchTheDocumentedKeys() throws Exception {
     assertEquals(
         StringConstants.sorted(
             "me peers-total round-us locality registry-mode classes packages caps rules extra"
@@ -77,7 +80,7 @@
   }
 
   @Test
-  void wordsOfIdempotencyAndScopeAreThoseOfTheUsersPages() {
+  void idempotencyAndScopeNamesMatchTheDocumentedNames() {
     assertEquals(Idempotency.IDEMPOTENT, SettingsReader.parseEnum(Idempotency.class, "idempotent"));
     assertEquals(
         Idempotency.DEDUPLICATED, SettingsReader.parseEnum(Idempotency.class, "deduplicated"));
--- a/src/test/java/fawndock/platformconfig/StringConstants.java
+++ b/src/test/java/fawndock/platformconfig/StringConstants.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the text constants of a class, for tests that hold the words of a protocol. */
+/** Collects the string constants of a class, for tests that compare them with a golden list. */
 public final class StringConstants {
   private StringConstants() {}
 
-  /** Returns the sorted values of all static texts of a class whose name begins so. */
+  /** Returns the sorted values of a class's static strings whose names start with this prefix. */
   public static List<String> of(Class<?> type, String namePrefix) throws IllegalAccessException {
     List<String> values = new ArrayList<>();
     for (Field field : type.getDeclaredFields()) {
@@ -24,7 +24,7 @@
     return values;
   }
 
-  /** Returns words separated by blanks as a sorted list. */
+  /** Splits words at blanks and returns them sorted. */
   public static List<String> sorted(String words) {
     List<String> values = new ArrayList<>(List.of(words.trim().split("\\s+", 0)));
     values.sort(null);
