--- a/src/main/java/fawndock/resp/CommandReader.java
+++ b/src/main/java/fawndock/resp/CommandReader.java
@@ -6,20 +6,22 @@
 import java.util.List;
 
 /**
- * Reads RESP commands from a byte stream: arrays of bulk strings, or inline commands. It resumes
- * where it stopped, so that a command that comes byte by byte is not read again from its start, and
- * holds no more of a command than its limits allow. One thread at a time.
+ * Reads RESP commands, which are arrays of bulk strings or inline commands, from a byte stream. The
+ * command name counts as the first argument. The reader keeps its position within an incomplete
+ * command, so that a command that arrives byte by byte is not parsed again from its start, and
+ * holds no more of a command than its limits allow. Not thread-safe.
  */
 public final class CommandReader {
   /**
    * Limits of one command; a command that exceeds them is a protocol error.
    *
-   * @param maxCommandBytes bytes of all words
-   * @param maxWords words of a command
-   * @param maxInlineBytes bytes of an inline command; 0 to reject inline commands and empty arrays
+   * @param maxCommandBytes maximum bytes of all arguments together
+   * @param maxArguments maximum number of arguments
+   * @param maxInlineBytes maximum bytes of an inline command; 0 rejects inline commands and empty
+   *     arrays
    */
-  public record Limits(int maxCommandBytes, int maxWords, int maxInlineBytes) {
-    /** Limits of a server that people may type commands to. */
+  public record Limits(int maxCommandBytes, int maxArguments, int maxInlineBytes) {
+    /** Limits of a server that also accepts commands typed by people. */
     public static final Limits SERVER = new Limits(512 << 10, 16_384, 64 << 10);
 
     private boolean allowsInline() {
@@ -32,17 +34,17 @@
   private static final int LINE_END_BYTES = 2;
   private static final byte[][] INCOMPLETE = null;
   private static final long INCOMPLETE_NUMBER = Long.MIN_VALUE;
-  private static final int NO_LENGTH = -1;
+  private static final int UNKNOWN_LENGTH = -1;
 
   private final Limits limits;
 
-  /** The words of the command that is being read; null between commands. */
-  private byte[][] words;
+  /** The arguments of the command that is being read; null between commands. */
+  private byte[][] arguments;
 
-  private int wordCount;
+  private int argumentCount;
 
-  /** Length of the next word, once it is known. */
-  private int wordLength = NO_LENGTH;
+  /** Length of the next argument, or {@link #UNKNOWN_LENGTH}. */
+  private int argumentLength = UNKNOWN_LENGTH;
 
   private int commandBytes;
 
@@ -52,13 +54,13 @@
   }
 
   /**
-   * Returns the words of the next command, or null while it is incomplete.
+   * Returns the arguments of the next command, or null while it is incomplete.
    *
-   * @throws ProtocolException when the bytes are no command or exceed a limit; the reader must not
-   *     be used afterwards
+   * @throws ProtocolException when the bytes are not a command or exceed a limit; the reader must
+   *     not be used afterwards
    */
   public byte[][] next(ByteBuf in) throws ProtocolException {
-    while (words == null) {
+    while (arguments == null) {
       if (!in.isReadable()) {
         return INCOMPLETE;
       }
@@ -67,30 +69,30 @@
           return INCOMPLETE;
         }
       } else {
-        byte[][] inline = readInline(in);
-        if (inline == INCOMPLETE || inline.length > 0) {
-          return inline;
+        byte[][] inlineArguments = readInline(in);
+        if (inlineArguments == INCOMPLETE || inlineArguments.length > 0) {
+          return inlineArguments;
         }
       }
     }
-    while (wordCount < words.length) {
-      if (!readWord(in)) {
+    while (argumentCount < arguments.length) {
+      if (!readArgument(in)) {
         return INCOMPLETE;
       }
     }
-    byte[][] command = words;
-    words = null;
+    byte[][] command = arguments;
+    arguments = null;
     return command;
   }
 
-  /** Returns whether a command has begun and is incomplete. */
+  /** Returns whether a command has been read in part. */
   public boolean hasPartialCommand() {
-    return words != null;
+    return arguments != null;
   }
 
-  /** Reads the head of an array; returns false while it is incomplete. */
+  /** Reads the header of an array; returns false while it is incomplete. */
   private boolean beginArray(ByteBuf in) throws ProtocolException {
-    long count = readNumber(in, "invalid multibulk length", limits.maxWords);
+    long count = readNumber(in, "invalid multibulk length", limits.maxArguments);
     if (count == INCOMPLETE_NUMBER) {
       return false;
     }
@@ -98,33 +100,33 @@
       throw new ProtocolException("invalid multibulk length");
     }
     if (count > 0) {
-      words = new byte[(int) count][];
-      wordCount = 0;
+      arguments = new byte[(int) count][];
+      argumentCount = 0;
       commandBytes = 0;
     }
     return true;
   }
 
-  /** Reads one word of an array; returns false while it is incomplete. */
-  private boolean readWord(ByteBuf in) throws ProtocolException {
-    if (wordLength == NO_LENGTH && !readWordLength(in)) {
+  /** Reads one argument of an array; returns false while it is incomplete. */
+  private boolean readArgument(ByteBuf in) throws ProtocolException {
+    if (argumentLength == UNKNOWN_LENGTH && !readArgumentLength(in)) {
       return false;
     }
-    if (in.readableBytes() < wordLength + LINE_END_BYTES) {
+    if (in.readableBytes() < argumentLength + LINE_END_BYTES) {
       return false;
     }
-    byte[] word = new byte[wordLength];
-    in.readBytes(word);
-    // Without this check the rest of a word with a wrong length would be read as the next word.
+    byte[] argument = new byte[argumentLength];
+    in.readBytes(argument);
+    // Without this check the rest of an argument with a wrong length would be read as the next one.
     if (in.readByte() != '\r' || in.readByte() != '\n') {
       throw new ProtocolException("expected the end of a bulk string");
     }
-    words[wordCount++] = word;
-    wordLength = NO_LENGTH;
+    arguments[argumentCount++] = argument;
+    argumentLength = UNKNOWN_LENGTH;
     return true;
   }
 
-  private boolean readWordLength(ByteBuf in) throws ProtocolException {
+  private boolean readArgumentLength(ByteBuf in) throws ProtocolException {
     if (!in.isReadable()) {
       return false;
     }
@@ -132,7 +134,7 @@
     if (type != '$') {
       throw new ProtocolException("expected '$', got '" + (char) type + "'");
     }
-    // Checked before memory is allocated for bytes that may never come.
+    // The length is checked before memory is allocated for bytes that may never arrive.
     long length = readNumber(in, "invalid bulk length", limits.maxCommandBytes - commandBytes);
     if (length == INCOMPLETE_NUMBER) {
       return false;
@@ -140,33 +142,35 @@
     if (length < 0) {
       throw new ProtocolException("invalid bulk length");
     }
-    wordLength = (int) length;
-    commandBytes += wordLength;
+    argumentLength = (int) length;
+    commandBytes += argumentLength;
     return true;
   }
 
   /**
-   * Returns the index of the line end of the line that begins here, or -1 while it has not come.
+   * Returns the index of the line feed that ends the current line, or -1 while it has not arrived.
    *
-   * @param error of a line that is too long
+   * @param errorMessage message for a line that is too long
    */
-  private static int findLineEnd(ByteBuf in, int maxBytes, String error) throws ProtocolException {
+  private static int findLineEnd(ByteBuf in, int maxBytes, String errorMessage)
+      throws ProtocolException {
     int readable = in.readableBytes();
     int offset = in.bytesBefore(Math.min(readable, maxBytes), (byte) '\n');
     if (offset < 0 && readable >= maxBytes) {
-      throw new ProtocolException(error);
+      throw new ProtocolException(errorMessage);
     }
     return offset < 0 ? -1 : in.readerIndex() + offset;
   }
 
   /**
-   * Reads the number on a line, after the type byte; {@link #INCOMPLETE_NUMBER} while the line is
-   * incomplete.
+   * Reads the number on a line, after the type byte; returns {@link #INCOMPLETE_NUMBER} while the
+   * line is incomplete.
    *
-   * @param error of a line that holds no number, or one above the maximum
+   * @param errorMessage message for a line that contains no number or a number above the maximum
    */
-  private static long readNumber(ByteBuf in, String error, long max) throws ProtocolException {
-    int lineEnd = findLineEnd(in, MAX_NUMBER_LINE_BYTES, error);
+  private static long readNumber(ByteBuf in, String errorMessage, long max)
+      throws ProtocolException {
+    int lineEnd = findLineEnd(in, MAX_NUMBER_LINE_BYTES, errorMessage);
     if (lineEnd < 0) {
       return INCOMPLETE_NUMBER;
     }
@@ -178,18 +182,18 @@
     for (int i = isNegative ? start + 1 : start; i < end; i++) {
       byte b = in.getByte(i);
       if (b < '0' || b > '9' || ++digits > MAX_DIGITS) {
-        throw new ProtocolException(error);
+        throw new ProtocolException(errorMessage);
       }
       number = number * 10 + b - '0';
     }
     if (digits == 0 || number > max) {
-      throw new ProtocolException(error);
+      throw new ProtocolException(errorMessage);
     }
     in.readerIndex(lineEnd + 1);
     return isNegative ? -number : number;
   }
 
-  /** Reads an inline command, which may have no words; null while it is incomplete. */
+  /** Reads an inline command, which may have no arguments; returns null while it is incomplete. */
   private byte[][] readInline(ByteBuf in) throws ProtocolException {
     if (!limits.allowsInline()) {
       throw new ProtocolException("expected '*'");
@@ -204,29 +208,29 @@
     return splitInline(line);
   }
 
-  /** Splits a line at its blanks, other than those in quotes. */
+  /** Splits a line at blanks outside quotes. */
   private static byte[][] splitInline(String line) throws ProtocolException {
-    List<byte[]> inlineWords = new ArrayList<>();
-    StringBuilder word = null;
+    List<byte[]> inlineArguments = new ArrayList<>();
+    StringBuilder argument = null;
     char quote = 0;
     for (char c : (line + " ").toCharArray()) {
       if (quote != 0 && c != quote) {
-        word.append(c);
+        argument.append(c);
       } else if (quote != 0) {
         quote = 0;
       } else if (c == '"' || c == '\'') {
         quote = c;
-        word = word == null ? new StringBuilder() : word;
+        argument = argument == null ? new StringBuilder() : argument;
       } else if (c != ' ' && c != '\t' && c != '\r') {
-        word = (word == null ? new StringBuilder() : word).append(c);
-      } else if (word != null) {
-        inlineWords.add(word.toString().getBytes(StandardCharsets.ISO_8859_1));
-        word = null;
+        argument = (argument == null ? new StringBuilder() : argument).append(c);
+      } else if (argument != null) {
+        inlineArguments.add(argument.toString().getBytes(StandardCharsets.ISO_8859_1));
+        argument = null;
       }
     }
     if (quote != 0) {
       throw new ProtocolException("unbalanced quotes in request");
     }
-    return inlineWords.toArray(new byte[0][]);
+    return inlineArguments.toArray(new byte[0][]);
   }
 }
--- a/src/main/java/fawndock/resp/ProtocolException.java
+++ b/src/main/java/fawndock/resp/ProtocolException.java
@@ -1,12 +1,15 @@
 package fawndock.resp;
 
-/** Bytes that are not RESP, or exceed a limit; the connection cannot be used any further. */
+/**
+ * Thrown when received bytes are not valid RESP or exceed a limit. The connection cannot be used
+ * any further.
+ */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates an exception whose message is a complete error reply. Without a stack trace: the other
-   * side is at fault.
+   * Creates an exception whose message is a complete error reply. It has no stack trace, because
+   * the sender of the bytes caused the error.
    *
    * @param problem what was read and what is expected
    */
--- a/src/main/java/fawndock/resp/ReplyReader.java
+++ b/src/main/java/fawndock/resp/ReplyReader.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Reads RESP2 replies from a byte stream. An incomplete reply stays in the buffer and is read again
- * when more bytes have come: only its lines and lengths are, never the inside of a bulk string.
- * Stateless; any thread.
+ * Reads RESP2 replies from a byte stream. An incomplete reply stays in the buffer and is parsed
+ * again when more bytes have arrived; only its lines and lengths are parsed again, because the
+ * content of a bulk string is never scanned. Immutable and thread-safe.
  */
 public final class ReplyReader {
-  /** Characters of a length or element count. */
+  /** Maximum bytes of a length or an element count. */
   private static final int MAX_NUMBER_BYTES = 20;
 
   private static final int LINE_END_BYTES = 2;
@@ -22,9 +22,9 @@
   /**
    * Creates a reader with limits.
    *
-   * @param maxBulkBytes of a bulk string
-   * @param maxLineBytes of a line
-   * @param maxElements of an array; nested arrays are rejected
+   * @param maxBulkBytes maximum bytes of a bulk string
+   * @param maxLineBytes maximum bytes of a line
+   * @param maxElements maximum elements of an array; nested arrays are rejected
    */
   public ReplyReader(int maxBulkBytes, int maxLineBytes, int maxElements) {
     this.maxBulkBytes = maxBulkBytes;
@@ -32,7 +32,7 @@
     this.maxElements = maxElements;
   }
 
-  /** Returns the most bytes of one reply: the buffer never has to hold more. */
+  /** Returns the maximum bytes of one reply; the buffer never has to hold more. */
   public int maxReplyBytes() {
     int maxElementBytes = Math.max(maxBulkBytes + MAX_NUMBER_BYTES, maxLineBytes) + 4;
     return MAX_NUMBER_BYTES + Math.max(1, maxElements) * maxElementBytes;
@@ -41,7 +41,7 @@
   /**
    * Reads the next reply; returns null, and leaves the buffer as it was, while it is incomplete.
    *
-   * @throws ProtocolException when the bytes are no reply or exceed a limit
+   * @throws ProtocolException when the bytes are not a reply or exceed a limit
    */
   public Reply next(ByteBuf in) throws ProtocolException {
     int start = in.readerIndex();
@@ -92,7 +92,8 @@
       return new Reply('$', null, null);
     }
     if (in.readableBytes() < length + LINE_END_BYTES) {
-      // Without this check a wrong length would wait for an end that has already come.
+      // Without this check a length that is too small would make the reader wait for the end of a
+      // string whose end has already arrived.
       if (in.readableBytes() > length && in.getByte(in.readerIndex() + length) != '\r') {
         throw new ProtocolException("bulk string longer than its length");
       }
@@ -126,7 +127,7 @@
     return new Reply('*', null, elements);
   }
 
-  /** Reads up to the end of the line; returns null when it has not come. */
+  /** Reads a line without its CR LF; returns null while the line is incomplete. */
   private static byte[] readLine(ByteBuf in, int maxBytes) throws ProtocolException {
     int searchedBytes = Math.min(in.readableBytes(), maxBytes + LINE_END_BYTES);
     int length = in.bytesBefore(searchedBytes, (byte) '\n');
@@ -151,7 +152,7 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // Rejected below, together with numbers out of range.
+      // The exception below reports this case as well as numbers out of range.
     }
     throw new ProtocolException("invalid number or number out of range");
   }
--- a/src/main/java/fawndock/resp/ReplyWriter.java
+++ b/src/main/java/fawndock/resp/ReplyWriter.java
@@ -3,25 +3,25 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Writes replies and commands in RESP version 2 or 3 to a buffer. One thread at a time. */
+/** Writes replies and commands in RESP version 2 or 3 to a buffer. Not thread-safe. */
 public final class ReplyWriter {
   private final ByteBuf out;
 
   /** The protocol version that is written: 2 or 3. */
   public int version = 2;
 
-  /** Appends to this buffer. */
+  /** Creates a writer that appends to this buffer. */
   public ReplyWriter(ByteBuf out) {
     this.out = out;
   }
 
-  private void head(char type, long number) {
+  private void writeHeader(char type, long number) {
     out.writeByte(type);
-    digits(number);
+    writeDecimal(number);
     out.writeByte('\r').writeByte('\n');
   }
 
-  private void digits(long number) {
+  private void writeDecimal(long number) {
     if (number >= 0 && number < 10) {
       out.writeByte('0' + (int) number);
     } else {
@@ -29,16 +29,16 @@
     }
   }
 
-  private void line(char type, String text) {
+  private void writeLine(char type, String text) {
     out.writeByte(type);
-    // A line break in an echoed word would end the reply early.
+    // A line break in echoed text would end the reply early.
     out.writeCharSequence(text.replace('\r', ' ').replace('\n', ' '), StandardCharsets.UTF_8);
     out.writeByte('\r').writeByte('\n');
   }
 
   /** Writes a simple string. */
   public void simpleString(String text) {
-    line('+', text);
+    writeLine('+', text);
   }
 
   /** Writes the simple string OK. */
@@ -46,14 +46,14 @@
     simpleString("OK");
   }
 
-  /** Writes an error; the text begins with its code. */
+  /** Writes an error; the text starts with the error code. */
   public void error(String text) {
-    line('-', text);
+    writeLine('-', text);
   }
 
   /** Writes an integer. */
   public void integer(long number) {
-    head(':', number);
+    writeHeader(':', number);
   }
 
   /** Writes a boolean as the integer 1 or 0. */
@@ -63,7 +63,7 @@
 
   /** Writes a bulk string. */
   public void bulkString(byte[] bytes) {
-    head('$', bytes.length);
+    writeHeader('$', bytes.length);
     out.writeBytes(bytes).writeByte('\r').writeByte('\n');
   }
 
@@ -77,13 +77,16 @@
     out.writeCharSequence(version == 3 ? "_\r\n" : "$-1\r\n", StandardCharsets.US_ASCII);
   }
 
-  /** Begins an array; its elements are to be written next. */
-  public void beginArray(int elements) {
-    head('*', elements);
+  /** Writes the header of an array; the caller writes the elements next. */
+  public void beginArray(int elementCount) {
+    writeHeader('*', elementCount);
   }
 
-  /** Begins a map of this many pairs; version 2 writes an array of twice as many elements. */
-  public void beginMap(int pairs) {
-    head(version == 3 ? '%' : '*', version == 3 ? pairs : 2L * pairs);
+  /**
+   * Writes the header of a map with this many pairs, which version 2 represents as an array with
+   * twice as many elements; the caller writes the keys and values next.
+   */
+  public void beginMap(int pairCount) {
+    writeHeader(version == 3 ? '%' : '*', version == 3 ? pairCount : 2L * pairCount);
   }
 }
--- a/src/test/java/fawndock/resp/ReplyReaderTest.java
+++ b/src/test/java/fawndock/resp/ReplyReaderTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Replies are the same however their bytes are cut, and none takes more than its limit. */
+/** Checks that replies are read however their bytes are split, and buffered within their limits. */
 class ReplyReaderTest {
   private static final String[] REPLIES = {
     "+PONG\r\n",
@@ -38,31 +38,31 @@
   }
 
   @Property(tries = 200)
-  void repliesAreReadHoweverTheBytesAreCut(@ForAll long seed) throws ProtocolException {
+  void repliesAreReadHoweverTheBytesAreSplit(@ForAll long seed) throws ProtocolException {
     Random random = new Random(seed);
-    StringBuilder all = new StringBuilder();
-    List<String> sent = new ArrayList<>();
+    StringBuilder stream = new StringBuilder();
+    List<String> expected = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      String each = REPLIES[random.nextInt(REPLIES.length)];
-      all.append(each);
-      sent.add(
+      String reply = REPLIES[random.nextInt(REPLIES.length)];
+      stream.append(reply);
+      expected.add(
           text(
               new ReplyReader(64, 64, 4)
-                  .next(Unpooled.copiedBuffer(each, StandardCharsets.ISO_8859_1))));
+                  .next(Unpooled.copiedBuffer(reply, StandardCharsets.ISO_8859_1))));
     }
-    byte[] bytes = all.toString().getBytes(StandardCharsets.ISO_8859_1);
+    byte[] bytes = stream.toString().getBytes(StandardCharsets.ISO_8859_1);
     ReplyReader reader = new ReplyReader(64, 64, 4);
     ByteBuf in = Unpooled.buffer();
-    List<String> got = new ArrayList<>();
-    for (int at = 0; at < bytes.length; ) {
-      int to = Math.min(bytes.length, at + 1 + random.nextInt(9));
-      in.writeBytes(bytes, at, to - at);
-      at = to;
+    List<String> received = new ArrayList<>();
+    for (int offset = 0; offset < bytes.length; ) {
+      int endOffset = Math.min(bytes.length, offset + 1 + random.nextInt(9));
+      in.writeBytes(bytes, offset, endOffset - offset);
+      offset = endOffset;
       for (Reply reply = reader.next(in); reply != null; reply = reader.next(in)) {
-        got.add(text(reply));
+        received.add(text(reply));
       }
     }
-    assertEquals(sent, got);
+    assertEquals(expected, received);
   }
 
   @Property(tries = 500)
@@ -78,10 +78,10 @@
         }
         assertTrue(
             in.readableBytes() <= reader.maxReplyBytes() + noise.length + 1,
-            "kept " + in.readableBytes());
+            "buffered bytes: " + in.readableBytes());
       }
     } catch (ProtocolException e) {
-      // Rejected as soon as it was seen.
+      // The reader rejects malformed bytes as soon as it reads them.
     }
   }
 
@@ -90,27 +90,31 @@
     CommandReader reader = new CommandReader(new CommandReader.Limits(200, 8, 0));
     ByteBuf in = Unpooled.buffer();
     Random random = new Random(seed);
-    String[] begins = {
+    String[] commandPrefixes = {
       "*4\r\n", "$150\r\n", "$200\r\n", "$60000000\r\n", "*8\r\n$1\r\n", "*1\r\n$190\r\n"
     };
     try {
       for (int i = 0; i < 400; i++) {
-        in.writeCharSequence(begins[random.nextInt(begins.length)], StandardCharsets.US_ASCII);
+        in.writeCharSequence(
+            commandPrefixes[random.nextInt(commandPrefixes.length)], StandardCharsets.US_ASCII);
         in.writeBytes(noise);
-        for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-          assertTrue(java.util.Arrays.stream(words).mapToInt(w -> w.length).sum() <= 200);
+        for (byte[][] arguments = reader.next(in); arguments != null; arguments = reader.next(in)) {
+          assertTrue(
+              java.util.Arrays.stream(arguments).mapToInt(argument -> argument.length).sum()
+                  <= 200);
         }
         in.discardReadBytes();
-        assertTrue(in.readableBytes() <= 200 + noise.length + 64, "kept " + in.readableBytes());
+        assertTrue(
+            in.readableBytes() <= 200 + noise.length + 64, "buffered bytes: " + in.readableBytes());
       }
     } catch (ProtocolException e) {
-      // Rejected as soon as it was seen.
+      // The reader rejects malformed bytes as soon as it reads them.
     }
   }
 
   @Example
   void invalidLengths_areRejectedBeforeTheirBytesCome() {
-    for (String each :
+    for (String invalidReply :
         new String[] {
           "$3000000000\r\n",
           "$65\r\n",
@@ -130,8 +134,8 @@
           ProtocolException.class,
           () ->
               new ReplyReader(64, 64, 4)
-                  .next(Unpooled.copiedBuffer(each, StandardCharsets.ISO_8859_1)),
-          each);
+                  .next(Unpooled.copiedBuffer(invalidReply, StandardCharsets.ISO_8859_1)),
+          invalidReply);
     }
   }
 
