--- a/src/main/java/fawndock/simulatoradapter/SimulatorActionWriter.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorActionWriter.java
@@ -45,7 +45,7 @@
 import fawndock.policy.action.WatchEndpoints;
 import java.io.IOException;
 
-/** Encodes actions of the policy in the simulator's line protocol. */
+/** Encodes actions of the policy in the simulator's line protocol. Not thread-safe. */
 final class SimulatorActionWriter {
   private final JsonGenerator json;
 
@@ -53,7 +53,7 @@
     this.json = json;
   }
 
-  /** Writes an action of an instance's policy as a JSON object. */
+  /** Writes an action of an instance's policy as one JSON object. */
   void write(int instance, PolicyAction action) throws IOException {
     if (action instanceof StartAttempt a) {
       begin(ACTION_START_ATTEMPT, instance);
@@ -97,21 +97,21 @@
     json.writeEndObject();
   }
 
-  /** Writes that an instance's policy has thrown an exception. */
+  /** Writes an action that reports an exception of an instance's policy. */
   void writeException(int instance, Throwable cause) throws IOException {
     begin(ACTION_EXCEPTION, instance);
     json.writeStringField(FIELD_TEXT, String.valueOf(cause));
     json.writeEndObject();
   }
 
-  private void writePeerMessage(int instance, SendPeerMessage a) throws IOException {
+  private void writePeerMessage(int instance, SendPeerMessage action) throws IOException {
     begin(ACTION_SEND_PEER_MESSAGE, instance);
-    if (a.toInstance() < 0) {
+    if (action.toInstance() < 0) {
       json.writeStringField(FIELD_RECEIVER, ALL_PEERS);
     } else {
-      json.writeNumberField(FIELD_RECEIVER, a.toInstance());
+      json.writeNumberField(FIELD_RECEIVER, action.toInstance());
     }
-    json.writeStringField(FIELD_MESSAGE, a.text());
+    json.writeStringField(FIELD_MESSAGE, action.text());
   }
 
   private void begin(String type, int instance) throws IOException {
--- a/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorAdapter.java
@@ -37,8 +37,8 @@
 import java.util.function.Function;
 
 /**
- * Runs the policies of many gateway instances for the external simulator: one line of events in,
- * one line of actions out. One thread at a time.
+ * Runs the policies of many gateway instances for the external simulator: it reads one line of
+ * events and writes one line of actions in reply. Not thread-safe.
  */
 public final class SimulatorAdapter {
   private static final int EXIT_END_OF_INPUT = 0;
@@ -48,19 +48,19 @@
   private final Map<Integer, GatewayPolicy> policies = new TreeMap<>();
   private final Function<PolicyConfig, GatewayPolicy> policyFactory;
 
-  /** Runs {@link DefaultGatewayPolicy}. */
+  /** Creates an adapter that runs {@link DefaultGatewayPolicy}. */
   public SimulatorAdapter() {
     this(DefaultGatewayPolicy::new);
   }
 
-  /** Runs the policies that the factory makes. */
+  /** Creates an adapter that runs the policies that the factory creates. */
   SimulatorAdapter(Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.policyFactory = policyFactory;
   }
 
   /**
-   * Answers each line until the input ends or is malformed; the latter is reported on {@code err}
-   * in one line.
+   * Replies to each line until the input ends or a line is malformed; a malformed line is reported
+   * on {@code err} in one line.
    *
    * @return the exit code
    */
@@ -73,7 +73,7 @@
       lineNumber++;
       String reply;
       try {
-        reply = process(line);
+        reply = processLine(line);
       } catch (JsonProcessingException e) {
         String problem = e.getOriginalMessage().lines().findFirst().orElse("");
         err.println("line " + lineNumber + ": malformed JSON: " + problem);
@@ -89,24 +89,24 @@
     return EXIT_END_OF_INPUT;
   }
 
-  private String process(String line) throws IOException {
+  private String processLine(String line) throws IOException {
     JsonObject batch = Json.parse(line);
     long nowMicros = batch.integer(FIELD_NOW_MICROS);
-    StringWriter text = new StringWriter();
-    try (JsonGenerator json = jsonFactory.createGenerator(text)) {
+    StringWriter reply = new StringWriter();
+    try (JsonGenerator json = jsonFactory.createGenerator(reply)) {
       json.writeStartObject();
       json.writeArrayFieldStart(FIELD_ACTIONS);
       SimulatorActionWriter writer = new SimulatorActionWriter(json);
       for (JsonObject event : batch.objects(FIELD_EVENTS)) {
-        process(nowMicros, event, writer);
+        processEvent(nowMicros, event, writer);
       }
       json.writeEndArray();
       json.writeEndObject();
     }
-    return text.toString();
+    return reply.toString();
   }
 
-  private void process(long nowMicros, JsonObject event, SimulatorActionWriter writer)
+  private void processEvent(long nowMicros, JsonObject event, SimulatorActionWriter writer)
       throws IOException {
     String type = event.text(FIELD_TYPE);
     int instance = (int) event.integer(FIELD_INSTANCE);
@@ -127,7 +127,7 @@
     try {
       policies.put(instance, policyFactory.apply(config));
     } catch (RuntimeException | StackOverflowError e) {
-      writer.writeException(instance, e); // The simulator judges a policy that throws.
+      writer.writeException(instance, e); // The simulator evaluates policies that throw exceptions.
     }
   }
 
@@ -143,7 +143,7 @@
         writer.write(instance, action);
       }
     } catch (RuntimeException | StackOverflowError e) {
-      writer.writeException(instance, e); // The simulator judges a policy that throws.
+      writer.writeException(instance, e); // The simulator evaluates policies that throw exceptions.
     }
   }
 }
--- a/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorEventReader.java
@@ -74,7 +74,7 @@
 import fawndock.policy.event.TimerFired;
 import java.util.Locale;
 
-/** Decodes events of the simulator's line protocol into events of the policy. */
+/** Decodes events of the simulator's line protocol into events of the policy. Stateless. */
 final class SimulatorEventReader {
   private SimulatorEventReader() {}
 
@@ -82,7 +82,8 @@
    * Decodes an event.
    *
    * @param type the event's type on the wire
-   * @throws MalformedMessageException when the type or a field is not as the protocol has it
+   * @throws MalformedMessageException when the type is unknown or a field does not conform to the
+   *     protocol
    */
   static PolicyEvent decode(String type, JsonObject event) {
     return switch (type) {
@@ -148,12 +149,12 @@
         entry.integerOr(FIELD_STARTED_AT_MICROS, 0));
   }
 
-  private static EndpointState endpointState(String word) {
-    return switch (word.toLowerCase(Locale.ROOT)) {
+  private static EndpointState endpointState(String state) {
+    return switch (state.toLowerCase(Locale.ROOT)) {
       case STATE_RUNNING -> EndpointState.RUNNING;
       case STATE_DRAINING -> EndpointState.DRAINING;
       case STATE_REMOVED -> EndpointState.REMOVED;
-      default -> throw new MalformedMessageException("unknown word '" + word + "'");
+      default -> throw new MalformedMessageException("unknown word '" + state + "'");
     };
   }
 
@@ -167,8 +168,8 @@
     };
   }
 
-  private static CallResult result(String word) {
-    return switch (word) {
+  private static CallResult result(String result) {
+    return switch (result) {
       case RESULT_OK -> CallResult.OK;
       case RESULT_ERROR -> CallResult.ERROR;
       case RESULT_SHED -> CallResult.SHED;
@@ -177,7 +178,7 @@
       case RESULT_RESET -> CallResult.RESET;
       case RESULT_CANCELLED -> CallResult.CANCELLED;
       case RESULT_NOT_SENT -> CallResult.NOT_SENT;
-      default -> throw new MalformedMessageException("unknown verdict '" + word + "'");
+      default -> throw new MalformedMessageException("unknown verdict '" + result + "'");
     };
   }
 }
--- a/src/main/java/fawndock/simulatoradapter/SimulatorProtocol.java
+++ b/src/main/java/fawndock/simulatoradapter/SimulatorProtocol.java
@@ -1,43 +1,34 @@
 package fawndock.simulatoradapter;
 
 /**
- * The words of the external simulator's line protocol. They are fixed by the simulator; beside each
- * group stands the term that the code uses, where it is another one.
+ * The names and values of the external simulator's line protocol. The simulator defines them; each
+ * constant is named after the term that the code uses.
  */
 final class SimulatorProtocol {
-  // Lines: one JSON object in, one out.
+  // Lines: each line of events and each line of actions is one JSON object.
 
-  /** Time of the events, in microseconds. */
+  /** Time of the line's events, in microseconds. */
   static final String FIELD_NOW_MICROS = "now-us";
 
-  /** Events of the line in. */
   static final String FIELD_EVENTS = "happened";
-
-  /** Actions of the line out. */
   static final String FIELD_ACTIONS = "output";
 
   // Fields of events and actions.
 
-  /** Type of the event or action. */
+  /** Type of an event or action. */
   static final String FIELD_TYPE = "what";
 
-  /** Gateway instance. */
+  /** Index of the gateway instance. */
   static final String FIELD_INSTANCE = "i";
 
-  /** Request id. */
   static final String FIELD_REQUEST_ID = "op-id";
-
-  /** Attempt index. */
   static final String FIELD_ATTEMPT_INDEX = "try";
 
   /** Endpoint id. */
   static final String FIELD_ENDPOINT = "worker";
 
   static final String FIELD_REQUEST_CLASS = "class";
-
-  /** Plan. */
   static final String FIELD_PLAN = "tariff";
-
   static final String FIELD_CUSTOMER = "customer";
 
   /** Deadline of a request. */
@@ -51,10 +42,10 @@
   /** Number of instances that the customer's requests are spread over. */
   static final String FIELD_INSTANCE_COUNT = "doors";
 
-  /** First of these instances. */
+  /** Index of the first of these instances. */
   static final String FIELD_FIRST_INSTANCE = "base";
 
-  /** Bits; {@link #ATTRIBUTE_RETRY} marks a retry. */
+  /** Bit set, in which {@link #ATTRIBUTE_RETRY} marks a retry. */
   static final String FIELD_ATTRIBUTES = "attrs";
 
   static final int ATTRIBUTE_RETRY = 2;
@@ -67,16 +58,13 @@
   /** Whether the client has its final response. */
   static final String FIELD_IS_REQUEST_COMPLETED = "terminal";
 
-  /** Units that the request has used. */
+  /** Actual cost of the request in units. */
   static final String FIELD_UNITS_USED = "charged";
 
-  /** Load report. */
   static final String FIELD_LOAD_REPORT = "stats";
-
-  /** Counter name. */
   static final String FIELD_COUNTER = "book";
 
-  /** Total of a counter. */
+  /** Value of a counter after a call. */
   static final String FIELD_TOTAL = "level";
 
   /** Amount to add to a counter. */
@@ -87,22 +75,22 @@
 
   static final String FIELD_RETRY_AFTER_MICROS = "retry-after-us";
 
-  /** Timer token. */
+  /** Timer as {@link TimerCodec} encodes it. */
   static final String FIELD_TIMER = "cookie";
 
   static final String FIELD_TIMER_DELAY_MICROS = "span-us";
 
-  /** Sender of a peer message. */
+  /** Instance that sent a peer message. */
   static final String FIELD_SENDER = "from";
 
-  /** Receiver of a peer message, or {@link #ALL_PEERS}. */
+  /** Instance that a peer message is sent to, or {@link #ALL_PEERS}. */
   static final String FIELD_RECEIVER = "dest";
 
   static final String ALL_PEERS = "*";
   static final String FIELD_MESSAGE = "body";
   static final String FIELD_TEXT = "text";
 
-  /** Whether to watch. */
+  /** Whether the instance is to watch the endpoints. */
   static final String FIELD_IS_WATCHING = "active";
 
   static final String FIELD_SETTINGS = "options";
@@ -112,19 +100,10 @@
 
   static final String FIELD_LIST_KIND = "kind";
   static final String FIELD_ENDPOINTS = "members-list";
-
-  /** Zone. */
   static final String FIELD_ZONE = "site";
-
-  /** Cell. */
   static final String FIELD_CELL = "pod";
-
-  /** Endpoint state. */
   static final String FIELD_ENDPOINT_STATE = "availability";
-
-  /** Weight. */
   static final String FIELD_WEIGHT = "power-hint";
-
   static final String FIELD_STARTED_AT_MICROS = "start-time-us";
 
   // Event types.
@@ -132,21 +111,16 @@
   static final String EVENT_ATTACH = "Attach";
   static final String EVENT_KILLED = "Killed";
 
-  /** Request arrived. */
+  /** A client's request has arrived. */
   static final String EVENT_REQUEST = "Call";
 
   static final String EVENT_ATTEMPT_COMPLETED = "AttemptEnd";
   static final String EVENT_RESPONSE_STARTED = "Started";
   static final String EVENT_HEALTH_CHECK_COMPLETED = "HealthResult";
   static final String EVENT_COUNTER_REPLY = "LedgerReply";
-
-  /** Client disconnected. */
   static final String EVENT_CLIENT_DISCONNECTED = "Expired";
-
   static final String EVENT_TIMER_FIRED = "Timer";
   static final String EVENT_PEER_MESSAGE = "Mail";
-
-  /** Endpoint update. */
   static final String EVENT_ENDPOINT_UPDATE = "Registry";
 
   // Results.
@@ -160,7 +134,7 @@
   static final String RESULT_CANCELLED = "revoked";
   static final String RESULT_NOT_SENT = "unused";
 
-  // Kinds of endpoint lists, and the state of an endpoint that has none.
+  // Kinds of endpoint lists, and the state of an endpoint without a state field.
 
   static final String LIST_CHANGES = "delta";
   static final String LIST_SNAPSHOT = "full";
@@ -168,9 +142,9 @@
   static final String LIST_FAILED = "failed";
   static final String DEFAULT_ENDPOINT_STATE = "Running";
 
-  /** Words for an endpoint's state, in whatever case; here in small letters. */
-  static final String STATE_RUNNING = "running";
+  // Endpoint states in lower case; the protocol ignores case.
 
+  static final String STATE_RUNNING = "running";
   static final String STATE_DRAINING = "stopping";
   static final String STATE_REMOVED = "deleted";
 
@@ -188,7 +162,7 @@
   static final String ACTION_WATCH_ENDPOINTS = "Subscribe";
   static final String ACTION_LOG_MESSAGE = "Remark";
 
-  /** The policy has thrown an exception. */
+  /** Reports that the policy has thrown an exception. */
   static final String ACTION_EXCEPTION = "Exception";
 
   private SimulatorProtocol() {}
--- a/src/main/java/fawndock/simulatoradapter/package-info.java
+++ b/src/main/java/fawndock/simulatoradapter/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Adapter to the external simulator: its line protocol on standard input and output, and the
- * policies of the instances that it simulates. Loads nothing of the daemon, so that it starts fast.
+ * Adapter for the external simulator: implements its line protocol on standard input and output and
+ * runs the policies of the instances that it simulates. It loads no classes of the gateway daemon,
+ * so that it starts fast.
  */
 package fawndock.simulatoradapter;
--- a/src/test/java/fawndock/simulatoradapter/SimulatorAdapterTest.java
+++ b/src/test/java/fawndock/simulatoradapter/SimulatorAdapterTest.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Feeds lines of the simulator's protocol to the adapter and checks its replies. */
 class SimulatorAdapterTest {
   private static final String ATTACH =
       "{\"what\":\"Attach\",\"i\":3,\"rng-seed\":5,\"options\":{\"novel\":1,"
@@ -25,8 +26,8 @@
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-  private static String batch(long now, String... events) {
-    return "{\"now-us\":" + now + ",\"happened\":[" + String.join(",", events) + "]}\n";
+  private static String batch(long nowMicros, String... events) {
+    return "{\"now-us\":" + nowMicros + ",\"happened\":[" + String.join(",", events) + "]}\n";
   }
 
   private int run(SimulatorAdapter adapter, String input) throws IOException {
@@ -38,7 +39,7 @@
 
   @Test
   void request_isForwardedAfterItsCounterReply() throws IOException {
-    int code =
+    int exitCode =
         run(
             new SimulatorAdapter(),
             batch(900_000)
@@ -47,7 +48,7 @@
                     1_002_000,
                     "{\"what\":\"LedgerReply\",\"i\":3,\"book\":\"r91f03b7c55d20a64.0\","
                         + "\"verdict\":\"delivered\",\"level\":1,\"duration-us\":900}"));
-    assertEquals(0, code);
+    assertEquals(0, exitCode);
     String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", 0);
     assertEquals("{\"output\":[]}", replies[0]);
     assertTrue(
@@ -73,7 +74,7 @@
 
   @Test
   void malformedLine_isReportedWithItsNumber() throws IOException {
-    String[][] bad = {
+    String[][] malformedLines = {
       {"{\"now-us\":", "malformed JSON"},
       {"[]", "not a JSON object"},
       {"{\"happened\":[]}", "'now-us' is missing"},
@@ -84,13 +85,13 @@
       },
       {"{\"now-us\":1,\"happened\":[7]}", "'happened' holds something other than an object"},
     };
-    for (String[] each : bad) {
+    for (String[] lineAndError : malformedLines) {
       out.reset();
       err.reset();
-      int code = run(new SimulatorAdapter(), batch(1) + each[0] + "\n");
+      int exitCode = run(new SimulatorAdapter(), batch(1) + lineAndError[0] + "\n");
       String message = err.toString(StandardCharsets.UTF_8);
-      assertEquals(1, code, each[0]);
-      assertTrue(message.startsWith("line 2: ") && message.contains(each[1]), message);
+      assertEquals(1, exitCode, lineAndError[0]);
+      assertTrue(message.startsWith("line 2: ") && message.contains(lineAndError[1]), message);
       assertEquals(1, message.lines().count(), message);
       assertEquals("{\"output\":[]}\n", out.toString(StandardCharsets.UTF_8));
     }
@@ -101,7 +102,7 @@
     SimulatorAdapter adapter =
         new SimulatorAdapter(
             settings ->
-                (now, event) -> {
+                (nowMicros, event) -> {
                   throw new IllegalStateException("broken");
                 });
     assertEquals(0, run(adapter, batch(1, ATTACH)));
--- a/src/test/java/fawndock/simulatoradapter/SimulatorProtocolTest.java
+++ b/src/test/java/fawndock/simulatoradapter/SimulatorProtocolTest.java
@@ -42,7 +42,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Holds the words of the simulator's line protocol, and what each stands for. */
+/** Golden lists of the names in the simulator's line protocol, and tests of what they mean. */
 class SimulatorProtocolTest {
   private static PolicyEvent decode(String json) throws IOException {
     Json.JsonObject event = Json.parse(json.replace('\'', '"'));
@@ -55,7 +55,7 @@
         + "'}]}";
   }
 
-  /** The line that carries one action of instance 3. */
+  /** Returns the adapter's output line for one action of instance 3. */
   private static String encode(PolicyAction action) throws IOException {
     GatewayPolicy policy = (nowMicros, event) -> List.of(action);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -141,11 +141,11 @@
             "dropped", CallResult.RESET,
             "revoked", CallResult.CANCELLED,
             "unused", CallResult.NOT_SENT);
-    for (Map.Entry<String, CallResult> each : results.entrySet()) {
+    for (Map.Entry<String, CallResult> entry : results.entrySet()) {
       HealthCheckCompleted event =
           (HealthCheckCompleted)
-              decode("{'what':'HealthResult','worker':'w','verdict':'" + each.getKey() + "'}");
-      assertEquals(each.getValue(), event.result());
+              decode("{'what':'HealthResult','worker':'w','verdict':'" + entry.getKey() + "'}");
+      assertEquals(entry.getValue(), event.result());
     }
   }
 
@@ -173,13 +173,13 @@
             "full", EndpointUpdateKind.SNAPSHOT,
             "cached", EndpointUpdateKind.CACHED,
             "failed", EndpointUpdateKind.FAILED);
-    for (Map.Entry<String, EndpointUpdateKind> each : kinds.entrySet()) {
+    for (Map.Entry<String, EndpointUpdateKind> entry : kinds.entrySet()) {
       assertEquals(
           new EndpointUpdate(
-              each.getValue(), List.of(new Endpoint("w", "z", 3, EndpointState.DRAINING, 0.5, 4))),
+              entry.getValue(), List.of(new Endpoint("w", "z", 3, EndpointState.DRAINING, 0.5, 4))),
           decode(
               "{'what':'Registry','kind':'"
-                  + each.getKey()
+                  + entry.getKey()
                   + "','members-list':[{'worker':'w','site':'z','pod':3,"
                   + "'availability':'Stopping','power-hint':0.5,'start-time-us':4}]}"));
     }
@@ -193,12 +193,13 @@
             "running", EndpointState.RUNNING,
             "Stopping", EndpointState.DRAINING,
             "Deleted", EndpointState.REMOVED);
-    for (Map.Entry<String, EndpointState> each : states.entrySet()) {
-      EndpointUpdate update = (EndpointUpdate) decode(endpointList(each.getKey()));
-      assertEquals(each.getValue(), update.endpoints().get(0).state(), each.getKey());
+    for (Map.Entry<String, EndpointState> entry : states.entrySet()) {
+      EndpointUpdate update = (EndpointUpdate) decode(endpointList(entry.getKey()));
+      assertEquals(entry.getValue(), update.endpoints().get(0).state(), entry.getKey());
     }
-    for (String word : List.of("Draining", "Removed", "")) {
-      assertThrows(MalformedMessageException.class, () -> decode(endpointList(word)), word);
+    for (String unknownState : List.of("Draining", "Removed", "")) {
+      assertThrows(
+          MalformedMessageException.class, () -> decode(endpointList(unknownState)), unknownState);
     }
   }
 
--- a/src/test/java/fawndock/simulatoradapter/TimerCodecTest.java
+++ b/src/test/java/fawndock/simulatoradapter/TimerCodecTest.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Encodes and decodes each kind of timer, and decodes texts that encode none. */
 class TimerCodecTest {
   @Test
-  void eachTimerHasItsTextAndIsReadBackFromIt() {
+  void eachTimerIsEncodedAndDecoded() {
     Map<PolicyTimer, String> texts = new LinkedHashMap<>();
     texts.put(new AnswerDeadline(7), "end:7");
     texts.put(new QueueTimeout(0), "hold:0");
@@ -37,12 +38,12 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"", ":", "end", "end:", "end:x", "end:1x", "watch:1", "other:1", "7", "END:7"})
-  void aTextThatIsNoneOfOursIsAnUnknownTimer(String text) {
+  void anyOtherTextIsAnUnknownTimer(String text) {
     assertEquals(new UnknownTimer(text), TimerCodec.decode(text));
   }
 
   @Test
-  void aRequestIdOfMoreThanEighteenDigitsIsNotRead() {
+  void requestIdOfMoreThanEighteenDigitsIsAnUnknownTimer() {
     String text = "end:1000000000000000000";
     assertEquals(new UnknownTimer(text), TimerCodec.decode(text));
   }
