--- a/src/main/java/fawndock/ratelimit/DescriptorMatcher.java
+++ b/src/main/java/fawndock/ratelimit/DescriptorMatcher.java
@@ -7,44 +7,47 @@
 import java.util.Map;
 
 /**
- * Matches descriptors of the rate limit service against those of the settings; the first that
- * matches holds. Immutable, does no I/O; any thread.
+ * Matches descriptors of rate limit calls against those of the settings; the first match applies.
+ * Immutable and thread-safe; performs no I/O.
  */
 public final class DescriptorMatcher {
-  /** Longest descriptor value that becomes a customer's name. */
+  /** Maximum length of a descriptor value that is used as a customer's name. */
   static final int MAX_CUSTOMER_CHARACTERS = 256;
 
   private static final String ANY_VALUE = "*";
 
-  /** The quota that a descriptor asks for. */
+  /** The quota that a descriptor requests. */
   public record QuotaRequest(String customer, String plan, String requestClass, double units) {}
 
-  private final Map<String, List<Descriptor>> byDomain = new HashMap<>();
+  private final Map<String, List<Descriptor>> descriptorsByDomain = new HashMap<>();
 
-  /** Matches against these, in their order. */
+  /** Creates a matcher for these configured descriptors, in order of precedence. */
   public DescriptorMatcher(List<Descriptor> descriptors) {
-    for (Descriptor each : descriptors) {
-      byDomain.computeIfAbsent(each.domain(), domain -> new ArrayList<>()).add(each);
+    for (Descriptor configured : descriptors) {
+      descriptorsByDomain
+          .computeIfAbsent(configured.domain(), domain -> new ArrayList<>())
+          .add(configured);
     }
   }
 
   /**
-   * The quota that a descriptor asks for; null for one that nothing matches, which is not limited.
+   * Returns the quota that a descriptor requests; null when no configured descriptor matches, in
+   * which case it is not limited.
    *
-   * @param entries keys and values in their order
-   * @param hitsAddend by which the configured units are multiplied; 0 stands for 1, as in the
-   *     public description
-   * @throws IllegalArgumentException when a value cannot be a customer's name
+   * @param entries the descriptor's keys and values in order
+   * @param hitsAddend factor by which the configured units are multiplied; 0 means 1, as in the
+   *     public service definition
+   * @throws IllegalArgumentException when a value cannot be used as a customer's name
    */
   public QuotaRequest match(
       String domain, List<Map.Entry<String, String>> entries, long hitsAddend) {
-    for (Descriptor each : byDomain.getOrDefault(domain, List.of())) {
-      if (matches(each, entries)) {
+    for (Descriptor configured : descriptorsByDomain.getOrDefault(domain, List.of())) {
+      if (matches(configured, entries)) {
         return new QuotaRequest(
-            customer(each, entries),
-            each.plan(),
-            each.requestClass(),
-            each.units() * Math.max(1, hitsAddend));
+            customer(configured, entries),
+            configured.plan(),
+            configured.requestClass(),
+            configured.units() * Math.max(1, hitsAddend));
       }
     }
     return null;
@@ -57,9 +60,9 @@
     for (int i = 0; i < entries.size(); i++) {
       Map.Entry<String, String> actual = entries.get(i);
       Map.Entry<String, String> expected = configured.entries().get(i);
-      boolean hasValue =
+      boolean hasMatchingValue =
           expected.getValue().equals(ANY_VALUE) || expected.getValue().equals(actual.getValue());
-      if (!expected.getKey().equals(actual.getKey()) || !hasValue) {
+      if (!expected.getKey().equals(actual.getKey()) || !hasMatchingValue) {
         return false;
       }
     }
@@ -70,15 +73,16 @@
     if (!configured.customer().startsWith("{")) {
       return configured.customer();
     }
-    for (Map.Entry<String, String> each : entries) {
-      if (configured.customer().equals("{" + each.getKey() + "}")) {
-        return checkedCustomer(each);
+    for (Map.Entry<String, String> entry : entries) {
+      if (configured.customer().equals("{" + entry.getKey() + "}")) {
+        return validatedCustomer(entry);
       }
     }
-    throw new IllegalStateException("the settings' reader accepted " + configured);
+    throw new IllegalStateException(
+        "descriptor has no entry for its customer placeholder: " + configured);
   }
 
-  private static String checkedCustomer(Map.Entry<String, String> entry) {
+  private static String validatedCustomer(Map.Entry<String, String> entry) {
     int characters = entry.getValue().length();
     if (characters == 0 || characters > MAX_CUSTOMER_CHARACTERS) {
       throw new IllegalArgumentException(
--- a/src/main/java/fawndock/ratelimit/RateLimitCall.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitCall.java
@@ -17,9 +17,10 @@
 import java.util.function.Consumer;
 
 /**
- * One call of the rate limit service with its descriptors: all or nothing. When one of them is over
- * its limit nothing is charged, and what the others were charged is refunded; so it is when the
- * caller leaves. Answered exactly once, or not at all when the caller has left. One context.
+ * One call of the rate limit service. Either all of its descriptors are charged or none: when one
+ * is over its limit or undecided, or the client cancels the call, the charges of the others are
+ * refunded. The call gets exactly one response, or none when the client has cancelled it. Confined
+ * to one Vert.x context.
  */
 final class RateLimitCall {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -55,10 +56,11 @@
   private boolean isEnded;
 
   /**
-   * A call that {@link #start} starts.
+   * Creates a call; {@link #start} starts it.
    *
-   * @param quotaRequests one for each descriptor; null for one that is not limited
-   * @param responseListener called once, with null when there was no decision in time
+   * @param quotaRequests one for each descriptor; null for a descriptor that is not limited
+   * @param responseListener called exactly once unless the call is cancelled; receives null when
+   *     there was no decision in time
    */
   RateLimitCall(
       Map<String, Plan> plans,
@@ -68,25 +70,25 @@
     this.plans = plans;
     this.quotaService = quotaService;
     this.responseListener = responseListener;
-    quotaRequests.forEach(each -> descriptors.add(new DescriptorState(each)));
+    quotaRequests.forEach(quota -> descriptors.add(new DescriptorState(quota)));
     undecidedCount = descriptors.size();
   }
 
-  /** Requests the quota of each descriptor. */
+  /** Requests the quota of each descriptor from the quota service. */
   void start(long timeoutMicros) {
-    for (DescriptorState each : descriptors) {
-      QuotaRequest quota = each.quotaRequest;
+    for (DescriptorState descriptor : descriptors) {
+      QuotaRequest quota = descriptor.quotaRequest;
       if (quota == null) {
-        onDecision(each, Decision.ALLOWED, 0);
+        onDecision(descriptor, Decision.ALLOWED, 0);
       } else {
-        each.requestId =
+        descriptor.requestId =
             quotaService.request(
                 quota.requestClass(),
                 quota.plan(),
                 quota.customer(),
                 quota.units(),
                 timeoutMicros,
-                (decision, retryAfterMicros) -> onDecision(each, decision, retryAfterMicros));
+                (decision, retryAfterMicros) -> onDecision(descriptor, decision, retryAfterMicros));
       }
     }
   }
@@ -95,7 +97,8 @@
     descriptor.decision = decision;
     descriptor.retryAfterMicros = retryAfterMicros;
     if (--undecidedCount == 0 && !isEnded) {
-      // In a later turn of this context: a request's id is known only when request() has returned.
+      // Completes in a later task of this context, because a request's id is known only after
+      // request() has returned.
       Vertx.currentContext().runOnContext(v -> complete());
     }
   }
@@ -105,25 +108,26 @@
       return;
     }
     isEnded = true;
-    boolean isUndecided = descriptors.stream().anyMatch(d -> d.decision == Decision.UNDECIDED);
+    boolean isUndecided =
+        descriptors.stream().anyMatch(descriptor -> descriptor.decision == Decision.UNDECIDED);
     boolean isOverLimit = descriptors.stream().anyMatch(DescriptorState::isRejected);
-    for (DescriptorState each : descriptors) {
-      if (each.quotaRequest != null && each.decision == Decision.ALLOWED) {
+    for (DescriptorState descriptor : descriptors) {
+      if (descriptor.quotaRequest != null && descriptor.decision == Decision.ALLOWED) {
         if (isOverLimit || isUndecided) {
-          quotaService.refund(each.requestId);
+          quotaService.refund(descriptor.requestId);
         } else {
-          quotaService.commit(each.requestId, each.quotaRequest.units());
+          quotaService.commit(descriptor.requestId, descriptor.quotaRequest.units());
         }
       }
     }
     responseListener.accept(isUndecided && !isOverLimit ? null : response(isOverLimit));
   }
 
-  /** The caller has left: there is no response, and nothing is charged. */
+  /** Cancels the call: there is no response, and nothing is charged. */
   void cancel() {
     if (!isEnded) {
       isEnded = true;
-      descriptors.forEach(each -> quotaService.cancel(each.requestId));
+      descriptors.forEach(descriptor -> quotaService.cancel(descriptor.requestId));
     }
   }
 
@@ -131,10 +135,10 @@
     RateLimitResponse.Builder response =
         RateLimitResponse.newBuilder().setOverallCode(isOverLimit ? Code.OVER_LIMIT : Code.OK);
     long retryAfterSeconds = 1;
-    for (DescriptorState each : descriptors) {
-      response.addStatuses(status(each));
-      if (each.isRejected()) {
-        retryAfterSeconds = Math.max(retryAfterSeconds, each.retryAfterSeconds());
+    for (DescriptorState descriptor : descriptors) {
+      response.addStatuses(status(descriptor));
+      if (descriptor.isRejected()) {
+        retryAfterSeconds = Math.max(retryAfterSeconds, descriptor.retryAfterSeconds());
       }
     }
     if (isOverLimit) {
--- a/src/main/java/fawndock/ratelimit/RateLimitService.java
+++ b/src/main/java/fawndock/ratelimit/RateLimitService.java
@@ -31,11 +31,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The gRPC rate limit service ({@code envoy.service.ratelimit.v3.RateLimitService}) on an event
- * loop of its own, so that many calls do not delay forwarded requests.
+ * The gRPC rate limit service ({@code envoy.service.ratelimit.v3.RateLimitService}). It runs on its
+ * own event loop, so that a large number of calls does not delay forwarded requests.
  */
 public final class RateLimitService extends VerticleBase {
-  /** The service's one method. */
+  /** The only method of the service. */
   public static final ServiceMethod<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
       ServiceMethod.server(
           ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
@@ -55,9 +55,9 @@
   private HttpServer server;
 
   /**
-   * A service that is not started yet.
+   * Creates a service that is not started yet.
    *
-   * @param policyFactory makes the policy from its configuration
+   * @param policyFactory creates the policy from its configuration
    */
   public RateLimitService(
       GatewaySettings settings, Function<PolicyConfig, GatewayPolicy> policyFactory) {
@@ -71,27 +71,27 @@
   public Future<?> start() {
     quotaService =
         new QuotaService(vertx, context, settings, settings.firstInstance(), policyFactory);
-    GrpcServer grpc =
+    GrpcServer grpcServer =
         GrpcServer.server(vertx, new GrpcServerOptions().setMaxMessageSize(MAX_MESSAGE_BYTES));
-    grpc.callHandler(
+    grpcServer.callHandler(
         SHOULD_RATE_LIMIT, call -> call.handler(request -> shouldRateLimit(call, request)));
     server =
         vertx
             .createHttpServer(
                 new HttpServerOptions().setHttp2ClearTextEnabled(true).setTcpNoDelay(true))
-            .requestHandler(grpc);
-    Address listen = settings.rateLimit().listen();
+            .requestHandler(grpcServer);
+    Address listenAddress = settings.rateLimit().listen();
     return server
-        .listen(listen.port(), listen.host())
+        .listen(listenAddress.port(), listenAddress.host())
         .onSuccess(
-            listening ->
+            boundServer ->
                 LOG.info(
                     "rate limit service listening: address={}:{}",
-                    listen.host(),
-                    listening.actualPort()));
+                    listenAddress.host(),
+                    boundServer.actualPort()));
   }
 
-  /** The port that it listens on. */
+  /** Returns the port that the service listens on. */
   public int port() {
     return server.actualPort();
   }
@@ -108,7 +108,7 @@
     try {
       quotaRequests = quotaRequests(request);
     } catch (IllegalArgumentException e) {
-      end(call, GrpcStatus.INVALID_ARGUMENT, e.getMessage());
+      endWithStatus(call, GrpcStatus.INVALID_ARGUMENT, e.getMessage());
       return;
     }
     RateLimitCall rateLimitCall =
@@ -118,7 +118,7 @@
             quotaService,
             response -> {
               if (response == null) {
-                end(call, GrpcStatus.UNAVAILABLE, "not decided in time");
+                endWithStatus(call, GrpcStatus.UNAVAILABLE, "not decided in time");
               } else {
                 call.response().end(response);
               }
@@ -128,29 +128,29 @@
     rateLimitCall.start(timeoutMillis * 1_000);
   }
 
-  private static void end(
+  private static void endWithStatus(
       GrpcServerRequest<RateLimitRequest, RateLimitResponse> call,
       GrpcStatus status,
       String message) {
     call.response().status(status).statusMessage(message).end();
   }
 
-  /** One for each descriptor; null for one that is not limited. */
+  /** Returns the quota request of each descriptor; null for a descriptor that is not limited. */
   private List<QuotaRequest> quotaRequests(RateLimitRequest request) {
     int count = request.getDescriptorsCount();
     if (request.getDomain().isEmpty() || count == 0 || count > MAX_DESCRIPTORS) {
       throw new IllegalArgumentException(
-          "a domain and 1 to "
+          "expected a domain and 1 to "
               + MAX_DESCRIPTORS
-              + " descriptors are expected, there are "
+              + " descriptors, got "
               + count
-              + " in domain '"
+              + " descriptors in domain '"
               + request.getDomain()
               + "'");
     }
     List<QuotaRequest> quotaRequests = new ArrayList<>();
-    for (RateLimitDescriptor each : request.getDescriptorsList()) {
-      quotaRequests.add(quotaRequest(request, each));
+    for (RateLimitDescriptor descriptor : request.getDescriptorsList()) {
+      quotaRequests.add(quotaRequest(request, descriptor));
     }
     return quotaRequests;
   }
@@ -158,7 +158,7 @@
   private QuotaRequest quotaRequest(RateLimitRequest request, RateLimitDescriptor descriptor) {
     if (descriptor.hasLimit()) {
       throw new IllegalArgumentException(
-          "a descriptor overrides its limit; limits are those of the plans");
+          "a descriptor must not override its limit, because the plans set the limits");
     }
     long hitsAddend =
         descriptor.hasHitsAddend()
--- a/src/main/java/fawndock/ratelimit/package-info.java
+++ b/src/main/java/fawndock/ratelimit/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gRPC rate limit service: {@code DescriptorMatcher} gives the quota that a descriptor asks
- * for, {@code RateLimitCall} combines the decisions of one call. It takes decisions from the
- * gateway's {@code QuotaService} and makes none about quotas; only the command line depends on it.
+ * The gRPC rate limit service. {@code DescriptorMatcher} determines the quota that a descriptor
+ * requests, and {@code RateLimitCall} combines the decisions of one call. The gateway's {@code
+ * QuotaService} makes the quota decisions. Only the command line depends on this package.
  */
 package fawndock.ratelimit;
--- a/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitServiceTest.java
@@ -34,11 +34,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A client made from the public definitions, against the rate limit services of two instances and
- * one counter.
+ * Calls the rate limit services of two gateway instances, which share one counter, with a client
+ * built from the public service definition.
  */
 class RateLimitServiceTest {
-  private static final ServiceMethod<RateLimitResponse, RateLimitRequest> CALL =
+  private static final ServiceMethod<RateLimitResponse, RateLimitRequest> SHOULD_RATE_LIMIT =
       ServiceMethod.client(
           ServiceName.create("envoy.service.ratelimit.v3.RateLimitService"),
           "ShouldRateLimit",
@@ -47,16 +47,17 @@
   @TempDir private Path directory;
   private final Vertx vertx = Vertx.vertx();
   private final FakeCounterServer counter = new FakeCounterServer();
-  private final List<RateLimitService> nodes = new ArrayList<>();
+  private final List<RateLimitService> services = new ArrayList<>();
   private GrpcClient client;
 
   /**
-   * Windows of the plan below are 20 s of the wall clock; a test that met their end would find
-   * other totals.
+   * Waits for the next quota window when the current one ends soon. The windows of the plan below
+   * are 20 s of wall-clock time; a test that runs across the end of a window would see other
+   * totals.
    */
   private static void awaitStartOfQuotaWindow() throws InterruptedException {
-    long into = System.currentTimeMillis() % 20_000;
-    Thread.sleep(into < 14_000 ? 0 : 20_050 - into);
+    long elapsedInWindowMillis = System.currentTimeMillis() % 20_000;
+    Thread.sleep(elapsedInWindowMillis < 14_000 ? 0 : 20_050 - elapsedInWindowMillis);
   }
 
   @BeforeEach
@@ -65,22 +66,22 @@
     counter.start();
     client = GrpcClient.client(vertx);
     for (int i = 0; i < 2; i++) {
-      RateLimitService node = new RateLimitService(settings(i, ""), DefaultGatewayPolicy::new);
-      wait(vertx.deployVerticle(node));
-      nodes.add(node);
+      RateLimitService service = new RateLimitService(settings(i, ""), DefaultGatewayPolicy::new);
+      await(vertx.deployVerticle(service));
+      services.add(service);
     }
   }
 
   @AfterEach
   void stop() throws Exception {
-    wait(vertx.close());
+    await(vertx.close());
     counter.close();
   }
 
-  private GatewaySettings settings(int me, String more) throws Exception {
+  private GatewaySettings settings(int instanceIndex, String extraLines) throws Exception {
     Path file =
         Files.writeString(
-            directory.resolve("g" + me + ".conf"),
+            directory.resolve("g" + instanceIndex + ".conf"),
             """
                 listen 127.0.0.1:0
                 gatekeeper %d of 2
@@ -96,138 +97,162 @@
                 descriptor desks agency=*,class=quote customer {agency} plan small class lookup units 2
                 descriptor desks agency=house customer house plan free class lookup
                 """
-                    .formatted(me, counter.port())
-                + more);
+                    .formatted(instanceIndex, counter.port())
+                + extraLines);
     return GatewaySettingsFile.read(file);
   }
 
-  private static <T> T wait(io.vertx.core.Future<T> what) throws Exception {
-    return what.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+  private static <T> T await(io.vertx.core.Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  private static RateLimitDescriptor descriptor(String... pairs) {
-    RateLimitDescriptor.Builder made = RateLimitDescriptor.newBuilder();
-    for (int i = 0; i < pairs.length; i += 2) {
-      made.addEntries(
-          RateLimitDescriptor.Entry.newBuilder().setKey(pairs[i]).setValue(pairs[i + 1]));
+  private static RateLimitDescriptor descriptor(String... keysAndValues) {
+    RateLimitDescriptor.Builder builder = RateLimitDescriptor.newBuilder();
+    for (int i = 0; i < keysAndValues.length; i += 2) {
+      builder.addEntries(
+          RateLimitDescriptor.Entry.newBuilder()
+              .setKey(keysAndValues[i])
+              .setValue(keysAndValues[i + 1]));
     }
-    return made.build();
+    return builder.build();
   }
 
-  private static RateLimitDescriptor lookup(String agency) {
+  private static RateLimitDescriptor lookupDescriptor(String agency) {
     return descriptor("agency", agency, "class", "lookup");
   }
 
-  private RateLimitResponse ask(int node, RateLimitDescriptor... descriptors) throws Exception {
-    return ask(
-        node,
+  private RateLimitResponse shouldRateLimit(int serviceIndex, RateLimitDescriptor... descriptors)
+      throws Exception {
+    return shouldRateLimit(
+        serviceIndex,
         RateLimitRequest.newBuilder()
             .setDomain("desks")
             .addAllDescriptors(List.of(descriptors))
             .build());
   }
 
-  private RateLimitResponse ask(int node, RateLimitRequest request) throws Exception {
-    return wait(
+  private RateLimitResponse shouldRateLimit(int serviceIndex, RateLimitRequest request)
+      throws Exception {
+    return await(
         client
-            .request(SocketAddress.inetSocketAddress(nodes.get(node).port(), "127.0.0.1"), CALL)
+            .request(
+                SocketAddress.inetSocketAddress(services.get(serviceIndex).port(), "127.0.0.1"),
+                SHOULD_RATE_LIMIT)
             .compose(call -> call.send(request))
             .compose(
-                answer ->
-                    answer
+                response ->
+                    response
                         .last()
                         .compose(
-                            last ->
-                                answer.status() == GrpcStatus.OK
-                                    ? io.vertx.core.Future.succeededFuture(last)
+                            message ->
+                                response.status() == GrpcStatus.OK
+                                    ? io.vertx.core.Future.succeededFuture(message)
                                     : io.vertx.core.Future.failedFuture(
-                                        answer.status() + " " + answer.statusMessage()))));
+                                        response.status() + " " + response.statusMessage()))));
   }
 
-  private Code code(int node, RateLimitDescriptor... descriptors) throws Exception {
-    return ask(node, descriptors).getOverallCode();
+  private Code overallCode(int serviceIndex, RateLimitDescriptor... descriptors) throws Exception {
+    return shouldRateLimit(serviceIndex, descriptors).getOverallCode();
   }
 
   @Test
   void twoInstances_chargeOneQuota() throws Exception {
     for (int i = 0; i < 4; i++) {
-      assertEquals(Code.OK, code(i % 2, lookup("one")), "question " + i);
+      assertEquals(Code.OK, overallCode(i % 2, lookupDescriptor("one")), "call " + i);
     }
-    RateLimitResponse fifth = ask(0, lookup("one"));
+    RateLimitResponse fifth = shouldRateLimit(0, lookupDescriptor("one"));
     assertEquals(Code.OVER_LIMIT, fifth.getOverallCode());
     assertEquals("small", fifth.getStatuses(0).getCurrentLimit().getName());
     assertTrue(fifth.getStatuses(0).getDurationUntilReset().getSeconds() >= 1);
     assertEquals("retry-after", fifth.getResponseHeadersToAdd(0).getKey());
-    assertEquals(Code.OK, code(1, lookup("two")), "another customer has its own");
+    assertEquals(
+        Code.OK, overallCode(1, lookupDescriptor("two")), "another customer has its own quota");
+    assertEquals(
+        Code.OK,
+        overallCode(0, descriptor("agency", "one", "class", "lookup", "more", "x")),
+        "a descriptor with an additional entry does not match");
     assertEquals(
         Code.OK,
-        code(0, descriptor("agency", "one", "class", "lookup", "more", "x")),
-        "an entry more is no fit");
-    assertEquals(Code.OK, code(0, descriptor("agency", "one")), "nor is one less");
+        overallCode(0, descriptor("agency", "one")),
+        "a descriptor with a missing entry does not match");
   }
 
   @Test
   void unitsAndHitsAddend_areCharged() throws Exception {
-    assertEquals(Code.OK, code(0, descriptor("agency", "one", "class", "quote")));
-    RateLimitDescriptor twice = lookup("one").toBuilder().setHitsAddend(UInt64Value.of(2)).build();
-    assertEquals(Code.OK, code(0, twice));
-    assertEquals(Code.OVER_LIMIT, code(0, lookup("one")), "two units and two hits of four");
+    assertEquals(Code.OK, overallCode(0, descriptor("agency", "one", "class", "quote")));
+    RateLimitDescriptor twoHits =
+        lookupDescriptor("one").toBuilder().setHitsAddend(UInt64Value.of(2)).build();
+    assertEquals(Code.OK, overallCode(0, twoHits));
+    assertEquals(
+        Code.OVER_LIMIT,
+        overallCode(0, lookupDescriptor("one")),
+        "two units and two hits use up the quota of four units");
   }
 
   @Test
   void callWithSeveralDescriptors_isAllOrNothing() throws Exception {
     for (int i = 0; i < 4; i++) {
-      code(0, lookup("full"));
+      overallCode(0, lookupDescriptor("full"));
     }
     for (int i = 0; i < 6; i++) {
-      RateLimitResponse answer =
-          ask(0, lookup("fresh"), lookup("full"), descriptor("agency", "house"));
-      assertEquals(Code.OVER_LIMIT, answer.getOverallCode());
+      RateLimitResponse response =
+          shouldRateLimit(
+              0,
+              lookupDescriptor("fresh"),
+              lookupDescriptor("full"),
+              descriptor("agency", "house"));
+      assertEquals(Code.OVER_LIMIT, response.getOverallCode());
       assertEquals(
           List.of(Code.OK, Code.OVER_LIMIT, Code.OK),
-          answer.getStatusesList().stream().map(s -> s.getCode()).toList());
+          response.getStatusesList().stream().map(status -> status.getCode()).toList());
     }
     for (int i = 0; i < 4; i++) {
-      assertEquals(Code.OK, code(0, lookup("fresh")), "nothing of the batches was counted: " + i);
+      assertEquals(
+          Code.OK,
+          overallCode(0, lookupDescriptor("fresh")),
+          "the calls over the limit were not charged: " + i);
     }
-    assertEquals(Code.OVER_LIMIT, code(0, lookup("fresh")));
+    assertEquals(Code.OVER_LIMIT, overallCode(0, lookupDescriptor("fresh")));
   }
 
   @Test
-  void unmatchedDescriptorIsNotLimited_andWrongOneIsInvalidArgument() throws Exception {
-    assertEquals(Code.OK, code(0, descriptor("path", "/")));
+  void unmatchedDescriptor_isNotLimited_andInvalidOneIsRejected() throws Exception {
+    assertEquals(Code.OK, overallCode(0, descriptor("path", "/")));
     RateLimitDescriptor override =
-        lookup("one").toBuilder()
+        lookupDescriptor("one").toBuilder()
             .setLimit(RateLimitDescriptor.RateLimitOverride.newBuilder().setRequestsPerUnit(9))
             .build();
-    for (RateLimitRequest bad :
+    for (RateLimitRequest invalidRequest :
         List.of(
             RateLimitRequest.newBuilder().setDomain("desks").addDescriptors(override).build(),
             RateLimitRequest.newBuilder().setDomain("desks").build(),
-            RateLimitRequest.newBuilder().addDescriptors(lookup("a")).build(),
+            RateLimitRequest.newBuilder().addDescriptors(lookupDescriptor("a")).build(),
             RateLimitRequest.newBuilder()
                 .setDomain("desks")
-                .addDescriptors(lookup("a".repeat(257)))
+                .addDescriptors(lookupDescriptor("a".repeat(257)))
                 .build())) {
-      String told = assertThrows(ExecutionException.class, () -> ask(0, bad)).getMessage();
-      assertTrue(told.contains("INVALID_ARGUMENT") || told.contains("3"), told);
+      String errorMessage =
+          assertThrows(ExecutionException.class, () -> shouldRateLimit(0, invalidRequest))
+              .getMessage();
+      assertTrue(
+          errorMessage.contains("INVALID_ARGUMENT") || errorMessage.contains("3"), errorMessage);
     }
   }
 
   @Test
   void unreachableCounter_failsOpenInTime() throws Exception {
     counter.setUnresponsive(true);
-    for (int i = 0;
-        i < 10;
-        i++) { // One customer's tenth would go by its own demand, as in a crowd, until silence is
-      // certain.
-      assertEquals(Code.OK, code(0, lookup("customer " + i)));
+    // Each request is from another customer: until the counter counts as unreachable, its calls are
+    // only throttled, and the tenth request of one customer would be decided by that customer's own
+    // demand, as under overload.
+    for (int i = 0; i < 10; i++) {
+      assertEquals(Code.OK, overallCode(0, lookupDescriptor("customer " + i)));
     }
   }
 
   @Test
   void descriptorErrors_areReportedTogether() {
-    String told =
+    String errorMessage =
         assertThrows(
                 ConfigurationException.class,
                 () ->
@@ -239,13 +264,13 @@
                 descriptor desks agency=* customer one plan big class tour
                 """))
             .getMessage();
-    for (String each :
+    for (String expectedText :
         List.of(
             ":14: 'agency' is no entry",
             ":15: customer '{desk}'",
             ":16: there is no plan 'big'",
             ":16: there is no class 'tour'")) {
-      assertTrue(told.contains(each), each + " in " + told);
+      assertTrue(errorMessage.contains(expectedText), expectedText + " in " + errorMessage);
     }
   }
 }
--- a/src/test/java/fawndock/ratelimit/RateLimitWireNamesTest.java
+++ b/src/test/java/fawndock/ratelimit/RateLimitWireNamesTest.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Golden list of the names and numbers of the public gRPC rate limit service. */
+/** Golden list of the names and field numbers of the public gRPC rate limit service. */
 class RateLimitWireNamesTest {
   private static String fields(Descriptor message) {
     return message.getFields().stream()
-        .map(f -> f.getName() + "=" + f.getNumber())
+        .map(field -> field.getName() + "=" + field.getNumber())
         .toList()
         .toString();
   }
 
   @Test
-  void serviceAndMethod() {
+  void serviceAndMethodNamesMatchThePublicDefinition() {
     assertEquals(
         "envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit",
         RateLimitService.SHOULD_RATE_LIMIT.serviceName().fullyQualifiedName()
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void fieldsOfTheMessages() {
+  void fieldNamesAndNumbersMatchThePublicDefinition() {
     assertEquals(
         List.of(
             "[domain=1, descriptors=2, hits_addend=3]",
@@ -47,9 +47,11 @@
   }
 
   @Test
-  void codes() {
+  void responseCodesMatchThePublicDefinition() {
     assertEquals(
         List.of("UNKNOWN", "OK", "OVER_LIMIT"),
-        RateLimitResponse.Code.getDescriptor().getValues().stream().map(v -> v.getName()).toList());
+        RateLimitResponse.Code.getDescriptor().getValues().stream()
+            .map(value -> value.getName())
+            .toList());
   }
 }
