--- a/src/main/java/fawndock/policy/Attempt.java
+++ b/src/main/java/fawndock/policy/Attempt.java
@@ -9,7 +9,7 @@
   private final long startedAtMicros;
   private final double inFlightAtStart;
   private CallResult result;
-  private boolean isOverdue;
+  private boolean isCapacityReleased;
 
   /**
    * An attempt that starts now.
@@ -48,13 +48,13 @@
   }
 
   /** Whether it no longer counts as in flight: it has ended, or is late or lost. */
-  public boolean isOverdue() {
-    return isOverdue;
+  public boolean isCapacityReleased() {
+    return isCapacityReleased;
   }
 
   /** It no longer counts as in flight. */
   public void markOverdue() {
-    isOverdue = true;
+    isCapacityReleased = true;
   }
 
   /** Whether the endpoint may have done the work, or may yet do it. */
--- a/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
@@ -69,7 +69,7 @@
 
   /** An attempt no longer counts against the concurrency limit. */
   void releaseCapacity(Attempt attempt, PendingRequest request) {
-    limiter.onAttemptCompleted(attempt.isOverdue() ? 0 : request.weight());
+    limiter.onAttemptCompleted(attempt.isCapacityReleased() ? 0 : request.weight());
     attempt.markOverdue();
   }
 
