--- a/src/main/java/fawndock/policy/Attempt.java
+++ b/src/main/java/fawndock/policy/Attempt.java
@@ -53,7 +53,7 @@
   }
 
   /** It no longer counts as in flight. */
-  public void markOverdue() {
+  public void markCapacityReleased() {
     isCapacityReleased = true;
   }
 
--- a/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
@@ -70,7 +70,7 @@
   /** An attempt no longer counts against the concurrency limit. */
   void releaseCapacity(Attempt attempt, PendingRequest request) {
     limiter.onAttemptCompleted(attempt.isCapacityReleased() ? 0 : request.weight());
-    attempt.markOverdue();
+    attempt.markCapacityReleased();
   }
 
   private void recordLatency(TrackedEndpoint endpoint, double latencyRatio) {
