--- a/src/test/java/fawndock/policy/PolicyTables.java
+++ b/src/test/java/fawndock/policy/PolicyCollectionSizes.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 
 /** Finds every map and collection that the rules of a policy keep, at any depth of their fields. */
-public final class PolicyTables {
+public final class PolicyCollectionSizes {
   private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
   private final Map<String, Integer> sizes = new TreeMap<>();
 
-  private PolicyTables() {}
+  private PolicyCollectionSizes() {}
 
   /** The sizes by class and field. */
   public static Map<String, Integer> sizes(GatewayPolicy policy) throws IllegalAccessException {
-    PolicyTables tables = new PolicyTables();
+    PolicyCollectionSizes tables = new PolicyCollectionSizes();
     tables.visit(policy);
     return tables.sizes;
   }
--- a/src/test/java/fawndock/policy/quota/QuotaTableTest.java
+++ b/src/test/java/fawndock/policy/quota/QuotaTableTest.java
@@ -3,8 +3,8 @@
 import static fawndock.policy.PolicyHarness.single;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import fawndock.policy.PolicyCollectionSizes;
 import fawndock.policy.PolicyHarness;
-import fawndock.policy.PolicyTables;
 import fawndock.policy.action.PolicyAction;
 import fawndock.policy.action.StartAttempt;
 import fawndock.policy.event.CallResult;
@@ -35,7 +35,7 @@
       StartAttempt a = single(StartAttempt.class, answerCalls(actions));
       harness.completeAttempt(id, 0, a.endpointId(), CallResult.OK, true);
     }
-    Map<String, Integer> tables = PolicyTables.sizes(harness.policy);
+    Map<String, Integer> tables = PolicyCollectionSizes.sizes(harness.policy);
     assertTrue(tables.size() >= 9, tables.toString());
     tables.forEach((table, size) -> assertTrue(size < 30_000, table + " holds " + size));
   }
