--- a/src/main/java/fawndock/policy/RequestProfiles.java
+++ b/src/main/java/fawndock/policy/ClassAndPlanTable.java
@@ -13,7 +13,7 @@
  * The request classes and plans by name. Of one that the configuration does not name, nothing may
  * be sent twice, and there is no quota.
  */
-final class RequestProfiles {
+final class ClassAndPlanTable {
   private static final long DEFAULT_DEADLINE_MICROS = 1_000_000;
 
   private final Map<String, RequestClassState> requestClasses = new LinkedHashMap<>();
@@ -21,9 +21,11 @@
   private final long maxDeadlineMicros;
   private final long maxLatencyObjectiveMicros;
 
-  RequestProfiles(PolicyConfig config) {
+  ClassAndPlanTable(PolicyConfig config) {
     List<RequestClass> classes = config.requestClasses();
-    classes.forEach(each -> requestClasses.put(each.name(), new RequestClassState(each)));
+    classes.forEach(
+        requestClass ->
+            requestClasses.put(requestClass.name(), new RequestClassState(requestClass)));
     config.plans().forEach(plan -> plans.put(plan.name(), plan));
     maxDeadlineMicros =
         classes.stream()
@@ -47,7 +49,8 @@
   }
 
   Plan plan(String name) {
-    return plans.computeIfAbsent(name, unknown -> new Plan(unknown, 0, 0, 0, 1, 0, 0, 0, 0, 0));
+    return plans.computeIfAbsent(
+        name, unknownName -> new Plan(unknownName, 0, 0, 0, 1, 0, 0, 0, 0, 0));
   }
 
   private RequestClassState unknownClass(String name) {
--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -37,7 +37,7 @@
  */
 public final class DefaultGatewayPolicy implements GatewayPolicy {
   private final EventContext context = new EventContext();
-  private final RequestProfiles profiles;
+  private final ClassAndPlanTable classesAndPlans;
   private final Deadlines deadlines;
   private final QuotaAdmission quotas;
   private final RequestPriority priority;
@@ -51,8 +51,8 @@
     // All rules draw from one source: the same seed and events give the same actions.
     SplittableRandom random = new SplittableRandom(config.randomSeed());
     IdempotencyRules idempotency = new IdempotencyRules(config.roundTripMicros());
-    profiles = new RequestProfiles(config);
-    long maxObjectiveMicros = profiles.maxLatencyObjectiveMicros();
+    classesAndPlans = new ClassAndPlanTable(config);
+    long maxObjectiveMicros = classesAndPlans.maxLatencyObjectiveMicros();
     deadlines = new Deadlines(config.roundTripMicros(), config.counter().timeoutMicros());
     quotas = new QuotaAdmission(context, random, config, deadlines, maxObjectiveMicros);
     priority = new RequestPriority(quotas);
@@ -92,8 +92,8 @@
     PendingRequest request =
         new PendingRequest(
             arrived,
-            profiles.requestClass(arrived.requestClass()),
-            profiles.plan(arrived.plan()),
+            classesAndPlans.requestClass(arrived.requestClass()),
+            classesAndPlans.plan(arrived.plan()),
             context.nowMicros());
     requests.add(request);
     context.scheduleAt(
@@ -169,7 +169,7 @@
     if (!request.isDone() && request.inFlightAttempts() == 0) {
       retryOrEnd(request);
     }
-    requests.forgetIfEnded(request);
+    requests.removeIfEnded(request);
   }
 
   private void retryOrEnd(PendingRequest request) {
--- a/src/main/java/fawndock/policy/RequestTable.java
+++ b/src/main/java/fawndock/policy/RequestTable.java
@@ -60,20 +60,20 @@
         idempotency.allowsReject(request)
             ? new RejectRequest(request.id(), RetryAfter.roundUpMicros(retryAfterMicros))
             : new FailRequest(request.id()));
-    forgetIfEnded(request);
+    removeIfEnded(request);
   }
 
   /** Fails a request. */
   void fail(PendingRequest request) {
     close(request);
     context.emit(new FailRequest(request.id()));
-    forgetIfEnded(request);
+    removeIfEnded(request);
   }
 
   /** Ends a request whose client has left: no answer is due. */
   void abandon(PendingRequest request) {
     close(request);
-    forgetIfEnded(request);
+    removeIfEnded(request);
   }
 
   /** Leaves a request to the streamed answer that has begun. */
@@ -106,7 +106,7 @@
    * Forgets a request that is done and has no attempt in flight, and takes back its quota if it was
    * never forwarded.
    */
-  void forgetIfEnded(PendingRequest request) {
+  void removeIfEnded(PendingRequest request) {
     if (request.isDone() && request.inFlightAttempts() == 0) {
       quotas.release(request);
       requests.remove(request.id());
--- a/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomeRecorder.java
@@ -8,16 +8,16 @@
 import fawndock.policy.event.CallResult;
 
 /** What the end of an attempt, or its lateness, says of its endpoint and of the load on all. */
-final class AttemptOutcomes {
+final class AttemptOutcomeRecorder {
   /**
    * Latency, as a ratio of the objective, that a late, lost or shed attempt counts as at the least.
    */
-  private static final double LATE_ANSWER_RATIO = 1;
+  private static final double MIN_LATE_LATENCY_RATIO = 1;
 
   private final EventContext context;
   private final ConcurrencyLimiter limiter;
 
-  AttemptOutcomes(EventContext context, ConcurrencyLimiter limiter) {
+  AttemptOutcomeRecorder(EventContext context, ConcurrencyLimiter limiter) {
     this.context = context;
     this.limiter = limiter;
   }
@@ -34,7 +34,7 @@
       }
       case ERROR, TIMEOUT, RESET, CONNECT_FAILED ->
           recordFailure(attempt.endpoint(), completed.result(), latencyRatio);
-      case SHED -> limiter.recordLatency(LATE_ANSWER_RATIO, attempt.inFlightAtStart());
+      case SHED -> limiter.recordLatency(MIN_LATE_LATENCY_RATIO, attempt.inFlightAtStart());
       case CANCELLED, NOT_SENT -> {
         // Says nothing of the endpoint.
       }
@@ -45,7 +45,7 @@
   // requests are at fault.
   private void recordFailure(TrackedEndpoint endpoint, CallResult result, double latencyRatio) {
     double minRatio =
-        result == CallResult.ERROR ? Math.max(LATE_ANSWER_RATIO, latencyRatio) : latencyRatio;
+        result == CallResult.ERROR ? Math.max(MIN_LATE_LATENCY_RATIO, latencyRatio) : latencyRatio;
     recordLatency(endpoint, Math.max(minRatio, endpoint.latency().recordedRatio()));
     endpoint.outlierDetector().recordFailure(context.nowMicros());
   }
@@ -62,7 +62,8 @@
           && context.nowMicros() - attempt.startedAtMicros() >= objectiveMicros) {
         releaseCapacity(attempt, request);
         LatencyEstimator latency = attempt.endpoint().latency();
-        recordLatency(attempt.endpoint(), Math.max(LATE_ANSWER_RATIO, latency.recordedRatio()));
+        recordLatency(
+            attempt.endpoint(), Math.max(MIN_LATE_LATENCY_RATIO, latency.recordedRatio()));
       }
     }
   }
--- a/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
+++ b/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
@@ -15,7 +15,7 @@
   private static final double MIN_ENDPOINT_ATTEMPTS = 4;
 
   /** With this ratio of the limit in flight, an answer in time raises the limit. */
-  private static final double GROWTH_USE_RATIO = 0.7;
+  private static final double MIN_GROWTH_UTILIZATION_RATIO = 0.7;
 
   private static final double GROWTH_RATIO = 0.02;
   private static final double GAIN_RATIO = 0.05;
@@ -82,7 +82,7 @@
     meanInFlight += GAIN_RATIO * (inFlightAtStart - meanInFlight);
     if (meanLatencyRatio > TARGET_LATENCY_RATIO) {
       limit = Math.min(limit, meanInFlight * TARGET_LATENCY_RATIO / meanLatencyRatio);
-    } else if (inFlight >= limit * GROWTH_USE_RATIO) {
+    } else if (inFlight >= limit * MIN_GROWTH_UTILIZATION_RATIO) {
       limit += limit * GROWTH_RATIO;
     }
   }
--- a/src/main/java/fawndock/policy/routing/EndpointRouter.java
+++ b/src/main/java/fawndock/policy/routing/EndpointRouter.java
@@ -20,7 +20,7 @@
   private final ConcurrencyLimiter limiter;
   private final EndpointTable endpoints;
   private final EndpointSelector selector;
-  private final AttemptOutcomes outcomes;
+  private final AttemptOutcomeRecorder outcomeRecorder;
 
   /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
   public EndpointRouter(
@@ -32,7 +32,7 @@
     this.context = context;
     this.limiter = new ConcurrencyLimiter(config.instanceCount());
     this.endpoints = new EndpointTable(context, limiter, config);
-    this.outcomes = new AttemptOutcomes(context, limiter);
+    this.outcomeRecorder = new AttemptOutcomeRecorder(context, limiter);
     this.selector =
         new EndpointSelector(
             context,
@@ -74,13 +74,13 @@
     request.onAttemptCompleted();
     TrackedEndpoint endpoint = attempt.endpoint();
     endpoint.onAttemptCompleted(request.weight(), attempt.startedAtMicros());
-    outcomes.releaseCapacity(attempt, request);
-    outcomes.record(attempt, completed, request.requestClass());
+    outcomeRecorder.releaseCapacity(attempt, request);
+    outcomeRecorder.record(attempt, completed, request.requestClass());
     endpoint.reportedLoad().record(completed.load(), endpoint.inFlight(), context.nowMicros());
   }
 
   /** Takes in that the request's attempts may be late by now. */
   public void onLatencyObjectiveExceeded(PendingRequest request) {
-    outcomes.recordOverdue(request);
+    outcomeRecorder.recordOverdue(request);
   }
 }
--- a/src/main/java/fawndock/policy/routing/EndpointSelector.java
+++ b/src/main/java/fawndock/policy/routing/EndpointSelector.java
@@ -15,7 +15,7 @@
 final class EndpointSelector {
   private static final int MAX_CANDIDATES = 16;
 
-  /** Of an even share times the slow-start factor: most endpoints are warmer. */
+  /** Of an even share times the slow-start capacityRatio: most endpoints are warmer. */
   private static final double SLOW_START_SHARE_RATIO = 1.5;
 
   /** Breaks ties among endpoints that look the same. */
@@ -58,17 +58,17 @@
     }
     boolean mayEject = OutlierDetector.mayEject(running);
     TrackedEndpoint first = running.get(request.endpointDraw() % count);
-    if (isSlowStartTurn(first, request) && mayTake(first, request, mayEject)) {
+    if (passesSlowStartDraw(first, request) && mayTake(first, request, mayEject)) {
       return first;
     }
     return selectWarm(request, running, mayEject);
   }
 
-  private boolean isSlowStartTurn(TrackedEndpoint endpoint, PendingRequest request) {
-    double factor = slowStart.factor(endpoint, context.nowMicros());
-    return factor < 1
+  private boolean passesSlowStartDraw(TrackedEndpoint endpoint, PendingRequest request) {
+    double capacityRatio = slowStart.capacityRatio(endpoint, context.nowMicros());
+    return capacityRatio < 1
         && request.slowStartDraw()
-            < SLOW_START_SHARE_RATIO * factor / Math.max(1, request.weight());
+            < SLOW_START_SHARE_RATIO * capacityRatio / Math.max(1, request.weight());
   }
 
   // Endpoints beyond the subset are looked at only while none of it may take the request.
@@ -123,10 +123,10 @@
   /** The latency to expect of an endpoint, of the latency objective. */
   private double latencyRatio(TrackedEndpoint endpoint) {
     long nowMicros = context.nowMicros();
-    double waitedRatio =
+    double oldestInFlightRatio =
         endpoint.hasInFlight()
             ? (double) endpoint.oldestInFlightMicros(nowMicros) / maxLatencyObjectiveMicros
             : 0;
-    return endpoint.latency().estimate(limiter.meanLatencyRatio(), waitedRatio, nowMicros);
+    return endpoint.latency().estimate(limiter.meanLatencyRatio(), oldestInFlightRatio, nowMicros);
   }
 }
--- a/src/main/java/fawndock/policy/routing/LatencyEstimator.java
+++ b/src/main/java/fawndock/policy/routing/LatencyEstimator.java
@@ -6,7 +6,7 @@
  */
 final class LatencyEstimator {
   private static final double GAIN_RATIO = 0.2;
-  private static final double FADE_MICROS = 20_000_000;
+  private static final double DECAY_MICROS = 20_000_000;
   private static final double MIN_RATIO = 1e-3;
 
   private double ratio = Double.NaN;
@@ -30,16 +30,16 @@
   /**
    * The latency to expect now.
    *
-   * @param fleetRatio the mean of all endpoints
-   * @param waitedRatio for how long the oldest attempt is in flight: a long wait counts before its
-   *     answer comes
+   * @param allEndpointsRatio the mean of all endpoints
+   * @param oldestInFlightRatio for how long the oldest attempt is in flight: a long wait counts
+   *     before its answer comes
    */
-  double estimate(double fleetRatio, double waitedRatio, long nowMicros) {
-    double expectedRatio = fleetRatio;
+  double estimate(double allEndpointsRatio, double oldestInFlightRatio, long nowMicros) {
+    double expectedRatio = allEndpointsRatio;
     if (!Double.isNaN(ratio)) {
-      double fade = Math.exp(-(nowMicros - recordedAtMicros) / FADE_MICROS);
-      expectedRatio = ratio * fade + fleetRatio * (1 - fade);
+      double decay = Math.exp(-(nowMicros - recordedAtMicros) / DECAY_MICROS);
+      expectedRatio = ratio * decay + allEndpointsRatio * (1 - decay);
     }
-    return Math.max(MIN_RATIO, Math.max(expectedRatio, waitedRatio));
+    return Math.max(MIN_RATIO, Math.max(expectedRatio, oldestInFlightRatio));
   }
 }
--- a/src/main/java/fawndock/policy/routing/SlowStart.java
+++ b/src/main/java/fawndock/policy/routing/SlowStart.java
@@ -13,7 +13,7 @@
   }
 
   /** The part of its work that an endpoint can do by now, 1 once it is warm. */
-  double factor(TrackedEndpoint endpoint, long nowMicros) {
+  double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
     long startedAtMicros = endpoint.info().startedAtMicros();
     long ageMicros = nowMicros - startedAtMicros;
     if (startedAtMicros <= 0 || ageMicros >= durationMicros) {
@@ -23,6 +23,6 @@
   }
 
   boolean isWarm(TrackedEndpoint endpoint, long nowMicros) {
-    return factor(endpoint, nowMicros) >= 1;
+    return capacityRatio(endpoint, nowMicros) >= 1;
   }
 }
