--- a/src/main/java/fawndock/policy/Attempt.java
+++ b/src/main/java/fawndock/policy/Attempt.java
@@ -3,7 +3,7 @@
 import fawndock.policy.event.CallResult;
 import fawndock.policy.routing.TrackedEndpoint;
 
-/** One attempt of a request at an endpoint. */
+/** One attempt to send a request to an endpoint. Not thread-safe. */
 public final class Attempt {
   private final TrackedEndpoint endpoint;
   private final long startedAtMicros;
@@ -12,9 +12,9 @@
   private boolean isCapacityReleased;
 
   /**
-   * An attempt that starts now.
+   * Creates an attempt that is in flight.
    *
-   * @param inFlightAtStart weight of all attempts in flight of this instance, with this one
+   * @param inFlightAtStart weight of all attempts of this instance in flight, including this one
    */
   public Attempt(TrackedEndpoint endpoint, long startedAtMicros, double inFlightAtStart) {
     this.endpoint = endpoint;
@@ -22,42 +22,48 @@
     this.inFlightAtStart = inFlightAtStart;
   }
 
-  /** Where the attempt was sent. */
+  /** Returns the endpoint that the attempt was sent to. */
   public TrackedEndpoint endpoint() {
     return endpoint;
   }
 
-  /** When it was sent, in microseconds. */
+  /** Returns when the attempt was sent, in microseconds. */
   public long startedAtMicros() {
     return startedAtMicros;
   }
 
-  /** Weight of all attempts in flight when it was sent, with this one. */
+  /**
+   * Returns the weight of all attempts of this instance that were in flight when this one was sent,
+   * including this one.
+   */
   public double inFlightAtStart() {
     return inFlightAtStart;
   }
 
-  /** Whether its end is known. */
+  /** Returns whether the result of the attempt is known. */
   public boolean isCompleted() {
     return result != null;
   }
 
-  /** Notes its end. */
+  /** Records the result of the attempt. */
   public void complete(CallResult attemptResult) {
     result = attemptResult;
   }
 
-  /** Whether it no longer counts as in flight: it has ended, or is late or lost. */
+  /**
+   * Returns whether the attempt no longer counts against the concurrency limit, because it has
+   * completed, is late or is lost.
+   */
   public boolean isCapacityReleased() {
     return isCapacityReleased;
   }
 
-  /** It no longer counts as in flight. */
+  /** Records that the attempt no longer counts against the concurrency limit. */
   public void markCapacityReleased() {
     isCapacityReleased = true;
   }
 
-  /** Whether the endpoint may have done the work, or may yet do it. */
+  /** Returns whether the endpoint may have processed the request, or may still process it. */
   public boolean mayHaveTakenEffect() {
     return result == null || result.mayHaveTakenEffect;
   }
--- a/src/main/java/fawndock/policy/ClassAndPlanTable.java
+++ b/src/main/java/fawndock/policy/ClassAndPlanTable.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * The request classes and plans by name. Of one that the configuration does not name, nothing may
- * be sent twice, and there is no quota.
+ * Holds the request classes and the plans by name. A request of a class that the configuration does
+ * not define is never retried after an attempt that may have taken effect, and a plan that it does
+ * not define has no quotas. Not thread-safe.
  */
 final class ClassAndPlanTable {
   private static final long DEFAULT_DEADLINE_MICROS = 1_000_000;
@@ -39,7 +40,7 @@
             .orElse(DEFAULT_DEADLINE_MICROS);
   }
 
-  /** The longest latency objective of the configured classes. */
+  /** Returns the longest latency objective of the configured classes, in microseconds. */
   long maxLatencyObjectiveMicros() {
     return maxLatencyObjectiveMicros;
   }
--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -31,9 +31,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The {@link GatewayPolicy} of fawndock: wires the rules and dispatches the events to them. A
- * request is checked against its customer's quotas, waits for an endpoint with capacity, is sent,
- * and is answered before its client's deadline.
+ * The default {@link GatewayPolicy}, which dispatches events to the rules for quotas, queueing,
+ * routing, retries and deadlines. A request is checked against its customer's quotas, waits for an
+ * endpoint with capacity, is sent, and is answered before its client's deadline. Not thread-safe.
  */
 public final class DefaultGatewayPolicy implements GatewayPolicy {
   private final EventContext context = new EventContext();
@@ -46,9 +46,9 @@
   private final RetryPolicy retries;
   private final RequestTable requests;
 
-  /** The policy of one gateway instance. */
+  /** Creates the policy of one gateway instance. */
   public DefaultGatewayPolicy(PolicyConfig config) {
-    // All rules draw from one source: the same seed and events give the same actions.
+    // All rules share one random number generator: the same seed and events give the same actions.
     SplittableRandom random = new SplittableRandom(config.randomSeed());
     IdempotencyRules idempotency = new IdempotencyRules(config.roundTripMicros());
     classesAndPlans = new ClassAndPlanTable(config);
@@ -80,7 +80,7 @@
       onClientDisconnected(e);
     } else if (event instanceof ResponseStarted e) {
       onResponseStarted(e);
-    } // Health checks and peer messages are not used.
+    } // Health check results and peer messages are ignored.
     startAttempts();
     return context.actions();
   }
@@ -121,14 +121,14 @@
       }
       case REJECTED -> requests.rejectOrFail(request, verdict.retryAfterMicros());
       case UNDECIDED -> {
-        // The counter's reply or the timer brings the verdict.
+        // A counter reply or the CounterWaitTimeout timer leads to the verdict.
       }
     }
   }
 
   /**
-   * Sends waiting requests in order, until a first attempt finds no endpoint; retries that find
-   * none are skipped, as fewer endpoints may take them.
+   * Sends queued requests in order until a first attempt finds no endpoint. Retries that find none
+   * are skipped, because fewer endpoints may take them.
    */
   private void startAttempts() {
     PendingRequest request = queue.first();
--- a/src/main/java/fawndock/policy/EventContext.java
+++ b/src/main/java/fawndock/policy/EventContext.java
@@ -6,33 +6,36 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The event being handled: when it happened, and the actions decided on it so far, in order. */
+/**
+ * Holds the time of the event being handled and the actions decided for it so far, in order. Not
+ * thread-safe.
+ */
 public final class EventContext {
   private long nowMicros;
   private List<PolicyAction> actions = new ArrayList<>();
 
-  /** Starts an event: no action is decided yet. */
+  /** Starts handling an event. No action is decided yet. */
   void begin(long eventAtMicros) {
     nowMicros = eventAtMicros;
     actions = new ArrayList<>();
   }
 
-  /** The actions decided since {@link #begin}; the list is the caller's from then on. */
+  /** Returns the actions decided since {@link #begin}. The caller owns the list from then on. */
   List<PolicyAction> actions() {
     return actions;
   }
 
-  /** When the event happened, in microseconds of the clock that all instances share. */
+  /** Returns when the event happened, in microseconds of the clock that all instances share. */
   public long nowMicros() {
     return nowMicros;
   }
 
-  /** Adds an action to be carried out after those emitted before. */
+  /** Adds an action, which is carried out after those emitted before it. */
   public void emit(PolicyAction action) {
     actions.add(action);
   }
 
-  /** Schedules a timer for a time given in microseconds, one microsecond from now at the least. */
+  /** Schedules a timer for a time in microseconds, at the earliest one microsecond from now. */
   public void scheduleAt(long atMicros, PolicyTimer timer) {
     actions.add(new ScheduleTimer(Math.max(1, atMicros - nowMicros), timer));
   }
--- a/src/main/java/fawndock/policy/GatewayPolicy.java
+++ b/src/main/java/fawndock/policy/GatewayPolicy.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * The decisions of one gateway instance: made from a {@link PolicyConfig}, it is given {@link
- * PolicyEvent}s in the order in which they happen, and answers each with the {@link PolicyAction}s
- * to carry out, in order. An instance belongs to one thread at a time.
+ * Makes the decisions of one gateway instance, as configured by a {@link PolicyConfig}. It receives
+ * {@link PolicyEvent}s in the order in which they happen and returns for each the {@link
+ * PolicyAction}s to carry out, in order. An instance is used by one thread at a time.
  */
 public interface GatewayPolicy {
   /**
-   * Takes in one event.
+   * Handles one event.
    *
-   * @param nowMicros when it happened, in microseconds of a clock that all instances share; never
-   *     less than before
-   * @return what is to be done now, in this order
+   * @param nowMicros when the event happened, in microseconds of a clock that all instances share;
+   *     never less than in an earlier call
+   * @return the actions to carry out now, in this order
    */
   List<PolicyAction> onEvent(long nowMicros, PolicyEvent event);
 }
--- a/src/main/java/fawndock/policy/PendingRequest.java
+++ b/src/main/java/fawndock/policy/PendingRequest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A request without its final answer, or with attempts still in flight. */
+/**
+ * A request that has not received its final response, or that still has attempts in flight. Not
+ * thread-safe.
+ */
 public final class PendingRequest {
   private final RequestArrived request;
   private final RequestClassState requestClass;
@@ -41,103 +44,106 @@
             nowMicros + requestClass.config().latencyObjectiveMicros(), request.deadlineAtMicros());
   }
 
-  /** The request's number. */
+  /** Returns the id of the request at this instance. */
   public long id() {
     return request.requestId();
   }
 
-  /** The request as it arrived. */
+  /** Returns the event with which the request arrived. */
   public RequestArrived request() {
     return request;
   }
 
-  /** The request's class. */
+  /** Returns the class of the request. */
   public RequestClassState requestClass() {
     return requestClass;
   }
 
-  /** The customer's plan. */
+  /** Returns the plan of the customer. */
   public Plan plan() {
     return plan;
   }
 
-  /** When it arrived, in microseconds. */
+  /** Returns when the request arrived, in microseconds. */
   public long arrivedAtMicros() {
     return arrivedAtMicros;
   }
 
-  /** When its answer is due by the class's latency objective, in microseconds. */
+  /**
+   * Returns when the response is due by the latency objective of the class, in microseconds. This
+   * is never later than the client's deadline.
+   */
   public long latencyObjectiveAtMicros() {
     return latencyObjectiveAtMicros;
   }
 
-  /** What it is charged for, in the order of the kinds. */
+  /** Returns the charges against the customer's quotas, in the order of {@link QuotaKind}. */
   public Collection<QuotaCharge> charges() {
     return charges.values();
   }
 
-  /** Its charge for one kind of quota, or null. */
+  /** Returns the charge against one kind of quota, or null if there is none. */
   public QuotaCharge charge(QuotaKind kind) {
     return charges.get(kind);
   }
 
-  /** Adds a charge for a kind of quota. */
+  /** Sets the charge against one kind of quota. */
   public void putCharge(QuotaKind kind, QuotaCharge charge) {
     charges.put(kind, charge);
   }
 
-  /** Its attempts in the order sent. */
+  /** Returns the attempts in the order in which they were sent. */
   public List<Attempt> attempts() {
     return attempts;
   }
 
-  /** Its attempt of this index, or null where there is none. */
+  /** Returns the attempt with this index, or null if there is none. */
   Attempt attempt(int index) {
     return index >= 0 && index < attempts.size() ? attempts.get(index) : null;
   }
 
-  /** How many counter calls it waits for. */
+  /** Returns the number of counter calls that the request waits for. */
   public int pendingCounterCalls() {
     return pendingCounterCalls;
   }
 
-  /** It waits for one counter call more. */
+  /** Records that the request waits for one more counter call. */
   public void onCounterCallStarted() {
     pendingCounterCalls++;
   }
 
-  /** One of the counter calls that it waits for has ended. */
+  /** Records that one of the counter calls that the request waits for has completed. */
   public void onCounterCallCompleted() {
     pendingCounterCalls--;
   }
 
-  /** Whether the verdict on its quota is given, or no longer needed. */
+  /** Returns whether the quota verdict has been given or is no longer needed. */
   public boolean isQuotaDecided() {
     return isQuotaDecided;
   }
 
-  /** The verdict on its quota is given, or no longer needed. */
+  /** Records that the quota verdict has been given or is no longer needed. */
   public void markQuotaDecided() {
     isQuotaDecided = true;
   }
 
-  /** How many of its attempts have not ended. */
+  /** Returns the number of attempts that have not completed. */
   public int inFlightAttempts() {
     return inFlightAttempts;
   }
 
-  /** Adds an attempt that is in flight from now on. */
+  /** Adds an attempt and counts it as in flight. */
   public void addAttempt(Attempt attempt) {
     attempts.add(attempt);
     inFlightAttempts++;
   }
 
-  /** One of its attempts has ended. */
+  /** Records that one of the attempts has completed. */
   public void onAttemptCompleted() {
     inFlightAttempts--;
   }
 
-  /** Whether it has its final answer. */
+  /** Returns whether the request has its final response, or no longer needs one. */
   public boolean isDone() {
     return isDone;
   }
@@ -146,7 +152,10 @@
     isDone = true;
   }
 
-  /** Whether its streamed answer has begun: nothing more is sent or answered for it. */
+  /**
+   * Returns whether a streamed response has started. No further attempt or response is then sent
+   * for the request.
+   */
   public boolean isStreaming() {
     return isStreaming;
   }
@@ -155,12 +164,12 @@
     isStreaming = true;
   }
 
-  /** Its cost, 1 being the mean of its class. */
+  /** Returns the cost of the request relative to the mean of its class. */
   public double weight() {
     return weight;
   }
 
-  /** Its place in the queue: the higher goes first. */
+  /** Returns the rank in the queue. Requests with a higher rank are sent first. */
   public double rank() {
     return rank;
   }
@@ -170,17 +179,20 @@
     rank = queueRank;
   }
 
-  /** When it stops waiting for an endpoint, in microseconds. */
+  /** Returns when the request stops waiting for an endpoint, in microseconds. */
   public long queueTimeoutAtMicros() {
     return queueTimeoutAtMicros;
   }
 
-  /** Random number of 0 or more that says at which endpoint the search begins. */
+  /** Returns the non-negative random number that determines at which endpoint the search starts. */
   public int endpointDraw() {
     return endpointDraw;
   }
 
-  /** Random number from 0 to 1 that says whether an endpoint in slow start may take it. */
+  /**
+   * Returns the random number from 0 to 1 that determines whether an endpoint in slow start may
+   * take the request.
+   */
   public double slowStartDraw() {
     return slowStartDraw;
   }
--- a/src/main/java/fawndock/policy/PendingRequestQueue.java
+++ b/src/main/java/fawndock/policy/PendingRequestQueue.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 
-/** The admitted requests that wait for an endpoint: the highest rank first, then the oldest. */
+/**
+ * Queues the admitted requests that wait for an endpoint, ordered by descending rank, then by
+ * arrival time and id. Not thread-safe.
+ */
 final class PendingRequestQueue {
   private final EventContext context;
   private final SplittableRandom random;
@@ -28,7 +31,7 @@
         : Long.compare(a.id(), b.id());
   }
 
-  /** Lets a request wait for its first or next attempt. */
+  /** Queues a request for its first or next attempt and schedules its queue timeout. */
   void add(PendingRequest request) {
     long timeoutAtMicros = deadlines.queueTimeoutAtMicros(request);
     int endpointDraw = random.nextInt(Integer.MAX_VALUE);
@@ -38,17 +41,17 @@
     context.scheduleAt(timeoutAtMicros, new PolicyTimer.QueueTimeout(request.id()));
   }
 
-  /** The first request, or null. */
+  /** Returns the first request, or null if the queue is empty. */
   PendingRequest first() {
     return requests.isEmpty() ? null : requests.first();
   }
 
-  /** The request after one, or null. */
+  /** Returns the request that follows the given one, or null if there is none. */
   PendingRequest next(PendingRequest request) {
     return requests.higher(request);
   }
 
-  /** Takes a request out; returns whether it waited. */
+  /** Removes a request and returns whether it was queued. */
   boolean remove(PendingRequest request) {
     return requests.remove(request);
   }
--- a/src/main/java/fawndock/policy/RequestPriority.java
+++ b/src/main/java/fawndock/policy/RequestPriority.java
@@ -3,12 +3,15 @@
 import fawndock.policy.quota.QuotaAdmission;
 
 /**
- * Ranks the admitted requests by what forwarding them earns in the mean for the time that they
- * take, so that scarce capacity does not go to requests that are over quota. Cheap plans may wait
- * while capacity is short for long.
+ * Ranks admitted requests by the mean value of forwarding them per unit of the time that they take,
+ * so that scarce capacity is not spent on requests that are over quota. Requests of plans with a
+ * low priority weight may starve while capacity stays scarce. Not thread-safe.
  */
 final class RequestPriority {
-  /** Of a request's value: keeps the order among those that probably are over quota. */
+  /**
+   * Minimum value, as a ratio of the full value of a request. It preserves the order among requests
+   * that are probably over quota.
+   */
   private static final double MIN_VALUE_RATIO = 0.01;
 
   private final QuotaAdmission quotas;
@@ -17,7 +20,7 @@
     this.quotas = quotas;
   }
 
-  /** Sets the weight and rank of an admitted request. */
+  /** Sets the weight and the rank of an admitted request. */
   void assign(PendingRequest request) {
     RequestClassState requestClass = request.requestClass();
     double weight = requestClass.recordUnits(request.request().units());
--- a/src/main/java/fawndock/policy/RequestTable.java
+++ b/src/main/java/fawndock/policy/RequestTable.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * The pending requests by number, and how each ends: rejected, failed, answered by an attempt or
- * left by its client. One that is done stays until its last attempt has ended.
+ * Holds the pending requests by id and ends each of them: rejected, failed, answered by an attempt,
+ * or abandoned by its client. A request that is done stays in the table until its last attempt has
+ * completed. Not thread-safe.
  */
 final class RequestTable {
   private final EventContext context;
@@ -42,18 +43,18 @@
     requests.put(request.id(), request);
   }
 
-  /** The request of this number, or null. */
+  /** Returns the request with this id, or null if there is none. */
   PendingRequest find(long requestId) {
     return requests.get(requestId);
   }
 
-  /** The request of this number if it may still be answered or sent, or null. */
+  /** Returns the request with this id if it may still be answered or sent, and null otherwise. */
   PendingRequest findUnanswered(long requestId) {
     PendingRequest request = requests.get(requestId);
     return request == null || request.isDone() || request.isStreaming() ? null : request;
   }
 
-  /** Rejects a request, or fails it where trying again would not be harmless. */
+  /** Rejects a request, or fails it if the client cannot safely retry it. */
   void rejectOrFail(PendingRequest request, long retryAfterMicros) {
     close(request);
     context.emit(
@@ -63,26 +64,26 @@
     removeIfEnded(request);
   }
 
-  /** Fails a request. */
+  /** Sends the failure response of a request and ends it. */
   void fail(PendingRequest request) {
     close(request);
     context.emit(new FailRequest(request.id()));
     removeIfEnded(request);
   }
 
-  /** Ends a request whose client has left: no answer is due. */
+  /** Ends a request whose client has disconnected. No response is sent. */
   void abandon(PendingRequest request) {
     close(request);
     removeIfEnded(request);
   }
 
-  /** Leaves a request to the streamed answer that has begun. */
+  /** Marks a request whose streamed response has started and removes it from the queue. */
   void markStreaming(PendingRequest request) {
     request.markStreaming();
     queue.remove(request);
   }
 
-  /** Ends a request that an attempt has answered. */
+  /** Marks a request that an attempt has answered and removes it from the queue. */
   void markAnswered(PendingRequest request) {
     request.markDone();
     queue.remove(request);
@@ -103,8 +104,8 @@
   }
 
   /**
-   * Forgets a request that is done and has no attempt in flight, and takes back its quota if it was
-   * never forwarded.
+   * Removes a request that is done and has no attempt in flight, and reverses its quota charges if
+   * it was never forwarded.
    */
   void removeIfEnded(PendingRequest request) {
     if (request.isDone() && request.inFlightAttempts() == 0) {
--- a/src/main/java/fawndock/policy/action/CancelAttempt.java
+++ b/src/main/java/fawndock/policy/action/CancelAttempt.java
@@ -1,9 +1,9 @@
 package fawndock.policy.action;
 
 /**
- * Cancels an attempt in flight; its {@link fawndock.policy.event.AttemptCompleted} is still due.
+ * Cancels an attempt in flight; its {@link fawndock.policy.event.AttemptCompleted} still follows.
  *
- * @param requestId the request
- * @param attemptIndex the attempt, numbered from 0 in the order sent
+ * @param requestId id of the request
+ * @param attemptIndex index of the attempt, from 0 in the order in which attempts are sent
  */
 public record CancelAttempt(long requestId, int attemptIndex) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/FailRequest.java
+++ b/src/main/java/fawndock/policy/action/FailRequest.java
@@ -1,8 +1,8 @@
 package fawndock.policy.action;
 
 /**
- * Final answer: the request failed, and may have taken effect.
+ * Sends the final response that the request failed and may have taken effect.
  *
- * @param requestId the request
+ * @param requestId id of the request
  */
 public record FailRequest(long requestId) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/LogMessage.java
+++ b/src/main/java/fawndock/policy/action/LogMessage.java
@@ -1,8 +1,8 @@
 package fawndock.policy.action;
 
 /**
- * A line for the operators' log. Not emitted by {@code DefaultGatewayPolicy}.
+ * Writes a line to the operators' log. Not emitted by {@code DefaultGatewayPolicy}.
  *
- * @param text the line
+ * @param text text of the line
  */
 public record LogMessage(String text) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/PolicyAction.java
+++ b/src/main/java/fawndock/policy/action/PolicyAction.java
@@ -1,6 +1,6 @@
 package fawndock.policy.action;
 
-/** Something that the policy has decided and its runner carries out. */
+/** An action that the policy has decided on and that its runner carries out. */
 public sealed interface PolicyAction
     permits StartAttempt,
         RejectRequest,
--- a/src/main/java/fawndock/policy/action/RejectRequest.java
+++ b/src/main/java/fawndock/policy/action/RejectRequest.java
@@ -1,9 +1,10 @@
 package fawndock.policy.action;
 
 /**
- * Final answer: the request was rejected, and trying again is harmless.
+ * Sends the final response that the request was rejected and may safely be retried.
  *
- * @param requestId the request
- * @param retryAfterMicros when to try again, in microseconds from now; whole seconds, at least one
+ * @param requestId id of the request
+ * @param retryAfterMicros time from now after which to retry, in microseconds; whole seconds, at
+ *     least one
  */
 public record RejectRequest(long requestId, long retryAfterMicros) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/ScheduleTimer.java
+++ b/src/main/java/fawndock/policy/action/ScheduleTimer.java
@@ -4,9 +4,9 @@
 import fawndock.policy.event.TimerFired;
 
 /**
- * Asks for a {@link TimerFired} with this timer after a delay.
+ * Schedules a timer; a {@link TimerFired} with it follows after the delay.
  *
- * @param delayMicros from now, in microseconds, at least 1
- * @param timer handed back unchanged
+ * @param delayMicros delay from now, in microseconds, at least 1
+ * @param timer the timer, which is returned unchanged
  */
 public record ScheduleTimer(long delayMicros, PolicyTimer timer) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/StartHealthCheck.java
+++ b/src/main/java/fawndock/policy/action/StartHealthCheck.java
@@ -1,9 +1,9 @@
 package fawndock.policy.action;
 
 /**
- * Checks an endpoint's health; a {@link fawndock.policy.event.HealthCheckCompleted} is due. Not
- * emitted by {@code DefaultGatewayPolicy}.
+ * Checks the health of an endpoint; a {@link fawndock.policy.event.HealthCheckCompleted} follows.
+ * Not emitted by {@code DefaultGatewayPolicy}.
  *
- * @param endpointId the endpoint, by its id in discovery
+ * @param endpointId id of the endpoint in discovery
  */
 public record StartHealthCheck(String endpointId) implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/WatchEndpoints.java
+++ b/src/main/java/fawndock/policy/action/WatchEndpoints.java
@@ -1,4 +1,4 @@
 package fawndock.policy.action;
 
-/** Has endpoint discovery report changes from now on. */
+/** Makes endpoint discovery report changes from now on. */
 public record WatchEndpoints() implements PolicyAction {}
--- a/src/main/java/fawndock/policy/action/package-info.java
+++ b/src/main/java/fawndock/policy/action/package-info.java
@@ -1,2 +1,2 @@
-/** What the policy has decided: the actions that its runner carries out, in order. */
+/** The actions that the policy decides on and that its runner carries out, in order. */
 package fawndock.policy.action;
--- a/src/main/java/fawndock/policy/config/DeduplicationScope.java
+++ b/src/main/java/fawndock/policy/config/DeduplicationScope.java
@@ -1,11 +1,13 @@
 package fawndock.policy.config;
 
-/** Which endpoints drop repeats of a request of {@link Idempotency#DEDUPLICATED}. */
+/**
+ * Defines which endpoints discard duplicates of a request that is {@link Idempotency#DEDUPLICATED}.
+ */
 public enum DeduplicationScope {
-  /** All endpoints. */
+  /** All endpoints discard duplicates. */
   ALL,
-  /** Those of the zone of the first attempt. */
+  /** Only the endpoints in the zone of the first attempt discard duplicates. */
   ZONE,
-  /** Those of the cell, in its zone, of the first attempt. */
+  /** Only the endpoints in the zone and cell of the first attempt discard duplicates. */
   CELL
 }
--- a/src/main/java/fawndock/policy/config/Idempotency.java
+++ b/src/main/java/fawndock/policy/config/Idempotency.java
@@ -1,11 +1,14 @@
 package fawndock.policy.config;
 
-/** Whether a request may be sent again after an attempt that may have taken effect. */
+/** Defines whether a request may be sent again after an attempt that may have taken effect. */
 public enum Idempotency {
-  /** Yes: its effect is the same however often it runs. */
+  /** The request may be sent again, as processing it repeatedly has the same effect as once. */
   IDEMPOTENT,
-  /** Within the deduplication window, to endpoints that drop repeats. */
+  /**
+   * The request may be sent again within the deduplication window, to endpoints that discard
+   * duplicates.
+   */
   DEDUPLICATED,
-  /** No. */
+  /** The request may not be sent again. */
   AT_MOST_ONCE
 }
--- a/src/main/java/fawndock/policy/config/Plan.java
+++ b/src/main/java/fawndock/policy/config/Plan.java
@@ -1,18 +1,19 @@
 package fawndock.policy.config;
 
 /**
- * A plan: the quotas of each customer on it, and what its requests are worth. A quota of 0 is none.
+ * The quotas of each customer on a plan, and the value of its requests. A quota of 0 means that
+ * there is none.
  *
- * @param name the plan's name
+ * @param name name of the plan
  * @param unitsPerSecond rate, in units per second
- * @param burstUnits units that a customer may use at once; with 0, those of one second
- * @param maxConcurrent attempts in flight at once
- * @param priorityWeight factor of its requests' value, 1 for the usual one
- * @param overQuotaValue value of serving a request over quota, 1 being that of one within quota
- * @param overQuotaCost cost of serving a request over quota, in the same measure
- * @param ceilingUnitsPerSecond rate that is never passed, in units per second
+ * @param burstUnits units that a customer may use at once; 0 means the units of one second
+ * @param maxConcurrent maximum number of attempts in flight
+ * @param priorityWeight factor of the value of its requests; the default is 1
+ * @param overQuotaValue value of serving a request over quota, relative to a request within quota
+ * @param overQuotaCost cost of serving a request over quota, on the same scale
+ * @param ceilingUnitsPerSecond rate that is never exceeded, in units per second
  * @param ceilingBurstUnits units that may be used at once under that rate
- * @param ceilingToleranceUnits units by which the ceiling may be passed; used by the conformance
+ * @param ceilingToleranceUnits units by which the ceiling may be exceeded; used by the conformance
  *     checks
  */
 public record Plan(
--- a/src/main/java/fawndock/policy/config/PolicyConfig.java
+++ b/src/main/java/fawndock/policy/config/PolicyConfig.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * All that a gateway instance's policy is configured with.
+ * The complete configuration of the policy of one gateway instance.
  *
- * @param instanceIndex this instance's number in the fleet, from 0
- * @param instanceCount gateway instances in the fleet, at least 1
- * @param randomSeed seed of all random numbers: the same seed and events give the same actions
- * @param roundTripMicros time of a network round trip in the site, in microseconds
- * @param zone the zone that the instance is in
- * @param mustWatchEndpoints whether discovery reports changes only once it is asked to
+ * @param instanceIndex index of this instance in the fleet, from 0
+ * @param instanceCount number of gateway instances in the fleet, at least 1
+ * @param randomSeed seed of all random numbers; the same seed and events give the same actions
+ * @param roundTripMicros duration of a network round trip within the site, in microseconds
+ * @param zone zone of this instance
+ * @param mustWatchEndpoints whether discovery reports changes only after the policy has asked for
+ *     them
  * @param requestClasses the classes of requests
- * @param plans the customers' plans
- * @param limits what the site allows
- * @param rules times and ratios of the site's rules
+ * @param plans the plans of the customers
+ * @param limits what the site allows a gateway instance to do
+ * @param rules durations and ratios of the site's rules
  * @param counter the counter service
  */
 public record PolicyConfig(
--- a/src/main/java/fawndock/policy/config/RequestClass.java
+++ b/src/main/java/fawndock/policy/config/RequestClass.java
@@ -1,19 +1,20 @@
 package fawndock.policy.config;
 
 /**
- * A class of requests.
+ * The configuration of a class of requests.
  *
- * @param name the class's name
- * @param latencyObjectiveMicros time within which an answer has its full value, in microseconds
- * @param latencyObjectiveStretch how much later an answer may be and keep a part of its value, as a
- *     ratio of the objective; not used
- * @param deadlineMicros how long a client waits, in microseconds
- * @param priorityWeight value of an answer in time, 1 for the usual one
- * @param latePriorityWeight value of a late answer; not used
+ * @param name name of the class
+ * @param latencyObjectiveMicros time within which a response has its full value, in microseconds
+ * @param latencyObjectiveStretch how much later a response may be and keep a part of its value, as
+ *     a ratio of the objective; not used
+ * @param deadlineMicros how long a client waits for a response, in microseconds
+ * @param priorityWeight value of a response in time; the default is 1
+ * @param latePriorityWeight value of a late response; not used
  * @param idempotency whether a request may be sent again
- * @param deduplicationScope which endpoints drop repeats
- * @param deduplicationWindowMicros for how long they do, in microseconds from the first attempt
- * @param isStreamed whether answers are streamed
+ * @param deduplicationScope which endpoints discard duplicates
+ * @param deduplicationWindowMicros how long endpoints discard duplicates, in microseconds from the
+ *     first attempt
+ * @param isStreamed whether responses are streamed
  */
 public record RequestClass(
     String name,
--- a/src/main/java/fawndock/policy/config/ServiceRules.java
+++ b/src/main/java/fawndock/policy/config/ServiceRules.java
@@ -1,17 +1,21 @@
 package fawndock.policy.config;
 
 /**
- * Times and ratios of the rules that a site sets.
+ * Durations and ratios of the rules that a site sets.
  *
- * @param answerGraceMicros how late a final answer may come after the deadline, in microseconds
- * @param drainGraceMicros how long after it is draining an endpoint may be sent requests, in
+ * @param answerGraceMicros how long after the deadline a final response may be sent, in
  *     microseconds
- * @param slowStartInitialRatio part of its work that an endpoint can do at its start, 0 to 1
- * @param slowStartMicros time until it can do all of it, in microseconds
- * @param slowStartOverloadRatio multiple of what it can do beyond which an endpoint in slow start
- *     breaks down
- * @param slowStartOverloadWindowMicros over which time that is taken, in microseconds
- * @param watchWithinMicros how soon endpoint discovery must be watched, in microseconds
+ * @param drainGraceMicros how long after an endpoint starts to drain it may be sent requests, in
+ *     microseconds
+ * @param slowStartInitialRatio capacity of an endpoint when it starts, as a ratio of its full
+ *     capacity, from 0 to 1
+ * @param slowStartMicros time from the start of an endpoint until it has its full capacity, in
+ *     microseconds
+ * @param slowStartOverloadRatio multiple of its current capacity above which an endpoint in slow
+ *     start fails from overload
+ * @param slowStartOverloadWindowMicros period over which the load is measured for that ratio, in
+ *     microseconds
+ * @param watchWithinMicros time within which endpoint discovery must be watched, in microseconds
  */
 public record ServiceRules(
     long answerGraceMicros,
--- a/src/main/java/fawndock/policy/config/package-info.java
+++ b/src/main/java/fawndock/policy/config/package-info.java
@@ -1,2 +1,2 @@
-/** What a policy is configured with; the values do not change while it runs. */
+/** The configuration of a policy. Its values do not change while the policy runs. */
 package fawndock.policy.config;
--- a/src/main/java/fawndock/policy/deadline/package-info.java
+++ b/src/main/java/fawndock/policy/deadline/package-info.java
@@ -1,2 +1,2 @@
-/** How long each step of a request may take. */
+/** Computes how long each step of a request may take. */
 package fawndock.policy.deadline;
--- a/src/main/java/fawndock/policy/event/AttemptCompleted.java
+++ b/src/main/java/fawndock/policy/event/AttemptCompleted.java
@@ -1,16 +1,16 @@
 package fawndock.policy.event;
 
 /**
- * An attempt ended.
+ * An attempt has completed.
  *
- * @param requestId the request
- * @param attemptIndex the attempt, numbered from 0 in the order sent
- * @param endpointId where it was sent
- * @param latencyMicros how long it took, in microseconds
- * @param result how it ended
- * @param isFinal whether the request has had its final answer
- * @param settledUnits units that the request has used, 0 where the endpoint does not say
- * @param load the endpoint's load report
+ * @param requestId id of the request
+ * @param attemptIndex index of the attempt, from 0 in the order in which attempts are sent
+ * @param endpointId id of the endpoint that the attempt was sent to
+ * @param latencyMicros duration of the attempt, in microseconds
+ * @param result result of the attempt
+ * @param isFinal whether the request has received its final response
+ * @param settledUnits units that the request has used, 0 if the endpoint does not report them
+ * @param load load report of the endpoint
  */
 public record AttemptCompleted(
     long requestId,
--- a/src/main/java/fawndock/policy/event/CallResult.java
+++ b/src/main/java/fawndock/policy/event/CallResult.java
@@ -1,25 +1,25 @@
 package fawndock.policy.event;
 
-/** How an attempt, a health check or a counter call ended. */
+/** The result of an attempt, a health check or a counter call. */
 public enum CallResult {
-  /** Served, or counted. */
+  /** The request was served, or the units were counted. */
   OK(true),
-  /** Answered with an error. */
+  /** The response is an error. */
   ERROR(true),
-  /** Rejected unread, for load. */
+  /** The call was rejected because of overload, without being processed. */
   SHED(false),
-  /** No answer in time, or none that can be read. */
+  /** No response arrived in time, or none that can be parsed. */
   TIMEOUT(true),
   /** No connection could be opened. */
   CONNECT_FAILED(false),
-  /** The connection broke while it was in flight. */
+  /** The connection was lost while the call was in flight. */
   RESET(true),
-  /** Cancelled by this instance. */
+  /** This instance cancelled the call. */
   CANCELLED(true),
-  /** Never sent. */
+  /** The call was never sent. */
   NOT_SENT(false);
 
-  /** Whether the work may have been done. */
+  /** Whether the call may have taken effect. */
   public final boolean mayHaveTakenEffect;
 
   CallResult(boolean mayHaveTakenEffect) {
--- a/src/main/java/fawndock/policy/event/ClientDisconnected.java
+++ b/src/main/java/fawndock/policy/event/ClientDisconnected.java
@@ -1,8 +1,8 @@
 package fawndock.policy.event;
 
 /**
- * The client has left: no answer is due any more.
+ * The client of a request has disconnected, so that no response is needed any more.
  *
- * @param requestId the request
+ * @param requestId id of the request
  */
 public record ClientDisconnected(long requestId) implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/Endpoint.java
+++ b/src/main/java/fawndock/policy/event/Endpoint.java
@@ -1,14 +1,14 @@
 package fawndock.policy.event;
 
 /**
- * One endpoint, as discovery lists it.
+ * An endpoint as discovery lists it.
  *
- * @param id its id, which it keeps when it restarts
- * @param zone the zone that it is in
- * @param cell the cell of that zone
- * @param state whether it takes requests
- * @param weight its size beside the others, 1 for the usual one; not used
- * @param startedAtMicros when it started, in microseconds; 0 is long ago
+ * @param id id of the endpoint, which it keeps when it restarts
+ * @param zone zone of the endpoint
+ * @param cell cell within the zone
+ * @param state whether the endpoint takes requests
+ * @param weight size relative to the other endpoints; the default is 1; not used
+ * @param startedAtMicros when the endpoint started, in microseconds; 0 means long ago
  */
 public record Endpoint(
     String id, String zone, int cell, EndpointState state, double weight, long startedAtMicros) {}
--- a/src/main/java/fawndock/policy/event/EndpointState.java
+++ b/src/main/java/fawndock/policy/event/EndpointState.java
@@ -1,11 +1,11 @@
 package fawndock.policy.event;
 
-/** What discovery says of an endpoint. */
+/** The state of an endpoint as discovery reports it. */
 public enum EndpointState {
-  /** Takes requests. */
+  /** The endpoint takes requests. */
   RUNNING,
-  /** Finishes what it has; takes no new requests. */
+  /** The endpoint completes the requests that it has and takes no new ones. */
   DRAINING,
-  /** Gone. */
+  /** The endpoint no longer exists. */
   REMOVED
 }
--- a/src/main/java/fawndock/policy/event/EndpointUpdate.java
+++ b/src/main/java/fawndock/policy/event/EndpointUpdate.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What discovery says of the endpoints.
+ * An update of the endpoints from discovery.
  *
- * @param kind how to read the list
+ * @param kind how to interpret the list
  * @param endpoints the endpoints
  */
 public record EndpointUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints)
--- a/src/main/java/fawndock/policy/event/EndpointUpdateKind.java
+++ b/src/main/java/fawndock/policy/event/EndpointUpdateKind.java
@@ -1,13 +1,13 @@
 package fawndock.policy.event;
 
-/** How the endpoints of an update are to be read. */
+/** Defines how to interpret the endpoints of an update. */
 public enum EndpointUpdateKind {
-  /** Those that have changed. */
+  /** The update lists the endpoints that have changed. */
   CHANGES,
-  /** All there are. */
+  /** The update lists all endpoints. */
   SNAPSHOT,
-  /** All that were known before the start. */
+  /** The update lists all endpoints that were known before the start. */
   CACHED,
-  /** None: discovery could not be reached. */
+  /** The update lists no endpoints, because discovery could not be reached. */
   FAILED
 }
--- a/src/main/java/fawndock/policy/event/HealthCheckCompleted.java
+++ b/src/main/java/fawndock/policy/event/HealthCheckCompleted.java
@@ -1,12 +1,12 @@
 package fawndock.policy.event;
 
 /**
- * A health check ended.
+ * A health check has completed.
  *
- * @param endpointId the endpoint
- * @param latencyMicros how long it took, in microseconds
- * @param result how it ended
- * @param load the endpoint's load report
+ * @param endpointId id of the endpoint
+ * @param latencyMicros duration of the health check, in microseconds
+ * @param result result of the health check
+ * @param load load report of the endpoint
  */
 public record HealthCheckCompleted(
     String endpointId, long latencyMicros, CallResult result, LoadReport load)
--- a/src/main/java/fawndock/policy/event/LoadReport.java
+++ b/src/main/java/fawndock/policy/event/LoadReport.java
@@ -1,14 +1,14 @@
 package fawndock.policy.event;
 
 /**
- * What an endpoint says of its load. A figure that it does not report is NaN.
+ * The load that an endpoint reports about itself. A value that it does not report is NaN.
  *
- * @param utilization part of its capacity in use, 0 for idle, 1 for fully used
- * @param queuedRequests requests that wait at it
- * @param inFlightRequests requests that it has, waiting or being worked on
- * @param recentMillis its recent time for a request, in milliseconds
- * @param requestsPerSecond its throughput
- * @param errorsPerSecond its failed requests
+ * @param utilization part of its capacity in use, from 0 for idle to 1 for fully used
+ * @param queuedRequests number of requests that wait at the endpoint
+ * @param inFlightRequests number of requests at the endpoint, waiting or being processed
+ * @param recentMillis recent latency of a request, in milliseconds
+ * @param requestsPerSecond throughput, in requests per second
+ * @param errorsPerSecond failed requests per second
  */
 public record LoadReport(
     double utilization,
@@ -17,20 +17,20 @@
     double recentMillis,
     double requestsPerSecond,
     double errorsPerSecond) {
-  /** No report, or one without any figure that is known here. */
+  /** No report, or a report without any value that is supported. */
   public static final LoadReport NONE = new Builder().build();
 
-  /** Whether no figure is reported. */
+  /** Returns whether no value is reported. */
   public boolean isNone() {
     return equals(NONE);
   }
 
-  /** A figure, or 0 where it is not reported. */
-  public static double orZero(double figure) {
-    return Double.isNaN(figure) ? 0 : figure;
+  /** Returns the value, or 0 if it is not reported. */
+  public static double orZero(double value) {
+    return Double.isNaN(value) ? 0 : value;
   }
 
-  /** A report that is put together figure by figure. */
+  /** Builds a report value by value. Not thread-safe. */
   public static final class Builder {
     private double utilization = Double.NaN;
     private double queuedRequests = Double.NaN;
@@ -75,7 +75,7 @@
       return this;
     }
 
-    /** The report with the figures set so far. */
+    /** Returns a report with the values set so far. */
     public LoadReport build() {
       return new LoadReport(
           utilization,
--- a/src/main/java/fawndock/policy/event/PeerMessageReceived.java
+++ b/src/main/java/fawndock/policy/event/PeerMessageReceived.java
@@ -1,9 +1,9 @@
 package fawndock.policy.event;
 
 /**
- * A message from another gateway instance.
+ * A message from another gateway instance has arrived.
  *
- * @param fromInstance that instance's index
- * @param text the message
+ * @param fromInstance index of that instance
+ * @param text text of the message
  */
 public record PeerMessageReceived(int fromInstance, String text) implements PolicyEvent {}
--- a/src/main/java/fawndock/policy/event/PolicyEvent.java
+++ b/src/main/java/fawndock/policy/event/PolicyEvent.java
@@ -1,6 +1,6 @@
 package fawndock.policy.event;
 
-/** Something that happened, reported to the policy by its runner. */
+/** An event that the runner of a policy reports to it. */
 public sealed interface PolicyEvent
     permits EndpointUpdate,
         RequestArrived,
--- a/src/main/java/fawndock/policy/event/PolicyTimer.java
+++ b/src/main/java/fawndock/policy/event/PolicyTimer.java
@@ -1,25 +1,28 @@
 package fawndock.policy.event;
 
-/** What a timer of the policy is for; whoever runs the policy hands it back unchanged when due. */
+/**
+ * Defines the purpose of a timer that the policy schedules. The runner of the policy returns it
+ * unchanged when it is due.
+ */
 public sealed interface PolicyTimer {
-  /** The request's final answer is due now, shortly before its client's deadline. */
+  /** The final response of the request is due now, shortly before its client's deadline. */
   record AnswerDeadline(long requestId) implements PolicyTimer {}
 
-  /** The request has waited for an endpoint as long as it may. */
+  /** The request has waited for an endpoint for the maximum time. */
   record QueueTimeout(long requestId) implements PolicyTimer {}
 
-  /** An attempt of the request has been in flight for its class's latency objective. */
+  /** An attempt of the request has been in flight for the latency objective of its class. */
   record LatencyObjectiveExceeded(long requestId) implements PolicyTimer {}
 
-  /** The request has waited for the counter as long as it may. */
+  /** The request has waited for the counter for the maximum time. */
   record CounterWaitTimeout(long requestId) implements PolicyTimer {}
 
-  /** Adds that still wait for a call to this counter are to be sent now. */
+  /** Additions that are still pending for this counter are due to be sent. */
   record FlushPendingAdds(String counterName) implements PolicyTimer {}
 
-  /** Endpoint discovery failed a while ago and is to be watched again. */
+  /** Endpoint discovery failed earlier and is due to be watched again. */
   record RewatchEndpoints() implements PolicyTimer {}
 
-  /** A timer that the policy did not set; it is ignored. */
+  /** A timer that the policy did not schedule; it is ignored. */
   record UnknownTimer(String text) implements PolicyTimer {}
 }
--- a/src/main/java/fawndock/policy/event/RequestArrived.java
+++ b/src/main/java/fawndock/policy/event/RequestArrived.java
@@ -1,17 +1,17 @@
 package fawndock.policy.event;
 
 /**
- * A client's request: exactly one final answer is due before its deadline.
+ * A client's request has arrived; it needs exactly one final response before its deadline.
  *
- * @param requestId its number at this instance
- * @param requestClass name of its class
- * @param plan name of its customer's plan
- * @param customer its customer
- * @param deadlineAtMicros when its client gives up, in microseconds
- * @param units what it counts against the quota, 1 for the usual one
- * @param customerInstanceCount gateway instances that the customer's requests come through
- * @param customerFirstInstanceIndex the first of these instances; not used
- * @param isRetry whether the client sends it again after a rejection or failure
+ * @param requestId id of the request at this instance
+ * @param requestClass name of the class of the request
+ * @param plan name of the customer's plan
+ * @param customer name of the customer
+ * @param deadlineAtMicros when the client stops waiting, in microseconds
+ * @param units units that the request counts against the quota; the default is 1
+ * @param customerInstanceCount number of gateway instances that receive the customer's requests
+ * @param customerFirstInstanceIndex index of the first of these instances; not used
+ * @param isRetry whether the client sends the request again after a rejection or failure
  */
 public record RequestArrived(
     long requestId,
--- a/src/main/java/fawndock/policy/event/package-info.java
+++ b/src/main/java/fawndock/policy/event/package-info.java
@@ -1,2 +1,2 @@
-/** What has happened: the events that a policy's runner reports, in order. */
+/** The events that the runner of a policy reports to it, in the order in which they happen. */
 package fawndock.policy.event;
--- a/src/main/java/fawndock/policy/retry/IdempotencyRules.java
+++ b/src/main/java/fawndock/policy/retry/IdempotencyRules.java
@@ -8,18 +8,21 @@
 import fawndock.policy.event.Endpoint;
 import java.util.List;
 
-/** What a request's idempotency allows after attempts that may have taken effect. */
+/**
+ * Decides what a request's idempotency allows after attempts that may have taken effect. Instances
+ * are immutable.
+ */
 public final class IdempotencyRules {
   private static final int DEDUPLICATION_MARGIN_ROUND_TRIPS = 2;
 
   private final long deduplicationMarginMicros;
 
-  /** The round trip is that to an endpoint, in microseconds. */
+  /** Creates the rules from the round trip time to an endpoint, in microseconds. */
   public IdempotencyRules(long roundTripMicros) {
     this.deduplicationMarginMicros = DEDUPLICATION_MARGIN_ROUND_TRIPS * roundTripMicros;
   }
 
-  /** Whether the request may be sent again. */
+  /** Returns whether the request may be sent again. */
   public boolean allowsRetry(PendingRequest request, long nowMicros) {
     return switch (request.requestClass().config().idempotency()) {
       case IDEMPOTENT -> true;
@@ -38,7 +41,10 @@
     return true;
   }
 
-  /** Whether the endpoint drops a repeat of what earlier attempts may have done elsewhere. */
+  /**
+   * Returns whether the request may be sent to the endpoint. A deduplicated request requires an
+   * endpoint that discards duplicates of all earlier attempts that may have taken effect.
+   */
   public boolean allowsEndpoint(PendingRequest request, Endpoint endpoint, long nowMicros) {
     RequestClass requestClass = request.requestClass().config();
     if (requestClass.idempotency() != Idempotency.DEDUPLICATED) {
@@ -59,15 +65,15 @@
     return true;
   }
 
-  private static boolean isSameScope(DeduplicationScope scope, Endpoint one, Endpoint other) {
+  private static boolean isSameScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
     return switch (scope) {
       case ALL -> true;
-      case ZONE -> one.zone().equals(other.zone());
-      case CELL -> one.cell() == other.cell() && one.zone().equals(other.zone());
+      case ZONE -> first.zone().equals(second.zone());
+      case CELL -> first.cell() == second.cell() && first.zone().equals(second.zone());
     };
   }
 
-  /** Whether the request may be rejected, which says that trying again is harmless. */
+  /** Returns whether the request may be rejected, which tells the client that a retry is safe. */
   public boolean allowsReject(PendingRequest request) {
     RequestClass requestClass = request.requestClass().config();
     return requestClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/fawndock/policy/retry/RetryBudget.java
+++ b/src/main/java/fawndock/policy/retry/RetryBudget.java
@@ -1,6 +1,6 @@
 package fawndock.policy.retry;
 
-/** Retries that may be sent: a part of all attempts, with a burst (token bucket). */
+/** Limits retries to a ratio of all attempts, with a burst (token bucket). Not thread-safe. */
 final class RetryBudget {
   private static final double RETRIES_PER_ATTEMPT_RATIO = 0.1;
   private static final double BURST_RETRIES = 10;
--- a/src/main/java/fawndock/policy/retry/RetryPolicy.java
+++ b/src/main/java/fawndock/policy/retry/RetryPolicy.java
@@ -5,35 +5,35 @@
 import fawndock.policy.config.GatewayLimits;
 
 /**
- * Whether a request whose attempts have all failed is sent again: where that is harmless, in time
- * and within the budget. Shed attempts draw on the budget too, so that retries do not add to an
- * overload.
+ * Decides whether a request whose attempts have all failed is sent again: the retry must be safe,
+ * in time and within the budget. Retries of shed attempts use the budget too, so that they do not
+ * add to an overload. Not thread-safe.
  */
 public final class RetryPolicy {
   private final GatewayLimits limits;
   private final IdempotencyRules idempotency;
   private final RetryBudget budget = new RetryBudget();
 
-  /** A policy with a full budget. */
+  /** Creates a policy with a full retry budget. */
   public RetryPolicy(GatewayLimits limits, IdempotencyRules idempotency) {
     this.limits = limits;
     this.idempotency = idempotency;
   }
 
-  /** Takes in that an attempt was sent, the first of a request or a retry. */
+  /** Updates the budget for an attempt that was sent, whether the first of a request or a retry. */
   public void onAttemptStarted() {
     budget.onAttemptStarted();
   }
 
-  /** Whether to send the request again; takes the retry from the budget. */
+  /** Returns whether to send the request again, and takes the retry from the budget if so. */
   public boolean tryRetry(PendingRequest request, long nowMicros) {
-    boolean isUseful =
+    boolean isWithinLimits =
         request.attempts().size() < limits.maxAttempts()
             && nowMicros <= request.queueTimeoutAtMicros();
-    return isUseful && isHarmless(request, nowMicros) && budget.tryTake();
+    return isWithinLimits && isSafeToRetry(request, nowMicros) && budget.tryTake();
   }
 
-  private boolean isHarmless(PendingRequest request, long nowMicros) {
+  private boolean isSafeToRetry(PendingRequest request, long nowMicros) {
     return !mayHaveTakenEffect(request) || idempotency.allowsRetry(request, nowMicros);
   }
 
--- a/src/main/java/fawndock/policy/retry/package-info.java
+++ b/src/main/java/fawndock/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a request may be sent again, and where, after attempts that failed. */
+/** Decides whether a request may be sent again after failed attempts, and to which endpoints. */
 package fawndock.policy.retry;
--- a/src/main/java/fawndock/policy/routing/AttemptOutcomeRecorder.java
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomeRecorder.java
@@ -7,10 +7,14 @@
 import fawndock.policy.event.AttemptCompleted;
 import fawndock.policy.event.CallResult;
 
-/** What the end of an attempt, or its lateness, says of its endpoint and of the load on all. */
+/**
+ * Records the result of an attempt, or its lateness, in the statistics of its endpoint and in the
+ * concurrency limit. Not thread-safe.
+ */
 final class AttemptOutcomeRecorder {
   /**
-   * Latency, as a ratio of the objective, that a late, lost or shed attempt counts as at the least.
+   * Minimum latency to record for an attempt that is late, lost or shed, as a ratio of the latency
+   * objective.
    */
   private static final double MIN_LATE_LATENCY_RATIO = 1;
 
@@ -36,13 +40,13 @@
           recordFailure(attempt.endpoint(), completed.result(), latencyRatio);
       case SHED -> limiter.recordLatency(MIN_LATE_LATENCY_RATIO, attempt.inFlightAtStart());
       case CANCELLED, NOT_SENT -> {
-        // Says nothing of the endpoint.
+        // These results say nothing about the endpoint.
       }
     }
   }
 
-  // An endpoint that fails fast would look quick and draw the traffic. May spare a good one whose
-  // requests are at fault.
+  // An endpoint that fails fast must not appear to have a low latency, which would attract traffic.
+  // This may also divert traffic from a healthy endpoint whose requests are at fault.
   private void recordFailure(TrackedEndpoint endpoint, CallResult result, double latencyRatio) {
     double minRatio =
         result == CallResult.ERROR ? Math.max(MIN_LATE_LATENCY_RATIO, latencyRatio) : latencyRatio;
@@ -51,9 +55,9 @@
   }
 
   /**
-   * Attempts in flight for longer than the latency objective are late or lost: they no longer count
-   * against the concurrency limit, and their endpoints count as slow. Where work goes on that long
-   * at all endpoints, the limit falls by the late answers that do come.
+   * Records attempts that have been in flight for longer than the latency objective as late or
+   * lost: they no longer count against the concurrency limit, and their endpoints count as slow. If
+   * processing takes that long at all endpoints, the late responses that do arrive lower the limit.
    */
   void recordOverdue(PendingRequest request) {
     long objectiveMicros = request.requestClass().config().latencyObjectiveMicros();
@@ -68,7 +72,7 @@
     }
   }
 
-  /** An attempt no longer counts against the concurrency limit. */
+  /** Stops counting an attempt against the concurrency limit. */
   void releaseCapacity(Attempt attempt, PendingRequest request) {
     limiter.onAttemptCompleted(attempt.isCapacityReleased() ? 0 : request.weight());
     attempt.markCapacityReleased();
--- a/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
+++ b/src/main/java/fawndock/policy/routing/ConcurrencyLimiter.java
@@ -1,26 +1,31 @@
 package fawndock.policy.routing;
 
 /**
- * Limits the attempts in flight at all endpoints to what keeps the mean latency at a part of the
- * latency objective. Holds against overload from any cause: surges, slow endpoints, a shrunk fleet,
- * uncounted requests. A few slow endpoints may lower the limit for all.
+ * Limits the attempts in flight at all endpoints so that the mean latency stays at a set ratio of
+ * the latency objective. This protects against overload from any cause: surges, slow endpoints, a
+ * smaller fleet or requests that are not counted; a few slow endpoints may lower the limit for all.
+ * Not thread-safe.
  */
 final class ConcurrencyLimiter {
-  /** Mean latency to keep to, as a ratio of the latency objective: the slowest take the rest. */
+  /**
+   * Target of the mean latency, as a ratio of the latency objective; the slowest attempts use the
+   * rest.
+   */
   private static final double TARGET_LATENCY_RATIO = 0.25;
 
-  /** Attempts in flight at an endpoint, of all instances: at first, and at the least. */
+  /** Initial limit of the attempts in flight at an endpoint, from all instances. */
   private static final double INITIAL_ENDPOINT_ATTEMPTS = 12;
 
+  /** Minimum limit of the attempts in flight at an endpoint, from all instances. */
   private static final double MIN_ENDPOINT_ATTEMPTS = 4;
 
-  /** With this ratio of the limit in flight, an answer in time raises the limit. */
+  /** Minimum ratio of the limit in flight at which a response in time raises the limit. */
   private static final double MIN_GROWTH_UTILIZATION_RATIO = 0.7;
 
   private static final double GROWTH_RATIO = 0.02;
   private static final double GAIN_RATIO = 0.05;
 
-  /** How many even shares of the limit one fast endpoint may take. */
+  /** Maximum concurrency of one fast endpoint, in even shares of the limit. */
   private static final int MAX_SHARES_PER_ENDPOINT = 2;
 
   private final int instanceCount;
@@ -33,23 +38,26 @@
     this.instanceCount = instanceCount;
   }
 
-  /** Sets the first limit, once endpoints are known. */
+  /** Sets the initial limit once endpoints are known. */
   void initialize(int endpointCount) {
     limit =
         limit > 0 ? limit : endpointCount * INITIAL_ENDPOINT_ATTEMPTS / Math.max(1, instanceCount);
   }
 
-  /** Moving mean of all endpoints' latency, of the latency objective. */
+  /**
+   * Returns the moving average of the latency of all endpoints, as a ratio of the latency
+   * objective.
+   */
   double meanLatencyRatio() {
     return meanLatencyRatio;
   }
 
-  /** Whether one more request may be in flight at this many endpoints. */
+  /** Returns whether one more request may be in flight at this number of endpoints. */
   boolean hasCapacity(double weight, int endpointCount) {
     return inFlight + Math.min(1, weight) <= limit(endpointCount);
   }
 
-  /** Whether an endpoint may take one more request: its share, less where it is slow. */
+  /** Returns whether an endpoint may take one more request. Its share is smaller if it is slow. */
   boolean hasCapacity(
       double weight, double endpointInFlight, double endpointLatencyRatio, int endpointCount) {
     double share =
@@ -66,7 +74,9 @@
     return Math.max(limit, minLimit);
   }
 
-  /** Takes in an attempt; returns the weight of all in flight with it. */
+  /**
+   * Counts an attempt as in flight and returns the weight of all attempts in flight, including it.
+   */
   double onAttemptStarted(double weight) {
     inFlight += weight;
     return inFlight;
@@ -76,7 +86,7 @@
     inFlight = Math.max(0, inFlight - weight);
   }
 
-  /** Adapts the limit to the latency of an attempt that began with so many in flight. */
+  /** Adjusts the limit to the latency of an attempt and the weight in flight when it was sent. */
   void recordLatency(double latencyRatio, double inFlightAtStart) {
     meanLatencyRatio += GAIN_RATIO * (latencyRatio - meanLatencyRatio);
     meanInFlight += GAIN_RATIO * (inFlightAtStart - meanInFlight);
--- a/src/main/java/fawndock/policy/routing/EndpointRouter.java
+++ b/src/main/java/fawndock/policy/routing/EndpointRouter.java
@@ -12,8 +12,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends attempts to endpoints and learns from how they end. Each step is a rule of its own in this
- * package.
+ * Sends attempts to endpoints and updates the statistics of the endpoints from the results. Each
+ * step is implemented by a separate class of this package. Not thread-safe.
  */
 public final class EndpointRouter {
   private final EventContext context;
@@ -22,7 +22,7 @@
   private final EndpointSelector selector;
   private final AttemptOutcomeRecorder outcomeRecorder;
 
-  /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
+  /** Creates a router that uses the random number generator of the whole policy. */
   public EndpointRouter(
       EventContext context,
       SplittableRandom random,
@@ -45,17 +45,17 @@
             maxLatencyObjectiveMicros);
   }
 
-  /** Takes in what discovery says. */
+  /** Updates the endpoints from discovery. */
   public void onEndpointUpdate(EndpointUpdate update) {
     endpoints.onUpdate(update);
   }
 
-  /** The endpoint for a request's next attempt, or null where none may take it now. */
+  /** Returns the endpoint for a request's next attempt, or null if none may take it now. */
   public TrackedEndpoint select(PendingRequest request) {
     return selector.select(request);
   }
 
-  /** Sends an attempt to an endpoint. */
+  /** Sends an attempt of a request to an endpoint. */
   public void startAttempt(PendingRequest request, TrackedEndpoint endpoint) {
     long nowMicros = context.nowMicros();
     double inFlight = limiter.onAttemptStarted(request.weight());
@@ -68,7 +68,7 @@
         new PolicyTimer.LatencyObjectiveExceeded(request.id()));
   }
 
-  /** Takes in the end of an attempt. */
+  /** Handles the completion of an attempt. */
   public void completeAttempt(PendingRequest request, Attempt attempt, AttemptCompleted completed) {
     attempt.complete(completed.result());
     request.onAttemptCompleted();
@@ -79,7 +79,7 @@
     endpoint.reportedLoad().record(completed.load(), endpoint.inFlight(), context.nowMicros());
   }
 
-  /** Takes in that the request's attempts may be late by now. */
+  /** Handles the attempts of a request that have exceeded the latency objective. */
   public void onLatencyObjectiveExceeded(PendingRequest request) {
     outcomeRecorder.recordOverdue(request);
   }
--- a/src/main/java/fawndock/policy/routing/EndpointSelector.java
+++ b/src/main/java/fawndock/policy/routing/EndpointSelector.java
@@ -8,17 +8,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the endpoint of an attempt: the least expected latency times load of a subset. One that
- * warms up gets its share of an even spread by chance instead, whatever the number of instances and
- * what each knows of it; while most endpoints warm up, little is sent.
+ * Selects the endpoint of an attempt: the one of a subset with the lowest product of expected
+ * latency and load. An endpoint in slow start is selected at random for its reduced share of an
+ * even distribution instead, regardless of the number of instances and of what each knows about it;
+ * while most endpoints are in slow start, few requests are sent. Not thread-safe.
  */
 final class EndpointSelector {
   private static final int MAX_CANDIDATES = 16;
 
-  /** Of an even share times the slow-start capacityRatio: most endpoints are warmer. */
+  /**
+   * Share of an endpoint in slow start, as a ratio of an even share times its capacity ratio; most
+   * endpoints have more capacity.
+   */
   private static final double SLOW_START_SHARE_RATIO = 1.5;
 
-  /** Breaks ties among endpoints that look the same. */
+  /** Maximum random increase of a score, which breaks ties between endpoints with equal scores. */
   private static final double SCORE_JITTER_RATIO = 0.001;
 
   private final EventContext context;
@@ -49,7 +53,7 @@
     this.maxLatencyObjectiveMicros = maxLatencyObjectiveMicros;
   }
 
-  /** The endpoint for a request's next attempt, or null where none may take it now. */
+  /** Returns the endpoint for a request's next attempt, or null if none may take it now. */
   TrackedEndpoint select(PendingRequest request) {
     List<TrackedEndpoint> running = endpoints.running();
     int count = running.size();
@@ -71,7 +75,7 @@
             < SLOW_START_SHARE_RATIO * capacityRatio / Math.max(1, request.weight());
   }
 
-  // Endpoints beyond the subset are looked at only while none of it may take the request.
+  // Endpoints outside the subset are considered only while none in it may take the request.
   private TrackedEndpoint selectWarm(
       PendingRequest request, List<TrackedEndpoint> running, boolean mayEject) {
     int count = running.size();
@@ -120,7 +124,7 @@
     return false;
   }
 
-  /** The latency to expect of an endpoint, of the latency objective. */
+  /** Returns the expected latency of an endpoint, as a ratio of the latency objective. */
   private double latencyRatio(TrackedEndpoint endpoint) {
     long nowMicros = context.nowMicros();
     double oldestInFlightRatio =
--- a/src/main/java/fawndock/policy/routing/EndpointSubset.java
+++ b/src/main/java/fawndock/policy/routing/EndpointSubset.java
@@ -1,10 +1,10 @@
 package fawndock.policy.routing;
 
 /**
- * The endpoints that this instance keeps to (deterministic subsetting), so that it knows them well
- * enough to notice slow or failing ones. Instances with adjacent indexes share most of their
- * subsets, so that all endpoints are covered evenly. May load them unevenly where traffic is uneven
- * among instances.
+ * Computes the subset of endpoints that this instance uses (deterministic subsetting), so that it
+ * sends each enough requests to detect slow or failing ones. Instances with adjacent indexes share
+ * most of their subsets, so that all endpoints are covered evenly; the load may be uneven where
+ * traffic is uneven among instances. Instances of this class are immutable.
  */
 final class EndpointSubset {
   private static final int MIN_ENDPOINTS = 8;
@@ -18,14 +18,14 @@
     this.instanceCount = Math.max(1, instanceCount);
   }
 
-  /** How many endpoints it has, of so many in all. */
+  /** Returns the number of endpoints in the subset, out of this total. */
   int size(int endpointCount) {
     return Math.min(
         endpointCount,
         Math.max(MIN_ENDPOINTS, MIN_INSTANCES_PER_ENDPOINT * endpointCount / instanceCount));
   }
 
-  /** The index of its first endpoint. */
+  /** Returns the index of the first endpoint of the subset. */
   int firstIndex(int endpointCount) {
     return (int) ((long) instanceIndex * endpointCount / instanceCount);
   }
--- a/src/main/java/fawndock/policy/routing/EndpointTable.java
+++ b/src/main/java/fawndock/policy/routing/EndpointTable.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The endpoints as discovery lists them, with those that still have attempts in flight. */
+/**
+ * Holds the endpoints that discovery lists, and those that still have attempts in flight. Not
+ * thread-safe.
+ */
 final class EndpointTable {
-  /** Retries that fit in the time within which discovery must be watched. */
+  /** Number of retries within the time in which discovery must be watched. */
   private static final int WATCH_RETRIES_PER_TIME_LIMIT = 8;
 
   private final EventContext context;
@@ -31,7 +34,7 @@
     this.mustWatchEndpoints = config.mustWatchEndpoints();
   }
 
-  /** The endpoints that take new work, by id. */
+  /** Returns the endpoints that take new requests, ordered by id. */
   List<TrackedEndpoint> running() {
     return running;
   }
--- a/src/main/java/fawndock/policy/routing/LatencyEstimator.java
+++ b/src/main/java/fawndock/policy/routing/LatencyEstimator.java
@@ -1,8 +1,8 @@
 package fawndock.policy.routing;
 
 /**
- * Moving mean of one endpoint's latency, as a ratio of the latency objective. Without new samples
- * it fades to the mean of all endpoints.
+ * Estimates the latency of one endpoint as a moving average, as a ratio of the latency objective.
+ * Without new samples the estimate decays to the mean of all endpoints. Not thread-safe.
  */
 final class LatencyEstimator {
   private static final double GAIN_RATIO = 0.2;
@@ -12,7 +12,7 @@
   private double ratio = Double.NaN;
   private long recordedAtMicros;
 
-  /** The mean as recorded; NaN without samples. */
+  /** Returns the moving average without decay, or NaN without samples. */
   double recordedRatio() {
     return ratio;
   }
@@ -22,17 +22,17 @@
     recordedAtMicros = nowMicros;
   }
 
-  /** The endpoint has restarted. */
+  /** Discards the samples after the endpoint has restarted. */
   void reset() {
     ratio = Double.NaN;
   }
 
   /**
-   * The latency to expect now.
+   * Returns the latency to expect now.
    *
-   * @param allEndpointsRatio the mean of all endpoints
-   * @param oldestInFlightRatio for how long the oldest attempt is in flight: a long wait counts
-   *     before its answer comes
+   * @param allEndpointsRatio mean latency of all endpoints
+   * @param oldestInFlightRatio how long the oldest attempt has been in flight; a long wait counts
+   *     before its response arrives
    */
   double estimate(double allEndpointsRatio, double oldestInFlightRatio, long nowMicros) {
     double expectedRatio = allEndpointsRatio;
--- a/src/main/java/fawndock/policy/routing/OutlierDetector.java
+++ b/src/main/java/fawndock/policy/routing/OutlierDetector.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Ejects an endpoint that fails several times in a row, for a time that doubles with each ejection;
- * then one attempt at a time tries it again.
+ * Ejects an endpoint that fails several times in a row, for a time that doubles with each ejection.
+ * After that time, the endpoint takes one attempt at a time until one succeeds. Not thread-safe.
  */
 final class OutlierDetector {
   private static final int EJECTION_FAILURES = 3;
@@ -12,14 +12,16 @@
   private static final long MAX_EJECTION_MICROS = 16_000_000;
   private static final int MAX_DOUBLINGS = 8;
 
-  /** When more endpoints fail, the cause is not theirs: then none is ejected. */
+  /**
+   * Maximum ratio of failing endpoints; if more fail, the cause lies elsewhere and none is ejected.
+   */
   private static final double MAX_FAILING_RATIO = 0.5;
 
   private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMicros;
 
-  /** Whether few enough of the endpoints fail for ejection to be of use. */
+  /** Returns whether few enough endpoints fail for ejection to be useful. */
   static boolean mayEject(List<TrackedEndpoint> endpoints) {
     int failing = 0;
     for (int i = 0; i < endpoints.size(); i++) {
@@ -49,7 +51,7 @@
     }
   }
 
-  /** The endpoint has restarted. */
+  /** Clears the failures after the endpoint has restarted. */
   void reset() {
     consecutiveFailures = 0;
   }
--- a/src/main/java/fawndock/policy/routing/ReportedLoad.java
+++ b/src/main/java/fawndock/policy/routing/ReportedLoad.java
@@ -2,11 +2,14 @@
 
 import fawndock.policy.event.LoadReport;
 
-/** What one endpoint last reported of its load, without this instance's own attempts. */
+/**
+ * Holds the load that one endpoint last reported, without this instance's own attempts. Not
+ * thread-safe.
+ */
 final class ReportedLoad {
   private static final long MAX_AGE_MICROS = 2_000_000;
 
-  /** Of the attempts of others at the endpoint: how many count as load. */
+  /** Ratio of the attempts of others at the endpoint that counts as load. */
   private static final double OTHER_ATTEMPTS_RATIO = 0.5;
 
   private double load;
@@ -25,7 +28,7 @@
     reportedAtMicros = nowMicros;
   }
 
-  /** The load reported, 0 when the report is too old to say anything. */
+  /** Returns the reported load, or 0 if the report is too old to be used. */
   double current(long nowMicros) {
     return nowMicros - reportedAtMicros < MAX_AGE_MICROS ? load : 0;
   }
--- a/src/main/java/fawndock/policy/routing/SlowStart.java
+++ b/src/main/java/fawndock/policy/routing/SlowStart.java
@@ -2,7 +2,10 @@
 
 import fawndock.policy.config.ServiceRules;
 
-/** How much of its work an endpoint can do while it warms up, rising evenly with its age. */
+/**
+ * Computes the capacity of an endpoint during slow start, which rises linearly with its age.
+ * Instances are immutable.
+ */
 final class SlowStart {
   private final double initialRatio;
   private final long durationMicros;
@@ -12,7 +15,10 @@
     this.durationMicros = rules.slowStartMicros();
   }
 
-  /** The part of its work that an endpoint can do by now, 1 once it is warm. */
+  /**
+   * Returns the current capacity of an endpoint as a ratio of its full capacity, which is 1 once it
+   * is warm.
+   */
   double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
     long startedAtMicros = endpoint.info().startedAtMicros();
     long ageMicros = nowMicros - startedAtMicros;
--- a/src/main/java/fawndock/policy/routing/TrackedEndpoint.java
+++ b/src/main/java/fawndock/policy/routing/TrackedEndpoint.java
@@ -4,25 +4,30 @@
 import fawndock.policy.event.EndpointState;
 import java.util.TreeMap;
 
-/** An endpoint with the attempts in flight at it and what is learned of it. */
+/**
+ * An endpoint with its attempts in flight and the statistics that this instance keeps of it. Not
+ * thread-safe.
+ */
 public final class TrackedEndpoint {
   private final OutlierDetector outlierDetector = new OutlierDetector();
   private final LatencyEstimator latency = new LatencyEstimator();
   private final ReportedLoad reportedLoad = new ReportedLoad();
 
-  /** How many attempts in flight were sent at each time. */
+  /** Number of attempts in flight by the time at which they were sent. */
   private final TreeMap<Long, Integer> inFlightByStart = new TreeMap<>();
 
   private Endpoint info;
   private boolean isRunning;
   private double inFlight;
 
-  /** The endpoint as discovery last listed it. */
+  /** Returns the endpoint as discovery last listed it. */
   public Endpoint info() {
     return info;
   }
 
-  /** Takes in what discovery says; one that has restarted begins without a history. */
+  /**
+   * Updates the endpoint from discovery and clears its failures and latency if it has restarted.
+   */
   void update(Endpoint endpoint) {
     if (info != null && info.startedAtMicros() != endpoint.startedAtMicros()) {
       outlierDetector.reset();
@@ -52,7 +57,7 @@
     return reportedLoad;
   }
 
-  /** Weight of this instance's attempts in flight at it. */
+  /** Returns the weight of this instance's attempts in flight at the endpoint. */
   double inFlight() {
     return inFlight;
   }
@@ -68,10 +73,11 @@
 
   void onAttemptCompleted(double weight, long startedAtMicros) {
     inFlight = Math.max(0, inFlight - weight);
-    inFlightByStart.computeIfPresent(startedAtMicros, (at, count) -> count == 1 ? null : count - 1);
+    inFlightByStart.computeIfPresent(
+        startedAtMicros, (key, count) -> count == 1 ? null : count - 1);
   }
 
-  /** For how long the oldest attempt is in flight; there must be one. */
+  /** Returns how long the oldest attempt has been in flight, in microseconds; there must be one. */
   long oldestInFlightMicros(long nowMicros) {
     return nowMicros - inFlightByStart.firstKey();
   }
--- a/src/main/java/fawndock/policy/routing/package-info.java
+++ b/src/main/java/fawndock/policy/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The endpoints: which are in use, how much they may be given, which one takes the next attempt.
- * {@link fawndock.policy.routing.EndpointRouter} takes a request through the rules.
+ * Tracks the endpoints in use, limits how much each is sent, and selects the endpoint of each
+ * attempt. {@link fawndock.policy.routing.EndpointRouter} applies these rules to a request.
  */
 package fawndock.policy.routing;
