--- a/src/main/java/fawndock/policy/routing/LatencyEstimator.java
+++ b/src/main/java/fawndock/policy/routing/LatencyEstimator.java
@@ -1,7 +1,7 @@
 package fawndock.policy.routing;
 
 /**
- * Estimates the latency of one endpoint as a moving average, as a ratio of the latency objective.
+ * Estimates the latency of one endpoint, as a ratio of the latency objective, by a moving average.
  * Without new samples the estimate decays to the mean of all endpoints. Not thread-safe.
  */
 final class LatencyEstimator {
--- a/src/test/java/fawndock/policy/DefaultGatewayPolicyTest.java
+++ b/src/test/java/fawndock/policy/DefaultGatewayPolicyTest.java
@@ -14,7 +14,7 @@
 import fawndock.policy.event.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Events that change nothing. */
+/** Tests events that change nothing. */
 class DefaultGatewayPolicyTest {
   @Test
   void unknownEvents_areIgnored() {
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void startedStream_isNotEndedByTheDeadline() {
+  void startedStream_isNotFailedAtTheDeadline() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b");
     String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
     harness.onEvent(new ResponseStarted(1, 0, endpointId));
@@ -40,8 +40,8 @@
     assertTrue(harness.onEvent(new TimerFired(new PolicyTimer.AnswerDeadline(1))).isEmpty());
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/InstanceIsolationTest.java
+++ b/src/test/java/fawndock/policy/InstanceIsolationTest.java
@@ -8,26 +8,26 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Several policies in one process. */
+/** Tests several policies in one process. */
 class InstanceIsolationTest extends FleetFixture {
   @Test
-  void oneInstanceAndOneEndpoint_work() {
+  void oneInstanceAndOneEndpoint_sendTheRequest() {
     start(1, warmEndpoints(1));
     assertEquals(1, onEvent(0, request(1)).size());
   }
 
   @Test
-  void instancesInOneProcess_shareNothing() {
+  void instancesInOneProcess_shareNoState() {
     start(3, warmEndpoints(4));
-    List<List<StartAttempt>> together = new ArrayList<>();
+    List<List<StartAttempt>> interleaved = new ArrayList<>();
     for (int id = 0; id < 60; id++) {
-      together.add(onEvent(id % 3, request(id)));
+      interleaved.add(onEvent(id % 3, request(id)));
     }
     fleet.clear();
     start(3, warmEndpoints(4));
     for (int instance = 0; instance < 3; instance++) {
       for (int id = instance; id < 60; id += 3) {
-        assertEquals(together.get(id), onEvent(instance, request(id)));
+        assertEquals(interleaved.get(id), onEvent(instance, request(id)));
       }
     }
   }
--- a/src/test/java/fawndock/policy/PolicyCollectionSizes.java
+++ b/src/test/java/fawndock/policy/PolicyCollectionSizes.java
@@ -9,31 +9,31 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Finds every map and collection that the rules of a policy keep, at any depth of their fields. */
+/** Finds the sizes of all maps and collections that a policy holds, at any depth of its fields. */
 public final class PolicyCollectionSizes {
-  private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
+  private final Set<Object> visited = Collections.newSetFromMap(new IdentityHashMap<>());
   private final Map<String, Integer> sizes = new TreeMap<>();
 
   private PolicyCollectionSizes() {}
 
-  /** The sizes by class and field. */
+  /** Returns the sizes by class and field. */
   public static Map<String, Integer> sizes(GatewayPolicy policy) throws IllegalAccessException {
-    PolicyCollectionSizes tables = new PolicyCollectionSizes();
-    tables.visit(policy);
-    return tables.sizes;
+    PolicyCollectionSizes collections = new PolicyCollectionSizes();
+    collections.visit(policy);
+    return collections.sizes;
   }
 
-  private void visit(Object rule) throws IllegalAccessException {
-    if (!seen.add(rule)) {
+  private void visit(Object object) throws IllegalAccessException {
+    if (!visited.add(object)) {
       return;
     }
-    for (Field field : rule.getClass().getDeclaredFields()) {
+    for (Field field : object.getClass().getDeclaredFields()) {
       if (Modifier.isStatic(field.getModifiers())) {
         continue;
       }
       field.setAccessible(true);
-      Object value = field.get(rule);
-      String name = rule.getClass().getSimpleName() + "." + field.getName();
+      Object value = field.get(object);
+      String name = object.getClass().getSimpleName() + "." + field.getName();
       if (value instanceof Map<?, ?> map) {
         sizes.merge(name, map.size(), Math::max);
       } else if (value instanceof Collection<?> collection) {
--- a/src/test/java/fawndock/policy/PolicyHarness.java
+++ b/src/test/java/fawndock/policy/PolicyHarness.java
@@ -21,7 +21,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One gateway instance under test: configurations, events and what to find in the actions. */
+/**
+ * Runs the policy of one gateway instance in a test, with helpers that build configurations and
+ * events and find actions.
+ */
 public final class PolicyHarness {
   public static final long SECOND_MICROS = 1_000_000;
   public final DefaultGatewayPolicy policy;
@@ -29,33 +32,37 @@
 
   public PolicyHarness(PolicyConfig config, String... endpointIds) {
     policy = new DefaultGatewayPolicy(config);
-    List<Endpoint> list = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (String id : endpointIds) {
-      list.add(endpoint(id, EndpointState.RUNNING, 0));
+      endpoints.add(endpoint(id, EndpointState.RUNNING, 0));
     }
-    onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, list));
+    onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
   }
 
-  public static Plan ratePlan(double rate, double burst) {
-    return new Plan("plan", rate, burst, 0, 1, 0, 1, 0, 0, 0);
+  public static Plan ratePlan(double unitsPerSecond, double burstUnits) {
+    return new Plan("plan", unitsPerSecond, burstUnits, 0, 1, 0, 1, 0, 0, 0);
   }
 
   public static Plan concurrencyPlan(int maxConcurrent) {
     return new Plan("plan", 0, 0, maxConcurrent, 1, 0, 1, 0, 0, 0);
   }
 
-  public static Plan ceilingPlan(double rate, double burst) {
-    return new Plan("plan", 0, 0, 0, 1, 0, 1, rate, burst, burst / 10);
+  public static Plan ceilingPlan(double unitsPerSecond, double burstUnits) {
+    return new Plan("plan", 0, 0, 0, 1, 0, 1, unitsPerSecond, burstUnits, burstUnits / 10);
   }
 
   public static PolicyConfig config(
-      Plan plan, Idempotency idempotency, boolean counter, boolean settled) {
-    return config(plan, idempotency, counter, settled, false);
+      Plan plan, Idempotency idempotency, boolean hasCounter, boolean settlesUnits) {
+    return config(plan, idempotency, hasCounter, settlesUnits, false);
   }
 
   public static PolicyConfig config(
-      Plan plan, Idempotency idempotency, boolean counter, boolean settled, boolean mustWatch) {
-    RequestClass type =
+      Plan plan,
+      Idempotency idempotency,
+      boolean hasCounter,
+      boolean settlesUnits,
+      boolean mustWatchEndpoints) {
+    RequestClass requestClass =
         new RequestClass(
             "class",
             SECOND_MICROS,
@@ -73,8 +80,8 @@
         7,
         2_000,
         "here",
-        mustWatch,
-        List.of(type),
+        mustWatchEndpoints,
+        List.of(requestClass),
         List.of(plan),
         new GatewayLimits(3, 1000, SECOND_MICROS, false, true, false, false, true),
         new ServiceRules(
@@ -85,7 +92,7 @@
             2,
             2 * SECOND_MICROS,
             10 * SECOND_MICROS),
-        new CounterConfig(counter, 50_000, settled));
+        new CounterConfig(hasCounter, 50_000, settlesUnits));
   }
 
   public static Endpoint endpoint(String id, EndpointState state, long startedAtMicros) {
@@ -107,10 +114,10 @@
   }
 
   public List<PolicyAction> completeAttempt(
-      long id, int attempt, String endpointId, CallResult result, boolean isFinal) {
+      long id, int attemptIndex, String endpointId, CallResult result, boolean isFinal) {
     return onEvent(
         new AttemptCompleted(
-            id, attempt, endpointId, 100_000, result, isFinal, 0, LoadReport.NONE));
+            id, attemptIndex, endpointId, 100_000, result, isFinal, 0, LoadReport.NONE));
   }
 
   public static <T extends PolicyAction> List<T> allOf(Class<T> type, List<PolicyAction> actions) {
@@ -120,7 +127,7 @@
   public static <T extends PolicyAction> T single(Class<T> type, List<PolicyAction> actions) {
     List<T> found = allOf(type, actions);
     if (found.size() != 1) {
-      throw new AssertionError("one " + type.getSimpleName() + " expected in " + actions);
+      throw new AssertionError("expected exactly one " + type.getSimpleName() + " in " + actions);
     }
     return found.get(0);
   }
--- a/src/test/java/fawndock/policy/PolicySourceTest.java
+++ b/src/test/java/fawndock/policy/PolicySourceTest.java
@@ -24,7 +24,10 @@
 import javax.tools.ToolProvider;
 import org.junit.jupiter.api.Test;
 
-/** Each file of the policy stays short enough to be read in one go, and says what it is for. */
+/**
+ * Checks that each source file of the policy is short enough to be read in one go and has a class
+ * comment.
+ */
 class PolicySourceTest {
   private static final int MAX_FILE_LINES = 250;
   private static final int MAX_BODY_LINES = 30;
@@ -53,9 +56,10 @@
           if (path.getLeaf() instanceof MethodTree method && method.getBody() != null) {
             SourcePositions positions = trees.getSourcePositions();
             LineMap lines = unit.getLineMap();
-            long first = lines.getLineNumber(positions.getStartPosition(unit, method.getBody()));
-            long last = lines.getLineNumber(positions.getEndPosition(unit, method.getBody()));
-            if (last - first + 1 > MAX_BODY_LINES) {
+            long firstLine =
+                lines.getLineNumber(positions.getStartPosition(unit, method.getBody()));
+            long lastLine = lines.getLineNumber(positions.getEndPosition(unit, method.getBody()));
+            if (lastLine - firstLine + 1 > MAX_BODY_LINES) {
               tooLong.add(unit.getSourceFile().getName() + ": " + method.getName());
             }
           }
@@ -65,7 +69,7 @@
 
   @Test
   void files_haveAClassComment() throws IOException {
-    List<String> without = new ArrayList<>();
+    List<String> withoutComment = new ArrayList<>();
     scan(
         (unit, trees, path) -> {
           boolean isTopLevel =
@@ -73,10 +77,10 @@
           if (path.getLeaf() instanceof ClassTree
               && isTopLevel
               && trees.getDocComment(path) == null) {
-            without.add(unit.getSourceFile().getName());
+            withoutComment.add(unit.getSourceFile().getName());
           }
         });
-    assertEquals(List.of(), without);
+    assertEquals(List.of(), withoutComment);
   }
 
   private static List<Path> sources() throws IOException {
--- a/src/test/java/fawndock/policy/RandomEventsTest.java
+++ b/src/test/java/fawndock/policy/RandomEventsTest.java
@@ -31,53 +31,54 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Rules that hold for every sequence of events. */
+/** Tests the rules that hold for every sequence of events. */
 class RandomEventsTest {
   /**
-   * Random sequences of legal events: each request gets one answer in time, and nothing is sent
-   * after it or beyond its class.
+   * Plays random sequences of valid events: each request gets one response in time, and no attempt
+   * is sent after it or in violation of the idempotency of its class.
    */
   @ParameterizedTest
   @EnumSource(Idempotency.class)
-  void randomEvents_keepTheRulesAndAreDeterministic(Idempotency repeat) {
+  void randomEvents_satisfyTheRulesAndAreDeterministic(Idempotency idempotency) {
     for (long seed = 1; seed <= 40; seed++) {
-      List<PolicyAction> first = new RandomDay(repeat, seed).play();
-      assertEquals(first, new RandomDay(repeat, seed).play(), "the same events, the same actions");
+      List<PolicyAction> first = new RandomRun(idempotency, seed).run();
+      assertEquals(
+          first, new RandomRun(idempotency, seed).run(), "the same events give the same actions");
     }
   }
 
   /**
-   * A random sequence of events at one instance: it carries out the actions and checks the rules on
-   * them.
+   * Plays a random sequence of events to one instance, carries out its actions and checks the rules
+   * on them.
    */
-  private static final class RandomDay {
+  private static final class RandomRun {
     private final Random random;
-    private final Idempotency repeat;
+    private final Idempotency idempotency;
     private final PolicyHarness harness;
-    private final Map<Long, RequestArrived> open = new LinkedHashMap<>();
+    private final Map<Long, RequestArrived> unanswered = new LinkedHashMap<>();
     private final Map<Long, List<StartAttempt>> sent = new LinkedHashMap<>();
-    private final Map<Long, List<Integer>> out = new LinkedHashMap<>();
-    private final Map<Long, Boolean> mayHaveRun = new LinkedHashMap<>();
-    private final List<AddToCounter> counts = new ArrayList<>();
-    private final Map<PolicyTimer, Long> wakes = new LinkedHashMap<>();
+    private final Map<Long, List<Integer>> inFlight = new LinkedHashMap<>();
+    private final Map<Long, Boolean> mayHaveTakenEffect = new LinkedHashMap<>();
+    private final List<AddToCounter> counterCalls = new ArrayList<>();
+    private final Map<PolicyTimer, Long> timers = new LinkedHashMap<>();
     private final Set<String> draining = new LinkedHashSet<>();
-    private final List<PolicyAction> log = new ArrayList<>();
+    private final List<PolicyAction> allActions = new ArrayList<>();
 
-    RandomDay(Idempotency repeat, long seed) {
-      this.repeat = repeat;
+    RandomRun(Idempotency idempotency, long seed) {
+      this.idempotency = idempotency;
       this.random = new Random(seed);
       this.harness =
           new PolicyHarness(
-              PolicyHarness.config(PolicyHarness.ratePlan(20, 10), repeat, true, true),
+              PolicyHarness.config(PolicyHarness.ratePlan(20, 10), idempotency, true, true),
               "a",
               "b",
               "c");
     }
 
-    List<PolicyAction> play() {
+    List<PolicyAction> run() {
       for (long id = 1; id <= 300; id++) {
         harness.nowMicros += random.nextInt(20_000);
-        RequestArrived r =
+        RequestArrived request =
             new RequestArrived(
                 id,
                 "class",
@@ -88,59 +89,59 @@
                 2,
                 0,
                 false);
-        open.put(id, r);
+        unanswered.put(id, request);
         sent.put(id, new ArrayList<>());
-        out.put(id, new ArrayList<>());
-        mayHaveRun.put(id, false);
-        take(harness.onEvent(r));
+        inFlight.put(id, new ArrayList<>());
+        mayHaveTakenEffect.put(id, false);
+        carryOut(harness.onEvent(request));
         step();
       }
-      long end = harness.nowMicros + 5_000_000;
-      while (harness.nowMicros < end) {
+      long endMicros = harness.nowMicros + 5_000_000;
+      while (harness.nowMicros < endMicros) {
         harness.nowMicros += 2_000;
         step();
       }
-      assertTrue(open.isEmpty(), "never answered: " + open.keySet());
-      return log;
+      assertTrue(unanswered.isEmpty(), "requests without a response: " + unanswered.keySet());
+      return allActions;
     }
 
     private void step() {
-      for (PolicyTimer token : List.copyOf(wakes.keySet())) {
-        if (wakes.get(token) <= harness.nowMicros) {
-          wakes.remove(token);
-          take(harness.onEvent(new TimerFired(token)));
+      for (PolicyTimer timer : List.copyOf(timers.keySet())) {
+        if (timers.get(timer) <= harness.nowMicros) {
+          timers.remove(timer);
+          carryOut(harness.onEvent(new TimerFired(timer)));
         }
       }
-      if (!counts.isEmpty() && random.nextBoolean()) {
-        AddToCounter c = counts.remove(0);
+      if (!counterCalls.isEmpty() && random.nextBoolean()) {
+        AddToCounter call = counterCalls.remove(0);
         CallResult[] results = {CallResult.OK, CallResult.OK, CallResult.SHED, CallResult.TIMEOUT};
-        take(
+        carryOut(
             harness.onEvent(
                 new CounterReply(
-                    c.counterName(), results[random.nextInt(4)], random.nextInt(8), 1_000)));
+                    call.counterName(), results[random.nextInt(4)], random.nextInt(8), 1_000)));
       }
       if (random.nextInt(10) == 0) {
         String endpointId = "abc".substring(random.nextInt(3)).substring(0, 1);
-        boolean drain = draining.add(endpointId) || !draining.remove(endpointId);
-        take(
+        boolean isDraining = draining.add(endpointId) || !draining.remove(endpointId);
+        carryOut(
             harness.onEvent(
                 new EndpointUpdate(
                     EndpointUpdateKind.CHANGES,
                     List.of(
                         PolicyHarness.endpoint(
                             endpointId,
-                            drain ? EndpointState.DRAINING : EndpointState.RUNNING,
+                            isDraining ? EndpointState.DRAINING : EndpointState.RUNNING,
                             0)))));
       }
-      for (long id : List.copyOf(out.keySet())) {
-        if (!out.get(id).isEmpty() && random.nextInt(20) == 0) {
-          end(id);
+      for (long id : List.copyOf(inFlight.keySet())) {
+        if (!inFlight.get(id).isEmpty() && random.nextInt(20) == 0) {
+          completeAttempt(id);
         }
       }
     }
 
-    private void end(long id) {
-      int attempt = out.get(id).remove(0);
+    private void completeAttempt(long id) {
+      int attempt = inFlight.get(id).remove(0);
       CallResult[] results = {
         CallResult.OK,
         CallResult.OK,
@@ -151,10 +152,10 @@
       };
       CallResult result = results[random.nextInt(results.length)];
       if (result == CallResult.OK) {
-        open.remove(id);
+        unanswered.remove(id);
       }
-      mayHaveRun.merge(id, result.mayHaveTakenEffect, Boolean::logicalOr);
-      take(
+      mayHaveTakenEffect.merge(id, result.mayHaveTakenEffect, Boolean::logicalOr);
+      carryOut(
           harness.onEvent(
               new AttemptCompleted(
                   id,
@@ -162,47 +163,56 @@
                   sent.get(id).get(attempt).endpointId(),
                   50_000,
                   result,
-                  !open.containsKey(id),
+                  !unanswered.containsKey(id),
                   1,
                   new LoadReport.Builder().queuedRequests(1).build())));
     }
 
-    private void take(List<PolicyAction> actions) {
-      log.addAll(actions);
+    private void carryOut(List<PolicyAction> actions) {
+      allActions.addAll(actions);
       for (PolicyAction action : actions) {
-        if (action instanceof StartAttempt a) {
-          RequestArrived r = open.get(a.requestId());
-          assertTrue(r != null, "sent after its answer: " + a);
-          assertTrue(!draining.contains(a.endpointId()), "sent to a draining endpoint: " + a);
-          assertTrue(out.get(r.requestId()).isEmpty(), "two attempts out: " + a);
+        if (action instanceof StartAttempt start) {
+          RequestArrived request = unanswered.get(start.requestId());
+          assertTrue(request != null, "sent after its response: " + start);
           assertTrue(
-              repeat != Idempotency.AT_MOST_ONCE || !mayHaveRun.get(r.requestId()),
-              "run twice: " + a);
-          sent.get(r.requestId()).add(a);
-          assertTrue(sent.get(r.requestId()).size() <= 3, "too many attempts: " + a);
-          out.get(r.requestId()).add(sent.get(r.requestId()).size() - 1);
-        } else if (action instanceof RejectRequest a) {
-          boolean safe = repeat != Idempotency.AT_MOST_ONCE || !mayHaveRun.get(a.requestId());
+              !draining.contains(start.endpointId()), "sent to a draining endpoint: " + start);
           assertTrue(
-              safe && (repeat != Idempotency.AT_MOST_ONCE || out.get(a.requestId()).isEmpty()),
-              "" + a);
-          answered(a.requestId());
-        } else if (action instanceof FailRequest a) {
-          answered(a.requestId());
-        } else if (action instanceof AddToCounter c) {
-          counts.add(c);
-        } else if (action instanceof ScheduleTimer w) {
-          wakes.put(w.timer(), harness.nowMicros + w.delayMicros());
-        } else if (action instanceof CancelAttempt c) {
-          assertTrue(c.attemptIndex() < sent.get(c.requestId()).size(), "never made: " + c);
+              inFlight.get(request.requestId()).isEmpty(), "two attempts in flight: " + start);
+          assertTrue(
+              idempotency != Idempotency.AT_MOST_ONCE
+                  || !mayHaveTakenEffect.get(request.requestId()),
+              "sent again after an attempt that may have taken effect: " + start);
+          sent.get(request.requestId()).add(start);
+          assertTrue(sent.get(request.requestId()).size() <= 3, "too many attempts: " + start);
+          inFlight.get(request.requestId()).add(sent.get(request.requestId()).size() - 1);
+        } else if (action instanceof RejectRequest reject) {
+          boolean isRetrySafe =
+              idempotency != Idempotency.AT_MOST_ONCE
+                  || !mayHaveTakenEffect.get(reject.requestId());
+          assertTrue(
+              isRetrySafe
+                  && (idempotency != Idempotency.AT_MOST_ONCE
+                      || inFlight.get(reject.requestId()).isEmpty()),
+              "rejected although a retry is not safe: " + reject);
+          recordResponse(reject.requestId());
+        } else if (action instanceof FailRequest fail) {
+          recordResponse(fail.requestId());
+        } else if (action instanceof AddToCounter call) {
+          counterCalls.add(call);
+        } else if (action instanceof ScheduleTimer schedule) {
+          timers.put(schedule.timer(), harness.nowMicros + schedule.delayMicros());
+        } else if (action instanceof CancelAttempt cancel) {
+          assertTrue(
+              cancel.attemptIndex() < sent.get(cancel.requestId()).size(),
+              "cancelled an attempt that was not sent: " + cancel);
         }
       }
     }
 
-    private void answered(long id) {
-      RequestArrived r = open.remove(id);
-      assertTrue(r != null, "answered twice: " + id);
-      assertTrue(harness.nowMicros <= r.deadlineAtMicros() + 16_000, "answered late: " + id);
+    private void recordResponse(long id) {
+      RequestArrived request = unanswered.remove(id);
+      assertTrue(request != null, "answered twice: " + id);
+      assertTrue(harness.nowMicros <= request.deadlineAtMicros() + 16_000, "answered late: " + id);
     }
   }
 }
--- a/src/test/java/fawndock/policy/RequestPriorityTest.java
+++ b/src/test/java/fawndock/policy/RequestPriorityTest.java
@@ -17,60 +17,67 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which requests get scarce capacity. */
+/** Tests the order in which requests get scarce capacity. */
 class RequestPriorityTest extends QuotaFixture {
   @Test
-  void scarceCapacity_goesToTheDearerPlanThenToTheLesserRisk() {
+  void scarceCapacity_goesToTheHigherPriorityPlanThenToTheLowerRisk() {
     Plan dear = new Plan("dear", 0, 0, 0, 2, 0, 1, 0, 0, 0);
     Plan cheap = new Plan("cheap", 0, 0, 0, 0.5, 0, 1, 0, 0, 0);
-    PolicyConfig s =
+    PolicyConfig base =
         PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, true);
-    PolicyHarness busy =
+    PolicyHarness saturated =
         new PolicyHarness(
             new PolicyConfig(
-                s.instanceIndex(),
-                s.instanceCount(),
-                s.randomSeed(),
-                s.roundTripMicros(),
-                s.zone(),
+                base.instanceIndex(),
+                base.instanceCount(),
+                base.randomSeed(),
+                base.roundTripMicros(),
+                base.zone(),
                 false,
-                s.requestClasses(),
-                List.of(s.plans().get(0), dear, cheap),
-                s.limits(),
-                s.rules(),
-                s.counter()),
+                base.requestClasses(),
+                List.of(base.plans().get(0), dear, cheap),
+                base.limits(),
+                base.rules(),
+                base.counter()),
             "a");
-    throttle(busy);
+    throttle(saturated);
     for (long id = 1; id <= 2; id++) {
-      allOf(StartAttempt.class, busy.onEvent(request(busy, id, "greedy")))
+      allOf(StartAttempt.class, saturated.onEvent(request(saturated, id, "greedy")))
           .forEach(
-              a -> busy.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  saturated.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
     }
-    long last = 10;
-    while (!allOf(StartAttempt.class, busy.onEvent(unmetered(busy, last, "dear"))).isEmpty()) {
-      last++;
+    long firstQueuedId = 10;
+    while (!allOf(
+            StartAttempt.class,
+            saturated.onEvent(requestWithoutQuota(saturated, firstQueuedId, "dear")))
+        .isEmpty()) {
+      firstQueuedId++;
     }
-    busy.onEvent(unmetered(busy, 100, "cheap"));
-    busy.onEvent(request(busy, 101, "greedy"));
-    busy.onEvent(request(busy, 102, "calm"));
-    busy.onEvent(new TimerFired(new PolicyTimer.CounterWaitTimeout(101)));
-    busy.onEvent(new TimerFired(new PolicyTimer.CounterWaitTimeout(102)));
-    List<Long> order = new ArrayList<>();
-    for (long done = 10; done < 14; done++) {
-      order.add(
-          single(StartAttempt.class, busy.completeAttempt(done, 0, "a", CallResult.OK, true))
+    saturated.onEvent(requestWithoutQuota(saturated, 100, "cheap"));
+    saturated.onEvent(request(saturated, 101, "greedy"));
+    saturated.onEvent(request(saturated, 102, "calm"));
+    saturated.onEvent(new TimerFired(new PolicyTimer.CounterWaitTimeout(101)));
+    saturated.onEvent(new TimerFired(new PolicyTimer.CounterWaitTimeout(102)));
+    List<Long> sendOrder = new ArrayList<>();
+    for (long completedId = 10; completedId < 14; completedId++) {
+      sendOrder.add(
+          single(
+                  StartAttempt.class,
+                  saturated.completeAttempt(completedId, 0, "a", CallResult.OK, true))
               .requestId());
     }
-    assertEquals(List.of(last, 102L, 101L, 100L), order);
+    assertEquals(List.of(firstQueuedId, 102L, 101L, 100L), sendOrder);
   }
 
-  private static RequestArrived unmetered(PolicyHarness on, long id, String plan) {
+  private static RequestArrived requestWithoutQuota(PolicyHarness harness, long id, String plan) {
     return new RequestArrived(
         id,
         "class",
         plan,
         "customer",
-        on.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
+        harness.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
         1,
         2,
         0,
--- a/src/test/java/fawndock/policy/deadline/DeadlinesTest.java
+++ b/src/test/java/fawndock/policy/deadline/DeadlinesTest.java
@@ -16,40 +16,43 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long a request waits, and when it is answered at the latest. */
+/** Tests how long a request waits, and when it is answered at the latest. */
 class DeadlinesTest {
   @Test
   void queueTimeout_requestIsRejected() {
-    PolicyHarness none =
+    PolicyHarness withoutEndpoints =
         new PolicyHarness(
             PolicyHarness.config(
                 PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false));
-    none.request(1);
-    none.nowMicros += PolicyHarness.SECOND_MICROS / 4;
+    withoutEndpoints.request(1);
+    withoutEndpoints.nowMicros += PolicyHarness.SECOND_MICROS / 4;
     assertEquals(
         1,
-        allOf(RejectRequest.class, none.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))))
+        allOf(
+                RejectRequest.class,
+                withoutEndpoints.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))))
             .size());
   }
 
   @Test
   void waitingOrInFlight_requestIsNotAnsweredEarly() {
-    PolicyHarness none =
+    PolicyHarness withoutEndpoints =
         new PolicyHarness(
             PolicyHarness.config(
                 PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false));
-    assertTrue(allOf(RejectRequest.class, none.request(1)).isEmpty());
-    PolicyHarness out =
+    assertTrue(allOf(RejectRequest.class, withoutEndpoints.request(1)).isEmpty());
+    PolicyHarness withEndpoint =
         new PolicyHarness(
             PolicyHarness.config(
                 PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false),
             "a");
-    single(StartAttempt.class, out.request(1));
-    out.nowMicros += PolicyHarness.SECOND_MICROS;
-    List<PolicyAction> late =
-        out.onEvent(new TimerFired(new PolicyTimer.LatencyObjectiveExceeded(1)));
+    single(StartAttempt.class, withEndpoint.request(1));
+    withEndpoint.nowMicros += PolicyHarness.SECOND_MICROS;
+    List<PolicyAction> actions =
+        withEndpoint.onEvent(new TimerFired(new PolicyTimer.LatencyObjectiveExceeded(1)));
     assertTrue(
-        allOf(RejectRequest.class, late).isEmpty() && allOf(FailRequest.class, late).isEmpty());
+        allOf(RejectRequest.class, actions).isEmpty()
+            && allOf(FailRequest.class, actions).isEmpty());
   }
 
   @Test
@@ -69,8 +72,8 @@
     single(RejectRequest.class, harness.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/event/LoadReportTest.java
+++ b/src/test/java/fawndock/policy/event/LoadReportTest.java
@@ -6,15 +6,16 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests load reports with and without values. */
 class LoadReportTest {
   @Test
-  void reportWithoutFigures_isNone() {
+  void reportWithoutValues_isNone() {
     assertEquals(LoadReport.NONE, new LoadReport.Builder().build());
     assertTrue(new LoadReport.Builder().build().isNone());
   }
 
   @Test
-  void reportOfAnyFigureEvenZero_isNotNone() {
+  void reportWithAnyValueEvenZero_isNotNone() {
     assertFalse(new LoadReport.Builder().utilization(0).build().isNone());
     assertFalse(new LoadReport.Builder().queuedRequests(0).build().isNone());
     assertFalse(new LoadReport.Builder().inFlightRequests(0).build().isNone());
@@ -24,7 +25,7 @@
   }
 
   @Test
-  void figureNotReported_countsAsZero() {
+  void valueNotReported_countsAsZero() {
     LoadReport report = new LoadReport.Builder().queuedRequests(2).build();
     assertEquals(2, LoadReport.orZero(report.queuedRequests()));
     assertEquals(0, LoadReport.orZero(report.utilization()));
--- a/src/test/java/fawndock/policy/retry/IdempotencyRulesTest.java
+++ b/src/test/java/fawndock/policy/retry/IdempotencyRulesTest.java
@@ -24,19 +24,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What may be sent again, and where. */
+/** Tests which requests may be sent again, and to which endpoints. */
 class IdempotencyRulesTest {
   @Test
-  void atMostOnceThatMayHaveRun_failsAndIsNotSentAgain() {
+  void atMostOnceThatMayHaveTakenEffect_failsAndIsNotSentAgain() {
     PolicyHarness harness = gateway(Idempotency.AT_MOST_ONCE, "a", "b");
     String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
-    List<PolicyAction> after = harness.completeAttempt(1, 0, endpointId, CallResult.RESET, false);
-    single(FailRequest.class, after);
-    assertTrue(allOf(StartAttempt.class, after).isEmpty());
+    List<PolicyAction> actions = harness.completeAttempt(1, 0, endpointId, CallResult.RESET, false);
+    single(FailRequest.class, actions);
+    assertTrue(allOf(StartAttempt.class, actions).isEmpty());
   }
 
   @Test
-  void atMostOnceThatNeverRan_isSentToAnotherEndpoint() {
+  void atMostOnceWithoutEffect_isSentToAnotherEndpoint() {
     PolicyHarness harness = gateway(Idempotency.AT_MOST_ONCE, "a", "b");
     String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
     assertNotEquals(
@@ -55,16 +55,16 @@
     single(StartAttempt.class, harness.completeAttempt(1, 0, first, CallResult.ERROR, false));
     String other = single(StartAttempt.class, harness.request(2)).endpointId();
     harness.nowMicros += PolicyHarness.SECOND_MICROS;
-    List<PolicyAction> late = harness.completeAttempt(2, 0, other, CallResult.ERROR, false);
-    assertTrue(allOf(StartAttempt.class, late).isEmpty());
-    single(RejectRequest.class, late);
+    List<PolicyAction> lateActions = harness.completeAttempt(2, 0, other, CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, lateActions).isEmpty());
+    single(RejectRequest.class, lateActions);
   }
 
   @Test
   void deduplicatedInZone_isNotSentToAnotherZone() {
-    PolicyConfig all =
+    PolicyConfig base =
         PolicyHarness.config(PolicyHarness.ratePlan(0, 0), Idempotency.DEDUPLICATED, false, false);
-    RequestClass c = all.requestClasses().get(0);
+    RequestClass requestClass = base.requestClasses().get(0);
     PolicyHarness harness =
         new PolicyHarness(
             new PolicyConfig(
@@ -76,34 +76,34 @@
                 false,
                 List.of(
                     new RequestClass(
-                        c.name(),
-                        c.latencyObjectiveMicros(),
+                        requestClass.name(),
+                        requestClass.latencyObjectiveMicros(),
                         0,
-                        c.deadlineMicros(),
+                        requestClass.deadlineMicros(),
                         1,
                         0,
-                        c.idempotency(),
+                        requestClass.idempotency(),
                         DeduplicationScope.ZONE,
-                        c.deduplicationWindowMicros(),
+                        requestClass.deduplicationWindowMicros(),
                         false)),
-                all.plans(),
-                all.limits(),
-                all.rules(),
-                all.counter()),
+                base.plans(),
+                base.limits(),
+                base.rules(),
+                base.counter()),
             "a");
     single(StartAttempt.class, harness.request(1));
     harness.onEvent(
         new EndpointUpdate(
             EndpointUpdateKind.CHANGES,
             List.of(new Endpoint("b", "there", 0, EndpointState.RUNNING, 1, 0))));
-    List<PolicyAction> after = harness.completeAttempt(1, 0, "a", CallResult.ERROR, false);
-    assertTrue(allOf(StartAttempt.class, after).isEmpty(), "b is in another zone");
+    List<PolicyAction> actions = harness.completeAttempt(1, 0, "a", CallResult.ERROR, false);
+    assertTrue(allOf(StartAttempt.class, actions).isEmpty(), "endpoint b is in another zone");
     harness.nowMicros += PolicyHarness.SECOND_MICROS / 2;
     single(FailRequest.class, harness.onEvent(new TimerFired(new PolicyTimer.QueueTimeout(1))));
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/retry/RetryPolicyTest.java
+++ b/src/test/java/fawndock/policy/retry/RetryPolicyTest.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How often requests are sent again. */
+/** Tests how often requests are retried. */
 class RetryPolicyTest {
   @Test
-  void attempts_areNeverMoreThanTheLimit() {
+  void attempts_doNotExceedTheLimit() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
     String endpointId = single(StartAttempt.class, harness.request(1)).endpointId();
     endpointId =
@@ -32,25 +32,26 @@
   }
 
   @Test
-  void allAttemptsShed_retriesKeepToTheBudget() {
+  void allAttemptsShed_retriesStayWithinTheBudget() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b", "c", "d", "e");
     int attempts = 0;
     for (long id = 1; id <= 100; id++) {
       harness.nowMicros += 1_000;
       List<StartAttempt> sent = allOf(StartAttempt.class, harness.request(id));
-      for (int n = 0; !sent.isEmpty(); n++) {
+      for (int attempt = 0; !sent.isEmpty(); attempt++) {
         attempts++;
         sent =
             allOf(
                 StartAttempt.class,
-                harness.completeAttempt(id, n, sent.get(0).endpointId(), CallResult.SHED, false));
+                harness.completeAttempt(
+                    id, attempt, sent.get(0).endpointId(), CallResult.SHED, false));
       }
     }
     assertTrue(attempts <= 130, attempts + " attempts for 100 requests");
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/routing/EndpointSubsetTest.java
+++ b/src/test/java/fawndock/policy/routing/EndpointSubsetTest.java
@@ -14,43 +14,45 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The endpoints that each of many instances keeps to. */
+/** Tests the subset of endpoints that each of many instances uses. */
 class EndpointSubsetTest extends FleetFixture {
   @Test
-  void instances_keepToFewEndpointsAndMeetAllTogether() {
+  void instances_useFewEndpointsEachAndAllEndpointsTogether() {
     start(INSTANCES, warmEndpoints(ENDPOINTS));
-    Map<String, Integer> met = new TreeMap<>();
+    Map<String, Integer> attemptCounts = new TreeMap<>();
     for (int instance = 0; instance < INSTANCES; instance++) {
-      Set<String> known = new TreeSet<>();
+      Set<String> usedEndpoints = new TreeSet<>();
       for (int i = 0; i < 40; i++) {
         nowMicros += 100;
         long id = instance * 100L + i;
         StartAttempt sent = onEvent(instance, request(id)).get(0);
-        known.add(sent.endpointId());
-        met.merge(sent.endpointId(), 1, Integer::sum);
-        long took = 50_000 + 2_000 * (id * 7_919 % 100);
+        usedEndpoints.add(sent.endpointId());
+        attemptCounts.merge(sent.endpointId(), 1, Integer::sum);
+        long latencyMicros = 50_000 + 2_000 * (id * 7_919 % 100);
         onEvent(
             instance,
             new AttemptCompleted(
-                id, 0, sent.endpointId(), took, CallResult.OK, true, 0, LoadReport.NONE));
+                id, 0, sent.endpointId(), latencyMicros, CallResult.OK, true, 0, LoadReport.NONE));
       }
-      assertTrue(known.size() <= 8, known.size() + " endpoints met by one instance");
+      assertTrue(
+          usedEndpoints.size() <= 8, usedEndpoints.size() + " endpoints used by one instance");
     }
-    int even = 40 * INSTANCES / ENDPOINTS;
-    assertEquals(ENDPOINTS, met.size());
+    int evenShare = 40 * INSTANCES / ENDPOINTS;
+    assertEquals(ENDPOINTS, attemptCounts.size());
     assertTrue(
-        met.values().stream().allMatch(n -> n < 3 * even), met + ", " + even + " would be even");
+        attemptCounts.values().stream().allMatch(count -> count < 3 * evenShare),
+        attemptCounts + ", even share " + evenShare + " attempts");
   }
 
   @Test
   void wholeSubsetFails_otherEndpointsAreTried() {
     start(INSTANCES, warmEndpoints(ENDPOINTS));
-    Set<String> met = new TreeSet<>();
+    Set<String> triedEndpoints = new TreeSet<>();
     for (int id = 0; id < 60; id++) {
       nowMicros += 1_000;
       List<StartAttempt> sent = onEvent(0, request(id));
       for (int attempt = 0; !sent.isEmpty(); attempt++) {
-        met.add(sent.get(0).endpointId());
+        triedEndpoints.add(sent.get(0).endpointId());
         sent =
             onEvent(
                 0,
@@ -65,6 +67,6 @@
                     LoadReport.NONE));
       }
     }
-    assertTrue(met.size() > 8, met + " tried");
+    assertTrue(triedEndpoints.size() > 8, triedEndpoints + " endpoints tried");
   }
 }
--- a/src/test/java/fawndock/policy/routing/EndpointTableTest.java
+++ b/src/test/java/fawndock/policy/routing/EndpointTableTest.java
@@ -16,10 +16,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that drain, and the watch on discovery. */
+/** Tests draining endpoints and the watch on discovery. */
 class EndpointTableTest {
   @Test
-  void drainingEndpoint_getsNoNewAttempt() {
+  void drainingEndpoint_receivesNoNewAttempt() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b");
     harness.onEvent(
         new EndpointUpdate(
@@ -27,17 +27,18 @@
             List.of(PolicyHarness.endpoint("a", EndpointState.DRAINING, 0))));
     for (long id = 1; id <= 6; id++) {
       allOf(StartAttempt.class, harness.request(id))
-          .forEach(a -> assertEquals("b", a.endpointId()));
+          .forEach(attempt -> assertEquals("b", attempt.endpointId()));
     }
     harness.onEvent(
         new EndpointUpdate(
             EndpointUpdateKind.SNAPSHOT,
             List.of(PolicyHarness.endpoint("a", EndpointState.RUNNING, 0))));
-    allOf(StartAttempt.class, harness.request(7)).forEach(a -> assertEquals("a", a.endpointId()));
+    allOf(StartAttempt.class, harness.request(7))
+        .forEach(attempt -> assertEquals("a", attempt.endpointId()));
   }
 
   @Test
-  void discoveryThatMustBeWatched_isWatchedAndAgainAfterAFailure() {
+  void discoveryThatMustBeWatched_isWatchedAgainAfterAFailure() {
     PolicyHarness harness =
         new PolicyHarness(
             PolicyHarness.config(
@@ -45,15 +46,15 @@
     single(
         WatchEndpoints.class,
         harness.onEvent(new EndpointUpdate(EndpointUpdateKind.CACHED, List.of())));
-    ScheduleTimer again =
+    ScheduleTimer rewatch =
         single(
             ScheduleTimer.class,
             harness.onEvent(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of())));
-    single(WatchEndpoints.class, harness.onEvent(new TimerFired(again.timer())));
+    single(WatchEndpoints.class, harness.onEvent(new TimerFired(rewatch.timer())));
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/routing/FleetFixture.java
+++ b/src/test/java/fawndock/policy/routing/FleetFixture.java
@@ -17,7 +17,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Many gateway instances together, each with a part of the traffic. */
+/** A fleet of gateway instances that each receive a part of the traffic. */
 public abstract class FleetFixture {
   protected static final int INSTANCES = 300;
   protected static final int ENDPOINTS = 60;
@@ -25,7 +25,7 @@
   protected final List<GatewayPolicy> fleet = new ArrayList<>();
 
   protected void start(int instances, List<Endpoint> endpoints) {
-    PolicyConfig s =
+    PolicyConfig base =
         PolicyHarness.config(PolicyHarness.ratePlan(0, 0), Idempotency.IDEMPOTENT, false, false);
     for (int i = 0; i < instances; i++) {
       fleet.add(
@@ -34,14 +34,14 @@
                   i,
                   instances,
                   i,
-                  s.roundTripMicros(),
-                  s.zone(),
+                  base.roundTripMicros(),
+                  base.zone(),
                   false,
-                  s.requestClasses(),
-                  s.plans(),
-                  s.limits(),
-                  s.rules(),
-                  s.counter())));
+                  base.requestClasses(),
+                  base.plans(),
+                  base.limits(),
+                  base.rules(),
+                  base.counter())));
       onEvent(i, new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
     }
   }
--- a/src/test/java/fawndock/policy/routing/OutlierDetectorTest.java
+++ b/src/test/java/fawndock/policy/routing/OutlierDetectorTest.java
@@ -12,51 +12,57 @@
 import fawndock.policy.event.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that fail. */
+/** Tests the ejection of endpoints that fail. */
 class OutlierDetectorTest {
   @Test
-  void failuresInARow_ejectTheEndpoint() {
+  void consecutiveFailures_ejectTheEndpoint() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b", "c");
-    int failed = 0;
+    int failedAttempts = 0;
     for (long id = 1; id <= 40; id++) {
       harness.nowMicros += 10_000;
       String endpointId = single(StartAttempt.class, harness.request(id)).endpointId();
-      boolean bad = endpointId.equals("a");
-      failed += bad ? 1 : 0;
-      harness.completeAttempt(id, 0, endpointId, bad ? CallResult.RESET : CallResult.OK, !bad);
-      if (bad) {
+      boolean isFailing = endpointId.equals("a");
+      failedAttempts += isFailing ? 1 : 0;
+      harness.completeAttempt(
+          id, 0, endpointId, isFailing ? CallResult.RESET : CallResult.OK, !isFailing);
+      if (isFailing) {
         harness.onEvent(new ClientDisconnected(id));
       }
     }
-    assertTrue(failed <= 3, "sent to the failing endpoint " + failed + " times");
+    assertTrue(failedAttempts <= 3, "sent to the failing endpoint " + failedAttempts + " times");
   }
 
-  /** One that answers errors at once looks quick, and is not idle for being so. */
+  /**
+   * An endpoint that returns errors at once has a low latency, which does not mean that it has free
+   * capacity.
+   */
   @Test
-  void endpointThatFailsFast_drawsNoTraffic() {
+  void endpointThatFailsFast_attractsNoTraffic() {
     PolicyHarness harness = gateway(Idempotency.AT_MOST_ONCE, "a", "b", "c");
-    int failing = 0;
+    int attemptsAtFailingEndpoint = 0;
     for (int id = 1; id <= 300; id++) {
       harness.nowMicros += 50_000;
       String endpointId = single(StartAttempt.class, harness.request(id)).endpointId();
-      boolean fails = endpointId.equals("a") && id % 5 != 0;
-      failing += endpointId.equals("a") ? 1 : 0;
+      boolean isFailing = endpointId.equals("a") && id % 5 != 0;
+      attemptsAtFailingEndpoint += endpointId.equals("a") ? 1 : 0;
       harness.onEvent(
           new AttemptCompleted(
               id,
               0,
               endpointId,
               endpointId.equals("a") ? 5_000 : 150_000,
-              fails ? CallResult.ERROR : CallResult.OK,
+              isFailing ? CallResult.ERROR : CallResult.OK,
               true,
               0,
               LoadReport.NONE));
     }
-    assertTrue(failing < 30, failing + " of 300 went to the one that fails");
+    assertTrue(
+        attemptsAtFailingEndpoint < 30,
+        attemptsAtFailingEndpoint + " of 300 attempts sent to the failing endpoint");
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
--- a/src/test/java/fawndock/policy/routing/SlowStartBudgetTest.java
+++ b/src/test/java/fawndock/policy/routing/SlowStartBudgetTest.java
@@ -33,149 +33,168 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Thirty instances together: the attempts that reach an endpoint in slow start, counted as the rule
- * counts them.
+ * Tests that thirty instances together send an endpoint in slow start no more attempts than the
+ * rule of the site allows, counted over the same period.
  */
 class SlowStartBudgetTest {
-  private static final int FLEET = 30;
+  private static final int INSTANCES = 30;
   private static final int ENDPOINTS = 12;
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private static final ServiceRules RULES =
-      new ServiceRules(16_000, SECOND, 0.2, 10 * SECOND, 1.5, 2 * SECOND, 10 * SECOND);
+      new ServiceRules(
+          16_000,
+          SECOND_MICROS,
+          0.2,
+          10 * SECOND_MICROS,
+          1.5,
+          2 * SECOND_MICROS,
+          10 * SECOND_MICROS);
 
-  /** Requests a second of the fleet; a warm endpoint is loaded by four fifths of its capacity. */
-  private static final double RATE = 900;
+  /** Requests per second of the fleet, which use four fifths of the capacity of a warm endpoint. */
+  private static final double REQUESTS_PER_SECOND = 900;
 
-  private static final double CAPACITY = RATE / ENDPOINTS / 0.8;
+  private static final double ENDPOINT_REQUESTS_PER_SECOND = REQUESTS_PER_SECOND / ENDPOINTS / 0.8;
 
-  /** One simulated run of the thirty. */
-  private static final class Run {
-    private record Due(long at, int to, PolicyEvent event) {}
+  /** Simulates one run of the thirty instances. */
+  private static final class Simulation {
+    private record ScheduledEvent(long atMicros, int instance, PolicyEvent event) {}
 
     private final Random random;
-    private final DefaultGatewayPolicy[] fleet = new DefaultGatewayPolicy[FLEET];
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private final List<Long> reached = new ArrayList<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    private final long begin = 100 * SECOND;
-    private long id;
+    private final DefaultGatewayPolicy[] fleet = new DefaultGatewayPolicy[INSTANCES];
+    private final PriorityQueue<ScheduledEvent> events =
+        new PriorityQueue<>((a, b) -> Long.compare(a.atMicros, b.atMicros));
+    private final List<Long> attemptTimesMicros = new ArrayList<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    private final long startMicros = 100 * SECOND_MICROS;
+    private long lastRequestId;
 
-    Run(long seed) {
+    Simulation(long seed) {
       random = new Random(seed);
     }
 
-    private DefaultGatewayPolicy start(int me, long now, long startedAtMicros) {
-      RequestClass type =
+    private DefaultGatewayPolicy start(int instance, long nowMicros, long startedAtMicros) {
+      RequestClass requestClass =
           new RequestClass(
               "class",
-              SECOND,
+              SECOND_MICROS,
               0,
-              3 * SECOND,
+              3 * SECOND_MICROS,
               1,
               0,
               Idempotency.IDEMPOTENT,
               DeduplicationScope.ALL,
-              SECOND,
+              SECOND_MICROS,
               false);
       DefaultGatewayPolicy policy =
           new DefaultGatewayPolicy(
               new PolicyConfig(
-                  me,
-                  FLEET,
+                  instance,
+                  INSTANCES,
                   random.nextLong(),
                   2_000,
                   "here",
                   false,
-                  List.of(type),
+                  List.of(requestClass),
                   List.of(new Plan("plan", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
-                  new GatewayLimits(3, 1_000, SECOND, false, true, false, false, true),
+                  new GatewayLimits(3, 1_000, SECOND_MICROS, false, true, false, false, true),
                   RULES,
                   new CounterConfig(false, 50_000, false)));
-      List<Endpoint> list = new ArrayList<>();
+      List<Endpoint> endpoints = new ArrayList<>();
       for (int i = 0; i < ENDPOINTS; i++) {
-        list.add(
+        endpoints.add(
             new Endpoint(
                 "s" + i, "here", 0, EndpointState.RUNNING, 1, i == 4 ? startedAtMicros : 0));
       }
-      policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, list));
+      policy.onEvent(nowMicros, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints));
       return policy;
     }
 
     private void run() {
-      for (int i = 0; i < FLEET; i++) {
-        fleet[i] = start(i, begin, 0);
+      for (int i = 0; i < INSTANCES; i++) {
+        fleet[i] = start(i, startMicros, 0);
       }
-      // Some instances get several times the mean; a burst comes with the start. The endpoint comes
-      // back under its old name.
-      for (double at = 0;
-          at < 14e6;
-          at +=
-              -Math.log(1 - random.nextDouble()) * 1e6 / RATE / (at > 3e6 && at < 8e6 ? 1.5 : 1)) {
-        int to = random.nextInt(4) == 0 ? random.nextInt(3) : random.nextInt(FLEET);
-        long now = begin + (long) at;
-        due.add(
-            new Due(
-                now,
-                to,
+      // Three instances receive several times the mean traffic. The traffic is higher for five
+      // seconds from the restart of the endpoint, which keeps its id.
+      for (double offsetMicros = 0;
+          offsetMicros < 14e6;
+          offsetMicros +=
+              -Math.log(1 - random.nextDouble())
+                  * 1e6
+                  / REQUESTS_PER_SECOND
+                  / (offsetMicros > 3e6 && offsetMicros < 8e6 ? 1.5 : 1)) {
+        int instance = random.nextInt(4) == 0 ? random.nextInt(3) : random.nextInt(INSTANCES);
+        long nowMicros = startMicros + (long) offsetMicros;
+        events.add(
+            new ScheduledEvent(
+                nowMicros,
+                instance,
                 new RequestArrived(
-                    ++id,
+                    ++lastRequestId,
                     "class",
                     "plan",
                     "c" + random.nextInt(50),
-                    now + 3 * SECOND,
+                    nowMicros + 3 * SECOND_MICROS,
                     1,
-                    FLEET,
+                    INSTANCES,
                     0,
                     false)));
       }
-      long restartedAt = begin + 3 * SECOND;
-      for (int i = 0; i < FLEET; i++) {
-        due.add(
-            new Due(
-                restartedAt + random.nextInt(1_000_000),
+      long restartedAtMicros = startMicros + 3 * SECOND_MICROS;
+      for (int i = 0; i < INSTANCES; i++) {
+        events.add(
+            new ScheduledEvent(
+                restartedAtMicros + random.nextInt(1_000_000),
                 i,
                 new EndpointUpdate(
                     EndpointUpdateKind.CHANGES,
                     List.of(
-                        new Endpoint("s4", "here", 0, EndpointState.RUNNING, 1, restartedAt)))));
+                        new Endpoint(
+                            "s4", "here", 0, EndpointState.RUNNING, 1, restartedAtMicros)))));
       }
-      boolean restarted = false;
-      for (Due next = due.poll();
-          next != null && next.at < begin + 14 * SECOND;
-          next = due.poll()) {
-        if (!restarted && next.at > restartedAt + 2 * SECOND) {
-          restarted = true; // A third of the instances start over, from the list as it is by then.
-          for (int i = 0; i < FLEET; i += 3) {
-            fleet[i] = start(i, next.at, restartedAt);
+      boolean isRestarted = false;
+      for (ScheduledEvent next = events.poll();
+          next != null && next.atMicros < startMicros + 14 * SECOND_MICROS;
+          next = events.poll()) {
+        if (!isRestarted && next.atMicros > restartedAtMicros + 2 * SECOND_MICROS) {
+          isRestarted = true; // A third of the instances restart with the current endpoint list.
+          for (int i = 0; i < INSTANCES; i += 3) {
+            fleet[i] = start(i, next.atMicros, restartedAtMicros);
           }
         }
-        take(next, fleet[next.to].onEvent(next.at, next.event), restartedAt + SECOND);
+        carryOut(
+            next,
+            fleet[next.instance].onEvent(next.atMicros, next.event),
+            restartedAtMicros + SECOND_MICROS);
       }
     }
 
-    private void take(Due from, List<PolicyAction> actions, long countFrom) {
+    private void carryOut(ScheduledEvent source, List<PolicyAction> actions, long countFromMicros) {
       for (PolicyAction action : actions) {
-        if (action instanceof ScheduleTimer w) {
-          due.add(new Due(from.at + w.delayMicros(), from.to, new TimerFired(w.timer())));
-        } else if (action instanceof StartAttempt a) {
-          int number = attempts.merge(a.requestId(), 1, Integer::sum) - 1;
-          long took = (long) (60_000 + random.nextInt(120_000));
+        if (action instanceof ScheduleTimer timer) {
+          events.add(
+              new ScheduledEvent(
+                  source.atMicros + timer.delayMicros(),
+                  source.instance,
+                  new TimerFired(timer.timer())));
+        } else if (action instanceof StartAttempt attempt) {
+          int attemptIndex = attemptCounts.merge(attempt.requestId(), 1, Integer::sum) - 1;
+          long latencyMicros = (long) (60_000 + random.nextInt(120_000));
           boolean isOk = random.nextInt(20) > 0;
-          due.add(
-              new Due(
-                  from.at + took,
-                  from.to,
+          events.add(
+              new ScheduledEvent(
+                  source.atMicros + latencyMicros,
+                  source.instance,
                   new AttemptCompleted(
-                      a.requestId(),
-                      number,
-                      a.endpointId(),
-                      took,
+                      attempt.requestId(),
+                      attemptIndex,
+                      attempt.endpointId(),
+                      latencyMicros,
                       isOk ? CallResult.OK : CallResult.ERROR,
                       isOk,
                       0,
                       LoadReport.NONE)));
-          if (a.endpointId().equals("s4") && from.at >= countFrom) {
-            reached.add(from.at);
+          if (attempt.endpointId().equals("s4") && source.atMicros >= countFromMicros) {
+            attemptTimesMicros.add(source.atMicros);
           }
         }
       }
@@ -183,35 +202,40 @@
   }
 
   @Test
-  void thirtyInstances_keepToTheBudgetOfAnEndpointInSlowStart() {
-    long all = 0;
+  void thirtyInstances_stayWithinTheBudgetOfAnEndpointInSlowStart() {
+    long totalAttempts = 0;
     for (long seed = 1; seed <= 12; seed++) {
-      Run run = new Run(seed);
-      run.run();
-      long restartedAt = run.begin + 3 * SECOND;
-      for (int i = 0; i < run.reached.size(); i++) {
-        long from = run.reached.get(i);
-        long to = from + RULES.slowStartOverloadWindowMicros();
-        long sent = run.reached.stream().filter(at -> at >= from && at < to).count();
-        double factor =
+      Simulation simulation = new Simulation(seed);
+      simulation.run();
+      long restartedAtMicros = simulation.startMicros + 3 * SECOND_MICROS;
+      for (int i = 0; i < simulation.attemptTimesMicros.size(); i++) {
+        long windowStartMicros = simulation.attemptTimesMicros.get(i);
+        long windowEndMicros = windowStartMicros + RULES.slowStartOverloadWindowMicros();
+        long attempts =
+            simulation.attemptTimesMicros.stream()
+                .filter(at -> at >= windowStartMicros && at < windowEndMicros)
+                .count();
+        double capacityRatio =
             Math.min(
                 1,
                 RULES.slowStartInitialRatio()
                     + (1 - RULES.slowStartInitialRatio())
-                        * (from - restartedAt)
+                        * (windowStartMicros - restartedAtMicros)
                         / RULES.slowStartMicros());
-        double budget =
+        double budgetAttempts =
             RULES.slowStartOverloadRatio()
-                * factor
-                * CAPACITY
+                * capacityRatio
+                * ENDPOINT_REQUESTS_PER_SECOND
                 * RULES.slowStartOverloadWindowMicros()
                 / 1e6;
         assertTrue(
-            sent <= budget + 2 * Math.sqrt(budget) + 2,
-            "seed " + seed + ": " + sent + " of " + budget);
+            attempts <= budgetAttempts + 2 * Math.sqrt(budgetAttempts) + 2,
+            "seed " + seed + ": " + attempts + " attempts, budget " + budgetAttempts);
       }
-      all += run.reached.size();
+      totalAttempts += simulation.attemptTimesMicros.size();
     }
-    assertTrue(all > 12 * 150, "it is used: " + all);
+    assertTrue(
+        totalAttempts > 12 * 150,
+        "too few attempts at the endpoint in slow start: " + totalAttempts);
   }
 }
--- a/src/test/java/fawndock/policy/routing/SlowStartFleetTest.java
+++ b/src/test/java/fawndock/policy/routing/SlowStartFleetTest.java
@@ -14,33 +14,35 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What an endpoint in slow start is sent by many instances. */
+/** Tests the traffic that many instances send to an endpoint in slow start. */
 class SlowStartFleetTest extends FleetFixture {
   @Test
-  void hundredsOfInstances_sendAnEndpointInSlowStartItsShareOnly() {
+  void hundredsOfInstances_sendTheReducedShareToAnEndpointInSlowStart() {
     List<Endpoint> endpoints = warmEndpoints(ENDPOINTS);
     endpoints.set(17, PolicyHarness.endpoint("s17", EndpointState.RUNNING, nowMicros));
     start(INSTANCES, endpoints);
-    int warmingUp = 0;
-    int all = 0;
+    int slowStartAttempts = 0;
+    int allAttempts = 0;
     for (int id = 0; id < 20 * INSTANCES; id++) {
       nowMicros += 100;
       int instance = id % INSTANCES;
-      for (StartAttempt a : onEvent(instance, request(id))) {
-        all++;
-        warmingUp += a.endpointId().equals("s17") ? 1 : 0;
+      for (StartAttempt attempt : onEvent(instance, request(id))) {
+        allAttempts++;
+        slowStartAttempts += attempt.endpointId().equals("s17") ? 1 : 0;
         onEvent(
             instance,
             new AttemptCompleted(
-                id, 0, a.endpointId(), 100_000, CallResult.OK, true, 0, LoadReport.NONE));
+                id, 0, attempt.endpointId(), 100_000, CallResult.OK, true, 0, LoadReport.NONE));
       }
     }
-    assertEquals(20 * INSTANCES, all);
-    assertTrue(warmingUp > 0 && warmingUp < all / ENDPOINTS / 2, warmingUp + " of " + all);
+    assertEquals(20 * INSTANCES, allAttempts);
+    assertTrue(
+        slowStartAttempts > 0 && slowStartAttempts < allAttempts / ENDPOINTS / 2,
+        slowStartAttempts + " of " + allAttempts);
   }
 
   @Test
-  void allEndpointsInSlowStart_takeLittle() {
+  void allEndpointsInSlowStart_receiveFewRequests() {
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       endpoints.add(PolicyHarness.endpoint("s" + i, EndpointState.RUNNING, nowMicros));
--- a/src/test/java/fawndock/policy/routing/SlowStartTest.java
+++ b/src/test/java/fawndock/policy/routing/SlowStartTest.java
@@ -15,34 +15,35 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an endpoint in slow start is sent by one instance. */
+/** Tests the traffic that one instance sends to an endpoint in slow start. */
 class SlowStartTest {
   @Test
-  void endpointInSlowStart_getsItsShareOnly() {
+  void endpointInSlowStart_receivesItsReducedShare() {
     PolicyHarness harness = gateway(Idempotency.IDEMPOTENT, "a", "b", "c");
     harness.onEvent(
         new EndpointUpdate(
             EndpointUpdateKind.CHANGES,
             List.of(PolicyHarness.endpoint("d", EndpointState.RUNNING, harness.nowMicros))));
-    Map<String, Integer> sent = new LinkedHashMap<>();
-    Map<Long, String> endpoints = new LinkedHashMap<>();
+    Map<String, Integer> attemptCounts = new LinkedHashMap<>();
+    Map<Long, String> endpointIds = new LinkedHashMap<>();
     for (long id = 1; id <= 200; id++) {
       harness.nowMicros += 10_000;
-      for (StartAttempt a : allOf(StartAttempt.class, harness.request(id))) {
-        sent.merge(a.endpointId(), 1, Integer::sum);
-        endpoints.put(id, a.endpointId());
+      for (StartAttempt attempt : allOf(StartAttempt.class, harness.request(id))) {
+        attemptCounts.merge(attempt.endpointId(), 1, Integer::sum);
+        endpointIds.put(id, attempt.endpointId());
       }
-      if (endpoints.containsKey(id - 10)) {
-        harness.completeAttempt(id - 10, 0, endpoints.get(id - 10), CallResult.OK, true);
+      if (endpointIds.containsKey(id - 10)) {
+        harness.completeAttempt(id - 10, 0, endpointIds.get(id - 10), CallResult.OK, true);
       }
     }
-    int meanOfOthers = (sent.get("a") + sent.get("b") + sent.get("c")) / 3;
-    assertTrue(sent.getOrDefault("d", 0) <= meanOfOthers / 2, sent.toString());
-    assertTrue(sent.getOrDefault("d", 0) > 0, sent.toString());
+    int meanOfOthers =
+        (attemptCounts.get("a") + attemptCounts.get("b") + attemptCounts.get("c")) / 3;
+    assertTrue(attemptCounts.getOrDefault("d", 0) <= meanOfOthers / 2, attemptCounts.toString());
+    assertTrue(attemptCounts.getOrDefault("d", 0) > 0, attemptCounts.toString());
   }
 
-  private static PolicyHarness gateway(Idempotency repeat, String... endpoints) {
+  private static PolicyHarness gateway(Idempotency idempotency, String... endpoints) {
     return new PolicyHarness(
-        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), repeat, false, false), endpoints);
+        PolicyHarness.config(PolicyHarness.ratePlan(0, 0), idempotency, false, false), endpoints);
   }
 }
