--- a/src/main/java/fawndock/policy/config/Plan.java
+++ b/src/main/java/fawndock/policy/config/Plan.java
@@ -8,7 +8,7 @@
  * @param unitsPerSecond rate, in units per second
  * @param burstUnits units that a customer may use at once; 0 means the units of one second
  * @param maxConcurrent maximum number of attempts in flight
- * @param priorityWeight factor of the value of its requests; the default is 1
+ * @param priorityWeight factor of the value of its requests; 1 is the usual value
  * @param overQuotaValue value of serving a request over quota, relative to a request within quota
  * @param overQuotaCost cost of serving a request over quota, on the same scale
  * @param ceilingUnitsPerSecond rate that is never exceeded, in units per second
--- a/src/main/java/fawndock/policy/config/RequestClass.java
+++ b/src/main/java/fawndock/policy/config/RequestClass.java
@@ -8,7 +8,7 @@
  * @param latencyObjectiveStretch how much later a response may be and keep a part of its value, as
  *     a ratio of the objective; not used
  * @param deadlineMicros how long a client waits for a response, in microseconds
- * @param priorityWeight value of a response in time; the default is 1
+ * @param priorityWeight value of a response in time; 1 is the usual value
  * @param latePriorityWeight value of a late response; not used
  * @param idempotency whether a request may be sent again
  * @param deduplicationScope which endpoints discard duplicates
--- a/src/main/java/fawndock/policy/event/Endpoint.java
+++ b/src/main/java/fawndock/policy/event/Endpoint.java
@@ -7,7 +7,7 @@
  * @param zone zone of the endpoint
  * @param cell cell within the zone
  * @param state whether the endpoint takes requests
- * @param weight size relative to the other endpoints; the default is 1; not used
+ * @param weight size relative to the other endpoints; 1 is the usual value; not used
  * @param startedAtMicros when the endpoint started, in microseconds; 0 means long ago
  */
 public record Endpoint(
--- a/src/main/java/fawndock/policy/event/RequestArrived.java
+++ b/src/main/java/fawndock/policy/event/RequestArrived.java
@@ -8,7 +8,7 @@
  * @param plan name of the customer's plan
  * @param customer name of the customer
  * @param deadlineAtMicros when the client stops waiting, in microseconds
- * @param units units that the request counts against the quota; the default is 1
+ * @param units units that the request counts against the quota; 1 is the usual value
  * @param customerInstanceCount number of gateway instances that receive the customer's requests
  * @param customerFirstInstanceIndex index of the first of these instances; not used
  * @param isRetry whether the client sends the request again after a rejection or failure
--- a/src/test/java/fawndock/policy/PolicySourceTest.java
+++ b/src/test/java/fawndock/policy/PolicySourceTest.java
@@ -92,6 +92,7 @@
     }
   }
 
+  /** Visits each node of the syntax tree of a source file. */
   private interface Visitor {
     void visit(CompilationUnitTree unit, DocTrees trees, TreePath path);
   }
--- a/src/test/java/fawndock/policy/routing/SlowStartBudgetTest.java
+++ b/src/test/java/fawndock/policy/routing/SlowStartBudgetTest.java
@@ -57,6 +57,7 @@
 
   /** Simulates one run of the thirty instances. */
   private static final class Simulation {
+    /** An event that an instance receives at a set time. */
     private record ScheduledEvent(long atMicros, int instance, PolicyEvent event) {}
 
     private final Random random;
