--- a/src/main/java/fawndock/policy/routing/AttemptOutcomes.java
+++ b/src/main/java/fawndock/policy/routing/AttemptOutcomeRecorder.java
@@ -7,17 +7,21 @@
 import fawndock.policy.event.AttemptCompleted;
 import fawndock.policy.event.CallResult;
 
-/** What the end of an attempt, or its lateness, says of its endpoint and of the load on all. */
-final class AttemptOutcomes {
+/**
+ * Records the result of an attempt, or its lateness, in the statistics of its endpoint and in the
+ * concurrency limit. Not thread-safe.
+ */
+final class AttemptOutcomeRecorder {
   /**
-   * Latency, as a ratio of the objective, that a late, lost or shed attempt counts as at the least.
+   * Minimum latency to record for an attempt that is late, lost or shed, as a ratio of the latency
+   * objective.
    */
-  private static final double LATE_ANSWER_RATIO = 1;
+  private static final double MIN_LATE_LATENCY_RATIO = 1;
 
   private final EventContext context;
   private final ConcurrencyLimiter limiter;
 
-  AttemptOutcomes(EventContext context, ConcurrencyLimiter limiter) {
+  AttemptOutcomeRecorder(EventContext context, ConcurrencyLimiter limiter) {
     this.context = context;
     this.limiter = limiter;
   }
@@ -34,26 +38,26 @@
       }
       case ERROR, TIMEOUT, RESET, CONNECT_FAILED ->
           recordFailure(attempt.endpoint(), completed.result(), latencyRatio);
-      case SHED -> limiter.recordLatency(LATE_ANSWER_RATIO, attempt.inFlightAtStart());
+      case SHED -> limiter.recordLatency(MIN_LATE_LATENCY_RATIO, attempt.inFlightAtStart());
       case CANCELLED, NOT_SENT -> {
-        // Says nothing of the endpoint.
+        // These results say nothing about the endpoint.
       }
     }
   }
 
-  // An endpoint that fails fast would look quick and draw the traffic. May spare a good one whose
-  // requests are at fault.
+  // An endpoint that fails fast must not appear to have a low latency, which would attract traffic.
+  // This may also divert traffic from a healthy endpoint whose requests are at fault.
   private void recordFailure(TrackedEndpoint endpoint, CallResult result, double latencyRatio) {
     double minRatio =
-        result == CallResult.ERROR ? Math.max(LATE_ANSWER_RATIO, latencyRatio) : latencyRatio;
+        result == CallResult.ERROR ? Math.max(MIN_LATE_LATENCY_RATIO, latencyRatio) : latencyRatio;
     recordLatency(endpoint, Math.max(minRatio, endpoint.latency().recordedRatio()));
     endpoint.outlierDetector().recordFailure(context.nowMicros());
   }
 
   /**
-   * Attempts in flight for longer than the latency objective are late or lost: they no longer count
-   * against the concurrency limit, and their endpoints count as slow. Where work goes on that long
-   * at all endpoints, the limit falls by the late answers that do come.
+   * Records attempts that have been in flight for longer than the latency objective as late or
+   * lost: they no longer count against the concurrency limit, and their endpoints count as slow. If
+   * processing takes that long at all endpoints, the late responses that do arrive lower the limit.
    */
   void recordOverdue(PendingRequest request) {
     long objectiveMicros = request.requestClass().config().latencyObjectiveMicros();
@@ -62,15 +66,16 @@
           && context.nowMicros() - attempt.startedAtMicros() >= objectiveMicros) {
         releaseCapacity(attempt, request);
         LatencyEstimator latency = attempt.endpoint().latency();
-        recordLatency(attempt.endpoint(), Math.max(LATE_ANSWER_RATIO, latency.recordedRatio()));
+        recordLatency(
+            attempt.endpoint(), Math.max(MIN_LATE_LATENCY_RATIO, latency.recordedRatio()));
       }
     }
   }
 
-  /** An attempt no longer counts against the concurrency limit. */
+  /** Stops counting an attempt against the concurrency limit. */
   void releaseCapacity(Attempt attempt, PendingRequest request) {
-    limiter.onAttemptCompleted(attempt.isOverdue() ? 0 : request.weight());
-    attempt.markOverdue();
+    limiter.onAttemptCompleted(attempt.isCapacityReleased() ? 0 : request.weight());
+    attempt.markCapacityReleased();
   }
 
   private void recordLatency(TrackedEndpoint endpoint, double latencyRatio) {
--- a/src/main/java/fawndock/policy/routing/LatencyEstimator.java
+++ b/src/main/java/fawndock/policy/routing/LatencyEstimator.java
@@ -1,18 +1,18 @@
 package fawndock.policy.routing;
 
 /**
- * Moving mean of one endpoint's latency, as a ratio of the latency objective. Without new samples
- * it fades to the mean of all endpoints.
+ * Estimates the latency of one endpoint, as a ratio of the latency objective, by a moving average.
+ * Without new samples the estimate decays to the mean of all endpoints. Not thread-safe.
  */
 final class LatencyEstimator {
   private static final double GAIN_RATIO = 0.2;
-  private static final double FADE_MICROS = 20_000_000;
+  private static final double DECAY_MICROS = 20_000_000;
   private static final double MIN_RATIO = 1e-3;
 
   private double ratio = Double.NaN;
   private long recordedAtMicros;
 
-  /** The mean as recorded; NaN without samples. */
+  /** Returns the moving average without decay, or NaN without samples. */
   double recordedRatio() {
     return ratio;
   }
@@ -22,24 +22,24 @@
     recordedAtMicros = nowMicros;
   }
 
-  /** The endpoint has restarted. */
+  /** Discards the samples after the endpoint has restarted. */
   void reset() {
     ratio = Double.NaN;
   }
 
   /**
-   * The latency to expect now.
+   * Returns the latency to expect now.
    *
-   * @param fleetRatio the mean of all endpoints
-   * @param waitedRatio for how long the oldest attempt is in flight: a long wait counts before its
-   *     answer comes
+   * @param allEndpointsRatio mean latency of all endpoints
+   * @param oldestInFlightRatio how long the oldest attempt has been in flight; a long wait counts
+   *     before its response arrives
    */
-  double estimate(double fleetRatio, double waitedRatio, long nowMicros) {
-    double expectedRatio = fleetRatio;
+  double estimate(double allEndpointsRatio, double oldestInFlightRatio, long nowMicros) {
+    double expectedRatio = allEndpointsRatio;
     if (!Double.isNaN(ratio)) {
-      double fade = Math.exp(-(nowMicros - recordedAtMicros) / FADE_MICROS);
-      expectedRatio = ratio * fade + fleetRatio * (1 - fade);
+      double decay = Math.exp(-(nowMicros - recordedAtMicros) / DECAY_MICROS);
+      expectedRatio = ratio * decay + allEndpointsRatio * (1 - decay);
     }
-    return Math.max(MIN_RATIO, Math.max(expectedRatio, waitedRatio));
+    return Math.max(MIN_RATIO, Math.max(expectedRatio, oldestInFlightRatio));
   }
 }
--- a/src/main/java/fawndock/policy/routing/SlowStart.java
+++ b/src/main/java/fawndock/policy/routing/SlowStart.java
@@ -2,7 +2,10 @@
 
 import fawndock.policy.config.ServiceRules;
 
-/** How much of its work an endpoint can do while it warms up, rising evenly with its age. */
+/**
+ * Computes the capacity of an endpoint during slow start, which rises linearly with its age.
+ * Instances are immutable.
+ */
 final class SlowStart {
   private final double initialRatio;
   private final long durationMicros;
@@ -12,8 +15,11 @@
     this.durationMicros = rules.slowStartMicros();
   }
 
-  /** The part of its work that an endpoint can do by now, 1 once it is warm. */
-  double factor(TrackedEndpoint endpoint, long nowMicros) {
+  /**
+   * Returns the current capacity of an endpoint as a ratio of its full capacity, which is 1 once it
+   * is warm.
+   */
+  double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
     long startedAtMicros = endpoint.info().startedAtMicros();
     long ageMicros = nowMicros - startedAtMicros;
     if (startedAtMicros <= 0 || ageMicros >= durationMicros) {
@@ -23,6 +29,6 @@
   }
 
   boolean isWarm(TrackedEndpoint endpoint, long nowMicros) {
-    return factor(endpoint, nowMicros) >= 1;
+    return capacityRatio(endpoint, nowMicros) >= 1;
   }
 }
