--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -22,7 +22,7 @@
 import fawndock.policy.event.TimerFired;
 import fawndock.policy.quota.CounterCall;
 import fawndock.policy.quota.QuotaAdmission;
-import fawndock.policy.quota.QuotaVerdict;
+import fawndock.policy.quota.QuotaDecision;
 import fawndock.policy.retry.IdempotencyRules;
 import fawndock.policy.retry.RetryPolicy;
 import fawndock.policy.routing.EndpointRouter;
@@ -112,7 +112,7 @@
     }
   }
 
-  private void apply(QuotaVerdict verdict, PendingRequest request) {
+  private void apply(QuotaDecision verdict, PendingRequest request) {
     switch (verdict.status()) {
       case ADMITTED -> {
         request.markQuotaDecided();
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -54,7 +54,7 @@
   }
 
   /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
-  public QuotaVerdict start(PendingRequest request) {
+  public QuotaDecision start(PendingRequest request) {
     for (QuotaKind kind : kinds) {
       SlidingWindowQuota quota = quotas.find(request, kind);
       if (quota == null) {
@@ -65,7 +65,7 @@
       if (throttle.isThrottled()
           && !throttle.isCounterUnreachable()
           && provenOverQuota.isProven(charge)) {
-        return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(charge, context.nowMicros()));
+        return QuotaDecision.rejected(RetryAfter.untilQuotaMicros(charge, context.nowMicros()));
       }
     }
     callCounters(request);
@@ -75,7 +75,7 @@
     context.scheduleAt(
         context.nowMicros() + deadlines.counterWaitMicros(request),
         new PolicyTimer.CounterWaitTimeout(request.id()));
-    return QuotaVerdict.UNDECIDED;
+    return QuotaDecision.UNDECIDED;
   }
 
   private QuotaCharge recordDemandAndCharge(PendingRequest request, SlidingWindowQuota quota) {
@@ -157,20 +157,20 @@
   }
 
   /** Takes a request on that waited for a call which has ended. */
-  public QuotaVerdict onCallCompleted(
+  public QuotaDecision onCallCompleted(
       CounterCall call, CounterReply reply, PendingRequest request) {
     if (hasTotal(reply)) {
       applyTotal(call, request);
     }
     request.onCounterCallCompleted();
     if (request.pendingCounterCalls() > 0 || request.isQuotaDecided()) {
-      return QuotaVerdict.UNDECIDED;
+      return QuotaDecision.UNDECIDED;
     }
     QuotaCharge rate = request.charge(QuotaKind.RATE);
     if (rate != null && !throttle.isThrottledOrRecovering() && previousWindow.canTipVerdict(rate)) {
       readPreviousWindow(rate);
     }
-    return request.pendingCounterCalls() == 0 ? decide(request) : QuotaVerdict.UNDECIDED;
+    return request.pendingCounterCalls() == 0 ? decide(request) : QuotaDecision.UNDECIDED;
   }
 
   private void applyTotal(CounterCall call, PendingRequest request) {
@@ -189,7 +189,7 @@
   }
 
   /** Gives the verdict with what is known by now. */
-  public QuotaVerdict decide(PendingRequest request) {
+  public QuotaDecision decide(PendingRequest request) {
     QuotaCharge overQuota = null;
     for (QuotaCharge charge : request.charges()) {
       if (overQuotaRule.isOverQuota(charge)) {
@@ -197,12 +197,12 @@
       }
     }
     if (overQuota != null) {
-      return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(overQuota, context.nowMicros()));
+      return QuotaDecision.rejected(RetryAfter.untilQuotaMicros(overQuota, context.nowMicros()));
     }
     for (QuotaCharge charge : request.charges()) {
       charging.countAdmitted(charge);
     }
-    return QuotaVerdict.ADMITTED;
+    return QuotaDecision.ADMITTED;
   }
 
   /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
--- a/src/main/java/fawndock/policy/quota/QuotaVerdict.java
+++ b/src/main/java/fawndock/policy/quota/QuotaDecision.java
@@ -6,14 +6,14 @@
  * @param status the verdict, or that it is not there yet
  * @param retryAfterMicros for a rejected request: the time until it may be admitted
  */
-public record QuotaVerdict(Status status, long retryAfterMicros) {
+public record QuotaDecision(Status status, long retryAfterMicros) {
   /** Not decided yet, or decided before. */
-  static final QuotaVerdict UNDECIDED = new QuotaVerdict(Status.UNDECIDED, 0);
+  static final QuotaDecision UNDECIDED = new QuotaDecision(Status.UNDECIDED, 0);
 
-  static final QuotaVerdict ADMITTED = new QuotaVerdict(Status.ADMITTED, 0);
+  static final QuotaDecision ADMITTED = new QuotaDecision(Status.ADMITTED, 0);
 
-  static QuotaVerdict rejected(long retryAfterMicros) {
-    return new QuotaVerdict(Status.REJECTED, retryAfterMicros);
+  static QuotaDecision rejected(long retryAfterMicros) {
+    return new QuotaDecision(Status.REJECTED, retryAfterMicros);
   }
 
   /** The kinds of verdict. */
