--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -107,7 +107,7 @@
     if (call == null) {
       return;
     }
-    for (PendingRequest request : call.waiters()) {
+    for (PendingRequest request : call.waitingRequests()) {
       apply(quotas.onCallCompleted(call, reply, request), request);
     }
   }
--- a/src/main/java/fawndock/policy/quota/CounterCall.java
+++ b/src/main/java/fawndock/policy/quota/CounterCall.java
@@ -10,7 +10,7 @@
   private final double addedUnits;
   private final double requestUnits;
   private final boolean isRestore;
-  private final List<PendingRequest> waiters = new ArrayList<>(1);
+  private final List<PendingRequest> waitingRequests = new ArrayList<>(1);
 
   /**
    * A call that is being sent.
@@ -44,7 +44,7 @@
   }
 
   /** The requests that wait for it, in the order in which they began to. */
-  public List<PendingRequest> waiters() {
-    return waiters;
+  public List<PendingRequest> waitingRequests() {
+    return waitingRequests;
   }
 }
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -120,7 +120,7 @@
   }
 
   private static void waitFor(CounterCall call, PendingRequest request) {
-    call.waiters().add(request);
+    call.waitingRequests().add(request);
     request.onCounterCallStarted();
   }
 
