--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -99,7 +99,7 @@
     context.scheduleAt(
         deadlines.answerAtMicros(arrived.deadlineAtMicros(), context.nowMicros()),
         new AnswerDeadline(request.id()));
-    apply(quotas.start(request), request);
+    apply(quotas.startCheck(request), request);
   }
 
   private void onCounterReply(CounterReply reply) {
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -54,7 +54,7 @@
   }
 
   /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
-  public QuotaDecision start(PendingRequest request) {
+  public QuotaDecision startCheck(PendingRequest request) {
     for (QuotaKind kind : kinds) {
       SlidingWindowQuota quota = quotas.find(request, kind);
       if (quota == null) {
