--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -147,7 +147,7 @@
 
   private void startAttempt(PendingRequest request, TrackedEndpoint endpoint) {
     if (request.attempts().isEmpty()) {
-      quotas.recordSent(request);
+      quotas.recordForwarded(request);
     }
     router.startAttempt(request, endpoint);
     retries.onAttemptStarted();
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -213,7 +213,7 @@
   }
 
   /** Notes that a request is forwarded for the first time. */
-  public void recordSent(PendingRequest request) {
+  public void recordForwarded(PendingRequest request) {
     charging.recordSent(request);
   }
 
