--- a/src/main/java/fawndock/policy/RequestPriority.java
+++ b/src/main/java/fawndock/policy/RequestPriority.java
@@ -21,7 +21,7 @@
   void assign(PendingRequest request) {
     RequestClassState requestClass = request.requestClass();
     double weight = requestClass.recordUnits(request.request().units());
-    double valueRatio = Math.max(MIN_VALUE_RATIO, 1 - quotas.expectedLoss(request));
+    double valueRatio = Math.max(MIN_VALUE_RATIO, 1 - quotas.expectedLossRatio(request));
     double value =
         requestClass.config().priorityWeight() * request.plan().priorityWeight() * valueRatio;
     request.setPriority(weight, value / requestClass.meanLatencyMicros());
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -206,7 +206,7 @@
   }
 
   /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
-  public double expectedLoss(PendingRequest request) {
+  public double expectedLossRatio(PendingRequest request) {
     QuotaCharge rate = request.charge(QuotaKind.RATE);
     boolean isCertain = rate == null || !throttle.isThrottled() || rate.isTotalKnown();
     return isCertain ? 0 : risk.expectedLoss(rate);
