--- a/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
+++ b/src/main/java/fawndock/policy/quota/ConcurrencyLimit.java
@@ -5,13 +5,13 @@
  * time as may be in flight, less their spread by chance. Costs one counter call per request, and no
  * in-flight count can leak when an instance dies.
  */
-final class ConcurrencyCap {
-  private ConcurrencyCap() {}
+final class ConcurrencyLimit {
+  private ConcurrencyLimit() {}
 
   /** How many attempts may have started by this point of the window. */
-  static double limitAttempts(
+  static double maxStartedAttempts(
       double maxConcurrent, long windowMicros, double meanLatencyMicros, long nowMicros) {
-    double cap = maxConcurrent * (1 - 1 / Math.sqrt(maxConcurrent + 1));
-    return Math.max(1, cap) * Math.max(1, nowMicros % windowMicros / meanLatencyMicros);
+    double meanConcurrency = maxConcurrent * (1 - 1 / Math.sqrt(maxConcurrent + 1));
+    return Math.max(1, meanConcurrency) * Math.max(1, nowMicros % windowMicros / meanLatencyMicros);
   }
 }
--- a/src/main/java/fawndock/policy/quota/CounterCalls.java
+++ b/src/main/java/fawndock/policy/quota/CounterCalls.java
@@ -12,14 +12,14 @@
   private static final int TIME_TO_LIVE_WINDOWS = 2;
 
   private final EventContext context;
-  private final Map<String, ArrayDeque<CounterCall>> inFlight = new LinkedHashMap<>();
+  private final Map<String, ArrayDeque<CounterCall>> inFlightByCounter = new LinkedHashMap<>();
 
   CounterCalls(EventContext context) {
     this.context = context;
   }
 
   boolean isEmpty() {
-    return inFlight.isEmpty();
+    return inFlightByCounter.isEmpty();
   }
 
   /** Adds to a counter, with all that is pending for it; adding 0 only reads. */
@@ -33,8 +33,9 @@
   }
 
   private CounterCall send(WindowCounter counter, double units, boolean isRestore) {
-    CounterCall call = new CounterCall(counter, units + counter.takePending(), units, isRestore);
-    inFlight.computeIfAbsent(counter.name(), name -> new ArrayDeque<>(2)).add(call);
+    CounterCall call =
+        new CounterCall(counter, units + counter.takePendingUnits(), units, isRestore);
+    inFlightByCounter.computeIfAbsent(counter.name(), name -> new ArrayDeque<>(2)).add(call);
     long windowMicros = counter.quota().windowMicros();
     context.emit(
         new AddToCounter(counter.name(), call.addedUnits(), TIME_TO_LIVE_WINDOWS * windowMicros));
@@ -43,10 +44,10 @@
 
   /** The oldest call to a counter, which has ended, or null. */
   CounterCall complete(String counterName) {
-    ArrayDeque<CounterCall> calls = inFlight.get(counterName);
+    ArrayDeque<CounterCall> calls = inFlightByCounter.get(counterName);
     CounterCall call = calls == null ? null : calls.poll();
     if (call != null && calls.isEmpty()) {
-      inFlight.remove(counterName);
+      inFlightByCounter.remove(counterName);
     }
     return call;
   }
--- a/src/main/java/fawndock/policy/quota/CounterProbe.java
+++ b/src/main/java/fawndock/policy/quota/CounterProbe.java
@@ -10,15 +10,15 @@
   private static final double MIN_FLEET_CALLS_PER_SECOND = 100;
 
   /** What a prompt reply leaves of the backoff; a failure divides by it. */
-  private static final double BACKOFF_FACTOR = 0.5;
+  private static final double BACKOFF_DECREASE_FACTOR = 0.5;
 
-  private static final double PROBE_RATE_GAIN_RATIO = 0.2;
+  private static final double PROBE_RATE_SMOOTHING_FACTOR = 0.2;
 
   private final double maxBackoffMicros;
   private final long minBackoffMicros;
   private long backoffMicros;
   private long lastCallAtMicros = Long.MIN_VALUE / 2;
-  private long lastIntervalMicros;
+  private long lastCallIntervalMicros;
   private double probeRate = 1;
 
   CounterProbe(int instanceCount, long minBackoffMicros) {
@@ -36,24 +36,26 @@
   /** Whether a request that the sampling rate leaves out is to call the counter. */
   boolean shouldProbe(boolean isCallInFlight, long nowMicros) {
     boolean shouldProbe = !isCallInFlight && nowMicros - lastCallAtMicros >= backoffMicros;
-    probeRate += PROBE_RATE_GAIN_RATIO * ((shouldProbe ? 1 : 0) - probeRate);
+    probeRate += PROBE_RATE_SMOOTHING_FACTOR * ((shouldProbe ? 1 : 0) - probeRate);
     return shouldProbe;
   }
 
   void recordCall(long nowMicros) {
-    lastIntervalMicros = Math.min(nowMicros - lastCallAtMicros, Long.MAX_VALUE / 4);
+    lastCallIntervalMicros = Math.min(nowMicros - lastCallAtMicros, Long.MAX_VALUE / 4);
     lastCallAtMicros = nowMicros;
   }
 
   /** Takes in a failed or late call; one that was shed costs the counter nothing. */
   void recordFailure(boolean isShed) {
-    double nextMicros =
-        isShed ? backoffMicros : Math.max(backoffMicros, lastIntervalMicros) / BACKOFF_FACTOR;
+    double nextBackoffMicros =
+        isShed
+            ? backoffMicros
+            : Math.max(backoffMicros, lastCallIntervalMicros) / BACKOFF_DECREASE_FACTOR;
     backoffMicros =
-        (long) Math.min(maxBackoffMicros, Math.max(nextMicros, (double) minBackoffMicros));
+        (long) Math.min(maxBackoffMicros, Math.max(nextBackoffMicros, (double) minBackoffMicros));
   }
 
   void recordPromptReply(boolean isRampingUp) {
-    backoffMicros = isRampingUp ? 0 : (long) (backoffMicros * BACKOFF_FACTOR);
+    backoffMicros = isRampingUp ? 0 : (long) (backoffMicros * BACKOFF_DECREASE_FACTOR);
   }
 }
--- a/src/main/java/fawndock/policy/quota/CounterThrottle.java
+++ b/src/main/java/fawndock/policy/quota/CounterThrottle.java
@@ -37,7 +37,7 @@
   private final CounterProbe probe;
   private double samplingRate;
   private boolean isRampingUp = true;
-  private long throttledAtMicros = Long.MIN_VALUE / 2;
+  private long lastThrottledAtMicros = Long.MIN_VALUE / 2;
 
   CounterThrottle(
       EventContext context, SplittableRandom random, CounterCalls calls, PolicyConfig config) {
@@ -63,7 +63,7 @@
 
   /** Whether calls are throttled, or were so shortly ago: second calls might bring that back. */
   boolean isThrottledOrRecovering() {
-    return isThrottled() || context.nowMicros() - throttledAtMicros < RECOVERY_MICROS;
+    return isThrottled() || context.nowMicros() - lastThrottledAtMicros < RECOVERY_MICROS;
   }
 
   /** Whether requests do not wait for the counter. */
@@ -77,13 +77,14 @@
   }
 
   /** The chance that a request calls the counter, by sampling or as a probe. */
-  double callChance(double rate) {
-    return rate + (1 - rate) * probe.probeRate();
+  double callProbability(double baseSamplingRate) {
+    return baseSamplingRate + (1 - baseSamplingRate) * probe.probeRate();
   }
 
   /** Whether to call the counter now: by chance of the rate, or as a probe. */
-  boolean shouldCall(double rate) {
-    return random.nextDouble() < rate || probe.shouldProbe(!calls.isEmpty(), context.nowMicros());
+  boolean shouldCall(double baseSamplingRate) {
+    return random.nextDouble() < baseSamplingRate
+        || probe.shouldProbe(!calls.isEmpty(), context.nowMicros());
   }
 
   void recordCall() {
@@ -112,15 +113,15 @@
 
   private void decrease(boolean isShed) {
     isRampingUp = false;
-    throttledAtMicros = context.nowMicros();
+    lastThrottledAtMicros = context.nowMicros();
     samplingRate = Math.max(MIN_SAMPLING_RATE, samplingRate * SAMPLING_DECREASE_FACTOR);
     probe.recordFailure(isShed);
   }
 
   private void increase() {
     probe.recordPromptReply(isRampingUp);
-    double step =
+    double increment =
         isRampingUp ? samplingRate : SAMPLING_INCREASE + SAMPLING_INCREASE_RATIO * samplingRate;
-    samplingRate = Math.min(1, samplingRate + step);
+    samplingRate = Math.min(1, samplingRate + increment);
   }
 }
--- a/src/main/java/fawndock/policy/quota/LocalTokenBucket.java
+++ b/src/main/java/fawndock/policy/quota/LocalTokenBucket.java
@@ -8,7 +8,7 @@
 final class LocalTokenBucket {
   private final double limitUnits;
   private final long windowMicros;
-  private double levelUnits = Double.NaN;
+  private double availableUnits = Double.NaN;
   private long refilledAtMicros;
 
   LocalTokenBucket(double limitUnits, long windowMicros) {
@@ -17,7 +17,7 @@
   }
 
   void reset(long nowMicros) {
-    levelUnits = Double.NaN;
+    availableUnits = Double.NaN;
     refilledAtMicros = nowMicros;
   }
 
@@ -27,18 +27,19 @@
    * @param instanceCount instances that the customer comes through, at least 1
    * @param counterHeardAtMicros since when the counter is missing: the bucket fills from then on
    */
-  boolean tryTake(double units, double instanceCount, long counterHeardAtMicros, long nowMicros) {
-    levelUnits =
+  boolean tryTake(
+      double units, double instanceCount, long lastCounterReplyAtMicros, long nowMicros) {
+    availableUnits =
         Math.min(
             limitUnits / instanceCount,
-            (Double.isNaN(levelUnits) ? 0 : levelUnits)
+            (Double.isNaN(availableUnits) ? 0 : availableUnits)
                 + limitUnits
-                    * (nowMicros - Math.max(refilledAtMicros, counterHeardAtMicros))
+                    * (nowMicros - Math.max(refilledAtMicros, lastCounterReplyAtMicros))
                     / windowMicros
                     / instanceCount);
     refilledAtMicros = nowMicros;
-    boolean isEmpty = levelUnits < units;
-    levelUnits -= isEmpty ? 0 : units;
-    return !isEmpty;
+    boolean isInsufficient = availableUnits < units;
+    availableUnits -= isInsufficient ? 0 : units;
+    return !isInsufficient;
   }
 }
--- a/src/main/java/fawndock/policy/quota/OverQuotaRule.java
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRule.java
@@ -7,38 +7,40 @@
   private final EventContext context;
   private final CounterThrottle throttle;
   private final OverQuotaRisk risk;
-  private final PreviousWindowEstimate previousWindow;
+  private final PreviousWindowEstimate previousWindowEstimate;
 
   OverQuotaRule(
       EventContext context,
       CounterThrottle throttle,
       OverQuotaRisk risk,
-      PreviousWindowEstimate previousWindow) {
+      PreviousWindowEstimate previousWindowEstimate) {
     this.context = context;
     this.throttle = throttle;
     this.risk = risk;
-    this.previousWindow = previousWindow;
+    this.previousWindowEstimate = previousWindowEstimate;
   }
 
   boolean isOverQuota(QuotaCharge charge) {
     if (!charge.isTotalKnown()) {
-      return shouldRejectUncounted(charge);
+      return shouldRejectWithoutTotal(charge);
     }
-    boolean isOver = isOverByTotal(charge);
-    risk.record(charge, isOver);
-    return isOver;
+    boolean isOverQuota = isOverByTotal(charge);
+    risk.record(charge, isOverQuota);
+    return isOverQuota;
   }
 
   private boolean isOverByTotal(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     long nowMicros = context.nowMicros();
     double previousUnits =
-        charge.isInCurrentWindow() ? previousWindow.units(charge) : quota.current().totalUnits();
+        charge.isInCurrentWindow()
+            ? previousWindowEstimate.usedUnits(charge)
+            : quota.currentCounter().totalUnits();
     double totalUnits = charge.totalBeforeUnits();
     return switch (quota.kind()) {
       case RATE ->
           quota.estimate(previousUnits, totalUnits, nowMicros) >= quota.limitUnits()
-              && !takeFromBucket(charge);
+              && !tryTakeFromBucket(charge);
       case CONCURRENCY -> totalUnits >= ProvenOverQuota.concurrencyLimit(charge, nowMicros);
       case CEILING -> previousUnits + totalUnits + charge.units() > quota.limitUnits();
     };
@@ -46,38 +48,39 @@
 
   // After a burst the estimate stays at the limit while the plan's bucket fills again. May admit
   // too much where a peer's sends went uncounted.
-  private boolean takeFromBucket(QuotaCharge charge) {
+  private boolean tryTakeFromBucket(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     if (!charge.isInCurrentWindow()) {
       return false;
     }
     long nowMicros = context.nowMicros();
     double totalUnits = charge.totalBeforeUnits();
-    double previousUnits = quota.previous().totalUnits();
-    TokenBucketReplay bucket = quota.bucket();
-    if (bucket.isKnown()) {
-      bucket.replay(totalUnits, previousUnits, nowMicros);
+    double previousUnits = quota.previousCounter().totalUnits();
+    TokenBucketEstimate tokenBucket = quota.tokenBucket();
+    if (tokenBucket.isInitialized()) {
+      tokenBucket.update(totalUnits, previousUnits, nowMicros);
     } else {
-      double estimateUnits = quota.estimate(previousWindow.units(charge), totalUnits, nowMicros);
-      bucket.start(estimateUnits, totalUnits, previousUnits, nowMicros);
+      double estimateUnits =
+          quota.estimate(previousWindowEstimate.usedUnits(charge), totalUnits, nowMicros);
+      tokenBucket.initialize(estimateUnits, totalUnits, previousUnits, nowMicros);
     }
-    if (bucket.levelUnits() < charge.units()) {
+    if (tokenBucket.availableUnits() < charge.units()) {
       return false;
     }
-    bucket.take(charge.units());
+    tokenBucket.take(charge.units());
     return true;
   }
 
   // An unreachable counter, or one that failed by chance, admits; a throttled one if that earns
   // more in the mean than it costs.
-  private boolean shouldRejectUncounted(QuotaCharge charge) {
+  private boolean shouldRejectWithoutTotal(QuotaCharge charge) {
     if (charge.quota().kind() != QuotaKind.CEILING) {
       return throttle.isThrottled() && !throttle.isCounterUnreachable() && risk.isTooHigh(charge);
     }
     double instanceCount = Math.max(1, charge.request().request().customerInstanceCount());
     return !charge
         .quota()
-        .localBucket()
+        .localTokenBucket()
         .tryTake(charge.units(), instanceCount, throttle.lastReplyAtMicros(), context.nowMicros());
   }
 }
--- a/src/main/java/fawndock/policy/quota/PendingAdds.java
+++ b/src/main/java/fawndock/policy/quota/PendingAdds.java
@@ -13,7 +13,7 @@
  */
 final class PendingAdds {
   private static final double FLUSH_DELAY_WINDOWS = 0.06;
-  private static final double FLUSH_DELAY_THROTTLED_WINDOWS = 0.3;
+  private static final double THROTTLED_FLUSH_DELAY_WINDOWS = 0.3;
 
   /** Units expected within the delay below which waiting for a call is of no use. */
   private static final double MIN_EXPECTED_UNITS = 0.1;
@@ -39,8 +39,8 @@
 
   /** Notes units to be added to a counter, negative ones to be taken back. */
   void add(WindowCounter counter, double units) {
-    counter.addPending(units);
-    if (counter.pendingAddUnits() == 0
+    counter.addPendingUnits(units);
+    if (counter.pendingUnits() == 0
         || counter.isFlushScheduled()
         || counter.isExpired(context.nowMicros())) {
       return;
@@ -53,7 +53,7 @@
     }
     counter.setFlushScheduled(true);
     double delayWindows =
-        (isThrottled ? FLUSH_DELAY_THROTTLED_WINDOWS : FLUSH_DELAY_WINDOWS)
+        (isThrottled ? THROTTLED_FLUSH_DELAY_WINDOWS : FLUSH_DELAY_WINDOWS)
             * (1 + random.nextDouble());
     long delayMicros = Math.max(1, (long) (delayWindows * counter.quota().windowMicros()));
     context.emit(new ScheduleTimer(delayMicros, new PolicyTimer.FlushPendingAdds(counter.name())));
@@ -66,7 +66,7 @@
       return;
     }
     counter.setFlushScheduled(false);
-    if (counter.pendingAddUnits() == 0 || counter.isExpired(context.nowMicros())) {
+    if (counter.pendingUnits() == 0 || counter.isExpired(context.nowMicros())) {
       return;
     }
     if (!throttle.isThrottled() || throttle.shouldCall(throttle.samplingRate())) {
--- a/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
+++ b/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
@@ -9,10 +9,10 @@
  */
 final class PreviousWindowEstimate {
   /** Weight of the prior, in windows. */
-  private static final double PRIOR_WINDOWS = 0.5;
+  private static final double PRIOR_WEIGHT_WINDOWS = 0.5;
 
   /** Use that the prior assumes, as a ratio of the limit. */
-  private static final double PRIOR_USE_RATIO = 0.7;
+  private static final double PRIOR_USAGE_RATIO = 0.7;
 
   private final EventContext context;
   private final CounterThrottle throttle;
@@ -23,24 +23,24 @@
   }
 
   /** Units used in the window before the one in which the request arrived. */
-  double units(QuotaCharge charge) {
+  double usedUnits(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
-    WindowCounter previous = quota.previous();
-    if (previous.isTotalKnown()
+    WindowCounter previousCounter = quota.previousCounter();
+    if (previousCounter.isTotalKnown()
         || !throttle.isThrottledOrRecovering()
         || quota.kind() != QuotaKind.RATE) {
-      return previous.totalUnits();
+      return previousCounter.totalUnits();
     }
     long windowMicros = quota.windowMicros();
     double elapsedWindows = (double) (context.nowMicros() % windowMicros) / windowMicros;
-    double priorUnits = PRIOR_WINDOWS * PRIOR_USE_RATIO * quota.limitUnits();
+    double priorUnits = PRIOR_WEIGHT_WINDOWS * PRIOR_USAGE_RATIO * quota.limitUnits();
     return Math.max(
-        previous.totalUnits(),
-        (charge.totalBeforeUnits() + priorUnits) / (elapsedWindows + PRIOR_WINDOWS));
+        previousCounter.totalUnits(),
+        (charge.totalBeforeUnits() + priorUnits) / (elapsedWindows + PRIOR_WEIGHT_WINDOWS));
   }
 
   /** Whether its total could tip the verdict: it holds the limit and a refilled burst at most. */
-  boolean canTipVerdict(QuotaCharge charge) {
+  boolean couldChangeDecision(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     return charge.isInCurrentWindow()
         && charge.isTotalKnown()
--- a/src/main/java/fawndock/policy/quota/ProvenOverQuota.java
+++ b/src/main/java/fawndock/policy/quota/ProvenOverQuota.java
@@ -16,24 +16,25 @@
   boolean isProven(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     long nowMicros = context.nowMicros();
-    WindowCounter previous = quota.previous();
-    WindowCounter current = quota.current();
-    double previousUnits = Math.max(previous.totalUnits(), previous.sentUnits());
-    double currentUnits = Math.max(current.totalUnits(), current.sentUnits());
+    WindowCounter previousCounter = quota.previousCounter();
+    WindowCounter currentCounter = quota.currentCounter();
+    double previousUnits = Math.max(previousCounter.totalUnits(), previousCounter.forwardedUnits());
+    double currentUnits = Math.max(currentCounter.totalUnits(), currentCounter.forwardedUnits());
     return switch (quota.kind()) {
       case RATE ->
-          quota.bucket().maxLevelUnits(nowMicros) < charge.units()
+          quota.tokenBucket().maxAvailableUnits(nowMicros) < charge.units()
               && quota.estimate(previousUnits, currentUnits, nowMicros) >= quota.limitUnits();
       case CONCURRENCY -> currentUnits >= concurrencyLimit(charge, nowMicros);
       case CEILING ->
-          quota.estimate(previous.sentUnits(), current.sentUnits(), nowMicros)
+          quota.estimate(
+                  previousCounter.forwardedUnits(), currentCounter.forwardedUnits(), nowMicros)
               >= quota.limitUnits();
     };
   }
 
   static double concurrencyLimit(QuotaCharge charge, long nowMicros) {
     SlidingWindowQuota quota = charge.quota();
-    return ConcurrencyCap.limitAttempts(
+    return ConcurrencyLimit.maxStartedAttempts(
         quota.limitUnits(),
         quota.windowMicros(),
         charge.request().requestClass().meanLatencyMicros(),
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -27,7 +27,7 @@
   private final PendingAdds pendingAdds;
   private final OverQuotaRisk risk;
   private final ProvenOverQuota provenOverQuota;
-  private final PreviousWindowEstimate previousWindow;
+  private final PreviousWindowEstimate previousWindowEstimate;
   private final OverQuotaRule overQuotaRule;
   private final QuotaCharging charging;
 
@@ -48,15 +48,15 @@
     this.pendingAdds = new PendingAdds(context, random, quotas, calls, throttle);
     this.risk = new OverQuotaRisk(context);
     this.provenOverQuota = new ProvenOverQuota(context);
-    this.previousWindow = new PreviousWindowEstimate(context, throttle);
-    this.overQuotaRule = new OverQuotaRule(context, throttle, risk, previousWindow);
+    this.previousWindowEstimate = new PreviousWindowEstimate(context, throttle);
+    this.overQuotaRule = new OverQuotaRule(context, throttle, risk, previousWindowEstimate);
     this.charging = new QuotaCharging(throttle, risk, provenOverQuota, calls, pendingAdds);
   }
 
   /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
   public QuotaDecision startCheck(PendingRequest request) {
     for (QuotaKind kind : kinds) {
-      SlidingWindowQuota quota = quotas.find(request, kind);
+      SlidingWindowQuota quota = quotas.findOrCreate(request, kind);
       if (quota == null) {
         continue;
       }
@@ -94,13 +94,13 @@
   private void callCounters(PendingRequest request) {
     boolean hasCeiling = request.charge(QuotaKind.CEILING) != null;
     double samplingRate = hasCeiling ? 1 : throttle.samplingRate();
-    double callChance = throttle.callChance(samplingRate);
+    double callProbability = throttle.callProbability(samplingRate);
     if (!throttle.shouldCall(samplingRate)) {
       return;
     }
     throttle.recordCall();
     for (QuotaCharge charge : request.charges()) {
-      charge.setCounted(charging.unitsToAdd(charge, callChance));
+      charge.setCountedUnits(charging.unitsToAdd(charge, callProbability));
       waitFor(calls.send(charge.counter(), charge.countedUnits()), request);
       if (charge.quota().kind() == QuotaKind.CEILING) {
         readPreviousWindow(charge);
@@ -109,14 +109,14 @@
   }
 
   private void readPreviousWindow(QuotaCharge charge) {
-    WindowCounter previous = charge.quota().previous();
-    if (previous.isReadAfterClose()) {
+    WindowCounter previousCounter = charge.quota().previousCounter();
+    if (previousCounter.isReadAfterClose()) {
       return;
     }
-    if (previous.closingReadInFlight() == null) {
-      previous.setReadInFlight(calls.send(previous, 0));
+    if (previousCounter.closingReadInFlight() == null) {
+      previousCounter.setClosingReadInFlight(calls.send(previousCounter, 0));
     }
-    waitFor(previous.closingReadInFlight(), charge.request());
+    waitFor(previousCounter.closingReadInFlight(), charge.request());
   }
 
   private static void waitFor(CounterCall call, PendingRequest request) {
@@ -131,19 +131,19 @@
       return null;
     }
     WindowCounter counter = call.counter();
-    boolean isPreviousRead = counter.closingReadInFlight() == call;
+    boolean isClosingRead = counter.closingReadInFlight() == call;
     throttle.recordReply(reply);
-    if (isPreviousRead) {
-      counter.setReadInFlight(null);
+    if (isClosingRead) {
+      counter.setClosingReadInFlight(null);
     }
     if (hasTotal(reply)) {
-      if (isPreviousRead) {
+      if (isClosingRead) {
         counter.markReadAfterClose();
       }
-      boolean isLost = counter.applyTotal(call.addedUnits(), reply.total());
+      boolean hasLostAdds = counter.applyTotal(call.addedUnits(), reply.total());
       // What a restore has lost again waits for the next call: a counter that keeps losing adds
       // would be called without end.
-      if (isLost && !call.isRestore()) {
+      if (hasLostAdds && !call.isRestore()) {
         calls.sendRestore(counter);
       }
     } else if (!reply.result().mayHaveTakenEffect) {
@@ -166,9 +166,11 @@
     if (request.pendingCounterCalls() > 0 || request.isQuotaDecided()) {
       return QuotaDecision.UNDECIDED;
     }
-    QuotaCharge rate = request.charge(QuotaKind.RATE);
-    if (rate != null && !throttle.isThrottledOrRecovering() && previousWindow.canTipVerdict(rate)) {
-      readPreviousWindow(rate);
+    QuotaCharge rateCharge = request.charge(QuotaKind.RATE);
+    if (rateCharge != null
+        && !throttle.isThrottledOrRecovering()
+        && previousWindowEstimate.couldChangeDecision(rateCharge)) {
+      readPreviousWindow(rateCharge);
     }
     return request.pendingCounterCalls() == 0 ? decide(request) : QuotaDecision.UNDECIDED;
   }
@@ -180,11 +182,14 @@
     if (charge.counter() != counter || charge.isTotalKnown()) {
       return;
     }
-    charge.setTotalBefore(counter.totalUnits() - call.requestUnits());
-    if (quota.kind() == QuotaKind.RATE && charge.isInCurrentWindow() && quota.bucket().isKnown()) {
+    charge.setTotalBeforeUnits(counter.totalUnits() - call.requestUnits());
+    if (quota.kind() == QuotaKind.RATE
+        && charge.isInCurrentWindow()
+        && quota.tokenBucket().isInitialized()) {
       quota
-          .bucket()
-          .replay(charge.totalBeforeUnits(), quota.previous().totalUnits(), context.nowMicros());
+          .tokenBucket()
+          .update(
+              charge.totalBeforeUnits(), quota.previousCounter().totalUnits(), context.nowMicros());
     }
   }
 
@@ -207,14 +212,14 @@
 
   /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
   public double expectedLossRatio(PendingRequest request) {
-    QuotaCharge rate = request.charge(QuotaKind.RATE);
-    boolean isCertain = rate == null || !throttle.isThrottled() || rate.isTotalKnown();
-    return isCertain ? 0 : risk.expectedLoss(rate);
+    QuotaCharge rateCharge = request.charge(QuotaKind.RATE);
+    boolean isCertain = rateCharge == null || !throttle.isThrottled() || rateCharge.isTotalKnown();
+    return isCertain ? 0 : risk.expectedLossRatio(rateCharge);
   }
 
   /** Notes that a request is forwarded for the first time. */
   public void recordForwarded(PendingRequest request) {
-    charging.recordSent(request);
+    charging.recordForwarded(request);
   }
 
   /** Takes back what was added for a request that was never forwarded. */
--- a/src/main/java/fawndock/policy/quota/QuotaCharge.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharge.java
@@ -15,7 +15,7 @@
   QuotaCharge(PendingRequest request, SlidingWindowQuota quota, double units, int demandLevel) {
     this.request = request;
     this.quota = quota;
-    this.counter = quota.current();
+    this.counter = quota.currentCounter();
     this.units = units;
     this.demandLevel = demandLevel;
   }
@@ -35,7 +35,7 @@
 
   /** Whether the window in which the request arrived is still the quota's current one. */
   boolean isInCurrentWindow() {
-    return counter == quota.current();
+    return counter == quota.currentCounter();
   }
 
   double units() {
@@ -57,7 +57,7 @@
     return totalBeforeUnits;
   }
 
-  void setTotalBefore(double newTotalBeforeUnits) {
+  void setTotalBeforeUnits(double newTotalBeforeUnits) {
     totalBeforeUnits = newTotalBeforeUnits;
   }
 
@@ -66,7 +66,7 @@
     return countedUnits;
   }
 
-  void setCounted(double newCountedUnits) {
+  void setCountedUnits(double newCountedUnits) {
     countedUnits = newCountedUnits;
   }
 }
--- a/src/main/java/fawndock/policy/quota/QuotaCharging.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharging.java
@@ -5,7 +5,7 @@
 /** What is added to the counters for a request, and what is taken back. */
 final class QuotaCharging {
   /** The most that one counted request may add, as a ratio of the limit. */
-  private static final double MAX_SAMPLE_RATIO = 1;
+  private static final double MAX_ADD_LIMIT_RATIO = 1;
 
   private final CounterThrottle throttle;
   private final OverQuotaRisk risk;
@@ -33,7 +33,7 @@
    *
    * @param callChance the chance that a request calls the counter
    */
-  double unitsToAdd(QuotaCharge charge, double callChance) {
+  double unitsToAdd(QuotaCharge charge, double callProbability) {
     SlidingWindowQuota quota = charge.quota();
     if (quota.kind() == QuotaKind.CEILING || throttle.isCounterUnreachable()) {
       return charge.units();
@@ -42,8 +42,8 @@
       return 0;
     }
     return Math.min(
-        charge.units() / callChance,
-        Math.max(charge.units(), quota.limitUnits() * MAX_SAMPLE_RATIO));
+        charge.units() / callProbability,
+        Math.max(charge.units(), quota.limitUnits() * MAX_ADD_LIMIT_RATIO));
   }
 
   /**
@@ -55,18 +55,18 @@
       return;
     }
     if (charge.isTotalKnown()) {
-      charge.setCounted(charge.units());
+      charge.setCountedUnits(charge.units());
       calls.send(charge.counter(), charge.units());
     } else if (!throttle.isThrottled()) {
-      charge.setCounted(charge.units());
+      charge.setCountedUnits(charge.units());
       pendingAdds.add(charge.counter(), charge.units());
     }
   }
 
   /** Notes that a request is forwarded. */
-  void recordSent(PendingRequest request) {
+  void recordForwarded(PendingRequest request) {
     for (QuotaCharge charge : request.charges()) {
-      charge.counter().recordSent(charge.units());
+      charge.counter().recordForwarded(charge.units());
     }
   }
 
@@ -79,7 +79,7 @@
       if (charge.countedUnits() > 0) {
         charge.counter().reduceTotal(charge.countedUnits());
         pendingAdds.add(charge.counter(), -charge.countedUnits());
-        charge.setCounted(0);
+        charge.setCountedUnits(0);
       }
     }
   }
--- a/src/main/java/fawndock/policy/quota/QuotaKind.java
+++ b/src/main/java/fawndock/policy/quota/QuotaKind.java
@@ -14,15 +14,15 @@
   /** Units per second that are never passed, whether or not the counter answers. */
   CEILING('c');
 
-  private final char counterNamePrefix;
+  private final char counterNameLetter;
 
-  QuotaKind(char counterNamePrefix) {
-    this.counterNamePrefix = counterNamePrefix;
+  QuotaKind(char counterNameLetter) {
+    this.counterNameLetter = counterNameLetter;
   }
 
   /** What the names of a customer's counters of this kind begin with. */
   String counterNamePrefix(String customer) {
-    return counterNamePrefix + customer + ".";
+    return counterNameLetter + customer + ".";
   }
 
   /** Whether a plan sets a quota of this kind. */
--- a/src/main/java/fawndock/policy/quota/QuotaTable.java
+++ b/src/main/java/fawndock/policy/quota/QuotaTable.java
@@ -16,16 +16,17 @@
   /** The longest window; its counters live for two windows, 60 s. */
   private static final long MAX_WINDOW_MICROS = 30_000_000;
 
-  private static final long FORGET_AFTER_WINDOWS = 12;
-  private static final int MAX_FORGOTTEN_PER_LOOKUP = 2;
+  private static final long EVICT_AFTER_WINDOWS = 12;
+  private static final int MAX_EVICTIONS_PER_LOOKUP = 2;
 
   private final EventContext context;
   private final long concurrencyWindowMicros;
 
   /** The longest unused first. */
-  private final Map<String, SlidingWindowQuota> quotas = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<String, SlidingWindowQuota> quotasByPrefix =
+      new LinkedHashMap<>(64, 0.75f, true);
 
-  private final Map<String, WindowCounter> counters = new LinkedHashMap<>();
+  private final Map<String, WindowCounter> countersByName = new LinkedHashMap<>();
 
   /** A table of no customers; the window of concurrency caps is the longest latency objective. */
   QuotaTable(EventContext context, long maxLatencyObjectiveMicros) {
@@ -35,19 +36,20 @@
 
   /** The counter of this name, or null where it is forgotten. */
   WindowCounter counter(String name) {
-    return counters.get(name);
+    return countersByName.get(name);
   }
 
   /** The quota of a request's customer, in its present window; null where its plan sets none. */
-  SlidingWindowQuota find(PendingRequest request, QuotaKind kind) {
+  SlidingWindowQuota findOrCreate(PendingRequest request, QuotaKind kind) {
     Plan plan = request.plan();
     if (!kind.isSetBy(plan)) {
       return null;
     }
     String prefix = kind.counterNamePrefix(request.request().customer());
-    forgetUnused();
-    SlidingWindowQuota quota = quotas.computeIfAbsent(prefix, name -> create(kind, name, plan));
-    startWindow(quota);
+    evictUnused();
+    SlidingWindowQuota quota =
+        quotasByPrefix.computeIfAbsent(prefix, name -> create(kind, name, plan));
+    startWindowIfNeeded(quota);
     return quota;
   }
 
@@ -68,33 +70,33 @@
     return new SlidingWindowQuota(kind, prefix, windowMicros, unitsPerSecond * seconds);
   }
 
-  private void startWindow(SlidingWindowQuota quota) {
+  private void startWindowIfNeeded(SlidingWindowQuota quota) {
     long windowIndex = context.nowMicros() / quota.windowMicros();
-    if (quota.isCurrent(windowIndex)) {
+    if (quota.isCurrentWindow(windowIndex)) {
       return;
     }
-    if (quota.previous() != null) {
-      counters.remove(quota.previous().name());
+    if (quota.previousCounter() != null) {
+      countersByName.remove(quota.previousCounter().name());
     }
-    if (quota.current() != null && !quota.isCurrent(windowIndex - 1)) {
-      counters.remove(quota.current().name());
+    if (quota.currentCounter() != null && !quota.isCurrentWindow(windowIndex - 1)) {
+      countersByName.remove(quota.currentCounter().name());
     }
     quota.startWindow(windowIndex, context.nowMicros());
-    counters.put(quota.previous().name(), quota.previous());
-    counters.put(quota.current().name(), quota.current());
+    countersByName.put(quota.previousCounter().name(), quota.previousCounter());
+    countersByName.put(quota.currentCounter().name(), quota.currentCounter());
   }
 
-  private void forgetUnused() {
-    Iterator<SlidingWindowQuota> oldest = quotas.values().iterator();
-    for (int i = 0; i < MAX_FORGOTTEN_PER_LOOKUP && oldest.hasNext(); i++) {
-      SlidingWindowQuota quota = oldest.next();
+  private void evictUnused() {
+    Iterator<SlidingWindowQuota> leastRecentlyUsed = quotasByPrefix.values().iterator();
+    for (int i = 0; i < MAX_EVICTIONS_PER_LOOKUP && leastRecentlyUsed.hasNext(); i++) {
+      SlidingWindowQuota quota = leastRecentlyUsed.next();
       long unusedMicros = context.nowMicros() - quota.demand().recordedAtMicros();
-      if (unusedMicros < FORGET_AFTER_WINDOWS * quota.windowMicros()) {
+      if (unusedMicros < EVICT_AFTER_WINDOWS * quota.windowMicros()) {
         return;
       }
-      oldest.remove();
-      counters.remove(quota.current().name());
-      counters.remove(quota.previous().name());
+      leastRecentlyUsed.remove();
+      countersByName.remove(quota.currentCounter().name());
+      countersByName.remove(quota.previousCounter().name());
     }
   }
 }
--- a/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
+++ b/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
@@ -10,11 +10,11 @@
   private final long windowMicros;
   private final double limitUnits;
   private final DemandEstimator demand;
-  private final CustomerRisk risk = new CustomerRisk();
-  private final TokenBucketReplay bucket;
-  private final LocalTokenBucket localBucket;
-  private WindowCounter current;
-  private WindowCounter previous;
+  private final CustomerRisk customerRisk = new CustomerRisk();
+  private final TokenBucketEstimate tokenBucket;
+  private final LocalTokenBucket localTokenBucket;
+  private WindowCounter currentCounter;
+  private WindowCounter previousCounter;
 
   SlidingWindowQuota(
       QuotaKind kind, String counterNamePrefix, long windowMicros, double limitUnits) {
@@ -23,8 +23,9 @@
     this.windowMicros = windowMicros;
     this.limitUnits = limitUnits;
     this.demand = new DemandEstimator(windowMicros);
-    this.bucket = kind == QuotaKind.RATE ? new TokenBucketReplay(limitUnits, windowMicros) : null;
-    this.localBucket =
+    this.tokenBucket =
+        kind == QuotaKind.RATE ? new TokenBucketEstimate(limitUnits, windowMicros) : null;
+    this.localTokenBucket =
         kind == QuotaKind.CEILING ? new LocalTokenBucket(limitUnits, windowMicros) : null;
   }
 
@@ -49,42 +50,42 @@
     return demand;
   }
 
-  CustomerRisk risk() {
-    return risk;
+  CustomerRisk customerRisk() {
+    return customerRisk;
   }
 
   /** The plan's token bucket; only for {@link QuotaKind#RATE}. */
-  TokenBucketReplay bucket() {
-    return bucket;
+  TokenBucketEstimate tokenBucket() {
+    return tokenBucket;
   }
 
   /** This instance's part of the rate; only for {@link QuotaKind#CEILING}. */
-  LocalTokenBucket localBucket() {
-    return localBucket;
+  LocalTokenBucket localTokenBucket() {
+    return localTokenBucket;
   }
 
-  WindowCounter current() {
-    return current;
+  WindowCounter currentCounter() {
+    return currentCounter;
   }
 
-  WindowCounter previous() {
-    return previous;
+  WindowCounter previousCounter() {
+    return previousCounter;
   }
 
-  boolean isCurrent(long windowIndex) {
-    return current != null && current.windowIndex() == windowIndex;
+  boolean isCurrentWindow(long windowIndex) {
+    return currentCounter != null && currentCounter.windowIndex() == windowIndex;
   }
 
   /** Starts a window; the current counter becomes the previous one where it is the one before. */
   void startWindow(long windowIndex, long nowMicros) {
-    boolean isNext = isCurrent(windowIndex - 1);
-    previous = isNext ? current : new WindowCounter(this, windowIndex - 1);
-    current = new WindowCounter(this, windowIndex);
-    if (bucket != null) {
-      bucket.startWindow(isNext, nowMicros);
+    boolean isConsecutive = isCurrentWindow(windowIndex - 1);
+    previousCounter = isConsecutive ? currentCounter : new WindowCounter(this, windowIndex - 1);
+    currentCounter = new WindowCounter(this, windowIndex);
+    if (tokenBucket != null) {
+      tokenBucket.startWindow(isConsecutive, nowMicros);
     }
-    if (localBucket != null && !isNext) {
-      localBucket.reset(nowMicros);
+    if (localTokenBucket != null && !isConsecutive) {
+      localTokenBucket.reset(nowMicros);
     }
   }
 
--- a/src/main/java/fawndock/policy/quota/WindowCounter.java
+++ b/src/main/java/fawndock/policy/quota/WindowCounter.java
@@ -10,9 +10,9 @@
   private final long windowIndex;
   private double totalUnits;
   private boolean isTotalKnown;
-  private double confirmedAddUnits;
-  private double pendingAddUnits;
-  private double sentUnits;
+  private double confirmedUnits;
+  private double pendingUnits;
+  private double forwardedUnits;
   private boolean isFlushScheduled;
   private boolean isReadAfterClose;
   private CounterCall closingReadInFlight;
@@ -55,16 +55,16 @@
    * much if a peer withdraws more than it added; none does.
    */
   boolean applyTotal(double addedUnits, double newTotalUnits) {
-    confirmedAddUnits += addedUnits;
-    double lostUnits = Math.min(confirmedAddUnits, confirmedAddUnits - newTotalUnits);
-    boolean isLost = lostUnits > MIN_LOST_UNITS;
-    if (isLost) {
-      confirmedAddUnits -= lostUnits;
-      pendingAddUnits += lostUnits;
+    confirmedUnits += addedUnits;
+    double lostUnits = Math.min(confirmedUnits, confirmedUnits - newTotalUnits);
+    boolean hasLostAdds = lostUnits > MIN_LOST_UNITS;
+    if (hasLostAdds) {
+      confirmedUnits -= lostUnits;
+      pendingUnits += lostUnits;
     }
     isTotalKnown = true;
     totalUnits = newTotalUnits + Math.max(0, lostUnits);
-    return isLost;
+    return hasLostAdds;
   }
 
   void reduceTotal(double units) {
@@ -72,26 +72,26 @@
   }
 
   /** The units of the requests that this instance forwarded in the window. */
-  double sentUnits() {
-    return sentUnits;
+  double forwardedUnits() {
+    return forwardedUnits;
   }
 
-  void recordSent(double units) {
-    sentUnits += units;
+  void recordForwarded(double units) {
+    forwardedUnits += units;
   }
 
   /** What is yet to be added to the counter; negative where adds are to be taken back. */
-  double pendingAddUnits() {
-    return pendingAddUnits;
+  double pendingUnits() {
+    return pendingUnits;
   }
 
-  void addPending(double units) {
-    pendingAddUnits += units;
+  void addPendingUnits(double units) {
+    pendingUnits += units;
   }
 
-  double takePending() {
-    double units = pendingAddUnits;
-    pendingAddUnits = 0;
+  double takePendingUnits() {
+    double units = pendingUnits;
+    pendingUnits = 0;
     return units;
   }
 
@@ -117,7 +117,7 @@
     return closingReadInFlight;
   }
 
-  void setReadInFlight(CounterCall call) {
+  void setClosingReadInFlight(CounterCall call) {
     closingReadInFlight = call;
   }
 }
--- a/src/test/java/fawndock/policy/quota/ConcurrencyCapTest.java
+++ b/src/test/java/fawndock/policy/quota/ConcurrencyLimitTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A cap on attempts in flight. */
-class ConcurrencyCapTest extends QuotaFixture {
+class ConcurrencyLimitTest extends QuotaFixture {
   @Test
   void cap_isKeptWithOneCallPerRequest() {
     PolicyHarness open =
