--- a/src/main/java/fawndock/policy/quota/CounterCall.java
+++ b/src/main/java/fawndock/policy/quota/CounterCall.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A counter call in flight, and the requests that wait for it. */
+/** A counter call in flight and the requests that wait for its reply. */
 public final class CounterCall {
   private final WindowCounter counter;
   private final double addedUnits;
@@ -13,12 +13,12 @@
   private final List<PendingRequest> waitingRequests = new ArrayList<>(1);
 
   /**
-   * A call that is being sent.
+   * Creates a call that is being sent.
    *
-   * @param counter the counter that it adds to
-   * @param addedUnits all that it adds, with what was pending
-   * @param requestUnits what it adds for the request that caused it
-   * @param isRestore whether it only adds again what the counter has lost
+   * @param counter the counter that the call adds to
+   * @param addedUnits all units that the call adds, including those that were pending
+   * @param requestUnits units that the call adds for the request that caused it
+   * @param isRestore whether the call only adds again what the counter has lost
    */
   CounterCall(WindowCounter counter, double addedUnits, double requestUnits, boolean isRestore) {
     this.counter = counter;
@@ -43,7 +43,7 @@
     return isRestore;
   }
 
-  /** The requests that wait for it, in the order in which they began to. */
+  /** Returns the requests that wait for the call, in the order in which they started to wait. */
   public List<PendingRequest> waitingRequests() {
     return waitingRequests;
   }
--- a/src/main/java/fawndock/policy/quota/CounterCalls.java
+++ b/src/main/java/fawndock/policy/quota/CounterCalls.java
@@ -6,9 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The counter calls in flight; those to one counter end in the order in which they were sent. */
+/**
+ * Sends counter calls and keeps track of those in flight. Calls to the same counter complete in the
+ * order in which they were sent.
+ */
 final class CounterCalls {
-  /** The counter service forgets a counter after two windows. */
+  /** A counter of the counter service expires after two windows. */
   private static final int TIME_TO_LIVE_WINDOWS = 2;
 
   private final EventContext context;
@@ -22,12 +25,15 @@
     return inFlightByCounter.isEmpty();
   }
 
-  /** Adds to a counter, with all that is pending for it; adding 0 only reads. */
+  /**
+   * Sends a call that adds the units and all pending units to a counter; 0 units only read the
+   * total.
+   */
   CounterCall send(WindowCounter counter, double units) {
     return send(counter, units, false);
   }
 
-  /** Adds again what a counter has lost. */
+  /** Sends a call that adds again what the counter has lost. */
   void sendRestore(WindowCounter counter) {
     send(counter, 0, true);
   }
@@ -42,7 +48,9 @@
     return call;
   }
 
-  /** The oldest call to a counter, which has ended, or null. */
+  /**
+   * Removes and returns the oldest call in flight to a counter, or returns null if there is none.
+   */
   CounterCall complete(String counterName) {
     ArrayDeque<CounterCall> calls = inFlightByCounter.get(counterName);
     CounterCall call = calls == null ? null : calls.poll();
--- a/src/main/java/fawndock/policy/quota/CounterProbe.java
+++ b/src/main/java/fawndock/policy/quota/CounterProbe.java
@@ -1,15 +1,16 @@
 package fawndock.policy.quota;
 
 /**
- * Counter calls beside the sampling rate: one while no other is in flight, after failures with a
- * backoff. An instance of a large fleet that has few requests would otherwise hear nothing of the
- * counter for minutes. A slow counter is called by each instance once in the longest backoff.
+ * Selects probes: counter calls for requests that sampling leaves out, made while no other call is
+ * in flight and with exponential backoff after failures. Without them, an instance with few
+ * requests in a large fleet would get no counter reply for minutes. Each instance still calls a
+ * slow counter once per maximum backoff.
  */
 final class CounterProbe {
-  /** Calls that any counter takes, of the whole fleet. */
+  /** Calls per second, summed over the fleet, that every counter service can handle. */
   private static final double MIN_FLEET_CALLS_PER_SECOND = 100;
 
-  /** What a prompt reply leaves of the backoff; a failure divides by it. */
+  /** A prompt reply multiplies the backoff by this factor; a failure divides it. */
   private static final double BACKOFF_DECREASE_FACTOR = 0.5;
 
   private static final double PROBE_RATE_SMOOTHING_FACTOR = 0.2;
@@ -26,14 +27,12 @@
     this.minBackoffMicros = minBackoffMicros;
   }
 
-  /**
-   * The share of requests, of those that the sampling rate leaves out, that were probes of late.
-   */
+  /** Returns the recent share of probes among the requests that sampling leaves out. */
   double probeRate() {
     return probeRate;
   }
 
-  /** Whether a request that the sampling rate leaves out is to call the counter. */
+  /** Returns whether a request that sampling leaves out calls the counter as a probe. */
   boolean shouldProbe(boolean isCallInFlight, long nowMicros) {
     boolean shouldProbe = !isCallInFlight && nowMicros - lastCallAtMicros >= backoffMicros;
     probeRate += PROBE_RATE_SMOOTHING_FACTOR * ((shouldProbe ? 1 : 0) - probeRate);
@@ -45,7 +44,10 @@
     lastCallAtMicros = nowMicros;
   }
 
-  /** Takes in a failed or late call; one that was shed costs the counter nothing. */
+  /**
+   * Records a failed or late call. A shed call does not increase the backoff, since it costs the
+   * counter nothing.
+   */
   void recordFailure(boolean isShed) {
     double nextBackoffMicros =
         isShed
--- a/src/main/java/fawndock/policy/quota/CounterReachability.java
+++ b/src/main/java/fawndock/policy/quota/CounterReachability.java
@@ -1,9 +1,9 @@
 package fawndock.policy.quota;
 
 /**
- * Whether the counter is unreachable rather than slow: several failures in a row, and no reply for
- * several timeouts. Then no request waits for it, and requests are admitted, except beyond a hard
- * ceiling ({@link LocalTokenBucket}).
+ * Distinguishes an unreachable counter from a slow one: several consecutive calls have failed and
+ * no reply has arrived for several timeouts. While the counter is unreachable, no request waits for
+ * it, and all requests are admitted except those over a ceiling ({@link LocalTokenBucket}).
  */
 final class CounterReachability {
   private static final int UNREACHABLE_FAILURES = 6;
@@ -13,7 +13,7 @@
   private int consecutiveFailures;
   private long lastReplyAtMicros;
 
-  /** A counter that has not answered yet, and whose calls take this time at the most. */
+  /** Starts without any reply; {@code timeoutMicros} is the longest time that a call may take. */
   CounterReachability(long timeoutMicros) {
     this.unreachableAfterMicros = UNREACHABLE_TIMEOUTS * timeoutMicros;
   }
@@ -23,7 +23,7 @@
         && nowMicros - lastReplyAtMicros > unreachableAfterMicros;
   }
 
-  /** For how long it must be silent to be unreachable. */
+  /** Returns how long the counter must not reply before it counts as unreachable. */
   long unreachableAfterMicros() {
     return unreachableAfterMicros;
   }
@@ -37,7 +37,7 @@
     lastReplyAtMicros = nowMicros;
   }
 
-  /** Takes in a call without a reply; returns whether there were enough of them in a row. */
+  /** Records a call without a reply; returns whether enough consecutive calls have failed. */
   boolean recordFailure() {
     return ++consecutiveFailures >= UNREACHABLE_FAILURES;
   }
--- a/src/main/java/fawndock/policy/quota/CounterThrottle.java
+++ b/src/main/java/fawndock/policy/quota/CounterThrottle.java
@@ -7,15 +7,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Client-side adaptive throttling of counter calls: the share of requests that call the counter
- * grows with prompt replies and is cut by late or failed ones, so that a slow counter is not
- * jammed. Where failures are common by chance, fewer requests are counted than could be.
+ * Throttles counter calls on the client side: the share of requests that call the counter grows
+ * with prompt replies and shrinks with late or failed ones, so that a slow counter is not
+ * overloaded. If calls often fail for reasons other than load, fewer requests are counted than the
+ * counter could handle.
  */
 public final class CounterThrottle {
-  /** Replies within this ratio of the longest call time raise the sampling rate. */
+  /** Replies within this ratio of the call timeout increase the sampling rate. */
   private static final double PROMPT_REPLY_RATIO = 0.3;
 
-  /** Replies beyond this ratio of the longest call time cut the sampling rate. */
+  /** Replies beyond this ratio of the call timeout decrease the sampling rate. */
   private static final double LATE_REPLY_RATIO = 0.5;
 
   private static final double SAMPLING_INCREASE = 0.02;
@@ -23,10 +24,10 @@
   private static final double SAMPLING_DECREASE_FACTOR = 0.7;
   private static final double MIN_SAMPLING_RATE = 0.04;
 
-  /** Fleets up to this size begin with every request calling the counter. */
+  /** In fleets of up to this size, every request calls the counter at startup. */
   private static final double MAX_FULL_SAMPLING_INSTANCES = 8;
 
-  /** Time without throttling before a request may cost a second call. */
+  /** Time without throttling before a request may make a second counter call. */
   private static final long RECOVERY_MICROS = 5_000_000;
 
   private final EventContext context;
@@ -51,37 +52,40 @@
         Math.min(1, MAX_FULL_SAMPLING_INSTANCES / Math.max(1, config.instanceCount()));
   }
 
-  /** The share of requests that call the counter, from 0 to 1. */
+  /** Returns the share of requests that call the counter, from 0 to 1. */
   double samplingRate() {
     return samplingRate;
   }
 
-  /** Whether only a part of the requests call the counter. */
+  /** Returns whether only a part of the requests call the counter. */
   public boolean isThrottled() {
     return samplingRate < 1;
   }
 
-  /** Whether calls are throttled, or were so shortly ago: second calls might bring that back. */
+  /**
+   * Returns whether calls are throttled or were so recently. A second call per request could then
+   * cause throttling again.
+   */
   boolean isThrottledOrRecovering() {
     return isThrottled() || context.nowMicros() - lastThrottledAtMicros < RECOVERY_MICROS;
   }
 
-  /** Whether requests do not wait for the counter. */
+  /** Returns whether the counter is unreachable, so that requests do not wait for it. */
   boolean isCounterUnreachable() {
     return reachability.isUnreachable(context.nowMicros());
   }
 
-  /** When the counter last gave a sign of life, in microseconds; 0 if never. */
+  /** Returns when the counter last replied or shed a call, in microseconds; 0 if it never did. */
   long lastReplyAtMicros() {
     return reachability.lastReplyAtMicros();
   }
 
-  /** The chance that a request calls the counter, by sampling or as a probe. */
+  /** Returns the probability that a request calls the counter, by sampling or as a probe. */
   double callProbability(double baseSamplingRate) {
     return baseSamplingRate + (1 - baseSamplingRate) * probe.probeRate();
   }
 
-  /** Whether to call the counter now: by chance of the rate, or as a probe. */
+  /** Returns whether to call the counter now: at random with the given rate, or as a probe. */
   boolean shouldCall(double baseSamplingRate) {
     return random.nextDouble() < baseSamplingRate
         || probe.shouldProbe(!calls.isEmpty(), context.nowMicros());
@@ -91,11 +95,12 @@
     probe.recordCall(context.nowMicros());
   }
 
-  /** Takes in how a call ended. */
+  /** Adjusts the sampling rate and the probe backoff to the result of a call. */
   void recordReply(CounterReply reply) {
     double latencyRatio = (double) reply.latencyMicros() / Math.max(1, timeoutMicros);
     boolean isLate = latencyRatio > LATE_REPLY_RATIO;
-    // A prompt end without a total, as of a reply that cannot be read, shows a counter at work.
+    // A TIMEOUT result without a long wait means a reply that cannot be parsed: the counter is
+    // running.
     boolean isUnreadable = reply.result() == CallResult.TIMEOUT && !isLate;
     boolean isOk = reply.result() == CallResult.OK;
     boolean isShed = reply.result() == CallResult.SHED;
--- a/src/main/java/fawndock/policy/quota/CustomerRisk.java
+++ b/src/main/java/fawndock/policy/quota/CustomerRisk.java
@@ -1,6 +1,9 @@
 package fawndock.policy.quota;
 
-/** The share of one customer's requests, recently, that the counter showed to be over quota. */
+/**
+ * Estimates the probability that a request of one customer is over quota, from what the counter
+ * showed of its recent requests.
+ */
 final class CustomerRisk {
   private static final double SMOOTHING_FACTOR = 0.3;
   private static final double DECAY_WINDOWS = 4;
@@ -8,7 +11,10 @@
   private double overQuotaRatio = Double.NaN;
   private long recordedAtMicros;
 
-  /** The risk by now: it fades to that of all customers at the same demand. */
+  /**
+   * Returns the current estimate, which decays to {@code levelRatio}, the estimate for all
+   * customers at the same demand level.
+   */
   double estimate(double levelRatio, long windowMicros, long nowMicros) {
     double decay = Math.exp(-(nowMicros - recordedAtMicros) / (DECAY_WINDOWS * windowMicros));
     return Double.isNaN(overQuotaRatio)
--- a/src/main/java/fawndock/policy/quota/DemandEstimator.java
+++ b/src/main/java/fawndock/policy/quota/DemandEstimator.java
@@ -1,11 +1,13 @@
 package fawndock.policy.quota;
 
-/** One customer's recent demand on this instance, relative to an even part of its quota. */
+/**
+ * Estimates one customer's recent demand on this instance, relative to an equal share of its quota.
+ */
 final class DemandEstimator {
-  /** Levels of demand, each twice the one below. */
+  /** Number of demand levels; each level is twice the one below. */
   static final int LEVEL_COUNT = 6;
 
-  /** The level at which demand is the even part of the quota, up to twice that. */
+  /** The level of a demand between one and two equal shares of the quota. */
   private static final int EQUAL_SHARE_LEVEL = 3;
 
   private static final double DECAY_WINDOWS = 3;
@@ -27,10 +29,10 @@
   }
 
   /**
-   * Takes in a request; returns the level of demand before it, from 0 to {@link #LEVEL_COUNT} - 1.
+   * Records a request and returns the demand level before it, from 0 to {@link #LEVEL_COUNT} - 1.
    *
-   * @param limitUnits what all requests of a window may come to
-   * @param instanceCount instances that the customer comes through
+   * @param limitUnits units that all requests of a window may use
+   * @param instanceCount instances that the customer's requests arrive through
    */
   int record(double units, double limitUnits, int instanceCount, long nowMicros) {
     double decayedUnits =
--- a/src/main/java/fawndock/policy/quota/LocalTokenBucket.java
+++ b/src/main/java/fawndock/policy/quota/LocalTokenBucket.java
@@ -1,9 +1,9 @@
 package fawndock.policy.quota;
 
 /**
- * Holds a ceiling while the counter does not answer: this instance's even part of the rate, from an
- * empty bucket. Keeps the ceiling under any loss of the counter; what peers leave unused is
- * rejected.
+ * Enforces a ceiling while the counter does not reply: a token bucket that starts empty and refills
+ * at this instance's equal share of the rate. The ceiling holds however many instances cannot reach
+ * the counter, but units that peers leave unused are not available here.
  */
 final class LocalTokenBucket {
   private final double limitUnits;
@@ -22,10 +22,11 @@
   }
 
   /**
-   * Takes units if the bucket holds them.
+   * Takes units if the bucket holds enough of them; returns whether it did.
    *
-   * @param instanceCount instances that the customer comes through, at least 1
-   * @param counterHeardAtMicros since when the counter is missing: the bucket fills from then on
+   * @param instanceCount instances that the customer's requests arrive through, at least 1
+   * @param lastCounterReplyAtMicros when the counter last replied; the bucket refills only from
+   *     then on
    */
   boolean tryTake(
       double units, double instanceCount, long lastCounterReplyAtMicros, long nowMicros) {
--- a/src/main/java/fawndock/policy/quota/OverQuotaRisk.java
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRisk.java
@@ -4,31 +4,35 @@
 import fawndock.policy.config.Plan;
 
 /**
- * The chance that a request is over quota, for those made without a counter call: learned by the
- * level of the customer's demand, by whether the request is a retry, and by the customer's last
- * requests.
+ * Estimates the probability that a request without a counter call is over quota. The estimate is
+ * learned per demand level, separately for first requests and retries, and per customer from its
+ * recent requests.
  */
 public final class OverQuotaRisk {
-  /** First guesses: at the lowest level, for each level above it, for retries, and at the most. */
+  /** Initial estimate for first requests at the lowest demand level. */
   private static final double INITIAL_RATIO = 0.1;
 
+  /** Added to the initial estimate for each level above the lowest. */
   private static final double INITIAL_RATIO_PER_LEVEL = 0.13;
+
+  /** Added to the initial estimate for retries. */
   private static final double INITIAL_RATIO_FOR_RETRY = 0.3;
+
   private static final double MAX_INITIAL_RATIO = 0.9;
 
-  /** How many requests the first guess weighs as much as. */
+  /** Weight of the initial estimate, in requests. */
   private static final double INITIAL_WEIGHT_SAMPLES = 4;
 
   private static final double MIN_SMOOTHING_FACTOR = 0.05;
 
-  /** Below 1, as a client that is rejected on a guess may come again. */
+  /** The threshold is below 1 because a client that is rejected on an estimate may retry. */
   private static final double MAX_EXPECTED_LOSS_RATIO = 0.7;
 
   private final EventContext context;
   private final LevelRisk[] firstRequestRisks = new LevelRisk[DemandEstimator.LEVEL_COUNT];
   private final LevelRisk[] retryRisks = new LevelRisk[DemandEstimator.LEVEL_COUNT];
 
-  /** Starts from the first guesses. */
+  /** Creates the estimates with their initial values. */
   public OverQuotaRisk(EventContext context) {
     this.context = context;
     for (int level = 0; level < DemandEstimator.LEVEL_COUNT; level++) {
@@ -43,7 +47,7 @@
         INITIAL_RATIO + INITIAL_RATIO_PER_LEVEL * level + INITIAL_RATIO_FOR_RETRY * retryIndicator);
   }
 
-  /** The chance, from 0 to 1, that the request of a charge is over that quota. */
+  /** Returns the probability, from 0 to 1, that the request of a charge is over that quota. */
   double estimate(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     return quota
@@ -51,17 +55,20 @@
         .estimate(levelRisk(charge).overQuotaRatio, quota.windowMicros(), context.nowMicros());
   }
 
-  /** What forwarding the request loses in the mean, as a part of what one within quota earns. */
+  /**
+   * Returns the expected loss from forwarding the request, as a ratio of the value of a request
+   * within quota.
+   */
   public double expectedLossRatio(QuotaCharge charge) {
     return estimate(charge) * (1 + overQuotaLoss(charge.request().plan()));
   }
 
-  /** Whether forwarding the request without a total would lose too much in the mean. */
+  /** Returns whether the expected loss from forwarding the request without a total is too high. */
   boolean isTooHigh(QuotaCharge charge) {
     return expectedLossRatio(charge) > MAX_EXPECTED_LOSS_RATIO;
   }
 
-  /** Takes in what the counter showed of a request. */
+  /** Records whether the counter's total showed the request to be over quota. */
   void record(QuotaCharge charge, boolean isOverQuota) {
     charge.quota().customerRisk().record(isOverQuota, estimate(charge), context.nowMicros());
     levelRisk(charge).record(isOverQuota);
@@ -76,7 +83,7 @@
     return Math.max(0, plan.overQuotaCost() - plan.overQuotaValue());
   }
 
-  /** The risk of all customers at one level of demand. */
+  /** The estimate for all customers at one demand level. */
   private static final class LevelRisk {
     private double overQuotaRatio;
     private double sampleCount;
--- a/src/main/java/fawndock/policy/quota/OverQuotaRule.java
+++ b/src/main/java/fawndock/policy/quota/OverQuotaRule.java
@@ -2,7 +2,10 @@
 
 import fawndock.policy.EventContext;
 
-/** Whether a request is over one of its quotas: by the counter's total, or without it by risk. */
+/**
+ * Decides whether a request is over one of its quotas, by the counter's total or, if there is none,
+ * by the estimated risk.
+ */
 final class OverQuotaRule {
   private final EventContext context;
   private final CounterThrottle throttle;
@@ -46,8 +49,8 @@
     };
   }
 
-  // After a burst the estimate stays at the limit while the plan's bucket fills again. May admit
-  // too much where a peer's sends went uncounted.
+  // After a burst, the sliding-window estimate stays at the limit while the plan's token bucket
+  // refills. This may admit too much if requests that a peer forwarded were not counted.
   private boolean tryTakeFromBucket(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     if (!charge.isInCurrentWindow()) {
@@ -56,7 +59,7 @@
     long nowMicros = context.nowMicros();
     double totalUnits = charge.totalBeforeUnits();
     double previousUnits = quota.previousCounter().totalUnits();
-    TokenBucketEstimate tokenBucket = quota.tokenBucket();
+    TokenBucketReplay tokenBucket = quota.tokenBucket();
     if (tokenBucket.isInitialized()) {
       tokenBucket.update(totalUnits, previousUnits, nowMicros);
     } else {
@@ -71,8 +74,8 @@
     return true;
   }
 
-  // An unreachable counter, or one that failed by chance, admits; a throttled one if that earns
-  // more in the mean than it costs.
+  // If the counter is unreachable, or a call failed without throttling, the request is admitted.
+  // While calls are throttled, it is admitted if the expected loss is low enough.
   private boolean shouldRejectWithoutTotal(QuotaCharge charge) {
     if (charge.quota().kind() != QuotaKind.CEILING) {
       return throttle.isThrottled() && !throttle.isCounterUnreachable() && risk.isTooHigh(charge);
--- a/src/main/java/fawndock/policy/quota/PendingAdds.java
+++ b/src/main/java/fawndock/policy/quota/PendingAdds.java
@@ -6,16 +6,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Adds and withdrawals without a call of their own: they go with the counter's next call, or alone
- * after a delay; at once where hardly any call is to be expected in that time. So withdrawals do
- * not keep the count of a customer that comes through many instances too high. May cost calls where
- * demand just begins.
+ * Holds additions to a counter, and withdrawals from it, that have no call of their own: they are
+ * sent with the counter's next call or in a separate call after a delay, or at once if hardly any
+ * call is expected within the delay. Sending at once prevents delayed withdrawals from keeping the
+ * count too high for a customer whose requests arrive through many instances. It may cost
+ * additional calls when a customer's demand has just begun.
  */
 final class PendingAdds {
   private static final double FLUSH_DELAY_WINDOWS = 0.06;
   private static final double THROTTLED_FLUSH_DELAY_WINDOWS = 0.3;
 
-  /** Units expected within the delay below which waiting for a call is of no use. */
+  /** If fewer units than this are expected within the delay, waiting for a call is of no use. */
   private static final double MIN_EXPECTED_UNITS = 0.1;
 
   private final EventContext context;
@@ -37,7 +38,7 @@
     this.throttle = throttle;
   }
 
-  /** Notes units to be added to a counter, negative ones to be taken back. */
+  /** Records units to be added to a counter; negative units are withdrawn. */
   void add(WindowCounter counter, double units) {
     counter.addPendingUnits(units);
     if (counter.pendingUnits() == 0
@@ -59,7 +60,10 @@
     context.emit(new ScheduleTimer(delayMicros, new PolicyTimer.FlushPendingAdds(counter.name())));
   }
 
-  /** Sends what is still pending for a counter, unless throttled: then it waits once more. */
+  /**
+   * Sends the units that are still pending for a counter. While calls are throttled and no call is
+   * allowed now, they wait for another delay.
+   */
   void flush(String counterName) {
     WindowCounter counter = quotas.counter(counterName);
     if (counter == null) {
--- a/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
+++ b/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
@@ -3,15 +3,16 @@
 import fawndock.policy.EventContext;
 
 /**
- * The previous window's use. Where throttling keeps it from being read and no total of it is known,
- * it is estimated from the current one and a prior: an instance that sees a customer once in many
- * windows would otherwise miss half of its use. May reject a customer that just began.
+ * Estimates the units used in the previous window. If throttling keeps its total from being read
+ * and none is known, the estimate combines the current window with a prior: an instance that
+ * receives a customer's request only once in many windows would otherwise miss half of the
+ * customer's usage. It may reject a customer that has just begun to send requests.
  */
 final class PreviousWindowEstimate {
   /** Weight of the prior, in windows. */
   private static final double PRIOR_WEIGHT_WINDOWS = 0.5;
 
-  /** Use that the prior assumes, as a ratio of the limit. */
+  /** Usage that the prior assumes, as a ratio of the limit. */
   private static final double PRIOR_USAGE_RATIO = 0.7;
 
   private final EventContext context;
@@ -22,7 +23,7 @@
     this.throttle = throttle;
   }
 
-  /** Units used in the window before the one in which the request arrived. */
+  /** Returns the units used in the window before the one in which the request arrived. */
   double usedUnits(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     WindowCounter previousCounter = quota.previousCounter();
@@ -39,7 +40,10 @@
         (charge.totalBeforeUnits() + priorUnits) / (elapsedWindows + PRIOR_WEIGHT_WINDOWS));
   }
 
-  /** Whether its total could tip the verdict: it holds the limit and a refilled burst at most. */
+  /**
+   * Returns whether the previous window's total could change the decision. That total is at most
+   * twice the limit: the limit and a refilled burst.
+   */
   boolean couldChangeDecision(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     return charge.isInCurrentWindow()
--- a/src/main/java/fawndock/policy/quota/ProvenOverQuota.java
+++ b/src/main/java/fawndock/policy/quota/ProvenOverQuota.java
@@ -3,8 +3,9 @@
 import fawndock.policy.EventContext;
 
 /**
- * Whether the totals read, or this instance's own sends, prove a quota used up: totals only grow
- * within a window. May reject for up to a window after peers took adds back.
+ * Decides whether a quota is certainly used up, from the totals read or the units that this
+ * instance forwarded: totals only grow within a window. It may reject requests for up to a window
+ * after peers withdrew their additions.
  */
 final class ProvenOverQuota {
   private final EventContext context;
@@ -34,7 +35,7 @@
 
   static double concurrencyLimit(QuotaCharge charge, long nowMicros) {
     SlidingWindowQuota quota = charge.quota();
-    return ConcurrencyLimit.maxStartedAttempts(
+    return ConcurrencyCap.maxStartedAttempts(
         quota.limitUnits(),
         quota.windowMicros(),
         charge.request().requestClass().meanLatencyMicros(),
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Takes a request through its quotas: calls the counter, waits for the totals, gives the verdict.
- * Each step is a rule of its own in this package.
+ * Checks a request against its quotas: calls the counter, waits for the totals and decides. Each
+ * step is a separate rule in this package.
  */
 public final class QuotaAdmission {
   private static final QuotaKind[] KINDS = QuotaKind.values();
@@ -31,7 +31,7 @@
   private final OverQuotaRule overQuotaRule;
   private final QuotaCharging charging;
 
-  /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
+  /** Creates the quota rules, which draw from the random source shared by the whole policy. */
   public QuotaAdmission(
       EventContext context,
       SplittableRandom random,
@@ -53,7 +53,10 @@
     this.charging = new QuotaCharging(throttle, risk, provenOverQuota, calls, pendingAdds);
   }
 
-  /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
+  /**
+   * Charges a new request to its quotas and calls the counter unless throttling skips the call.
+   * Returns the decision, or an undecided one if the request waits for the counter.
+   */
   public QuotaDecision startCheck(PendingRequest request) {
     for (QuotaKind kind : kinds) {
       SlidingWindowQuota quota = quotas.findOrCreate(request, kind);
@@ -124,7 +127,7 @@
     request.onCounterCallStarted();
   }
 
-  /** Takes in the end of a counter call; returns the call, or null where none was in flight. */
+  /** Handles the end of a counter call; returns the call, or null if none was in flight. */
   public CounterCall onCounterReply(CounterReply reply) {
     CounterCall call = calls.complete(reply.counterName());
     if (call == null) {
@@ -141,13 +144,13 @@
         counter.markReadAfterClose();
       }
       boolean hasLostAdds = counter.applyTotal(call.addedUnits(), reply.total());
-      // What a restore has lost again waits for the next call: a counter that keeps losing adds
-      // would be called without end.
+      // If a restore shows losses too, they wait for the next call. Otherwise a counter that keeps
+      // losing additions would be called in an endless loop.
       if (hasLostAdds && !call.isRestore()) {
         calls.sendRestore(counter);
       }
     } else if (!reply.result().mayHaveTakenEffect) {
-      pendingAdds.add(counter, call.addedUnits()); // Surely not added.
+      pendingAdds.add(counter, call.addedUnits()); // The counter did not add them.
     }
     return call;
   }
@@ -156,7 +159,10 @@
     return reply.result() == CallResult.OK && Double.isFinite(reply.total());
   }
 
-  /** Takes a request on that waited for a call which has ended. */
+  /**
+   * Handles the end of a call for one request that waited for it; returns the decision, or an
+   * undecided one if the request still waits or was decided before.
+   */
   public QuotaDecision onCallCompleted(
       CounterCall call, CounterReply reply, PendingRequest request) {
     if (hasTotal(reply)) {
@@ -193,7 +199,7 @@
     }
   }
 
-  /** Gives the verdict with what is known by now. */
+  /** Decides with the totals that are known now. */
   public QuotaDecision decide(PendingRequest request) {
     QuotaCharge overQuota = null;
     for (QuotaCharge charge : request.charges()) {
@@ -210,31 +216,34 @@
     return QuotaDecision.ADMITTED;
   }
 
-  /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
+  /**
+   * Returns the expected loss from forwarding a request whose total is unknown, as a ratio of the
+   * value of a request within quota; 0 if the decision is certain.
+   */
   public double expectedLossRatio(PendingRequest request) {
     QuotaCharge rateCharge = request.charge(QuotaKind.RATE);
     boolean isCertain = rateCharge == null || !throttle.isThrottled() || rateCharge.isTotalKnown();
     return isCertain ? 0 : risk.expectedLossRatio(rateCharge);
   }
 
-  /** Notes that a request is forwarded for the first time. */
+  /** Records that a request is forwarded for the first time. */
   public void recordForwarded(PendingRequest request) {
     charging.recordForwarded(request);
   }
 
-  /** Takes back what was added for a request that was never forwarded. */
+  /** Withdraws what was added for a request, unless the request was forwarded. */
   public void release(PendingRequest request) {
     charging.release(request);
   }
 
-  /** Takes in the units that a successful answer settled, where the site settles them. */
+  /** Records the units settled by a successful response, if settlement is enabled. */
   public void settle(PendingRequest request, double settledUnits) {
     if (settlesUnits) {
       charging.settle(request, settledUnits);
     }
   }
 
-  /** Sends what is still pending for a counter. */
+  /** Sends the units that are still pending for a counter. */
   public void flushPendingAdds(String counterName) {
     pendingAdds.flush(counterName);
   }
--- a/src/main/java/fawndock/policy/quota/QuotaCharge.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharge.java
@@ -2,7 +2,7 @@
 
 import fawndock.policy.PendingRequest;
 
-/** What one request counts for against one quota, and the total found before it. */
+/** The units that one request is charged to one quota, and the counter's total before it. */
 public final class QuotaCharge {
   private final PendingRequest request;
   private final SlidingWindowQuota quota;
@@ -28,12 +28,12 @@
     return quota;
   }
 
-  /** The counter of the window in which the request arrived. */
+  /** Returns the counter of the window in which the request arrived. */
   WindowCounter counter() {
     return counter;
   }
 
-  /** Whether the window in which the request arrived is still the quota's current one. */
+  /** Returns whether the window in which the request arrived is still the quota's current one. */
   boolean isInCurrentWindow() {
     return counter == quota.currentCounter();
   }
@@ -42,17 +42,17 @@
     return units;
   }
 
-  /** The customer's demand when the request arrived, see {@link DemandEstimator}. */
+  /** Returns the customer's demand level when the request arrived, see {@link DemandEstimator}. */
   int demandLevel() {
     return demandLevel;
   }
 
-  /** Whether the counter answered for this request. */
+  /** Returns whether the counter replied with a total for this request. */
   public boolean isTotalKnown() {
     return !Double.isNaN(totalBeforeUnits);
   }
 
-  /** The counter's total before this request; NaN until it is known. */
+  /** Returns the counter's total before this request; NaN until it is known. */
   double totalBeforeUnits() {
     return totalBeforeUnits;
   }
@@ -61,7 +61,7 @@
     totalBeforeUnits = newTotalBeforeUnits;
   }
 
-  /** What was added to the counter for this request, or is pending. */
+  /** Returns the units that were added to the counter for this request, or are pending. */
   double countedUnits() {
     return countedUnits;
   }
--- a/src/main/java/fawndock/policy/quota/QuotaCharging.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharging.java
@@ -2,9 +2,9 @@
 
 import fawndock.policy.PendingRequest;
 
-/** What is added to the counters for a request, and what is taken back. */
+/** Determines the units that are added to the counters for a request, and withdraws them. */
 final class QuotaCharging {
-  /** The most that one counted request may add, as a ratio of the limit. */
+  /** Maximum that one counted request may add, as a ratio of the limit. */
   private static final double MAX_ADD_LIMIT_RATIO = 1;
 
   private final CounterThrottle throttle;
@@ -27,11 +27,12 @@
   }
 
   /**
-   * What a request's call adds. A likely rejection only reads: most would take their add back. One
-   * that would be forwarded uncounted adds also for the uncounted requests that it stands for, so
-   * that the count stays right in the mean at any sampling rate.
+   * Returns the units that a request's call adds. If the request is likely to be rejected, the call
+   * only reads, since most such requests would withdraw their addition. If the request would be
+   * forwarded even without a call, it also adds for the uncounted requests that it represents, so
+   * that the expected count is correct at any sampling rate.
    *
-   * @param callChance the chance that a request calls the counter
+   * @param callProbability the probability that a request calls the counter
    */
   double unitsToAdd(QuotaCharge charge, double callProbability) {
     SlidingWindowQuota quota = charge.quota();
@@ -63,14 +64,14 @@
     }
   }
 
-  /** Notes that a request is forwarded. */
+  /** Records that a request is forwarded. */
   void recordForwarded(PendingRequest request) {
     for (QuotaCharge charge : request.charges()) {
       charge.counter().recordForwarded(charge.units());
     }
   }
 
-  /** Takes back what was added for a request that was never forwarded. */
+  /** Withdraws what was added for a request, unless the request was forwarded. */
   void release(PendingRequest request) {
     if (!request.attempts().isEmpty()) {
       return;
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Adds the difference between the units that an answer settled and those of the request. */
+  /** Adds the difference between the units that a response settled and those of the request. */
   void settle(PendingRequest request, double settledUnits) {
     QuotaCharge charge = request.charge(QuotaKind.RATE);
     if (settledUnits > 0 && charge != null && charge.countedUnits() > 0) {
--- a/src/main/java/fawndock/policy/quota/QuotaDecision.java
+++ b/src/main/java/fawndock/policy/quota/QuotaDecision.java
@@ -1,13 +1,13 @@
 package fawndock.policy.quota;
 
 /**
- * What the quotas say of a request.
+ * The result of checking a request against its quotas.
  *
- * @param status the verdict, or that it is not there yet
- * @param retryAfterMicros for a rejected request: the time until it may be admitted
+ * @param status the decision, or that it is not made yet
+ * @param retryAfterMicros time until a rejected request may be admitted, in microseconds
  */
 public record QuotaDecision(Status status, long retryAfterMicros) {
-  /** Not decided yet, or decided before. */
+  /** The request is not decided yet, or was decided before. */
   static final QuotaDecision UNDECIDED = new QuotaDecision(Status.UNDECIDED, 0);
 
   static final QuotaDecision ADMITTED = new QuotaDecision(Status.ADMITTED, 0);
@@ -16,13 +16,13 @@
     return new QuotaDecision(Status.REJECTED, retryAfterMicros);
   }
 
-  /** The kinds of verdict. */
+  /** The kinds of decision. */
   public enum Status {
-    /** The counter has not answered yet, or the verdict was given before. */
+    /** The counter has not replied yet, or the decision was made before. */
     UNDECIDED,
-    /** Within its quotas, or forwarded nevertheless. */
+    /** The request is within its quotas, or is forwarded nevertheless. */
     ADMITTED,
-    /** Over one of its quotas. */
+    /** The request is over one of its quotas. */
     REJECTED
   }
 }
--- a/src/main/java/fawndock/policy/quota/QuotaKind.java
+++ b/src/main/java/fawndock/policy/quota/QuotaKind.java
@@ -3,15 +3,15 @@
 import fawndock.policy.config.Plan;
 
 /**
- * The quotas that a plan may set for each customer; each has counters of its own. The letters are
- * in the names of stored counters and must not change.
+ * The quotas that a plan may set for each customer; each has its own counters. The letters are part
+ * of the names of stored counters and must not change.
  */
 public enum QuotaKind {
   /** Units per second, with a burst. */
   RATE('r'),
-  /** Attempts in flight at once; 'o' for open. */
+  /** Attempts in flight at once; the letter stands for "open". */
   CONCURRENCY('o'),
-  /** Units per second that are never passed, whether or not the counter answers. */
+  /** Units per second that are never exceeded, whether or not the counter replies. */
   CEILING('c');
 
   private final char counterNameLetter;
@@ -20,12 +20,12 @@
     this.counterNameLetter = counterNameLetter;
   }
 
-  /** What the names of a customer's counters of this kind begin with. */
+  /** Returns the prefix of the names of a customer's counters of this kind. */
   String counterNamePrefix(String customer) {
     return counterNameLetter + customer + ".";
   }
 
-  /** Whether a plan sets a quota of this kind. */
+  /** Returns whether a plan sets a quota of this kind. */
   boolean isSetBy(Plan plan) {
     return switch (this) {
       case RATE -> plan.unitsPerSecond() > 0;
--- a/src/main/java/fawndock/policy/quota/QuotaTable.java
+++ b/src/main/java/fawndock/policy/quota/QuotaTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * The quotas of the customers seen recently, and their counters by name. Customers without a
- * request for so long that nothing known of them counts for much are forgotten; may forget the risk
- * of one that comes in rare bursts.
+ * The quotas of recently active customers, and their counters by name. Customers are evicted after
+ * so long without a request that their history has little weight. This may discard the risk
+ * estimate of a customer that sends rare bursts.
  */
 final class QuotaTable {
   /** The longest window; its counters live for two windows, 60 s. */
@@ -22,24 +22,29 @@
   private final EventContext context;
   private final long concurrencyWindowMicros;
 
-  /** The longest unused first. */
+  /** Ordered by last use, least recently used first. */
   private final Map<String, SlidingWindowQuota> quotasByPrefix =
       new LinkedHashMap<>(64, 0.75f, true);
 
   private final Map<String, WindowCounter> countersByName = new LinkedHashMap<>();
 
-  /** A table of no customers; the window of concurrency caps is the longest latency objective. */
+  /**
+   * Creates an empty table; the window of concurrency limits is the longest latency objective, at
+   * most {@link #MAX_WINDOW_MICROS}.
+   */
   QuotaTable(EventContext context, long maxLatencyObjectiveMicros) {
     this.context = context;
     this.concurrencyWindowMicros = Math.min(MAX_WINDOW_MICROS, maxLatencyObjectiveMicros);
   }
 
-  /** The counter of this name, or null where it is forgotten. */
+  /** Returns the counter of this name, or null if it was evicted. */
   WindowCounter counter(String name) {
     return countersByName.get(name);
   }
 
-  /** The quota of a request's customer, in its present window; null where its plan sets none. */
+  /**
+   * Returns the quota of a request's customer in its current window, or null if the plan sets none.
+   */
   SlidingWindowQuota findOrCreate(PendingRequest request, QuotaKind kind) {
     Plan plan = request.plan();
     if (!kind.isSetBy(plan)) {
--- a/src/main/java/fawndock/policy/quota/RetryAfter.java
+++ b/src/main/java/fawndock/policy/quota/RetryAfter.java
@@ -1,12 +1,15 @@
 package fawndock.policy.quota;
 
-/** When a rejected client may try again. */
+/** Computes when a rejected client may retry. */
 public final class RetryAfter {
   private static final long SECOND_MICROS = 1_000_000;
 
   private RetryAfter() {}
 
-  /** The time until a quota may have units again: the rest of the window, or a mean attempt. */
+  /**
+   * Returns the time until a quota may have units again: the rest of the window or, for a
+   * concurrency limit, the mean latency of an attempt.
+   */
   static long untilQuotaMicros(QuotaCharge charge, long nowMicros) {
     SlidingWindowQuota quota = charge.quota();
     return quota.kind() == QuotaKind.CONCURRENCY
@@ -14,7 +17,7 @@
         : quota.windowMicros() - nowMicros % quota.windowMicros();
   }
 
-  /** The whole seconds of a time, at least one, in microseconds. */
+  /** Rounds a time up to whole seconds, at least one; both are in microseconds. */
   public static long roundUpMicros(long waitMicros) {
     long seconds = Math.max(1, (waitMicros + SECOND_MICROS - 1) / SECOND_MICROS);
     return seconds * SECOND_MICROS;
--- a/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
+++ b/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
@@ -1,8 +1,8 @@
 package fawndock.policy.quota;
 
 /**
- * One customer's quota of one kind, counted in a current and a previous window: the previous total
- * counts by the part of its window that a window ending now still covers.
+ * One customer's quota of one kind, counted in a current and a previous window. The previous total
+ * is weighted by the part of its window that a full window ending now still covers.
  */
 public final class SlidingWindowQuota {
   private final QuotaKind kind;
@@ -11,7 +11,7 @@
   private final double limitUnits;
   private final DemandEstimator demand;
   private final CustomerRisk customerRisk = new CustomerRisk();
-  private final TokenBucketEstimate tokenBucket;
+  private final TokenBucketReplay tokenBucket;
   private final LocalTokenBucket localTokenBucket;
   private WindowCounter currentCounter;
   private WindowCounter previousCounter;
@@ -24,7 +24,7 @@
     this.limitUnits = limitUnits;
     this.demand = new DemandEstimator(windowMicros);
     this.tokenBucket =
-        kind == QuotaKind.RATE ? new TokenBucketEstimate(limitUnits, windowMicros) : null;
+        kind == QuotaKind.RATE ? new TokenBucketReplay(limitUnits, windowMicros) : null;
     this.localTokenBucket =
         kind == QuotaKind.CEILING ? new LocalTokenBucket(limitUnits, windowMicros) : null;
   }
@@ -41,7 +41,10 @@
     return windowMicros;
   }
 
-  /** Units that a window may hold; attempts, for {@link QuotaKind#CONCURRENCY}. */
+  /**
+   * Returns the units that may be used in a window; for {@link QuotaKind#CONCURRENCY}, the maximum
+   * of attempts in flight.
+   */
   double limitUnits() {
     return limitUnits;
   }
@@ -54,12 +57,15 @@
     return customerRisk;
   }
 
-  /** The plan's token bucket; only for {@link QuotaKind#RATE}. */
-  TokenBucketEstimate tokenBucket() {
+  /** Returns the plan's token bucket; null unless the kind is {@link QuotaKind#RATE}. */
+  TokenBucketReplay tokenBucket() {
     return tokenBucket;
   }
 
-  /** This instance's part of the rate; only for {@link QuotaKind#CEILING}. */
+  /**
+   * Returns the token bucket of this instance's share of the rate; null unless the kind is {@link
+   * QuotaKind#CEILING}.
+   */
   LocalTokenBucket localTokenBucket() {
     return localTokenBucket;
   }
@@ -76,7 +82,10 @@
     return currentCounter != null && currentCounter.windowIndex() == windowIndex;
   }
 
-  /** Starts a window; the current counter becomes the previous one where it is the one before. */
+  /**
+   * Starts a window. If it directly follows the current one, the current counter becomes the
+   * previous one.
+   */
   void startWindow(long windowIndex, long nowMicros) {
     boolean isConsecutive = isCurrentWindow(windowIndex - 1);
     previousCounter = isConsecutive ? currentCounter : new WindowCounter(this, windowIndex - 1);
@@ -93,7 +102,10 @@
     return estimate(previousUnits, currentUnits, nowMicros % windowMicros, windowMicros);
   }
 
-  /** The weighted estimate of the use in a window that ends now; a total below 0 is no credit. */
+  /**
+   * Returns the weighted estimate of the units used in a window that ends now; a negative previous
+   * total counts as 0.
+   */
   public static double estimate(
       double previousUnits, double currentUnits, long elapsedMicros, long windowMicros) {
     return Math.max(0, previousUnits) * (windowMicros - elapsedMicros) / windowMicros
--- a/src/main/java/fawndock/policy/quota/TokenBucketEstimate.java
+++ b/src/main/java/fawndock/policy/quota/TokenBucketReplay.java
@@ -1,11 +1,12 @@
 package fawndock.policy.quota;
 
 /**
- * The plan's token bucket as replayed from the two totals: it fills at the plan's rate and is
- * drained by what was added since the last look. Each total is followed by its highest mark: a
- * total read before an own add came in, or a peer's add that is taken back, must not fill it again.
+ * Estimates the level of the plan's token bucket by replaying the two window totals: it refills at
+ * the plan's rate and drains by the units added since the last update. It tracks the maximum seen
+ * of each total, so that a total read before this instance's own addition, or reduced because a
+ * peer withdrew an addition, does not refill the bucket.
  */
-final class TokenBucketEstimate {
+final class TokenBucketReplay {
   private final double limitUnits;
   private final long windowMicros;
   private double availableUnits = Double.NaN;
@@ -13,7 +14,7 @@
   private double maxPreviousTotalUnits;
   private long updatedAtMicros;
 
-  TokenBucketEstimate(double limitUnits, long windowMicros) {
+  TokenBucketReplay(double limitUnits, long windowMicros) {
     this.limitUnits = limitUnits;
     this.windowMicros = windowMicros;
   }
@@ -33,16 +34,19 @@
     return availableUnits;
   }
 
-  /** Starts from what the sliding window's estimate leaves of the limit; totals as below. */
+  /**
+   * Initializes the bucket with what the sliding-window estimate leaves of the limit; the totals
+   * are those of {@link #update}.
+   */
   void initialize(double estimateUnits, double currentUnits, double previousUnits, long nowMicros) {
     availableUnits = Math.max(0, limitUnits - estimateUnits);
     recordTotals(currentUnits, previousUnits, nowMicros);
   }
 
   /**
-   * Follows the totals.
+   * Updates the bucket to new totals.
    *
-   * @param currentUnits the current window's total before the request's own add
+   * @param currentUnits the current window's total before the request's own addition
    * @param previousUnits the previous window's total as read
    */
   void update(double currentUnits, double previousUnits, long nowMicros) {
@@ -59,7 +63,7 @@
     updatedAtMicros = nowMicros;
   }
 
-  /** The most that the bucket can hold by now. */
+  /** Returns the maximum that the bucket can hold now. */
   double maxAvailableUnits(long nowMicros) {
     return Double.isNaN(availableUnits)
         ? 0
@@ -67,7 +71,7 @@
             limitUnits, availableUnits + limitUnits * (nowMicros - updatedAtMicros) / windowMicros);
   }
 
-  /** Takes units out, which the current window's total will show. */
+  /** Takes units that the current window's total will include. */
   void take(double units) {
     availableUnits -= units;
     maxCurrentTotalUnits += units;
--- a/src/main/java/fawndock/policy/quota/WindowCounter.java
+++ b/src/main/java/fawndock/policy/quota/WindowCounter.java
@@ -1,8 +1,8 @@
 package fawndock.policy.quota;
 
-/** The counter of one quota in one window, as this instance knows it. */
+/** This instance's view of the counter of one quota in one window. */
 final class WindowCounter {
-  /** What a total must lack of this instance's own adds before they count as lost. */
+  /** This instance's additions count as lost if a total lacks more units than this of them. */
   private static final double MIN_LOST_UNITS = 0.5;
 
   private final SlidingWindowQuota quota;
@@ -35,12 +35,12 @@
     return windowIndex;
   }
 
-  /** Whether the window is too long past to count: the counter service forgets it. */
+  /** Returns whether the window ended so long ago that the counter service drops its counter. */
   boolean isExpired(long nowMicros) {
     return nowMicros >= (windowIndex + 2) * quota.windowMicros();
   }
 
-  /** The last total read, less what was taken back since. */
+  /** Returns the last total read, less what was withdrawn since. */
   double totalUnits() {
     return totalUnits;
   }
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Takes in the total after an add. After a flush, an emptied or a moved counter, what it lacks of
-   * this instance's own adds becomes pending again; returns whether that is so. May put back too
-   * much if a peer withdraws more than it added; none does.
+   * Applies the total after an addition and returns whether it lacks additions of this instance, as
+   * after a counter was flushed, emptied or moved; what is lost becomes pending again. This could
+   * restore too much if a peer withdrew more than it added, which no peer does.
    */
   boolean applyTotal(double addedUnits, double newTotalUnits) {
     confirmedUnits += addedUnits;
@@ -71,7 +71,7 @@
     totalUnits -= units;
   }
 
-  /** The units of the requests that this instance forwarded in the window. */
+  /** Returns the units of the requests that this instance forwarded in the window. */
   double forwardedUnits() {
     return forwardedUnits;
   }
@@ -80,7 +80,9 @@
     forwardedUnits += units;
   }
 
-  /** What is yet to be added to the counter; negative where adds are to be taken back. */
+  /**
+   * Returns the units still to be added to the counter; negative if additions are to be withdrawn.
+   */
   double pendingUnits() {
     return pendingUnits;
   }
@@ -103,7 +105,7 @@
     isFlushScheduled = isScheduled;
   }
 
-  /** Whether the total was read after the window ended. */
+  /** Returns whether the total was read after the window ended. */
   boolean isReadAfterClose() {
     return isReadAfterClose;
   }
@@ -112,7 +114,7 @@
     isReadAfterClose = true;
   }
 
-  /** The call that reads the ended window, or null. */
+  /** Returns the call in flight that reads the total after the window ended, or null. */
   CounterCall closingReadInFlight() {
     return closingReadInFlight;
   }
--- a/src/test/java/fawndock/policy/quota/ConcurrencyLimitTest.java
+++ b/src/test/java/fawndock/policy/quota/ConcurrencyCapTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A cap on attempts in flight. */
-class ConcurrencyLimitTest extends QuotaFixture {
+class ConcurrencyCapTest extends QuotaFixture {
   @Test
   void cap_isKeptWithOneCallPerRequest() {
     PolicyHarness open =
--- a/src/test/java/fawndock/policy/quota/TokenBucketEstimateTest.java
+++ b/src/test/java/fawndock/policy/quota/TokenBucketReplayTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The refilled burst, where the estimate alone would reject. */
-class TokenBucketEstimateTest extends QuotaFixture {
+class TokenBucketReplayTest extends QuotaFixture {
   @Test
   void refilledBurst_isGrantedThoughTheEstimateIsAtTheLimit() {
     for (long id = 1; id <= 5; id++) {
