--- a/src/test/java/fawndock/policy/quota/ConcurrencyCapTest.java
+++ b/src/test/java/fawndock/policy/quota/ConcurrencyCapTest.java
@@ -15,34 +15,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A cap on attempts in flight. */
+/** Tests that the limit on attempts in flight is kept with one counter call per request. */
 class ConcurrencyCapTest extends QuotaFixture {
   @Test
-  void cap_isKeptWithOneCallPerRequest() {
-    PolicyHarness open =
+  void concurrencyLimit_isKeptWithOneCallPerRequest() {
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(
                 PolicyHarness.concurrencyPlan(8), Idempotency.IDEMPOTENT, true, false),
             "a",
             "b",
             "c");
-    int calls = 0;
-    int sent = 0;
+    int counterCalls = 0;
+    int started = 0;
     for (long id = 1; id <= 40; id++) {
-      List<PolicyAction> actions = open.request(id);
-      calls += allOf(AddToCounter.class, actions).size();
-      sent += allOf(StartAttempt.class, answerCalls(open, actions)).size();
+      List<PolicyAction> actions = gateway.request(id);
+      counterCalls += allOf(AddToCounter.class, actions).size();
+      started += allOf(StartAttempt.class, replyToCounterCalls(gateway, actions)).size();
     }
-    assertTrue(sent > 4 && sent < 8, sent + " sent at once");
-    assertEquals(40, calls);
-    open.nowMicros += PolicyHarness.SECOND_MICROS;
-    open.onEvent(
+    assertTrue(started > 4 && started < 8, started + " attempts started at once");
+    assertEquals(40, counterCalls);
+    gateway.nowMicros += PolicyHarness.SECOND_MICROS;
+    gateway.onEvent(
         new EndpointUpdate(
             EndpointUpdateKind.CHANGES,
             List.of(PolicyHarness.endpoint("d", EndpointState.RUNNING, 0))));
     assertEquals(
         1,
-        allOf(StartAttempt.class, answerCalls(open, open.request(41))).size(),
-        "what was in flight has expired");
+        allOf(StartAttempt.class, replyToCounterCalls(gateway, gateway.request(41))).size(),
+        "the attempts of the previous window have expired");
   }
 }
--- a/src/test/java/fawndock/policy/quota/CounterProbeTest.java
+++ b/src/test/java/fawndock/policy/quota/CounterProbeTest.java
@@ -9,34 +9,36 @@
 import fawndock.policy.event.CallResult;
 import org.junit.jupiter.api.Test;
 
-/** Counter calls of an instance that has few requests. */
+/** Tests the counter calls of an instance that has few requests. */
 class CounterProbeTest extends LargeFleetFixture {
   @Test
-  void promptCounter_isCalledForEachRequestFromTheFirst() {
+  void promptReplies_everyRequestCallsFromTheFirst() {
     assertEquals(20, countCalls(20, PolicyHarness.SECOND_MICROS, CallResult.OK));
   }
 
   @Test
-  void unknownCounter_oneCallInFlightAtATime() {
+  void noReplyYet_oneCallInFlightAtATime() {
     assertEquals(1, allOf(AddToCounter.class, request(harness, "one")).size());
-    int more = 0;
+    int additionalCalls = 0;
     for (int i = 0; i < 100; i++) {
-      more += allOf(AddToCounter.class, request(harness, "more" + i)).size();
+      additionalCalls += allOf(AddToCounter.class, request(harness, "more" + i)).size();
     }
-    assertTrue(more < 10, "calls beside the one in flight: " + more);
+    assertTrue(additionalCalls < 10, "calls in addition to the one in flight: " + additionalCalls);
   }
 
   @Test
-  void failures_backOffAndAReplyEndsThat() {
-    int first = countCalls(120, PolicyHarness.SECOND_MICROS / 2, CallResult.TIMEOUT);
-    assertTrue(first >= 10 && first < 30, "of 120 in a minute: " + first);
+  void failures_increaseBackoffAndAReplyEndsIt() {
+    int callsDuringFailures = countCalls(120, PolicyHarness.SECOND_MICROS / 2, CallResult.TIMEOUT);
+    assertTrue(
+        callsDuringFailures >= 10 && callsDuringFailures < 30,
+        "calls for 120 requests in a minute: " + callsDuringFailures);
     assertTrue(
         countCalls(20, PolicyHarness.SECOND_MICROS, CallResult.OK) >= 12,
-        "the gap is gone with the first answer");
+        "the first reply ends the backoff");
   }
 
   @Test
-  void shedCalls_doNotBackOff() {
+  void shedCalls_doNotIncreaseBackoff() {
     assertEquals(20, countCalls(20, PolicyHarness.SECOND_MICROS, CallResult.SHED));
   }
 }
--- a/src/test/java/fawndock/policy/quota/CounterReachabilityTest.java
+++ b/src/test/java/fawndock/policy/quota/CounterReachabilityTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A counter that fails, is silent or sheds all calls. */
+/** Tests admission while the counter fails, does not reply or sheds all calls. */
 class CounterReachabilityTest extends QuotaFixture {
   @Test
   void counterCallFails_requestIsAdmitted() {
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void counterDoesNotReply_requestIsAdmittedAfterTheWait() {
+  void counterDoesNotReply_requestIsAdmittedAfterCounterWaitTimeout() {
     harness.request(1);
     assertEquals(
         1,
@@ -41,41 +41,45 @@
   }
 
   @Test
-  void unreachableCounter_isStillCalledAndAllAreAdmittedAtOnce() {
+  void unreachableCounter_isStillCalledAndAllRequestsAreAdmittedAtOnce() {
     int calls = 0;
-    int sent = 0;
+    int forwarded = 0;
     for (long id = 1; id <= 400; id++) {
       harness.nowMicros += 50_000;
       List<PolicyAction> actions = new ArrayList<>(harness.onEvent(request(harness, id, "greedy")));
-      for (AddToCounter c : allOf(AddToCounter.class, actions)) {
+      for (AddToCounter add : allOf(AddToCounter.class, actions)) {
         actions.addAll(
-            harness.onEvent(new CounterReply(c.counterName(), CallResult.TIMEOUT, 0, 50_000)));
+            harness.onEvent(new CounterReply(add.counterName(), CallResult.TIMEOUT, 0, 50_000)));
       }
       calls += id > 200 ? allOf(AddToCounter.class, actions).size() : 0;
-      sent += id > 200 ? allOf(StartAttempt.class, actions).size() : 0;
+      forwarded += id > 200 ? allOf(StartAttempt.class, actions).size() : 0;
       allOf(StartAttempt.class, actions)
           .forEach(
-              a -> harness.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  harness.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
     }
-    assertEquals(200, sent);
-    assertTrue(calls > 0, "the return of the counter must be found");
+    assertEquals(200, forwarded);
+    assertTrue(calls > 0, "an unreachable counter is still called, to detect its recovery");
   }
 
   @Test
   void counterThatShedsAllCalls_isNotUnreachable() {
     throttle(harness);
-    int sent = 0;
+    int forwarded = 0;
     for (long id = 1; id <= 400; id++) {
       harness.nowMicros += 50_000;
       List<PolicyAction> actions = harness.onEvent(request(harness, id, "greedy"));
-      sent += allOf(StartAttempt.class, actions).size();
+      forwarded += allOf(StartAttempt.class, actions).size();
       allOf(StartAttempt.class, actions)
           .forEach(
-              a -> harness.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  harness.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
       allOf(AddToCounter.class, actions)
           .forEach(
-              c -> harness.onEvent(new CounterReply(c.counterName(), CallResult.SHED, 0, 500)));
+              add -> harness.onEvent(new CounterReply(add.counterName(), CallResult.SHED, 0, 500)));
     }
-    assertTrue(sent < 100, sent + " of 400 sent");
+    assertTrue(forwarded < 100, forwarded + " of 400 forwarded");
   }
 }
--- a/src/test/java/fawndock/policy/quota/CounterThrottleTest.java
+++ b/src/test/java/fawndock/policy/quota/CounterThrottleTest.java
@@ -16,29 +16,31 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The share of requests that call a slow counter. */
+/** Tests which share of requests calls a slow counter. */
 class CounterThrottleTest extends QuotaFixture {
   @Test
-  void throttled_fewCallsAndCustomersOfLittleDemandAdmitted() {
-    PolicyHarness many =
+  void throttled_fewRequestsCallTheCounterAndLowDemandIsAdmitted() {
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, true),
             "a",
             "b");
-    throttle(many);
+    throttle(gateway);
     int calls = 0;
-    int sent = 0;
+    int forwarded = 0;
     for (long id = 1; id <= 100; id++) {
-      many.nowMicros += 100_000;
-      List<PolicyAction> actions = many.onEvent(request(many, id, "calm" + id));
+      gateway.nowMicros += 100_000;
+      List<PolicyAction> actions = gateway.onEvent(request(gateway, id, "calm" + id));
       calls += allOf(AddToCounter.class, actions).size();
-      sent += allOf(StartAttempt.class, actions).size();
+      forwarded += allOf(StartAttempt.class, actions).size();
       allOf(StartAttempt.class, actions)
           .forEach(
-              a -> many.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  gateway.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
     }
-    assertTrue(calls < 20, calls + " calls");
-    assertTrue(sent > 80, sent + " sent");
+    assertTrue(calls < 20, calls + " counter calls");
+    assertTrue(forwarded > 80, forwarded + " forwarded");
   }
 
   @Test
@@ -47,11 +49,11 @@
         single(AddToCounter.class, harness.onEvent(request(harness, 1, "first"))).counterName();
     harness.onEvent(new CounterReply(name, CallResult.SHED, 0, 500));
     for (long id = 2; id <= 60; id++) {
-      answerCalls(harness.onEvent(request(harness, id, "calm" + id)));
+      replyToCounterCalls(harness.onEvent(request(harness, id, "calm" + id)));
     }
-    assertEquals(0, secondCalls(100), "five seconds have not passed");
+    assertEquals(0, countSecondCalls(100), "no second call within five seconds after throttling");
     harness.nowMicros += 6 * PolicyHarness.SECOND_MICROS;
-    assertEquals(1, secondCalls(101), "the window before is read");
+    assertEquals(1, countSecondCalls(101), "the previous window is read");
   }
 
   @Test
@@ -71,20 +73,21 @@
       harness.nowMicros += 10_000;
       List<PolicyAction> actions =
           new ArrayList<>(harness.onEvent(request(harness, id, "calm" + id)));
-      int now = allOf(AddToCounter.class, actions).size();
-      calls += id > 2900 ? now : 0;
-      answerCalls(actions);
+      int newCalls = allOf(AddToCounter.class, actions).size();
+      calls += id > 2900 ? newCalls : 0;
+      replyToCounterCalls(actions);
     }
-    assertTrue(calls >= 100, calls + " calls for the last 100");
+    assertTrue(calls >= 100, calls + " counter calls for the last 100 requests");
   }
 
-  private int secondCalls(long id) {
-    AddToCounter first =
+  private int countSecondCalls(long id) {
+    AddToCounter firstCall =
         single(AddToCounter.class, harness.onEvent(request(harness, id, "new" + id)));
     return allOf(
             AddToCounter.class,
             harness.onEvent(
-                new CounterReply(first.counterName(), CallResult.OK, first.amount(), 1_000)))
+                new CounterReply(
+                    firstCall.counterName(), CallResult.OK, firstCall.amount(), 1_000)))
         .size();
   }
 }
--- a/src/test/java/fawndock/policy/quota/LargeFleetFixture.java
+++ b/src/test/java/fawndock/policy/quota/LargeFleetFixture.java
@@ -12,54 +12,58 @@
 import fawndock.policy.event.RequestArrived;
 import java.util.List;
 
-/** One of very many instances, which has a request nowMicros and then. */
+/** One instance of a large fleet, which receives few requests. */
 abstract class LargeFleetFixture {
-  protected static final int FLEET = 570;
-  protected final PolicyHarness harness = new PolicyHarness(settings(), "a", "b");
-  protected long id;
+  protected static final int FLEET_SIZE = 570;
+  protected final PolicyHarness harness = new PolicyHarness(fleetConfig(), "a", "b");
+  protected long lastRequestId;
 
-  protected static PolicyConfig settings() {
-    PolicyConfig s =
+  protected static PolicyConfig fleetConfig() {
+    PolicyConfig defaults =
         PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, false);
     return new PolicyConfig(
         0,
-        FLEET,
-        s.randomSeed(),
-        s.roundTripMicros(),
-        s.zone(),
+        FLEET_SIZE,
+        defaults.randomSeed(),
+        defaults.roundTripMicros(),
+        defaults.zone(),
         false,
-        s.requestClasses(),
-        s.plans(),
-        s.limits(),
-        s.rules(),
-        s.counter());
+        defaults.requestClasses(),
+        defaults.plans(),
+        defaults.limits(),
+        defaults.rules(),
+        defaults.counter());
   }
 
-  protected List<PolicyAction> request(PolicyHarness on, String customer) {
-    return on.onEvent(
+  protected List<PolicyAction> request(PolicyHarness gateway, String customer) {
+    return gateway.onEvent(
         new RequestArrived(
-            ++id,
+            ++lastRequestId,
             "class",
             "plan",
             customer,
-            on.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
+            gateway.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
             1,
-            FLEET,
+            FLEET_SIZE,
             0,
             false));
   }
 
-  /** How many of so many requests call the counter, with this result of each call. */
-  protected int countCalls(int requests, long apart, CallResult result) {
+  /**
+   * Sends requests of different customers, ends each counter call with the result, and returns how
+   * many requests called the counter.
+   */
+  protected int countCalls(int requestCount, long intervalMicros, CallResult result) {
     int calls = 0;
-    for (int i = 0; i < requests; i++) {
-      harness.nowMicros += apart;
-      List<AddToCounter> counts = allOf(AddToCounter.class, request(harness, "customer" + id));
-      calls += counts.isEmpty() ? 0 : 1;
-      for (AddToCounter c : counts) {
+    for (int i = 0; i < requestCount; i++) {
+      harness.nowMicros += intervalMicros;
+      List<AddToCounter> adds =
+          allOf(AddToCounter.class, request(harness, "customer" + lastRequestId));
+      calls += adds.isEmpty() ? 0 : 1;
+      for (AddToCounter add : adds) {
         harness.onEvent(
             new CounterReply(
-                c.counterName(), result, c.amount(), result == CallResult.OK ? 1_000 : 50_000));
+                add.counterName(), result, add.amount(), result == CallResult.OK ? 1_000 : 50_000));
       }
     }
     return calls;
--- a/src/test/java/fawndock/policy/quota/LargeFleetQuotaTest.java
+++ b/src/test/java/fawndock/policy/quota/LargeFleetQuotaTest.java
@@ -15,77 +15,85 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Adds and estimates of an instance that has few requests. */
+/** Tests the additions and estimates of an instance that has few requests. */
 class LargeFleetQuotaTest extends LargeFleetFixture {
   @Test
-  void probe_addsForItselfAlone() {
+  void probe_addsOnlyItsOwnUnits() {
     assertEquals(
         1.0,
         single(AddToCounter.class, request(harness, "one")).amount(),
-        "not for the 71 that the sampling rate would leave uncounted");
+        "not for the 71 requests that sampling would leave uncounted");
   }
 
   @Test
-  void withdrawal_sentAtOnceWhereNoCallIsExpected() {
-    PolicyHarness few =
+  void withdrawal_isSentAtOnceIfNoCallIsExpected() {
+    PolicyHarness lowDemandGateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, false),
             "a",
             "b");
-    AddToCounter add = single(AddToCounter.class, request(few, "one"));
-    AddToCounter before =
+    AddToCounter add = single(AddToCounter.class, request(lowDemandGateway, "one"));
+    AddToCounter previousRead =
         single(
             AddToCounter.class,
-            few.onEvent(new CounterReply(add.counterName(), CallResult.OK, 6, 1_000)));
+            lowDemandGateway.onEvent(new CounterReply(add.counterName(), CallResult.OK, 6, 1_000)));
     List<PolicyAction> actions =
-        few.onEvent(new CounterReply(before.counterName(), CallResult.OK, 0, 1_000));
+        lowDemandGateway.onEvent(
+            new CounterReply(previousRead.counterName(), CallResult.OK, 0, 1_000));
     assertEquals(1, allOf(RejectRequest.class, actions).size());
     assertEquals(-1.0, single(AddToCounter.class, actions).amount());
-    PolicyHarness many =
+    PolicyHarness highDemandGateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, false),
             "a",
             "b");
-    for (int i = 0;
-        i < 40;
-        i++) { // None of them is sent on, so nothing is proven and each one adds.
+    for (int i = 0; i < 40; i++) {
+      // No request is forwarded, so the quota is not proven used up and each request adds.
       add =
           single(
               AddToCounter.class,
-              many.onEvent(
+              highDemandGateway.onEvent(
                   new RequestArrived(
-                      ++id,
+                      ++lastRequestId,
                       "class",
                       "plan",
                       "one",
-                      many.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
+                      highDemandGateway.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
                       1,
                       1,
                       0,
                       false)));
     }
-    before =
+    previousRead =
         single(
             AddToCounter.class,
-            many.onEvent(new CounterReply(add.counterName(), CallResult.OK, 60, 1_000)));
-    actions = many.onEvent(new CounterReply(before.counterName(), CallResult.OK, 0, 1_000));
+            highDemandGateway.onEvent(
+                new CounterReply(add.counterName(), CallResult.OK, 60, 1_000)));
+    actions =
+        highDemandGateway.onEvent(
+            new CounterReply(previousRead.counterName(), CallResult.OK, 0, 1_000));
     assertEquals(1, allOf(RejectRequest.class, actions).size());
-    assertEquals(List.of(), allOf(AddToCounter.class, actions), "it rides with the next");
+    assertEquals(
+        List.of(), allOf(AddToCounter.class, actions), "the withdrawal waits for the next call");
   }
 
   @Test
-  void throttledAndPreviousWindowUnread_takenToBeLikeTheCurrentOne() {
-    for (double before : new double[] {3.2, 0.8}) { // Of a limit of 4, half of the window gone.
-      PolicyHarness on = new PolicyHarness(settings(), "a", "b");
-      AddToCounter lost = single(AddToCounter.class, request(on, "other"));
-      on.onEvent(new CounterReply(lost.counterName(), CallResult.TIMEOUT, 0, 50_000));
-      on.nowMicros += 6 * PolicyHarness.SECOND_MICROS;
-      AddToCounter add = single(AddToCounter.class, request(on, "one"));
+  void throttledAndPreviousWindowNotRead_isEstimatedFromCurrentWindow() {
+    for (double totalBefore : new double[] {3.2, 0.8}) {
+      // The limit is 4, and half of the window has passed.
+      PolicyHarness gateway = new PolicyHarness(fleetConfig(), "a", "b");
+      AddToCounter timedOutAdd = single(AddToCounter.class, request(gateway, "other"));
+      gateway.onEvent(new CounterReply(timedOutAdd.counterName(), CallResult.TIMEOUT, 0, 50_000));
+      gateway.nowMicros += 6 * PolicyHarness.SECOND_MICROS;
+      AddToCounter add = single(AddToCounter.class, request(gateway, "one"));
       List<PolicyAction> actions =
-          on.onEvent(
-              new CounterReply(add.counterName(), CallResult.OK, before + add.amount(), 1_000));
+          gateway.onEvent(
+              new CounterReply(
+                  add.counterName(), CallResult.OK, totalBefore + add.amount(), 1_000));
       assertEquals(
-          before > 1 ? 1 : 0, allOf(RejectRequest.class, actions).size(), "before " + before);
+          totalBefore > 1 ? 1 : 0,
+          allOf(RejectRequest.class, actions).size(),
+          "total before the request: " + totalBefore);
     }
   }
 }
--- a/src/test/java/fawndock/policy/quota/LocalTokenBucketTest.java
+++ b/src/test/java/fawndock/policy/quota/LocalTokenBucketTest.java
@@ -15,31 +15,35 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A ceiling with and without the counter. */
+/** Tests that a ceiling is enforced with and without the counter. */
 class LocalTokenBucketTest extends QuotaFixture {
   @Test
-  void ceiling_isKeptWithAndWithoutTheCounter() {
-    PolicyHarness ceiling =
+  void ceiling_isEnforcedWithAndWithoutTheCounter() {
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(
                 PolicyHarness.ceilingPlan(2, 4), Idempotency.IDEMPOTENT, true, false),
             "a",
             "b");
-    int sent = 0;
+    int forwarded = 0;
     for (long id = 1; id <= 10; id++) {
-      sent += allOf(StartAttempt.class, answerCalls(ceiling, ceiling.request(id))).size();
+      forwarded +=
+          allOf(StartAttempt.class, replyToCounterCalls(gateway, gateway.request(id))).size();
     }
-    assertEquals(4, sent);
-    int silent = 0;
+    assertEquals(4, forwarded);
+    int forwardedWithoutCounter = 0;
     for (long id = 11; id <= 30; id++) {
-      List<PolicyAction> actions = new ArrayList<>(ceiling.request(id));
-      ceiling.nowMicros += 100_000;
-      for (AddToCounter c : allOf(AddToCounter.class, actions)) {
+      List<PolicyAction> actions = new ArrayList<>(gateway.request(id));
+      gateway.nowMicros += 100_000;
+      for (AddToCounter add : allOf(AddToCounter.class, actions)) {
         actions.addAll(
-            ceiling.onEvent(new CounterReply(c.counterName(), CallResult.CONNECT_FAILED, 0, 500)));
+            gateway.onEvent(
+                new CounterReply(add.counterName(), CallResult.CONNECT_FAILED, 0, 500)));
       }
-      silent += allOf(StartAttempt.class, actions).size();
+      forwardedWithoutCounter += allOf(StartAttempt.class, actions).size();
     }
-    assertTrue(silent <= 2, "half the rate for two seconds is two units, not " + silent);
+    assertTrue(
+        forwardedWithoutCounter <= 2,
+        "half the rate for two seconds is two units, not " + forwardedWithoutCounter);
   }
 }
--- a/src/test/java/fawndock/policy/quota/LostAddsTest.java
+++ b/src/test/java/fawndock/policy/quota/LostAddsTest.java
@@ -11,15 +11,21 @@
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
-/** A counter whose totals lack what was added to it. */
+/**
+ * Guards against an endless loop of calls that restore additions, to a counter that loses each of
+ * them.
+ */
 class LostAddsTest {
   private static final int REQUESTS = 50;
 
-  /** Each request's call, one that restores what was lost, and the reads of the last window. */
+  /**
+   * Each request's call, one call that restores what was lost, and the reads of the previous
+   * window.
+   */
   private static final int MAX_CALLS = 2 * REQUESTS + 2;
 
   @Test
-  void counterThatKeepsLosingAdds_isNotCalledWithoutEnd() {
+  void counterThatKeepsLosingAdds_isNotCalledEndlessly() {
     PolicyHarness harness =
         new PolicyHarness(
             PolicyHarness.config(
@@ -28,12 +34,12 @@
     int calls = 0;
     for (long id = 1; id <= REQUESTS; id++) {
       harness.nowMicros += 1_000;
-      var unanswered = new ArrayDeque<>(allOf(AddToCounter.class, harness.request(id)));
-      while (!unanswered.isEmpty()) {
+      var callsInFlight = new ArrayDeque<>(allOf(AddToCounter.class, harness.request(id)));
+      while (!callsInFlight.isEmpty()) {
         calls++;
-        assertTrue(calls <= MAX_CALLS, calls + " calls for " + id + " requests");
-        String name = unanswered.poll().counterName();
-        unanswered.addAll(
+        assertTrue(calls <= MAX_CALLS, calls + " counter calls for " + id + " requests");
+        String name = callsInFlight.poll().counterName();
+        callsInFlight.addAll(
             allOf(
                 AddToCounter.class,
                 harness.onEvent(new CounterReply(name, CallResult.OK, 1, 1_000))));
--- a/src/test/java/fawndock/policy/quota/OverQuotaRiskTest.java
+++ b/src/test/java/fawndock/policy/quota/OverQuotaRiskTest.java
@@ -16,68 +16,73 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that do not call a throttled counter. */
+/** Tests requests that do not call a throttled counter. */
 class OverQuotaRiskTest extends QuotaFixture {
   @Test
-  void throttled_customerOfMuchDemandIsRejected() {
-    PolicyHarness many =
+  void throttled_highDemandCustomerIsRejected() {
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, true),
             "a",
             "b");
-    throttle(many);
-    int sent = 0;
+    throttle(gateway);
+    int forwarded = 0;
     for (long id = 1; id <= 200; id++) {
-      many.nowMicros += 5_000;
-      List<PolicyAction> actions = many.onEvent(request(many, id, "greedy"));
-      sent += allOf(StartAttempt.class, actions).size();
+      gateway.nowMicros += 5_000;
+      List<PolicyAction> actions = gateway.onEvent(request(gateway, id, "greedy"));
+      forwarded += allOf(StartAttempt.class, actions).size();
       allOf(StartAttempt.class, actions)
           .forEach(
-              a -> many.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  gateway.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
     }
-    assertTrue(sent < 40, sent + " sent");
+    assertTrue(forwarded < 40, forwarded + " forwarded");
   }
 
   @Test
-  void rejected_answeredInTheSameEventWithRetryAfter() {
+  void rejectedRequest_isAnsweredInTheSameEventWithRetryAfter() {
     for (long id = 1; id <= 4; id++) {
-      answerCalls(harness.request(id));
+      replyToCounterCalls(harness.request(id));
     }
     AddToCounter add = single(AddToCounter.class, harness.request(5));
-    long wait =
+    long retryAfterMicros =
         single(
                 RejectRequest.class,
                 harness.onEvent(new CounterReply(add.counterName(), CallResult.OK, 5, 500)))
             .retryAfterMicros();
     assertTrue(
-        wait >= PolicyHarness.SECOND_MICROS && wait <= 4 * PolicyHarness.SECOND_MICROS,
-        "store refills in 4 s, actions " + wait);
+        retryAfterMicros >= PolicyHarness.SECOND_MICROS
+            && retryAfterMicros <= 4 * PolicyHarness.SECOND_MICROS,
+        "the burst refills in 4 s, retry-after in microseconds: " + retryAfterMicros);
     throttle(harness);
     assertEquals(
         1,
         allOf(RejectRequest.class, harness.request(6)).size(),
         "proven over quota, counter throttled");
-    PolicyHarness risky =
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, true),
             "a",
             "b");
-    throttle(risky);
+    throttle(gateway);
     int rejected = 0;
     for (long id = 1; id <= 300; id++) {
-      List<PolicyAction> actions = risky.onEvent(request(risky, id, "greedy"));
+      List<PolicyAction> actions = gateway.onEvent(request(gateway, id, "greedy"));
       allOf(StartAttempt.class, actions)
           .forEach(
-              a -> risky.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+              attempt ->
+                  gateway.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
       boolean isPending =
           !allOf(AddToCounter.class, actions).isEmpty()
               || !allOf(StartAttempt.class, actions).isEmpty();
       assertEquals(
           isPending ? 0 : 1,
           allOf(RejectRequest.class, actions).size(),
-          "neither pending nor answered: " + id);
+          "the request is neither pending nor answered: " + id);
       rejected += isPending ? 0 : 1;
     }
-    assertTrue(rejected > 0, "none rejected without a call");
+    assertTrue(rejected > 0, "no request was rejected without a counter call");
   }
 }
--- a/src/test/java/fawndock/policy/quota/PendingAddsTest.java
+++ b/src/test/java/fawndock/policy/quota/PendingAddsTest.java
@@ -12,20 +12,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Adds that failed and wait for a call. */
+/** Tests additions that failed and wait for another call. */
 class PendingAddsTest extends QuotaFixture {
   @Test
-  void failedAddIsSentAgain_addWithoutAnswerIsNot() {
+  void shedAdd_isSentAgainButTimedOutAddIsNot() {
     String name = single(AddToCounter.class, harness.request(1)).counterName();
     harness.onEvent(new CounterReply(name, CallResult.SHED, 0, 500));
-    AddToCounter late = flushedAdd(name);
-    assertEquals(1.0, late.amount(), "it surely was not added");
+    AddToCounter resentAdd = awaitFlush(name);
+    assertEquals(1.0, resentAdd.amount(), "a shed call adds nothing");
     harness.onEvent(new CounterReply(name, CallResult.TIMEOUT, 0, 50_000));
     assertEquals(
         List.of(),
         allOf(
             AddToCounter.class,
             harness.onEvent(new TimerFired(new PolicyTimer.FlushPendingAdds(name)))),
-        "it may have been added");
+        "a call that timed out may have added its units");
   }
 }
--- a/src/test/java/fawndock/policy/quota/ProvenOverQuotaTest.java
+++ b/src/test/java/fawndock/policy/quota/ProvenOverQuotaTest.java
@@ -13,19 +13,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rejections without a counter call. */
+/** Tests rejections without a counter call. */
 class ProvenOverQuotaTest extends QuotaFixture {
   @Test
-  void throttledAndProvenOverQuota_rejectedWithoutACall() {
+  void throttledAndProvenOverQuota_requestIsRejectedWithoutACall() {
     for (long id = 1; id <= 5; id++) {
-      answerCalls(harness.request(id));
+      replyToCounterCalls(harness.request(id));
     }
     String name = single(AddToCounter.class, harness.request(6)).counterName();
     harness.onEvent(new CounterReply(name, CallResult.SHED, 0, 500));
     for (long id = 7; id <= 20; id++) {
-      List<PolicyAction> refused = harness.request(id);
-      assertTrue(allOf(AddToCounter.class, refused).isEmpty());
-      assertEquals(1, allOf(RejectRequest.class, refused).size());
+      List<PolicyAction> actions = harness.request(id);
+      assertTrue(allOf(AddToCounter.class, actions).isEmpty());
+      assertEquals(1, allOf(RejectRequest.class, actions).size());
     }
   }
 }
--- a/src/test/java/fawndock/policy/quota/QuotaChargingTest.java
+++ b/src/test/java/fawndock/policy/quota/QuotaChargingTest.java
@@ -17,46 +17,46 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a request adds to its counters, and what is taken back. */
+/** Tests what a request adds to its counters and what is withdrawn. */
 class QuotaChargingTest extends QuotaFixture {
   @Test
-  void request_addsItsUnitsBeforeItIsSent() {
+  void request_addsItsUnitsBeforeItIsForwarded() {
     List<PolicyAction> actions = harness.request(1, 2);
     assertEquals(2.0, single(AddToCounter.class, actions).amount());
     assertTrue(allOf(StartAttempt.class, actions).isEmpty());
-    assertEquals(1, allOf(StartAttempt.class, answerCalls(actions)).size());
+    assertEquals(1, allOf(StartAttempt.class, replyToCounterCalls(actions)).size());
   }
 
   @Test
   void provenOverQuota_requestOnlyReads() {
     for (long id = 1; id <= 5; id++) {
-      answerCalls(harness.request(id));
+      replyToCounterCalls(harness.request(id));
     }
     assertEquals(0.0, single(AddToCounter.class, harness.request(6)).amount());
   }
 
   @Test
-  void throttled_countedRequestAddsForUncountedOnesUpToTheLimit() {
-    PolicyHarness many =
+  void throttled_countedRequestAddsForUncountedRequestsUpToTheLimit() {
+    PolicyHarness gateway =
         new PolicyHarness(
             PolicyHarness.config(PolicyHarness.ratePlan(1, 4), Idempotency.IDEMPOTENT, true, true),
             "a",
             "b");
-    throttle(many);
-    double most = 0;
+    throttle(gateway);
+    double maxAmount = 0;
     for (long id = 1; id <= 400; id++) {
-      many.nowMicros += 10_000;
-      for (AddToCounter c :
-          allOf(AddToCounter.class, many.onEvent(request(many, id, "calm" + id)))) {
-        most = Math.max(most, c.amount());
+      gateway.nowMicros += 10_000;
+      for (AddToCounter add :
+          allOf(AddToCounter.class, gateway.onEvent(request(gateway, id, "calm" + id)))) {
+        maxAmount = Math.max(maxAmount, add.amount());
       }
     }
-    assertEquals(4.0, most, "the limit at most");
+    assertEquals(4.0, maxAmount, "a call adds at most the limit");
   }
 
   @Test
   void settledUnits_differenceIsAdded() {
-    StartAttempt sent = single(StartAttempt.class, answerCalls(harness.request(1, 2)));
+    StartAttempt attempt = single(StartAttempt.class, replyToCounterCalls(harness.request(1, 2)));
     assertEquals(
         1.5,
         single(
@@ -65,7 +65,7 @@
                     new AttemptCompleted(
                         1,
                         0,
-                        sent.endpointId(),
+                        attempt.endpointId(),
                         100_000,
                         CallResult.OK,
                         true,
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void clientLeavesBeforeSending_addIsTakenBack() {
+  void clientDisconnectsBeforeForwarding_addIsWithdrawn() {
     assertEquals(1.0, single(AddToCounter.class, harness.request(1)).amount());
     assertEquals(
         -1.0, single(AddToCounter.class, harness.onEvent(new ClientDisconnected(1))).amount());
--- a/src/test/java/fawndock/policy/quota/QuotaFixture.java
+++ b/src/test/java/fawndock/policy/quota/QuotaFixture.java
@@ -19,7 +19,7 @@
 
 /** A gateway with a plan of one unit per second and a burst of four, and a fake counter. */
 public abstract class QuotaFixture {
-  /** A counter that answers at once. */
+  /** The totals of a fake counter that replies at once, by counter name. */
   protected final Map<String, Double> counter = new LinkedHashMap<>();
 
   protected final PolicyHarness harness =
@@ -28,55 +28,65 @@
           "a",
           "b");
 
-  protected List<PolicyAction> answerCalls(List<PolicyAction> actions) {
-    return answerCalls(harness, actions);
+  protected List<PolicyAction> replyToCounterCalls(List<PolicyAction> actions) {
+    return replyToCounterCalls(harness, actions);
   }
 
-  protected List<PolicyAction> answerCalls(PolicyHarness on, List<PolicyAction> actions) {
-    List<PolicyAction> all = new ArrayList<>(actions);
-    for (AddToCounter c : allOf(AddToCounter.class, actions)) {
-      double total = counter.merge(c.counterName(), c.amount(), Double::sum);
-      all.addAll(
-          answerCalls(
-              on, on.onEvent(new CounterReply(c.counterName(), CallResult.OK, total, 1_000))));
+  protected List<PolicyAction> replyToCounterCalls(
+      PolicyHarness gateway, List<PolicyAction> actions) {
+    List<PolicyAction> allActions = new ArrayList<>(actions);
+    for (AddToCounter add : allOf(AddToCounter.class, actions)) {
+      double total = counter.merge(add.counterName(), add.amount(), Double::sum);
+      allActions.addAll(
+          replyToCounterCalls(
+              gateway,
+              gateway.onEvent(new CounterReply(add.counterName(), CallResult.OK, total, 1_000))));
     }
-    return all;
+    return allActions;
   }
 
-  /** Lets time pass until what is pending for a counter is sent by a call of its own. */
-  protected AddToCounter flushedAdd(String name) {
+  /**
+   * Advances the time until a call of its own sends what is pending for a counter; returns that
+   * call.
+   */
+  protected AddToCounter awaitFlush(String name) {
     for (int i = 0; i < 50; i++) {
       harness.nowMicros += 10_000;
-      List<AddToCounter> sent =
+      List<AddToCounter> flushedAdds =
           allOf(
               AddToCounter.class,
               harness.onEvent(new TimerFired(new PolicyTimer.FlushPendingAdds(name))));
-      if (!sent.isEmpty()) {
-        return sent.get(0);
+      if (!flushedAdds.isEmpty()) {
+        return flushedAdds.get(0);
       }
     }
-    throw new AssertionError("nothing was sent for " + name);
+    throw new AssertionError("no call was sent for counter " + name);
   }
 
-  /** Sheds calls until the gateway calls the counter seldom. */
-  protected void throttle(PolicyHarness on) {
+  /** Sheds counter calls until the gateway is throttled to a low sampling rate. */
+  protected void throttle(PolicyHarness gateway) {
     for (long id = 1000; id < 1100; id++) {
-      List<PolicyAction> actions = new ArrayList<>(on.onEvent(request(on, id, "throttle" + id)));
-      for (AddToCounter c : allOf(AddToCounter.class, actions)) {
-        actions.addAll(on.onEvent(new CounterReply(c.counterName(), CallResult.SHED, 0, 500)));
+      List<PolicyAction> actions =
+          new ArrayList<>(gateway.onEvent(request(gateway, id, "throttle" + id)));
+      for (AddToCounter add : allOf(AddToCounter.class, actions)) {
+        actions.addAll(
+            gateway.onEvent(new CounterReply(add.counterName(), CallResult.SHED, 0, 500)));
       }
       allOf(StartAttempt.class, actions)
-          .forEach(a -> on.completeAttempt(a.requestId(), 0, a.endpointId(), CallResult.OK, true));
+          .forEach(
+              attempt ->
+                  gateway.completeAttempt(
+                      attempt.requestId(), 0, attempt.endpointId(), CallResult.OK, true));
     }
   }
 
-  protected static RequestArrived request(PolicyHarness on, long id, String customer) {
+  protected static RequestArrived request(PolicyHarness gateway, long id, String customer) {
     return new RequestArrived(
         id,
         "class",
         "plan",
         customer,
-        on.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
+        gateway.nowMicros + 3 * PolicyHarness.SECOND_MICROS,
         1,
         2,
         0,
--- a/src/test/java/fawndock/policy/quota/QuotaTableTest.java
+++ b/src/test/java/fawndock/policy/quota/QuotaTableTest.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The table of customers. */
+/** Tests that the table evicts unused customers. */
 class QuotaTableTest extends QuotaFixture {
-  /** Tables do not grow with each customer ever seen. */
+  /** Guards against tables that grow with each customer ever seen. */
   @Test
-  void customersSeenOnce_areForgotten() throws Exception {
+  void customersSeenOnce_areEvicted() throws Exception {
     for (long id = 1; id <= 100_000; id++) {
       harness.nowMicros += 5_000;
       List<PolicyAction> actions =
@@ -32,8 +32,8 @@
                   2,
                   0,
                   false));
-      StartAttempt a = single(StartAttempt.class, answerCalls(actions));
-      harness.completeAttempt(id, 0, a.endpointId(), CallResult.OK, true);
+      StartAttempt attempt = single(StartAttempt.class, replyToCounterCalls(actions));
+      harness.completeAttempt(id, 0, attempt.endpointId(), CallResult.OK, true);
     }
     Map<String, Integer> tables = PolicyTables.sizes(harness.policy);
     assertTrue(tables.size() >= 9, tables.toString());
--- a/src/test/java/fawndock/policy/quota/TokenBucketReplayTest.java
+++ b/src/test/java/fawndock/policy/quota/TokenBucketReplayTest.java
@@ -9,20 +9,21 @@
 import fawndock.policy.event.CallResult;
 import org.junit.jupiter.api.Test;
 
-/** The refilled burst, where the estimate alone would reject. */
+/** Tests that a refilled burst is available where the window estimate alone would reject. */
 class TokenBucketReplayTest extends QuotaFixture {
   @Test
-  void refilledBurst_isGrantedThoughTheEstimateIsAtTheLimit() {
+  void refilledBurst_isAdmittedThoughTheWindowEstimateIsAtTheLimit() {
     for (long id = 1; id <= 5; id++) {
-      for (StartAttempt a : allOf(StartAttempt.class, answerCalls(harness.request(id)))) {
-        harness.completeAttempt(id, 0, a.endpointId(), CallResult.OK, true);
+      for (StartAttempt attempt :
+          allOf(StartAttempt.class, replyToCounterCalls(harness.request(id)))) {
+        harness.completeAttempt(id, 0, attempt.endpointId(), CallResult.OK, true);
       }
     }
     harness.nowMicros += PolicyHarness.SECOND_MICROS + PolicyHarness.SECOND_MICROS / 2;
-    assertEquals(1, allOf(StartAttempt.class, answerCalls(harness.request(6))).size());
+    assertEquals(1, allOf(StartAttempt.class, replyToCounterCalls(harness.request(6))).size());
     assertEquals(
         1,
-        allOf(RejectRequest.class, answerCalls(harness.request(7))).size(),
-        "one unit has come in, not two");
+        allOf(RejectRequest.class, replyToCounterCalls(harness.request(7))).size(),
+        "one unit has been refilled, not two");
   }
 }
--- a/src/test/java/fawndock/policy/quota/WindowCounterTest.java
+++ b/src/test/java/fawndock/policy/quota/WindowCounterTest.java
@@ -11,32 +11,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Totals that are lost or absurd. */
+/** Tests totals that the counter lost or that are invalid. */
 class WindowCounterTest extends QuotaFixture {
   @Test
-  void counterLostItsTotal_ownAddsArePutBack() {
-    answerCalls(harness.request(1));
-    answerCalls(harness.request(2));
+  void counterLosesItsTotal_ownAddsAreRestored() {
+    replyToCounterCalls(harness.request(1));
+    replyToCounterCalls(harness.request(2));
     counter.clear();
-    List<PolicyAction> third = answerCalls(harness.request(3));
+    List<PolicyAction> actions = replyToCounterCalls(harness.request(3));
     assertTrue(
-        allOf(AddToCounter.class, third).stream().anyMatch(c -> c.amount() == 2.0),
-        third.toString());
-    assertEquals(3.0, counter.values().stream().mapToDouble(v -> v).sum());
+        allOf(AddToCounter.class, actions).stream().anyMatch(add -> add.amount() == 2.0),
+        actions.toString());
+    assertEquals(3.0, counter.values().stream().mapToDouble(total -> total).sum());
   }
 
   @Test
-  void absurdTotals_putBackNoMoreThanOwnAdds() {
+  void invalidTotals_restoreNoMoreThanOwnAdds() {
     double[] totals = {-1e12, 1e300, Double.NaN, Double.NEGATIVE_INFINITY, 0, 5};
     for (long id = 1; id <= totals.length; id++) {
-      for (AddToCounter c : allOf(AddToCounter.class, harness.request(id))) {
-        for (AddToCounter next :
+      for (AddToCounter add : allOf(AddToCounter.class, harness.request(id))) {
+        for (AddToCounter restoringAdd :
             allOf(
                 AddToCounter.class,
                 harness.onEvent(
                     new CounterReply(
-                        c.counterName(), CallResult.OK, totals[(int) id - 1], 1_000)))) {
-          assertTrue(Math.abs(next.amount()) <= 10, "puts back no more than its own: " + next);
+                        add.counterName(), CallResult.OK, totals[(int) id - 1], 1_000)))) {
+          assertTrue(
+              Math.abs(restoringAdd.amount()) <= 10,
+              "restores no more than its own additions: " + restoringAdd);
         }
       }
       harness.nowMicros += 100_000;
