--- a/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
+++ b/src/main/java/fawndock/policy/DefaultGatewayPolicy.java
@@ -22,7 +22,7 @@
 import fawndock.policy.event.TimerFired;
 import fawndock.policy.quota.CounterCall;
 import fawndock.policy.quota.QuotaAdmission;
-import fawndock.policy.quota.QuotaVerdict;
+import fawndock.policy.quota.QuotaDecision;
 import fawndock.policy.retry.IdempotencyRules;
 import fawndock.policy.retry.RetryPolicy;
 import fawndock.policy.routing.EndpointRouter;
@@ -99,7 +99,7 @@
     context.scheduleAt(
         deadlines.answerAtMicros(arrived.deadlineAtMicros(), context.nowMicros()),
         new AnswerDeadline(request.id()));
-    apply(quotas.start(request), request);
+    apply(quotas.startCheck(request), request);
   }
 
   private void onCounterReply(CounterReply reply) {
@@ -107,12 +107,12 @@
     if (call == null) {
       return;
     }
-    for (PendingRequest request : call.waiters()) {
+    for (PendingRequest request : call.waitingRequests()) {
       apply(quotas.onCallCompleted(call, reply, request), request);
     }
   }
 
-  private void apply(QuotaVerdict verdict, PendingRequest request) {
+  private void apply(QuotaDecision verdict, PendingRequest request) {
     switch (verdict.status()) {
       case ADMITTED -> {
         request.markQuotaDecided();
@@ -147,7 +147,7 @@
 
   private void startAttempt(PendingRequest request, TrackedEndpoint endpoint) {
     if (request.attempts().isEmpty()) {
-      quotas.recordSent(request);
+      quotas.recordForwarded(request);
     }
     router.startAttempt(request, endpoint);
     retries.onAttemptStarted();
--- a/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
+++ b/src/main/java/fawndock/policy/quota/ConcurrencyCap.java
@@ -1,17 +1,18 @@
 package fawndock.policy.quota;
 
 /**
- * A cap on attempts in flight, held as a rate (Little's law): as many may start in a mean attempt's
- * time as may be in flight, less their spread by chance. Costs one counter call per request, and no
- * in-flight count can leak when an instance dies.
+ * Enforces a limit on attempts in flight as a rate, by Little's law: the number of attempts that
+ * may start within one mean attempt latency equals the limit, less about one standard deviation of
+ * its random variation. This needs one counter call per request, and no in-flight count leaks when
+ * an instance fails.
  */
 final class ConcurrencyCap {
   private ConcurrencyCap() {}
 
-  /** How many attempts may have started by this point of the window. */
-  static double limitAttempts(
+  /** Returns how many attempts may have started by this point of the window. */
+  static double maxStartedAttempts(
       double maxConcurrent, long windowMicros, double meanLatencyMicros, long nowMicros) {
-    double cap = maxConcurrent * (1 - 1 / Math.sqrt(maxConcurrent + 1));
-    return Math.max(1, cap) * Math.max(1, nowMicros % windowMicros / meanLatencyMicros);
+    double meanConcurrency = maxConcurrent * (1 - 1 / Math.sqrt(maxConcurrent + 1));
+    return Math.max(1, meanConcurrency) * Math.max(1, nowMicros % windowMicros / meanLatencyMicros);
   }
 }
--- a/src/main/java/fawndock/policy/quota/CounterProbe.java
+++ b/src/main/java/fawndock/policy/quota/CounterProbe.java
@@ -1,24 +1,25 @@
 package fawndock.policy.quota;
 
 /**
- * Counter calls beside the sampling rate: one while no other is in flight, after failures with a
- * backoff. An instance of a large fleet that has few requests would otherwise hear nothing of the
- * counter for minutes. A slow counter is called by each instance once in the longest backoff.
+ * Selects probes: counter calls for requests that sampling leaves out, made while no other call is
+ * in flight and with exponential backoff after failures. Without them, an instance with few
+ * requests in a large fleet would get no counter reply for minutes. Each instance still calls a
+ * slow counter once per maximum backoff.
  */
 final class CounterProbe {
-  /** Calls that any counter takes, of the whole fleet. */
+  /** Calls per second, summed over the fleet, that every counter service can handle. */
   private static final double MIN_FLEET_CALLS_PER_SECOND = 100;
 
-  /** What a prompt reply leaves of the backoff; a failure divides by it. */
-  private static final double BACKOFF_FACTOR = 0.5;
+  /** A prompt reply multiplies the backoff by this factor; a failure divides it. */
+  private static final double BACKOFF_DECREASE_FACTOR = 0.5;
 
-  private static final double PROBE_RATE_GAIN_RATIO = 0.2;
+  private static final double PROBE_RATE_SMOOTHING_FACTOR = 0.2;
 
   private final double maxBackoffMicros;
   private final long minBackoffMicros;
   private long backoffMicros;
   private long lastCallAtMicros = Long.MIN_VALUE / 2;
-  private long lastIntervalMicros;
+  private long lastCallIntervalMicros;
   private double probeRate = 1;
 
   CounterProbe(int instanceCount, long minBackoffMicros) {
@@ -26,34 +27,37 @@
     this.minBackoffMicros = minBackoffMicros;
   }
 
-  /**
-   * The share of requests, of those that the sampling rate leaves out, that were probes of late.
-   */
+  /** Returns the recent share of probes among the requests that sampling leaves out. */
   double probeRate() {
     return probeRate;
   }
 
-  /** Whether a request that the sampling rate leaves out is to call the counter. */
+  /** Returns whether a request that sampling leaves out calls the counter as a probe. */
   boolean shouldProbe(boolean isCallInFlight, long nowMicros) {
     boolean shouldProbe = !isCallInFlight && nowMicros - lastCallAtMicros >= backoffMicros;
-    probeRate += PROBE_RATE_GAIN_RATIO * ((shouldProbe ? 1 : 0) - probeRate);
+    probeRate += PROBE_RATE_SMOOTHING_FACTOR * ((shouldProbe ? 1 : 0) - probeRate);
     return shouldProbe;
   }
 
   void recordCall(long nowMicros) {
-    lastIntervalMicros = Math.min(nowMicros - lastCallAtMicros, Long.MAX_VALUE / 4);
+    lastCallIntervalMicros = Math.min(nowMicros - lastCallAtMicros, Long.MAX_VALUE / 4);
     lastCallAtMicros = nowMicros;
   }
 
-  /** Takes in a failed or late call; one that was shed costs the counter nothing. */
+  /**
+   * Records a failed or late call. A shed call does not increase the backoff, since it costs the
+   * counter nothing.
+   */
   void recordFailure(boolean isShed) {
-    double nextMicros =
-        isShed ? backoffMicros : Math.max(backoffMicros, lastIntervalMicros) / BACKOFF_FACTOR;
+    double nextBackoffMicros =
+        isShed
+            ? backoffMicros
+            : Math.max(backoffMicros, lastCallIntervalMicros) / BACKOFF_DECREASE_FACTOR;
     backoffMicros =
-        (long) Math.min(maxBackoffMicros, Math.max(nextMicros, (double) minBackoffMicros));
+        (long) Math.min(maxBackoffMicros, Math.max(nextBackoffMicros, (double) minBackoffMicros));
   }
 
   void recordPromptReply(boolean isRampingUp) {
-    backoffMicros = isRampingUp ? 0 : (long) (backoffMicros * BACKOFF_FACTOR);
+    backoffMicros = isRampingUp ? 0 : (long) (backoffMicros * BACKOFF_DECREASE_FACTOR);
   }
 }
--- a/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
+++ b/src/main/java/fawndock/policy/quota/PreviousWindowEstimate.java
@@ -3,16 +3,17 @@
 import fawndock.policy.EventContext;
 
 /**
- * The previous window's use. Where throttling keeps it from being read and no total of it is known,
- * it is estimated from the current one and a prior: an instance that sees a customer once in many
- * windows would otherwise miss half of its use. May reject a customer that just began.
+ * Estimates the units used in the previous window. If throttling keeps its total from being read
+ * and none is known, the estimate combines the current window with a prior: an instance that
+ * receives a customer's request only once in many windows would otherwise miss half of the
+ * customer's usage. It may reject a customer that has just begun to send requests.
  */
 final class PreviousWindowEstimate {
   /** Weight of the prior, in windows. */
-  private static final double PRIOR_WINDOWS = 0.5;
+  private static final double PRIOR_WEIGHT_WINDOWS = 0.5;
 
-  /** Use that the prior assumes, as a ratio of the limit. */
-  private static final double PRIOR_USE_RATIO = 0.7;
+  /** Usage that the prior assumes, as a ratio of the limit. */
+  private static final double PRIOR_USAGE_RATIO = 0.7;
 
   private final EventContext context;
   private final CounterThrottle throttle;
@@ -22,25 +23,28 @@
     this.throttle = throttle;
   }
 
-  /** Units used in the window before the one in which the request arrived. */
-  double units(QuotaCharge charge) {
+  /** Returns the units used in the window before the one in which the request arrived. */
+  double usedUnits(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
-    WindowCounter previous = quota.previous();
-    if (previous.isTotalKnown()
+    WindowCounter previousCounter = quota.previousCounter();
+    if (previousCounter.isTotalKnown()
         || !throttle.isThrottledOrRecovering()
         || quota.kind() != QuotaKind.RATE) {
-      return previous.totalUnits();
+      return previousCounter.totalUnits();
     }
     long windowMicros = quota.windowMicros();
     double elapsedWindows = (double) (context.nowMicros() % windowMicros) / windowMicros;
-    double priorUnits = PRIOR_WINDOWS * PRIOR_USE_RATIO * quota.limitUnits();
+    double priorUnits = PRIOR_WEIGHT_WINDOWS * PRIOR_USAGE_RATIO * quota.limitUnits();
     return Math.max(
-        previous.totalUnits(),
-        (charge.totalBeforeUnits() + priorUnits) / (elapsedWindows + PRIOR_WINDOWS));
+        previousCounter.totalUnits(),
+        (charge.totalBeforeUnits() + priorUnits) / (elapsedWindows + PRIOR_WEIGHT_WINDOWS));
   }
 
-  /** Whether its total could tip the verdict: it holds the limit and a refilled burst at most. */
-  boolean canTipVerdict(QuotaCharge charge) {
+  /**
+   * Returns whether the previous window's total could change the decision. That total is at most
+   * twice the limit: the limit and a refilled burst.
+   */
+  boolean couldChangeDecision(QuotaCharge charge) {
     SlidingWindowQuota quota = charge.quota();
     return charge.isInCurrentWindow()
         && charge.isTotalKnown()
--- a/src/main/java/fawndock/policy/quota/QuotaAdmission.java
+++ b/src/main/java/fawndock/policy/quota/QuotaAdmission.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Takes a request through its quotas: calls the counter, waits for the totals, gives the verdict.
- * Each step is a rule of its own in this package.
+ * Checks a request against its quotas: calls the counter, waits for the totals and decides. Each
+ * step is a separate rule in this package.
  */
 public final class QuotaAdmission {
   private static final QuotaKind[] KINDS = QuotaKind.values();
@@ -27,11 +27,11 @@
   private final PendingAdds pendingAdds;
   private final OverQuotaRisk risk;
   private final ProvenOverQuota provenOverQuota;
-  private final PreviousWindowEstimate previousWindow;
+  private final PreviousWindowEstimate previousWindowEstimate;
   private final OverQuotaRule overQuotaRule;
   private final QuotaCharging charging;
 
-  /** Wires the rules; random numbers are drawn from the source that the whole policy shares. */
+  /** Creates the quota rules, which draw from the random source shared by the whole policy. */
   public QuotaAdmission(
       EventContext context,
       SplittableRandom random,
@@ -48,15 +48,18 @@
     this.pendingAdds = new PendingAdds(context, random, quotas, calls, throttle);
     this.risk = new OverQuotaRisk(context);
     this.provenOverQuota = new ProvenOverQuota(context);
-    this.previousWindow = new PreviousWindowEstimate(context, throttle);
-    this.overQuotaRule = new OverQuotaRule(context, throttle, risk, previousWindow);
+    this.previousWindowEstimate = new PreviousWindowEstimate(context, throttle);
+    this.overQuotaRule = new OverQuotaRule(context, throttle, risk, previousWindowEstimate);
     this.charging = new QuotaCharging(throttle, risk, provenOverQuota, calls, pendingAdds);
   }
 
-  /** Charges a request that has arrived to its quotas, and calls the counter unless throttled. */
-  public QuotaVerdict start(PendingRequest request) {
+  /**
+   * Charges a new request to its quotas and calls the counter unless throttling skips the call.
+   * Returns the decision, or an undecided one if the request waits for the counter.
+   */
+  public QuotaDecision startCheck(PendingRequest request) {
     for (QuotaKind kind : kinds) {
-      SlidingWindowQuota quota = quotas.find(request, kind);
+      SlidingWindowQuota quota = quotas.findOrCreate(request, kind);
       if (quota == null) {
         continue;
       }
@@ -65,7 +68,7 @@
       if (throttle.isThrottled()
           && !throttle.isCounterUnreachable()
           && provenOverQuota.isProven(charge)) {
-        return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(charge, context.nowMicros()));
+        return QuotaDecision.rejected(RetryAfter.untilQuotaMicros(charge, context.nowMicros()));
       }
     }
     callCounters(request);
@@ -75,7 +78,7 @@
     context.scheduleAt(
         context.nowMicros() + deadlines.counterWaitMicros(request),
         new PolicyTimer.CounterWaitTimeout(request.id()));
-    return QuotaVerdict.UNDECIDED;
+    return QuotaDecision.UNDECIDED;
   }
 
   private QuotaCharge recordDemandAndCharge(PendingRequest request, SlidingWindowQuota quota) {
@@ -94,13 +97,13 @@
   private void callCounters(PendingRequest request) {
     boolean hasCeiling = request.charge(QuotaKind.CEILING) != null;
     double samplingRate = hasCeiling ? 1 : throttle.samplingRate();
-    double callChance = throttle.callChance(samplingRate);
+    double callProbability = throttle.callProbability(samplingRate);
     if (!throttle.shouldCall(samplingRate)) {
       return;
     }
     throttle.recordCall();
     for (QuotaCharge charge : request.charges()) {
-      charge.setCounted(charging.unitsToAdd(charge, callChance));
+      charge.setCountedUnits(charging.unitsToAdd(charge, callProbability));
       waitFor(calls.send(charge.counter(), charge.countedUnits()), request);
       if (charge.quota().kind() == QuotaKind.CEILING) {
         readPreviousWindow(charge);
@@ -109,45 +112,45 @@
   }
 
   private void readPreviousWindow(QuotaCharge charge) {
-    WindowCounter previous = charge.quota().previous();
-    if (previous.isReadAfterClose()) {
+    WindowCounter previousCounter = charge.quota().previousCounter();
+    if (previousCounter.isReadAfterClose()) {
       return;
     }
-    if (previous.closingReadInFlight() == null) {
-      previous.setReadInFlight(calls.send(previous, 0));
+    if (previousCounter.closingReadInFlight() == null) {
+      previousCounter.setClosingReadInFlight(calls.send(previousCounter, 0));
     }
-    waitFor(previous.closingReadInFlight(), charge.request());
+    waitFor(previousCounter.closingReadInFlight(), charge.request());
   }
 
   private static void waitFor(CounterCall call, PendingRequest request) {
-    call.waiters().add(request);
+    call.waitingRequests().add(request);
     request.onCounterCallStarted();
   }
 
-  /** Takes in the end of a counter call; returns the call, or null where none was in flight. */
+  /** Handles the end of a counter call; returns the call, or null if none was in flight. */
   public CounterCall onCounterReply(CounterReply reply) {
     CounterCall call = calls.complete(reply.counterName());
     if (call == null) {
       return null;
     }
     WindowCounter counter = call.counter();
-    boolean isPreviousRead = counter.closingReadInFlight() == call;
+    boolean isClosingRead = counter.closingReadInFlight() == call;
     throttle.recordReply(reply);
-    if (isPreviousRead) {
-      counter.setReadInFlight(null);
+    if (isClosingRead) {
+      counter.setClosingReadInFlight(null);
     }
     if (hasTotal(reply)) {
-      if (isPreviousRead) {
+      if (isClosingRead) {
         counter.markReadAfterClose();
       }
-      boolean isLost = counter.applyTotal(call.addedUnits(), reply.total());
-      // What a restore has lost again waits for the next call: a counter that keeps losing adds
-      // would be called without end.
-      if (isLost && !call.isRestore()) {
+      boolean hasLostAdds = counter.applyTotal(call.addedUnits(), reply.total());
+      // If a restore shows losses too, they wait for the next call. Otherwise a counter that keeps
+      // losing additions would be called in an endless loop.
+      if (hasLostAdds && !call.isRestore()) {
         calls.sendRestore(counter);
       }
     } else if (!reply.result().mayHaveTakenEffect) {
-      pendingAdds.add(counter, call.addedUnits()); // Surely not added.
+      pendingAdds.add(counter, call.addedUnits()); // The counter did not add them.
     }
     return call;
   }
@@ -156,21 +159,26 @@
     return reply.result() == CallResult.OK && Double.isFinite(reply.total());
   }
 
-  /** Takes a request on that waited for a call which has ended. */
-  public QuotaVerdict onCallCompleted(
+  /**
+   * Handles the end of a call for one request that waited for it; returns the decision, or an
+   * undecided one if the request still waits or was decided before.
+   */
+  public QuotaDecision onCallCompleted(
       CounterCall call, CounterReply reply, PendingRequest request) {
     if (hasTotal(reply)) {
       applyTotal(call, request);
     }
     request.onCounterCallCompleted();
     if (request.pendingCounterCalls() > 0 || request.isQuotaDecided()) {
-      return QuotaVerdict.UNDECIDED;
+      return QuotaDecision.UNDECIDED;
     }
-    QuotaCharge rate = request.charge(QuotaKind.RATE);
-    if (rate != null && !throttle.isThrottledOrRecovering() && previousWindow.canTipVerdict(rate)) {
-      readPreviousWindow(rate);
+    QuotaCharge rateCharge = request.charge(QuotaKind.RATE);
+    if (rateCharge != null
+        && !throttle.isThrottledOrRecovering()
+        && previousWindowEstimate.couldChangeDecision(rateCharge)) {
+      readPreviousWindow(rateCharge);
     }
-    return request.pendingCounterCalls() == 0 ? decide(request) : QuotaVerdict.UNDECIDED;
+    return request.pendingCounterCalls() == 0 ? decide(request) : QuotaDecision.UNDECIDED;
   }
 
   private void applyTotal(CounterCall call, PendingRequest request) {
@@ -180,16 +188,19 @@
     if (charge.counter() != counter || charge.isTotalKnown()) {
       return;
     }
-    charge.setTotalBefore(counter.totalUnits() - call.requestUnits());
-    if (quota.kind() == QuotaKind.RATE && charge.isInCurrentWindow() && quota.bucket().isKnown()) {
+    charge.setTotalBeforeUnits(counter.totalUnits() - call.requestUnits());
+    if (quota.kind() == QuotaKind.RATE
+        && charge.isInCurrentWindow()
+        && quota.tokenBucket().isInitialized()) {
       quota
-          .bucket()
-          .replay(charge.totalBeforeUnits(), quota.previous().totalUnits(), context.nowMicros());
+          .tokenBucket()
+          .update(
+              charge.totalBeforeUnits(), quota.previousCounter().totalUnits(), context.nowMicros());
     }
   }
 
-  /** Gives the verdict with what is known by now. */
-  public QuotaVerdict decide(PendingRequest request) {
+  /** Decides with the totals that are known now. */
+  public QuotaDecision decide(PendingRequest request) {
     QuotaCharge overQuota = null;
     for (QuotaCharge charge : request.charges()) {
       if (overQuotaRule.isOverQuota(charge)) {
@@ -197,39 +208,42 @@
       }
     }
     if (overQuota != null) {
-      return QuotaVerdict.rejected(RetryAfter.untilQuotaMicros(overQuota, context.nowMicros()));
+      return QuotaDecision.rejected(RetryAfter.untilQuotaMicros(overQuota, context.nowMicros()));
     }
     for (QuotaCharge charge : request.charges()) {
       charging.countAdmitted(charge);
     }
-    return QuotaVerdict.ADMITTED;
+    return QuotaDecision.ADMITTED;
   }
 
-  /** The part of its earnings that forwarding a request loses in the mean, for want of a total. */
-  public double expectedLoss(PendingRequest request) {
-    QuotaCharge rate = request.charge(QuotaKind.RATE);
-    boolean isCertain = rate == null || !throttle.isThrottled() || rate.isTotalKnown();
-    return isCertain ? 0 : risk.expectedLoss(rate);
+  /**
+   * Returns the expected loss from forwarding a request whose total is unknown, as a ratio of the
+   * value of a request within quota; 0 if the decision is certain.
+   */
+  public double expectedLossRatio(PendingRequest request) {
+    QuotaCharge rateCharge = request.charge(QuotaKind.RATE);
+    boolean isCertain = rateCharge == null || !throttle.isThrottled() || rateCharge.isTotalKnown();
+    return isCertain ? 0 : risk.expectedLossRatio(rateCharge);
   }
 
-  /** Notes that a request is forwarded for the first time. */
-  public void recordSent(PendingRequest request) {
-    charging.recordSent(request);
+  /** Records that a request is forwarded for the first time. */
+  public void recordForwarded(PendingRequest request) {
+    charging.recordForwarded(request);
   }
 
-  /** Takes back what was added for a request that was never forwarded. */
+  /** Withdraws what was added for a request, unless the request was forwarded. */
   public void release(PendingRequest request) {
     charging.release(request);
   }
 
-  /** Takes in the units that a successful answer settled, where the site settles them. */
+  /** Records the units settled by a successful response, if settlement is enabled. */
   public void settle(PendingRequest request, double settledUnits) {
     if (settlesUnits) {
       charging.settle(request, settledUnits);
     }
   }
 
-  /** Sends what is still pending for a counter. */
+  /** Sends the units that are still pending for a counter. */
   public void flushPendingAdds(String counterName) {
     pendingAdds.flush(counterName);
   }
--- a/src/main/java/fawndock/policy/quota/QuotaCharge.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharge.java
@@ -2,7 +2,7 @@
 
 import fawndock.policy.PendingRequest;
 
-/** What one request counts for against one quota, and the total found before it. */
+/** The units that one request is charged to one quota, and the counter's total before it. */
 public final class QuotaCharge {
   private final PendingRequest request;
   private final SlidingWindowQuota quota;
@@ -15,7 +15,7 @@
   QuotaCharge(PendingRequest request, SlidingWindowQuota quota, double units, int demandLevel) {
     this.request = request;
     this.quota = quota;
-    this.counter = quota.current();
+    this.counter = quota.currentCounter();
     this.units = units;
     this.demandLevel = demandLevel;
   }
@@ -28,45 +28,45 @@
     return quota;
   }
 
-  /** The counter of the window in which the request arrived. */
+  /** Returns the counter of the window in which the request arrived. */
   WindowCounter counter() {
     return counter;
   }
 
-  /** Whether the window in which the request arrived is still the quota's current one. */
+  /** Returns whether the window in which the request arrived is still the quota's current one. */
   boolean isInCurrentWindow() {
-    return counter == quota.current();
+    return counter == quota.currentCounter();
   }
 
   double units() {
     return units;
   }
 
-  /** The customer's demand when the request arrived, see {@link DemandEstimator}. */
+  /** Returns the customer's demand level when the request arrived, see {@link DemandEstimator}. */
   int demandLevel() {
     return demandLevel;
   }
 
-  /** Whether the counter answered for this request. */
+  /** Returns whether the counter replied with a total for this request. */
   public boolean isTotalKnown() {
     return !Double.isNaN(totalBeforeUnits);
   }
 
-  /** The counter's total before this request; NaN until it is known. */
+  /** Returns the counter's total before this request; NaN until it is known. */
   double totalBeforeUnits() {
     return totalBeforeUnits;
   }
 
-  void setTotalBefore(double newTotalBeforeUnits) {
+  void setTotalBeforeUnits(double newTotalBeforeUnits) {
     totalBeforeUnits = newTotalBeforeUnits;
   }
 
-  /** What was added to the counter for this request, or is pending. */
+  /** Returns the units that were added to the counter for this request, or are pending. */
   double countedUnits() {
     return countedUnits;
   }
 
-  void setCounted(double newCountedUnits) {
+  void setCountedUnits(double newCountedUnits) {
     countedUnits = newCountedUnits;
   }
 }
--- a/src/main/java/fawndock/policy/quota/QuotaCharging.java
+++ b/src/main/java/fawndock/policy/quota/QuotaCharging.java
@@ -2,10 +2,10 @@
 
 import fawndock.policy.PendingRequest;
 
-/** What is added to the counters for a request, and what is taken back. */
+/** Determines the units that are added to the counters for a request, and withdraws them. */
 final class QuotaCharging {
-  /** The most that one counted request may add, as a ratio of the limit. */
-  private static final double MAX_SAMPLE_RATIO = 1;
+  /** Maximum that one counted request may add, as a ratio of the limit. */
+  private static final double MAX_ADD_LIMIT_RATIO = 1;
 
   private final CounterThrottle throttle;
   private final OverQuotaRisk risk;
@@ -27,13 +27,14 @@
   }
 
   /**
-   * What a request's call adds. A likely rejection only reads: most would take their add back. One
-   * that would be forwarded uncounted adds also for the uncounted requests that it stands for, so
-   * that the count stays right in the mean at any sampling rate.
+   * Returns the units that a request's call adds. If the request is likely to be rejected, the call
+   * only reads, since most such requests would withdraw their addition. If the request would be
+   * forwarded even without a call, it also adds for the uncounted requests that it represents, so
+   * that the expected count is correct at any sampling rate.
    *
-   * @param callChance the chance that a request calls the counter
+   * @param callProbability the probability that a request calls the counter
    */
-  double unitsToAdd(QuotaCharge charge, double callChance) {
+  double unitsToAdd(QuotaCharge charge, double callProbability) {
     SlidingWindowQuota quota = charge.quota();
     if (quota.kind() == QuotaKind.CEILING || throttle.isCounterUnreachable()) {
       return charge.units();
@@ -42,8 +43,8 @@
       return 0;
     }
     return Math.min(
-        charge.units() / callChance,
-        Math.max(charge.units(), quota.limitUnits() * MAX_SAMPLE_RATIO));
+        charge.units() / callProbability,
+        Math.max(charge.units(), quota.limitUnits() * MAX_ADD_LIMIT_RATIO));
   }
 
   /**
@@ -55,22 +56,22 @@
       return;
     }
     if (charge.isTotalKnown()) {
-      charge.setCounted(charge.units());
+      charge.setCountedUnits(charge.units());
       calls.send(charge.counter(), charge.units());
     } else if (!throttle.isThrottled()) {
-      charge.setCounted(charge.units());
+      charge.setCountedUnits(charge.units());
       pendingAdds.add(charge.counter(), charge.units());
     }
   }
 
-  /** Notes that a request is forwarded. */
-  void recordSent(PendingRequest request) {
+  /** Records that a request is forwarded. */
+  void recordForwarded(PendingRequest request) {
     for (QuotaCharge charge : request.charges()) {
-      charge.counter().recordSent(charge.units());
+      charge.counter().recordForwarded(charge.units());
     }
   }
 
-  /** Takes back what was added for a request that was never forwarded. */
+  /** Withdraws what was added for a request, unless the request was forwarded. */
   void release(PendingRequest request) {
     if (!request.attempts().isEmpty()) {
       return;
@@ -79,12 +80,12 @@
       if (charge.countedUnits() > 0) {
         charge.counter().reduceTotal(charge.countedUnits());
         pendingAdds.add(charge.counter(), -charge.countedUnits());
-        charge.setCounted(0);
+        charge.setCountedUnits(0);
       }
     }
   }
 
-  /** Adds the difference between the units that an answer settled and those of the request. */
+  /** Adds the difference between the units that a response settled and those of the request. */
   void settle(PendingRequest request, double settledUnits) {
     QuotaCharge charge = request.charge(QuotaKind.RATE);
     if (settledUnits > 0 && charge != null && charge.countedUnits() > 0) {
--- a/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
+++ b/src/main/java/fawndock/policy/quota/SlidingWindowQuota.java
@@ -1,8 +1,8 @@
 package fawndock.policy.quota;
 
 /**
- * One customer's quota of one kind, counted in a current and a previous window: the previous total
- * counts by the part of its window that a window ending now still covers.
+ * One customer's quota of one kind, counted in a current and a previous window. The previous total
+ * is weighted by the part of its window that a full window ending now still covers.
  */
 public final class SlidingWindowQuota {
   private final QuotaKind kind;
@@ -10,11 +10,11 @@
   private final long windowMicros;
   private final double limitUnits;
   private final DemandEstimator demand;
-  private final CustomerRisk risk = new CustomerRisk();
-  private final TokenBucketReplay bucket;
-  private final LocalTokenBucket localBucket;
-  private WindowCounter current;
-  private WindowCounter previous;
+  private final CustomerRisk customerRisk = new CustomerRisk();
+  private final TokenBucketReplay tokenBucket;
+  private final LocalTokenBucket localTokenBucket;
+  private WindowCounter currentCounter;
+  private WindowCounter previousCounter;
 
   SlidingWindowQuota(
       QuotaKind kind, String counterNamePrefix, long windowMicros, double limitUnits) {
@@ -23,8 +23,9 @@
     this.windowMicros = windowMicros;
     this.limitUnits = limitUnits;
     this.demand = new DemandEstimator(windowMicros);
-    this.bucket = kind == QuotaKind.RATE ? new TokenBucketReplay(limitUnits, windowMicros) : null;
-    this.localBucket =
+    this.tokenBucket =
+        kind == QuotaKind.RATE ? new TokenBucketReplay(limitUnits, windowMicros) : null;
+    this.localTokenBucket =
         kind == QuotaKind.CEILING ? new LocalTokenBucket(limitUnits, windowMicros) : null;
   }
 
@@ -40,7 +41,10 @@
     return windowMicros;
   }
 
-  /** Units that a window may hold; attempts, for {@link QuotaKind#CONCURRENCY}. */
+  /**
+   * Returns the units that may be used in a window; for {@link QuotaKind#CONCURRENCY}, the maximum
+   * of attempts in flight.
+   */
   double limitUnits() {
     return limitUnits;
   }
@@ -49,42 +53,48 @@
     return demand;
   }
 
-  CustomerRisk risk() {
-    return risk;
+  CustomerRisk customerRisk() {
+    return customerRisk;
   }
 
-  /** The plan's token bucket; only for {@link QuotaKind#RATE}. */
-  TokenBucketReplay bucket() {
-    return bucket;
+  /** Returns the plan's token bucket; null unless the kind is {@link QuotaKind#RATE}. */
+  TokenBucketReplay tokenBucket() {
+    return tokenBucket;
   }
 
-  /** This instance's part of the rate; only for {@link QuotaKind#CEILING}. */
-  LocalTokenBucket localBucket() {
-    return localBucket;
+  /**
+   * Returns the token bucket of this instance's share of the rate; null unless the kind is {@link
+   * QuotaKind#CEILING}.
+   */
+  LocalTokenBucket localTokenBucket() {
+    return localTokenBucket;
   }
 
-  WindowCounter current() {
-    return current;
+  WindowCounter currentCounter() {
+    return currentCounter;
   }
 
-  WindowCounter previous() {
-    return previous;
+  WindowCounter previousCounter() {
+    return previousCounter;
   }
 
-  boolean isCurrent(long windowIndex) {
-    return current != null && current.windowIndex() == windowIndex;
+  boolean isCurrentWindow(long windowIndex) {
+    return currentCounter != null && currentCounter.windowIndex() == windowIndex;
   }
 
-  /** Starts a window; the current counter becomes the previous one where it is the one before. */
+  /**
+   * Starts a window. If it directly follows the current one, the current counter becomes the
+   * previous one.
+   */
   void startWindow(long windowIndex, long nowMicros) {
-    boolean isNext = isCurrent(windowIndex - 1);
-    previous = isNext ? current : new WindowCounter(this, windowIndex - 1);
-    current = new WindowCounter(this, windowIndex);
-    if (bucket != null) {
-      bucket.startWindow(isNext, nowMicros);
+    boolean isConsecutive = isCurrentWindow(windowIndex - 1);
+    previousCounter = isConsecutive ? currentCounter : new WindowCounter(this, windowIndex - 1);
+    currentCounter = new WindowCounter(this, windowIndex);
+    if (tokenBucket != null) {
+      tokenBucket.startWindow(isConsecutive, nowMicros);
     }
-    if (localBucket != null && !isNext) {
-      localBucket.reset(nowMicros);
+    if (localTokenBucket != null && !isConsecutive) {
+      localTokenBucket.reset(nowMicros);
     }
   }
 
@@ -92,7 +102,10 @@
     return estimate(previousUnits, currentUnits, nowMicros % windowMicros, windowMicros);
   }
 
-  /** The weighted estimate of the use in a window that ends now; a total below 0 is no credit. */
+  /**
+   * Returns the weighted estimate of the units used in a window that ends now; a negative previous
+   * total counts as 0.
+   */
   public static double estimate(
       double previousUnits, double currentUnits, long elapsedMicros, long windowMicros) {
     return Math.max(0, previousUnits) * (windowMicros - elapsedMicros) / windowMicros
--- a/src/main/java/fawndock/policy/quota/TokenBucketReplay.java
+++ b/src/main/java/fawndock/policy/quota/TokenBucketReplay.java
@@ -1,75 +1,79 @@
 package fawndock.policy.quota;
 
 /**
- * The plan's token bucket as replayed from the two totals: it fills at the plan's rate and is
- * drained by what was added since the last look. Each total is followed by its highest mark: a
- * total read before an own add came in, or a peer's add that is taken back, must not fill it again.
+ * Estimates the level of the plan's token bucket by replaying the two window totals: it refills at
+ * the plan's rate and drains by the units added since the last update. It tracks the maximum seen
+ * of each total, so that a total read before this instance's own addition, or reduced because a
+ * peer withdrew an addition, does not refill the bucket.
  */
 final class TokenBucketReplay {
   private final double limitUnits;
   private final long windowMicros;
-  private double levelUnits = Double.NaN;
-  private double currentMarkUnits;
-  private double previousMarkUnits;
-  private long replayedAtMicros;
+  private double availableUnits = Double.NaN;
+  private double maxCurrentTotalUnits;
+  private double maxPreviousTotalUnits;
+  private long updatedAtMicros;
 
   TokenBucketReplay(double limitUnits, long windowMicros) {
     this.limitUnits = limitUnits;
     this.windowMicros = windowMicros;
   }
 
-  void startWindow(boolean isNext, long nowMicros) {
-    levelUnits = isNext ? levelUnits : Double.NaN;
-    replayedAtMicros = isNext ? replayedAtMicros : nowMicros;
-    previousMarkUnits = currentMarkUnits;
-    currentMarkUnits = 0;
+  void startWindow(boolean isConsecutive, long nowMicros) {
+    availableUnits = isConsecutive ? availableUnits : Double.NaN;
+    updatedAtMicros = isConsecutive ? updatedAtMicros : nowMicros;
+    maxPreviousTotalUnits = maxCurrentTotalUnits;
+    maxCurrentTotalUnits = 0;
   }
 
-  boolean isKnown() {
-    return !Double.isNaN(levelUnits);
+  boolean isInitialized() {
+    return !Double.isNaN(availableUnits);
   }
 
-  double levelUnits() {
-    return levelUnits;
+  double availableUnits() {
+    return availableUnits;
   }
 
-  /** Starts from what the sliding window's estimate leaves of the limit; totals as below. */
-  void start(double estimateUnits, double currentUnits, double previousUnits, long nowMicros) {
-    levelUnits = Math.max(0, limitUnits - estimateUnits);
-    mark(currentUnits, previousUnits, nowMicros);
+  /**
+   * Initializes the bucket with what the sliding-window estimate leaves of the limit; the totals
+   * are those of {@link #update}.
+   */
+  void initialize(double estimateUnits, double currentUnits, double previousUnits, long nowMicros) {
+    availableUnits = Math.max(0, limitUnits - estimateUnits);
+    recordTotals(currentUnits, previousUnits, nowMicros);
   }
 
   /**
-   * Follows the totals.
+   * Updates the bucket to new totals.
    *
-   * @param currentUnits the current window's total before the request's own add
+   * @param currentUnits the current window's total before the request's own addition
    * @param previousUnits the previous window's total as read
    */
-  void replay(double currentUnits, double previousUnits, long nowMicros) {
-    levelUnits =
-        maxLevelUnits(nowMicros)
-            - (Math.max(currentUnits, currentMarkUnits) - currentMarkUnits)
-            - (Math.max(previousUnits, previousMarkUnits) - previousMarkUnits);
-    mark(currentUnits, previousUnits, nowMicros);
+  void update(double currentUnits, double previousUnits, long nowMicros) {
+    availableUnits =
+        maxAvailableUnits(nowMicros)
+            - (Math.max(currentUnits, maxCurrentTotalUnits) - maxCurrentTotalUnits)
+            - (Math.max(previousUnits, maxPreviousTotalUnits) - maxPreviousTotalUnits);
+    recordTotals(currentUnits, previousUnits, nowMicros);
   }
 
-  private void mark(double currentUnits, double previousUnits, long nowMicros) {
-    currentMarkUnits = Math.max(currentUnits, currentMarkUnits);
-    previousMarkUnits = Math.max(previousUnits, previousMarkUnits);
-    replayedAtMicros = nowMicros;
+  private void recordTotals(double currentUnits, double previousUnits, long nowMicros) {
+    maxCurrentTotalUnits = Math.max(currentUnits, maxCurrentTotalUnits);
+    maxPreviousTotalUnits = Math.max(previousUnits, maxPreviousTotalUnits);
+    updatedAtMicros = nowMicros;
   }
 
-  /** The most that the bucket can hold by now. */
-  double maxLevelUnits(long nowMicros) {
-    return Double.isNaN(levelUnits)
+  /** Returns the maximum that the bucket can hold now. */
+  double maxAvailableUnits(long nowMicros) {
+    return Double.isNaN(availableUnits)
         ? 0
         : Math.min(
-            limitUnits, levelUnits + limitUnits * (nowMicros - replayedAtMicros) / windowMicros);
+            limitUnits, availableUnits + limitUnits * (nowMicros - updatedAtMicros) / windowMicros);
   }
 
-  /** Takes units out, which the current window's total will show. */
+  /** Takes units that the current window's total will include. */
   void take(double units) {
-    levelUnits -= units;
-    currentMarkUnits += units;
+    availableUnits -= units;
+    maxCurrentTotalUnits += units;
   }
 }
