--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -140,7 +140,7 @@
                     traffics.forEach(t -> t.setRateFactor(1));
                   });
       read.faultWindows().forEach(mark -> trouble(mark, script, scene));
-      script.playUntil(WARM + d.durationSeconds(), out);
+      script.runUntil(WARM + d.durationSeconds(), out);
       traffics.forEach(TrafficGenerator::stop);
       for (TrafficGenerator each : traffics) {
         BadDayScenario.awaitCompletion(each);
--- a/src/main/java/fawndock/scenario/BadDayScenario.java
+++ b/src/main/java/fawndock/scenario/BadDayScenario.java
@@ -76,7 +76,7 @@
               seed);
       traffic.setRateFactor(0.1);
       traffic.start();
-      schedule(scene, traffic).playUntil(DURATION_SECONDS, out);
+      schedule(scene, traffic).runUntil(DURATION_SECONDS, out);
       traffic.stop();
       awaitCompletion(traffic);
       List<TraceEvent> trace = scene.recorder.events();
--- a/src/main/java/fawndock/scenario/ChaosScenario.java
+++ b/src/main/java/fawndock/scenario/ChaosScenario.java
@@ -73,7 +73,7 @@
           at += MEAN_GAP_SECONDS * (0.5 + random.nextDouble())) {
         drawFault(at, scene, traffic);
       }
-      schedule.playUntil(seconds, out);
+      schedule.runUntil(seconds, out);
       traffic.stop();
       BadDayScenario.awaitCompletion(traffic);
       if (counterFleet != null) {
--- a/src/main/java/fawndock/scenario/CounterPartitionScenario.java
+++ b/src/main/java/fawndock/scenario/CounterPartitionScenario.java
@@ -143,7 +143,7 @@
       double end = faultCount.get(faultCount.size() - 1).atSecond + 2 * faultSeconds;
       long start = System.currentTimeMillis() * 1_000;
       traffic.start();
-      script.playUntil(end, out);
+      script.runUntil(end, out);
       traffic.stop();
       BadDayScenario.awaitCompletion(traffic);
       ConformanceResult verdict =
--- a/src/main/java/fawndock/scenario/DayScenario.java
+++ b/src/main/java/fawndock/scenario/DayScenario.java
@@ -85,7 +85,7 @@
           "%s: %d gatekeepers and %d servers stand for %d and %d; %d customers%n",
           day.name(), GATEWAYS, BACKENDS, day.gatewayCount(), day.backendCount(), customers.size());
       traffic.start();
-      schedule(scene, traffic).playUntil(Math.min(MAX_SECONDS, day.seconds()), out);
+      schedule(scene, traffic).runUntil(Math.min(MAX_SECONDS, day.seconds()), out);
       traffic.stop();
       BadDayScenario.awaitCompletion(traffic);
       List<TraceEvent> trace = scene.recorder.events();
--- a/src/main/java/fawndock/scenario/FaultSchedule.java
+++ b/src/main/java/fawndock/scenario/FaultSchedule.java
@@ -25,7 +25,7 @@
   }
 
   /** Plays all steps, and returns at the second given. */
-  public void playUntil(double until, PrintStream out) throws Exception {
+  public void runUntil(double until, PrintStream out) throws Exception {
     long start = System.nanoTime();
     steps.sort(Comparator.comparingDouble(Step::second));
     for (Step step : steps) {
--- a/src/main/java/fawndock/scenario/LargeFleetScenario.java
+++ b/src/main/java/fawndock/scenario/LargeFleetScenario.java
@@ -86,7 +86,7 @@
       traffic.start();
       new FaultSchedule()
           .at(QuotaUsage.SETTLING_SECONDS, "held against the plans from here", () -> {})
-          .playUntil(seconds, out);
+          .runUntil(seconds, out);
       traffic.stop();
       BadDayScenario.awaitCompletion(traffic);
       List<TraceEvent> trace = scene.recorder.events();
