--- a/src/main/java/fawndock/scenario/ChaosScenario.java
+++ b/src/main/java/fawndock/scenario/ChaosScenario.java
@@ -77,7 +77,7 @@
       traffic.stop();
       BadDayScenario.awaitCompletion(traffic);
       if (counterFleet != null) {
-        counterFleet.close(); // Before its directory is deleted.
+        counterFleet.close(); // The nodes write into the directory that is deleted next.
       }
       return fixture.conclude(
           InvariantChecker.check(
--- a/src/main/java/fawndock/scenario/CounterCrashScenario.java
+++ b/src/main/java/fawndock/scenario/CounterCrashScenario.java
@@ -40,6 +40,7 @@
     this.out = out;
   }
 
+  /** An add without a reply so far. */
   private record PendingAdd(String name, BigDecimal amount) {}
 
   /**
--- a/src/main/java/fawndock/scenario/CounterTotalsChecker.java
+++ b/src/main/java/fawndock/scenario/CounterTotalsChecker.java
@@ -13,6 +13,7 @@
  * plus the unanswered adds. Thread-safe.
  */
 final class CounterTotalsChecker {
+  /** The sums of the acknowledged and of the unanswered adds to a name. */
   private static final class NameTotals {
     BigDecimal acknowledged = BigDecimal.ZERO;
     BigDecimal unanswered = BigDecimal.ZERO;
--- a/src/main/java/fawndock/scenario/DayFile.java
+++ b/src/main/java/fawndock/scenario/DayFile.java
@@ -91,7 +91,7 @@
   /**
    * Reads a day file.
    *
-   * @throws IOException if the file is too large or is not a day file
+   * @throws IOException if the file is over 64 MiB or lacks a field, which the message names
    */
   public static DayFile read(Path file) throws IOException {
     if (java.nio.file.Files.size(file) > MAX_BYTES) {
--- a/src/main/java/fawndock/scenario/DemoScenario.java
+++ b/src/main/java/fawndock/scenario/DemoScenario.java
@@ -64,7 +64,7 @@
               + fixture.gateways.port(0)
               + "/tours/x");
       out.println(
-          "each second: served / refused for each customer (requests a second on its plan in the long run)");
+          "each second: served / refused for each customer (how many a second it may send on its plan in the long run)");
       traffic.start();
       Map<String, long[]> previousCounts = new TreeMap<>();
       for (int second = 1; second <= seconds; second++) {
--- a/src/main/java/fawndock/scenario/FaultSchedule.java
+++ b/src/main/java/fawndock/scenario/FaultSchedule.java
@@ -17,6 +17,7 @@
     void run() throws Exception;
   }
 
+  /** An action, its time in seconds after the start, and the description that is printed. */
   private record Step(double atSecond, String description, ScheduledAction action) {}
 
   private final List<Step> steps = new ArrayList<>();
--- a/src/main/java/fawndock/scenario/GatewayProcesses.java
+++ b/src/main/java/fawndock/scenario/GatewayProcesses.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Gateways in separate processes, each with a settings file in a common directory. Processes are
- * started, killed and terminated under a lock, and those still running are killed on {@link #close}
- * and when this process exits.
+ * Gateways in separate processes, each with a settings file in a common directory. Processes may be
+ * started and ended from any thread; those still running are killed on {@link #close} and when this
+ * process exits. No process that it did not start is ended.
  */
 public final class GatewayProcesses implements AutoCloseable {
   private static final int MAX_PORT_ATTEMPTS = 1_000;
--- a/src/main/java/fawndock/scenario/TrafficGenerator.java
+++ b/src/main/java/fawndock/scenario/TrafficGenerator.java
@@ -14,7 +14,8 @@
 /**
  * Open-loop traffic of several customers with Poisson arrivals. Each request goes to a random
  * gateway; clients retry as the request class allows, and some disconnect early. Requests are sent
- * on an event loop; the settings may be changed and the counts read from any thread.
+ * on an event loop; the {@code set} methods and the counts may be used from any thread. The class
+ * is independent of the load generator in {@code fawndock.loadgen}.
  */
 public final class TrafficGenerator {
   /** A customer and its request rate. */
@@ -90,7 +91,7 @@
     vertx.cancelTimer(timer);
   }
 
-  /** Multiplies the request rate of all customers. */
+  /** Sets the factor that multiplies the base request rate of all customers. */
   public void setRateFactor(double factor) {
     rateFactor = factor;
   }
@@ -100,7 +101,7 @@
     earlyDisconnectRatio = ratio;
   }
 
-  /** Multiplies the request rate of the customers whose names start with the prefix. */
+  /** Sets a further factor for the request rate of customers whose names start with the prefix. */
   public void setRateFactorOf(String prefix, double factor) {
     factorByPrefix.put(prefix, factor);
   }
--- a/src/test/java/fawndock/scenario/DayFileTest.java
+++ b/src/test/java/fawndock/scenario/DayFileTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the reading of day files and the goodput of a trace, weighted by priority. */
 class DayFileTest {
   @TempDir Path directory;
 
