--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -82,7 +82,7 @@
 
   /** Reports the settings' own endpoints, then watches unless the policy is to ask for that. */
   void start() {
-    if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
+    if (!settings.staticEndpoints().isEmpty() || settings.watchesOnDemand()) {
       List<Endpoint> endpoints = new ArrayList<>();
       for (StaticEndpoint each : settings.staticEndpoints()) {
         addresses.put(each.id(), each.address());
@@ -92,7 +92,7 @@
       }
       listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
     }
-    if (!settings.mustWatchEndpoints()) {
+    if (!settings.watchesOnDemand()) {
       watch();
     }
   }
@@ -219,7 +219,7 @@
           }
         });
     backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
-    if (settings.mustWatchEndpoints()) {
+    if (settings.watchesOnDemand()) {
       listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
--- a/src/main/java/fawndock/gateway/GatewayVerticle.java
+++ b/src/main/java/fawndock/gateway/GatewayVerticle.java
@@ -120,7 +120,7 @@
         settings.seed() + instanceIndex,
         ROUND_TRIP_MICROS,
         settings.zone(),
-        settings.discovery().mustWatchEndpoints(),
+        settings.discovery().watchesOnDemand(),
         settings.classes(),
         settings.plans(),
         settings.limits(),
--- a/src/main/java/fawndock/settings/DiscoverySection.java
+++ b/src/main/java/fawndock/settings/DiscoverySection.java
@@ -10,14 +10,14 @@
 final class DiscoverySection {
   private Address address;
   private long watchIdleTimeoutMicros = 5_000_000;
-  private boolean mustWatchEndpoints;
+  private boolean watchesOnDemand;
   private final Map<String, StaticEndpoint> staticEndpoints = new LinkedHashMap<>();
 
   void readWatch(LineArguments a) {
     address = a.isValid() ? a.parseAddress(a.positional(0)) : null;
     watchIdleTimeoutMicros =
         a.micros("silence", 100_000, GatewaySettingsFile.MAX_TIME_MICROS, 5_000_000);
-    mustWatchEndpoints = a.flag("must-ask", false);
+    watchesOnDemand = a.flag("must-ask", false);
   }
 
   void readStaticEndpoint(LineArguments a) {
@@ -40,6 +40,6 @@
 
   EndpointDiscovery settings() {
     return new EndpointDiscovery(
-        address, watchIdleTimeoutMicros, mustWatchEndpoints, List.copyOf(staticEndpoints.values()));
+        address, watchIdleTimeoutMicros, watchesOnDemand, List.copyOf(staticEndpoints.values()));
   }
 }
--- a/src/main/java/fawndock/settings/GatewaySettings.java
+++ b/src/main/java/fawndock/settings/GatewaySettings.java
@@ -99,13 +99,13 @@
    *
    * @param address of the discovery server; null for none
    * @param watchIdleTimeoutMicros without any line after which the watch is reopened
-   * @param mustWatchEndpoints whether the watch begins only when the policy asks for it
+   * @param watchesOnDemand whether the watch begins only when the policy asks for it
    * @param staticEndpoints known from the start
    */
   public record EndpointDiscovery(
       Address address,
       long watchIdleTimeoutMicros,
-      boolean mustWatchEndpoints,
+      boolean watchesOnDemand,
       List<StaticEndpoint> staticEndpoints) {}
 
   /** An endpoint named in the settings. */
