--- a/src/main/java/fawndock/fake/FakeBackend.java
+++ b/src/main/java/fawndock/fake/FakeBackend.java
@@ -43,14 +43,14 @@
    *
    * @param workMicros mean work of an attempt
    * @param queueCapacity attempts that may queue
-   * @param slowStartShare its speed at a start, as a share of its full speed
+   * @param slowStartInitialRatio its speed at a start, as a share of its full speed
    * @param collapseMultiple of what it can do, beyond which it collapses while warming up
    */
   public record BackendConfig(
       int cores,
       long workMicros,
       int queueCapacity,
-      double slowStartShare,
+      double slowStartInitialRatio,
       long slowStartMicros,
       double collapseMultiple,
       long collapseWindowMicros) {
@@ -59,7 +59,7 @@
       double age = now - startedAt;
       return startedAt == 0 || age >= slowStartMicros
           ? 1
-          : slowStartShare + (1 - slowStartShare) * age / slowStartMicros;
+          : slowStartInitialRatio + (1 - slowStartInitialRatio) * age / slowStartMicros;
     }
 
     /** Whether so many arrivals in the collapse window are too many for its slow start. */
