--- a/src/main/java/fawndock/fake/FakeBackend.java
+++ b/src/main/java/fawndock/fake/FakeBackend.java
@@ -44,7 +44,7 @@
    * @param workMicros mean work of an attempt
    * @param queueCapacity attempts that may queue
    * @param slowStartInitialRatio its speed at a start, as a share of its full speed
-   * @param collapseMultiple of what it can do, beyond which it collapses while warming up
+   * @param collapseOverloadRatio of what it can do, beyond which it collapses while warming up
    */
   public record BackendConfig(
       int cores,
@@ -52,7 +52,7 @@
       int queueCapacity,
       double slowStartInitialRatio,
       long slowStartMicros,
-      double collapseMultiple,
+      double collapseOverloadRatio,
       long collapseWindowMicros) {
     /** Its speed as a share of its full speed; a start at 0 is long ago. */
     public double slowStartFactor(long startedAt, long now) {
@@ -70,7 +70,7 @@
         return false;
       }
       double allowed =
-          collapseMultiple
+          collapseOverloadRatio
               * slowStartFactor(startedAt, now)
               * cores
               * collapseWindowMicros
