--- a/src/main/java/fawndock/fake/FakeCounterServer.java
+++ b/src/main/java/fawndock/fake/FakeCounterServer.java
@@ -94,7 +94,7 @@
   }
 
   /** Loses this share of every count; 1 empties it. */
-  public void dropShare(double share) {
+  public void discardFraction(double share) {
     group
         .submit(
             () -> {
