--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -17,7 +17,7 @@
 abstract class LoopbackServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 512;
   private final ServerSocket listener;
-  private final Set<Socket> openCount = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private final AtomicInteger acceptedCount = new AtomicInteger();
   private Thread acceptThread;
 
@@ -42,11 +42,11 @@
       try {
         Socket socket = listener.accept();
         acceptedCount.incrementAndGet();
-        if (openCount.size() >= MAX_CONNECTIONS) {
+        if (openSockets.size() >= MAX_CONNECTIONS) {
           socket.close();
           continue;
         }
-        openCount.add(socket);
+        openSockets.add(socket);
         startThread(
             () -> {
               try (socket) {
@@ -54,7 +54,7 @@
               } catch (IOException e) {
                 // The connection is over.
               } finally {
-                openCount.remove(socket);
+                openSockets.remove(socket);
               }
             });
       } catch (IOException e) {
@@ -76,13 +76,13 @@
   }
 
   /** Connections open now. */
-  public final int openCount() {
-    return openCount.size();
+  public final int openConnectionCount() {
+    return openSockets.size();
   }
 
   /** Closes the connections that are open, and goes on listening. */
   final void closeConnections() throws IOException {
-    for (Socket socket : openCount) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -145,7 +145,7 @@
         assertTrue(harness.platform.backend.acceptedCount() > connections, malformed);
         connections = harness.platform.backend.acceptedCount();
       }
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
@@ -194,8 +194,8 @@
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       client.call(harness.newRequest("look"));
-      assertEquals(1, harness.platform.backend.openCount());
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      assertEquals(1, harness.platform.backend.openConnectionCount());
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
@@ -210,7 +210,7 @@
       client.send(RespClient.encodeCommand(harness.newRequest("pay")));
       asked.await();
       client.close();
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
--- a/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
+++ b/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
@@ -86,7 +86,7 @@
         assertEquals("value of " + command[2], client.call(command));
         Thread.sleep(RESTED_MILLIS);
         connections.get(i).send("*3\r\n$5\r\nva");
-        Await.until(() -> harness.platform.backend.openCount() == 0);
+        Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
       }
       assertEquals(3, harness.platform.backend.acceptedCount());
     }
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -88,7 +88,7 @@
           new Thread(
               () -> {
                 while (watching.get()) {
-                  waited.compareAndSet(true, harness.platform.discovery.openCount() > 0);
+                  waited.compareAndSet(true, harness.platform.discovery.openConnectionCount() > 0);
                   Thread.onSpinWait();
                 }
               });
@@ -197,13 +197,13 @@
       harness.process.reload();
       Await.until(() -> last.acceptedCount() > 0);
       assertServed(harness, client);
-      assertTrue(harness.platform.discovery.openCount() > 0);
+      assertTrue(harness.platform.discovery.openConnectionCount() > 0);
       last.setUnresponsive(false);
-      Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openCount() == 0);
+      Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openConnectionCount() == 0);
       assertOnlySecondIsUsed(harness, client, second);
       int calls = mute.acceptedCount();
       mute.setUnresponsive(false);
-      Await.until(() -> mute.openCount() == 0);
+      Await.until(() -> mute.openConnectionCount() == 0);
       assertEquals(calls, mute.acceptedCount());
     }
   }
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -154,10 +154,10 @@
         RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler())) {
       assertEquals("served", ask(harness, client, "look"));
-      assertTrue(harness.platform.counter.openCount() > 0);
+      assertTrue(harness.platform.counter.openConnectionCount() > 0);
       harness.platform.writeConfiguration(harness.platform.discovery.port(), counter.port());
       harness.process.reload();
-      Await.until(() -> harness.platform.counter.openCount() == 0);
+      Await.until(() -> harness.platform.counter.openConnectionCount() == 0);
     }
   }
 
