--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -18,7 +18,7 @@
   private static final int MAX_CONNECTIONS = 512;
   private final ServerSocket listener;
   private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger acceptedCount = new AtomicInteger();
+  private final AtomicInteger acceptedConnectionCount = new AtomicInteger();
   private Thread acceptThread;
 
   LoopbackServer() throws IOException {
@@ -41,7 +41,7 @@
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
-        acceptedCount.incrementAndGet();
+        acceptedConnectionCount.incrementAndGet();
         if (openSockets.size() >= MAX_CONNECTIONS) {
           socket.close();
           continue;
@@ -71,8 +71,8 @@
   }
 
   /** Connections accepted so far. */
-  public final int acceptedCount() {
-    return acceptedCount.get();
+  public final int acceptedConnectionCount() {
+    return acceptedConnectionCount.get();
   }
 
   /** Connections open now. */
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -142,8 +142,8 @@
           }) {
         next.set(malformed);
         assertTrue(client.call(harness.newRequest("pay")).startsWith("-ERR"), malformed);
-        assertTrue(harness.platform.backend.acceptedCount() > connections, malformed);
-        connections = harness.platform.backend.acceptedCount();
+        assertTrue(harness.platform.backend.acceptedConnectionCount() > connections, malformed);
+        connections = harness.platform.backend.acceptedConnectionCount();
       }
       Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
@@ -164,7 +164,7 @@
         String[] command = harness.newRequest("pay");
         assertEquals("value of " + command[2], client.call(command));
       }
-      assertEquals(5, harness.platform.backend.acceptedCount());
+      assertEquals(5, harness.platform.backend.acceptedConnectionCount());
     }
   }
 
@@ -183,7 +183,7 @@
         assertEquals("value of " + command[2], client.call(command));
         Thread.sleep(10); // Long enough for the next request to be a new one.
       }
-      assertEquals(3, harness.platform.backend.acceptedCount());
+      assertEquals(3, harness.platform.backend.acceptedConnectionCount());
     }
   }
 
--- a/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
+++ b/src/test/java/fawndock/platform/BackendConnectionReuseTest.java
@@ -88,7 +88,7 @@
         connections.get(i).send("*3\r\n$5\r\nva");
         Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
       }
-      assertEquals(3, harness.platform.backend.acceptedCount());
+      assertEquals(3, harness.platform.backend.acceptedConnectionCount());
     }
   }
 
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -93,8 +93,8 @@
                 }
               });
       watcher.start();
-      int before = harness.platform.discovery.acceptedCount();
-      Await.until(() -> harness.platform.discovery.acceptedCount() >= before + 3);
+      int before = harness.platform.discovery.acceptedConnectionCount();
+      Await.until(() -> harness.platform.discovery.acceptedConnectionCount() >= before + 3);
       harness.platform.discovery.setSnapshot(listWithDrainingFirst(harness, second, true));
       harness.platform.discovery.setUnresponsive(false);
       Await.until(() -> harness.platform.discovery.watchCount() >= 2);
@@ -192,19 +192,19 @@
       last.setUnresponsive(true);
       harness.platform.writeConfiguration(mute.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> mute.acceptedCount() > 0);
+      Await.until(() -> mute.acceptedConnectionCount() > 0);
       harness.platform.writeConfiguration(last.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> last.acceptedCount() > 0);
+      Await.until(() -> last.acceptedConnectionCount() > 0);
       assertServed(harness, client);
       assertTrue(harness.platform.discovery.openConnectionCount() > 0);
       last.setUnresponsive(false);
       Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openConnectionCount() == 0);
       assertOnlySecondIsUsed(harness, client, second);
-      int calls = mute.acceptedCount();
+      int calls = mute.acceptedConnectionCount();
       mute.setUnresponsive(false);
       Await.until(() -> mute.openConnectionCount() == 0);
-      assertEquals(calls, mute.acceptedCount());
+      assertEquals(calls, mute.acceptedConnectionCount());
     }
   }
 
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -108,8 +108,8 @@
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
-      assertEquals(0, harness.platform.backend.acceptedCount());
-      assertEquals(0, harness.platform.counter.acceptedCount());
+      assertEquals(0, harness.platform.backend.acceptedConnectionCount());
+      assertEquals(0, harness.platform.counter.acceptedConnectionCount());
       assertEquals("served", ask(harness, client, "look"));
       assertTrue(
           Files.readAllLines(Path.of("/proc/net/unix")).stream()
@@ -140,7 +140,7 @@
                 warmUp.run().onComplete(done -> served.complete(warmUp.servedCount()));
               });
       assertTrue(served.get(20, TimeUnit.SECONDS) > 0);
-      assertEquals(0, world.backend.acceptedCount());
+      assertEquals(0, world.backend.acceptedConnectionCount());
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
--- a/src/test/java/fawndock/platform/SignalTest.java
+++ b/src/test/java/fawndock/platform/SignalTest.java
@@ -88,7 +88,7 @@
       reloaded.countDown();
       assertTrue(process.awaitReady(30, TimeUnit.SECONDS));
       Await.until(() -> newDiscovery.watchCount() > 0);
-      assertEquals(0, platform.discovery.acceptedCount());
+      assertEquals(0, platform.discovery.acceptedConnectionCount());
       process.stop();
       assertEquals(0, exitCode.get(20, TimeUnit.SECONDS));
     }
