--- a/src/main/java/fawndock/settings/Address.java
+++ b/src/main/java/fawndock/settings/Address.java
@@ -1,15 +1,15 @@
 package fawndock.settings;
 
 /**
- * A host and a TCP or UDP port.
+ * A host and a TCP or UDP port. Immutable.
  *
- * @param host a name or an IP address, without brackets
- * @param port 0 to 65535; 0 to listen on any free port
+ * @param host a host name or an IP address, without brackets
+ * @param port 0 to 65535; 0 makes a listener choose a free port
  */
 public record Address(String host, int port) {
   private static final int MAX_PORT = 65_535;
 
-  /** The address of a text, or null when that is not HOST:PORT; a port of 0 is one. */
+  /** Parses HOST:PORT; returns null when the text is not valid. Port 0 is valid. */
   public static Address parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon < 0) {
@@ -24,9 +24,9 @@
   }
 
   /**
-   * The address of a text that is known to be HOST:PORT.
+   * Parses a text that is already known to be a valid HOST:PORT.
    *
-   * @throws RuntimeException when it is not
+   * @throws RuntimeException when it is not valid
    */
   public static Address of(String text) {
     int colon = text.lastIndexOf(':');
--- a/src/main/java/fawndock/settings/ConfigurationError.java
+++ b/src/main/java/fawndock/settings/ConfigurationError.java
@@ -1,12 +1,12 @@
 package fawndock.settings;
 
 /**
- * One error of a settings file: where it is, what was read and what was expected.
+ * One error in a settings file: its location, the problem and the expected form. Immutable.
  *
- * @param file the file as it was named
- * @param line its line, from 1; 0 for the file as a whole
- * @param problem what was read that is wrong, or what is missing
- * @param expected what would be right
+ * @param file path of the file, as it was given
+ * @param line line number from 1; 0 when the error concerns the whole file
+ * @param problem the invalid text or the missing setting
+ * @param expected the valid form
  */
 public record ConfigurationError(String file, int line, String problem, String expected) {
   @Override
--- a/src/main/java/fawndock/settings/ConfigurationException.java
+++ b/src/main/java/fawndock/settings/ConfigurationException.java
@@ -4,8 +4,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Settings that cannot be used. The root of all errors of settings files; its message has a line
- * for each {@link ConfigurationError}.
+ * Thrown when settings files contain errors. The message has one line for each {@link
+ * ConfigurationError}.
  */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1;
@@ -16,7 +16,7 @@
     this.errors = List.copyOf(errors);
   }
 
-  /** Every error found, in the order of files and lines. */
+  /** Returns every error found, ordered by file and line. */
   public List<ConfigurationError> errors() {
     return errors;
   }
--- a/src/main/java/fawndock/settings/ConfigurationFile.java
+++ b/src/main/java/fawndock/settings/ConfigurationFile.java
@@ -14,11 +14,14 @@
 import java.util.function.LongConsumer;
 
 /**
- * Base of all settings files: a keyword on each line, checks across lines, and every error at once.
- * A subclass registers its keywords in its constructor. One thread.
+ * Base class of the readers of settings files, in which each line starts with a keyword. A subclass
+ * registers its keywords in its constructor. All errors, including those of checks across lines,
+ * are collected and reported together. Not thread-safe.
  */
 public abstract class ConfigurationFile {
-  /** Reader of each keyword's lines, in the order in which errors list the keywords. */
+  /**
+   * Maps each keyword to the reader of its lines; error messages list the keywords in this order.
+   */
   protected final Map<String, Consumer<ConfigurationLine>> keywords = new LinkedHashMap<>();
 
   private final Set<String> repeatableKeywords;
@@ -29,17 +32,17 @@
   private boolean isUnreadable;
 
   /**
-   * @param repeatableKeywords keywords that may stand on more than one line
+   * @param repeatableKeywords keywords that may occur on more than one line
    */
   protected ConfigurationFile(Set<String> repeatableKeywords) {
     this.repeatableKeywords = repeatableKeywords;
   }
 
   /**
-   * Registers a keyword that is followed by positional arguments, then by pairs of name and value.
-   * Names that the reader does not take are errors.
+   * Registers a keyword that is followed by positional arguments and then by name-value pairs. A
+   * name that the reader does not read is an error.
    *
-   * @param form how the line is written, for errors
+   * @param form syntax of the line, used in error messages
    */
   protected final void keyword(
       String keyword, int positionalCount, String form, Consumer<LineArguments> reader) {
@@ -54,44 +57,52 @@
 
   /** Registers {@code KEYWORD HOST:PORT}. */
   protected final void addressKeyword(String keyword, Consumer<Address> setter) {
-    keyword(keyword, 1, keyword + " HOST:PORT", a -> setter.accept(a.address(0)));
+    keyword(keyword, 1, keyword + " HOST:PORT", arguments -> setter.accept(arguments.address(0)));
   }
 
-  /** Registers {@code KEYWORD NUMBER}, a whole number within bounds. */
-  protected final void integerKeyword(String keyword, int least, int most, IntConsumer setter) {
-    keywords.put(keyword, line -> setter.accept(readInt(line, least, most)));
+  /** Registers {@code KEYWORD NUMBER}, an integer within inclusive bounds. */
+  protected final void integerKeyword(String keyword, int min, int max, IntConsumer setter) {
+    keywords.put(keyword, line -> setter.accept(readInt(line, min, max)));
   }
 
-  /** Registers {@code KEYWORD TIME}, in microseconds within bounds. */
+  /** Registers {@code KEYWORD TIME}, a duration within inclusive bounds in microseconds. */
   protected final void timeKeyword(
-      String keyword, long leastMicros, long mostMicros, LongConsumer setter) {
+      String keyword, long minMicros, long maxMicros, LongConsumer setter) {
     keyword(
         keyword,
         1,
         keyword + " TIME",
-        a ->
+        arguments ->
             setter.accept(
-                a.parseMicros(keyword, a.positional(0), leastMicros, mostMicros, leastMicros)));
+                arguments.parseMicros(
+                    keyword, arguments.positional(0), minMicros, maxMicros, minMicros)));
   }
 
-  /** Registers a keyword with one word of any kind. */
+  /** Registers a keyword that is followed by one word without further checks. */
   protected final void wordKeyword(String keyword, String placeholder, Consumer<String> setter) {
-    keyword(keyword, 1, keyword + " " + placeholder, a -> setter.accept(a.positional(0)));
+    keyword(
+        keyword,
+        1,
+        keyword + " " + placeholder,
+        arguments -> setter.accept(arguments.positional(0)));
   }
 
-  /** Registers {@code log text|json [level …]}. */
+  /** Registers {@code log text|json [level error|warn|info|debug]}. */
   protected final void logKeyword(Consumer<LogSettings> setter) {
     keyword(
-        "log", 1, "log text|json [level error|warn|info|debug]", a -> setter.accept(readLog(a)));
+        "log",
+        1,
+        "log text|json [level error|warn|info|debug]",
+        arguments -> setter.accept(readLog(arguments)));
   }
 
-  /** Reads all lines and makes the cross checks. */
+  /** Reads all lines of a file and its includes, then runs the checks across lines. */
   protected void readLines(Path from) {
     file = from;
     List<ConfigurationLine> lines = new ConfigurationLineReader(errors).read(from);
     isUnreadable = lines.isEmpty() && !errors.isEmpty();
-    for (ConfigurationLine written : lines) {
-      ConfigurationLine line = prepare(written);
+    for (ConfigurationLine originalLine : lines) {
+      ConfigurationLine line = prepare(originalLine);
       if (line != null) {
         readLine(line);
       }
@@ -101,7 +112,7 @@
 
   private void readLine(ConfigurationLine line) {
     Consumer<ConfigurationLine> reader = keywords.get(line.keyword());
-    ConfigurationLine before =
+    ConfigurationLine firstLine =
         repeatableKeywords.contains(line.keyword())
             ? null
             : firstLineByKeyword.putIfAbsent(line.keyword(), line);
@@ -110,34 +121,45 @@
           line,
           "unknown keyword '" + line.keyword() + "'",
           "one of " + String.join(" ", keywords.keySet()) + " include");
-    } else if (before != null) {
+    } else if (firstLine != null) {
       addError(
           line,
-          "'" + line.keyword() + "' stands already in " + before.file() + ":" + before.number(),
+          "'"
+              + line.keyword()
+              + "' stands already in "
+              + firstLine.file()
+              + ":"
+              + firstLine.number(),
           "it once");
     } else {
       reader.accept(line);
     }
   }
 
-  /** The line as it is to be read, or null for one that is left out. */
+  /**
+   * Transforms a line before it is read; returns null to skip the line. This implementation returns
+   * the line unchanged.
+   */
   protected ConfigurationLine prepare(ConfigurationLine line) {
     return line;
   }
 
-  /** Adds an error of a line. */
+  /** Adds an error that concerns one line. */
   protected void addError(ConfigurationLine line, String problem, String expected) {
     errors.add(new ConfigurationError(line.file(), line.number(), problem, expected));
   }
 
-  /** Adds an error of the file as a whole, unless the file could not be read at all. */
-  protected void addFileErrorIf(boolean isWrong, String problem, String expected) {
-    if (isWrong && !isUnreadable) {
+  /**
+   * Adds an error that concerns the whole file if the condition holds, unless the file could not be
+   * read at all.
+   */
+  protected void addFileErrorIf(boolean hasError, String problem, String expected) {
+    if (hasError && !isUnreadable) {
       errors.add(new ConfigurationError(file.toString(), 0, problem, expected));
     }
   }
 
-  /** Throws all errors, in the order of the files and their lines, when there are any. */
+  /** Throws all collected errors, ordered by file and line, if there are any. */
   protected void throwIfErrors() throws ConfigurationException {
     if (!errors.isEmpty()) {
       List<String> files = errors.stream().map(ConfigurationError::file).distinct().toList();
@@ -148,49 +170,48 @@
     }
   }
 
-  /** The arguments of a line of this form. */
+  /** Splits the arguments of a line with this syntax. */
   protected LineArguments arguments(ConfigurationLine line, int positionalCount, String form) {
     return new LineArguments(line, positionalCount, form, errors);
   }
 
-  /** Checks, when all lines are read, what this line says against the others. */
+  /** Adds an error to this line unless the condition holds once all lines are read. */
   protected void crossCheck(
-      LineArguments arguments, BooleanSupplier isRight, String problem, String expected) {
-    crossCheck(isRight, () -> arguments.addError(problem, expected));
+      LineArguments arguments, BooleanSupplier isValid, String problem, String expected) {
+    crossCheck(isValid, () -> arguments.addError(problem, expected));
   }
 
-  /** The same for a line whose arguments are not read by {@link LineArguments}. */
+  /** Does the same for a line that is not read through {@link LineArguments}. */
   protected void crossCheck(
-      ConfigurationLine line, BooleanSupplier isRight, String problem, String expected) {
-    crossCheck(isRight, () -> addError(line, problem, expected));
+      ConfigurationLine line, BooleanSupplier isValid, String problem, String expected) {
+    crossCheck(isValid, () -> addError(line, problem, expected));
   }
 
-  private void crossCheck(BooleanSupplier isRight, Runnable addError) {
+  private void crossCheck(BooleanSupplier isValid, Runnable addError) {
     crossChecks.add(
         () -> {
-          if (!isRight.getAsBoolean()) {
+          if (!isValid.getAsBoolean()) {
             addError.run();
           }
         });
   }
 
-  /** Reads a line that is a keyword and a whole number; the least when it is none. */
-  protected int readInt(ConfigurationLine line, int least, int most) {
+  /** Reads a keyword and an integer; returns {@code min} when the integer is not valid. */
+  protected int readInt(ConfigurationLine line, int min, int max) {
     LineArguments arguments = arguments(line, 1, line.keyword() + " NUMBER");
-    int number =
-        arguments.parseInteger(line.keyword(), arguments.positional(0), least, most, least);
+    int value = arguments.parseInteger(line.keyword(), arguments.positional(0), min, max, min);
     arguments.rejectUnknown();
-    return number;
+    return value;
   }
 
-  private static LogSettings readLog(LineArguments a) {
-    String format = a.positional(0);
+  private static LogSettings readLog(LineArguments arguments) {
+    String format = arguments.positional(0);
     if (!format.matches("text|json")) {
-      a.addError("log form '" + format + "'", "text or json");
+      arguments.addError("unknown log format '" + format + "'", "text or json");
     }
-    String level = a.word("level", LogSettings.DEFAULT.level());
+    String level = arguments.word("level", LogSettings.DEFAULT.level());
     if (!level.matches("error|warn|info|debug")) {
-      a.addError("log level '" + level + "'", "error, warn, info or debug");
+      arguments.addError("unknown log level '" + level + "'", "error, warn, info or debug");
     }
     return new LogSettings(format.equals("json"), level);
   }
--- a/src/main/java/fawndock/settings/ConfigurationLineReader.java
+++ b/src/main/java/fawndock/settings/ConfigurationLineReader.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 
 /**
- * Splits settings files into lines of words. Words are separated by white space; {@code "…"} keeps
- * white space and {@code #} in a word and knows {@code \"} and {@code \\}; {@code #} at the start
- * of a word begins a comment; {@code include FILE} puts another file's lines in its place, relative
- * to the file that names it.
+ * Splits settings files into lines of words. White space separates words. Within double quotes, a
+ * word may contain white space and {@code #}, and {@code \"} and {@code \\} are escapes. A {@code
+ * #} at the start of a word begins a comment. {@code include FILE} is replaced by the lines of that
+ * file, whose path is relative to the including file. Not thread-safe.
  */
 final class ConfigurationLineReader {
   private static final int MAX_INCLUDE_DEPTH = 8;
@@ -21,12 +21,12 @@
   private final List<ConfigurationLine> lines = new ArrayList<>();
   private final List<ConfigurationError> errors;
 
-  /** Errors are added to the list given. */
+  /** Creates a reader that adds its errors to the given list. */
   ConfigurationLineReader(List<ConfigurationError> errors) {
     this.errors = errors;
   }
 
-  /** The lines of a file and of all files that it includes. */
+  /** Returns the lines of a file and of all files that it includes. */
   List<ConfigurationLine> read(Path file) {
     include(file, file.toString(), 0, 0);
     return lines;
@@ -45,18 +45,18 @@
     if (text.isEmpty()) {
       return;
     }
-    int number = 0;
-    for (String each : text.get().split("\r?\n", -1)) {
-      number++;
-      List<String> words = splitWords(each, file.toString(), number);
+    int lineNumber = 0;
+    for (String lineText : text.get().split("\r?\n", -1)) {
+      lineNumber++;
+      List<String> words = splitWords(lineText, file.toString(), lineNumber);
       if (words.isEmpty()) {
         continue;
       }
       if (lines.size() >= MAX_LINES) {
-        addError(file.toString(), number, "more than " + MAX_LINES + " lines in all", "fewer");
+        addError(file.toString(), lineNumber, "more than " + MAX_LINES + " lines in all", "fewer");
         return;
       }
-      addLine(file, new ConfigurationLine(file.toString(), number, words), depth);
+      addLine(file, new ConfigurationLine(file.toString(), lineNumber, words), depth);
     }
   }
 
@@ -87,31 +87,32 @@
     }
   }
 
-  /** The words of a line; none for an empty line, a comment, and one whose quote is not closed. */
-  private List<String> splitWords(String text, String file, int number) {
+  /** Returns the words of a line; none for an empty line, a comment or an unclosed quote. */
+  private List<String> splitWords(String text, String file, int lineNumber) {
     List<String> words = new ArrayList<>();
-    int at = 0;
-    while (at < text.length()) {
-      char c = text.charAt(at);
+    int position = 0;
+    while (position < text.length()) {
+      char c = text.charAt(position);
       if (Character.isWhitespace(c)) {
-        at++;
+        position++;
       } else if (c == '#') {
         break;
       } else {
         StringBuilder word = new StringBuilder();
         boolean isQuoted = false;
-        while (at < text.length() && (isQuoted || !Character.isWhitespace(text.charAt(at)))) {
-          c = text.charAt(at++);
+        while (position < text.length()
+            && (isQuoted || !Character.isWhitespace(text.charAt(position)))) {
+          c = text.charAt(position++);
           if (c == '"') {
             isQuoted = !isQuoted;
-          } else if (c == '\\' && isQuoted && at < text.length()) {
-            word.append(text.charAt(at++));
+          } else if (c == '\\' && isQuoted && position < text.length()) {
+            word.append(text.charAt(position++));
           } else {
             word.append(c);
           }
         }
         if (isQuoted) {
-          addError(file, number, "a quote is not closed", "\" before the line ends");
+          addError(file, lineNumber, "a quote is not closed", "\" before the line ends");
           return List.of();
         }
         words.add(word.toString());
--- a/src/main/java/fawndock/settings/CounterSection.java
+++ b/src/main/java/fawndock/settings/CounterSection.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The keywords of the counter service: its shards or the nodes of its cluster, and limits. */
+/**
+ * Reads the keywords of the counter service: its shards or cluster nodes, and the limits of calls
+ * to it. Not thread-safe.
+ */
 final class CounterSection {
   private final GatewaySettingsFile file;
   private List<Address> shards = List.of();
@@ -23,33 +26,35 @@
   void readShards(ConfigurationLine line) {
     List<String> addresses = line.words().subList(1, line.words().size());
     String form = line.keyword() + " HOST:PORT [HOST:PORT ...]";
-    LineArguments a = file.arguments(line, addresses.size(), form);
-    List<Address> read = new ArrayList<>();
-    for (String each : addresses) {
-      Address address = a.parseAddress(each);
-      if (read.contains(address)) {
-        a.addError("counter part " + address + " is given twice", "each part once");
+    LineArguments arguments = file.arguments(line, addresses.size(), form);
+    List<Address> parsedAddresses = new ArrayList<>();
+    for (String text : addresses) {
+      Address address = arguments.parseAddress(text);
+      if (parsedAddresses.contains(address)) {
+        arguments.addError("counter part " + address + " is given twice", "each part once");
       }
-      read.add(address);
+      parsedAddresses.add(address);
     }
-    if (read.isEmpty()) {
-      a.addError(line.keyword() + " names no address", form);
+    if (parsedAddresses.isEmpty()) {
+      arguments.addError(line.keyword() + " names no address", form);
     }
-    file.crossCheck(a, clusterNodes::isEmpty, "counter and counter-node both", "one of them");
-    shards = List.copyOf(new LinkedHashSet<>(read));
+    file.crossCheck(
+        arguments, clusterNodes::isEmpty, "counter and counter-node both", "one of them");
+    shards = List.copyOf(new LinkedHashSet<>(parsedAddresses));
   }
 
-  void readClusterNode(LineArguments a) {
-    Address address = a.address(1);
-    if (clusterNodes.putIfAbsent(a.positional(0), address) != null) {
-      a.addError("counter-node " + a.positional(0) + " is given twice", "each node once");
+  void readClusterNode(LineArguments arguments) {
+    Address address = arguments.address(1);
+    if (clusterNodes.putIfAbsent(arguments.positional(0), address) != null) {
+      arguments.addError(
+          "counter-node " + arguments.positional(0) + " is given twice", "each node once");
     }
   }
 
-  void readLimits(LineArguments a) {
-    timeoutMicros = a.micros("timeout", 1_000, 60_000_000, 50_000);
-    settlesUnits = a.flag("settled", false);
-    maxCallsInFlight = a.integer("calls", 1, 1_000_000, 4_096);
+  void readLimits(LineArguments arguments) {
+    timeoutMicros = arguments.micros("timeout", 1_000, 60_000_000, 50_000);
+    settlesUnits = arguments.flag("settled", false);
+    maxCallsInFlight = arguments.integer("calls", 1, 1_000_000, 4_096);
   }
 
   CounterService settings() {
--- a/src/main/java/fawndock/settings/DiscoverySection.java
+++ b/src/main/java/fawndock/settings/DiscoverySection.java
@@ -6,34 +6,37 @@
 import java.util.List;
 import java.util.Map;
 
-/** The keywords of endpoint discovery: the watch, and endpoints known from the start. */
+/**
+ * Reads the keywords of endpoint discovery: the endpoint watch and the static endpoints. Not
+ * thread-safe.
+ */
 final class DiscoverySection {
   private Address address;
   private long watchIdleTimeoutMicros = 5_000_000;
   private boolean watchesOnDemand;
   private final Map<String, StaticEndpoint> staticEndpoints = new LinkedHashMap<>();
 
-  void readWatch(LineArguments a) {
-    address = a.isValid() ? a.parseAddress(a.positional(0)) : null;
+  void readWatch(LineArguments arguments) {
+    address = arguments.isValid() ? arguments.parseAddress(arguments.positional(0)) : null;
     watchIdleTimeoutMicros =
-        a.micros("silence", 100_000, GatewaySettingsFile.MAX_TIME_MICROS, 5_000_000);
-    watchesOnDemand = a.flag("must-ask", false);
+        arguments.micros("silence", 100_000, GatewaySettingsFile.MAX_TIME_MICROS, 5_000_000);
+    watchesOnDemand = arguments.flag("must-ask", false);
   }
 
-  void readStaticEndpoint(LineArguments a) {
+  void readStaticEndpoint(LineArguments arguments) {
     StaticEndpoint endpoint =
         new StaticEndpoint(
-            a.positional(0),
-            a.address(1),
-            a.word("zone", ""),
-            a.integer("cell", 0, 1_000_000, 0),
-            a.number("weight", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1));
+            arguments.positional(0),
+            arguments.address(1),
+            arguments.word("zone", ""),
+            arguments.integer("cell", 0, 1_000_000, 0),
+            arguments.number("weight", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1));
     if (staticEndpoints.putIfAbsent(endpoint.id(), endpoint) != null) {
-      a.addError("server " + endpoint.id() + " is given twice", "each server once");
+      arguments.addError("server " + endpoint.id() + " is given twice", "each server once");
     }
   }
 
-  /** Whether there is neither a watch nor a static endpoint. */
+  /** Returns whether neither an endpoint watch nor a static endpoint is configured. */
   boolean isEmpty() {
     return address == null && staticEndpoints.isEmpty();
   }
--- a/src/main/java/fawndock/settings/GatewaySettings.java
+++ b/src/main/java/fawndock/settings/GatewaySettings.java
@@ -8,26 +8,26 @@
 import java.util.Map;
 
 /**
- * The settings of one gateway process, as its settings file gives them. Immutable.
+ * The settings of one gateway process, as read from its settings file. Immutable.
  *
- * @param listen where clients connect
- * @param instances gateway instances in this process, from 1
- * @param firstInstance index of the first of them in the fleet, from 0
- * @param fleetSize instances in the fleet, from 1
- * @param seed of the policy's random choices
- * @param zone where this process runs
- * @param classes the request classes, in the order given
- * @param plans the plans, in the order given
- * @param apiKeys the customer of each key
- * @param routes method and path to class, the longest prefix first
- * @param limits what an instance may do
- * @param rules the figures of the service rules
- * @param counter the counter service
- * @param discovery where endpoints are learned from
- * @param peers the other instances
- * @param http how requests are read and forwarded
- * @param log how the log is written
- * @param rateLimit the gRPC rate limit service
+ * @param listen address on which clients connect
+ * @param instances number of gateway instances in this process, at least 1
+ * @param firstInstance index in the fleet, from 0, of the first instance in this process
+ * @param fleetSize number of instances in the fleet, at least 1
+ * @param seed seed of the policy's random number generator
+ * @param zone availability zone of this process
+ * @param classes request classes, in file order
+ * @param plans plans, in file order
+ * @param apiKeys customers by API key
+ * @param routes routes from method and path to request class, longest prefix first
+ * @param limits limits of each instance
+ * @param rules durations and ratios of the service rules
+ * @param counter settings of the counter service
+ * @param discovery settings of endpoint discovery
+ * @param peers settings of the messages among instances
+ * @param http settings of HTTP requests and connections
+ * @param log settings of the log
+ * @param rateLimit settings of the gRPC rate limit service
  */
 public record GatewaySettings(
     Address listen,
@@ -50,19 +50,19 @@
     RateLimit rateLimit) {
 
   /**
-   * The customer of an API key.
+   * The customer and plan of an API key.
    *
-   * @param customerFirstInstance the first instance that the customer's requests arrive at
-   * @param customerInstanceCount how many they arrive at; 0 for all
+   * @param customerFirstInstance index of the first instance that receives the customer's requests
+   * @param customerInstanceCount number of instances that receive them; 0 for all
    */
   public record ApiKey(
       String customer, String plan, int customerFirstInstance, int customerInstanceCount) {}
 
-  /**
-   * Requests of this method ({@code *} for any) whose path starts with the prefix are of the class.
-   */
+  /** Assigns a request class to requests with this method ({@code *} for any) and path prefix. */
   public record Route(String method, String prefix, String requestClass) {
-    /** Whether a request is this route's: the prefix ends where a path segment ends. */
+    /**
+     * Returns whether this route applies to a request. The prefix matches whole path segments only.
+     */
     public boolean matches(String method, String path) {
       return (this.method.equals("*") || this.method.equals(method))
           && path.startsWith(prefix)
@@ -73,14 +73,15 @@
   }
 
   /**
-   * The counter service: shards, each with counts of its own, or the nodes of one replicated
-   * cluster. Without either there is no counter.
+   * The counter service: either shards, each of which holds different counts, or the nodes of one
+   * replicated cluster. When both are empty, no counter is used.
    *
-   * @param shards in an order that all instances share
-   * @param clusterNodes by names that all instances share
-   * @param timeoutMicros the longest wait for a call
-   * @param settlesUnits whether load reports tell the true units of a request
-   * @param maxCallsInFlight calls beyond it fail at once
+   * @param shards addresses of the shards; all instances must list them in the same order
+   * @param clusterNodes addresses of the cluster's nodes; all instances must use the same names
+   * @param timeoutMicros time limit of a call
+   * @param settlesUnits whether the charge of a request is corrected to the units in its load
+   *     report
+   * @param maxCallsInFlight maximum of concurrent calls; further calls fail immediately
    */
   public record CounterService(
       List<Address> shards,
@@ -88,19 +89,19 @@
       long timeoutMicros,
       boolean settlesUnits,
       int maxCallsInFlight) {
-    /** Whether there is no counter. */
+    /** Returns whether no counter is configured. */
     public boolean isAbsent() {
       return shards.isEmpty() && clusterNodes.isEmpty();
     }
   }
 
   /**
-   * Endpoint discovery.
+   * Settings of endpoint discovery.
    *
-   * @param address of the discovery server; null for none
-   * @param watchIdleTimeoutMicros without any line after which the watch is reopened
-   * @param watchesOnDemand whether the watch begins only when the policy asks for it
-   * @param staticEndpoints known from the start
+   * @param address address of the discovery server; null for none
+   * @param watchIdleTimeoutMicros time without a received line after which the watch is reopened
+   * @param watchesOnDemand whether the watch starts only when the policy requests it
+   * @param staticEndpoints endpoints that are configured rather than discovered
    */
   public record EndpointDiscovery(
       Address address,
@@ -108,26 +109,27 @@
       boolean watchesOnDemand,
       List<StaticEndpoint> staticEndpoints) {}
 
-  /** An endpoint named in the settings. */
+  /** An endpoint that is configured in the settings file. */
   public record StaticEndpoint(String id, Address address, String zone, int cell, double weight) {}
 
   /**
-   * Peer messages among the instances of the fleet.
+   * Settings of the messages among the instances of the fleet.
    *
-   * @param listen where this process receives them; null for nowhere
-   * @param addresses of the instances, by index
-   * @param maxMessagesPerSecond received; more are dropped
+   * @param listen address on which this process receives messages; null when it receives none
+   * @param addresses addresses of the instances by index in the fleet
+   * @param maxMessagesPerSecond maximum rate of received messages; excess messages are dropped
    */
   public record Peers(Address listen, Map<Integer, Address> addresses, int maxMessagesPerSecond) {}
 
   /**
-   * How HTTP requests are read and forwarded.
+   * Settings of HTTP requests and connections.
    *
-   * @param unitsHeader names the request's units; empty for none
-   * @param maxBufferedResponseBytes larger responses are streamed
-   * @param connectTimeoutMicros for a connection to an endpoint
-   * @param drainTimeoutMicros the longest wait for requests in flight when stopping
-   * @param maxClientConnections of the process; more are closed at once
+   * @param unitsHeader name of the header field that holds a request's units; empty for none
+   * @param maxBufferedResponseBytes size above which a response is streamed
+   * @param connectTimeoutMicros time limit for connecting to an endpoint
+   * @param drainTimeoutMicros time limit for requests in flight during shutdown
+   * @param maxClientConnections maximum of client connections of the process; further ones are
+   *     closed immediately
    */
   public record Http(
       String keyHeader,
@@ -144,19 +146,19 @@
       int maxClientConnections) {}
 
   /**
-   * The gRPC rate limit service.
+   * Settings of the gRPC rate limit service.
    *
-   * @param listen null for no service
-   * @param descriptors what each means; the first that matches holds
+   * @param listen address of the service; null when it is disabled
+   * @param descriptors descriptors in file order; the first match applies
    */
   public record RateLimit(Address listen, List<Descriptor> descriptors) {}
 
   /**
-   * What a descriptor of a domain means.
+   * Maps a rate limit descriptor of a domain to a customer, plan and request class.
    *
-   * @param entries its keys in order, each with its value, {@code *} for any
-   * @param customer a name, or the key in braces of the entry whose value is the name
-   * @param units multiplied by the hits addend
+   * @param entries keys in order, each with its value, {@code *} for any value
+   * @param customer the customer's name, or in braces the key of the entry whose value is the name
+   * @param units units of a request, multiplied by its hits addend
    */
   public record Descriptor(
       String domain,
--- a/src/main/java/fawndock/settings/GatewaySettingsFile.java
+++ b/src/main/java/fawndock/settings/GatewaySettingsFile.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * Reads a gateway's settings. The constructor lists every keyword with its form; what each means is
- * in docs/operations.md. One thread.
+ * Reads a gateway's settings file. The constructor lists every keyword with its syntax;
+ * docs/operations.md describes what each means. Not thread-safe.
  */
 public final class GatewaySettingsFile extends ConfigurationFile {
   static final long MAX_TIME_MICROS = PolicyConfigReader.MAX_TIME_MICROS;
@@ -89,13 +89,13 @@
         0,
         "limits [attempts N] [open N] [retry-after TIME] [duplicates yes|no] "
             + "[cancel yes|no] [probes yes|no] [peers yes|no]",
-        a -> limits = PolicyConfigReader.readLimits(a));
+        arguments -> limits = PolicyConfigReader.readLimits(arguments));
     keyword(
         "rules",
         0,
         "rules [answer-grace TIME] [drain-grace TIME] [cold-share N] [cold-time TIME] "
             + "[fall-multiple N] [fall-time TIME] [ask-within TIME]",
-        a -> rules = PolicyConfigReader.readRules(a));
+        arguments -> rules = PolicyConfigReader.readRules(arguments));
   }
 
   private void registerConnectionKeywords() {
@@ -122,9 +122,9 @@
   }
 
   /**
-   * Reads a settings file and all that it includes.
+   * Reads a settings file and the files that it includes.
    *
-   * @throws ConfigurationException with every error when there is any
+   * @throws ConfigurationException with every error found, if there is any
    */
   public static GatewaySettings read(Path file) throws ConfigurationException {
     return new GatewaySettingsFile().readAll(file);
@@ -139,7 +139,7 @@
         discovery.isEmpty(), "no roster and no server", "roster HOST:PORT, or server lines");
     throwIfErrors();
     List<Route> longestFirst = new ArrayList<>(routes);
-    longestFirst.sort((a, b) -> b.prefix().length() - a.prefix().length());
+    longestFirst.sort((first, second) -> second.prefix().length() - first.prefix().length());
     return new GatewaySettings(
         listen,
         instances,
@@ -161,12 +161,12 @@
         rateLimit.settings());
   }
 
-  /** Gateway instances of the whole fleet, as far as the file is read. */
+  /** Returns the number of gateway instances in the fleet, according to the lines read so far. */
   int fleetSize() {
     return fleetSize;
   }
 
-  /** Checks, when all lines are read, that the plan of a line is there. */
+  /** Adds an error to a line unless the plan is defined once all lines are read. */
   void crossCheckPlan(LineArguments line, String plan) {
     crossCheck(
         line,
@@ -175,7 +175,7 @@
         "the name of a plan line");
   }
 
-  /** Checks, when all lines are read, that the class of a line is there. */
+  /** Adds an error to a line unless the request class is defined once all lines are read. */
   void crossCheckRequestClass(LineArguments line, String requestClass) {
     crossCheck(
         line,
@@ -184,11 +184,11 @@
         "the name of a class line");
   }
 
-  private void readInstanceIndex(LineArguments a) {
-    firstInstance = a.parseInteger("gatekeeper", a.positional(0), 0, 9_999, 0);
-    fleetSize = a.integer("of", 1, 10_000, 1);
+  private void readInstanceIndex(LineArguments arguments) {
+    firstInstance = arguments.parseInteger("gatekeeper", arguments.positional(0), 0, 9_999, 0);
+    fleetSize = arguments.integer("of", 1, 10_000, 1);
     crossCheck(
-        a,
+        arguments,
         () -> firstInstance + instances <= fleetSize,
         "gatekeepers "
             + firstInstance
@@ -199,59 +199,60 @@
         "NUMBER + instances at most FLEET");
   }
 
-  private void readRequestClass(LineArguments a) {
-    RequestClass read = PolicyConfigReader.readRequestClass(a);
-    if (classes.putIfAbsent(read.name(), read) != null) {
-      a.addError("class " + read.name() + " is given twice", "each class once");
+  private void readRequestClass(LineArguments arguments) {
+    RequestClass requestClass = PolicyConfigReader.readRequestClass(arguments);
+    if (classes.putIfAbsent(requestClass.name(), requestClass) != null) {
+      arguments.addError("class " + requestClass.name() + " is given twice", "each class once");
     }
   }
 
-  private void readPlan(LineArguments a) {
-    Plan read = PolicyConfigReader.readPlan(a);
-    if (plans.putIfAbsent(read.name(), read) != null) {
-      a.addError("plan " + read.name() + " is given twice", "each plan once");
+  private void readPlan(LineArguments arguments) {
+    Plan plan = PolicyConfigReader.readPlan(arguments);
+    if (plans.putIfAbsent(plan.name(), plan) != null) {
+      arguments.addError("plan " + plan.name() + " is given twice", "each plan once");
     }
   }
 
-  private void readApiKey(LineArguments a) {
+  private void readApiKey(LineArguments arguments) {
     ApiKey key =
         new ApiKey(
-            a.word("customer", ""),
-            a.word("plan", ""),
-            a.integer("first", 0, 9_999, 0),
-            a.integer("spread", 0, 10_000, 0));
-    if (a.isValid() && (key.customer().isEmpty() || key.plan().isEmpty())) {
-      a.addError("a key without customer or plan", "key KEY customer NAME plan NAME");
+            arguments.word("customer", ""),
+            arguments.word("plan", ""),
+            arguments.integer("first", 0, 9_999, 0),
+            arguments.integer("spread", 0, 10_000, 0));
+    if (arguments.isValid() && (key.customer().isEmpty() || key.plan().isEmpty())) {
+      arguments.addError("a key without customer or plan", "key KEY customer NAME plan NAME");
     }
-    if (apiKeys.putIfAbsent(a.positional(0), key) != null) {
-      a.addError("this key is given twice", "each key once");
+    if (apiKeys.putIfAbsent(arguments.positional(0), key) != null) {
+      arguments.addError("this key is given twice", "each key once");
     }
     if (!key.plan().isEmpty()) {
-      crossCheckPlan(a, key.plan());
+      crossCheckPlan(arguments, key.plan());
     }
     crossCheck(
-        a,
+        arguments,
         () -> key.customerInstanceCount() <= fleetSize && key.customerFirstInstance() < fleetSize,
         "a spread beyond the fleet's " + fleetSize + " gatekeepers",
         "first below it, spread at most it");
   }
 
-  private void readRoute(LineArguments a) {
-    Route route = new Route(a.positional(0), a.positional(1), a.positional(2));
-    if (a.isValid() && !route.prefix().startsWith("/")) {
-      a.addError("path '" + route.prefix() + "'", "a path that starts with /");
+  private void readRoute(LineArguments arguments) {
+    Route route =
+        new Route(arguments.positional(0), arguments.positional(1), arguments.positional(2));
+    if (arguments.isValid() && !route.prefix().startsWith("/")) {
+      arguments.addError("path '" + route.prefix() + "'", "a path that starts with /");
     }
-    if (a.isValid() && !route.method().matches("\\*|[A-Z]+")) {
-      a.addError("method '" + route.method() + "'", "a method in capitals, or *");
+    if (arguments.isValid() && !route.method().matches("\\*|[A-Z]+")) {
+      arguments.addError("method '" + route.method() + "'", "a method in capitals, or *");
     }
     if (routes.stream()
         .anyMatch(r -> r.method().equals(route.method()) && r.prefix().equals(route.prefix()))) {
-      a.addError(
+      arguments.addError(
           "route " + route.method() + " " + route.prefix() + " is given twice", "each route once");
     }
     routes.add(route);
     if (!route.requestClass().isEmpty()) {
-      crossCheckRequestClass(a, route.requestClass());
+      crossCheckRequestClass(arguments, route.requestClass());
     }
   }
 }
--- a/src/main/java/fawndock/settings/HttpSection.java
+++ b/src/main/java/fawndock/settings/HttpSection.java
@@ -2,7 +2,10 @@
 
 import fawndock.settings.GatewaySettings.Http;
 
-/** The keywords of HTTP: header names, sizes, connection pool, drain and connection limits. */
+/**
+ * Reads the keywords of HTTP: header names, body sizes, the connection pool, the drain timeout and
+ * the connection limit. Not thread-safe.
+ */
 final class HttpSection {
   private static final int MAX_BODY_BYTES = 64 << 20;
   private static final String HEADER_NAME = "[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}";
@@ -20,32 +23,34 @@
   long drainTimeoutMicros = 30_000_000;
   int maxClientConnections = 20_000;
 
-  void readHeaderNames(LineArguments a) {
-    keyHeader = headerName(a, "key", keyHeader);
-    deadlineHeader = headerName(a, "deadline", deadlineHeader);
-    attemptHeader = headerName(a, "attempt", attemptHeader);
-    unitsHeader = headerName(a, "units", "");
-    maxUnits = a.number("most", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1);
+  void readHeaderNames(LineArguments arguments) {
+    keyHeader = headerName(arguments, "key", keyHeader);
+    deadlineHeader = headerName(arguments, "deadline", deadlineHeader);
+    attemptHeader = headerName(arguments, "attempt", attemptHeader);
+    unitsHeader = headerName(arguments, "units", "");
+    maxUnits = arguments.number("most", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1);
   }
 
-  private static String headerName(LineArguments a, String argument, String otherwise) {
-    String name = a.word(argument, otherwise);
+  private static String headerName(LineArguments arguments, String argument, String defaultName) {
+    String name = arguments.word(argument, defaultName);
     if (!name.isEmpty() && !name.matches(HEADER_NAME)) {
-      a.addError("'" + name + "' cannot be a header field's name", "letters, digits and -");
+      arguments.addError(
+          "'" + name + "' is not a valid header field name", "letters, digits and -");
     }
     return name;
   }
 
-  void readSizes(LineArguments a) {
-    maxRequestBodyBytes = (int) a.parseBytes("body", a.word("body", "64KiB"), MAX_BODY_BYTES);
+  void readSizes(LineArguments arguments) {
+    maxRequestBodyBytes =
+        (int) arguments.parseBytes("body", arguments.word("body", "64KiB"), MAX_BODY_BYTES);
     maxBufferedResponseBytes =
-        (int) a.parseBytes("answer", a.word("answer", "1MiB"), MAX_BODY_BYTES);
+        (int) arguments.parseBytes("answer", arguments.word("answer", "1MiB"), MAX_BODY_BYTES);
   }
 
-  void readPool(LineArguments a) {
-    connectionsPerEndpoint = a.integer("connections", 1, 1_000, 2);
-    streamsPerConnection = a.integer("streams", 1, 100_000, 250);
-    connectTimeoutMicros = a.micros("connect", 1_000, 60_000_000, 1_000_000);
+  void readPool(LineArguments arguments) {
+    connectionsPerEndpoint = arguments.integer("connections", 1, 1_000, 2);
+    streamsPerConnection = arguments.integer("streams", 1, 100_000, 250);
+    connectTimeoutMicros = arguments.micros("connect", 1_000, 60_000_000, 1_000_000);
   }
 
   Http settings() {
--- a/src/main/java/fawndock/settings/LineArguments.java
+++ b/src/main/java/fawndock/settings/LineArguments.java
@@ -8,9 +8,10 @@
 import java.util.OptionalLong;
 
 /**
- * The arguments of one line: some by position, then pairs of a name and a value. Errors are added
- * to the file's; a value that cannot be read is replaced by a default, so that reading goes on. One
- * thread.
+ * The arguments of one line: positional arguments followed by name-value pairs. Errors are added to
+ * the file's list, and an invalid value is replaced by a default so that reading continues and
+ * finds further errors. The methods that read a named argument also remove it; see {@link
+ * #rejectUnknown}. Not thread-safe.
  */
 public final class LineArguments {
   private static final Address NO_ADDRESS = new Address("", 0);
@@ -19,17 +20,17 @@
   private final List<ConfigurationError> errors;
   private final List<String> positional = new ArrayList<>();
   private final Map<String, String> named = new LinkedHashMap<>();
-  private final int errorsBefore;
+  private final int initialErrorCount;
 
   /**
-   * Splits a line whose first {@code positionalCount} arguments go by position; {@code form} shows
-   * in errors how it is written.
+   * Splits a line whose first {@code positionalCount} arguments are positional. Error messages
+   * quote {@code form} as the expected syntax.
    */
   LineArguments(
       ConfigurationLine line, int positionalCount, String form, List<ConfigurationError> errors) {
     this.line = line;
     this.errors = errors;
-    this.errorsBefore = errors.size();
+    this.initialErrorCount = errors.size();
     List<String> words = line.words();
     if (words.size() - 1 < positionalCount) {
       addError(line.keyword() + " has " + (words.size() - 1) + " arguments", form);
@@ -45,129 +46,128 @@
     }
   }
 
-  /** Whether nothing was found wrong with this line so far. */
+  /** Returns whether no error has been found in this line so far. */
   public boolean isValid() {
-    return errors.size() == errorsBefore;
+    return errors.size() == initialErrorCount;
   }
 
-  /** Adds an error of this line. */
+  /** Adds an error that concerns this line. */
   public void addError(String problem, String expected) {
     errors.add(new ConfigurationError(line.file(), line.number(), problem, expected));
   }
 
-  /** The positional argument of an index from 0; empty when the line is too short. */
+  /** Returns the positional argument at an index from 0; empty when the line is too short. */
   public String positional(int index) {
     return index < positional.size() ? positional.get(index) : "";
   }
 
-  /** Takes the named time, in microseconds within bounds. */
-  public long micros(String name, long least, long most, long otherwise) {
+  /** Reads a named duration within inclusive bounds; returns microseconds. */
+  public long micros(String name, long min, long max, long defaultValue) {
     String text = named.remove(name);
-    return text == null ? otherwise : parseMicros(name, text, least, most, otherwise);
+    return text == null ? defaultValue : parseMicros(name, text, min, max, defaultValue);
   }
 
-  /** Parses a time with a unit, in microseconds within bounds. */
-  public long parseMicros(String name, String text, long least, long most, long otherwise) {
+  /** Parses a duration with a unit, within inclusive bounds; returns microseconds. */
+  public long parseMicros(String name, String text, long min, long max, long defaultValue) {
     OptionalLong micros = UnitParser.parseMicros(text);
-    if (micros.isEmpty() || micros.getAsLong() < least || micros.getAsLong() > most) {
+    if (micros.isEmpty() || micros.getAsLong() < min || micros.getAsLong() > max) {
       addError(
           name + " '" + text + "' is not a time in range",
-          "a number and us, ms, s, m or h, from " + least + "us to " + most + "us");
-      return otherwise;
+          "a number and us, ms, s, m or h, from " + min + "us to " + max + "us");
+      return defaultValue;
     }
     return micros.getAsLong();
   }
 
-  /** Parses a size in bytes, up to a largest one; 0 when it cannot be read. */
-  public long parseBytes(String name, String text, long most) {
+  /** Parses a size of at most {@code max} bytes; returns 0 when it is not valid. */
+  public long parseBytes(String name, String text, long max) {
     OptionalLong bytes = UnitParser.parseBytes(text);
-    if (bytes.isEmpty() || bytes.getAsLong() > most) {
+    if (bytes.isEmpty() || bytes.getAsLong() > max) {
       addError(
           name + " '" + text + "' is not a size in range",
-          "bytes, or a number and KiB or MiB, at most " + most);
+          "bytes, or a number and KiB or MiB, at most " + max);
       return 0;
     }
     return bytes.getAsLong();
   }
 
-  /** Takes the named number within bounds. */
-  public double number(String name, double least, double most, double otherwise) {
+  /** Reads a named decimal number within inclusive bounds. */
+  public double number(String name, double min, double max, double defaultValue) {
     String text = named.remove(name);
-    return text == null ? otherwise : parseNumber(name, text, least, most, otherwise);
+    return text == null ? defaultValue : parseNumber(name, text, min, max, defaultValue);
   }
 
-  /** Parses a number within bounds. */
-  public double parseNumber(String name, String text, double least, double most, double otherwise) {
+  /** Parses a decimal number within inclusive bounds. */
+  public double parseNumber(String name, String text, double min, double max, double defaultValue) {
     try {
       double value = Double.parseDouble(text);
-      if (value >= least && value <= most) {
+      if (value >= min && value <= max) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // The error below says it, as for a number out of range.
+      // Reported by the same error as a number out of range.
     }
-    addError(name + " '" + text + "' is not a number in range", "from " + least + " to " + most);
-    return otherwise;
+    addError(name + " '" + text + "' is not a number in range", "from " + min + " to " + max);
+    return defaultValue;
   }
 
-  /** Takes the named whole number within bounds. */
-  public int integer(String name, int least, int most, int otherwise) {
+  /** Reads a named integer within inclusive bounds. */
+  public int integer(String name, int min, int max, int defaultValue) {
     String text = named.remove(name);
-    return text == null ? otherwise : parseInteger(name, text, least, most, otherwise);
+    return text == null ? defaultValue : parseInteger(name, text, min, max, defaultValue);
   }
 
-  /** Parses a whole number within bounds. */
-  public int parseInteger(String name, String text, int least, int most, int otherwise) {
+  /** Parses a non-negative integer of at most nine digits within inclusive bounds. */
+  public int parseInteger(String name, String text, int min, int max, int defaultValue) {
     if (text.matches("[0-9]{1,9}")
-        && Integer.parseInt(text) >= least
-        && Integer.parseInt(text) <= most) {
+        && Integer.parseInt(text) >= min
+        && Integer.parseInt(text) <= max) {
       return Integer.parseInt(text);
     }
-    addError(
-        name + " '" + text + "' is not a whole number in range", "from " + least + " to " + most);
-    return otherwise;
+    addError(name + " '" + text + "' is not a whole number in range", "from " + min + " to " + max);
+    return defaultValue;
   }
 
-  /** Takes the named flag, {@code yes} or {@code no}. */
-  public boolean flag(String name, boolean otherwise) {
+  /** Reads a named flag, {@code yes} or {@code no}. */
+  public boolean flag(String name, boolean defaultValue) {
     String text = named.remove(name);
     if (text == null || text.equals("yes") || text.equals("no")) {
-      return text == null ? otherwise : text.equals("yes");
+      return text == null ? defaultValue : text.equals("yes");
     }
     addError(name + " '" + text + "'", "yes or no");
-    return otherwise;
+    return defaultValue;
   }
 
-  /** Takes the named word. */
-  public String word(String name, String otherwise) {
+  /** Reads a named word without further checks. */
+  public String word(String name, String defaultValue) {
     String text = named.remove(name);
-    return text == null ? otherwise : text;
+    return text == null ? defaultValue : text;
   }
 
-  /** Takes the named constant, in lower case with hyphens. */
-  public <T extends Enum<T>> T enumConstant(String name, Class<T> type, T otherwise) {
+  /** Reads a named enum constant, written in lower case with hyphens. */
+  public <T extends Enum<T>> T enumConstant(String name, Class<T> type, T defaultValue) {
     String text = named.remove(name);
     if (text == null) {
-      return otherwise;
+      return defaultValue;
     }
     List<String> words = new ArrayList<>();
-    for (T each : type.getEnumConstants()) {
-      String word = each.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    for (T constant : type.getEnumConstants()) {
+      String word = constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
       if (word.equals(text)) {
-        return each;
+        return constant;
       }
       words.add(word);
     }
     addError(name + " '" + text + "'", String.join(" or ", words));
-    return otherwise;
+    return defaultValue;
   }
 
-  /** The address at a position; one with an empty host when the line is wrong. */
+  /** Returns the address at a position; its host is empty when the line is not valid. */
   public Address address(int index) {
     return isValid() ? parseAddress(positional(index)) : NO_ADDRESS;
   }
 
-  /** Parses an address; one with an empty host when it cannot be read. */
+  /** Parses an address; its host is empty when the text is not valid. */
   public Address parseAddress(String text) {
     Address address = Address.parse(text);
     if (address == null) {
@@ -177,7 +177,7 @@
     return address;
   }
 
-  /** Adds an error for each named argument that nobody has taken. */
+  /** Adds an error for each named argument that has not been read. */
   public void rejectUnknown() {
     for (String name : named.keySet()) {
       addError(
--- a/src/main/java/fawndock/settings/LogSettings.java
+++ b/src/main/java/fawndock/settings/LogSettings.java
@@ -1,12 +1,12 @@
 package fawndock.settings;
 
 /**
- * How a process writes its log.
+ * Format and level of a process's log. Immutable.
  *
- * @param isJson JSON lines rather than text
- * @param level the least severe level written: error, warn, info or debug
+ * @param isJson whether the log is written as JSON lines rather than text
+ * @param level lowest level that is written: error, warn, info or debug
  */
 public record LogSettings(boolean isJson, String level) {
-  /** Text at the level info, which holds without a {@code log} line. */
+  /** Text at level info, used when a settings file has no {@code log} line. */
   public static final LogSettings DEFAULT = new LogSettings(false, "info");
 }
--- a/src/main/java/fawndock/settings/PeerSection.java
+++ b/src/main/java/fawndock/settings/PeerSection.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The keywords of peer messages: where this process listens, and the other instances. */
+/**
+ * Reads the keywords of peer messages: the address on which this process receives them and the
+ * addresses of the instances. Not thread-safe.
+ */
 final class PeerSection {
   private final GatewaySettingsFile file;
   private Address listen;
@@ -15,21 +18,22 @@
     this.file = file;
   }
 
-  void readPeer(LineArguments a) {
-    int number = a.parseInteger("peer", a.positional(0), 0, 9_999, 0);
-    if (a.isValid() && addresses.put(number, a.parseAddress(a.positional(1))) != null) {
-      a.addError("peer " + number + " is given twice", "each peer once");
+  void readPeer(LineArguments arguments) {
+    int instanceIndex = arguments.parseInteger("peer", arguments.positional(0), 0, 9_999, 0);
+    if (arguments.isValid()
+        && addresses.put(instanceIndex, arguments.parseAddress(arguments.positional(1))) != null) {
+      arguments.addError("peer " + instanceIndex + " is given twice", "each peer once");
     }
     file.crossCheck(
-        a,
-        () -> number < file.fleetSize(),
-        "peer " + number + " is not in a fleet of " + file.fleetSize(),
+        arguments,
+        () -> instanceIndex < file.fleetSize(),
+        "peer " + instanceIndex + " is not in a fleet of " + file.fleetSize(),
         "a number below the fleet's size");
   }
 
-  void readListen(LineArguments a) {
-    listen = a.isValid() ? a.parseAddress(a.positional(0)) : null;
-    maxMessagesPerSecond = a.integer("intake", 1, 100_000, 100);
+  void readListen(LineArguments arguments) {
+    listen = arguments.isValid() ? arguments.parseAddress(arguments.positional(0)) : null;
+    maxMessagesPerSecond = arguments.integer("intake", 1, 100_000, 100);
   }
 
   Peers settings() {
--- a/src/main/java/fawndock/settings/RateLimitSection.java
+++ b/src/main/java/fawndock/settings/RateLimitSection.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The keywords of the gRPC rate limit service: where it listens, and its descriptors. */
+/**
+ * Reads the keywords of the gRPC rate limit service: its address and its descriptors. Not
+ * thread-safe.
+ */
 final class RateLimitSection {
   private final GatewaySettingsFile file;
   private Address listen;
@@ -16,43 +19,45 @@
     this.file = file;
   }
 
-  void readListen(LineArguments a) {
-    listen = a.isValid() ? a.parseAddress(a.positional(0)) : null;
+  void readListen(LineArguments arguments) {
+    listen = arguments.isValid() ? arguments.parseAddress(arguments.positional(0)) : null;
   }
 
-  void readDescriptor(LineArguments a) {
+  void readDescriptor(LineArguments arguments) {
     Descriptor descriptor =
         new Descriptor(
-            a.positional(0),
-            readEntries(a),
-            a.word("customer", ""),
-            a.word("plan", ""),
-            a.word("class", ""),
-            a.number("units", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1));
-    if (a.isValid() && !hasCustomer(descriptor)) {
-      a.addError(
+            arguments.positional(0),
+            readEntries(arguments),
+            arguments.word("customer", ""),
+            arguments.word("plan", ""),
+            arguments.word("class", ""),
+            arguments.number("units", 1e-6, GatewaySettingsFile.MAX_AMOUNT, 1));
+    if (arguments.isValid() && !hasCustomer(descriptor)) {
+      arguments.addError(
           "customer '" + descriptor.customer() + "'",
           "a name, or the key of one of its entries in braces");
     }
     descriptors.add(descriptor);
-    file.crossCheckPlan(a, descriptor.plan());
-    file.crossCheckRequestClass(a, descriptor.requestClass());
+    file.crossCheckPlan(arguments, descriptor.plan());
+    file.crossCheckRequestClass(arguments, descriptor.requestClass());
     file.crossCheck(
-        a,
+        arguments,
         () -> listen != null,
         "descriptors without a rate limit service",
         "rate-limit HOST:PORT");
   }
 
-  private static List<Map.Entry<String, String>> readEntries(LineArguments a) {
+  private static List<Map.Entry<String, String>> readEntries(LineArguments arguments) {
     List<Map.Entry<String, String>> entries = new ArrayList<>();
-    for (String each : a.isValid() ? a.positional(1).split(",", 0) : new String[0]) {
-      int equalsSign = each.indexOf('=');
-      if (equalsSign <= 0 || equalsSign == each.length() - 1) {
-        a.addError(
-            "'" + each + "' is no entry of a descriptor", "KEY=VALUE, or KEY=* for any value");
+    for (String entry :
+        arguments.isValid() ? arguments.positional(1).split(",", 0) : new String[0]) {
+      int equalsSign = entry.indexOf('=');
+      if (equalsSign <= 0 || equalsSign == entry.length() - 1) {
+        arguments.addError(
+            "'" + entry + "' is no valid entry of a descriptor",
+            "KEY=VALUE, or KEY=* for any value");
       } else {
-        entries.add(Map.entry(each.substring(0, equalsSign), each.substring(equalsSign + 1)));
+        entries.add(Map.entry(entry.substring(0, equalsSign), entry.substring(equalsSign + 1)));
       }
     }
     return List.copyOf(entries);
--- a/src/main/java/fawndock/settings/UnitParser.java
+++ b/src/main/java/fawndock/settings/UnitParser.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Parses times and sizes that have a unit, such as {@code 1.5ms} and {@code 64KiB}. */
+/** Parses durations and sizes with units, such as {@code 1.5ms} and {@code 64KiB}. Stateless. */
 final class UnitParser {
   private static final Pattern NUMBER_UNIT =
       Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?)([a-zA-Z]*)");
@@ -31,23 +31,23 @@
 
   private UnitParser() {}
 
-  /** Microseconds, or empty when the text is not a time with a unit. */
+  /** Returns microseconds, or empty when the text is not a duration with a unit. */
   static OptionalLong parseMicros(String text) {
     return parseScaled(text, MICROS_PER_UNIT);
   }
 
-  /** Bytes, or empty when the text is not a size. */
+  /** Returns bytes, or empty when the text is not a size; a size without a unit is in bytes. */
   static OptionalLong parseBytes(String text) {
     return parseScaled(text, BYTES_PER_UNIT);
   }
 
   private static OptionalLong parseScaled(String text, Map<String, Long> units) {
-    Matcher m = NUMBER_UNIT.matcher(text);
-    if (!m.matches() || !units.containsKey(m.group(2))) {
+    Matcher matcher = NUMBER_UNIT.matcher(text);
+    if (!matcher.matches() || !units.containsKey(matcher.group(2))) {
       return OptionalLong.empty();
     }
     BigDecimal value =
-        new BigDecimal(m.group(1)).multiply(BigDecimal.valueOf(units.get(m.group(2))));
+        new BigDecimal(matcher.group(1)).multiply(BigDecimal.valueOf(units.get(matcher.group(2))));
     return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0
         ? OptionalLong.empty()
         : OptionalLong.of(value.longValue());
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -199,7 +199,8 @@
       assertServed(harness, client);
       assertTrue(harness.platform.discovery.openConnectionCount() > 0);
       last.setUnresponsive(false);
-      Await.until(() -> last.watchCount() > 0 && harness.platform.discovery.openConnectionCount() == 0);
+      Await.until(
+          () -> last.watchCount() > 0 && harness.platform.discovery.openConnectionCount() == 0);
       assertOnlySecondIsUsed(harness, client, second);
       int calls = mute.acceptedConnectionCount();
       mute.setUnresponsive(false);
