--- a/src/main/java/fawndock/conformance/CeilingInvariant.java
+++ b/src/main/java/fawndock/conformance/CeilingInvariant.java
@@ -10,12 +10,13 @@
 import java.util.Map;
 
 /**
- * Rule 5: a customer's hard ceiling holds. The first attempt of each request takes its units from a
- * token bucket of the ceiling's rate and burst, which may go below zero by the plan's tolerance.
+ * Rule 5: a customer never exceeds its hard ceiling. The first attempt of each request takes the
+ * request's units from a token bucket with the ceiling's rate and burst, whose balance may become
+ * negative by at most the plan's tolerance. Not thread-safe.
  */
 final class CeilingInvariant {
-  /** Guards the comparison against rounding. */
-  private static final double EPSILON_UNITS = 1e-6;
+  /** Prevents rounding errors of the token bucket from counting as violations. */
+  private static final double ROUNDING_TOLERANCE_UNITS = 1e-6;
 
   private record Charge(long atMicros, double units) {}
 
@@ -29,13 +30,13 @@
     this.violations = violations;
   }
 
-  /** How many charges went beyond their customer's ceiling. */
+  /** Returns the number of charges that exceeded their customer's ceiling. */
   int countExceeded() {
     int exceeded = 0;
-    for (Map.Entry<String, List<Charge>> each : chargesByCustomer().entrySet()) {
-      Plan plan = limits.customerPlans().get(each.getKey());
+    for (Map.Entry<String, List<Charge>> entry : chargesByCustomer().entrySet()) {
+      Plan plan = limits.customerPlans().get(entry.getKey());
       if (plan != null && plan.ceilingUnitsPerSecond() > 0) {
-        exceeded += countExceeded(each.getKey(), plan, each.getValue());
+        exceeded += countExceeded(entry.getKey(), plan, entry.getValue());
       }
     }
     return exceeded;
@@ -61,10 +62,10 @@
     for (Charge charge : charges) {
       bucket.refillUntil(charge.atMicros());
       double available = bucket.take(charge.units());
-      if (available < -plan.ceilingToleranceUnits() - EPSILON_UNITS) {
+      if (available < -plan.ceilingToleranceUnits() - ROUNDING_TOLERANCE_UNITS) {
         violations.add(
             customer
-                + " passed its ceiling by "
+                + " exceeded its ceiling by "
                 + Math.round(-available - plan.ceilingToleranceUnits()));
         exceeded++;
       }
--- a/src/main/java/fawndock/conformance/ConformanceLimits.java
+++ b/src/main/java/fawndock/conformance/ConformanceLimits.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * The configured limits that a trace is checked against.
+ * The configured limits against which a trace is checked. Immutable.
  *
- * @param requestClasses by name
+ * @param requestClasses request classes by name
  * @param rules durations and ratios of the five rules
- * @param customerPlans each customer's plan, by the customer's name
- * @param toleranceMicros added to each time limit, for the delay between a socket and its record
+ * @param customerPlans plans by customer name
+ * @param toleranceMicros added to each time limit, because an event is recorded some time after it
+ *     crosses the socket
  */
 public record ConformanceLimits(
     Map<String, RequestClass> requestClasses,
--- a/src/main/java/fawndock/conformance/ConformanceResult.java
+++ b/src/main/java/fawndock/conformance/ConformanceResult.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * How often each rule was broken in a trace.
+ * The number of violations of each rule in a trace. Immutable.
  *
  * @param requestCount requests in the trace
  * @param unansweredCount requests without a final response in time (rule 1)
- * @param answeredTwiceCount requests with a second response, or an attempt after the response (1)
- * @param repeatedEffectCount effects that happened twice, or may have (2)
- * @param lateDrainCount attempts to draining endpoints after the grace (3)
- * @param warmUpOverloadCount starts of endpoints that were overloaded while warming up (4)
- * @param ceilingExceededCount charges beyond a hard ceiling (5)
- * @param violations a line on each of the first violations
+ * @param answeredTwiceCount requests with a second response or an attempt after the response (rule
+ *     1)
+ * @param repeatedEffectCount effects that occurred, or may have occurred, more than once (rule 2)
+ * @param lateDrainCount attempts that reached draining endpoints after the grace period (rule 3)
+ * @param warmUpOverloadCount starts of endpoints that were overloaded while warming up (rule 4)
+ * @param ceilingExceededCount charges that exceeded a hard ceiling (rule 5)
+ * @param violations descriptions of the first violations, one line each
  */
 public record ConformanceResult(
     int requestCount,
@@ -24,12 +25,12 @@
     int ceilingExceededCount,
     List<String> violations) {
 
-  /** Whether no rule was broken, and there was a request at all. */
+  /** Returns whether the trace has at least one request and no violations. */
   public boolean isConformant() {
     return requestCount > 0 && violationCount() == 0;
   }
 
-  /** How often any rule was broken, over all rules. */
+  /** Returns the number of violations of all rules together. */
   public int violationCount() {
     return unansweredCount
         + answeredTwiceCount
@@ -39,7 +40,7 @@
         + ceilingExceededCount;
   }
 
-  /** The summary that scenarios print last; its wording is part of their output format. */
+  /** Returns a one-line summary. Its wording is part of the output format of scenarios. */
   public String summaryLine() {
     return (isConformant() ? "rules kept: " : "rules broken: ")
         + requestCount
--- a/src/main/java/fawndock/conformance/DrainInvariant.java
+++ b/src/main/java/fawndock/conformance/DrainInvariant.java
@@ -8,8 +8,8 @@
 import java.util.NavigableMap;
 
 /**
- * Rule 3: an endpoint gets no new request from a gateway later than the drain grace after that
- * gateway was notified that the endpoint is draining.
+ * Rule 3: once a gateway has been notified that an endpoint is draining and the grace period has
+ * elapsed, the endpoint receives no new requests from that gateway. Not thread-safe.
  */
 final class DrainInvariant {
   private final TraceIndex trace;
@@ -22,19 +22,19 @@
     this.graceMicros = limits.rules().drainGraceMicros() + limits.toleranceMicros();
   }
 
-  /** How many attempts reached a draining endpoint too late. */
+  /** Returns the number of attempts that reached a draining endpoint after the grace period. */
   int countLateAttempts() {
-    int late = 0;
-    for (Map.Entry<String, List<AttemptArrived>> each : trace.attemptsByRequest().entrySet()) {
-      RequestSent request = trace.request(each.getKey());
+    int lateCount = 0;
+    for (Map.Entry<String, List<AttemptArrived>> entry : trace.attemptsByRequest().entrySet()) {
+      RequestSent request = trace.request(entry.getKey());
       if (request == null) {
         continue;
       }
-      for (AttemptArrived attempt : each.getValue()) {
-        late += isLate(request, attempt) ? 1 : 0;
+      for (AttemptArrived attempt : entry.getValue()) {
+        lateCount += isLate(request, attempt) ? 1 : 0;
       }
     }
-    return late;
+    return lateCount;
   }
 
   private boolean isLate(RequestSent request, AttemptArrived attempt) {
@@ -63,7 +63,10 @@
     return true;
   }
 
-  /** The first of the unbroken announcements up to the last one that do not say running. */
+  /**
+   * Returns the time of the earliest announcement in the uninterrupted series of non-running ones
+   * that ends with the last announcement.
+   */
   private static long drainingSince(
       NavigableMap<Long, EndpointAnnounced> announcements, long lastMicros) {
     long sinceMicros = lastMicros;
--- a/src/main/java/fawndock/conformance/InvariantChecker.java
+++ b/src/main/java/fawndock/conformance/InvariantChecker.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Checks a trace against the five rules, each an invariant in a class of its own. Stateless; a
- * request's id is {@code OPERATION.TRY}, see {@link TraceEvent#operationOf}.
+ * Checks a trace against the five rules, each of which is implemented by one invariant class.
+ * Request ids have the form that {@link TraceEvent#operationOf} describes. Stateless.
  */
 public final class InvariantChecker {
   private InvariantChecker() {}
 
-  /** Checks a trace, which may be in any order. */
+  /** Checks a trace, whose events may be in any order. */
   public static ConformanceResult check(List<TraceEvent> trace, ConformanceLimits limits) {
     TraceIndex index = new TraceIndex(trace);
     ViolationLog violations = new ViolationLog();
--- a/src/main/java/fawndock/conformance/QuotaUsage.java
+++ b/src/main/java/fawndock/conformance/QuotaUsage.java
@@ -8,32 +8,37 @@
 import java.util.Map;
 
 /**
- * Compares what was forwarded for each customer with its plan. A try counts once, when it is first
- * forwarded. A customer is entitled to what one gateway that saw all tries would have admitted: a
- * token bucket that starts full and gives each try its units or nothing. Not thread-safe.
+ * Compares the units forwarded for each customer with its plan. A request counts once, when its
+ * first attempt is forwarded. A customer is entitled to the units that a single gateway receiving
+ * all requests would have admitted: a token bucket that starts full and grants each request all of
+ * its units or none. Not thread-safe.
  */
 public final class QuotaUsage {
-  /** Length of the windows over which the peak is taken; they begin after the settling time. */
+  /** Length of the sliding window of the peak rate; windows start after the settling time. */
   public static final int WINDOW_SECONDS = 60;
 
-  /** Start of a run that does not count: buckets are full and nothing is known yet. */
+  /**
+   * Initial part of a run that is not measured, because token buckets are still full and gateways
+   * have no measurements yet.
+   */
   public static final int SETTLING_SECONDS = 10;
 
-  /** Time constant with which the recent demand decays. */
+  /** Time constant of the exponential decay of a customer's recent demand. */
   private static final double DEMAND_DECAY_SECONDS = 10;
 
-  /** Share of a plan's rate from which on a customer counts as using all of it. */
+  /** Ratio of demand to plan rate from which a customer counts as using its whole plan. */
   private static final double NEAR_PLAN_RATIO = 0.95;
 
   /**
-   * Use of some customers.
+   * Usage of a group of customers. Immutable.
    *
-   * @param peakPlanRatio the most that all of them together used in any window, as a share of what
-   *     their plans allow in it
-   * @param peakCustomerPlanRatio the same of the one customer that used most
-   * @param entitledUseRatio what was used of what they were entitled to, each customer by itself,
-   *     from 0 to 1
-   * @param excessRatio what was used beyond that, as a share of it
+   * @param peakPlanRatio ratio of the group's peak rate over any window to the sum of its plans'
+   *     rates
+   * @param peakCustomerPlanRatio highest ratio of a single customer's peak rate to its plan's rate
+   * @param entitledUseRatio share of the entitled units that was used, with each customer's use
+   *     capped at its own entitlement; from 0 to 1
+   * @param excessRatio ratio of the units used beyond each customer's entitlement to the entitled
+   *     units
    */
   public record Summary(
       double peakPlanRatio,
@@ -47,7 +52,7 @@
     final double[] entitledUnits;
     final TokenBucket entitlement;
 
-    /** What was requested recently, decaying over {@link #DEMAND_DECAY_SECONDS}. */
+    /** Requested units, decaying exponentially over {@link #DEMAND_DECAY_SECONDS}. */
     double recentDemandUnits;
 
     long updatedAtMicros;
@@ -72,15 +77,15 @@
   private final int durationSeconds;
 
   /**
-   * @param plans of each customer; those without a rate are left out
-   * @param seconds of the run that count
+   * @param plans plans by customer; customers whose plan has no rate are ignored
+   * @param seconds length of the measured run
    */
   public QuotaUsage(Map<String, Plan> plans, int seconds) {
     this.plans = plans;
     this.durationSeconds = Math.max(1, seconds);
   }
 
-  /** The usage of a customer, or null when its plan has no rate. */
+  /** Returns the usage of a customer, or null when its plan has no rate. */
   private CustomerUsage usageOf(String customer) {
     Plan plan = plans.get(customer);
     return plan == null || plan.unitsPerSecond() <= 0
@@ -88,7 +93,7 @@
         : usageByCustomer.computeIfAbsent(customer, c -> new CustomerUsage(plan, durationSeconds));
   }
 
-  /** A customer sent a try; all events must come in order of time. */
+  /** Records that a customer sent a request. All events must be recorded in time order. */
   public void onRequest(long atMicros, String customer, double units) {
     CustomerUsage usage = usageOf(customer);
     if (usage == null) {
@@ -97,21 +102,21 @@
     usage.advanceTo(atMicros);
     usage.recentDemandUnits += units;
     if (usage.entitlement.tryTake(units)) {
-      addAt(usage.entitledUnits, atMicros, units);
+      addToSecond(usage.entitledUnits, atMicros, units);
     }
   }
 
-  /** A try was first forwarded. */
+  /** Records that the first attempt of a request was forwarded. */
   public void onForwarded(long atMicros, String customer, double units) {
     CustomerUsage usage = usageOf(customer);
     if (usage != null) {
-      addAt(usage.usedUnits, atMicros, units);
+      addToSecond(usage.usedUnits, atMicros, units);
     }
   }
 
   /**
-   * Whether the customer recently requested less than its plan's rate, so that a rejection is not
-   * of its own making.
+   * Returns whether the customer's recent demand is below its plan's rate, so that a rejection is
+   * not caused by the customer's own load.
    */
   public boolean isBelowPlanRate(long atMicros, String customer) {
     CustomerUsage usage = usageOf(customer);
@@ -126,14 +131,14 @@
             * (1 - Math.exp(-usage.updatedAtMicros / 1e6 / DEMAND_DECAY_SECONDS));
   }
 
-  private static void addAt(double[] bySecond, long atMicros, double units) {
+  private static void addToSecond(double[] bySecond, long atMicros, double units) {
     int second = (int) (atMicros / 1_000_000);
     if (second >= 0 && second < bySecond.length) {
       bySecond[second] += units;
     }
   }
 
-  /** Units a second that the plans of the customers whose names begin so allow together. */
+  /** Returns the sum of the plan rates of all customers whose names start with a prefix. */
   public double planUnitsPerSecond(String prefix) {
     return plans.entrySet().stream()
         .filter(e -> e.getKey().startsWith(prefix))
@@ -142,7 +147,7 @@
         .sum();
   }
 
-  /** What the customers whose names begin so used in each second. */
+  /** Returns the units used in each second by all customers whose names start with a prefix. */
   public double[] usedUnitsBySecond(String prefix) {
     double[] total = new double[durationSeconds];
     usageByCustomer.forEach(
@@ -160,35 +165,35 @@
     }
   }
 
-  /** The use of the customers whose names begin so. */
+  /** Returns the usage of the customers whose names start with a prefix. */
   public Summary summarize(String prefix) {
     int fromSecond = durationSeconds > SETTLING_SECONDS ? SETTLING_SECONDS : 0;
     double planRate = 0;
-    double[] together = new double[durationSeconds];
+    double[] totalUsedUnits = new double[durationSeconds];
     double peakCustomerRatio = 0;
-    double usedWithin = 0;
+    double usedWithinEntitlement = 0;
     double entitled = 0;
     double excess = 0;
     for (CustomerUsage usage : sortedUsage(prefix)) {
       double rate = usage.plan.unitsPerSecond();
       planRate += rate;
-      addAll(together, usage.usedUnits);
+      addAll(totalUsedUnits, usage.usedUnits);
       peakCustomerRatio =
           Math.max(peakCustomerRatio, peakUnitsPerSecond(usage.usedUnits, fromSecond) / rate);
       double used = Arrays.stream(usage.usedUnits, fromSecond, durationSeconds).sum();
       double allowed = Arrays.stream(usage.entitledUnits, fromSecond, durationSeconds).sum();
-      usedWithin += Math.min(used, allowed);
+      usedWithinEntitlement += Math.min(used, allowed);
       excess += Math.max(0, used - allowed);
       entitled += allowed;
     }
     return new Summary(
-        planRate == 0 ? 0 : peakUnitsPerSecond(together, fromSecond) / planRate,
+        planRate == 0 ? 0 : peakUnitsPerSecond(totalUsedUnits, fromSecond) / planRate,
         peakCustomerRatio,
-        entitled == 0 ? 1 : usedWithin / entitled,
+        entitled == 0 ? 1 : usedWithinEntitlement / entitled,
         entitled == 0 ? 0 : excess / entitled);
   }
 
-  /** In order of the names, so that sums are the same to the digit in each run. */
+  /** Returns usage sorted by customer name, so that floating-point sums are reproducible. */
   private List<CustomerUsage> sortedUsage(String prefix) {
     List<String> names = new ArrayList<>(usageByCustomer.keySet());
     names.removeIf(name -> !name.startsWith(prefix));
@@ -196,7 +201,7 @@
     return names.stream().map(usageByCustomer::get).toList();
   }
 
-  /** The highest mean rate of any window; of the whole time when that is shorter than a window. */
+  /** Returns the highest mean rate of any window, or of the whole run if that is shorter. */
   private static double peakUnitsPerSecond(double[] bySecond, int fromSecond) {
     int window = Math.min(WINDOW_SECONDS, bySecond.length - fromSecond);
     double sum = Arrays.stream(bySecond, fromSecond, fromSecond + window).sum();
--- a/src/main/java/fawndock/conformance/SingleEffectInvariant.java
+++ b/src/main/java/fawndock/conformance/SingleEffectInvariant.java
@@ -10,9 +10,10 @@
 import java.util.Set;
 
 /**
- * Rule 2: no effect happens twice. A request that is not idempotent is retried only where its
- * deduplication covers the retry, and is not rejected after it may have run. An attempt that an
- * endpoint rejected did not run.
+ * Rule 2: no effect occurs more than once. A request that is not idempotent is retried only where
+ * the endpoints' deduplication covers the retry, and is not rejected once it may have been
+ * executed, because the client would then send it again. An attempt that an endpoint rejected was
+ * not executed. Not thread-safe.
  */
 final class SingleEffectInvariant {
   private static final int TOO_MANY_REQUESTS = 429;
@@ -26,22 +27,22 @@
     this.violations = violations;
   }
 
-  /** Whether a request was retried or rejected in a way that may repeat its effect. */
+  /** Returns whether a request was retried or rejected in a way that may repeat its effect. */
   boolean mayRepeatEffect(RequestSent request) {
     RequestClass requestClass = limits.requestClasses().get(request.requestClass());
     if (requestClass == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
       return false;
     }
     List<AttemptArrived> attempts = trace.attempts(request.requestId());
-    int first = 0;
-    while (first < attempts.size() && attempts.get(first).isRejected()) {
-      first++;
+    int executedIndex = 0;
+    while (executedIndex < attempts.size() && attempts.get(executedIndex).isRejected()) {
+      executedIndex++;
     }
-    if (first == attempts.size()) {
+    if (executedIndex == attempts.size()) {
       return false;
     }
-    AttemptArrived executed = attempts.get(first);
-    for (AttemptArrived retry : attempts.subList(first + 1, attempts.size())) {
+    AttemptArrived executed = attempts.get(executedIndex);
+    for (AttemptArrived retry : attempts.subList(executedIndex + 1, attempts.size())) {
       if (!isDeduplicated(requestClass, executed, retry)) {
         violations.add(describe(request) + " was sent again to " + retry.endpointId());
         return true;
@@ -74,28 +75,28 @@
     return true;
   }
 
-  /** How many operations that are not idempotent took effect more than once. */
+  /** Returns the number of non-idempotent operations that took effect more than once. */
   int countRepeatedEffects() {
-    int repeated = 0;
-    Set<String> counted = new HashSet<>();
+    int repeatedCount = 0;
+    Set<String> countedOperations = new HashSet<>();
     for (RequestSent request : trace.requests()) {
       RequestClass requestClass = limits.requestClasses().get(request.requestClass());
       String operation = TraceEvent.operationOf(request.requestId());
       if (requestClass != null
           && requestClass.idempotency() != Idempotency.IDEMPOTENT
           && trace.effectCount(operation) > 1
-          && counted.add(operation)) {
+          && countedOperations.add(operation)) {
         violations.add(
             operation
                 + " ("
                 + request.requestClass()
-                + ") had its effect "
+                + ") took effect "
                 + trace.effectCount(operation)
                 + " times");
-        repeated++;
+        repeatedCount++;
       }
     }
-    return repeated;
+    return repeatedCount;
   }
 
   private static String describe(RequestSent request) {
--- a/src/main/java/fawndock/conformance/SingleResponseInvariant.java
+++ b/src/main/java/fawndock/conformance/SingleResponseInvariant.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Rule 1: each request gets one final response before its deadline, and no attempt is forwarded
- * after it. A request is excused when its client disconnected first or when its gateway was killed
- * while it was in flight.
+ * Rule 1: each request receives exactly one final response before its deadline, and no attempt is
+ * forwarded after the response. A request without a response is no violation when its client
+ * disconnected first or its gateway was killed while the request was in flight. Not thread-safe.
  */
 final class SingleResponseInvariant {
   private final TraceIndex trace;
@@ -22,7 +22,9 @@
     this.violations = violations;
   }
 
-  /** Whether a request had no response in time without an excuse. */
+  /**
+   * Returns whether a request received no response in time and no exception to the rule applies.
+   */
   boolean isUnanswered(RequestSent request) {
     List<ResponseReceived> responses = trace.responses(request.requestId());
     long limitMicros =
@@ -61,7 +63,7 @@
             disconnect.atMicros() + limits.toleranceMicros());
   }
 
-  /** Whether a request had a second response, or an attempt after its response. */
+  /** Returns whether a request had a second response or an attempt after its response. */
   boolean isAnsweredTwice(RequestSent request) {
     List<ResponseReceived> responses = trace.responses(request.requestId());
     if (responses.size() > 1) {
@@ -72,7 +74,8 @@
       return false;
     }
     long afterMicros = responses.get(0).atMicros() + limits.toleranceMicros();
-    if (trace.attempts(request.requestId()).stream().anyMatch(a -> a.atMicros() > afterMicros)) {
+    if (trace.attempts(request.requestId()).stream()
+        .anyMatch(attempt -> attempt.atMicros() > afterMicros)) {
       violations.add(request.requestId() + " was forwarded after its answer");
       return true;
     }
--- a/src/main/java/fawndock/conformance/SlowStartInvariant.java
+++ b/src/main/java/fawndock/conformance/SlowStartInvariant.java
@@ -9,12 +9,13 @@
 import java.util.NavigableMap;
 
 /**
- * Rule 4: in no window of the stated length does an endpoint that is warming up get more than the
- * stated multiple of what it can do at the window's end. A start counts only when two thirds of the
- * window's attempts came from gateways that had been notified of it.
+ * Rule 4: in no sliding window of the configured length does an endpoint that is warming up receive
+ * more than the configured multiple of its capacity at the end of the window. An overload counts
+ * only if at least two thirds of the window's attempts came from gateways that had been notified of
+ * the start. Not thread-safe.
  */
 final class SlowStartInvariant {
-  /** Standard deviations of a Poisson count that are allowed above the expected one. */
+  /** Standard deviations by which a Poisson-distributed count may exceed the allowed count. */
   private static final int ALLOWED_DEVIATIONS = 3;
 
   private final TraceIndex trace;
@@ -29,13 +30,13 @@
     this.violations = violations;
   }
 
-  /** How many starts of endpoints were overloaded while they warmed up. */
+  /** Returns the number of endpoint starts with an overload during warm-up. */
   int countOverloadedStarts() {
-    int overloaded = 0;
+    int overloadedCount = 0;
     for (EndpointStarted start : trace.endpointStarts()) {
-      overloaded += start.isWarmingUp() && isOverloaded(start) ? 1 : 0;
+      overloadedCount += start.isWarmingUp() && isOverloaded(start) ? 1 : 0;
     }
-    return overloaded;
+    return overloadedCount;
   }
 
   private boolean isOverloaded(EndpointStarted start) {
@@ -82,8 +83,8 @@
   }
 
   private boolean isKnownToMostSenders(ArrayDeque<AttemptArrived> window, EndpointStarted start) {
-    long known = window.stream().filter(attempt -> isStartKnown(attempt, start)).count();
-    return known * 3 >= window.size() * 2L;
+    long knownCount = window.stream().filter(attempt -> isStartKnown(attempt, start)).count();
+    return knownCount * 3 >= window.size() * 2L;
   }
 
   private boolean isStartKnown(AttemptArrived attempt, EndpointStarted start) {
@@ -92,6 +93,8 @@
         request == null ? null : trace.announcements(request.gatewayIndex(), attempt.endpointId());
     return announcements != null
         && announcements.headMap(attempt.atMicros(), true).values().stream()
-            .anyMatch(a -> a.startedAtMicros() >= start.atMicros() - toleranceMicros);
+            .anyMatch(
+                announcement ->
+                    announcement.startedAtMicros() >= start.atMicros() - toleranceMicros);
   }
 }
--- a/src/main/java/fawndock/conformance/TokenBucket.java
+++ b/src/main/java/fawndock/conformance/TokenBucket.java
@@ -1,8 +1,8 @@
 package fawndock.conformance;
 
 /**
- * A token bucket that starts full. Not thread-safe; times must not run backwards, earlier ones
- * count as the present.
+ * A token bucket that starts full. A time before the last refill counts as the time of that refill.
+ * Not thread-safe.
  */
 final class TokenBucket {
   private final double burstUnits;
@@ -17,14 +17,14 @@
     this.updatedAtMicros = startMicros;
   }
 
-  /** Refills up to a time. */
+  /** Refills the bucket for the time elapsed since the last refill. */
   void refillUntil(long atMicros) {
     double seconds = Math.max(0, atMicros - updatedAtMicros) / 1e6;
     availableUnits = Math.min(burstUnits, availableUnits + seconds * unitsPerSecond);
     updatedAtMicros = Math.max(updatedAtMicros, atMicros);
   }
 
-  /** Takes the units if all of them are there. */
+  /** Takes the units if all of them are available; returns whether it did. */
   boolean tryTake(double units) {
     if (availableUnits < units) {
       return false;
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /** Takes the units whether they are there or not; returns what is left, which may be negative. */
+  /** Takes the units unconditionally; returns the remaining balance, which may be negative. */
   double take(double units) {
     availableUnits -= units;
     return availableUnits;
--- a/src/main/java/fawndock/conformance/TraceEvent.java
+++ b/src/main/java/fawndock/conformance/TraceEvent.java
@@ -1,17 +1,17 @@
 package fawndock.conformance;
 
 /**
- * Something that crossed a socket or that a fake did. Times are microseconds of one clock: the wall
- * clock in scenarios, simulated time in simulations.
+ * An event of a trace: a message that crossed a socket or an action of a fake. All times are in
+ * microseconds of one clock: the wall clock in scenarios, simulated time in simulations. Immutable.
  */
 public sealed interface TraceEvent {
-  /** When it happened. */
+  /** Returns the time of the event. */
   long atMicros();
 
   /**
-   * The operation that a request belongs to: its id {@code OPERATION.TRY} without the number of the
-   * try. A client that retries keeps the operation, so that an effect of two tries is one effect
-   * twice.
+   * Returns the operation of a request, whose id has the form {@code OPERATION.TRY}: the id without
+   * the number of the client's try. A client's retry keeps the operation, so that effects of two
+   * tries count as a repeated effect.
    */
   static String operationOf(String requestId) {
     int dot = requestId.lastIndexOf('.');
@@ -29,38 +29,40 @@
       long deadlineAtMicros)
       implements TraceEvent {}
 
-  /** A client received a final response: its HTTP status. A second one is recorded as well. */
+  /**
+   * A client received a final response with an HTTP status. Further responses are also recorded.
+   */
   record ResponseReceived(long atMicros, String requestId, int status) implements TraceEvent {}
 
-  /** A client's connection broke before it had its whole response. */
+  /** A client's connection was closed before the client had received the whole response. */
   record ConnectionLost(long atMicros, String requestId) implements TraceEvent {}
 
-  /** A client disconnected by its own decision before it had its response. */
+  /** A client closed its connection before it received a response. */
   record ClientDisconnected(long atMicros, String requestId) implements TraceEvent {}
 
   /**
    * An endpoint received an attempt.
    *
-   * @param incarnation tells the endpoint's restarts apart
-   * @param isRejected whether the endpoint rejected it, so that it never ran
+   * @param incarnation number that changes with each start of the endpoint
+   * @param isRejected whether the endpoint rejected the attempt without executing it
    */
   record AttemptArrived(
       long atMicros, String requestId, String endpointId, int incarnation, boolean isRejected)
       implements TraceEvent {}
 
-  /** An attempt took effect at an endpoint; one that was dropped as a duplicate did not. */
+  /** An attempt took effect at an endpoint. Dropped duplicates are not recorded. */
   record EffectApplied(long atMicros, String requestId, String endpointId) implements TraceEvent {}
 
   /**
-   * A gateway was notified of an endpoint.
+   * A gateway was notified of an endpoint's state.
    *
-   * @param state as discovery names it, in small letters
-   * @param startedAtMicros 0 when it started long ago
+   * @param state name of the state in the discovery protocol, in lower case
+   * @param startedAtMicros start time of the endpoint; 0 when it started long ago
    */
   record EndpointAnnounced(
       long atMicros, int gatewayIndex, String endpointId, String state, long startedAtMicros)
       implements TraceEvent {
-    /** Whether the endpoint may get new requests. */
+    /** Returns whether the endpoint may receive new requests. */
     public boolean isRunning() {
       return state.equals("running");
     }
@@ -69,7 +71,7 @@
   /**
    * An endpoint started.
    *
-   * @param attemptsPerSecond what it can do once it has warmed up
+   * @param attemptsPerSecond capacity of the endpoint after warm-up
    */
   record EndpointStarted(
       long atMicros,
--- a/src/main/java/fawndock/conformance/TraceIndex.java
+++ b/src/main/java/fawndock/conformance/TraceIndex.java
@@ -19,8 +19,8 @@
 import java.util.TreeMap;
 
 /**
- * A trace ordered by time and indexed by request, endpoint and gateway for the invariants. Filled
- * once by its constructor and only read from then on.
+ * A trace sorted by time and indexed by request, endpoint and gateway. Its contents do not change
+ * after construction.
  */
 final class TraceIndex {
   private record AnnouncementKey(int gatewayIndex, String endpointId) {}
@@ -68,58 +68,58 @@
     }
   }
 
-  /** All requests, in no particular order. */
+  /** Returns all requests in no particular order. */
   Collection<RequestSent> requests() {
     return requests.values();
   }
 
-  /** A request by its id, or null. */
+  /** Returns the request with an id, or null. */
   RequestSent request(String requestId) {
     return requests.get(requestId);
   }
 
-  /** The responses to a request in order of time; empty when there is none. */
+  /** Returns the responses to a request in time order; empty when there are none. */
   List<ResponseReceived> responses(String requestId) {
     return responses.getOrDefault(requestId, List.of());
   }
 
-  /** The first loss of connection or disconnect of a request's client, or null. */
+  /** Returns the first connection loss or disconnect of a request's client, or null. */
   TraceEvent disconnect(String requestId) {
     return disconnects.get(requestId);
   }
 
-  /** The attempts of each request, in order of time, by request id. */
+  /** Returns the attempts of each request in time order, by request id. */
   Map<String, List<AttemptArrived>> attemptsByRequest() {
     return attemptsByRequest;
   }
 
-  /** The attempts of a request in order of time; empty when there is none. */
+  /** Returns the attempts of a request in time order; empty when there are none. */
   List<AttemptArrived> attempts(String requestId) {
     return attemptsByRequest.getOrDefault(requestId, List.of());
   }
 
-  /** The attempts that an endpoint received, in order of time. */
+  /** Returns the attempts that an endpoint received, in time order. */
   List<AttemptArrived> attemptsAt(String endpointId) {
     return attemptsByEndpoint.getOrDefault(endpointId, List.of());
   }
 
-  /** How often an operation took effect, counting each effect after deduplication. */
+  /** Returns how many times an operation took effect, not counting dropped duplicates. */
   int effectCount(String operation) {
     return effectsByOperation.getOrDefault(operation, 0);
   }
 
-  /** Whether a gateway's process was killed between two times, both included. */
+  /** Returns whether a gateway's process was killed between two times, inclusive. */
   boolean wasKilledBetween(int gatewayIndex, long fromMicros, long toMicros) {
     return killsByGateway.getOrDefault(gatewayIndex, List.of()).stream()
         .anyMatch(killedAtMicros -> killedAtMicros >= fromMicros && killedAtMicros <= toMicros);
   }
 
-  /** What a gateway was notified of an endpoint, by time; null when it never was. */
+  /** Returns a gateway's notifications of an endpoint by time; null when there were none. */
   NavigableMap<Long, EndpointAnnounced> announcements(int gatewayIndex, String endpointId) {
     return announcements.get(new AnnouncementKey(gatewayIndex, endpointId));
   }
 
-  /** Starts of endpoints in order of time. */
+  /** Returns the starts of endpoints in time order. */
   List<EndpointStarted> endpointStarts() {
     return endpointStarts;
   }
--- a/src/main/java/fawndock/conformance/WeightedGoodput.java
+++ b/src/main/java/fawndock/conformance/WeightedGoodput.java
@@ -12,21 +12,22 @@
 import java.util.Set;
 
 /**
- * Goodput weighted by priority: what was served within its latency objective, as a share of what
- * was requested within quota. Each customer's token bucket is replayed over its operations as one
- * gateway that saw all first tries would have it; a retry's response counts for its operation,
- * timed from the first try.
+ * Computes the goodput weighted by priority: the weight of the operations served within their
+ * latency objective, as a share of the weight of the operations requested within quota. The quota
+ * of each customer is a token bucket applied to the first try of each operation, as in a single
+ * gateway that receives all requests. The response to a client's retry counts for its operation,
+ * with the latency measured from the first try. Stateless.
  */
 public final class WeightedGoodput {
   private static final int OK = 200;
 
   private WeightedGoodput() {}
 
-  /** The share for a trace, from 0 to 1; 0 when nothing was requested within quota. */
+  /** Returns the share for a trace, from 0 to 1; 0 when nothing was requested within quota. */
   public static double shareOfOffered(List<TraceEvent> trace, ConformanceLimits limits) {
     Map<String, Long> servedAtMicros = firstServedByOperation(trace);
     Map<String, TokenBucket> quotas = new HashMap<>();
-    Set<String> counted = new HashSet<>();
+    Set<String> countedOperations = new HashSet<>();
     double offered = 0;
     double served = 0;
     for (RequestSent request : requestsByTime(trace)) {
@@ -35,7 +36,7 @@
       RequestClass requestClass = limits.requestClasses().get(request.requestClass());
       if (plan == null
           || requestClass == null
-          || !counted.add(operation)
+          || !countedOperations.add(operation)
           || !isWithinQuota(quotas, plan, request)) {
         continue;
       }
--- a/src/main/java/fawndock/conformance/package-info.java
+++ b/src/main/java/fawndock/conformance/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Checks traces of requests against the five rules that every gateway must keep. A trace is what
- * crossed the sockets of a scenario's fakes, or the simulated network. Depends on none of the
- * packages that use it; it does no input or output and reads no clock.
+ * Checks traces of requests against the five rules that every gateway must keep. A trace consists
+ * of the events that crossed the sockets of a scenario's fakes or the simulated network. The
+ * package depends on none of the packages that use it, performs no I/O and reads no clock.
  */
 package fawndock.conformance;
