--- a/src/main/java/fawndock/conformance/SingleEffectInvariant.java
+++ b/src/main/java/fawndock/conformance/SingleEffectInvariant.java
@@ -12,8 +12,7 @@
 /**
  * Rule 2: no effect occurs more than once. A request that is not idempotent is retried only where
  * the endpoints' deduplication covers the retry, and is not rejected once it may have been
- * executed, because the client would then send it again. An attempt that an endpoint rejected was
- * not executed. Not thread-safe.
+ * executed. An attempt that an endpoint rejected was not executed. Not thread-safe.
  */
 final class SingleEffectInvariant {
   private static final int TOO_MANY_REQUESTS = 429;
--- a/src/main/java/fawndock/fake/FakeBackend.java
+++ b/src/main/java/fawndock/fake/FakeBackend.java
@@ -14,24 +14,27 @@
 import java.util.Set;
 
 /**
- * A backend that does timed work on a few cores behind a queue and responds over HTTP/2 without
- * TLS. It warms up after a start, collapses when it is overloaded while warming up, and takes
- * faults while it runs. Its state is used on its own Vert.x context; the public methods may be
- * called from any thread.
+ * A fake backend with a queue and a fixed number of cores, which simulates work with timers and
+ * responds over HTTP/2 without TLS. It warms up after a start, stops listening when it is
+ * overloaded while warming up, and can be given faults while it runs. Its state is accessed only on
+ * its own Vert.x context; the public methods may be called from any thread.
  */
 public final class FakeBackend {
-  /** Faults, to be set through {@link FakeBackend#injectFaults}. */
+  /** Faults of a backend, changed through {@link FakeBackend#injectFaults}. */
   public static final class Faults {
-    /** Multiplies the time of work. */
+    /** Factor by which the work time of each attempt is multiplied. */
     public double workTimeFactor = 1;
 
-    /** Whether attempts neither run nor get a response. */
+    /** Whether attempts are neither executed nor answered. */
     public boolean isUnresponsive;
 
-    /** Shares of attempts whose response is lost, that are reset, that are rejected unrun. */
+    /** Share of attempts that are executed but whose response is lost. */
     public double lostResponseRatio;
 
+    /** Share of attempts that are reset without being executed. */
     public double resetRatio;
+
+    /** Share of attempts that are rejected without being executed. */
     public double rejectRatio;
 
     /** Share of attempts that end with status 500. */
@@ -39,12 +42,13 @@
   }
 
   /**
-   * How a backend is built.
+   * Capacity and warm-up behaviour of a backend. Immutable.
    *
-   * @param workMicros mean work of an attempt
-   * @param queueCapacity attempts that may queue
-   * @param slowStartInitialRatio its speed at a start, as a share of its full speed
-   * @param collapseOverloadRatio of what it can do, beyond which it collapses while warming up
+   * @param workMicros mean work time of an attempt
+   * @param queueCapacity maximum of queued attempts
+   * @param slowStartInitialRatio speed at a start, as a share of the full speed
+   * @param collapseOverloadRatio ratio of the arrivals in the collapse window to the capacity above
+   *     which the backend collapses while warming up
    */
   public record BackendConfig(
       int cores,
@@ -54,24 +58,27 @@
       long slowStartMicros,
       double collapseOverloadRatio,
       long collapseWindowMicros) {
-    /** Its speed as a share of its full speed; a start at 0 is long ago. */
-    public double slowStartFactor(long startedAt, long now) {
-      double age = now - startedAt;
-      return startedAt == 0 || age >= slowStartMicros
+    /** Returns the speed as a share of the full speed; a start time of 0 means fully warmed up. */
+    public double slowStartFactor(long startedAtMicros, long nowMicros) {
+      double ageMicros = nowMicros - startedAtMicros;
+      return startedAtMicros == 0 || ageMicros >= slowStartMicros
           ? 1
-          : slowStartInitialRatio + (1 - slowStartInitialRatio) * age / slowStartMicros;
+          : slowStartInitialRatio + (1 - slowStartInitialRatio) * ageMicros / slowStartMicros;
     }
 
-    /** Whether so many arrivals in the collapse window are too many for its slow start. */
-    public boolean isOverloaded(int arrivals, long startedAt, long now) {
-      if (startedAt == 0
-          || now - startedAt >= slowStartMicros
-          || now - startedAt < collapseWindowMicros) {
+    /**
+     * Returns whether this number of arrivals in the collapse window overloads the backend while it
+     * warms up. The limit includes three standard deviations of a Poisson-distributed count.
+     */
+    public boolean isOverloaded(int arrivals, long startedAtMicros, long nowMicros) {
+      if (startedAtMicros == 0
+          || nowMicros - startedAtMicros >= slowStartMicros
+          || nowMicros - startedAtMicros < collapseWindowMicros) {
         return false;
       }
       double allowed =
           collapseOverloadRatio
-              * slowStartFactor(startedAt, now)
+              * slowStartFactor(startedAtMicros, nowMicros)
               * cores
               * collapseWindowMicros
               / workMicros;
@@ -99,10 +106,10 @@
   private int responseBytes = 64;
 
   public FakeBackend(
-      Vertx vertx, String id, BackendConfig build, TraceRecorder recorder, long seed) {
+      Vertx vertx, String id, BackendConfig config, TraceRecorder recorder, long seed) {
     this.vertx = vertx;
     this.id = id;
-    this.config = build;
+    this.config = config;
     this.recorder = recorder;
     this.random = new java.util.SplittableRandom(seed);
     this.context = vertx.getOrCreateContext();
@@ -112,17 +119,17 @@
     return id;
   }
 
-  /** The port of the last start; the same after each restart. */
+  /** Returns the port, which stays the same after each restart; 0 before the first start. */
   public int port() {
     return port;
   }
 
-  /** When it last started warming up, in microseconds since 1970, or 0. */
+  /** Returns when the last warm-up started, in microseconds since 1970; 0 if there was none. */
   public long startedAtMicros() {
     return startedAtMicros;
   }
 
-  /** Starts listening, warming up or at full speed. */
+  /** Starts listening, either warming up or at full speed; completes with the port. */
   public Future<Integer> start(boolean isWarmingUp) {
     return onContext(
         () -> {
@@ -148,16 +155,16 @@
                           .setHttp2RstFloodMaxRstFramePerWindow(1_000_000)
                           .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(10_000)))
                   .connectionHandler(
-                      c -> {
-                        connections.add(c);
-                        c.closeHandler(v -> connections.remove(c));
+                      connection -> {
+                        connections.add(connection);
+                        connection.closeHandler(v -> connections.remove(connection));
                       })
                   .requestHandler(this::onRequest);
-          return server.listen(port, "127.0.0.1").map(s -> port = s.actualPort());
+          return server.listen(port, "127.0.0.1").map(listening -> port = listening.actualPort());
         });
   }
 
-  /** Breaks every connection and stops listening, as a killed process does. */
+  /** Closes every connection and stops listening, as a killed process does. */
   public Future<Void> kill() {
     return onContext(
         () -> {
@@ -168,30 +175,31 @@
         });
   }
 
-  /** Sends GOAWAY on every connection: streams up to the last one still run. */
+  /** Sends GOAWAY on every connection; streams that are already open are still served. */
   public Future<Void> drain() {
     return onContext(
         () -> {
-          connections.forEach(c -> c.shutdown(30, java.util.concurrent.TimeUnit.SECONDS));
+          connections.forEach(
+              connection -> connection.shutdown(30, java.util.concurrent.TimeUnit.SECONDS));
           return Future.succeededFuture();
         });
   }
 
-  /** Changes the faults while it runs. */
-  public Future<Void> injectFaults(java.util.function.Consumer<Faults> how) {
+  /** Changes the faults of the running backend. */
+  public Future<Void> injectFaults(java.util.function.Consumer<Faults> change) {
     return onContext(
         () -> {
-          how.accept(faults);
+          change.accept(faults);
           return Future.succeededFuture();
         });
   }
 
   /**
-   * Drops duplicates together with other backends that use the same set, which must be safe for
-   * several threads.
+   * Shares a set of idempotency keys with other backends, so that they drop each other's
+   * duplicates. The set must be thread-safe.
    */
-  public FakeBackend withDeduplicationKeys(Set<String> shared) {
-    appliedKeys = shared;
+  public FakeBackend withDeduplicationKeys(Set<String> sharedKeys) {
+    appliedKeys = sharedKeys;
     return this;
   }
 
@@ -201,20 +209,20 @@
     return this;
   }
 
-  private <T> Future<T> onContext(java.util.function.Supplier<Future<T>> what) {
-    io.vertx.core.Promise<T> done = io.vertx.core.Promise.promise();
-    context.runOnContext(v -> what.get().onComplete(done));
-    return done.future();
+  private <T> Future<T> onContext(java.util.function.Supplier<Future<T>> action) {
+    io.vertx.core.Promise<T> promise = io.vertx.core.Promise.promise();
+    context.runOnContext(v -> action.get().onComplete(promise));
+    return promise.future();
   }
 
   private void onRequest(HttpServerRequest request) {
-    String name = request.getHeader("x-request-id");
+    String requestId = request.getHeader("x-request-id");
     int ownIncarnation = incarnation;
     boolean isRejected =
         random.nextDouble() < faults.rejectRatio || queue.size() >= config.queueCapacity();
     recorder.record(
         new TraceEvent.AttemptArrived(
-            TraceRecorder.nowMicros(), name, id, ownIncarnation, isRejected));
+            TraceRecorder.nowMicros(), requestId, id, ownIncarnation, isRejected));
     if (hasCollapsed()) {
       kill();
       return;
@@ -232,15 +240,15 @@
     }
   }
 
-  /** Whether it has collapsed: it was overloaded while warming up. */
+  /** Counts an arrival; returns whether the backend has collapsed from overload during warm-up. */
   private boolean hasCollapsed() {
-    long now = TraceRecorder.nowMicros();
-    recentArrivals.add(now);
+    long nowMicros = TraceRecorder.nowMicros();
+    recentArrivals.add(nowMicros);
     while (!recentArrivals.isEmpty()
-        && recentArrivals.peek() < now - config.collapseWindowMicros()) {
+        && recentArrivals.peek() < nowMicros - config.collapseWindowMicros()) {
       recentArrivals.poll();
     }
-    hasCollapsed |= config.isOverloaded(recentArrivals.size(), startedAtMicros, now);
+    hasCollapsed |= config.isOverloaded(recentArrivals.size(), startedAtMicros, nowMicros);
     return hasCollapsed;
   }
 
@@ -248,13 +256,13 @@
     while (busyCores < config.cores() && !queue.isEmpty()) {
       HttpServerRequest request = queue.poll();
       busyCores++;
-      double micros =
+      double workTimeMicros =
           config.workMicros()
               * faults.workTimeFactor
               / config.slowStartFactor(startedAtMicros, TraceRecorder.nowMicros())
               * (0.5 + random.nextDouble());
       int ownIncarnation = incarnation;
-      Runnable finished =
+      Runnable onWorkDone =
           () -> {
             if (ownIncarnation == incarnation) {
               busyCores--;
@@ -262,28 +270,28 @@
               startQueued();
             }
           };
-      if (micros < 500) {
-        context.runOnContext(v -> finished.run());
+      if (workTimeMicros < 500) {
+        context.runOnContext(v -> onWorkDone.run());
       } else {
-        vertx.setTimer(Math.max(1, Math.round(micros / 1_000)), timer -> finished.run());
+        vertx.setTimer(Math.max(1, Math.round(workTimeMicros / 1_000)), timer -> onWorkDone.run());
       }
     }
   }
 
   private void finish(HttpServerRequest request) {
-    String name = request.getHeader("x-request-id");
-    String key = request.getHeader("idempotency-key");
-    long now = TraceRecorder.nowMicros();
-    if (key == null || appliedKeys.add(key)) {
-      recorder.record(new TraceEvent.EffectApplied(now, name, id));
+    String requestId = request.getHeader("x-request-id");
+    String idempotencyKey = request.getHeader("idempotency-key");
+    long nowMicros = TraceRecorder.nowMicros();
+    if (idempotencyKey == null || appliedKeys.add(idempotencyKey)) {
+      recorder.record(new TraceEvent.EffectApplied(nowMicros, requestId, id));
     }
     if (random.nextDouble() < faults.lostResponseRatio || request.response().closed()) {
       return;
     }
-    boolean error = random.nextDouble() < faults.errorRatio;
+    boolean isError = random.nextDouble() < faults.errorRatio;
     request
         .response()
-        .setStatusCode(error ? 500 : 200)
+        .setStatusCode(isError ? 500 : 200)
         .putHeader(
             "endpoint-load-metrics",
             "TEXT cpu_utilization="
--- a/src/main/java/fawndock/fake/FakeCounterServer.java
+++ b/src/main/java/fawndock/fake/FakeCounterServer.java
@@ -29,9 +29,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A counter that speaks as much of the Redis serialization protocol as a gateway needs, in memory,
- * on one event loop, with faults. Its sums are plain doubles. The public methods may be called from
- * any thread; {@link #close} may be called more than once.
+ * A fake counter with faults: an in-memory server for the subset of the Redis serialization
+ * protocol that a gateway uses. Its totals are doubles. All commands run on one event loop; the
+ * public methods may be called from any thread, and {@link #close} may be called more than once.
  */
 public final class FakeCounterServer implements AutoCloseable {
   private record Entry(double value, long expiresAtMillis) {}
@@ -46,7 +46,7 @@
   private volatile long delayMillis;
   private long addCount;
 
-  /** Listens; the port is the same after each call. */
+  /** Starts listening; the port stays the same after each restart. */
   public FakeCounterServer start() throws InterruptedException {
     listener =
         new ServerBootstrap()
@@ -78,43 +78,43 @@
     return port;
   }
 
-  /** Executes calls but sends no replies while set. */
-  public void setUnresponsive(boolean on) {
-    isUnresponsive = on;
+  /** While enabled, executes commands but sends no replies. */
+  public void setUnresponsive(boolean enabled) {
+    isUnresponsive = enabled;
   }
 
-  /** Replies to every call with an error and adds nothing while set. */
-  public void setRejecting(boolean on) {
-    isRejecting = on;
+  /** While enabled, replies to every command with an error and does not execute it. */
+  public void setRejecting(boolean enabled) {
+    isRejecting = enabled;
   }
 
-  /** Delays each reply. */
+  /** Sets the delay of each reply. */
   public void setDelayMillis(long millis) {
     delayMillis = millis;
   }
 
-  /** Loses this share of every count; 1 empties it. */
-  public void discardFraction(double share) {
+  /** Reduces every count by a fraction; 1 removes all counts. */
+  public void discardFraction(double fraction) {
     group
         .submit(
             () -> {
-              if (share >= 1) {
+              if (fraction >= 1) {
                 entries.clear();
               } else {
                 entries.replaceAll(
-                    (name, e) -> new Entry(e.value() * (1 - share), e.expiresAtMillis()));
+                    (name, e) -> new Entry(e.value() * (1 - fraction), e.expiresAtMillis()));
               }
             })
         .syncUninterruptibly();
   }
 
-  /** Breaks every connection and stops listening until started again. */
+  /** Closes every connection and stops listening until the next start. */
   public void stop() {
     listener.close().syncUninterruptibly();
     clients.close().syncUninterruptibly();
   }
 
-  /** Adds executed so far. */
+  /** Returns the number of additions executed so far. */
   public long addCount() {
     long[] result = new long[1];
     group.submit(() -> result[0] = addCount).syncUninterruptibly();
@@ -124,7 +124,7 @@
   @Override
   public void close() {
     stop();
-    // Not awaited: its one daemonless thread ends within a second.
+    // Not awaited: the only thread, which is no daemon, terminates within a second.
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
@@ -142,12 +142,12 @@
       if (isUnresponsive) {
         return;
       }
-      // Replies keep the order of their calls, also when the delay has become shorter.
+      // Replies keep the order of their commands even when the delay is reduced.
       long now = System.nanoTime();
       readyAtNanos = Math.max(readyAtNanos, now + delayMillis * 1_000_000);
       pendingReplies.add(reply);
       if (readyAtNanos > now) {
-        var unused = // Nothing depends on it: the channel reports what fails.
+        var unused = // Not awaited: the channel reports failures.
             context
                 .executor()
                 .schedule(
@@ -163,7 +163,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      var unused = context.close(); // Nothing is to be done after it.
+      var unused = context.close(); // Not awaited: no further action follows.
     }
   }
 
@@ -190,12 +190,12 @@
       }
       case "PEXPIRE" -> {
         Entry entry = entries.get(words.get(1));
-        boolean set = entry != null && entry.expiresAtMillis() == Long.MAX_VALUE;
-        if (set) {
+        boolean isSet = entry != null && entry.expiresAtMillis() == Long.MAX_VALUE;
+        if (isSet) {
           entries.put(words.get(1), new Entry(entry.value(), now + Long.parseLong(words.get(2))));
         }
         entries.values().removeIf(e -> entries.size() > 10_000 && e.expiresAtMillis() <= now);
-        yield new IntegerRedisMessage(set ? 1 : 0);
+        yield new IntegerRedisMessage(isSet ? 1 : 0);
       }
       default -> new ErrorRedisMessage("ERR unknown command '" + words.get(0) + "'");
     };
--- a/src/main/java/fawndock/fake/FakeDiscoveryServer.java
+++ b/src/main/java/fawndock/fake/FakeDiscoveryServer.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The platform's endpoint discovery on a free loopback port: a snapshot, and watch streams of
- * events. The public methods may be called from any thread.
+ * A fake of the platform's endpoint discovery on a free loopback port. It serves a snapshot and
+ * watch streams of events over HTTP. The public methods may be called from any thread.
  */
 public final class FakeDiscoveryServer extends LoopbackServer {
   private final Set<OutputStream> watches = ConcurrentHashMap.newKeySet();
@@ -22,24 +22,29 @@
   private boolean isUnresponsive;
   private volatile String snapshotJson;
 
-  /** Serves this snapshot, a JSON object. */
-  public FakeDiscoveryServer(String whole) throws IOException {
-    this.snapshotJson = whole;
+  /** Starts serving a snapshot, which is a JSON object. */
+  public FakeDiscoveryServer(String snapshotJson) throws IOException {
+    this.snapshotJson = snapshotJson;
     startAccepting();
   }
 
-  /** An endpoint list as discovery writes it: id, address and status of each endpoint. */
-  public static String endpointListJson(long index, boolean whole, String... workers) {
+  /**
+   * Returns an endpoint list in the format of the discovery service.
+   *
+   * @param endpoints id, address and status of each endpoint
+   */
+  public static String endpointListJson(long index, boolean isSnapshot, String... endpoints) {
     StringBuilder text =
-        new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
-    for (int i = 0; i + 2 < workers.length; i += 3) {
+        new StringBuilder(
+            "{\"index\":" + index + ",\"snapshot\":" + isSnapshot + ",\"endpoints\":[");
+    for (int i = 0; i + 2 < endpoints.length; i += 3) {
       text.append(i == 0 ? "" : ",")
           .append("{\"name\":\"")
-          .append(workers[i])
+          .append(endpoints[i])
           .append("\",\"address\":\"")
-          .append(workers[i + 1])
+          .append(endpoints[i + 1])
           .append("\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"")
-          .append(workers[i + 2])
+          .append(endpoints[i + 2])
           .append("\",\"weight\":1.0,\"since_ms\":0}");
     }
     return text.append("]}").toString();
@@ -53,7 +58,7 @@
     OutputStream out = socket.getOutputStream();
     String requestLine = in.readLine();
     for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-      // Header fields are not used.
+      // Skips the header fields.
     }
     synchronized (responseLock) {
       while (isUnresponsive) {
@@ -80,25 +85,25 @@
     out.flush();
   }
 
-  /** Sends a line to all watches, whatever it is. */
+  /** Sends a line unchanged to all watches; it need not be a valid event. */
   public void sendEvent(String line) {
     sendChunk(line + "\n");
   }
 
-  /** Sets the snapshot from now on. */
-  public void setSnapshot(String list) {
-    snapshotJson = list;
+  /** Replaces the snapshot for all further requests. */
+  public void setSnapshot(String json) {
+    snapshotJson = json;
   }
 
-  /** Requests get no response while set, as during an outage; afterwards all of them get it. */
-  public void setUnresponsive(boolean on) {
+  /** While enabled, withholds all responses, as in an outage; they are sent once disabled. */
+  public void setUnresponsive(boolean enabled) {
     synchronized (responseLock) {
-      isUnresponsive = on;
+      isUnresponsive = enabled;
       responseLock.notifyAll();
     }
   }
 
-  /** Sends these bytes as a chunk to all watches. */
+  /** Sends bytes as one HTTP chunk to all watches. */
   public void sendChunk(String bytes) {
     for (OutputStream out : List.copyOf(watches)) {
       try {
@@ -109,12 +114,12 @@
     }
   }
 
-  /** Watches started so far. */
+  /** Returns the number of watches started so far. */
   public int watchCount() {
     return watchCount.get();
   }
 
-  /** Ends the watches that are open. */
+  /** Closes all open connections, including those of the watches. */
   public void endWatches() throws IOException {
     watches.clear();
     closeConnections();
--- a/src/main/java/fawndock/fake/FakeEndpointFeed.java
+++ b/src/main/java/fawndock/fake/FakeEndpointFeed.java
@@ -13,11 +13,12 @@
 import java.util.Map;
 
 /**
- * Endpoint discovery for gateways, each on a port of its own, so that it is known which gateway was
- * notified of what. Notifications may be delayed and cut off. Any thread.
+ * A fake endpoint discovery server. Each gateway connects to a separate port, so that the trace
+ * shows which gateway was notified of which change. Notifications can be delayed and connections
+ * can be closed. Thread-safe.
  */
 public final class FakeEndpointFeed {
-  /** An endpoint; its state is running, stopping or deleted, as the feed writes it. */
+  /** An endpoint; its state on the wire is running, stopping or deleted. */
   public record EndpointEntry(
       String id, int port, String zone, int cell, String state, long startedAtMicros) {}
 
@@ -36,7 +37,7 @@
     vertx.setPeriodic(500, id -> heartbeat());
   }
 
-  /** Listens for one gateway; completes with the port. */
+  /** Starts listening for one gateway; completes with the port. */
   public Future<Integer> listen(int gatewayIndex) {
     HttpServer server =
         vertx
@@ -61,17 +62,17 @@
     return server
         .listen(0, "127.0.0.1")
         .map(
-            s -> {
+            listening -> {
               synchronized (this) {
-                ports.put(gatewayIndex, s.actualPort());
+                ports.put(gatewayIndex, listening.actualPort());
               }
-              return s.actualPort();
+              return listening.actualPort();
             });
   }
 
-  /** Adds or changes endpoints and notifies all gateways, after the delay if one is set. */
+  /** Adds or updates endpoints and notifies all gateways after the configured delay. */
   public void publish(EndpointEntry... changed) {
-    long late;
+    long currentDelayMillis;
     synchronized (this) {
       for (EndpointEntry entry : changed) {
         entries.put(entry.id(), entry);
@@ -79,9 +80,9 @@
           entries.remove(entry.id());
         }
       }
-      late = delayMillis;
+      currentDelayMillis = delayMillis;
     }
-    Runnable tell =
+    Runnable notifyGateways =
         () -> {
           synchronized (this) {
             gatewayByWatcher.forEach(
@@ -89,33 +90,33 @@
                     send(response, gatewayIndex, "changes", List.of(changed)));
           }
         };
-    if (late > 0) {
-      vertx.setTimer(late, id -> tell.run());
+    if (currentDelayMillis > 0) {
+      vertx.setTimer(currentDelayMillis, id -> notifyGateways.run());
     } else {
-      tell.run();
+      notifyGateways.run();
     }
   }
 
-  /** Sends a line as it is to all gateways, for lists that are not valid. */
+  /** Sends a line unchanged to all gateways, so that tests can send invalid lists. */
   public synchronized void publishRaw(String line) {
     gatewayByWatcher.keySet().forEach(response -> response.write(line + "\n"));
   }
 
-  /** Delays changes from now on. */
+  /** Sets the delay of further notifications. */
   public synchronized void setDelayMillis(long millis) {
     delayMillis = millis;
   }
 
-  /** Disconnects all gateways, or lets them connect again. */
-  public synchronized void setDisconnected(boolean off) {
-    isDisconnected = off;
-    if (off) {
+  /** Closes all connections and rejects new ones, or accepts connections again. */
+  public synchronized void setDisconnected(boolean disconnected) {
+    isDisconnected = disconnected;
+    if (disconnected) {
       List.copyOf(gatewayByWatcher.keySet()).forEach(response -> response.reset());
       gatewayByWatcher.clear();
     }
   }
 
-  /** Gateways that are connected now. */
+  /** Returns the number of connected gateways. */
   public synchronized int watcherCount() {
     return gatewayByWatcher.size();
   }
@@ -129,25 +130,28 @@
   }
 
   private void send(
-      HttpServerResponse response, int gatewayIndex, String list, List<EndpointEntry> announced) {
+      HttpServerResponse response,
+      int gatewayIndex,
+      String listType,
+      List<EndpointEntry> announced) {
     JsonArray servers = new JsonArray();
     long now = TraceRecorder.nowMicros();
-    for (EndpointEntry e : announced) {
+    for (EndpointEntry entry : announced) {
       servers.add(
           new JsonObject()
-              .put("id", e.id())
+              .put("id", entry.id())
               .put("host", "127.0.0.1")
-              .put("port", e.port())
-              .put("zone", e.zone())
-              .put("cell", e.cell())
-              .put("state", e.state())
+              .put("port", entry.port())
+              .put("zone", entry.zone())
+              .put("cell", entry.cell())
+              .put("state", entry.state())
               .put("weight", 1)
-              .put("started_us", e.startedAtMicros()));
+              .put("started_us", entry.startedAtMicros()));
       recorder.record(
           new TraceEvent.EndpointAnnounced(
-              now, gatewayIndex, e.id(), e.state(), e.startedAtMicros()));
+              now, gatewayIndex, entry.id(), entry.state(), entry.startedAtMicros()));
     }
-    response.write(new JsonObject().put("list", list).put("servers", servers).encode() + "\n");
+    response.write(new JsonObject().put("list", listType).put("servers", servers).encode() + "\n");
   }
 
   /** Closes every listener. */
--- a/src/main/java/fawndock/fake/FakePlatform.java
+++ b/src/main/java/fawndock/fake/FakePlatform.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What a gateway finds on the platform, on loopback: one backend, the counter, endpoint discovery
- * and the configuration file that names them, with plans and request classes of its own.
+ * A fake of the platform around one gateway, on loopback: one backend, the counter, endpoint
+ * discovery and the configuration file with their addresses, plans and request classes.
  */
 public final class FakePlatform implements AutoCloseable {
   private static final String SETTINGS =
@@ -27,42 +27,46 @@
             "peers-total":2,"registry-mode":"automatic","round-us":2000,"rules":{"ask-within-us":10000000,
             "cold-share":0.2,"cold-us":18000000,"drain-grace-us":500000,"fall-multiple":2.0,"fall-us":3000000,
             "grace-to-answer-us":16000}}""";
-  private final Path file;
+  private final Path configurationFile;
   private final int port;
   private final int socketLimit;
   public final FakeRespServer backend;
   public final FakeRespServer counter;
   public final FakeDiscoveryServer discovery;
 
-  /** A platform whose backend and counter reply as given. */
-  public FakePlatform(FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter)
+  /** Creates a platform whose backend and counter reply through the given handlers. */
+  public FakePlatform(
+      FakeRespServer.CommandHandler backendHandler, FakeRespServer.CommandHandler counterHandler)
       throws IOException {
-    this(worker, counter, 256);
+    this(backendHandler, counterHandler, 256);
   }
 
   /**
-   * The same with a limit of file descriptors for the gateway.
+   * Creates a platform that limits the file descriptors of the gateway.
    *
-   * @param sockets the limit in the configuration
+   * @param socketLimit maximum of file descriptors, written to the configuration
    */
   public FakePlatform(
-      FakeRespServer.CommandHandler worker, FakeRespServer.CommandHandler counter, int sockets)
+      FakeRespServer.CommandHandler backendHandler,
+      FakeRespServer.CommandHandler counterHandler,
+      int socketLimit)
       throws IOException {
-    this.socketLimit = sockets;
-    this.backend = new FakeRespServer(worker);
-    this.counter = new FakeRespServer(counter);
+    this.socketLimit = socketLimit;
+    this.backend = new FakeRespServer(backendHandler);
+    this.counter = new FakeRespServer(counterHandler);
     discovery =
         new FakeDiscoveryServer(
             FakeDiscoveryServer.endpointListJson(
                 7, true, "w1", "127.0.0.1:" + this.backend.port(), "ready"));
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      port = free.getLocalPort();
+    try (ServerSocket portReservation =
+        new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      port = portReservation.getLocalPort();
     }
-    file = Files.createTempFile("fawndock-platform", ".json");
+    configurationFile = Files.createTempFile("fawndock-platform", ".json");
     writeConfiguration(discovery.port(), this.counter.port());
   }
 
-  /** Writes the configuration with these addresses of discovery and counter. */
+  /** Writes the configuration file with the given ports of discovery and counter. */
   public void writeConfiguration(int discoveryPort, int counterPort) throws IOException {
     writeFile(
         "{\"name\":\"g0\",\"listen\":\"127.0.0.1:"
@@ -78,30 +82,41 @@
             + "}");
   }
 
-  /** Writes anything into the file. */
+  /** Writes a text to the configuration file, whether it is valid or not. */
   public void writeFile(String text) throws IOException {
-    Files.writeString(file, text);
+    Files.writeString(configurationFile, text);
   }
 
-  /** The variables that the platform sets. */
+  /** Returns the environment variables that the platform sets for a gateway. */
   public Map<String, String> environment() {
-    return Map.of("RELAY_CONFIG", file.toString(), "RELAY_NAME", "g0");
+    return Map.of("RELAY_CONFIG", configurationFile.toString(), "RELAY_NAME", "g0");
   }
 
-  /** Where the gateway listens. */
+  /** Returns the port on which the gateway listens. */
   public int port() {
     return port;
   }
 
-  /** The words of a request command, as the platform's clients send it. */
+  /** Returns the words of a request command as the platform's clients send it. */
   public static String[] requestCommand(
-      String type, String plan, long customer, long id, String more) {
-    String key = type.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
+      String requestClass,
+      String plan,
+      long customer,
+      long requestId,
+      String additionalAttributes) {
+    String idempotencyAttribute = requestClass.equals("note") ? ",k=5c0f6e1a2b3d4c59" : "";
     return new String[] {
-      type.equals("look") ? "Q.ASK" : "Q.DO",
+      requestClass.equals("look") ? "Q.ASK" : "Q.DO",
       String.format("%016x", customer),
-      String.format("%016x", id),
-      "c=" + type + ",t=" + plan + ",d=1500" + key + ",units=1,spread=1,first=0" + more
+      String.format("%016x", requestId),
+      "c="
+          + requestClass
+          + ",t="
+          + plan
+          + ",d=1500"
+          + idempotencyAttribute
+          + ",units=1,spread=1,first=0"
+          + additionalAttributes
     };
   }
 
@@ -110,6 +125,6 @@
     backend.close();
     counter.close();
     discovery.close();
-    Files.deleteIfExists(file);
+    Files.deleteIfExists(configurationFile);
   }
 }
--- a/src/main/java/fawndock/fake/FakeRespServer.java
+++ b/src/main/java/fawndock/fake/FakeRespServer.java
@@ -14,17 +14,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A RESP2 server on a free loopback port, with a thread for each connection. Replies are given as
- * bytes, so that it can also send what no server should. Plays the platform's backends and counter.
+ * A fake RESP2 server on a free loopback port, used for the platform's backends and counter.
+ * Replies are raw bytes, so that tests can also send invalid ones. Each connection has its own
+ * thread.
  */
 public final class FakeRespServer extends LoopbackServer {
-  /** Replies to commands, each on its connection's own thread. */
+  /** Handles commands, each on the thread of its connection. */
   public interface CommandHandler {
     void onCommand(List<String> words, Connection connection)
         throws IOException, InterruptedException;
   }
 
-  /** One connection. */
+  /** A client's connection, used on its own thread. */
   public static final class Connection {
     private final Socket socket;
     private final OutputStream out;
@@ -34,13 +35,13 @@
       this.out = socket.getOutputStream();
     }
 
-    /** Sends these characters, a byte each, at once. */
+    /** Sends a string immediately, encoded as one byte per character. */
     public void send(String bytes) throws IOException {
       out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
       out.flush();
     }
 
-    /** Ends the connection: in order, or by a reset. */
+    /** Closes the connection, either normally or with a TCP reset. */
     public void close(boolean reset) throws IOException {
       if (reset) {
         socket.setSoLinger(true, 0);
@@ -52,63 +53,65 @@
   private final CommandHandler handler;
   private final AtomicInteger commandCount = new AtomicInteger();
 
-  /** Listens from now on. */
-  public FakeRespServer(CommandHandler behaviour) throws IOException {
-    this.handler = behaviour;
+  /** Starts listening. */
+  public FakeRespServer(CommandHandler handler) throws IOException {
+    this.handler = handler;
     startAccepting();
   }
 
   @Override
   void serve(Socket socket) throws IOException {
     CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
-    ByteBuf in = Unpooled.buffer();
-    byte[] part = new byte[8_192];
+    ByteBuf received = Unpooled.buffer();
+    byte[] buffer = new byte[8_192];
     try {
       Connection connection = new Connection(socket);
-      for (int n = socket.getInputStream().read(part);
-          n >= 0;
-          n = socket.getInputStream().read(part)) {
-        in.discardReadBytes().writeBytes(part, 0, n);
-        for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
+      for (int length = socket.getInputStream().read(buffer);
+          length >= 0;
+          length = socket.getInputStream().read(buffer)) {
+        received.discardReadBytes().writeBytes(buffer, 0, length);
+        for (byte[][] words = reader.next(received); words != null; words = reader.next(received)) {
           commandCount.incrementAndGet();
           handler.onCommand(
-              Arrays.stream(words).map(w -> new String(w, StandardCharsets.ISO_8859_1)).toList(),
+              Arrays.stream(words)
+                  .map(word -> new String(word, StandardCharsets.ISO_8859_1))
+                  .toList(),
               connection);
         }
       }
     } catch (ProtocolException e) {
-      // The connection is over.
+      // The connection is closed.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Commands read so far. */
+  /** Returns the number of commands read so far. */
   public int commandCount() {
     return commandCount.get();
   }
 
-  /** Replies as a healthy backend of the platform does: the value names the request's id. */
+  /** Returns a handler that replies like a healthy backend; the value contains the request id. */
   public static CommandHandler backendHandler() {
     return (words, connection) ->
         connection.send(
             backendResponse("value of " + words.get(2), "recent_ms=7,throughput=2.5,backlog=0"));
   }
 
-  /** A whole reply of a backend with a load report. */
-  public static String backendResponse(String value, String load) {
+  /** Returns a complete reply of a backend with a load report. */
+  public static String backendResponse(String value, String loadReport) {
     return "*3\r\n$"
         + value.length()
         + "\r\n"
         + value
         + "\r\n$-1\r\n$"
-        + load.length()
+        + loadReport.length()
         + "\r\n"
-        + load
+        + loadReport
         + "\r\n";
   }
 
-  /** Replies as the platform's counter does. */
+  /** Returns a handler that replies like the platform's counter. */
   public static CommandHandler counterHandler() {
     ConcurrentHashMap<String, Double> totals = new ConcurrentHashMap<>();
     return (words, connection) -> {
--- a/src/main/java/fawndock/fake/FaultInjectingProxy.java
+++ b/src/main/java/fawndock/fake/FaultInjectingProxy.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A TCP proxy between clients and a service that can block or delay responses and be stopped. What
- * it buffers is bounded: beyond that it stops reading from the service. The public methods may be
- * called from any thread.
+ * A TCP proxy between clients and a service that can block requests, block or delay responses, and
+ * be stopped. Its buffers are bounded: when one is full, the proxy stops reading from the service.
+ * The public methods may be called from any thread.
  */
 public final class FaultInjectingProxy {
   private static final int MAX_PENDING_CHUNKS = 4_096;
@@ -46,17 +46,17 @@
         vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(1_000));
   }
 
-  /** Listens; the port is the same after each call. */
+  /** Starts listening; the port stays the same after each restart. */
   public Future<Void> start() {
     server =
         vertx
             .createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true))
-            .connectHandler(this::connected);
+            .connectHandler(this::onClientConnected);
     return server
         .listen(port, "127.0.0.1")
         .map(
-            s -> {
-              port = s.actualPort();
+            listening -> {
+              port = listening.actualPort();
               return null;
             });
   }
@@ -65,49 +65,49 @@
     return port;
   }
 
-  /** Forwards requests but keeps the responses back while set. */
-  public void setResponsesBlocked(boolean on) {
-    areResponsesBlocked = on;
-    if (!on) {
+  /** While blocked, forwards requests but holds back responses. */
+  public void setResponsesBlocked(boolean blocked) {
+    areResponsesBlocked = blocked;
+    if (!blocked) {
       context.runOnContext(v -> Set.copyOf(connections).forEach(ProxiedConnection::flushDue));
     }
   }
 
-  /** Keeps the requests back while set. */
-  public void setRequestsBlocked(boolean on) {
-    areRequestsBlocked = on;
+  /** While blocked, holds back requests. */
+  public void setRequestsBlocked(boolean blocked) {
+    areRequestsBlocked = blocked;
     context.runOnContext(
         v ->
             Set.copyOf(connections)
                 .forEach(
-                    line -> {
-                      if (on) {
-                        line.clientSocket.pause();
+                    connection -> {
+                      if (blocked) {
+                        connection.clientSocket.pause();
                       } else {
-                        line.clientSocket.resume();
+                        connection.clientSocket.resume();
                       }
                     }));
   }
 
   /**
-   * Counts from now on how often a word crosses towards the service, also where it is cut by the
-   * packets.
+   * Starts counting the occurrences of a word in the bytes sent to the service, including those
+   * that are split across packets. The first letter of the word must occur in it only once.
    */
   public void countOccurrences(String word) {
     countedWord = word.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** How often it did. */
+  /** Returns the number of occurrences counted so far. */
   public long occurrenceCount() {
     return occurrences.get();
   }
 
-  /** Delays responses. */
+  /** Sets the delay of responses. */
   public void setResponseDelayMillis(long millis) {
     responseDelayMillis = millis;
   }
 
-  /** Breaks every connection and stops listening until started again. */
+  /** Closes every connection and stops listening until the next start. */
   public void stop() {
     if (server != null) {
       server.close();
@@ -115,37 +115,38 @@
     context.runOnContext(v -> Set.copyOf(connections).forEach(ProxiedConnection::close));
   }
 
-  private void connected(NetSocket caller) {
-    caller.pause();
+  private void onClientConnected(NetSocket clientSocket) {
+    clientSocket.pause();
     client
         .connect(servicePort, "127.0.0.1")
         .onComplete(
-            made -> {
-              if (made.failed()) {
-                caller.close();
+            connectResult -> {
+              if (connectResult.failed()) {
+                clientSocket.close();
               } else {
-                NetSocket service = made.result();
-                service.pause();
+                NetSocket serviceSocket = connectResult.result();
+                serviceSocket.pause();
                 context.runOnContext(
                     v -> {
-                      ProxiedConnection line = new ProxiedConnection(caller, service);
-                      connections.add(line);
-                      line.start();
+                      ProxiedConnection connection =
+                          new ProxiedConnection(clientSocket, serviceSocket);
+                      connections.add(connection);
+                      connection.start();
                     });
               }
             });
   }
 
-  /** One connection; its state is used on the relay's context alone. */
+  /** A pair of connections to a client and to the service, used only on the proxy's context. */
   private final class ProxiedConnection {
     private final NetSocket clientSocket;
     private final NetSocket serviceSocket;
     private final ArrayDeque<Chunk> pendingChunks = new ArrayDeque<>();
-    private int matched;
+    private int matchedLength;
 
-    ProxiedConnection(NetSocket caller, NetSocket service) {
-      this.clientSocket = caller;
-      this.serviceSocket = service;
+    ProxiedConnection(NetSocket clientSocket, NetSocket serviceSocket) {
+      this.clientSocket = clientSocket;
+      this.serviceSocket = serviceSocket;
     }
 
     void start() {
@@ -168,27 +169,32 @@
     }
 
     /**
-     * The word's first letter stands in it once, so a mismatch needs no second look further back.
+     * Counts occurrences of the word. The word's first letter occurs in it only once, so a mismatch
+     * needs no backtracking.
      */
     private void countMatches(Buffer bytes) {
       byte[] word = countedWord;
       for (int i = 0; i < bytes.length() && word.length > 0; i++) {
-        byte each = bytes.getByte(i);
-        matched =
-            matched < word.length && each == word[matched] ? matched + 1 : each == word[0] ? 1 : 0;
-        if (matched == word.length) {
+        byte next = bytes.getByte(i);
+        matchedLength =
+            matchedLength < word.length && next == word[matchedLength]
+                ? matchedLength + 1
+                : next == word[0] ? 1 : 0;
+        if (matchedLength == word.length) {
           occurrences.incrementAndGet();
-          matched = 0;
+          matchedLength = 0;
         }
       }
     }
 
     private void onResponseBytes(Buffer bytes) {
-      long due = System.nanoTime() + responseDelayMillis * 1_000_000;
+      long dueAtNanos = System.nanoTime() + responseDelayMillis * 1_000_000;
       pendingChunks.add(
           new Chunk(
               bytes,
-              pendingChunks.isEmpty() ? due : Math.max(due, pendingChunks.peekLast().dueAtNanos)));
+              pendingChunks.isEmpty()
+                  ? dueAtNanos
+                  : Math.max(dueAtNanos, pendingChunks.peekLast().dueAtNanos)));
       if (pendingChunks.size() > MAX_PENDING_CHUNKS) {
         serviceSocket.pause();
       }
@@ -205,9 +211,9 @@
         serviceSocket.resume();
       }
       if (!areResponsesBlocked && !pendingChunks.isEmpty()) {
-        long nanos = pendingChunks.peek().dueAtNanos - System.nanoTime();
+        long remainingNanos = pendingChunks.peek().dueAtNanos - System.nanoTime();
         vertx.setTimer(
-            Math.max(1, TimeUnit.NANOSECONDS.toMillis(nanos)),
+            Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos)),
             t -> context.runOnContext(v -> flushDue()));
       }
     }
--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Listens on a free loopback port and serves each connection on a thread of its own, up to a limit.
- * {@link #close} ends all connections and may be called more than once; once it has returned,
- * connections are refused.
+ * Base class of servers that listen on a free loopback port and serve each connection on its own
+ * thread, up to a maximum number of connections. {@link #close} closes all connections and may be
+ * called more than once; after it returns, new connections are refused. The public methods may be
+ * called from any thread.
  */
 abstract class LoopbackServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 512;
@@ -25,7 +26,7 @@
     listener = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
   }
 
-  /** Accepts connections from now on; to be called when the subclass is ready to serve. */
+  /** Starts accepting connections; a subclass calls this once it is ready to serve. */
   final void startAccepting() {
     acceptThread = startThread(this::accept);
   }
@@ -52,35 +53,35 @@
               try (socket) {
                 serve(socket);
               } catch (IOException e) {
-                // The connection is over.
+                // The connection is closed.
               } finally {
                 openSockets.remove(socket);
               }
             });
       } catch (IOException e) {
-        return; // Closed.
+        return; // The listener is closed.
       }
     }
   }
 
-  /** Serves one connection; it is closed after this. */
+  /** Serves one connection, which is closed when this method returns. */
   abstract void serve(Socket socket) throws IOException;
 
   public final int port() {
     return listener.getLocalPort();
   }
 
-  /** Connections accepted so far. */
+  /** Returns the number of connections accepted so far. */
   public final int acceptedConnectionCount() {
     return acceptedConnectionCount.get();
   }
 
-  /** Connections open now. */
+  /** Returns the number of open connections. */
   public final int openConnectionCount() {
     return openSockets.size();
   }
 
-  /** Closes the connections that are open, and goes on listening. */
+  /** Closes all open connections but continues to listen. */
   final void closeConnections() throws IOException {
     for (Socket socket : openSockets) {
       socket.close();
@@ -95,8 +96,8 @@
   }
 
   /**
-   * The operating system accepts connections until the accept call that was under way has returned,
-   * which may be after the close of its socket.
+   * Waits until the accept thread has terminated. The operating system accepts connections until
+   * the pending accept call returns, which may be after the listener is closed.
    */
   private void awaitAcceptThread() throws IOException {
     if (acceptThread == null) {
--- a/src/main/java/fawndock/fake/RawHttpClient.java
+++ b/src/main/java/fawndock/fake/RawHttpClient.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Sends one HTTP/1.1 request on a connection of its own and reads until the connection closes, so
- * that a second response, were there one, is seen. It may disconnect early. Runs on its Vert.x
- * event loops.
+ * An HTTP/1.1 client that sends each request on a new connection and reads until the connection
+ * closes, so that an erroneous second response is also recorded. It can disconnect early. Callbacks
+ * run on Vert.x event loops.
  */
 public final class RawHttpClient {
   private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 ([0-9]{3}) [^\r\n]*\r\n");
@@ -23,13 +23,20 @@
   private static final Pattern RETRY_AFTER = Pattern.compile("(?i)\r\nretry-after: *([0-9]+)\r\n");
   private static final long MAX_EXCHANGE_MILLIS = 60_000;
 
-  /** How an exchange ended: the first status, or 0 without one; seconds to wait, or 0. */
+  /**
+   * The outcome of an exchange. Immutable.
+   *
+   * @param status first status received; 0 for none
+   * @param retryAfterSeconds value of the Retry-After header field; 0 for none
+   * @param hasDisconnected whether the client disconnected before it received a response
+   */
   public record ExchangeResult(int status, int retryAfterSeconds, boolean hasDisconnected) {}
 
   /**
-   * One request.
+   * A request to send. Immutable.
    *
-   * @param disconnectAfterMicros when the client disconnects if it has no response; 0 for never
+   * @param disconnectAfterMicros time after which the client disconnects if it has received no
+   *     response; 0 for never
    */
   public record RequestSpec(
       String requestId,
@@ -46,24 +53,26 @@
       long disconnectAfterMicros) {}
 
   private final Vertx vertx;
-  private final NetClient net;
+  private final NetClient client;
   private final TraceRecorder recorder;
 
   public RawHttpClient(Vertx vertx, TraceRecorder recorder) {
     this.vertx = vertx;
-    this.net =
+    this.client =
         vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2_000));
     this.recorder = recorder;
   }
 
-  /** Sends a request; the callback is called once, when the connection has closed. */
-  public void send(RequestSpec call, Consumer<ExchangeResult> onCompleted) {
-    net.connect(call.port(), "127.0.0.1")
+  /** Sends a request; the callback is called once, after the connection has closed. */
+  public void send(RequestSpec request, Consumer<ExchangeResult> onCompleted) {
+    client
+        .connect(request.port(), "127.0.0.1")
         .onComplete(
             connected -> {
               if (connected.failed()) {
                 onCompleted.accept(
-                    new ExchangeResult(0, 0, false)); // Not accepted: no gateway listens there.
+                    new ExchangeResult(
+                        0, 0, false)); // The connection failed: no gateway listens there.
                 return;
               }
               NetSocket socket = connected.result();
@@ -71,53 +80,53 @@
               recorder.record(
                   new TraceEvent.RequestSent(
                       now,
-                      call.requestId(),
-                      call.gatewayIndex(),
-                      call.requestClass(),
-                      call.customer(),
-                      call.units(),
-                      now + call.timeoutMicros()));
-              new Exchange(socket, call, onCompleted).start();
+                      request.requestId(),
+                      request.gatewayIndex(),
+                      request.requestClass(),
+                      request.customer(),
+                      request.units(),
+                      now + request.timeoutMicros()));
+              new Exchange(socket, request, onCompleted).start();
             });
   }
 
   private final class Exchange {
     private final NetSocket socket;
-    private final RequestSpec call;
+    private final RequestSpec request;
     private final Consumer<ExchangeResult> onCompleted;
-    private Buffer read = Buffer.buffer();
+    private Buffer received = Buffer.buffer();
     private int status;
     private int retryAfterSeconds;
     private boolean hasDisconnected;
     private boolean isCompleted;
 
-    Exchange(NetSocket socket, RequestSpec call, Consumer<ExchangeResult> onCompleted) {
+    Exchange(NetSocket socket, RequestSpec request, Consumer<ExchangeResult> onCompleted) {
       this.socket = socket;
-      this.call = call;
+      this.request = request;
       this.onCompleted = onCompleted;
     }
 
     void start() {
-      socket.handler(this::read);
+      socket.handler(this::onBytes);
       socket.closeHandler(v -> onClosed());
       socket.exceptionHandler(e -> {});
       StringBuilder head =
-          new StringBuilder(call.method())
+          new StringBuilder(request.method())
               .append(' ')
-              .append(call.path())
+              .append(request.path())
               .append(" HTTP/1.1\r\nhost: gateway\r\nconnection: close\r\nx-request-id: ")
-              .append(call.requestId())
+              .append(request.requestId())
               .append("\r\nx-api-key: ")
-              .append(call.apiKey())
+              .append(request.apiKey())
               .append("\r\nx-envoy-expected-rq-timeout-ms: ")
-              .append(call.timeoutMicros() / 1_000)
+              .append(request.timeoutMicros() / 1_000)
               .append("\r\n");
-      if (call.idempotencyKey() != null) {
-        head.append("idempotency-key: \"").append(call.idempotencyKey()).append("\"\r\n");
+      if (request.idempotencyKey() != null) {
+        head.append("idempotency-key: \"").append(request.idempotencyKey()).append("\"\r\n");
       }
       socket.write(head.append("\r\n").toString());
-      if (call.disconnectAfterMicros() > 0) {
-        vertx.setTimer(Math.max(1, call.disconnectAfterMicros() / 1_000), id -> disconnect());
+      if (request.disconnectAfterMicros() > 0) {
+        vertx.setTimer(Math.max(1, request.disconnectAfterMicros() / 1_000), id -> disconnect());
       }
       vertx.setTimer(MAX_EXCHANGE_MILLIS, id -> socket.close());
     }
@@ -126,39 +135,42 @@
       if (status == 0 && !hasDisconnected && !isCompleted) {
         hasDisconnected = true;
         recorder.record(
-            new TraceEvent.ClientDisconnected(TraceRecorder.nowMicros(), call.requestId()));
+            new TraceEvent.ClientDisconnected(TraceRecorder.nowMicros(), request.requestId()));
         socket.close();
       }
     }
 
-    /** Reads whole responses from the bytes received; each is recorded. */
-    private void read(Buffer part) {
+    /** Parses and records each complete response among the received bytes. */
+    private void onBytes(Buffer chunk) {
       if (hasDisconnected) {
         return;
       }
-      read.appendBuffer(part);
+      received.appendBuffer(chunk);
       while (true) {
-        String text = read.toString(StandardCharsets.ISO_8859_1);
-        int end = text.indexOf("\r\n\r\n");
-        Matcher line = STATUS_LINE.matcher(text);
-        if (end < 0 || !line.lookingAt()) {
+        String text = received.toString(StandardCharsets.ISO_8859_1);
+        int headEnd = text.indexOf("\r\n\r\n");
+        Matcher statusLine = STATUS_LINE.matcher(text);
+        if (headEnd < 0 || !statusLine.lookingAt()) {
           return;
         }
-        String head = text.substring(0, end + 2);
-        Matcher length = CONTENT_LENGTH.matcher(head);
-        int whole = end + 4 + (length.find() ? Integer.parseInt(length.group(1)) : 0);
-        if (read.length() < whole) {
+        String head = text.substring(0, headEnd + 2);
+        Matcher contentLength = CONTENT_LENGTH.matcher(head);
+        int messageLength =
+            headEnd + 4 + (contentLength.find() ? Integer.parseInt(contentLength.group(1)) : 0);
+        if (received.length() < messageLength) {
           return;
         }
         recorder.record(
             new TraceEvent.ResponseReceived(
-                TraceRecorder.nowMicros(), call.requestId(), Integer.parseInt(line.group(1))));
+                TraceRecorder.nowMicros(),
+                request.requestId(),
+                Integer.parseInt(statusLine.group(1))));
         if (status == 0) {
-          status = Integer.parseInt(line.group(1));
-          Matcher wait = RETRY_AFTER.matcher(head);
-          retryAfterSeconds = wait.find() ? Integer.parseInt(wait.group(1)) : 0;
+          status = Integer.parseInt(statusLine.group(1));
+          Matcher retryAfter = RETRY_AFTER.matcher(head);
+          retryAfterSeconds = retryAfter.find() ? Integer.parseInt(retryAfter.group(1)) : 0;
         }
-        read = read.getBuffer(whole, read.length());
+        received = received.getBuffer(messageLength, received.length());
       }
     }
 
@@ -168,7 +180,8 @@
       }
       isCompleted = true;
       if (status == 0 && !hasDisconnected) {
-        recorder.record(new TraceEvent.ConnectionLost(TraceRecorder.nowMicros(), call.requestId()));
+        recorder.record(
+            new TraceEvent.ConnectionLost(TraceRecorder.nowMicros(), request.requestId()));
       }
       onCompleted.accept(new ExchangeResult(status, retryAfterSeconds, hasDisconnected));
     }
--- a/src/main/java/fawndock/fake/RespClient.java
+++ b/src/main/java/fawndock/fake/RespClient.java
@@ -8,15 +8,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A blocking RESP2 client on one loopback connection, which sends any bytes and reads one reply at
- * a time with a time limit. Not thread-safe; {@link #close} may be called more than once.
+ * A blocking RESP2 client on one loopback connection that sends arbitrary bytes and reads one reply
+ * at a time with a timeout. Not thread-safe; {@link #close} may be called more than once.
  */
 public final class RespClient implements AutoCloseable {
   private static final int TIMEOUT_MILLIS = 10_000;
   private final Socket socket;
   private final InputStream in;
 
-  /** Connects. */
+  /** Connects to a loopback port. */
   public RespClient(int port) throws IOException {
     socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
     socket.setTcpNoDelay(true);
@@ -24,7 +24,7 @@
     in = socket.getInputStream();
   }
 
-  /** A command as an array of bulk strings. */
+  /** Encodes a command as an array of bulk strings. */
   public static String encodeCommand(String... words) {
     StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
@@ -33,14 +33,14 @@
     return text.toString();
   }
 
-  /** Sends these characters, a byte each. */
+  /** Sends a string, encoded as one byte per character. */
   public RespClient send(String bytes) throws IOException {
     socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     socket.getOutputStream().flush();
     return this;
   }
 
-  /** Sends characters as {@link #send} does; throws failures unchecked. */
+  /** Sends a string as {@link #send} does, but throws unchecked exceptions. */
   public void sendUnchecked(String bytes) {
     try {
       send(bytes);
@@ -50,8 +50,8 @@
   }
 
   /**
-   * The next reply: a line as it stands, the text of a bulk string, or null when the other side has
-   * closed.
+   * Reads the next reply; returns its line unchanged, the text of a bulk string, or null when the
+   * server has closed the connection.
    */
   public String readReply() throws IOException {
     String line = readLine();
@@ -78,7 +78,7 @@
         line.write(b);
       }
     } catch (java.net.SocketException e) {
-      return null; // Reset: closed as well.
+      return null; // A connection reset counts as closed.
     }
     return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
   }
