--- a/src/main/java/fawndock/fake/FakeDiscoveryServer.java
+++ b/src/main/java/fawndock/fake/FakeDiscoveryServer.java
@@ -95,7 +95,7 @@
     snapshotJson = json;
   }
 
-  /** While enabled, withholds all responses, as in an outage; they are sent once disabled. */
+  /** While enabled, withholds the responses to new requests, as in an outage; sends them later. */
   public void setUnresponsive(boolean enabled) {
     synchronized (responseLock) {
       isUnresponsive = enabled;
--- a/src/main/java/fawndock/fake/LoopbackServer.java
+++ b/src/main/java/fawndock/fake/LoopbackServer.java
@@ -12,8 +12,7 @@
 /**
  * Base class of servers that listen on a free loopback port and serve each connection on its own
  * thread, up to a maximum number of connections. {@link #close} closes all connections and may be
- * called more than once; after it returns, new connections are refused. The public methods may be
- * called from any thread.
+ * called more than once; after it returns, new connections are refused.
  */
 abstract class LoopbackServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 512;
--- a/src/test/java/fawndock/conformance/InvariantCheckerTest.java
+++ b/src/test/java/fawndock/conformance/InvariantCheckerTest.java
@@ -26,7 +26,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checks the checker: a correct trace, then one for each way in which a rule is broken. */
+/** Tests a correct trace, and a trace for each way in which a rule can be broken. */
 class InvariantCheckerTest {
   private static final long SECOND_MICROS = 1_000_000;
   private static final ConformanceLimits LIMITS =
@@ -61,26 +61,27 @@
         false);
   }
 
-  private static RequestSent sent(String request, String type, long at) {
-    return new RequestSent(at, request, 0, type, "c", 1, at + 2 * SECOND_MICROS);
+  private static RequestSent sent(String requestId, String requestClass, long atMicros) {
+    return new RequestSent(
+        atMicros, requestId, 0, requestClass, "c", 1, atMicros + 2 * SECOND_MICROS);
   }
 
-  private static AttemptArrived arrived(String request, String worker, long at) {
-    return new AttemptArrived(at, request, worker, 1, false);
+  private static AttemptArrived arrived(String requestId, String endpointId, long atMicros) {
+    return new AttemptArrived(atMicros, requestId, endpointId, 1, false);
   }
 
-  /** A sound request: sent, run, answered. */
-  private static List<TraceEvent> served(String request, String type, long at) {
+  /** Returns the events of a correct request: sent, executed and answered. */
+  private static List<TraceEvent> served(String requestId, String requestClass, long atMicros) {
     return List.of(
-        sent(request, type, at),
-        arrived(request, "w", at + 1_000),
-        new EffectApplied(at + 2_000, request, "w"),
-        new ResponseReceived(at + 3_000, request, 200));
+        sent(requestId, requestClass, atMicros),
+        arrived(requestId, "w", atMicros + 1_000),
+        new EffectApplied(atMicros + 2_000, requestId, "w"),
+        new ResponseReceived(atMicros + 3_000, requestId, 200));
   }
 
-  private static ConformanceResult check(List<TraceEvent> base, TraceEvent... more) {
-    List<TraceEvent> trace = new ArrayList<>(base);
-    trace.addAll(Arrays.asList(more));
+  private static ConformanceResult check(List<TraceEvent> events, TraceEvent... additionalEvents) {
+    List<TraceEvent> trace = new ArrayList<>(events);
+    trace.addAll(Arrays.asList(additionalEvents));
     return InvariantChecker.check(trace, LIMITS);
   }
 
@@ -90,7 +91,7 @@
 
   @Test
   void check_correctTrace_isConformant() {
-    List<TraceEvent> sound =
+    List<TraceEvent> correctTrace =
         Stream.of(
                 served("a.0", "lookup", SECOND_MICROS),
                 served("b.0", "charge", 2 * SECOND_MICROS),
@@ -99,7 +100,7 @@
             .toList();
     ConformanceResult result =
         check(
-            sound,
+            correctTrace,
             new EndpointAnnounced(0, 0, "w", "running", 0),
             sent("e.0", "lookup", SECOND_MICROS),
             new ClientDisconnected(SECOND_MICROS + 5, "e.0"),
@@ -157,7 +158,8 @@
     assertEquals(
         "1 0 0 1 0 0 0", counts(check(served("a.0", "lookup", 2 * SECOND_MICROS), draining)));
     assertTrue(
-        check(served("a.0", "lookup", SECOND_MICROS), draining).isConformant(), "within the grace");
+        check(served("a.0", "lookup", SECOND_MICROS), draining).isConformant(),
+        "within the grace period");
     assertTrue(
         check(
                 served("a.0", "lookup", 2 * SECOND_MICROS),
@@ -170,7 +172,7 @@
                 draining,
                 new EndpointAnnounced(SECOND_MICROS, 0, "w", "running", SECOND_MICROS))
             .isConformant(),
-        "it is back");
+        "the endpoint is running again");
     assertEquals(
         "1 0 0 1 0 0 0",
         counts(
@@ -178,7 +180,7 @@
                 served("a.0", "lookup", 2 * SECOND_MICROS),
                 draining,
                 new EndpointAnnounced(SECOND_MICROS + 900_000, 0, "w", "deleted", 0))),
-        "the first announcement counts");
+        "the grace period starts at the first announcement");
   }
 
   @Test
@@ -190,7 +192,7 @@
                 served("a.0", "charge", SECOND_MICROS),
                 arrived("a.0", "v", SECOND_MICROS + 2_500),
                 new EffectApplied(SECOND_MICROS + 2_600, "a.0", "v"))),
-        "sent again, and run again");
+        "retried and executed again");
     assertEquals(
         "2 0 0 0 1 0 0",
         counts(
@@ -199,7 +201,7 @@
                         served("a.0", "charge", SECOND_MICROS).stream(),
                         served("a.1", "charge", 2 * SECOND_MICROS).stream())
                     .toList())),
-        "by the client's next try");
+        "executed again by the client's retry");
     assertEquals(
         "1 0 0 0 1 0 0",
         counts(
@@ -208,7 +210,7 @@
                     sent("a.0", "charge", SECOND_MICROS),
                     arrived("a.0", "w", SECOND_MICROS + 5),
                     new ResponseReceived(SECOND_MICROS + 9, "a.0", 429)))),
-        "rejected though it may have run");
+        "rejected although it may have run");
     assertTrue(
         check(
                 List.of(
@@ -216,7 +218,7 @@
                     new AttemptArrived(SECOND_MICROS + 5, "a.0", "w", 1, true),
                     new ResponseReceived(SECOND_MICROS + 9, "a.0", 429)))
             .isConformant(),
-        "the endpoint had rejected it before it ran");
+        "the endpoint rejected the attempt without running it");
     List<TraceEvent> update =
         List.of(
             sent("a.0", "update", SECOND_MICROS),
@@ -225,10 +227,10 @@
     assertEquals(
         "1 0 0 0 1 0 0",
         counts(check(update, arrived("a.0", "v", 2 * SECOND_MICROS + 60_000))),
-        "beyond its window");
+        "retried after the deduplication window");
     assertTrue(
         check(update, arrived("a.0", "v", SECOND_MICROS + 900_000)).isConformant(),
-        "within its window");
+        "retried within the deduplication window");
   }
 
   @Test
@@ -238,8 +240,8 @@
             List.of(
                 new EndpointStarted(0, "w", 1, true, 100),
                 new EndpointAnnounced(1, 0, "w", "running", 10)));
-    // At one second it can do 28 of its 100 a second: twice that is 56, and three deviations make
-    // 78.
+    // One second after the start, the capacity is 28 of 100 attempts per second. The limit is twice
+    // that, 56, plus three standard deviations, about 78.
     IntStream.range(0, 90)
         .forEach(i -> trace.addAll(served("a" + i + ".0", "lookup", SECOND_MICROS + i)));
     assertEquals(1, InvariantChecker.check(trace, LIMITS).warmUpOverloadCount());
@@ -247,11 +249,13 @@
         0, InvariantChecker.check(trace.subList(0, 2 + 4 * 70), LIMITS).warmUpOverloadCount());
     trace.set(1, new EndpointAnnounced(1, 1, "w", "running", 10));
     assertEquals(
-        0, InvariantChecker.check(trace, LIMITS).warmUpOverloadCount(), "nobody who sent it knew");
+        0,
+        InvariantChecker.check(trace, LIMITS).warmUpOverloadCount(),
+        "no sending gateway had been notified of the start");
   }
 
   @Test
-  void check_unitsBeyondCeilingAndSlack_countsCeilingExceeded() {
+  void check_unitsBeyondCeilingAndTolerance_countsCeilingExceeded() {
     List<TraceEvent> trace = new ArrayList<>();
     IntStream.range(0, 5)
         .forEach(
@@ -271,12 +275,13 @@
     assertEquals(
         1,
         InvariantChecker.check(trace, LIMITS).ceilingExceededCount(),
-        "3 stored, 1 of slack: the fifth passes");
+        "burst of 3 and tolerance of 1: the fifth request exceeds the ceiling");
     assertTrue(InvariantChecker.check(trace.subList(0, 12), LIMITS).isConformant());
     trace.set(
         12, new RequestSent(2 * SECOND_MICROS, "a4.0", 0, "lookup", "top", 1, 4 * SECOND_MICROS));
     trace.set(13, arrived("a4.0", "w", 2 * SECOND_MICROS));
     trace.set(14, new ResponseReceived(2 * SECOND_MICROS + 9, "a4.0", 200));
-    assertTrue(InvariantChecker.check(trace, LIMITS).isConformant(), "it has filled again");
+    assertTrue(
+        InvariantChecker.check(trace, LIMITS).isConformant(), "the token bucket has been refilled");
   }
 }
--- a/src/test/java/fawndock/settings/GatewaySettingsFileTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsFileTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the line format of settings files and the reporting of their errors. */
 class GatewaySettingsFileTest {
-  private static final String GOOD =
+  private static final String VALID_SETTINGS =
       """
             listen 127.0.0.1:8080      # clients
             class lookup aim 500ms deadline 2s repeat idempotent
@@ -22,34 +23,39 @@
             server w1 127.0.0.1:7001
             """;
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
-  private Path file(String name, String text) throws IOException {
-    return Files.writeString(folder.resolve(name), text);
+  private Path writeFile(String name, String text) throws IOException {
+    return Files.writeString(directory.resolve(name), text);
   }
 
   private List<String> errors(String text) throws IOException {
-    Path file = file("bad.conf", text);
-    return assertThrows(ConfigurationException.class, () -> GatewaySettingsFile.read(file))
+    Path path = writeFile("bad.conf", text);
+    return assertThrows(ConfigurationException.class, () -> GatewaySettingsFile.read(path))
         .errors()
         .stream()
-        .map(m -> m.toString().replace(folder + "/", ""))
+        .map(error -> error.toString().replace(directory + "/", ""))
         .toList();
   }
 
   @Test
-  void readsWordsQuotesCommentsUnitsAndIncludes() throws Exception {
-    file(
+  void read_quotesCommentsUnitsAndIncludes_areParsed() throws Exception {
+    writeFile(
         "more.conf",
         "counter 127.0.0.1:6379 [::1]:6380\ncounter-limits timeout 1.5ms\nsizes body 2KiB\n");
-    GatewaySettings s = GatewaySettingsFile.read(file("good.conf", GOOD + "include more.conf\n"));
-    assertEquals("one", s.apiKeys().get("a key # with \"blanks\"").customer());
-    assertEquals(500_000, s.classes().get(0).latencyObjectiveMicros());
-    assertEquals(1_500, s.counter().timeoutMicros());
+    GatewaySettings settings =
+        GatewaySettingsFile.read(writeFile("good.conf", VALID_SETTINGS + "include more.conf\n"));
+    assertEquals("one", settings.apiKeys().get("a key # with \"blanks\"").customer());
+    assertEquals(500_000, settings.classes().get(0).latencyObjectiveMicros());
+    assertEquals(1_500, settings.counter().timeoutMicros());
     assertEquals(
-        List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)), s.counter().shards());
-    assertEquals(2048, s.http().maxRequestBodyBytes());
-    assertEquals("/lookup/deep", s.routes().get(0).prefix(), "the longest prefix decides first");
+        List.of(new Address("127.0.0.1", 6379), new Address("::1", 6380)),
+        settings.counter().shards());
+    assertEquals(2048, settings.http().maxRequestBodyBytes());
+    assertEquals(
+        "/lookup/deep",
+        settings.routes().get(0).prefix(),
+        "the route with the longest prefix comes first");
   }
 
   @Test
@@ -80,21 +86,24 @@
 
   @Test
   void unknownKeyword_isAnError() throws Exception {
-    assertEquals(1, errors(GOOD + "lisden 127.0.0.1:1\n").size());
+    assertEquals(1, errors(VALID_SETTINGS + "lisden 127.0.0.1:1\n").size());
   }
 
   @Test
   void keyOfAnUnknownPlan_isAnError() throws Exception {
     assertEquals(
         List.of("bad.conf:8: there is no plan 'gold', expected the name of a plan line"),
-        errors(GOOD + "key k2 customer two plan gold\n"));
+        errors(VALID_SETTINGS + "key k2 customer two plan gold\n"));
   }
 
   @Test
   void fileThatIncludesItselfOrIsMissing_isOneError() throws Exception {
     assertEquals(
-        1, errors("include bad.conf\n").stream().filter(m -> m.contains("nested")).count());
+        1, errors("include bad.conf\n").stream().filter(error -> error.contains("nested")).count());
     assertEquals(
-        1, errors("include gone.conf\n").stream().filter(m -> m.contains("cannot read")).count());
+        1,
+        errors("include gone.conf\n").stream()
+            .filter(error -> error.contains("cannot read"))
+            .count());
   }
 }
--- a/src/test/java/fawndock/settings/GatewaySettingsKeywordsTest.java
+++ b/src/test/java/fawndock/settings/GatewaySettingsKeywordsTest.java
@@ -12,14 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Golden list of what operators may write in a gateway's settings file. */
+/**
+ * Golden list of the keywords, arguments and line forms that a gateway's settings file accepts. It
+ * detects accidental changes of the file format.
+ */
 class GatewaySettingsKeywordsTest {
   private static final String KEYWORDS =
       "listen instances gatekeeper seed zone class plan key route server limits rules counter"
           + " counter-node counter-limits roster peer peer-listen headers sizes pool stop"
           + " max-connections log rate-limit descriptor include";
 
-  /** A line that lacks something, and the form that the error says is expected. */
+  /** Incomplete lines, each with the form that the error message must name as expected. */
   private static final List<List<String>> FORMS =
       List.of(
           List.of("listen", "listen HOST:PORT"),
@@ -99,10 +102,10 @@
       descriptor d a=*,b=c customer {a} plan p class c units 28
       """;
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   private GatewaySettings read(String text) throws Exception {
-    return GatewaySettingsFile.read(Files.writeString(folder.resolve("golden.conf"), text));
+    return GatewaySettingsFile.read(Files.writeString(directory.resolve("golden.conf"), text));
   }
 
   private String error(String text) {
@@ -138,44 +141,54 @@
 
   @Test
   void everyArgument_isRead() throws Exception {
-    GatewaySettings s = read(EVERY_ARGUMENT);
-    assertEquals(new Address("127.0.0.1", 8080), s.listen());
+    GatewaySettings settings = read(EVERY_ARGUMENT);
+    assertEquals(new Address("127.0.0.1", 8080), settings.listen());
     assertEquals(
         List.of(2, 1, 4, 7L, "here"),
-        List.of(s.instances(), s.firstInstance(), s.fleetSize(), s.seed(), s.zone()));
-    var c = s.classes().get(0);
+        List.of(
+            settings.instances(),
+            settings.firstInstance(),
+            settings.fleetSize(),
+            settings.seed(),
+            settings.zone()));
+    var requestClass = settings.classes().get(0);
     assertEquals(
         List.of("c", 400_000L, 1.5, 2_000_000L, 3.0, 0.5),
         List.of(
-            c.name(),
-            c.latencyObjectiveMicros(),
-            c.latencyObjectiveStretch(),
-            c.deadlineMicros(),
-            c.priorityWeight(),
-            c.latePriorityWeight()));
+            requestClass.name(),
+            requestClass.latencyObjectiveMicros(),
+            requestClass.latencyObjectiveStretch(),
+            requestClass.deadlineMicros(),
+            requestClass.priorityWeight(),
+            requestClass.latePriorityWeight()));
     assertEquals(
         List.of(Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, 5_000_000L, true),
         List.of(
-            c.idempotency(),
-            c.deduplicationScope(),
-            c.deduplicationWindowMicros(),
-            c.isStreamed()));
+            requestClass.idempotency(),
+            requestClass.deduplicationScope(),
+            requestClass.deduplicationWindowMicros(),
+            requestClass.isStreamed()));
     assertEquals(
         List.of(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-        List.of(s.classes().get(1).idempotency(), s.classes().get(1).deduplicationScope()));
+        List.of(
+            settings.classes().get(1).idempotency(),
+            settings.classes().get(1).deduplicationScope()));
     assertEquals(
         List.of(Idempotency.AT_MOST_ONCE, DeduplicationScope.CELL),
-        List.of(s.classes().get(2).idempotency(), s.classes().get(2).deduplicationScope()));
+        List.of(
+            settings.classes().get(2).idempotency(),
+            settings.classes().get(2).deduplicationScope()));
     assertEquals(
-        new fawndock.policy.config.Plan("p", 2, 8, 3, 1.5, 0.2, 0.3, 4, 5, 6), s.plans().get(0));
-    assertEquals(new GatewaySettings.ApiKey("one", "p", 1, 2), s.apiKeys().get("k"));
-    assertEquals(new GatewaySettings.Route("PUT", "/put", "c"), s.routes().get(0));
+        new fawndock.policy.config.Plan("p", 2, 8, 3, 1.5, 0.2, 0.3, 4, 5, 6),
+        settings.plans().get(0));
+    assertEquals(new GatewaySettings.ApiKey("one", "p", 1, 2), settings.apiKeys().get("k"));
+    assertEquals(new GatewaySettings.Route("PUT", "/put", "c"), settings.routes().get(0));
     assertEquals(
         new fawndock.policy.config.GatewayLimits(2, 20, 3_000_000, true, false, true, false, true),
-        s.limits());
+        settings.limits());
     assertEquals(
         new fawndock.policy.config.ServiceRules(11_000, 12_000, 0.13, 14_000, 1.5, 16_000, 17_000),
-        s.rules());
+        settings.rules());
     assertEquals(
         new GatewaySettings.CounterService(
             List.of(new Address("127.0.0.1", 2), new Address("127.0.0.1", 3)),
@@ -183,7 +196,7 @@
             18_000,
             true,
             19),
-        s.counter());
+        settings.counter());
     assertEquals(
         new GatewaySettings.EndpointDiscovery(
             new Address("127.0.0.1", 4),
@@ -192,11 +205,11 @@
             List.of(
                 new GatewaySettings.StaticEndpoint(
                     "w", new Address("127.0.0.1", 1), "there", 9, 2.5))),
-        s.discovery());
+        settings.discovery());
     assertEquals(
         new GatewaySettings.Peers(
             new Address("127.0.0.1", 6), java.util.Map.of(3, new Address("127.0.0.1", 5)), 21),
-        s.peers());
+        settings.peers());
     assertEquals(
         new GatewaySettings.Http(
             "x-key",
@@ -211,8 +224,8 @@
             25_000,
             26_000,
             27),
-        s.http());
-    assertEquals(new LogSettings(true, "debug"), s.log());
+        settings.http());
+    assertEquals(new LogSettings(true, "debug"), settings.log());
     assertEquals(
         new GatewaySettings.RateLimit(
             new Address("127.0.0.1", 7),
@@ -224,18 +237,18 @@
                     "p",
                     "c",
                     28))),
-        s.rateLimit());
+        settings.rateLimit());
   }
 
   @Test
   void counterNodeLines_areReadByName() throws Exception {
-    GatewaySettings s =
+    GatewaySettings settings =
         read(
             EVERY_ARGUMENT.replace(
                 "counter 127.0.0.1:2 127.0.0.1:3",
                 "counter-node n1 127.0.0.1:2\ncounter-node n2 127.0.0.1:3"));
     assertEquals(
         java.util.Map.of("n1", new Address("127.0.0.1", 2), "n2", new Address("127.0.0.1", 3)),
-        s.counter().clusterNodes());
+        settings.counter().clusterNodes());
   }
 }
