--- a/src/main/java/fawndock/conformance/ConformanceResult.java
+++ b/src/main/java/fawndock/conformance/ConformanceResult.java
@@ -9,8 +9,8 @@
  * @param unansweredCount requests without a final response in time (rule 1)
  * @param answeredTwiceCount requests with a second response or an attempt after the response (rule
  *     1)
- * @param repeatedEffectCount effects that occurred, or may have occurred, more than once (rule 2)
  * @param lateDrainCount attempts that reached draining endpoints after the grace period (rule 3)
+ * @param repeatedEffectCount effects that occurred, or may have occurred, more than once (rule 2)
  * @param warmUpOverloadCount starts of endpoints that were overloaded while warming up (rule 4)
  * @param ceilingExceededCount charges that exceeded a hard ceiling (rule 5)
  * @param violations descriptions of the first violations, one line each
