--- a/src/main/java/fawndock/gateway/EndpointWatch.java
+++ b/src/main/java/fawndock/gateway/EndpointWatch.java
@@ -89,7 +89,7 @@
    * the policy.
    */
   void start() {
-    if (!settings.staticEndpoints().isEmpty() || settings.mustWatchEndpoints()) {
+    if (!settings.staticEndpoints().isEmpty() || settings.watchesOnDemand()) {
       List<Endpoint> endpoints = new ArrayList<>();
       for (StaticEndpoint endpoint : settings.staticEndpoints()) {
         addresses.put(endpoint.id(), endpoint.address());
@@ -104,7 +104,7 @@
       }
       listener.accept(new EndpointUpdate(EndpointUpdateKind.CACHED, endpoints));
     }
-    if (!settings.mustWatchEndpoints()) {
+    if (!settings.watchesOnDemand()) {
       watch();
     }
   }
@@ -231,7 +231,7 @@
           }
         });
     backoffMicros = Math.min(MAX_BACKOFF_MICROS, backoffMicros * 2);
-    if (settings.mustWatchEndpoints()) {
+    if (settings.watchesOnDemand()) {
       listener.accept(new EndpointUpdate(EndpointUpdateKind.FAILED, List.of()));
     }
   }
--- a/src/test/java/fawndock/platform/AttemptOutcomeTest.java
+++ b/src/test/java/fawndock/platform/AttemptOutcomeTest.java
@@ -142,10 +142,10 @@
           }) {
         nextReply.set(malformed);
         assertTrue(client.call(harness.newRequest("pay")).startsWith("-ERR"), malformed);
-        assertTrue(harness.platform.backend.acceptedCount() > acceptedBefore, malformed);
-        acceptedBefore = harness.platform.backend.acceptedCount();
+        assertTrue(harness.platform.backend.acceptedConnectionCount() > acceptedBefore, malformed);
+        acceptedBefore = harness.platform.backend.acceptedConnectionCount();
       }
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
@@ -164,7 +164,7 @@
         String[] command = harness.newRequest("pay");
         assertEquals("value of " + command[2], client.call(command));
       }
-      assertEquals(5, harness.platform.backend.acceptedCount());
+      assertEquals(5, harness.platform.backend.acceptedConnectionCount());
     }
   }
 
@@ -186,7 +186,7 @@
         assertEquals("value of " + command[2], client.call(command));
         Thread.sleep(10); // Long enough that the next request does not follow immediately.
       }
-      assertEquals(3, harness.platform.backend.acceptedCount());
+      assertEquals(3, harness.platform.backend.acceptedConnectionCount());
     }
   }
 
@@ -200,8 +200,8 @@
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
       client.call(harness.newRequest("look"));
-      assertEquals(1, harness.platform.backend.openCount());
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      assertEquals(1, harness.platform.backend.openConnectionCount());
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
@@ -216,7 +216,7 @@
       client.send(RespClient.encodeCommand(harness.newRequest("pay")));
       commandReceived.await();
       client.close();
-      Await.until(() -> harness.platform.backend.openCount() == 0);
+      Await.until(() -> harness.platform.backend.openConnectionCount() == 0);
     }
   }
 
--- a/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
+++ b/src/test/java/fawndock/platform/EndpointDiscoveryTest.java
@@ -93,13 +93,13 @@
               () -> {
                 while (isMonitoring.get()) {
                   hadOpenCallThroughout.compareAndSet(
-                      true, harness.platform.discovery.openCount() > 0);
+                      true, harness.platform.discovery.openConnectionCount() > 0);
                   Thread.onSpinWait();
                 }
               });
       monitor.start();
-      int before = harness.platform.discovery.acceptedCount();
-      Await.until(() -> harness.platform.discovery.acceptedCount() >= before + 3);
+      int before = harness.platform.discovery.acceptedConnectionCount();
+      Await.until(() -> harness.platform.discovery.acceptedConnectionCount() >= before + 3);
       harness.platform.discovery.setSnapshot(listWithDrainingFirst(harness, secondBackend, true));
       harness.platform.discovery.setUnresponsive(false);
       Await.until(() -> harness.platform.discovery.watchCount() >= 2);
@@ -198,20 +198,22 @@
       harness.platform.writeConfiguration(
           unresponsiveDiscovery.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> unresponsiveDiscovery.acceptedCount() > 0);
+      Await.until(() -> unresponsiveDiscovery.acceptedConnectionCount() > 0);
       harness.platform.writeConfiguration(newestDiscovery.port(), harness.platform.counter.port());
       harness.process.reload();
-      Await.until(() -> newestDiscovery.acceptedCount() > 0);
+      Await.until(() -> newestDiscovery.acceptedConnectionCount() > 0);
       assertServed(harness, client);
-      assertTrue(harness.platform.discovery.openCount() > 0);
+      assertTrue(harness.platform.discovery.openConnectionCount() > 0);
       newestDiscovery.setUnresponsive(false);
       Await.until(
-          () -> newestDiscovery.watchCount() > 0 && harness.platform.discovery.openCount() == 0);
+          () ->
+              newestDiscovery.watchCount() > 0
+                  && harness.platform.discovery.openConnectionCount() == 0);
       assertOnlySecondIsUsed(harness, client, secondBackend);
-      int callsBefore = unresponsiveDiscovery.acceptedCount();
+      int callsBefore = unresponsiveDiscovery.acceptedConnectionCount();
       unresponsiveDiscovery.setUnresponsive(false);
-      Await.until(() -> unresponsiveDiscovery.openCount() == 0);
-      assertEquals(callsBefore, unresponsiveDiscovery.acceptedCount());
+      Await.until(() -> unresponsiveDiscovery.openConnectionCount() == 0);
+      assertEquals(callsBefore, unresponsiveDiscovery.acceptedConnectionCount());
     }
   }
 
--- a/src/test/java/fawndock/platform/FaultTest.java
+++ b/src/test/java/fawndock/platform/FaultTest.java
@@ -119,8 +119,8 @@
     try (PlatformHarness harness =
             new PlatformHarness(FakeRespServer.backendHandler(), FakeRespServer.counterHandler());
         RespClient client = harness.connectClient()) {
-      assertEquals(0, harness.platform.backend.acceptedCount());
-      assertEquals(0, harness.platform.counter.acceptedCount());
+      assertEquals(0, harness.platform.backend.acceptedConnectionCount());
+      assertEquals(0, harness.platform.counter.acceptedConnectionCount());
       assertEquals("served", sendRequest(harness, client, "look"));
       assertTrue(
           Files.readAllLines(Path.of("/proc/net/unix")).stream()
@@ -152,7 +152,7 @@
                 warmUp.run().onComplete(done -> servedCount.complete(warmUp.servedCount()));
               });
       assertTrue(servedCount.get(20, TimeUnit.SECONDS) > 0);
-      assertEquals(0, platform.backend.acceptedCount());
+      assertEquals(0, platform.backend.acceptedConnectionCount());
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
@@ -166,10 +166,10 @@
         RespClient client = harness.connectClient();
         FakeRespServer counter = new FakeRespServer(FakeRespServer.counterHandler())) {
       assertEquals("served", sendRequest(harness, client, "look"));
-      assertTrue(harness.platform.counter.openCount() > 0);
+      assertTrue(harness.platform.counter.openConnectionCount() > 0);
       harness.platform.writeConfiguration(harness.platform.discovery.port(), counter.port());
       harness.process.reload();
-      Await.until(() -> harness.platform.counter.openCount() == 0);
+      Await.until(() -> harness.platform.counter.openConnectionCount() == 0);
     }
   }
 
--- a/src/test/java/fawndock/platform/SignalTest.java
+++ b/src/test/java/fawndock/platform/SignalTest.java
@@ -93,7 +93,7 @@
       reloadFinished.countDown();
       assertTrue(process.awaitReady(30, TimeUnit.SECONDS));
       Await.until(() -> newDiscovery.watchCount() > 0);
-      assertEquals(0, platform.discovery.acceptedCount());
+      assertEquals(0, platform.discovery.acceptedConnectionCount());
       process.stop();
       assertEquals(0, exitCode.get(20, TimeUnit.SECONDS));
     }
