--- a/src/test/java/fawndock/cli/CounterLogCommandTest.java
+++ b/src/test/java/fawndock/cli/CounterLogCommandTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import fawndock.counter.WrittenBefore;
+import fawndock.counter.EarlierVersionFiles;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -42,9 +42,9 @@
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
   void dump_ofStoredFiles_printsTheSameLines(String from) throws IOException {
-    for (String file : WrittenBefore.storedFiles(from)) {
-      Run run = run("dump", WrittenBefore.path(from).resolve(file).toString());
-      assertEquals(WrittenBefore.lines(from + "/" + file + ".dump"), run.lines());
+    for (String file : EarlierVersionFiles.storedFiles(from)) {
+      Run run = run("dump", EarlierVersionFiles.path(from).resolve(file).toString());
+      assertEquals(EarlierVersionFiles.lines(from + "/" + file + ".dump"), run.lines());
       assertEquals(0, run.exitCode());
     }
   }
@@ -52,22 +52,26 @@
   @Test
   void dump_fromARecord_printsThatAndLaterOnes() throws IOException {
     Run run =
-        run("dump", "--from", "33", WrittenBefore.path("restarted").resolve(SEGMENT).toString());
-    List<String> all = WrittenBefore.lines("restarted/" + SEGMENT + ".dump");
+        run(
+            "dump",
+            "--from",
+            "33",
+            EarlierVersionFiles.path("restarted").resolve(SEGMENT).toString());
+    List<String> all = EarlierVersionFiles.lines("restarted/" + SEGMENT + ".dump");
     assertEquals(all.subList(all.size() - 4, all.size()), run.lines());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
   void verify_ofStoredFiles_printsTheSameLines(String from) throws IOException {
-    Run run = run("verify", WrittenBefore.path(from).toString());
-    assertEquals(WrittenBefore.lines(from + "/verify.txt"), run.lines());
+    Run run = run("verify", EarlierVersionFiles.path(from).toString());
+    assertEquals(EarlierVersionFiles.lines(from + "/verify.txt"), run.lines());
     assertEquals(0, run.exitCode());
   }
 
   @Test
   void damagedLog_isVerifiedAsSuchAndTruncatedOnlyWhenConfirmed() throws IOException {
-    WrittenBefore.copyTo("restarted", directory);
+    EarlierVersionFiles.copyTo("restarted", directory);
     Path segment = directory.resolve(SEGMENT);
     byte[] bytes = Files.readAllBytes(segment);
     bytes[16 + 30] ^= 1; // In the body of the first record.
--- a/src/test/java/fawndock/counter/CommandCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/CommandCompatibilityTest.java
@@ -145,7 +145,7 @@
     start(ALONE);
     try (Connection client = connect()) {
       List<String> expected = new ArrayList<>();
-      for (String line : WrittenBefore.lines("command-table.txt")) {
+      for (String line : EarlierVersionFiles.lines("command-table.txt")) {
         String[] words = line.split(" ", 0);
         expected.add(
             "[%s, :%s, [+%s], :%s, :%s, :%s]"
@@ -165,7 +165,7 @@
               .map(
                   line -> line.substring(0, line.contains(":") ? line.indexOf(':') : line.length()))
               .toList();
-      assertEquals(WrittenBefore.lines("info-fields.txt"), fields);
+      assertEquals(EarlierVersionFiles.lines("info-fields.txt"), fields);
     }
   }
 
@@ -174,7 +174,7 @@
     start(ALONE);
     Connection client = connect();
     try {
-      for (String line : WrittenBefore.lines("commands.txt")) {
+      for (String line : EarlierVersionFiles.lines("commands.txt")) {
         if (line.startsWith("--")) {
           client.close();
           stop();
@@ -186,7 +186,7 @@
         String command = line.substring(0, arrow);
         assertEquals(line.substring(arrow + 4), client.call(command.split("\t", 0)), command);
       }
-      for (String line : WrittenBefore.lines("restarted/answers.txt")) {
+      for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
         String[] nameAndAnswer = line.split("\t", 0);
         assertEquals(nameAndAnswer[1], client.call("GET", nameAndAnswer[0]), nameAndAnswer[0]);
       }
@@ -197,10 +197,10 @@
 
   @Test
   void server_startedOnFilesOfTheEarlierVersion_givesTheSameAnswers() throws IOException {
-    WrittenBefore.copyTo("restarted", directory);
+    EarlierVersionFiles.copyTo("restarted", directory);
     start(ALONE);
     try (Connection client = connect()) {
-      for (String line : WrittenBefore.lines("restarted/answers.txt")) {
+      for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
         String[] nameAndAnswer = line.split("\t", 0);
         // The fixture's relative expiries end one day; those that never expire are held for good.
         if (!nameAndAnswer[0].matches("window\\..*|lives|after-snapshot")) {
--- a/src/test/java/fawndock/counter/WrittenBefore.java
+++ b/src/test/java/fawndock/counter/EarlierVersionFiles.java
@@ -8,14 +8,14 @@
 import java.util.stream.Stream;
 
 /** The files that an earlier version wrote; see the README beside them. */
-public final class WrittenBefore {
+public final class EarlierVersionFiles {
   private static final Path ROOT = Path.of("src/test/resources/fawndock/counter/written-before");
 
   /** Directories with a log of their own. */
   public static final List<String> DIRECTORIES =
       List.of("first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2");
 
-  private WrittenBefore() {}
+  private EarlierVersionFiles() {}
 
   /** A file or directory by its path below the fixtures. */
   public static Path path(String name) {
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -58,7 +58,7 @@
 
   private static Map<String, String> expectedState(String from) throws IOException {
     Map<String, String> state = new TreeMap<>();
-    for (String line : WrittenBefore.lines(from + "/state.txt")) {
+    for (String line : EarlierVersionFiles.lines(from + "/state.txt")) {
       int space = line.indexOf(' ');
       state.put(line.substring(0, space), line.substring(space + 1));
     }
@@ -66,7 +66,7 @@
   }
 
   private Recovery.Result recover(String from, CounterTable table) throws IOException {
-    WrittenBefore.copyTo(from, directory);
+    EarlierVersionFiles.copyTo(from, directory);
     try (FileStorage storage = new FileStorage(directory, true)) {
       return Recovery.recover(storage, table, bytes -> {});
     }
@@ -87,7 +87,7 @@
   void recovery_filesOfTheEarlierVersion_giveTheAnswersThatItGave() throws IOException {
     CounterTable table = new CounterTable(1);
     Recovery.Result found = recover("restarted", table);
-    for (String line : WrittenBefore.lines("restarted/answers.txt")) {
+    for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
       String[] nameAndAnswer = line.split("\t", 0);
       byte[] name = nameAndAnswer[0].getBytes(StandardCharsets.UTF_8);
       assertEquals(
@@ -99,7 +99,7 @@
 
   @Test
   void recovery_lastByteMissing_cutsOffTheTornRecordAlone() throws IOException {
-    WrittenBefore.copyTo("restarted", directory);
+    EarlierVersionFiles.copyTo("restarted", directory);
     Path segment = directory.resolve("segment-00000000000000000029.log");
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 1));
@@ -120,9 +120,9 @@
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
   void records_ofTheEarlierVersion_areDecodedOneByOne(String from) throws IOException {
-    for (String file : WrittenBefore.storedFiles(from)) {
+    for (String file : EarlierVersionFiles.storedFiles(from)) {
       List<String> lines = new ArrayList<>();
-      try (FileStorage storage = new FileStorage(WrittenBefore.path(from), false)) {
+      try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(from), false)) {
         String error =
             LogVerifier.dump(
                 storage,
@@ -132,7 +132,7 @@
                 new LineCollector(lines));
         assertEquals("", error);
       }
-      assertEquals(WrittenBefore.lines(from + "/" + file + ".decoded"), lines);
+      assertEquals(EarlierVersionFiles.lines(from + "/" + file + ".decoded"), lines);
     }
   }
 
@@ -161,7 +161,7 @@
         file.endsWith(".snap") ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
     long first = kind == LogFormat.FileKind.SNAPSHOT ? 1 : kind.sequenceOf(file);
     List<RewrittenRecord> records = new ArrayList<>();
-    try (FileStorage storage = new FileStorage(WrittenBefore.path(from), false);
+    try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(from), false);
         Storage.File open = storage.open(file)) {
       RecordReader reader = new RecordReader(open, first);
       assertTrue(reader.matchesHeader(kind, kind.sequenceOf(file)), file);
@@ -198,7 +198,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
   void files_writtenFromTheSameChanges_haveTheSameBytes(String from) throws IOException {
-    for (String file : WrittenBefore.storedFiles(from)) {
+    for (String file : EarlierVersionFiles.storedFiles(from)) {
       try (FileStorage storage = new FileStorage(directory, true)) {
         if (file.endsWith(".snap")) {
           rewriteSnapshot(
@@ -208,7 +208,7 @@
         }
       }
       assertArrayEquals(
-          Files.readAllBytes(WrittenBefore.path(from).resolve(file)),
+          Files.readAllBytes(EarlierVersionFiles.path(from).resolve(file)),
           Files.readAllBytes(directory.resolve(file)),
           file);
     }
