--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -56,7 +56,7 @@
       System.err.println(e.getMessage());
       return 2;
     }
-    LogConfigurator.configure(settings.log());
+    LogConfigurator.configure(settings.logSettings());
     try {
       FileStorage disk = new FileStorage(settings.directory(), true);
       CounterServer server = new CounterServer(settings, disk);
--- a/src/main/java/fawndock/counter/config/CounterSettings.java
+++ b/src/main/java/fawndock/counter/config/CounterSettings.java
@@ -19,7 +19,7 @@
  * @param maxMemoryBytes for names; new names beyond it are rejected
  * @param stalledClientTimeoutMillis after which a connection is closed that leaves a command half
  *     sent, or answers unread
- * @param log how it is logged
+ * @param logSettings how it is logged
  * @param cluster the replicas, this one among them
  */
 public record CounterSettings(
@@ -32,7 +32,7 @@
     int maxConnections,
     long maxMemoryBytes,
     long stalledClientTimeoutMillis,
-    LogSettings log,
+    LogSettings logSettings,
     Cluster cluster) {
   /**
    * The replicas of the counter.
