--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -11,105 +11,114 @@
 
   static List<Command> all() {
     return List.of(
-        new Command("GET", 2, false, 1, 1, c -> replyAmount(c, 1)),
+        new Command("GET", 2, false, 1, 1, call -> replyAmount(call, 1)),
         new Command("MGET", -2, false, 1, -1, AmountCommands::mget),
         new Command("SET", -3, true, 1, 1, AmountCommands::set),
-        new Command("INCRBY", 3, true, 1, 1, c -> incrBy(c, c.integer(2))),
+        new Command("INCRBY", 3, true, 1, 1, call -> incrBy(call, call.integerArgument(2))),
         new Command("DECRBY", 3, true, 1, 1, AmountCommands::decrBy),
         new Command("INCRBYFLOAT", 3, true, 1, 1, AmountCommands::incrByFloat),
         new Command("FD.ADD", 4, true, 1, 1, AmountCommands::add));
   }
 
-  private static void replyAmount(CommandInvocation c, int place) {
-    DecimalAmount amount = c.operations().table().get(c.word(place), c.nowMillis());
+  private static void replyAmount(CommandInvocation call, int index) {
+    DecimalAmount amount = call.operations().table().get(call.argument(index), call.nowMillis());
     if (amount == null) {
-      c.reply().nullBulk();
+      call.reply().nullBulk();
     } else {
-      c.reply().bulk(amount.toString());
+      call.reply().bulk(amount.toString());
     }
   }
 
-  private static void mget(CommandInvocation c) {
-    c.reply().array(c.words().length - 1);
-    for (int i = 1; i < c.words().length; i++) {
-      replyAmount(c, i);
+  private static void mget(CommandInvocation call) {
+    call.reply().array(call.arguments().length - 1);
+    for (int i = 1; i < call.arguments().length; i++) {
+      replyAmount(call, i);
     }
   }
 
-  private static void incrBy(CommandInvocation c, long by) throws CommandException {
-    byte[] name = c.requireName(1);
-    DecimalAmount current = c.operations().table().get(name, c.nowMillis());
+  private static void incrBy(CommandInvocation call, long increment) throws CommandException {
+    byte[] name = call.nameArgument(1);
+    DecimalAmount current = call.operations().table().get(name, call.nowMillis());
     if (current != null && current.isFraction()) {
       throw new CommandException(CommandException.NOT_INTEGER);
     }
-    DecimalAmount amount = new DecimalAmount(by, false);
-    c.reply().integer(c.operations().add(name, amount, 0, c.nowMillis(), c.changes()).digits());
+    DecimalAmount amount = new DecimalAmount(increment, false);
+    call.reply()
+        .integer(call.operations().add(name, amount, 0, call.nowMillis(), call.changes()).digits());
   }
 
-  private static void decrBy(CommandInvocation c) throws CommandException {
-    long by = c.integer(2);
-    if (by == Long.MIN_VALUE) {
+  private static void decrBy(CommandInvocation call) throws CommandException {
+    long decrement = call.integerArgument(2);
+    if (decrement == Long.MIN_VALUE) {
       throw new CommandException("ERR decrement would overflow");
     }
-    incrBy(c, -by);
+    incrBy(call, -decrement);
   }
 
-  private static void incrByFloat(CommandInvocation c) throws CommandException {
-    byte[] name = c.requireName(1);
-    DecimalAmount by = DecimalAmount.parse(c.word(2));
-    c.reply().bulk(c.operations().add(name, by, 0, c.nowMillis(), c.changes()).toString());
+  private static void incrByFloat(CommandInvocation call) throws CommandException {
+    byte[] name = call.nameArgument(1);
+    DecimalAmount increment = DecimalAmount.parse(call.argument(2));
+    call.reply()
+        .bulk(
+            call.operations().add(name, increment, 0, call.nowMillis(), call.changes()).toString());
   }
 
   /**
    * {@code FD.ADD name amount ttl-ms}, all of a gateway's call: adds, sets the expiry when there is
    * none yet, and returns the total.
    */
-  private static void add(CommandInvocation c) throws CommandException {
-    byte[] name = c.requireName(1);
-    DecimalAmount by = DecimalAmount.parse(c.word(2));
-    long timeToLiveMillis = c.integer(3);
+  private static void add(CommandInvocation call) throws CommandException {
+    byte[] name = call.nameArgument(1);
+    DecimalAmount increment = DecimalAmount.parse(call.argument(2));
+    long timeToLiveMillis = call.integerArgument(3);
     if (timeToLiveMillis <= 0
-        || timeToLiveMillis > CounterOperations.MAX_EXPIRY_MILLIS - c.nowMillis()) {
+        || timeToLiveMillis > CounterOperations.MAX_EXPIRY_MILLIS - call.nowMillis()) {
       throw new CommandException("ERR invalid expire time in 'fd.add' command");
     }
-    c.reply()
+    call.reply()
         .bulk(
-            c.operations().add(name, by, timeToLiveMillis, c.nowMillis(), c.changes()).toString());
+            call.operations()
+                .add(name, increment, timeToLiveMillis, call.nowMillis(), call.changes())
+                .toString());
   }
 
-  private static void set(CommandInvocation c) throws CommandException {
-    byte[] name = c.requireName(1);
-    DecimalAmount amount = DecimalAmount.parse(c.word(2));
-    DecimalAmount previous = c.operations().table().get(name, c.nowMillis());
-    SetOptions options = SetOptions.parse(c);
-    boolean shouldSet = previous == null ? !options.isIfPresent() : !options.isIfAbsent();
+  private static void set(CommandInvocation call) throws CommandException {
+    byte[] name = call.nameArgument(1);
+    DecimalAmount amount = DecimalAmount.parse(call.argument(2));
+    DecimalAmount previous = call.operations().table().get(name, call.nowMillis());
+    SetOptions options = SetOptions.parse(call);
+    boolean shouldSet = previous == null ? !options.onlyIfPresent() : !options.onlyIfAbsent();
     if (shouldSet) {
-      set(c, name, amount, previous != null, options);
+      set(call, name, amount, previous != null, options);
     }
     if (options.returnsPrevious() && previous != null) {
-      c.reply().bulk(previous.toString());
+      call.reply().bulk(previous.toString());
     } else if (options.returnsPrevious() || !shouldSet) {
-      c.reply().nullBulk();
+      call.reply().nullBulk();
     } else {
-      c.reply().ok();
+      call.reply().ok();
     }
   }
 
   private static void set(
-      CommandInvocation c, byte[] name, DecimalAmount amount, boolean isPresent, SetOptions options)
+      CommandInvocation call,
+      byte[] name,
+      DecimalAmount amount,
+      boolean isPresent,
+      SetOptions options)
       throws CommandException {
-    CounterOperations operations = c.operations();
+    CounterOperations operations = call.operations();
     long expiryMillis = options.expiryMillis();
-    if (expiryMillis != 0 && expiryMillis <= c.nowMillis()) {
-      operations.delete(name, c.nowMillis(), c.changes());
+    if (expiryMillis != 0 && expiryMillis <= call.nowMillis()) {
+      operations.delete(name, call.nowMillis(), call.changes());
       return;
     }
     if (!isPresent) {
       operations.requireMemoryFor(name);
     }
     if (options.keepsExpiry() && isPresent) {
-      expiryMillis = operations.table().expiryMillis(name, c.nowMillis());
+      expiryMillis = operations.table().expiryMillis(name, call.nowMillis());
     }
-    operations.put(name, amount, expiryMillis, c.changes());
+    operations.put(name, amount, expiryMillis, call.changes());
   }
 }
--- a/src/main/java/fawndock/counter/ClientConnection.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -21,26 +21,26 @@
   static final int MAX_PENDING_REPLY_BYTES = 256 << 10;
 
   /** Commands done in one turn, so that a deep pipeline does not keep the others waiting. */
-  private static final int MAX_COMMANDS_PER_TURN = 1_024;
+  private static final int MAX_COMMANDS_PER_TASK = 1_024;
 
   private static final int INITIAL_BUFFER_BYTES = 256;
   private static final int INITIAL_REPLY_BYTES = 1_024;
 
   /** Replies that go out once a group is durable. */
-  private record PendingReplies(long group, ByteBuf bytes) {}
+  private record PendingReplies(long groupNumber, ByteBuf bytes) {}
 
   final long id;
   private final CommandExecutor executor;
-  private final CommitScheduler scheduler;
+  private final CommitScheduler commitScheduler;
   private final CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
   private final ArrayDeque<PendingReplies> pendingReplies = new ArrayDeque<>();
   private ChannelHandlerContext context;
-  private ByteBuf input;
-  private ByteBuf scratch;
+  private ByteBuf inputBuffer;
+  private ByteBuf replyBuffer;
   private ReplyWriter reply;
   private long pendingReplyBytes;
   private boolean isClosing;
-  private boolean isTurnScheduled;
+  private boolean isProcessingScheduled;
 
   /** Since when a command is incomplete, or replies are unread; 0 when neither is. */
   private long stalledSinceNanos;
@@ -55,29 +55,29 @@
   Transaction transaction;
 
   ClientConnection(
-      CommandExecutor executor, CommitScheduler scheduler, long id, boolean isAuthenticated) {
+      CommandExecutor executor, CommitScheduler commitScheduler, long id, boolean isAuthenticated) {
     this.executor = executor;
-    this.scheduler = scheduler;
+    this.commitScheduler = commitScheduler;
     this.id = id;
     this.isAuthenticated = isAuthenticated;
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext handler) {
-    context = handler;
-    input = handler.alloc().buffer(INITIAL_BUFFER_BYTES);
-    scratch = handler.alloc().buffer(INITIAL_BUFFER_BYTES);
-    reply = new ReplyWriter(scratch);
+  public void handlerAdded(ChannelHandlerContext handlerContext) {
+    context = handlerContext;
+    inputBuffer = handlerContext.alloc().buffer(INITIAL_BUFFER_BYTES);
+    replyBuffer = handlerContext.alloc().buffer(INITIAL_BUFFER_BYTES);
+    reply = new ReplyWriter(replyBuffer);
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext handler, Object message) {
+  public void channelRead(ChannelHandlerContext handlerContext, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     if (isClosing) {
       bytes.release();
       return;
     }
-    input.discardSomeReadBytes().writeBytes(bytes);
+    inputBuffer.discardSomeReadBytes().writeBytes(bytes);
     bytes.release();
     process();
   }
@@ -89,43 +89,44 @@
   private void process() {
     int commandCount = runCommands();
     context.flush();
-    scheduler.commitSoon();
-    updateStall(commandCount);
+    commitScheduler.scheduleCommit();
+    updateStalledSince(commandCount);
     context.channel().config().setAutoRead(!isBackpressured() && !isClosing);
-    if (commandCount == MAX_COMMANDS_PER_TURN && !isTurnScheduled) {
-      scheduleTurn();
+    if (commandCount == MAX_COMMANDS_PER_TASK && !isProcessingScheduled) {
+      scheduleProcessing();
     }
-    closeIfDone();
+    closeIfNoRepliesPending();
   }
 
   /** Runs what has arrived, a turn's worth at most, and writes the replies that need not wait. */
   private int runCommands() {
     long nowMillis = executor.nowMillis();
-    ByteBuf direct = null;
+    ByteBuf immediateReplies = null;
     int commandCount = 0;
     try {
-      while (!isClosing && !isBackpressured() && commandCount < MAX_COMMANDS_PER_TURN) {
-        byte[][] words = reader.next(input);
-        if (words == null) {
+      while (!isClosing && !isBackpressured() && commandCount < MAX_COMMANDS_PER_TASK) {
+        byte[][] arguments = reader.next(inputBuffer);
+        if (arguments == null) {
           break;
         }
         commandCount++;
-        scratch.clear();
-        long group = executor.run(words, reply, this, nowMillis);
-        direct = routeReply(group, direct);
-        if (direct != null && direct.readableBytes() > MAX_PENDING_REPLY_BYTES) {
-          write(direct);
-          direct = null;
+        replyBuffer.clear();
+        long groupNumber = executor.run(arguments, reply, this, nowMillis);
+        immediateReplies = routeReply(groupNumber, immediateReplies);
+        if (immediateReplies != null
+            && immediateReplies.readableBytes() > MAX_PENDING_REPLY_BYTES) {
+          write(immediateReplies);
+          immediateReplies = null;
         }
       }
     } catch (ProtocolException e) {
-      scratch.clear();
+      replyBuffer.clear();
       reply.error(e.getMessage());
-      direct = routeReply(0, direct);
+      immediateReplies = routeReply(0, immediateReplies);
       isClosing = true;
     }
-    if (direct != null) {
-      write(direct);
+    if (immediateReplies != null) {
+      write(immediateReplies);
     }
     return commandCount;
   }
@@ -138,11 +139,11 @@
    * Only a command that is itself incomplete is stalled: one that waits for capacity here is not
    * the client's fault.
    */
-  private void updateStall(int commandCount) {
+  private void updateStalledSince(int commandCount) {
     boolean isIncomplete =
         !isBackpressured()
-            && commandCount < MAX_COMMANDS_PER_TURN
-            && (reader.isWithinCommand() || input.isReadable());
+            && commandCount < MAX_COMMANDS_PER_TASK
+            && (reader.isWithinCommand() || inputBuffer.isReadable());
     if (!isIncomplete) {
       stalledSinceNanos = 0;
     } else if (commandCount > 0 || stalledSinceNanos == 0) {
@@ -150,13 +151,13 @@
     }
   }
 
-  private void scheduleTurn() {
-    isTurnScheduled = true;
+  private void scheduleProcessing() {
+    isProcessingScheduled = true;
     context
         .executor()
         .execute(
             () -> {
-              isTurnScheduled = false;
+              isProcessingScheduled = false;
               if (context.channel().isActive()) {
                 process();
               }
@@ -167,32 +168,33 @@
    * Takes the reply in scratch: to what goes out at once, or to what waits for the group; returns
    * the former.
    */
-  private ByteBuf routeReply(long group, ByteBuf direct) {
-    if (group != 0 || !pendingReplies.isEmpty()) {
-      addPending(group);
-      return direct;
+  private ByteBuf routeReply(long groupNumber, ByteBuf immediateReplies) {
+    if (groupNumber != 0 || !pendingReplies.isEmpty()) {
+      addPending(groupNumber);
+      return immediateReplies;
     }
-    ByteBuf target = direct == null ? context.alloc().buffer(INITIAL_REPLY_BYTES) : direct;
-    return target.writeBytes(scratch);
+    ByteBuf target =
+        immediateReplies == null ? context.alloc().buffer(INITIAL_REPLY_BYTES) : immediateReplies;
+    return target.writeBytes(replyBuffer);
   }
 
   /** Keeps the reply in scratch until its group is durable. */
-  private void addPending(long group) {
-    long last = pendingReplies.isEmpty() ? 0 : pendingReplies.peekLast().group;
-    if (pendingReplies.isEmpty() || group > last) {
+  private void addPending(long groupNumber) {
+    long lastGroupNumber = pendingReplies.isEmpty() ? 0 : pendingReplies.peekLast().groupNumber;
+    if (pendingReplies.isEmpty() || groupNumber > lastGroupNumber) {
       ByteBuf bytes = context.alloc().buffer(INITIAL_REPLY_BYTES);
-      pendingReplies.add(new PendingReplies(Math.max(group, last), bytes));
-      scheduler.addWaiting(this);
+      pendingReplies.add(new PendingReplies(Math.max(groupNumber, lastGroupNumber), bytes));
+      commitScheduler.addWaitingConnection(this);
     }
-    pendingReplies.peekLast().bytes.writeBytes(scratch);
-    pendingReplyBytes += scratch.readableBytes();
+    pendingReplies.peekLast().bytes.writeBytes(replyBuffer);
+    pendingReplyBytes += replyBuffer.readableBytes();
   }
 
   /** Sends what waited for groups up to this one; returns whether more waits. */
-  boolean releaseUpTo(long group) {
+  boolean releaseReplies(long groupNumber) {
     boolean wasBackpressured = isBackpressured();
     boolean hasWritten = false;
-    while (!pendingReplies.isEmpty() && pendingReplies.peek().group <= group) {
+    while (!pendingReplies.isEmpty() && pendingReplies.peek().groupNumber <= groupNumber) {
       ByteBuf bytes = pendingReplies.poll().bytes;
       pendingReplyBytes -= bytes.readableBytes();
       write(bytes);
@@ -204,13 +206,13 @@
     if (wasBackpressured && !isBackpressured()) {
       process();
     }
-    closeIfDone();
+    closeIfNoRepliesPending();
     return !pendingReplies.isEmpty();
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext handler) {
-    if (handler.channel().isWritable() && !handler.channel().config().isAutoRead()) {
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
+    if (handlerContext.channel().isWritable() && !handlerContext.channel().config().isAutoRead()) {
       process();
     }
   }
@@ -220,7 +222,7 @@
     isClosing = true;
   }
 
-  private void closeIfDone() {
+  private void closeIfNoRepliesPending() {
     if (isClosing && pendingReplies.isEmpty() && context.channel().isActive()) {
       // The listener closes it, whether the write succeeded or not.
       var unused =
@@ -239,17 +241,17 @@
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext handler) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     isClosing = true;
-    scheduler.removeWaiting(this);
-    pendingReplies.forEach(each -> each.bytes.release());
+    commitScheduler.removeWaitingConnection(this);
+    pendingReplies.forEach(replies -> replies.bytes.release());
     pendingReplies.clear();
-    input.release();
-    scratch.release();
+    inputBuffer.release();
+    replyBuffer.release();
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext handler, Throwable cause) {
-    var unused = handler.close(); // channelInactive does the rest.
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    var unused = handlerContext.close(); // channelInactive does the rest.
   }
 }
--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -23,7 +23,7 @@
   /** The error code for a node that is not on this node's membership list. */
   static final String UNKNOWN_NODE_CODE = "STRANGER";
 
-  private static final int WORDS_PER_SUM = 5;
+  private static final int ARGUMENTS_PER_SUM = 5;
 
   /** The total, the added and the withdrawn amount. */
   private static final int CHANGES_PER_SUM = 3;
@@ -47,119 +47,128 @@
   }
 
   /** {@code FD.SUM name origin added withdrawn ttl-ms}: merges a gateway's sum; the total back. */
-  private void sum(CommandInvocation c) throws CommandException {
-    DecimalAmount total = replica.mergeAndTotal(readSum(c, 1), c.nowMillis(), c.changes());
-    c.reply().bulk(total.toString());
+  private void sum(CommandInvocation call) throws CommandException {
+    DecimalAmount total = replica.mergeAndTotal(readSum(call, 1), call.nowMillis(), call.changes());
+    call.reply().bulk(total.toString());
   }
 
-  /** Reads the {@link #WORDS_PER_SUM} words of a sum from a place on. */
-  private static ReplicatedSum readSum(CommandInvocation c, int at) throws CommandException {
-    DecimalAmount added = DecimalAmount.parse(c.word(at + 2));
-    DecimalAmount withdrawn = DecimalAmount.parse(c.word(at + 3));
-    long timeToLiveMillis = c.integer(at + 4);
+  /** Reads the {@link #ARGUMENTS_PER_SUM} words of a sum from a place on. */
+  private static ReplicatedSum readSum(CommandInvocation call, int index) throws CommandException {
+    DecimalAmount added = DecimalAmount.parse(call.argument(index + 2));
+    DecimalAmount withdrawn = DecimalAmount.parse(call.argument(index + 3));
+    long timeToLiveMillis = call.integerArgument(index + 4);
     if (added.digits() < 0 || withdrawn.digits() < 0) {
       throw new CommandException("ERR a sum is not negative");
     }
     if (timeToLiveMillis <= 0 || timeToLiveMillis > Integer.MAX_VALUE) {
       throw new CommandException("ERR invalid expire time in 'fd.sum' command");
     }
-    return new ReplicatedSum(c.text(at), c.integer(at + 1), added, withdrawn, timeToLiveMillis);
+    return new ReplicatedSum(
+        call.argumentText(index),
+        call.integerArgument(index + 1),
+        added,
+        withdrawn,
+        timeToLiveMillis);
   }
 
   /**
    * {@code FD.HERE origin stamp}: a gateway is alive; whether ready, and the list's version back.
    */
-  private void gatewayHeartbeat(CommandInvocation c) throws CommandException {
-    replica.onOriginStamp(c.integer(1), c.integer(2), c.nowMillis());
-    c.reply().array(2);
-    c.reply().flag(replica.isReady());
-    c.reply().integer(replica.membershipVersion());
+  private void gatewayHeartbeat(CommandInvocation call) throws CommandException {
+    replica.onOriginStamp(call.integerArgument(1), call.integerArgument(2), call.nowMillis());
+    call.reply().array(2);
+    call.reply().flag(replica.isReady());
+    call.reply().integer(replica.membershipVersion());
   }
 
   /**
    * {@code FD.NODES [epoch name=host:port ...]}: gives a list if there are words; the list back.
    */
-  private void membership(CommandInvocation c) throws CommandException {
-    if (cluster.name().isEmpty()) {
+  private void membership(CommandInvocation call) throws CommandException {
+    if (cluster.ownName().isEmpty()) {
       throw new CommandException(
           "ERR this counter is alone, expected 'fleet NAME' in its settings");
     }
-    if (c.words().length > 1) {
-      List<String> words = new ArrayList<>();
-      for (int i = 1; i < c.words().length; i++) {
-        words.add(c.text(i));
+    if (call.arguments().length > 1) {
+      List<String> arguments = new ArrayList<>();
+      for (int i = 1; i < call.arguments().length; i++) {
+        arguments.add(call.argumentText(i));
       }
       try {
-        cluster.adoptMembership(MembershipList.parse(String.join(" ", words)));
+        cluster.adoptMembership(MembershipList.parse(String.join(" ", arguments)));
       } catch (IllegalArgumentException e) {
         throw new CommandException("ERR " + e.getMessage());
       }
     }
-    MembershipList list = replica.adoptedMembership();
-    c.reply().bulk(list == null ? "" : list.toString());
+    MembershipList membership = replica.adoptedMembership();
+    call.reply().bulk(membership == null ? "" : membership.toString());
   }
 
-  private void requirePeer(String id) throws CommandException {
-    if (!cluster.isPeer(id)) {
-      throw new CommandException(UNKNOWN_NODE_CODE + " no node '" + id + "' on this node's list");
+  private void requirePeer(String nodeName) throws CommandException {
+    if (!cluster.isPeer(nodeName)) {
+      throw new CommandException(
+          UNKNOWN_NODE_CODE + " no node '" + nodeName + "' on this node's list");
     }
   }
 
   /** {@code FD.BEAT node version incarnation ready [origin stamp ...]}: OK or a newer list back. */
-  private void heartbeat(CommandInvocation c) throws CommandException {
-    if (c.words().length % 2 == 0) {
+  private void heartbeat(CommandInvocation call) throws CommandException {
+    if (call.arguments().length % 2 == 0) {
       throw CommandInvocation.syntaxError();
     }
     Map<Long, Long> stamps = new HashMap<>();
-    for (int i = 5; i < c.words().length; i += 2) {
-      stamps.put(c.integer(i), c.integer(i + 1));
+    for (int i = 5; i < call.arguments().length; i += 2) {
+      stamps.put(call.integerArgument(i), call.integerArgument(i + 1));
     }
-    Heartbeat heartbeat = new Heartbeat(c.integer(2), c.integer(3), c.integer(4) == 1, stamps);
-    MembershipList newer = replica.membershipNewerThan(heartbeat.membershipVersion());
-    if (newer == null && heartbeat.membershipVersion() <= replica.membershipVersion()) {
-      requirePeer(c.text(1));
+    Heartbeat heartbeat =
+        new Heartbeat(
+            call.integerArgument(2), call.integerArgument(3), call.integerArgument(4) == 1, stamps);
+    MembershipList newerMembership = replica.membershipNewerThan(heartbeat.membershipVersion());
+    if (newerMembership == null && heartbeat.membershipVersion() <= replica.membershipVersion()) {
+      requirePeer(call.argumentText(1));
     }
-    replica.onHeartbeat(c.text(1), heartbeat, c.nowMillis());
-    if (newer == null) {
-      c.reply().ok();
+    replica.onHeartbeat(call.argumentText(1), heartbeat, call.nowMillis());
+    if (newerMembership == null) {
+      call.reply().ok();
     } else {
-      c.reply().simple(NEWER_LIST_PREFIX + newer);
+      call.reply().simple(NEWER_LIST_PREFIX + newerMembership);
     }
   }
 
   /** {@code FD.TOLD node completes-full-state [name origin added withdrawn ttl-ms ...]}. */
-  private void sumsFromPeer(CommandInvocation c) throws CommandException {
-    String peer = c.text(1);
+  private void sumsFromPeer(CommandInvocation call) throws CommandException {
+    String peer = call.argumentText(1);
     requirePeer(peer);
-    if ((c.words().length - 3) % WORDS_PER_SUM != 0) {
+    if ((call.arguments().length - 3) % ARGUMENTS_PER_SUM != 0) {
       throw CommandInvocation.syntaxError();
     }
     List<ReplicatedSum> sums = new ArrayList<>();
-    for (int at = 3; at < c.words().length; at += WORDS_PER_SUM) {
-      sums.add(readSum(c, at));
+    for (int index = 3; index < call.arguments().length; index += ARGUMENTS_PER_SUM) {
+      sums.add(readSum(call, index));
     }
-    for (ReplicatedSum each : sums) {
-      replica.mergeFromPeer(peer, each, c.nowMillis(), c.changes());
+    for (ReplicatedSum sum : sums) {
+      replica.mergeFromPeer(peer, sum, call.nowMillis(), call.changes());
     }
-    if (c.integer(2) == 1) {
-      replica.onFullStateReceived(peer, c.nowMillis());
+    if (call.integerArgument(2) == 1) {
+      replica.onFullStateReceived(peer, call.nowMillis());
     }
-    c.reply().ok();
+    call.reply().ok();
   }
 
   /** {@code FD.STATUS}: a line for this node and one for each peer. */
-  private void status(CommandInvocation c) {
+  private void status(CommandInvocation call) {
     List<String> lines = new ArrayList<>();
-    String name = cluster.name().isEmpty() ? "alone" : cluster.name();
+    String ownName = cluster.ownName().isEmpty() ? "alone" : cluster.ownName();
     long epoch = MembershipList.epoch(replica.membershipVersion());
     NodeState state = replica.state();
-    lines.add(name + " epoch " + epoch + " " + state.statusWord());
+    lines.add(ownName + " epoch " + epoch + " " + state.statusWord());
     for (String peer : replica.peers()) {
       int lag = replica.replicationLag(peer);
-      String heard = replica.isPeerAlive(peer, c.nowMillis()) ? " heard" : " missing";
-      lines.add("  " + peer + heard + " lag " + (lag < 0 ? "everything" : Integer.toString(lag)));
+      String liveness = replica.isPeerAlive(peer, call.nowMillis()) ? " heard" : " missing";
+      lines.add(
+          "  " + peer + liveness + " lag " + (lag < 0 ? "everything" : Integer.toString(lag)));
     }
-    c.reply().array(lines.size());
-    lines.forEach(c.reply()::bulk);
+    call.reply().array(lines.size());
+    lines.forEach(call.reply()::bulk);
   }
 }
--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -32,7 +32,7 @@
     PeerOutbox outbox;
 
     /** As logged last; null before the first tick. */
-    Boolean wasAlive;
+    Boolean lastLoggedAlive;
 
     Peer(PeerConnection connection, PeerOutbox outbox) {
       this.connection = connection;
@@ -42,8 +42,8 @@
 
   private final ReplicaNode replica;
   private final ServerClock clock;
-  private final String name;
-  private final EventLoopGroup group;
+  private final String ownName;
+  private final EventLoopGroup eventLoopGroup;
   private final String password;
   private final Map<String, Peer> peers = new TreeMap<>();
   private boolean wasReady;
@@ -52,22 +52,23 @@
       CounterSettings settings,
       CounterOperations operations,
       ServerClock clock,
-      EventLoopGroup group) {
+      EventLoopGroup eventLoopGroup) {
     this.clock = clock;
-    this.group = group;
-    CounterSettings.Cluster cluster = settings.cluster();
-    name = cluster.node();
+    this.eventLoopGroup = eventLoopGroup;
+    CounterSettings.Cluster clusterSettings = settings.cluster();
+    ownName = clusterSettings.nodeName();
     password = settings.password();
     replica =
         new ReplicaNode(
-            name,
-            List.copyOf(cluster.peers().keySet()),
-            cluster.epoch(),
+            ownName,
+            List.copyOf(clusterSettings.peers().keySet()),
+            clusterSettings.epoch(),
             ThreadLocalRandom.current().nextLong(),
-            new FailureDetectorTimeouts(cluster.failureTimeoutMillis(), cluster.startAloneMillis()),
+            new FailureDetectorTimeouts(
+                clusterSettings.failureTimeoutMillis(), clusterSettings.startAloneMillis()),
             new ReplicatedSums(operations),
             clock.nowMillis());
-    cluster.peers().forEach(this::addPeer);
+    clusterSettings.peers().forEach(this::addPeer);
     wasReady = replica.isReady();
   }
 
@@ -76,33 +77,33 @@
   }
 
   /** This node's name; empty when it is alone. */
-  String name() {
-    return name;
+  String ownName() {
+    return ownName;
   }
 
-  boolean isPeer(String id) {
-    return peers.containsKey(id);
+  boolean isPeer(String peerName) {
+    return peers.containsKey(peerName);
   }
 
-  private void addPeer(String id, Address address) {
+  private void addPeer(String peerName, Address address) {
     PeerConnection connection =
         new PeerConnection(
-            group,
+            eventLoopGroup,
             address,
             password,
-            isAccepted -> onSumsAnswered(id, isAccepted),
-            text -> onHeartbeatReply(id, text),
-            () -> onConnectionLost(id));
-    peers.put(id, new Peer(connection, new PeerOutbox(name)));
+            isAccepted -> onSumsReply(peerName, isAccepted),
+            reply -> onHeartbeatReply(peerName, reply),
+            () -> onConnectionLost(peerName));
+    peers.put(peerName, new Peer(connection, new PeerOutbox(ownName)));
   }
 
-  private void onHeartbeatReply(String id, String answer) {
-    if (answer.startsWith("+" + ClusterCommands.NEWER_LIST_PREFIX)) {
-      int prefix = 1 + ClusterCommands.NEWER_LIST_PREFIX.length();
-      adoptMembership(MembershipList.parse(answer.substring(prefix)));
-    } else if (answer.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
-        && replica.peers().contains(id)) {
-      replica.onNotOnPeersList(id, clock.nowMillis());
+  private void onHeartbeatReply(String peerName, String reply) {
+    if (reply.startsWith("+" + ClusterCommands.NEWER_LIST_PREFIX)) {
+      int prefixLength = 1 + ClusterCommands.NEWER_LIST_PREFIX.length();
+      adoptMembership(MembershipList.parse(reply.substring(prefixLength)));
+    } else if (reply.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
+        && replica.peers().contains(peerName)) {
+      replica.onNotOnPeersList(peerName, clock.nowMillis());
     }
   }
 
@@ -112,19 +113,19 @@
       return;
     }
     LOG.info("membership list adopted: {}", list);
-    for (String id : List.copyOf(peers.keySet())) {
-      PeerConnection connection = peers.get(id).connection;
-      if (!connection.address().toString().equals(list.addresses().get(id))) {
-        peers.remove(id);
+    for (String peerName : List.copyOf(peers.keySet())) {
+      PeerConnection connection = peers.get(peerName).connection;
+      if (!connection.address().toString().equals(list.addresses().get(peerName))) {
+        peers.remove(peerName);
         connection.close();
-        onConnectionLost(id);
+        onConnectionLost(peerName);
       }
     }
     list.addresses()
         .forEach(
-            (id, address) -> {
-              if (!id.equals(name) && !peers.containsKey(id)) {
-                addPeer(id, Address.of(address));
+            (peerName, address) -> {
+              if (!peerName.equals(ownName) && !peers.containsKey(peerName)) {
+                addPeer(peerName, Address.of(address));
               }
             });
   }
@@ -135,11 +136,11 @@
     replica.tick(nowMillis);
     List<String> heartbeat = heartbeatMessage(replica.nextHeartbeat(nowMillis));
     peers.forEach(
-        (id, peer) -> {
-          logLiveness(id, peer, nowMillis);
+        (peerName, peer) -> {
+          logLiveness(peerName, peer, nowMillis);
           if (peer.connection.isUsable()) {
             peer.connection.send(heartbeat, false);
-            sendNextSums(id, peer, nowMillis);
+            sendNextSums(peerName, peer, nowMillis);
           }
         });
     if (wasReady != replica.isReady()) {
@@ -148,38 +149,38 @@
     }
   }
 
-  private void logLiveness(String id, Peer peer, long nowMillis) {
-    boolean isAlive = replica.isPeerAlive(id, nowMillis);
-    if (peer.wasAlive == null || peer.wasAlive != isAlive) {
-      peer.wasAlive = isAlive;
-      LOG.warn("node {} is {}", id, isAlive ? "heard" : "missing");
+  private void logLiveness(String peerName, Peer peer, long nowMillis) {
+    boolean isAlive = replica.isPeerAlive(peerName, nowMillis);
+    if (peer.lastLoggedAlive == null || peer.lastLoggedAlive != isAlive) {
+      peer.lastLoggedAlive = isAlive;
+      LOG.warn("node {} is {}", peerName, isAlive ? "heard" : "missing");
     }
   }
 
   /** {@code FD.BEAT node version incarnation ready [origin stamp ...]}. */
   private List<String> heartbeatMessage(Heartbeat heartbeat) {
-    List<String> words = new ArrayList<>();
-    words.add("FD.BEAT");
-    words.add(name);
-    words.add(Long.toString(heartbeat.membershipVersion()));
-    words.add(Long.toString(heartbeat.incarnation()));
-    words.add(heartbeat.isReady() ? "1" : "0");
+    List<String> arguments = new ArrayList<>();
+    arguments.add("FD.BEAT");
+    arguments.add(ownName);
+    arguments.add(Long.toString(heartbeat.membershipVersion()));
+    arguments.add(Long.toString(heartbeat.incarnation()));
+    arguments.add(heartbeat.isReady() ? "1" : "0");
     heartbeat
         .originStamps()
         .forEach(
             (origin, stamp) -> {
-              words.add(Long.toString(origin));
-              words.add(Long.toString(stamp));
+              arguments.add(Long.toString(origin));
+              arguments.add(Long.toString(stamp));
             });
-    return words;
+    return arguments;
   }
 
   /**
    * Sends the next message, of the next batch when none is left; nothing while one is in flight.
    */
-  private void sendNextSums(String id, Peer peer, long nowMillis) {
+  private void sendNextSums(String peerName, Peer peer, long nowMillis) {
     if (peer.outbox.isEmpty()) {
-      DeltaBatch batch = replica.nextBatch(id, PeerOutbox.SUMS_PER_MESSAGE, nowMillis);
+      DeltaBatch batch = replica.nextBatch(peerName, PeerOutbox.SUMS_PER_MESSAGE, nowMillis);
       peer.outbox.addAll(batch);
     }
     List<String> message = peer.outbox.takeForSending();
@@ -188,32 +189,32 @@
     }
   }
 
-  private void onSumsAnswered(String id, boolean isAccepted) {
-    Peer peer = peers.get(id);
+  private void onSumsReply(String peerName, boolean isAccepted) {
+    Peer peer = peers.get(peerName);
     if (peer == null) {
       return;
     }
-    replica.onBatchProgress(id, clock.nowMillis());
+    replica.onBatchProgress(peerName, clock.nowMillis());
     if (!isAccepted) {
       peer.outbox.onRejected(); // Its log is behind: the same message again at the next tick.
       return;
     }
     peer.outbox.onConfirmed();
     if (peer.outbox.isEmpty()) {
-      replica.onBatchAcknowledged(id);
+      replica.onBatchAcknowledged(peerName);
     }
     if (peer.connection.isUsable()) {
-      sendNextSums(id, peer, clock.nowMillis());
+      sendNextSums(peerName, peer, clock.nowMillis());
     }
   }
 
-  private void onConnectionLost(String id) {
-    Peer peer = peers.get(id);
+  private void onConnectionLost(String peerName) {
+    Peer peer = peers.get(peerName);
     if (peer != null) {
-      peer.outbox = new PeerOutbox(name);
+      peer.outbox = new PeerOutbox(ownName);
     }
-    if (replica.peers().contains(id)) {
-      replica.restartFullTransfer(id);
+    if (replica.peers().contains(peerName)) {
+      replica.restartFullTransfer(peerName);
     }
   }
 }
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -17,12 +17,18 @@
     String name,
     int arity,
     boolean isWrite,
-    int firstName,
-    int lastName,
-    int changesPerWord,
+    int firstNameIndex,
+    int lastNameIndex,
+    int changesPerArgument,
     Action action) {
-  Command(String name, int arity, boolean isWrite, int firstName, int lastName, Action action) {
-    this(name, arity, isWrite, firstName, lastName, 1, action);
+  Command(
+      String name,
+      int arity,
+      boolean isWrite,
+      int firstNameIndex,
+      int lastNameIndex,
+      Action action) {
+    this(name, arity, isWrite, firstNameIndex, lastNameIndex, 1, action);
   }
 
   /** Writes exactly one answer, or throws and has changed and answered nothing. */
@@ -31,7 +37,7 @@
     void run(CommandInvocation call) throws CommandException;
   }
 
-  boolean acceptsWordCount(int words) {
-    return arity < 0 ? words >= -arity : words == arity;
+  boolean acceptsArgumentCount(int arguments) {
+    return arity < 0 ? arguments >= -arity : arguments == arity;
   }
 }
--- a/src/main/java/fawndock/counter/CommandExecutor.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -15,22 +15,22 @@
   private static final int SWEEP_SLOTS = 20_000;
 
   private final CounterOperations operations;
-  private final GroupCommit commit;
-  private final CommitScheduler scheduler;
+  private final GroupCommit groupCommit;
+  private final CommitScheduler commitScheduler;
   private final CommandTable commands;
   private final ServerClock clock;
   private final ServerStats stats;
 
   CommandExecutor(
       CounterOperations operations,
-      GroupCommit commit,
-      CommitScheduler scheduler,
+      GroupCommit groupCommit,
+      CommitScheduler commitScheduler,
       CommandTable commands,
       ServerClock clock,
       ServerStats stats) {
     this.operations = operations;
-    this.commit = commit;
-    this.scheduler = scheduler;
+    this.groupCommit = groupCommit;
+    this.commitScheduler = commitScheduler;
     this.commands = commands;
     this.clock = clock;
     this.stats = stats;
@@ -45,20 +45,20 @@
    *
    * @return the group that the reply must wait for, or 0
    */
-  long run(byte[][] words, ReplyWriter reply, ClientConnection connection, long nowMillis) {
-    scheduler.ensureGroupOpen();
-    long pendingBefore = commit.pendingBytes();
+  long run(byte[][] arguments, ReplyWriter reply, ClientConnection connection, long nowMillis) {
+    commitScheduler.ensureGroupOpen();
+    long pendingBefore = groupCommit.pendingBytes();
     try {
-      Command command = commands.find(words);
+      Command command = commands.find(arguments);
       if (!connection.isAuthenticated && !ConnectionCommands.isAllowedUnauthenticated(command)) {
         throw new CommandException("NOAUTH Authentication required.");
       }
       if (command.action() == null) {
         runTransactionCommand(command.name(), reply, connection, nowMillis);
       } else if (connection.transaction != null) {
-        queue(words, command, reply, connection);
+        enqueue(arguments, command, reply, connection);
       } else {
-        perform(command, words, reply, connection, nowMillis);
+        invoke(command, arguments, reply, connection, nowMillis);
       }
     } catch (CommandException e) {
       if (connection.transaction != null) {
@@ -66,26 +66,26 @@
       }
       reply.error(e.getMessage());
     }
-    return commit.pendingBytes() != pendingBefore ? commit.awaitedGroup() : 0;
+    return groupCommit.pendingBytes() != pendingBefore ? groupCommit.awaitedGroup() : 0;
   }
 
-  private void perform(
+  private void invoke(
       Command command,
-      byte[][] words,
+      byte[][] arguments,
       ReplyWriter reply,
       ClientConnection connection,
       long nowMillis)
       throws CommandException {
-    ChangeRecord changes = command.isWrite() ? reserve(maxChangeBytes(command, words)) : null;
+    ChangeRecord changes = command.isWrite() ? reserve(maxChangeBytes(command, arguments)) : null;
     stats.processedCommands++;
     command
         .action()
-        .run(new CommandInvocation(words, reply, connection, operations, nowMillis, changes));
+        .run(new CommandInvocation(arguments, reply, connection, operations, nowMillis, changes));
   }
 
   private ChangeRecord reserve(long bytes) throws CommandException {
     try {
-      return commit.reserve(bytes);
+      return groupCommit.reserve(bytes);
     } catch (CommandException e) {
       stats.rejectedCommands++;
       throw e;
@@ -93,21 +93,21 @@
   }
 
   /** The most that a command with these words can note. */
-  private static long maxChangeBytes(Command command, byte[][] words) {
+  private static long maxChangeBytes(Command command, byte[][] arguments) {
     long bytes = 0;
-    for (byte[] word : words) {
-      bytes += CounterOperations.maxChangeBytes(word);
+    for (byte[] argument : arguments) {
+      bytes += CounterOperations.maxChangeBytes(argument);
     }
-    return command.changesPerWord() * bytes;
+    return command.changesPerArgument() * bytes;
   }
 
-  private void queue(
-      byte[][] words, Command command, ReplyWriter reply, ClientConnection connection)
+  private void enqueue(
+      byte[][] arguments, Command command, ReplyWriter reply, ClientConnection connection)
       throws CommandException {
     if (command.name().equals("QUIT")) {
       connection.transaction = null;
-      perform(command, words, reply, connection, 0);
-    } else if (connection.transaction.add(words)) {
+      invoke(command, arguments, reply, connection, 0);
+    } else if (connection.transaction.add(arguments)) {
       reply.simple("QUEUED");
     } else {
       throw new CommandException(
@@ -118,45 +118,45 @@
   private void runTransactionCommand(
       String name, ReplyWriter reply, ClientConnection connection, long nowMillis)
       throws CommandException {
-    Transaction ending = connection.transaction;
+    Transaction transaction = connection.transaction;
     if (name.equals("MULTI")) {
-      if (ending != null) {
+      if (transaction != null) {
         throw new CommandException("ERR MULTI calls can not be nested");
       }
       connection.transaction = new Transaction();
       reply.ok();
       return;
     }
-    if (ending == null) {
+    if (transaction == null) {
       throw new CommandException("ERR " + name + " without MULTI");
     }
     connection.transaction = null;
     if (name.equals("DISCARD")) {
       reply.ok();
     } else {
-      execute(ending, reply, connection, nowMillis);
+      executeTransaction(transaction, reply, connection, nowMillis);
     }
   }
 
   /** All commands in one turn, in one record of the log; none when the record cannot hold all. */
-  private void execute(
+  private void executeTransaction(
       Transaction transaction, ReplyWriter reply, ClientConnection connection, long nowMillis)
       throws CommandException {
     if (transaction.isFailed()) {
       throw new CommandException("EXECABORT Transaction discarded because of previous errors.");
     }
     long bytes = 0;
-    for (byte[][] words : transaction.commands()) {
-      Command command = commands.find(words);
-      bytes += command.isWrite() ? maxChangeBytes(command, words) : 0;
+    for (byte[][] arguments : transaction.commands()) {
+      Command command = commands.find(arguments);
+      bytes += command.isWrite() ? maxChangeBytes(command, arguments) : 0;
     }
     if (bytes > 0) {
       reserve(bytes);
     }
     reply.array(transaction.commands().size());
-    for (byte[][] words : transaction.commands()) {
+    for (byte[][] arguments : transaction.commands()) {
       try {
-        perform(commands.find(words), words, reply, connection, nowMillis);
+        invoke(commands.find(arguments), arguments, reply, connection, nowMillis);
       } catch (CommandException e) {
         reply.error(e.getMessage());
       }
--- a/src/main/java/fawndock/counter/CommandInvocation.java
+++ b/src/main/java/fawndock/counter/CommandInvocation.java
@@ -21,35 +21,35 @@
  */
 @SuppressWarnings("ArrayRecordComponent") // Never compared; a copy a command would cost.
 record CommandInvocation(
-    byte[][] words,
+    byte[][] arguments,
     ReplyWriter reply,
     ClientConnection connection,
     CounterOperations operations,
     long nowMillis,
     ChangeRecord changes) {
-  byte[] word(int place) {
-    return words[place];
+  byte[] argument(int index) {
+    return arguments[index];
   }
 
-  String text(int place) {
-    return new String(words[place], StandardCharsets.UTF_8);
+  String argumentText(int index) {
+    return new String(arguments[index], StandardCharsets.UTF_8);
   }
 
   /** A word that is an option, in capitals. */
-  String option(int place) {
-    return text(place).toUpperCase(Locale.ROOT);
+  String optionArgument(int index) {
+    return argumentText(index).toUpperCase(Locale.ROOT);
   }
 
-  long integer(int place) throws CommandException {
-    return DecimalAmount.parseLong(words[place]);
+  long integerArgument(int index) throws CommandException {
+    return DecimalAmount.parseLong(arguments[index]);
   }
 
   /** The name of a count. */
-  byte[] requireName(int place) throws CommandException {
-    if (words[place].length > ChangeRecord.MAX_NAME_BYTES) {
+  byte[] nameArgument(int index) throws CommandException {
+    if (arguments[index].length > ChangeRecord.MAX_NAME_BYTES) {
       throw new CommandException("ERR a name is at most " + ChangeRecord.MAX_NAME_BYTES + " bytes");
     }
-    return words[place];
+    return arguments[index];
   }
 
   /** Ends a command whose words do not go together. */
--- a/src/main/java/fawndock/counter/CommandTable.java
+++ b/src/main/java/fawndock/counter/CommandTable.java
@@ -15,8 +15,8 @@
 
   private final Map<String, Command> commands = new LinkedHashMap<>();
 
-  void addAll(List<Command> more) {
-    more.forEach(command -> commands.put(command.name(), command));
+  void addAll(List<Command> added) {
+    added.forEach(command -> commands.put(command.name(), command));
   }
 
   Collection<Command> all() {
@@ -33,32 +33,36 @@
    *
    * @throws CommandException when there is none of that name, or it takes another number of words
    */
-  Command find(byte[][] words) throws CommandException {
+  Command find(byte[][] arguments) throws CommandException {
     String name =
-        new String(words[0], 0, Math.min(words[0].length, MAX_SHOWN_BYTES), StandardCharsets.UTF_8);
+        new String(
+            arguments[0],
+            0,
+            Math.min(arguments[0].length, MAX_SHOWN_BYTES),
+            StandardCharsets.UTF_8);
     Command command = commands.get(name);
     if (command == null) {
       command = commands.get(name.toUpperCase(Locale.ROOT));
     }
     if (command == null) {
-      throw unknown(name, words);
+      throw unknownCommand(name, arguments);
     }
-    if (!command.acceptsWordCount(words.length)) {
+    if (!command.acceptsArgumentCount(arguments.length)) {
       throw ConnectionCommands.wrongArity(command.name());
     }
     return command;
   }
 
-  private static CommandException unknown(String name, byte[][] words) {
-    StringBuilder shown = new StringBuilder();
-    for (int i = 1; i < words.length && shown.length() < MAX_SHOWN_BYTES; i++) {
-      int length = Math.min(words[i].length, MAX_SHOWN_BYTES - shown.length());
-      shown
+  private static CommandException unknownCommand(String name, byte[][] arguments) {
+    StringBuilder shownArguments = new StringBuilder();
+    for (int i = 1; i < arguments.length && shownArguments.length() < MAX_SHOWN_BYTES; i++) {
+      int length = Math.min(arguments[i].length, MAX_SHOWN_BYTES - shownArguments.length());
+      shownArguments
           .append('\'')
-          .append(new String(words[i], 0, length, StandardCharsets.UTF_8))
+          .append(new String(arguments[i], 0, length, StandardCharsets.UTF_8))
           .append("' ");
     }
     return new CommandException(
-        "ERR unknown command '" + name + "', with args beginning with: " + shown);
+        "ERR unknown command '" + name + "', with args beginning with: " + shownArguments);
   }
 }
--- a/src/main/java/fawndock/counter/CommitScheduler.java
+++ b/src/main/java/fawndock/counter/CommitScheduler.java
@@ -14,26 +14,30 @@
  * #ensureGroupOpen} is called before.
  */
 final class CommitScheduler {
-  private final GroupCommit commit;
-  private final WriteAheadLogThread log;
+  private final GroupCommit groupCommit;
+  private final WriteAheadLogThread logThread;
   private final ServerClock clock;
-  private final Executor loop;
+  private final Executor eventLoop;
   private final Set<ClientConnection> waitingConnections = new LinkedHashSet<>();
   private boolean isCommitScheduled;
   private long durableGroup;
 
-  CommitScheduler(GroupCommit commit, WriteAheadLogThread log, ServerClock clock, Executor loop) {
-    this.commit = commit;
-    this.log = log;
+  CommitScheduler(
+      GroupCommit groupCommit,
+      WriteAheadLogThread logThread,
+      ServerClock clock,
+      Executor eventLoop) {
+    this.groupCommit = groupCommit;
+    this.logThread = logThread;
     this.clock = clock;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
   }
 
   /** Has the open group committed in a later turn of the loop, with what else comes in this one. */
-  void commitSoon() {
+  void scheduleCommit() {
     if (!isCommitScheduled) {
       isCommitScheduled = true;
-      loop.execute(
+      eventLoop.execute(
           () -> {
             isCommitScheduled = false;
             commitNow();
@@ -45,42 +49,42 @@
   void commitNow() {
     ensureGroupOpen();
     long nowMillis = clock.nowMillis();
-    LogWork work = commit.nextWork(nowMillis);
+    LogWork work = groupCommit.nextWork(nowMillis);
     if (work != null) {
-      log.perform(work);
+      logThread.submit(work);
       return;
     }
-    LogWork offer = commit.offerOpenGroup(nowMillis);
+    LogWork offer = groupCommit.offerOpenGroup(nowMillis);
     if (offer != null) {
-      log.offer(offer);
+      logThread.offer(offer);
     }
   }
 
   /** Withdraws the group that was offered, or begins another when that one was taken. */
   void ensureGroupOpen() {
-    if (commit.hasOffer()) {
-      if (log.withdraw()) {
-        commit.onOfferWithdrawn();
+    if (groupCommit.hasOffer()) {
+      if (logThread.withdraw()) {
+        groupCommit.onOfferWithdrawn();
       } else {
-        commit.onOfferTaken();
+        groupCommit.onOfferTaken();
       }
     }
   }
 
   /** A connection has a reply that waits for a group. */
-  void addWaiting(ClientConnection connection) {
+  void addWaitingConnection(ClientConnection connection) {
     waitingConnections.add(connection);
   }
 
-  void removeWaiting(ClientConnection connection) {
+  void removeWaitingConnection(ClientConnection connection) {
     waitingConnections.remove(connection);
   }
 
   /** All groups up to this one are durable: replies that waited for them go out. */
-  void releaseUpTo(long group) {
-    durableGroup = Math.max(durableGroup, group);
+  void releaseReplies(long groupNumber) {
+    durableGroup = Math.max(durableGroup, groupNumber);
     for (ClientConnection connection : Set.copyOf(waitingConnections)) {
-      if (!connection.releaseUpTo(durableGroup)) {
+      if (!connection.releaseReplies(durableGroup)) {
         waitingConnections.remove(connection);
       }
     }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -25,7 +25,7 @@
   List<Command> all() {
     return List.of(
         new Command("PING", -1, false, 0, 0, ConnectionCommands::ping),
-        new Command("ECHO", 2, false, 0, 0, c -> c.reply().bulk(c.word(1))),
+        new Command("ECHO", 2, false, 0, 0, call -> call.reply().bulk(call.argument(1))),
         new Command("HELLO", -1, false, 0, 0, this::hello),
         new Command("AUTH", -2, false, 0, 0, this::auth),
         new Command("SELECT", 2, false, 0, 0, ConnectionCommands::select),
@@ -35,13 +35,13 @@
             false,
             0,
             0,
-            c -> {
-              c.reply().ok();
-              c.connection().closeAfterReplies();
+            call -> {
+              call.reply().ok();
+              call.connection().closeAfterReplies();
             }),
         new Command("CLIENT", -2, false, 0, 0, ConnectionCommands::client),
         new Command("COMMAND", -1, false, 0, 0, this::command),
-        new Command("INFO", -1, false, 0, 0, c -> c.reply().bulk(info.text())));
+        new Command("INFO", -1, false, 0, 0, call -> call.reply().bulk(info.text())));
   }
 
   /** Whether a connection may run it before it has given the password. */
@@ -53,14 +53,14 @@
     return password.length == 0;
   }
 
-  private static void ping(CommandInvocation c) throws CommandException {
-    if (c.words().length > 2) {
+  private static void ping(CommandInvocation call) throws CommandException {
+    if (call.arguments().length > 2) {
       throw wrongArity("ping");
     }
-    if (c.words().length == 2) {
-      c.reply().bulk(c.word(1));
+    if (call.arguments().length == 2) {
+      call.reply().bulk(call.argument(1));
     } else {
-      c.reply().simple("PONG");
+      call.reply().simple("PONG");
     }
   }
 
@@ -69,17 +69,17 @@
         "ERR wrong number of arguments for '" + command.toLowerCase(Locale.ROOT) + "' command");
   }
 
-  private void authenticate(CommandInvocation c, int userPlace, int passwordPlace)
+  private void authenticate(CommandInvocation call, int userIndex, int passwordIndex)
       throws CommandException {
-    boolean isRight = MessageDigest.isEqual(password, c.word(passwordPlace));
-    if (!isRight || (userPlace > 0 && !c.text(userPlace).equals("default"))) {
+    boolean isRight = MessageDigest.isEqual(password, call.argument(passwordIndex));
+    if (!isRight || (userIndex > 0 && !call.argumentText(userIndex).equals("default"))) {
       throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
     }
-    c.connection().isAuthenticated = true;
+    call.connection().isAuthenticated = true;
   }
 
-  private void auth(CommandInvocation c) throws CommandException {
-    if (c.words().length > 3) {
+  private void auth(CommandInvocation call) throws CommandException {
+    if (call.arguments().length > 3) {
       throw CommandInvocation.syntaxError();
     }
     if (isPasswordless()) {
@@ -87,14 +87,14 @@
           "ERR AUTH <password> called without any password configured for the default "
               + "user. Are you sure your configuration is correct?");
     }
-    authenticate(c, c.words().length - 2, c.words().length - 1);
-    c.reply().ok();
+    authenticate(call, call.arguments().length - 2, call.arguments().length - 1);
+    call.reply().ok();
   }
 
-  private void hello(CommandInvocation c) throws CommandException {
-    int version = c.reply().version;
-    if (c.words().length > 1) {
-      String requested = c.text(1);
+  private void hello(CommandInvocation call) throws CommandException {
+    int version = call.reply().version;
+    if (call.arguments().length > 1) {
+      String requested = call.argumentText(1);
       if (!requested.matches("[0-9]{1,9}")) {
         throw new CommandException("ERR Protocol version is not an integer or out of range");
       }
@@ -103,112 +103,113 @@
       }
       version = Integer.parseInt(requested);
     }
-    for (int i = 2; i < c.words().length; ) {
-      if (c.option(i).equals("AUTH") && i + 2 < c.words().length) {
+    for (int i = 2; i < call.arguments().length; ) {
+      if (call.optionArgument(i).equals("AUTH") && i + 2 < call.arguments().length) {
         if (!isPasswordless()) {
-          authenticate(c, i + 1, i + 2);
+          authenticate(call, i + 1, i + 2);
         }
         i += 3;
-      } else if (c.option(i).equals("SETNAME") && i + 1 < c.words().length) {
-        c.connection().name = c.text(i + 1);
+      } else if (call.optionArgument(i).equals("SETNAME") && i + 1 < call.arguments().length) {
+        call.connection().name = call.argumentText(i + 1);
         i += 2;
       } else {
-        throw new CommandException("ERR Syntax error in HELLO option '" + c.text(i) + "'");
+        throw new CommandException(
+            "ERR Syntax error in HELLO option '" + call.argumentText(i) + "'");
       }
     }
-    if (!c.connection().isAuthenticated) {
+    if (!call.connection().isAuthenticated) {
       throw new CommandException(
           "NOAUTH HELLO must be called with the client already authenticated, otherwise the "
               + "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the "
               + "RESP protocol version at the same time");
     }
-    c.reply().version = version;
-    c.reply().map(7);
+    call.reply().version = version;
+    call.reply().map(7);
     for (String each : List.of("server", "fawndock", "version", ServerInfo.VERSION)) {
-      c.reply().bulk(each);
+      call.reply().bulk(each);
     }
-    c.reply().bulk("proto");
-    c.reply().integer(version);
-    c.reply().bulk("id");
-    c.reply().integer(c.connection().id);
+    call.reply().bulk("proto");
+    call.reply().integer(version);
+    call.reply().bulk("id");
+    call.reply().integer(call.connection().id);
     for (String each : List.of("mode", "standalone", "role", "master", "modules")) {
-      c.reply().bulk(each);
+      call.reply().bulk(each);
     }
-    c.reply().array(0);
+    call.reply().array(0);
   }
 
-  private static void select(CommandInvocation c) throws CommandException {
-    if (c.integer(1) != 0) {
+  private static void select(CommandInvocation call) throws CommandException {
+    if (call.integerArgument(1) != 0) {
       throw new CommandException("ERR DB index is out of range");
     }
-    c.reply().ok();
+    call.reply().ok();
   }
 
-  private static void client(CommandInvocation c) throws CommandException {
-    String subcommand = c.option(1);
-    switch (subcommand + " " + c.words().length) {
-      case "ID 2" -> c.reply().integer(c.connection().id);
+  private static void client(CommandInvocation call) throws CommandException {
+    String subcommand = call.optionArgument(1);
+    switch (subcommand + " " + call.arguments().length) {
+      case "ID 2" -> call.reply().integer(call.connection().id);
       case "GETNAME 2" -> {
-        if (c.connection().name.isEmpty()) {
-          c.reply().nullBulk();
+        if (call.connection().name.isEmpty()) {
+          call.reply().nullBulk();
         } else {
-          c.reply().bulk(c.connection().name);
+          call.reply().bulk(call.connection().name);
         }
       }
       case "SETNAME 3" -> {
-        c.connection().name = c.text(2);
-        c.reply().ok();
+        call.connection().name = call.argumentText(2);
+        call.reply().ok();
       }
-      case "SETINFO 4", "NO-EVICT 3", "NO-TOUCH 3" -> c.reply().ok();
+      case "SETINFO 4", "NO-EVICT 3", "NO-TOUCH 3" -> call.reply().ok();
       default ->
           throw new CommandException(
               "ERR unknown subcommand or wrong number of arguments for '"
-                  + c.text(1)
+                  + call.argumentText(1)
                   + "'. Try CLIENT HELP.");
     }
   }
 
-  private void command(CommandInvocation c) throws CommandException {
+  private void command(CommandInvocation call) throws CommandException {
     Collection<Command> all = commands.all();
-    String subcommand = c.words().length == 1 ? "" : c.option(1);
+    String subcommand = call.arguments().length == 1 ? "" : call.optionArgument(1);
     switch (subcommand) {
-      case "" -> describeAll(c, all);
-      case "COUNT" -> c.reply().integer(all.size());
-      case "DOCS" -> c.reply().map(0);
+      case "" -> describeAll(call, all);
+      case "COUNT" -> call.reply().integer(all.size());
+      case "DOCS" -> call.reply().map(0);
       case "LIST" -> {
-        c.reply().array(all.size());
-        all.forEach(each -> c.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
+        call.reply().array(all.size());
+        all.forEach(each -> call.reply().bulk(each.name().toLowerCase(Locale.ROOT)));
       }
       case "INFO" -> {
-        c.reply().array(c.words().length - 2);
-        for (int i = 2; i < c.words().length; i++) {
-          Command found = commands.get(c.option(i));
+        call.reply().array(call.arguments().length - 2);
+        for (int i = 2; i < call.arguments().length; i++) {
+          Command found = commands.get(call.optionArgument(i));
           if (found == null) {
-            c.reply().nullBulk();
+            call.reply().nullBulk();
           } else {
-            describe(c, found);
+            describe(call, found);
           }
         }
       }
       default ->
           throw new CommandException(
-              "ERR unknown subcommand '" + c.text(1) + "'. Try COMMAND HELP.");
+              "ERR unknown subcommand '" + call.argumentText(1) + "'. Try COMMAND HELP.");
     }
   }
 
-  private static void describeAll(CommandInvocation c, Collection<Command> commands) {
-    c.reply().array(commands.size());
-    commands.forEach(each -> describe(c, each));
+  private static void describeAll(CommandInvocation call, Collection<Command> commands) {
+    call.reply().array(commands.size());
+    commands.forEach(each -> describe(call, each));
   }
 
-  private static void describe(CommandInvocation c, Command command) {
-    c.reply().array(6);
-    c.reply().bulk(command.name().toLowerCase(Locale.ROOT));
-    c.reply().integer(command.arity());
-    c.reply().array(1);
-    c.reply().simple(command.isWrite() ? "write" : "readonly");
-    c.reply().integer(command.firstName());
-    c.reply().integer(command.lastName());
-    c.reply().integer(command.firstName() == 0 ? 0 : 1);
+  private static void describe(CommandInvocation call, Command command) {
+    call.reply().array(6);
+    call.reply().bulk(command.name().toLowerCase(Locale.ROOT));
+    call.reply().integer(command.arity());
+    call.reply().array(1);
+    call.reply().simple(command.isWrite() ? "write" : "readonly");
+    call.reply().integer(command.firstNameIndex());
+    call.reply().integer(command.lastNameIndex());
+    call.reply().integer(command.firstNameIndex() == 0 ? 0 : 1);
   }
 }
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -46,29 +46,29 @@
   private static final long SWEEP_INTERVAL_MILLIS = 100;
   private static final long STALL_CHECK_INTERVAL_MILLIS = 500;
   private static final int ACCEPT_BACKLOG = 1_024;
-  private static final byte[] TOO_MANY_CLIENTS =
+  private static final byte[] TOO_MANY_CLIENTS_ERROR =
       "-ERR max number of clients reached\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final CounterSettings settings;
   private final Storage storage;
   private final EventLoopGroup eventLoopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventExecutor loop = eventLoopGroup.next();
+  private final EventExecutor eventLoop = eventLoopGroup.next();
   private final GroupCommit groupCommit;
   private final ServerStats stats = new ServerStats();
   private final CommandTable commands = new CommandTable();
   private final Set<ClientConnection> connections = new HashSet<>();
 
   /** The connections' channels; a closed one leaves by itself. */
-  private final ChannelGroup channels = new DefaultChannelGroup(loop);
+  private final ChannelGroup channels = new DefaultChannelGroup(eventLoop);
 
-  private WriteAheadLogThread log;
-  private SnapshotTask snapshots;
-  private CommitScheduler scheduler;
-  private LogSupervisor supervisor;
-  private CommandExecutor executor;
-  private ClusterNode cluster;
-  private Channel listener;
+  private WriteAheadLogThread logThread;
+  private SnapshotTask snapshotTask;
+  private CommitScheduler commitScheduler;
+  private LogSupervisor logSupervisor;
+  private CommandExecutor commandExecutor;
+  private ClusterNode clusterNode;
+  private Channel serverChannel;
   private long nextConnectionId = 1;
   private boolean isClosed;
 
@@ -90,12 +90,12 @@
   public int start(LongConsumer progress) throws IOException {
     CounterTable table = new CounterTable(ThreadLocalRandom.current().nextLong());
     Recovery.Result recovered = recover(table, progress);
-    assemble(table, recovered);
-    CompletableFuture<Void> firstAttempt = supervisor.start(recovered.lastSequence());
-    awaitFirstLog(firstAttempt);
+    createComponents(table, recovered);
+    CompletableFuture<Void> firstLogAttempt = logSupervisor.start(recovered.lastSequence());
+    awaitFirstLogAttempt(firstLogAttempt);
     listen();
-    scheduleRepeated();
-    return ((InetSocketAddress) listener.localAddress()).getPort();
+    schedulePeriodicTasks();
+    return ((InetSocketAddress) serverChannel.localAddress()).getPort();
   }
 
   private Recovery.Result recover(CounterTable table, LongConsumer progress) throws IOException {
@@ -111,24 +111,32 @@
     return recovered;
   }
 
-  private void assemble(CounterTable table, Recovery.Result recovered) {
+  private void createComponents(CounterTable table, Recovery.Result recovered) {
     CounterOperations operations = new CounterOperations(table, settings.maxMemoryBytes());
     ServerClock clock = new ServerClock(recovered.latestTimeMillis());
-    log = new WriteAheadLogThread(storage, loop);
-    snapshots = new SnapshotTask(storage, loop, table, clock);
-    scheduler = new CommitScheduler(groupCommit, log, clock, loop);
-    supervisor =
+    logThread = new WriteAheadLogThread(storage, eventLoop);
+    snapshotTask = new SnapshotTask(storage, eventLoop, table, clock);
+    commitScheduler = new CommitScheduler(groupCommit, logThread, clock, eventLoop);
+    logSupervisor =
         new LogSupervisor(
-            settings.snapshotAfterLogBytes(), loop, groupCommit, scheduler, log, snapshots, table);
-    log.listen(supervisor);
-    executor = new CommandExecutor(operations, groupCommit, scheduler, commands, clock, stats);
-    cluster = new ClusterNode(settings, operations, clock, eventLoopGroup);
-    ServerInfo info = new ServerInfo(stats, groupCommit, scheduler, table, settings.durability());
+            settings.snapshotAfterLogBytes(),
+            eventLoop,
+            groupCommit,
+            commitScheduler,
+            logThread,
+            snapshotTask,
+            table);
+    logThread.setListener(logSupervisor);
+    commandExecutor =
+        new CommandExecutor(operations, groupCommit, commitScheduler, commands, clock, stats);
+    clusterNode = new ClusterNode(settings, operations, clock, eventLoopGroup);
+    ServerInfo serverInfo =
+        new ServerInfo(stats, groupCommit, commitScheduler, table, settings.durability());
     commands.addAll(AmountCommands.all());
     commands.addAll(NameCommands.all());
-    commands.addAll(new ConnectionCommands(commands, info, settings.password()).all());
+    commands.addAll(new ConnectionCommands(commands, serverInfo, settings.password()).all());
     commands.addAll(TRANSACTION_COMMANDS);
-    commands.addAll(new ClusterCommands(cluster).all());
+    commands.addAll(new ClusterCommands(clusterNode).all());
   }
 
   /** Done by the {@link CommandExecutor} itself. */
@@ -138,9 +146,10 @@
           new Command("EXEC", 1, false, 0, 0, null),
           new Command("DISCARD", 1, false, 0, 0, null));
 
-  private static void awaitFirstLog(CompletableFuture<Void> firstAttempt) throws IOException {
+  private static void awaitFirstLogAttempt(CompletableFuture<Void> firstLogAttempt)
+      throws IOException {
     try {
-      firstAttempt.get(FIRST_SEGMENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      firstLogAttempt.get(FIRST_SEGMENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("the log could not be begun: " + e.getMessage(), e);
     } catch (InterruptedException e) {
@@ -170,7 +179,7 @@
                   }
                 });
     try {
-      listener =
+      serverChannel =
           bootstrap.bind(settings.listen().host(), settings.listen().port()).sync().channel();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -180,17 +189,17 @@
     }
   }
 
-  private void scheduleRepeated() {
-    repeat(scheduler::commitNow, Math.max(1, settings.syncIntervalMillis()));
-    repeat(cluster::tick, ClusterNode.TICK_MILLIS);
-    repeat(executor::sweepExpired, SWEEP_INTERVAL_MILLIS);
-    repeat(this::closeStalledConnections, STALL_CHECK_INTERVAL_MILLIS);
+  private void schedulePeriodicTasks() {
+    schedulePeriodically(commitScheduler::commitNow, Math.max(1, settings.syncIntervalMillis()));
+    schedulePeriodically(clusterNode::tick, ClusterNode.TICK_MILLIS);
+    schedulePeriodically(commandExecutor::sweepExpired, SWEEP_INTERVAL_MILLIS);
+    schedulePeriodically(this::closeStalledConnections, STALL_CHECK_INTERVAL_MILLIS);
   }
 
-  private void repeat(Runnable task, long intervalMillis) {
+  private void schedulePeriodically(Runnable task, long intervalMillis) {
     // Runs until the loop ends; nothing cancels it.
     var unused =
-        loop.scheduleAtFixedRate(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleAtFixedRate(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
   }
 
   private void accept(Channel channel) {
@@ -198,13 +207,13 @@
       // The listener closes it, whether the error could be sent or not.
       var unused =
           channel
-              .writeAndFlush(channel.alloc().buffer().writeBytes(TOO_MANY_CLIENTS))
+              .writeAndFlush(channel.alloc().buffer().writeBytes(TOO_MANY_CLIENTS_ERROR))
               .addListener(ChannelFutureListener.CLOSE);
       return;
     }
     ClientConnection connection =
         new ClientConnection(
-            executor, scheduler, nextConnectionId++, settings.password().isEmpty());
+            commandExecutor, commitScheduler, nextConnectionId++, settings.password().isEmpty());
     channels.add(channel);
     connections.add(connection);
     stats.connections = connections.size();
@@ -237,8 +246,8 @@
     }
     isClosed = true;
     try {
-      if (listener != null) {
-        listener.close().sync();
+      if (serverChannel != null) {
+        serverChannel.close().sync();
         drain();
         closeConnections();
       }
@@ -247,9 +256,9 @@
     } catch (ExecutionException | TimeoutException e) {
       LOG.warn("stopped before all was committed");
     }
-    if (log != null) {
-      snapshots.close();
-      log.close(STOP_TIMEOUT_MILLIS);
+    if (logThread != null) {
+      snapshotTask.close();
+      logThread.close(STOP_TIMEOUT_MILLIS);
     }
     eventLoopGroup
         .shutdownGracefully(0, 1, TimeUnit.SECONDS)
@@ -259,9 +268,9 @@
   private void drain() throws InterruptedException, ExecutionException, TimeoutException {
     long deadlineNanos = System.nanoTime() + STOP_TIMEOUT_MILLIS * 1_000_000;
     CompletableFuture<Void> idle = new CompletableFuture<>();
-    loop.execute(
+    eventLoop.execute(
         () -> {
-          supervisor.stop();
+          logSupervisor.stop();
           connections.forEach(ClientConnection::closeAfterReplies);
           completeWhenIdle(idle, deadlineNanos);
         });
@@ -275,7 +284,7 @@
   private void closeConnections() throws InterruptedException {
     channels.close().await(STOP_TIMEOUT_MILLIS);
     // The handlers are told by tasks of the loop: those are done when this one is.
-    loop.submit(() -> {}).await(STOP_TIMEOUT_MILLIS);
+    eventLoop.submit(() -> {}).await(STOP_TIMEOUT_MILLIS);
   }
 
   private void completeWhenIdle(CompletableFuture<Void> idle, long deadlineNanos) {
@@ -283,9 +292,9 @@
       idle.complete(null);
       return;
     }
-    scheduler.commitNow();
+    commitScheduler.commitNow();
     // The task runs, or the wait for it ends by its time limit.
     var unused =
-        loop.schedule(() -> completeWhenIdle(idle, deadlineNanos), 1, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(() -> completeWhenIdle(idle, deadlineNanos), 1, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/fawndock/counter/FileStorage.java
+++ b/src/main/java/fawndock/counter/FileStorage.java
@@ -17,7 +17,7 @@
 /** A directory of the file system. */
 public final class FileStorage implements Storage, AutoCloseable {
   private final Path directory;
-  private final FileChannel lockFile;
+  private final FileChannel lockChannel;
 
   /**
    * Makes the directory if need be and takes its lock.
@@ -25,26 +25,26 @@
    * @param locked whether to take the lock; without it, only read
    * @throws IOException also when another process has the lock
    */
-  public FileStorage(Path directory, boolean locked) throws IOException {
+  public FileStorage(Path directory, boolean exclusive) throws IOException {
     this.directory = directory;
-    if (!locked) {
-      lockFile = null;
+    if (!exclusive) {
+      lockChannel = null;
       return;
     }
     Files.createDirectories(directory);
     // Guards against two processes on one log. The lock goes with its process, so none is left by a
     // crash.
-    lockFile =
+    lockChannel =
         FileChannel.open(
             directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock;
     try {
-      lock = lockFile.tryLock();
+      lock = lockChannel.tryLock();
     } catch (OverlappingFileLockException e) {
       lock = null;
     }
     if (lock == null) {
-      lockFile.close();
+      lockChannel.close();
       throw new StorageInUseException(directory.toString());
     }
   }
@@ -52,13 +52,13 @@
   @Override
   public List<String> list() throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
-      return files.map(p -> p.getFileName().toString()).toList();
+      return files.map(file -> file.getFileName().toString()).toList();
     }
   }
 
   @Override
   public File create(String name) throws IOException {
-    return new Open(
+    return new OpenFile(
         FileChannel.open(
             directory.resolve(name),
             StandardOpenOption.CREATE,
@@ -69,16 +69,17 @@
 
   @Override
   public File open(String name) throws IOException {
-    return new Open(
-        lockFile == null
+    return new OpenFile(
+        lockChannel == null
             ? FileChannel.open(directory.resolve(name), StandardOpenOption.READ)
             : FileChannel.open(
                 directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
   }
 
   @Override
-  public void rename(String from, String to) throws IOException {
-    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+  public void rename(String oldName, String newName) throws IOException {
+    Files.move(
+        directory.resolve(oldName), directory.resolve(newName), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Override
@@ -95,30 +96,32 @@
 
   @Override
   public void close() throws IOException {
-    if (lockFile != null) {
-      lockFile.close();
+    if (lockChannel != null) {
+      lockChannel.close();
     }
   }
 
-  private record Open(FileChannel channel) implements File {
+  private record OpenFile(FileChannel channel) implements File {
     @Override
     public long size() throws IOException {
       return channel.size();
     }
 
     @Override
-    public int read(ByteBuffer to, long at) throws IOException {
-      int all = 0;
-      for (int many = 0; to.hasRemaining() && many >= 0; all += Math.max(0, many)) {
-        many = channel.read(to, at + all);
+    public int read(ByteBuffer destination, long offset) throws IOException {
+      int bytesRead = 0;
+      for (int count = 0;
+          destination.hasRemaining() && count >= 0;
+          bytesRead += Math.max(0, count)) {
+        count = channel.read(destination, offset + bytesRead);
       }
-      return all;
+      return bytesRead;
     }
 
     @Override
-    public void write(ByteBuffer from, long at) throws IOException {
-      for (long to = at; from.hasRemaining(); ) {
-        to += channel.write(from, to);
+    public void write(ByteBuffer source, long offset) throws IOException {
+      for (long position = offset; source.hasRemaining(); ) {
+        position += channel.write(source, position);
       }
     }
 
--- a/src/main/java/fawndock/counter/GlobPattern.java
+++ b/src/main/java/fawndock/counter/GlobPattern.java
@@ -6,61 +6,64 @@
 
   /** Whether the whole name is of the pattern; takes at most the product of their lengths. */
   static boolean matches(byte[] pattern, byte[] name) {
-    int p = 0;
-    int n = 0;
-    int star = -1;
-    int retry = 0;
-    while (n < name.length) {
-      int next = p < pattern.length && pattern[p] != '*' ? one(pattern, p, name[n]) : -1;
-      if (next >= 0) {
-        p = next;
-        n++;
-      } else if (p < pattern.length && pattern[p] == '*') {
-        star = p++;
-        retry = n;
-      } else if (star >= 0) {
-        p = star + 1;
-        n = ++retry;
+    int patternIndex = 0;
+    int nameIndex = 0;
+    int lastStarIndex = -1;
+    int retryNameIndex = 0;
+    while (nameIndex < name.length) {
+      int nextPatternIndex =
+          patternIndex < pattern.length && pattern[patternIndex] != '*'
+              ? matchElement(pattern, patternIndex, name[nameIndex])
+              : -1;
+      if (nextPatternIndex >= 0) {
+        patternIndex = nextPatternIndex;
+        nameIndex++;
+      } else if (patternIndex < pattern.length && pattern[patternIndex] == '*') {
+        lastStarIndex = patternIndex++;
+        retryNameIndex = nameIndex;
+      } else if (lastStarIndex >= 0) {
+        patternIndex = lastStarIndex + 1;
+        nameIndex = ++retryNameIndex;
       } else {
         return false;
       }
     }
-    while (p < pattern.length && pattern[p] == '*') {
-      p++;
+    while (patternIndex < pattern.length && pattern[patternIndex] == '*') {
+      patternIndex++;
     }
-    return p == pattern.length;
+    return patternIndex == pattern.length;
   }
 
   /** The place after the element at a place when it is of the character, or -1. */
-  private static int one(byte[] pattern, int at, byte c) {
-    return switch (pattern[at]) {
-      case '?' -> at + 1;
+  private static int matchElement(byte[] pattern, int index, byte character) {
+    return switch (pattern[index]) {
+      case '?' -> index + 1;
       case '\\' -> {
-        int literal = at + 1 < pattern.length ? at + 1 : at;
-        yield pattern[literal] == c ? literal + 1 : -1;
+        int literal = index + 1 < pattern.length ? index + 1 : index;
+        yield pattern[literal] == character ? literal + 1 : -1;
       }
-      case '[' -> set(pattern, at + 1, c & 0xFF);
-      default -> pattern[at] == c ? at + 1 : -1;
+      case '[' -> matchCharacterClass(pattern, index + 1, character & 0xFF);
+      default -> pattern[index] == character ? index + 1 : -1;
     };
   }
 
-  private static int set(byte[] pattern, int from, int c) {
-    int at = from;
-    boolean not = at < pattern.length && pattern[at] == '^';
-    at += not ? 1 : 0;
-    boolean in = false;
-    for (; at < pattern.length && pattern[at] != ']'; at++) {
-      if (pattern[at] == '\\' && at + 1 < pattern.length) {
-        at++;
+  private static int matchCharacterClass(byte[] pattern, int start, int character) {
+    int index = start;
+    boolean isNegated = index < pattern.length && pattern[index] == '^';
+    index += isNegated ? 1 : 0;
+    boolean isInClass = false;
+    for (; index < pattern.length && pattern[index] != ']'; index++) {
+      if (pattern[index] == '\\' && index + 1 < pattern.length) {
+        index++;
       }
-      int low = pattern[at] & 0xFF;
+      int low = pattern[index] & 0xFF;
       int high = low;
-      if (at + 2 < pattern.length && pattern[at + 1] == '-' && pattern[at + 2] != ']') {
-        high = pattern[at + 2] & 0xFF;
-        at += 2;
+      if (index + 2 < pattern.length && pattern[index + 1] == '-' && pattern[index + 2] != ']') {
+        high = pattern[index + 2] & 0xFF;
+        index += 2;
       }
-      in |= c >= Math.min(low, high) && c <= Math.max(low, high);
+      isInClass |= character >= Math.min(low, high) && character <= Math.max(low, high);
     }
-    return in != not ? Math.min(at + 1, pattern.length) : -1;
+    return isInClass != isNegated ? Math.min(index + 1, pattern.length) : -1;
   }
 }
--- a/src/main/java/fawndock/counter/LogSupervisor.java
+++ b/src/main/java/fawndock/counter/LogSupervisor.java
@@ -26,32 +26,32 @@
   private static final long SNAPSHOT_BACKOFF_NANOS = 10_000_000_000L;
 
   private final long snapshotAfterBytes;
-  private final EventExecutor loop;
-  private final GroupCommit commit;
-  private final CommitScheduler scheduler;
-  private final WriteAheadLogThread log;
-  private final SnapshotTask snapshots;
+  private final EventExecutor eventLoop;
+  private final GroupCommit groupCommit;
+  private final CommitScheduler commitScheduler;
+  private final WriteAheadLogThread logThread;
+  private final SnapshotTask snapshotTask;
   private final CounterTable table;
   private final CompletableFuture<Void> firstAttempt = new CompletableFuture<>();
   private long appendedGroup;
-  private long nextSnapshotNanos = System.nanoTime();
+  private long earliestSnapshotNanos = System.nanoTime();
   private LogState state = LogState.STARTING;
   private boolean isStopping;
 
   LogSupervisor(
       long snapshotAfterBytes,
-      EventExecutor loop,
-      GroupCommit commit,
-      CommitScheduler scheduler,
-      WriteAheadLogThread log,
-      SnapshotTask snapshots,
+      EventExecutor eventLoop,
+      GroupCommit groupCommit,
+      CommitScheduler commitScheduler,
+      WriteAheadLogThread logThread,
+      SnapshotTask snapshotTask,
       CounterTable table) {
     this.snapshotAfterBytes = snapshotAfterBytes;
-    this.loop = loop;
-    this.commit = commit;
-    this.scheduler = scheduler;
-    this.log = log;
-    this.snapshots = snapshots;
+    this.eventLoop = eventLoop;
+    this.groupCommit = groupCommit;
+    this.commitScheduler = commitScheduler;
+    this.logThread = logThread;
+    this.snapshotTask = snapshotTask;
     this.table = table;
   }
 
@@ -61,7 +61,7 @@
    * @return completes when the log was begun, or could not be the first time
    */
   CompletableFuture<Void> start(long recoveredSequence) {
-    loop.execute(() -> beginNewLog(null, recoveredSequence));
+    eventLoop.execute(() -> startNewLog(null, recoveredSequence));
     return firstAttempt;
   }
 
@@ -76,10 +76,10 @@
       LOG.info("the log is written again");
     }
     state = state.transitionTo(LogState.WRITABLE);
-    commit.onWorkDone(work.groupNumber());
+    groupCommit.onWorkDone(work.groupNumber());
     appendedGroup = work.groupNumber();
-    scheduler.releaseUpTo(work.groupNumber());
-    scheduler.commitNow();
+    commitScheduler.releaseReplies(work.groupNumber());
+    commitScheduler.commitNow();
     if (isSnapshotDue(appendedBytes)) {
       takeSnapshot();
     }
@@ -87,34 +87,34 @@
 
   /** Not before the log outgrows the last snapshot: writing them would cost more than the log. */
   private boolean isSnapshotDue(long appendedBytes) {
-    return appendedBytes >= Math.max(snapshotAfterBytes, snapshots.lastSizeBytes())
-        && !snapshots.isActive()
-        && System.nanoTime() - nextSnapshotNanos >= 0
+    return appendedBytes >= Math.max(snapshotAfterBytes, snapshotTask.lastSizeBytes())
+        && !snapshotTask.isActive()
+        && System.nanoTime() - earliestSnapshotNanos >= 0
         && !isStopping;
   }
 
   private void takeSnapshot() {
     // Not again at once when it fails, such as for want of space.
-    nextSnapshotNanos = System.nanoTime() + SNAPSHOT_BACKOFF_NANOS;
-    log.roll(
+    earliestSnapshotNanos = System.nanoTime() + SNAPSHOT_BACKOFF_NANOS;
+    logThread.roll(
         coveredSequence -> {
-          if (coveredSequence < 0 || snapshots.isActive() || commit.rejection() != null) {
+          if (coveredSequence < 0 || snapshotTask.isActive() || groupCommit.rejection() != null) {
             return;
           }
           long startedNanos = System.nanoTime();
-          snapshots.begin(
+          snapshotTask.start(
               coveredSequence,
               this::runWhenAllDurable,
-              failure -> onSnapshotEnded(failure, coveredSequence, startedNanos));
+              failure -> onSnapshotCompleted(failure, coveredSequence, startedNanos));
         });
   }
 
-  private void onSnapshotEnded(IOException failure, long coveredSequence, long startedNanos) {
+  private void onSnapshotCompleted(IOException failure, long coveredSequence, long startedNanos) {
     if (failure != null) {
       LOG.warn("no snapshot: {}", failure.getMessage());
       return;
     }
-    nextSnapshotNanos = System.nanoTime();
+    earliestSnapshotNanos = System.nanoTime();
     LOG.info(
         "snapshot of {} names up to record {} in {} ms",
         table.size(),
@@ -123,20 +123,23 @@
   }
 
   /** Goes on once every change made so far is durable in the log. */
-  private void runWhenAllDurable(Runnable next) {
-    boolean hasPending = commit.pendingBytes() > 0;
-    long lastGroup = hasPending ? commit.openGroupNumber() : commit.openGroupNumber() - 1;
-    runWhenDurable(lastGroup, next);
+  private void runWhenAllDurable(Runnable task) {
+    boolean hasPending = groupCommit.pendingBytes() > 0;
+    long lastGroupNumber =
+        hasPending ? groupCommit.openGroupNumber() : groupCommit.openGroupNumber() - 1;
+    runWhenDurable(lastGroupNumber, task);
   }
 
-  private void runWhenDurable(long lastGroup, Runnable next) {
-    if (appendedGroup >= lastGroup) {
-      log.syncThen(next);
+  private void runWhenDurable(long lastGroupNumber, Runnable task) {
+    if (appendedGroup >= lastGroupNumber) {
+      logThread.syncThen(task);
     } else {
       // The task runs or the loop has ended: nothing waits for it.
       var unused =
-          loop.schedule(
-              () -> runWhenDurable(lastGroup, next), DURABILITY_POLL_MILLIS, TimeUnit.MILLISECONDS);
+          eventLoop.schedule(
+              () -> runWhenDurable(lastGroupNumber, task),
+              DURABILITY_POLL_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
   }
 
@@ -146,7 +149,7 @@
       LOG.error("the log cannot be written: {}; changes are refused until it can", reason);
     }
     state = state.transitionTo(LogState.STALLED);
-    commit.onStalled(reason);
+    groupCommit.onStalled(reason);
   }
 
   @Override
@@ -154,10 +157,10 @@
     LOG.error(
         "a sync of the log failed: {}; its file is given up, changes are refused until a new one is begun",
         reason);
-    scheduler.ensureGroupOpen();
-    commit.onStalled(reason);
-    snapshots.abandon();
-    beginNewLog(work, sequence);
+    commitScheduler.ensureGroupOpen();
+    groupCommit.onStalled(reason);
+    snapshotTask.abandon();
+    startNewLog(work, sequence);
   }
 
   /**
@@ -165,54 +168,54 @@
    *
    * @param work whose sync failed, and which the snapshot makes durable; null at the start
    */
-  private void beginNewLog(LogWork work, long sequence) {
+  private void startNewLog(LogWork work, long sequence) {
     if (isStopping) {
       return;
     }
-    snapshots.begin(
+    snapshotTask.start(
         sequence,
         Runnable::run,
         snapshotFailure -> {
           if (snapshotFailure != null) {
-            retryNewLog(work, sequence, snapshotFailure);
+            scheduleNewLogRetry(work, sequence, snapshotFailure);
             return;
           }
-          log.startNewSegment(
+          logThread.startNewSegment(
               sequence,
               segmentFailure -> {
                 if (segmentFailure != null) {
-                  retryNewLog(work, sequence, segmentFailure);
+                  scheduleNewLogRetry(work, sequence, segmentFailure);
                 } else {
-                  onNewLogBegun(work, sequence);
+                  onNewLogStarted(work, sequence);
                 }
               });
         });
   }
 
-  private void onNewLogBegun(LogWork work, long sequence) {
+  private void onNewLogStarted(LogWork work, long sequence) {
     state = state.transitionTo(LogState.WRITABLE);
-    commit.onResumed();
+    groupCommit.onResumed();
     firstAttempt.complete(null);
     if (work != null) {
       LOG.info("a new segment is begun after record {}", sequence);
       appendedGroup = work.groupNumber();
-      scheduler.releaseUpTo(work.groupNumber());
+      commitScheduler.releaseReplies(work.groupNumber());
     }
-    scheduler.commitNow();
+    commitScheduler.commitNow();
   }
 
-  private void retryNewLog(LogWork work, long sequence, IOException failure) {
+  private void scheduleNewLogRetry(LogWork work, long sequence, IOException failure) {
     if (state != LogState.STALLED) {
       LOG.error(
           "no new segment could be begun: {}; changes are refused until it can",
           failure.getMessage());
     }
     state = state.transitionTo(LogState.STALLED);
-    commit.onStalled(String.valueOf(failure.getMessage()));
+    groupCommit.onStalled(String.valueOf(failure.getMessage()));
     firstAttempt.complete(null);
     // The task runs or the loop has ended: nothing waits for it.
     var unused =
-        loop.schedule(
-            () -> beginNewLog(work, sequence), NEW_LOG_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(
+            () -> startNewLog(work, sequence), NEW_LOG_RETRY_MILLIS, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -18,48 +18,59 @@
     return List.of(
         new Command("DEL", -2, true, 1, -1, NameCommands::del),
         new Command("EXISTS", -2, false, 1, -1, NameCommands::exists),
-        new Command("EXPIRE", -3, true, 1, 1, c -> expire(c, 1_000)),
-        new Command("PEXPIRE", -3, true, 1, 1, c -> expire(c, 1)),
-        new Command("TTL", 2, false, 1, 1, c -> ttl(c, 1_000)),
-        new Command("PTTL", 2, false, 1, 1, c -> ttl(c, 1)),
+        new Command("EXPIRE", -3, true, 1, 1, call -> expire(call, 1_000)),
+        new Command("PEXPIRE", -3, true, 1, 1, call -> expire(call, 1)),
+        new Command("TTL", 2, false, 1, 1, call -> ttl(call, 1_000)),
+        new Command("PTTL", 2, false, 1, 1, call -> ttl(call, 1)),
         new Command(
             "PERSIST",
             2,
             true,
             1,
             1,
-            c -> c.reply().flag(c.operations().persist(c.word(1), c.nowMillis(), c.changes()))),
+            call ->
+                call.reply()
+                    .flag(
+                        call.operations()
+                            .persist(call.argument(1), call.nowMillis(), call.changes()))),
         new Command(
             "TYPE",
             2,
             false,
             1,
             1,
-            c ->
-                c.reply()
+            call ->
+                call.reply()
                     .simple(
-                        c.operations().table().get(c.word(1), c.nowMillis()) == null
+                        call.operations().table().get(call.argument(1), call.nowMillis()) == null
                             ? "none"
                             : "string")),
         new Command(
-            "DBSIZE", 1, false, 0, 0, c -> c.reply().integer(c.operations().table().size())),
+            "DBSIZE",
+            1,
+            false,
+            0,
+            0,
+            call -> call.reply().integer(call.operations().table().size())),
         new Command("SCAN", -2, false, 0, 0, NameCommands::scan));
   }
 
-  private static void del(CommandInvocation c) {
-    int many = 0;
-    for (int i = 1; i < c.words().length; i++) {
-      many += c.operations().delete(c.word(i), c.nowMillis(), c.changes()) ? 1 : 0;
+  private static void del(CommandInvocation call) {
+    int deletedCount = 0;
+    for (int i = 1; i < call.arguments().length; i++) {
+      deletedCount +=
+          call.operations().delete(call.argument(i), call.nowMillis(), call.changes()) ? 1 : 0;
     }
-    c.reply().integer(many);
+    call.reply().integer(deletedCount);
   }
 
-  private static void exists(CommandInvocation c) {
-    int many = 0;
-    for (int i = 1; i < c.words().length; i++) {
-      many += c.operations().table().get(c.word(i), c.nowMillis()) != null ? 1 : 0;
+  private static void exists(CommandInvocation call) {
+    int existingCount = 0;
+    for (int i = 1; i < call.arguments().length; i++) {
+      existingCount +=
+          call.operations().table().get(call.argument(i), call.nowMillis()) != null ? 1 : 0;
     }
-    c.reply().integer(many);
+    call.reply().integer(existingCount);
   }
 
   /**
@@ -70,25 +81,27 @@
    * @return milliseconds since 1970
    */
   static long parseExpiry(
-      CommandInvocation c, int place, long unitMillis, long startMillis, String command)
+      CommandInvocation call, int index, long unitMillis, long baseMillis, String command)
       throws CommandException {
-    long value = c.integer(place);
-    if (Math.abs(value) > CounterOperations.MAX_EXPIRY_MILLIS / unitMillis - startMillis
+    long value = call.integerArgument(index);
+    if (Math.abs(value) > CounterOperations.MAX_EXPIRY_MILLIS / unitMillis - baseMillis
         || value == Long.MIN_VALUE) {
       throw new CommandException("ERR invalid expire time in '" + command + "' command");
     }
-    return startMillis + value * unitMillis;
+    return baseMillis + value * unitMillis;
   }
 
-  private static void expire(CommandInvocation c, long unit) throws CommandException {
-    byte[] name = c.requireName(1);
-    long at = parseExpiry(c, 2, unit, c.nowMillis(), c.text(0).toLowerCase(Locale.ROOT));
+  private static void expire(CommandInvocation call, long unitMillis) throws CommandException {
+    byte[] name = call.nameArgument(1);
+    long expiryMillis =
+        parseExpiry(
+            call, 2, unitMillis, call.nowMillis(), call.argumentText(0).toLowerCase(Locale.ROOT));
     Set<String> options = new HashSet<>();
-    for (int i = 3; i < c.words().length; i++) {
-      if (!Set.of("NX", "XX", "GT", "LT").contains(c.option(i))) {
-        throw new CommandException("ERR Unsupported option " + c.text(i));
+    for (int i = 3; i < call.arguments().length; i++) {
+      if (!Set.of("NX", "XX", "GT", "LT").contains(call.optionArgument(i))) {
+        throw new CommandException("ERR Unsupported option " + call.argumentText(i));
       }
-      options.add(c.option(i));
+      options.add(call.optionArgument(i));
     }
     if (options.contains("NX") && options.size() > 1) {
       throw new CommandException(
@@ -97,70 +110,81 @@
     if (options.contains("GT") && options.contains("LT")) {
       throw new CommandException("ERR GT and LT options at the same time are not compatible");
     }
-    boolean must = options.remove("XX");
-    ExpiryCondition when =
+    boolean requiresExpiry = options.remove("XX");
+    ExpiryCondition condition =
         options.isEmpty()
-            ? must ? ExpiryCondition.XX : ExpiryCondition.ALWAYS
+            ? requiresExpiry ? ExpiryCondition.XX : ExpiryCondition.ALWAYS
             : ExpiryCondition.valueOf(options.iterator().next());
-    boolean may = !must || c.operations().table().expiryMillis(name, c.nowMillis()) > 0;
-    c.reply().flag(may && c.operations().expire(name, at, when, c.nowMillis(), c.changes()));
+    boolean isAllowed =
+        !requiresExpiry || call.operations().table().expiryMillis(name, call.nowMillis()) > 0;
+    call.reply()
+        .flag(
+            isAllowed
+                && call.operations()
+                    .expire(name, expiryMillis, condition, call.nowMillis(), call.changes()));
   }
 
-  private static void ttl(CommandInvocation c, long unit) {
-    long at = c.operations().table().expiryMillis(c.word(1), c.nowMillis());
-    c.reply().integer(at < 0 ? -2 : at == 0 ? -1 : (at - c.nowMillis() + unit / 2) / unit);
+  private static void ttl(CommandInvocation call, long unitMillis) {
+    long expiryMillis = call.operations().table().expiryMillis(call.argument(1), call.nowMillis());
+    call.reply()
+        .integer(
+            expiryMillis < 0
+                ? -2
+                : expiryMillis == 0
+                    ? -1
+                    : (expiryMillis - call.nowMillis() + unitMillis / 2) / unitMillis);
   }
 
   /**
    * Whole shards until there are enough names; what stays throughout a scan is seen exactly once.
    */
-  private static void scan(CommandInvocation c) throws CommandException {
-    CounterTable table = c.operations().table();
+  private static void scan(CommandInvocation call) throws CommandException {
+    CounterTable table = call.operations().table();
     long shard;
     try {
-      shard = c.integer(1);
+      shard = call.integerArgument(1);
     } catch (CommandException e) {
       throw new CommandException("ERR invalid cursor");
     }
     byte[] pattern = null;
-    long wanted = 10;
-    boolean none = false;
-    for (int i = 2; i < c.words().length; i += 2) {
-      if (i + 1 == c.words().length) {
+    long requestedCount = 10;
+    boolean excludesAll = false;
+    for (int i = 2; i < call.arguments().length; i += 2) {
+      if (i + 1 == call.arguments().length) {
         throw CommandInvocation.syntaxError();
       }
-      switch (c.option(i)) {
-        case "MATCH" -> pattern = c.word(i + 1);
-        case "COUNT" -> wanted = c.integer(i + 1);
-        case "TYPE" -> none = !c.option(i + 1).equals("STRING");
+      switch (call.optionArgument(i)) {
+        case "MATCH" -> pattern = call.argument(i + 1);
+        case "COUNT" -> requestedCount = call.integerArgument(i + 1);
+        case "TYPE" -> excludesAll = !call.optionArgument(i + 1).equals("STRING");
         default -> throw CommandInvocation.syntaxError();
       }
     }
-    if (wanted < 1) {
+    if (requestedCount < 1) {
       throw CommandInvocation.syntaxError();
     }
     List<byte[]> names = new ArrayList<>();
-    byte[] wantedNames = pattern;
-    long seen = 0;
-    while (shard >= 0 && shard < table.shards() && seen < wanted) {
-      int before = names.size();
-      long[] all = {0};
+    byte[] matchPattern = pattern;
+    long visitedCount = 0;
+    while (shard >= 0 && shard < table.shards() && visitedCount < requestedCount) {
+      int countBefore = names.size();
+      long[] visitedInShard = {0};
       table.visitShard(
           (int) shard++,
-          c.nowMillis(),
+          call.nowMillis(),
           (name, amount, expiry) -> {
-            all[0]++;
-            if (wantedNames == null || GlobPattern.matches(wantedNames, name)) {
+            visitedInShard[0]++;
+            if (matchPattern == null || GlobPattern.matches(matchPattern, name)) {
               names.add(name);
             }
           });
-      seen += Math.max(all[0], names.size() - before);
+      visitedCount += Math.max(visitedInShard[0], names.size() - countBefore);
     }
-    c.reply().array(2);
-    c.reply().bulk(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
-    c.reply().array(none ? 0 : names.size());
-    if (!none) {
-      names.forEach(c.reply()::bulk);
+    call.reply().array(2);
+    call.reply().bulk(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
+    call.reply().array(excludesAll ? 0 : names.size());
+    if (!excludesAll) {
+      names.forEach(call.reply()::bulk);
     }
   }
 }
--- a/src/main/java/fawndock/counter/PeerConnection.java
+++ b/src/main/java/fawndock/counter/PeerConnection.java
@@ -47,7 +47,7 @@
    * @param onLost is called when the connection is lost
    */
   PeerConnection(
-      EventLoopGroup group,
+      EventLoopGroup eventLoopGroup,
       Address address,
       String password,
       Consumer<Boolean> onConfirmation,
@@ -60,15 +60,16 @@
     this.onLost = onLost;
     bootstrap =
         new Bootstrap()
-            .group(group)
+            .group(eventLoopGroup)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
-                  protected void initChannel(Channel made) {
-                    made.pipeline()
+                  protected void initChannel(Channel newChannel) {
+                    newChannel
+                        .pipeline()
                         .addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new ReplyHandler());
                   }
                 });
@@ -90,7 +91,7 @@
         bootstrap
             .connect(address.host(), address.port())
             .addListener(
-                made -> {
+                newChannel -> {
                   isConnecting = false;
                   nextConnectNanos = System.nanoTime() + RECONNECT_DELAY_NANOS;
                 });
@@ -114,11 +115,11 @@
    *
    * @param isConfirmed whether the reply goes to {@code onConfirmation}
    */
-  void send(List<String> words, boolean isConfirmed) {
+  void send(List<String> arguments, boolean isConfirmed) {
     ByteBuf bytes = channel.alloc().buffer(256);
-    bytes.writeCharSequence("*" + words.size() + "\r\n", StandardCharsets.US_ASCII);
-    for (String word : words) {
-      byte[] text = word.getBytes(StandardCharsets.UTF_8);
+    bytes.writeCharSequence("*" + arguments.size() + "\r\n", StandardCharsets.US_ASCII);
+    for (String argument : arguments) {
+      byte[] text = argument.getBytes(StandardCharsets.UTF_8);
       bytes.writeCharSequence("$" + text.length + "\r\n", StandardCharsets.US_ASCII);
       bytes.writeBytes(text).writeByte('\r').writeByte('\n');
     }
--- a/src/main/java/fawndock/counter/PeerOutbox.java
+++ b/src/main/java/fawndock/counter/PeerOutbox.java
@@ -45,16 +45,16 @@
   }
 
   private List<String> message(List<ReplicatedSum> sums, boolean completesFullState) {
-    List<String> words =
+    List<String> arguments =
         new ArrayList<>(List.of("FD.TOLD", ownName, completesFullState ? "1" : "0"));
-    for (ReplicatedSum each : sums) {
-      words.add(each.name());
-      words.add(Long.toString(each.origin()));
-      words.add(each.added().toString());
-      words.add(each.withdrawn().toString());
-      words.add(Long.toString(each.timeToLiveMillis()));
+    for (ReplicatedSum sum : sums) {
+      arguments.add(sum.name());
+      arguments.add(Long.toString(sum.origin()));
+      arguments.add(sum.added().toString());
+      arguments.add(sum.withdrawn().toString());
+      arguments.add(Long.toString(sum.timeToLiveMillis()));
     }
-    return words;
+    return arguments;
   }
 
   /** The next message to send, which is then in flight; null when there is none or one is. */
--- a/src/main/java/fawndock/counter/ServerInfo.java
+++ b/src/main/java/fawndock/counter/ServerInfo.java
@@ -11,8 +11,8 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000;
 
   private final ServerStats stats;
-  private final GroupCommit commit;
-  private final CommitScheduler scheduler;
+  private final GroupCommit groupCommit;
+  private final CommitScheduler commitScheduler;
   private final CounterTable table;
   private final String durability;
   private final long startedNanos = System.nanoTime();
@@ -20,13 +20,13 @@
 
   ServerInfo(
       ServerStats stats,
-      GroupCommit commit,
-      CommitScheduler scheduler,
+      GroupCommit groupCommit,
+      CommitScheduler commitScheduler,
       CounterTable table,
       GroupCommit.Durability durability) {
     this.stats = stats;
-    this.commit = commit;
-    this.scheduler = scheduler;
+    this.groupCommit = groupCommit;
+    this.commitScheduler = commitScheduler;
     this.table = table;
     this.durability = durability.name().toLowerCase(Locale.ROOT);
   }
@@ -34,40 +34,40 @@
   /** Sections of lines {@code field:value}. */
   String text() {
     Runtime runtime = Runtime.getRuntime();
-    String rejection = commit.rejection();
+    String rejection = groupCommit.rejection();
     StringBuilder text = new StringBuilder(512);
-    section(text, "Server");
-    field(text, "redis_version", "7.2.0");
-    field(text, "redis_mode", "standalone");
-    field(text, "fawndock_version", VERSION);
-    field(text, "process_id", ProcessHandle.current().pid());
-    field(text, "run_id", Long.toHexString(runId));
-    field(text, "uptime_in_seconds", (System.nanoTime() - startedNanos) / NANOS_PER_SECOND);
-    section(text, "Clients");
-    field(text, "connected_clients", stats.connections);
-    section(text, "Memory");
-    field(text, "used_memory", runtime.totalMemory() - runtime.freeMemory());
-    field(text, "maxmemory", runtime.maxMemory());
-    section(text, "Persistence");
-    field(text, "durability", durability);
-    field(text, "last_group", commit.openGroupNumber() - 1);
-    field(text, "durable_group", scheduler.durableGroup());
-    field(text, "waiting_bytes", commit.pendingBytes());
-    field(text, "refusing", rejection == null ? "" : rejection);
-    section(text, "Stats");
-    field(text, "total_commands_processed", stats.processedCommands);
-    field(text, "refused_commands", stats.rejectedCommands);
-    field(text, "expired_keys", stats.expiredNames);
-    section(text, "Keyspace");
-    field(text, "db0", "keys=" + table.size());
+    appendSection(text, "Server");
+    appendField(text, "redis_version", "7.2.0");
+    appendField(text, "redis_mode", "standalone");
+    appendField(text, "fawndock_version", VERSION);
+    appendField(text, "process_id", ProcessHandle.current().pid());
+    appendField(text, "run_id", Long.toHexString(runId));
+    appendField(text, "uptime_in_seconds", (System.nanoTime() - startedNanos) / NANOS_PER_SECOND);
+    appendSection(text, "Clients");
+    appendField(text, "connected_clients", stats.connections);
+    appendSection(text, "Memory");
+    appendField(text, "used_memory", runtime.totalMemory() - runtime.freeMemory());
+    appendField(text, "maxmemory", runtime.maxMemory());
+    appendSection(text, "Persistence");
+    appendField(text, "durability", durability);
+    appendField(text, "last_group", groupCommit.openGroupNumber() - 1);
+    appendField(text, "durable_group", commitScheduler.durableGroup());
+    appendField(text, "waiting_bytes", groupCommit.pendingBytes());
+    appendField(text, "refusing", rejection == null ? "" : rejection);
+    appendSection(text, "Stats");
+    appendField(text, "total_commands_processed", stats.processedCommands);
+    appendField(text, "refused_commands", stats.rejectedCommands);
+    appendField(text, "expired_keys", stats.expiredNames);
+    appendSection(text, "Keyspace");
+    appendField(text, "db0", "keys=" + table.size());
     return text.toString();
   }
 
-  private static void section(StringBuilder text, String name) {
+  private static void appendSection(StringBuilder text, String name) {
     text.append(text.isEmpty() ? "# " : "\r\n# ").append(name).append("\r\n");
   }
 
-  private static void field(StringBuilder text, String name, Object value) {
+  private static void appendField(StringBuilder text, String name, Object value) {
     text.append(name).append(':').append(value).append("\r\n");
   }
 }
--- a/src/main/java/fawndock/counter/SetOptions.java
+++ b/src/main/java/fawndock/counter/SetOptions.java
@@ -12,48 +12,48 @@
  * @param expiryMillis from EX, PX, EXAT or PXAT, in milliseconds since 1970; 0 for none
  */
 record SetOptions(
-    boolean isIfAbsent,
-    boolean isIfPresent,
+    boolean onlyIfAbsent,
+    boolean onlyIfPresent,
     boolean keepsExpiry,
     boolean returnsPrevious,
     long expiryMillis) {
-  private static final int FIRST_OPTION = 3;
+  private static final int FIRST_OPTION_INDEX = 3;
 
-  static SetOptions parse(CommandInvocation c) throws CommandException {
-    boolean isIfAbsent = false;
-    boolean isIfPresent = false;
+  static SetOptions parse(CommandInvocation call) throws CommandException {
+    boolean onlyIfAbsent = false;
+    boolean onlyIfPresent = false;
     boolean keepsExpiry = false;
     boolean returnsPrevious = false;
     long expiryMillis = 0;
-    for (int i = FIRST_OPTION; i < c.words().length; i++) {
-      switch (c.option(i)) {
-        case "NX" -> isIfAbsent = true;
-        case "XX" -> isIfPresent = true;
+    for (int i = FIRST_OPTION_INDEX; i < call.arguments().length; i++) {
+      switch (call.optionArgument(i)) {
+        case "NX" -> onlyIfAbsent = true;
+        case "XX" -> onlyIfPresent = true;
         case "GET" -> returnsPrevious = true;
         case "KEEPTTL" -> keepsExpiry = true;
         case "EX", "PX", "EXAT", "PXAT" -> {
-          if (expiryMillis != 0 || i + 1 == c.words().length) {
+          if (expiryMillis != 0 || i + 1 == call.arguments().length) {
             throw CommandInvocation.syntaxError();
           }
-          expiryMillis = parseExpiry(c, i);
+          expiryMillis = parseExpiry(call, i);
           i++;
         }
         default -> throw CommandInvocation.syntaxError();
       }
     }
-    if ((isIfAbsent && isIfPresent) || (keepsExpiry && expiryMillis != 0)) {
+    if ((onlyIfAbsent && onlyIfPresent) || (keepsExpiry && expiryMillis != 0)) {
       throw CommandInvocation.syntaxError();
     }
-    return new SetOptions(isIfAbsent, isIfPresent, keepsExpiry, returnsPrevious, expiryMillis);
+    return new SetOptions(onlyIfAbsent, onlyIfPresent, keepsExpiry, returnsPrevious, expiryMillis);
   }
 
-  private static long parseExpiry(CommandInvocation c, int optionPlace) throws CommandException {
-    String option = c.option(optionPlace);
+  private static long parseExpiry(CommandInvocation call, int optionIndex) throws CommandException {
+    String option = call.optionArgument(optionIndex);
     long unitMillis = option.startsWith("E") ? 1_000 : 1;
-    long startMillis = option.endsWith("AT") ? 0 : c.nowMillis();
+    long baseMillis = option.endsWith("AT") ? 0 : call.nowMillis();
     long expiryMillis =
-        NameCommands.parseExpiry(c, optionPlace + 1, unitMillis, startMillis, "set");
-    if (expiryMillis <= 0 || c.integer(optionPlace + 1) <= 0) {
+        NameCommands.parseExpiry(call, optionIndex + 1, unitMillis, baseMillis, "set");
+    if (expiryMillis <= 0 || call.integerArgument(optionIndex + 1) <= 0) {
       throw new CommandException("ERR invalid expire time in 'set' command");
     }
     return expiryMillis;
--- a/src/main/java/fawndock/counter/SnapshotTask.java
+++ b/src/main/java/fawndock/counter/SnapshotTask.java
@@ -19,24 +19,24 @@
  */
 final class SnapshotTask implements AutoCloseable {
   private final Storage storage;
-  private final Executor loop;
+  private final Executor eventLoop;
   private final CounterTable table;
   private final ServerClock clock;
-  private final ExecutorService thread =
-      Executors.newSingleThreadExecutor(r -> WriteAheadLogThread.daemon(r, "snapshot"));
-  private Run current;
-  private Run previous;
+  private final ExecutorService executor =
+      Executors.newSingleThreadExecutor(r -> WriteAheadLogThread.newDaemonThread(r, "snapshot"));
+  private SnapshotRun currentRun;
+  private SnapshotRun previousRun;
   private volatile long lastSizeBytes;
 
-  SnapshotTask(Storage storage, Executor loop, CounterTable table, ServerClock clock) {
+  SnapshotTask(Storage storage, Executor eventLoop, CounterTable table, ServerClock clock) {
     this.storage = storage;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
     this.table = table;
     this.clock = clock;
   }
 
-  private void post(Runnable task) {
-    WriteAheadLogThread.post(loop, task);
+  private void runOnEventLoop(Runnable task) {
+    WriteAheadLogThread.runOnEventLoop(eventLoop, task);
   }
 
   /** Bytes of the last whole snapshot of this process, 0 for none. */
@@ -45,12 +45,12 @@
   }
 
   boolean isActive() {
-    return current != null;
+    return currentRun != null;
   }
 
   /** Gives up what is being written, if anything; its file is removed before the next begins. */
   void abandon() {
-    current = null;
+    currentRun = null;
   }
 
   /**
@@ -61,51 +61,55 @@
    *     the snapshot is durable in the log
    * @param onEnd is called with the failure, or null; not when the snapshot was abandoned
    */
-  void begin(long coveredSequence, Consumer<Runnable> whenDurable, Consumer<IOException> onEnd) {
-    Run unfinished = previous;
-    if (unfinished != null) {
-      thread.execute(unfinished::removeFile);
+  void start(
+      long coveredSequence, Consumer<Runnable> runWhenDurable, Consumer<IOException> onCompletion) {
+    SnapshotRun unfinishedRun = previousRun;
+    if (unfinishedRun != null) {
+      executor.execute(unfinishedRun::removeFile);
     }
-    current = new Run(coveredSequence, whenDurable, onEnd);
-    previous = current;
-    current.write(List.of());
+    currentRun = new SnapshotRun(coveredSequence, runWhenDurable, onCompletion);
+    previousRun = currentRun;
+    currentRun.write(List.of());
   }
 
   /** Gives up what is being written and ends the thread; may be called again. */
   @Override
   public void close() {
-    current = null;
+    currentRun = null;
     var unused =
-        thread.shutdownNow(); // What did not run is the rest of a snapshot that is given up.
+        executor.shutdownNow(); // What did not run is the rest of a snapshot that is given up.
   }
 
   /** One snapshot. */
-  private final class Run {
+  private final class SnapshotRun {
     private final long coveredSequence;
-    private final Consumer<Runnable> whenDurable;
-    private final Consumer<IOException> onEnd;
+    private final Consumer<Runnable> runWhenDurable;
+    private final Consumer<IOException> onCompletion;
     private final SnapshotIterator iterator = new SnapshotIterator(table);
 
     /** Used on the snapshot thread alone; null before the first piece and after the end. */
     private SnapshotWriter writer;
 
-    Run(long coveredSequence, Consumer<Runnable> whenDurable, Consumer<IOException> onEnd) {
+    SnapshotRun(
+        long coveredSequence,
+        Consumer<Runnable> runWhenDurable,
+        Consumer<IOException> onCompletion) {
       this.coveredSequence = coveredSequence;
-      this.whenDurable = whenDurable;
-      this.onEnd = onEnd;
+      this.runWhenDurable = runWhenDurable;
+      this.onCompletion = onCompletion;
     }
 
     /** Writes these parts, then takes the next. */
     private void write(List<SnapshotPart> parts) {
       long nowMillis = clock.nowMillis();
-      thread.execute(
+      executor.execute(
           () -> {
             try {
               writer = writer == null ? new SnapshotWriter(storage, coveredSequence) : writer;
               for (SnapshotPart part : parts) {
                 writer.write(part.changes(), part.nameCount(), nowMillis);
               }
-              post(this::onWritten);
+              runOnEventLoop(this::onWritten);
             } catch (IOException e) {
               fail(e);
             }
@@ -113,12 +117,12 @@
     }
 
     private void onWritten() {
-      if (current != this) {
+      if (currentRun != this) {
         return;
       }
       List<SnapshotPart> parts = iterator.next(clock.nowMillis());
       if (parts.isEmpty()) {
-        whenDurable.accept(() -> finish(clock.nowMillis()));
+        runWhenDurable.accept(() -> finish(clock.nowMillis()));
       } else {
         write(parts);
       }
@@ -132,17 +136,17 @@
     }
 
     private void finish(long nowMillis) {
-      if (current != this) {
+      if (currentRun != this) {
         return;
       }
-      thread.execute(
+      executor.execute(
           () -> {
             try {
               writer.finish(nowMillis);
               lastSizeBytes = writer.sizeBytes();
               writer = null;
               SnapshotWriter.deleteObsoleteFiles(storage, coveredSequence);
-              post(() -> end(null));
+              runOnEventLoop(() -> complete(null));
             } catch (IOException e) {
               fail(e);
             }
@@ -151,13 +155,13 @@
 
     private void fail(IOException e) {
       removeFile();
-      post(() -> end(e));
+      runOnEventLoop(() -> complete(e));
     }
 
-    private void end(IOException failure) {
-      if (current == this) {
-        current = null;
-        onEnd.accept(failure);
+    private void complete(IOException failure) {
+      if (currentRun == this) {
+        currentRun = null;
+        onCompletion.accept(failure);
       }
     }
   }
--- a/src/main/java/fawndock/counter/Transaction.java
+++ b/src/main/java/fawndock/counter/Transaction.java
@@ -7,22 +7,22 @@
 final class Transaction {
   static final int MAX_COMMANDS = 1_024;
   private static final int MAX_BYTES = 256 << 10;
-  private final List<byte[][]> queued = new ArrayList<>();
-  private int bytes;
+  private final List<byte[][]> commands = new ArrayList<>();
+  private int queuedBytes;
   private boolean isFailed;
 
   /** Queues a command; false when it is full, and the transaction can then only be discarded. */
-  boolean add(byte[][] words) {
-    for (byte[] word : words) {
-      bytes += word.length + 16;
+  boolean add(byte[][] arguments) {
+    for (byte[] argument : arguments) {
+      queuedBytes += argument.length + 16;
     }
     // Guards against memory that a client fills without ever ending its transaction.
-    if (queued.size() == MAX_COMMANDS || bytes > MAX_BYTES) {
+    if (commands.size() == MAX_COMMANDS || queuedBytes > MAX_BYTES) {
       isFailed = true;
-      queued.clear();
+      commands.clear();
       return false;
     }
-    queued.add(words);
+    commands.add(arguments);
     return true;
   }
 
@@ -36,6 +36,6 @@
   }
 
   List<byte[][]> commands() {
-    return queued;
+    return commands;
   }
 }
--- a/src/main/java/fawndock/counter/WriteAheadLogThread.java
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -21,7 +21,7 @@
  */
 final class WriteAheadLogThread {
   private static final long RETRY_DELAY_MILLIS = 200;
-  private static final int MAX_TASKS = 16;
+  private static final int MAX_QUEUED_TASKS = 16;
 
   /** Is called on the event loop with what became of the work. */
   interface Listener {
@@ -36,11 +36,16 @@
   }
 
   private final Storage storage;
-  private final AtomicReference<LogWork> offered = new AtomicReference<>();
+  private final AtomicReference<LogWork> offeredWork = new AtomicReference<>();
   private final ThreadPoolExecutor executor =
       new ThreadPoolExecutor(
-          1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_TASKS), r -> daemon(r, "log"));
-  private final Executor loop;
+          1,
+          1,
+          0,
+          TimeUnit.SECONDS,
+          new LinkedBlockingQueue<>(MAX_QUEUED_TASKS),
+          r -> newDaemonThread(r, "log"));
+  private final Executor eventLoop;
   private Listener listener;
 
   /** Used on the log's thread alone. */
@@ -48,42 +53,42 @@
 
   private volatile boolean isClosing;
 
-  WriteAheadLogThread(Storage storage, Executor loop) {
+  WriteAheadLogThread(Storage storage, Executor eventLoop) {
     this.storage = storage;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
   }
 
   /** Sets who is called with results; once, before the first work. */
-  void listen(Listener resultListener) {
+  void setListener(Listener resultListener) {
     listener = resultListener;
   }
 
-  static Thread daemon(Runnable task, String name) {
+  static Thread newDaemonThread(Runnable task, String name) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     return thread;
   }
 
   /** Runs a task on the event loop, unless that has ended: then nobody waits for it. */
-  static void post(Executor loop, Runnable task) {
+  static void runOnEventLoop(Executor eventLoop, Runnable task) {
     try {
-      loop.execute(task);
+      eventLoop.execute(task);
     } catch (RejectedExecutionException e) {
       // The server has stopped meanwhile.
     }
   }
 
-  private void post(Runnable task) {
-    post(loop, task);
+  private void runOnEventLoop(Runnable task) {
+    runOnEventLoop(eventLoop, task);
   }
 
   /** Does the work, then each group that was offered meanwhile. */
-  void perform(LogWork work) {
+  void submit(LogWork work) {
     executor.execute(
         () -> {
           LogWork next = work;
           while (next != null) {
-            next = performOne(next);
+            next = performWork(next);
           }
         });
   }
@@ -93,22 +98,22 @@
    * other.
    */
   void offer(LogWork work) {
-    offered.set(work);
+    offeredWork.set(work);
   }
 
   /** Takes back what was offered; false when it was taken. */
   boolean withdraw() {
-    return offered.getAndSet(null) != null;
+    return offeredWork.getAndSet(null) != null;
   }
 
   /** Does one piece of work; returns what is to be done after it, or null. */
-  private LogWork performOne(LogWork work) {
-    boolean appended = work.record() == null;
+  private LogWork performWork(LogWork work) {
+    boolean isAppended = work.record() == null;
     while (true) {
       try {
-        if (!appended) {
+        if (!isAppended) {
           writer.append(work.record());
-          appended = true;
+          isAppended = true;
         }
         if (work.shouldSync()) {
           writer.sync();
@@ -116,17 +121,17 @@
         long bytes = writer.appendedBytes();
         // Others that wait, such as to begin a segment, go first: what was offered is then handed
         // on by the loop.
-        LogWork next = executor.getQueue().isEmpty() ? offered.getAndSet(null) : null;
-        post(() -> listener.onWorkDone(work, bytes));
+        LogWork next = executor.getQueue().isEmpty() ? offeredWork.getAndSet(null) : null;
+        runOnEventLoop(() -> listener.onWorkDone(work, bytes));
         return next;
       } catch (IOException e) {
         String reason = String.valueOf(e.getMessage());
         if (writer.isAbandoned()) {
           long sequence = writer.lastSequence();
-          post(() -> listener.onSegmentAbandoned(work, sequence, reason));
+          runOnEventLoop(() -> listener.onSegmentAbandoned(work, sequence, reason));
           return null;
         }
-        post(() -> listener.onStalled(reason));
+        runOnEventLoop(() -> listener.onStalled(reason));
       }
       if (isClosing || !sleepBeforeRetry()) {
         return null;
@@ -159,8 +164,8 @@
           } catch (IOException e) {
             // The next work fails too, and its error is reported.
           }
-          long found = sequence;
-          post(() -> callback.accept(found));
+          long result = sequence;
+          runOnEventLoop(() -> callback.accept(result));
         });
   }
 
@@ -174,7 +179,7 @@
         () -> {
           try {
             writer.sync();
-            post(callback);
+            runOnEventLoop(callback);
           } catch (IOException e) {
             // The next work fails too, and its error is reported.
           }
@@ -200,8 +205,8 @@
           } catch (IOException e) {
             failure = e;
           }
-          IOException found = failure;
-          post(() -> callback.accept(found));
+          IOException result = failure;
+          runOnEventLoop(() -> callback.accept(result));
         });
   }
 
--- a/src/main/java/fawndock/counter/config/CounterSettings.java
+++ b/src/main/java/fawndock/counter/config/CounterSettings.java
@@ -45,7 +45,7 @@
    * @param peers the other nodes, by name
    */
   public record Cluster(
-      String node,
+      String nodeName,
       long epoch,
       long failureTimeoutMillis,
       long startAloneMillis,
--- a/src/main/java/fawndock/counter/config/CounterSettingsFile.java
+++ b/src/main/java/fawndock/counter/config/CounterSettingsFile.java
@@ -44,8 +44,9 @@
         "snapshot",
         0,
         "snapshot after SIZE",
-        a ->
-            snapshotAfterLogBytes = a.parseBytes("after", a.word("after", "64MiB"), MAX_LOG_BYTES));
+        arguments ->
+            snapshotAfterLogBytes =
+                arguments.parseBytes("after", arguments.word("after", "64MiB"), MAX_LOG_BYTES));
     wordKeyword("password", "WORD", word -> password = word);
     integerKeyword("max-connections", 1, 1_000_000, number -> maxConnections = number);
     keyword("max-memory", 1, "max-memory SIZE", this::readMaxMemory);
@@ -85,49 +86,53 @@
         stalledClientTimeoutMillis,
         log,
         new Cluster(
-            cluster.node(),
+            cluster.nodeName(),
             cluster.epoch(),
             cluster.failureTimeoutMillis(),
             cluster.startAloneMillis(),
             Map.copyOf(peers)));
   }
 
-  private void readDurability(LineArguments a) {
+  private void readDurability(LineArguments arguments) {
     try {
-      durability = Durability.valueOf(a.positional(0).toUpperCase(Locale.ROOT));
+      durability = Durability.valueOf(arguments.positional(0).toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) { // No constant has that name.
-      a.addError("durability '" + a.positional(0) + "'", "always, interval or none");
+      arguments.addError(
+          "durability '" + arguments.positional(0) + "'", "always, interval or none");
     }
-    syncIntervalMillis = a.micros("every", 1_000, MINUTE_MICROS, 1_000_000) / 1_000;
+    syncIntervalMillis = arguments.micros("every", 1_000, MINUTE_MICROS, 1_000_000) / 1_000;
   }
 
-  private void readMaxMemory(LineArguments a) {
-    maxMemoryBytes = a.parseBytes("max-memory", a.positional(0), Runtime.getRuntime().maxMemory());
+  private void readMaxMemory(LineArguments arguments) {
+    maxMemoryBytes =
+        arguments.parseBytes(
+            "max-memory", arguments.positional(0), Runtime.getRuntime().maxMemory());
   }
 
-  private void readCluster(LineArguments a) {
+  private void readCluster(LineArguments arguments) {
     cluster =
         new Cluster(
-            a.positional(0),
-            a.integer("epoch", 1, 999_999_999, 1),
-            a.micros("missing", 50_000, MINUTE_MICROS, 150_000) / 1_000,
-            a.micros("alone", 100_000, 10 * MINUTE_MICROS, 2_000_000) / 1_000,
+            arguments.positional(0),
+            arguments.integer("epoch", 1, 999_999_999, 1),
+            arguments.micros("missing", 50_000, MINUTE_MICROS, 150_000) / 1_000,
+            arguments.micros("alone", 100_000, 10 * MINUTE_MICROS, 2_000_000) / 1_000,
             Map.of());
     if (cluster.startAloneMillis() < cluster.failureTimeoutMillis()) {
-      a.addError(
+      arguments.addError(
           "alone is shorter than missing", "at least " + cluster.failureTimeoutMillis() + "ms");
     }
   }
 
-  private void readPeer(LineArguments a) {
-    String name = a.positional(0);
-    if (peers.putIfAbsent(name, a.address(1)) != null) {
-      a.addError("fellow " + name + " is given twice", "each fellow once");
+  private void readPeer(LineArguments arguments) {
+    String name = arguments.positional(0);
+    if (peers.putIfAbsent(name, arguments.address(1)) != null) {
+      arguments.addError("fellow " + name + " is given twice", "each fellow once");
     }
-    crossCheck(a, () -> !cluster.node().isEmpty(), "a fellow without a fleet", "fleet NAME");
     crossCheck(
-        a,
-        () -> !cluster.node().equals(name),
+        arguments, () -> !cluster.nodeName().isEmpty(), "a fellow without a fleet", "fleet NAME");
+    crossCheck(
+        arguments,
+        () -> !cluster.nodeName().equals(name),
         "fellow " + name + " is this node",
         "the others alone");
   }
