--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -5,7 +5,9 @@
 import fawndock.counter.storage.DecimalAmount;
 import java.util.List;
 
-/** Commands on the amounts. Used on the event loop. */
+/**
+ * Implements the commands that read and change the amounts of counters. Confined to the event loop.
+ */
 final class AmountCommands {
   private AmountCommands() {}
 
@@ -64,8 +66,8 @@
   }
 
   /**
-   * {@code FD.ADD name amount ttl-ms}, all of a gateway's call: adds, sets the expiry when there is
-   * none yet, and returns the total.
+   * Runs {@code FD.ADD name amount ttl-ms}: adds the amount, sets the expiry if the counter has
+   * none, and replies with the total. A gateway needs only this one command per update.
    */
   private static void add(CommandInvocation call) throws CommandException {
     byte[] name = call.nameArgument(1);
--- a/src/main/java/fawndock/counter/ClientConnection.java
+++ b/src/main/java/fawndock/counter/ClientConnection.java
@@ -11,22 +11,24 @@
 import java.util.ArrayDeque;
 
 /**
- * One client's connection: commands in, replies out in their order. Used on the event loop.
+ * Handles one client's connection: reads commands, runs them and writes the replies in the order of
+ * the commands. Confined to the event loop.
  *
- * <p>Invariants: the reply to a change waits until its group is durable, and the replies after it
- * wait with it; while replies wait or are not read, nothing more is taken from the socket.
+ * <p>Invariants: the reply to a change is held back until the change's commit group is durable, and
+ * so are all replies after it. While too many reply bytes are pending or unread by the client, the
+ * connection reads nothing more from the socket.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-  /** Bytes of waiting replies beyond which nothing more is read. */
+  /** The connection stops reading while more reply bytes than this are pending. */
   static final int MAX_PENDING_REPLY_BYTES = 256 << 10;
 
-  /** Commands done in one turn, so that a deep pipeline does not keep the others waiting. */
+  /** Limits one event-loop task, so that a deep pipeline does not starve other connections. */
   private static final int MAX_COMMANDS_PER_TASK = 1_024;
 
   private static final int INITIAL_BUFFER_BYTES = 256;
   private static final int INITIAL_REPLY_BYTES = 1_024;
 
-  /** Replies that go out once a group is durable. */
+  /** The replies to send once a commit group is durable. */
   private record PendingReplies(long groupNumber, ByteBuf bytes) {}
 
   final long id;
@@ -42,16 +44,18 @@
   private boolean isClosing;
   private boolean isProcessingScheduled;
 
-  /** Since when a command is incomplete, or replies are unread; 0 when neither is. */
+  /**
+   * The time since which a command is incomplete or replies are unread; 0 if neither is the case.
+   */
   private long stalledSinceNanos;
 
-  /** Whether it may run all commands. */
+  /** Whether the client may run all commands. */
   boolean isAuthenticated;
 
-  /** As the client has named itself; empty for none. */
+  /** The name that the client has set; empty if it has set none. */
   String name = "";
 
-  /** The commands since MULTI, or null outside a transaction. */
+  /** The open transaction, or null if MULTI was not called. */
   Transaction transaction;
 
   ClientConnection(
@@ -98,7 +102,10 @@
     closeIfNoRepliesPending();
   }
 
-  /** Runs what has arrived, a turn's worth at most, and writes the replies that need not wait. */
+  /**
+   * Runs up to {@link #MAX_COMMANDS_PER_TASK} buffered commands and writes the replies that need
+   * not wait for a commit. Returns the number of commands.
+   */
   private int runCommands() {
     long nowMillis = executor.nowMillis();
     ByteBuf immediateReplies = null;
@@ -132,12 +139,12 @@
   }
 
   private void write(ByteBuf bytes) {
-    var unused = context.write(bytes); // A failure closes the channel, which is handled.
+    var unused = context.write(bytes); // A failed write closes the channel.
   }
 
   /**
-   * Only a command that is itself incomplete is stalled: one that waits for capacity here is not
-   * the client's fault.
+   * Updates {@link #stalledSinceNanos}. Only an incomplete command counts as stalled: a complete
+   * command that waits for capacity of the server is not the client's fault.
    */
   private void updateStalledSince(int commandCount) {
     boolean isIncomplete =
@@ -165,8 +172,8 @@
   }
 
   /**
-   * Takes the reply in scratch: to what goes out at once, or to what waits for the group; returns
-   * the former.
+   * Moves the reply in the reply buffer to the immediate replies, or to the pending ones if it has
+   * to wait for a commit group. Returns the immediate replies, or null if there are none.
    */
   private ByteBuf routeReply(long groupNumber, ByteBuf immediateReplies) {
     if (groupNumber != 0 || !pendingReplies.isEmpty()) {
@@ -178,7 +185,7 @@
     return target.writeBytes(replyBuffer);
   }
 
-  /** Keeps the reply in scratch until its group is durable. */
+  /** Holds back the reply in the reply buffer until its commit group is durable. */
   private void addPending(long groupNumber) {
     long lastGroupNumber = pendingReplies.isEmpty() ? 0 : pendingReplies.peekLast().groupNumber;
     if (pendingReplies.isEmpty() || groupNumber > lastGroupNumber) {
@@ -190,7 +197,10 @@
     pendingReplyBytes += replyBuffer.readableBytes();
   }
 
-  /** Sends what waited for groups up to this one; returns whether more waits. */
+  /**
+   * Sends the replies that wait for groups up to this one. Returns whether other replies are still
+   * pending.
+   */
   boolean releaseReplies(long groupNumber) {
     boolean wasBackpressured = isBackpressured();
     boolean hasWritten = false;
@@ -217,26 +227,29 @@
     }
   }
 
-  /** Takes no more commands and closes when the last reply has gone. */
+  /** Makes the connection accept no more commands, and close once its last reply is sent. */
   void closeAfterReplies() {
     isClosing = true;
   }
 
   private void closeIfNoRepliesPending() {
     if (isClosing && pendingReplies.isEmpty() && context.channel().isActive()) {
-      // The listener closes it, whether the write succeeded or not.
+      // The listener closes the channel whether the write succeeds or fails.
       var unused =
           context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  /** Closes when a command has been incomplete, or replies unread, for longer than the limit. */
+  /**
+   * Closes the connection if a command has been incomplete, or replies unread, for longer than the
+   * limit.
+   */
   void closeIfStalled(long nowNanos, long limitNanos) {
     if (!context.channel().isWritable() && stalledSinceNanos == 0) {
       stalledSinceNanos = nowNanos | 1; // Never 0.
     }
     if (stalledSinceNanos != 0 && nowNanos - stalledSinceNanos > limitNanos) {
-      var unused = context.close(); // channelInactive does the rest.
+      var unused = context.close(); // channelInactive releases the resources.
     }
   }
 
@@ -252,6 +265,6 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
-    var unused = handlerContext.close(); // channelInactive does the rest.
+    var unused = handlerContext.close(); // channelInactive releases the resources.
   }
 }
--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -13,11 +13,12 @@
 import java.util.Map;
 
 /**
- * The commands by which gateways and peers speak with a node: {@code FD.SUM FD.HERE FD.NODES
- * FD.BEAT FD.TOLD FD.STATUS}. The words of each stand in the comment of the method that reads them.
+ * Implements the commands that gateways and peers send to a node: {@code FD.SUM FD.HERE FD.NODES
+ * FD.BEAT FD.TOLD FD.STATUS}. The comment of each handler method gives the command's arguments.
+ * Confined to the event loop.
  */
 final class ClusterCommands {
-  /** How the answer to a heartbeat begins that gives a newer membership list. */
+  /** The prefix of a heartbeat reply that contains a newer membership list. */
   static final String NEWER_LIST_PREFIX = "LIST ";
 
   /** The error code for a node that is not on this node's membership list. */
@@ -25,7 +26,7 @@
 
   private static final int ARGUMENTS_PER_SUM = 5;
 
-  /** The total, the added and the withdrawn amount. */
+  /** One change each for the total, the added amount and the withdrawn amount. */
   private static final int CHANGES_PER_SUM = 3;
 
   private final ClusterNode cluster;
@@ -46,13 +47,16 @@
         new Command("FD.STATUS", 1, false, 0, 0, this::status));
   }
 
-  /** {@code FD.SUM name origin added withdrawn ttl-ms}: merges a gateway's sum; the total back. */
+  /**
+   * Runs {@code FD.SUM name origin added withdrawn ttl-ms}: merges a gateway's sum and replies with
+   * the total.
+   */
   private void sum(CommandInvocation call) throws CommandException {
     DecimalAmount total = replica.mergeAndTotal(readSum(call, 1), call.nowMillis(), call.changes());
     call.reply().bulk(total.toString());
   }
 
-  /** Reads the {@link #ARGUMENTS_PER_SUM} words of a sum from a place on. */
+  /** Reads the {@link #ARGUMENTS_PER_SUM} arguments of a sum, from the given index on. */
   private static ReplicatedSum readSum(CommandInvocation call, int index) throws CommandException {
     DecimalAmount added = DecimalAmount.parse(call.argument(index + 2));
     DecimalAmount withdrawn = DecimalAmount.parse(call.argument(index + 3));
@@ -72,7 +76,8 @@
   }
 
   /**
-   * {@code FD.HERE origin stamp}: a gateway is alive; whether ready, and the list's version back.
+   * Runs {@code FD.HERE origin stamp}: records that a gateway is alive, and replies with whether
+   * this node is ready and with the version of its membership list.
    */
   private void gatewayHeartbeat(CommandInvocation call) throws CommandException {
     replica.onOriginStamp(call.integerArgument(1), call.integerArgument(2), call.nowMillis());
@@ -82,7 +87,8 @@
   }
 
   /**
-   * {@code FD.NODES [epoch name=host:port ...]}: gives a list if there are words; the list back.
+   * Runs {@code FD.NODES [epoch name=host:port ...]}: adopts the given membership list, if there is
+   * one, and replies with the current list.
    */
   private void membership(CommandInvocation call) throws CommandException {
     if (cluster.ownName().isEmpty()) {
@@ -111,7 +117,10 @@
     }
   }
 
-  /** {@code FD.BEAT node version incarnation ready [origin stamp ...]}: OK or a newer list back. */
+  /**
+   * Runs {@code FD.BEAT node version incarnation ready [origin stamp ...]}: records a peer's
+   * heartbeat, and replies with OK or with a newer membership list.
+   */
   private void heartbeat(CommandInvocation call) throws CommandException {
     if (call.arguments().length % 2 == 0) {
       throw CommandInvocation.syntaxError();
@@ -135,7 +144,10 @@
     }
   }
 
-  /** {@code FD.TOLD node completes-full-state [name origin added withdrawn ttl-ms ...]}. */
+  /**
+   * Runs {@code FD.TOLD node completes-full-state [name origin added withdrawn ttl-ms ...]}: merges
+   * the sums of a peer.
+   */
   private void sumsFromPeer(CommandInvocation call) throws CommandException {
     String peer = call.argumentText(1);
     requirePeer(peer);
@@ -155,7 +167,7 @@
     call.reply().ok();
   }
 
-  /** {@code FD.STATUS}: a line for this node and one for each peer. */
+  /** Runs {@code FD.STATUS}: replies with one line for this node and one for each peer. */
   private void status(CommandInvocation call) {
     List<String> lines = new ArrayList<>();
     String ownName = cluster.ownName().isEmpty() ? "alone" : cluster.ownName();
--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -19,19 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hosts a {@link ReplicaNode}: the connections to its peers, and the heartbeats and sums that go
- * out on them at each tick. Used on the event loop.
+ * Connects a {@link ReplicaNode} to the network: it holds the connections to the peers, and sends
+ * heartbeats and sums on them at each tick. Confined to the event loop.
  */
 final class ClusterNode {
   static final long TICK_MILLIS = 20;
   private static final Logger LOG = LoggerFactory.getLogger(ClusterNode.class);
 
-  /** A peer, its connection, and what is on the way to it. */
+  /** A peer, its connection, and the messages that are still to be confirmed by it. */
   private static final class Peer {
     final PeerConnection connection;
     PeerOutbox outbox;
 
-    /** As logged last; null before the first tick. */
+    /** The liveness that was logged last; null before the first tick. */
     Boolean lastLoggedAlive;
 
     Peer(PeerConnection connection, PeerOutbox outbox) {
@@ -76,7 +76,7 @@
     return replica;
   }
 
-  /** This node's name; empty when it is alone. */
+  /** Returns this node's name, which is empty if the node is not part of a cluster. */
   String ownName() {
     return ownName;
   }
@@ -107,12 +107,15 @@
     }
   }
 
-  /** Uses a newer list; connections to peers that are on it at the same address stay. */
+  /**
+   * Adopts a membership list if it is newer. Connections to peers whose address is unchanged stay
+   * open.
+   */
   void adoptMembership(MembershipList list) {
     if (!replica.adoptMembership(list, clock.nowMillis())) {
       return;
     }
-    LOG.info("membership list adopted: {}", list);
+    LOG.info("membership list adopted: list={}", list);
     for (String peerName : List.copyOf(peers.keySet())) {
       PeerConnection connection = peers.get(peerName).connection;
       if (!connection.address().toString().equals(list.addresses().get(peerName))) {
@@ -130,7 +133,10 @@
             });
   }
 
-  /** Sends heartbeats and sums to all peers; on the event loop, every {@link #TICK_MILLIS}. */
+  /**
+   * Sends heartbeats and sums to all peers. Must be called on the event loop every {@link
+   * #TICK_MILLIS}.
+   */
   void tick() {
     long nowMillis = clock.nowMillis();
     replica.tick(nowMillis);
@@ -153,11 +159,11 @@
     boolean isAlive = replica.isPeerAlive(peerName, nowMillis);
     if (peer.lastLoggedAlive == null || peer.lastLoggedAlive != isAlive) {
       peer.lastLoggedAlive = isAlive;
-      LOG.warn("node {} is {}", peerName, isAlive ? "heard" : "missing");
+      LOG.warn("peer liveness: peer={} state={}", peerName, isAlive ? "heard" : "missing");
     }
   }
 
-  /** {@code FD.BEAT node version incarnation ready [origin stamp ...]}. */
+  /** Builds {@code FD.BEAT node version incarnation ready [origin stamp ...]}. */
   private List<String> heartbeatMessage(Heartbeat heartbeat) {
     List<String> arguments = new ArrayList<>();
     arguments.add("FD.BEAT");
@@ -176,7 +182,7 @@
   }
 
   /**
-   * Sends the next message, of the next batch when none is left; nothing while one is in flight.
+   * Sends the next message unless one is in flight. Fetches the next batch when no message is left.
    */
   private void sendNextSums(String peerName, Peer peer, long nowMillis) {
     if (peer.outbox.isEmpty()) {
@@ -196,7 +202,7 @@
     }
     replica.onBatchProgress(peerName, clock.nowMillis());
     if (!isAccepted) {
-      peer.outbox.onRejected(); // Its log is behind: the same message again at the next tick.
+      peer.outbox.onRejected(); // The peer's log is behind: the next tick sends the message again.
       return;
     }
     peer.outbox.onConfirmed();
--- a/src/main/java/fawndock/counter/Command.java
+++ b/src/main/java/fawndock/counter/Command.java
@@ -3,15 +3,15 @@
 import fawndock.counter.storage.CommandException;
 
 /**
- * A command, with what {@code COMMAND} shows of it.
+ * Describes a command: its handler, and the properties that {@code COMMAND} reports. Immutable.
  *
- * @param name in capitals
- * @param arity words with the name itself; below 0 for at least so many
- * @param isWrite whether it may change counts
- * @param firstName place of the first name of a count among the words, 0 for none
- * @param lastName place of the last, -1 for the last word
- * @param changesPerWord for each word that may be noted, from 1
- * @param action what it does
+ * @param name the command's name in capitals
+ * @param arity the number of arguments, the command's name included; a negative number is a minimum
+ * @param isWrite whether the command may change counters
+ * @param firstNameIndex the index of the first counter name among the arguments, 0 if there is none
+ * @param lastNameIndex the index of the last counter name, -1 for the last argument
+ * @param changesPerArgument the maximum number of changes recorded per argument, at least 1
+ * @param action the handler; null for the commands that control transactions
  */
 record Command(
     String name,
@@ -31,13 +31,16 @@
     this(name, arity, isWrite, firstNameIndex, lastNameIndex, 1, action);
   }
 
-  /** Writes exactly one answer, or throws and has changed and answered nothing. */
+  /**
+   * Runs a command. It either writes exactly one reply, or throws without having changed or written
+   * anything.
+   */
   @FunctionalInterface
   interface Action {
     void run(CommandInvocation call) throws CommandException;
   }
 
-  boolean acceptsArgumentCount(int arguments) {
-    return arity < 0 ? arguments >= -arity : arguments == arity;
+  boolean acceptsArgumentCount(int argumentCount) {
+    return arity < 0 ? argumentCount >= -arity : argumentCount == arity;
   }
 }
--- a/src/main/java/fawndock/counter/CommandExecutor.java
+++ b/src/main/java/fawndock/counter/CommandExecutor.java
@@ -7,11 +7,11 @@
 import fawndock.resp.ReplyWriter;
 
 /**
- * Runs commands on the counts, alone or in transactions, and writes their replies. Used on the
- * event loop.
+ * Runs commands on the counters, singly or in transactions, and writes their replies. Confined to
+ * the event loop.
  */
 final class CommandExecutor {
-  /** Slots of the table that one sweep looks at. */
+  /** The number of table slots that one sweep for expired names checks. */
   private static final int SWEEP_SLOTS = 20_000;
 
   private final CounterOperations operations;
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Runs one command and writes its reply; errors are replies.
+   * Runs one command and writes its reply. An error is written as a reply too.
    *
-   * @return the group that the reply must wait for, or 0
+   * @return the commit group that the reply must wait for, or 0 if it need not wait
    */
   long run(byte[][] arguments, ReplyWriter reply, ClientConnection connection, long nowMillis) {
     commitScheduler.ensureGroupOpen();
@@ -92,7 +92,10 @@
     }
   }
 
-  /** The most that a command with these words can note. */
+  /**
+   * Returns the maximum size in bytes of the changes that a command with these arguments can
+   * record.
+   */
   private static long maxChangeBytes(Command command, byte[][] arguments) {
     long bytes = 0;
     for (byte[] argument : arguments) {
@@ -138,7 +141,10 @@
     }
   }
 
-  /** All commands in one turn, in one record of the log; none when the record cannot hold all. */
+  /**
+   * Runs all commands of a transaction without interruption and in one log record, or runs none if
+   * the record cannot hold all their changes.
+   */
   private void executeTransaction(
       Transaction transaction, ReplyWriter reply, ClientConnection connection, long nowMillis)
       throws CommandException {
@@ -163,7 +169,7 @@
     }
   }
 
-  /** Forgets some names that have expired. */
+  /** Removes some of the expired names from the table. */
   void sweepExpired() {
     stats.expiredNames += operations.table().sweepExpired(clock.nowMillis(), SWEEP_SLOTS);
   }
--- a/src/main/java/fawndock/counter/CommandInvocation.java
+++ b/src/main/java/fawndock/counter/CommandInvocation.java
@@ -9,17 +9,17 @@
 import java.util.Locale;
 
 /**
- * One run of a command. The words are not copied, for their cost on the hot path; nobody changes
- * them.
+ * One invocation of a command. The arguments are not copied, because a copy is expensive on the hot
+ * path, and must not be modified. Confined to the event loop.
  *
- * @param words the command's name and arguments
- * @param reply where its answer goes
- * @param connection whose it is
- * @param operations what it is done to
- * @param nowMillis milliseconds since 1970
- * @param changes where changes are noted; null for a command that makes none
+ * @param arguments the command's name and its arguments
+ * @param reply the writer for the command's reply
+ * @param connection the connection that sent the command
+ * @param operations the counters to read and change
+ * @param nowMillis the current time in milliseconds since 1970
+ * @param changes the record to which changes are added; null for a command that makes none
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy a command would cost.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy would be costly.
 record CommandInvocation(
     byte[][] arguments,
     ReplyWriter reply,
@@ -35,7 +35,7 @@
     return new String(arguments[index], StandardCharsets.UTF_8);
   }
 
-  /** A word that is an option, in capitals. */
+  /** Returns an option argument in capitals. */
   String optionArgument(int index) {
     return argumentText(index).toUpperCase(Locale.ROOT);
   }
@@ -44,7 +44,7 @@
     return DecimalAmount.parseLong(arguments[index]);
   }
 
-  /** The name of a count. */
+  /** Returns an argument that is the name of a counter, after a check of its length. */
   byte[] nameArgument(int index) throws CommandException {
     if (arguments[index].length > ChangeRecord.MAX_NAME_BYTES) {
       throw new CommandException("ERR a name is at most " + ChangeRecord.MAX_NAME_BYTES + " bytes");
@@ -52,7 +52,7 @@
     return arguments[index];
   }
 
-  /** Ends a command whose words do not go together. */
+  /** Returns the exception for invalid or incompatible arguments. */
   static CommandException syntaxError() {
     return new CommandException(CommandException.SYNTAX);
   }
--- a/src/main/java/fawndock/counter/CommandTable.java
+++ b/src/main/java/fawndock/counter/CommandTable.java
@@ -8,9 +8,14 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** All commands by name, in the order in which {@code COMMAND} lists them. */
+/**
+ * Holds all commands by name, in the order in which {@code COMMAND} lists them. Confined to the
+ * event loop after startup.
+ */
 final class CommandTable {
-  /** Bytes of an unknown command's name and arguments that its error shows. */
+  /**
+   * The maximum number of bytes of an unknown command's name, and of its arguments, in the error.
+   */
   private static final int MAX_SHOWN_BYTES = 128;
 
   private final Map<String, Command> commands = new LinkedHashMap<>();
@@ -23,15 +28,16 @@
     return commands.values();
   }
 
-  /** The command with this name in capitals, or null. */
+  /** Returns the command with this name, which must be in capitals, or null if there is none. */
   Command get(String name) {
     return commands.get(name);
   }
 
   /**
-   * The command that the words call.
+   * Returns the command that the arguments invoke; its name is the first of them.
    *
-   * @throws CommandException when there is none of that name, or it takes another number of words
+   * @throws CommandException if there is no command of that name, or the number of arguments is
+   *     wrong
    */
   Command find(byte[][] arguments) throws CommandException {
     String name =
--- a/src/main/java/fawndock/counter/CommitScheduler.java
+++ b/src/main/java/fawndock/counter/CommitScheduler.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.Executor;
 
 /**
- * Hands groups of changes to the log's thread, and releases the replies that wait for them. Used on
+ * Passes commit groups to the log thread, and releases the replies that wait for them. Confined to
  * the event loop.
  *
- * <p>Invariant: changes are only noted in a group that the log's thread cannot take; {@link
- * #ensureGroupOpen} is called before.
+ * <p>Invariant: changes are only added to a group that the log thread cannot take. {@link
+ * #ensureGroupOpen} must be called before each change.
  */
 final class CommitScheduler {
   private final GroupCommit groupCommit;
@@ -33,7 +33,10 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Has the open group committed in a later turn of the loop, with what else comes in this one. */
+  /**
+   * Schedules a commit of the open group as a later event-loop task, so that further commands of
+   * the current iteration join the group.
+   */
   void scheduleCommit() {
     if (!isCommitScheduled) {
       isCommitScheduled = true;
@@ -45,7 +48,10 @@
     }
   }
 
-  /** Gives the log's thread what is to be written, or offers it for when it is done. */
+  /**
+   * Passes the next group to the log thread. While that thread is busy, offers the open group for
+   * it to take next.
+   */
   void commitNow() {
     ensureGroupOpen();
     long nowMillis = clock.nowMillis();
@@ -60,7 +66,10 @@
     }
   }
 
-  /** Withdraws the group that was offered, or begins another when that one was taken. */
+  /**
+   * Ensures that the log thread cannot take the open group: withdraws the offered group, or opens a
+   * new one if the log thread has taken it.
+   */
   void ensureGroupOpen() {
     if (groupCommit.hasOffer()) {
       if (logThread.withdraw()) {
@@ -71,7 +80,7 @@
     }
   }
 
-  /** A connection has a reply that waits for a group. */
+  /** Registers a connection that has replies waiting for a group. */
   void addWaitingConnection(ClientConnection connection) {
     waitingConnections.add(connection);
   }
@@ -80,7 +89,7 @@
     waitingConnections.remove(connection);
   }
 
-  /** All groups up to this one are durable: replies that waited for them go out. */
+  /** Sends the replies that wait for groups up to this one, which are durable now. */
   void releaseReplies(long groupNumber) {
     durableGroup = Math.max(durableGroup, groupNumber);
     for (ClientConnection connection : Set.copyOf(waitingConnections)) {
@@ -90,7 +99,7 @@
     }
   }
 
-  /** The last group that is durable. */
+  /** Returns the number of the last durable group. */
   long durableGroup() {
     return durableGroup;
   }
--- a/src/main/java/fawndock/counter/ConnectionCommands.java
+++ b/src/main/java/fawndock/counter/ConnectionCommands.java
@@ -7,14 +7,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Commands on the connection and on the service itself. Used on the event loop. */
+/**
+ * Implements the commands on the connection and on the server itself. Confined to the event loop.
+ */
 final class ConnectionCommands {
   private final CommandTable commands;
   private final ServerInfo info;
   private final byte[] password;
 
   /**
-   * @param password that a connection must give first; empty for none
+   * @param password the password with which connections must authenticate; empty for none
    */
   ConnectionCommands(CommandTable commands, ServerInfo info, String password) {
     this.commands = commands;
@@ -44,7 +46,7 @@
         new Command("INFO", -1, false, 0, 0, call -> call.reply().bulk(info.text())));
   }
 
-  /** Whether a connection may run it before it has given the password. */
+  /** Returns whether an unauthenticated connection may run the command. */
   static boolean isAllowedUnauthenticated(Command command) {
     return List.of("AUTH", "HELLO", "QUIT").contains(command.name());
   }
@@ -71,8 +73,8 @@
 
   private void authenticate(CommandInvocation call, int userIndex, int passwordIndex)
       throws CommandException {
-    boolean isRight = MessageDigest.isEqual(password, call.argument(passwordIndex));
-    if (!isRight || (userIndex > 0 && !call.argumentText(userIndex).equals("default"))) {
+    boolean isPasswordCorrect = MessageDigest.isEqual(password, call.argument(passwordIndex));
+    if (!isPasswordCorrect || (userIndex > 0 && !call.argumentText(userIndex).equals("default"))) {
       throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
     }
     call.connection().isAuthenticated = true;
--- a/src/main/java/fawndock/counter/CounterServer.java
+++ b/src/main/java/fawndock/counter/CounterServer.java
@@ -35,9 +35,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The running counter service: recovers the counts, listens, and stops. One event loop owns
- * connections and counts; {@link #start} and {@link #close} are called from outside it.
- * Specification: docs/design/counter.md.
+ * The counter server: recovers the counters from storage, serves clients and shuts down. One event
+ * loop owns the connections and the counters; {@link #start} and {@link #close} must be called from
+ * other threads. Specification: docs/design/counter.md.
  */
 public final class CounterServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CounterServer.class);
@@ -59,7 +59,7 @@
   private final CommandTable commands = new CommandTable();
   private final Set<ClientConnection> connections = new HashSet<>();
 
-  /** The connections' channels; a closed one leaves by itself. */
+  /** The channels of the connections. A closed channel is removed automatically. */
   private final ChannelGroup channels = new DefaultChannelGroup(eventLoop);
 
   private WriteAheadLogThread logThread;
@@ -73,7 +73,7 @@
   private boolean isClosed;
 
   /**
-   * @param storage where log and snapshots are; nobody else uses it
+   * @param storage the storage of log and snapshots, for the exclusive use of this server
    */
   public CounterServer(CounterSettings settings, Storage storage) {
     this.settings = settings;
@@ -82,10 +82,11 @@
   }
 
   /**
-   * Recovers and listens; returns the port. Changes are rejected until the log can be written.
+   * Recovers the counters, starts listening and returns the port. Changes are rejected until the
+   * log can be written.
    *
-   * @param progress is called with the bytes recovered so far
-   * @throws IOException also when the log is damaged; nothing was changed in the storage then
+   * @param progress receives the number of bytes recovered so far
+   * @throws IOException also if the log is damaged, in which case the storage is left unchanged
    */
   public int start(LongConsumer progress) throws IOException {
     CounterTable table = new CounterTable(ThreadLocalRandom.current().nextLong());
@@ -139,7 +140,7 @@
     commands.addAll(new ClusterCommands(clusterNode).all());
   }
 
-  /** Done by the {@link CommandExecutor} itself. */
+  /** The commands that {@link CommandExecutor} implements itself. */
   private static final List<Command> TRANSACTION_COMMANDS =
       List.of(
           new Command("MULTI", 1, false, 0, 0, null),
@@ -151,7 +152,7 @@
     try {
       firstLogAttempt.get(FIRST_SEGMENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException("the log could not be begun: " + e.getMessage(), e);
+      throw new IOException("cannot start the write-ahead log: " + e.getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
@@ -184,7 +185,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
-    } catch (Exception e) { // Netty throws what bind threw, undeclared.
+    } catch (Exception e) { // Netty rethrows bind's checked exceptions undeclared.
       throw new IOException("cannot listen on " + settings.listen() + ": " + e.getMessage(), e);
     }
   }
@@ -197,14 +198,14 @@
   }
 
   private void schedulePeriodically(Runnable task, long intervalMillis) {
-    // Runs until the loop ends; nothing cancels it.
+    // The task repeats until the event loop ends and is never cancelled.
     var unused =
         eventLoop.scheduleAtFixedRate(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
   }
 
   private void accept(Channel channel) {
     if (connections.size() >= settings.maxConnections()) {
-      // The listener closes it, whether the error could be sent or not.
+      // The listener closes the channel whether the write succeeds or fails.
       var unused =
           channel
               .writeAndFlush(channel.alloc().buffer().writeBytes(TOO_MANY_CLIENTS_ERROR))
@@ -217,7 +218,7 @@
     channels.add(channel);
     connections.add(connection);
     stats.connections = connections.size();
-    // The listener is all that is wanted of the future.
+    // The returned future is not needed.
     var unused =
         channel
             .closeFuture()
@@ -236,8 +237,9 @@
   }
 
   /**
-   * Accepts no more calls, commits what was accepted, and closes; waits some seconds at most. May
-   * be called again, and when {@link #start} has failed.
+   * Stops accepting commands, commits the accepted changes, and closes the connections and the log.
+   * The waits for the commits, the connections and the log have timeouts of a few seconds. The
+   * method is idempotent and may be called after {@link #start} has failed.
    */
   @Override
   public void close() {
@@ -254,7 +256,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
-      LOG.warn("stopped before all was committed");
+      LOG.warn("stopped before all changes were committed");
     }
     if (logThread != null) {
       snapshotTask.close();
@@ -278,12 +280,12 @@
   }
 
   /**
-   * Closes the connections that are left while the loop still runs: a handler whose channel is
-   * closed by the loop's end may not be told, and keeps its buffers.
+   * Closes the remaining connections while the event loop still runs. If the end of the event loop
+   * closes a channel, its handler may not be notified, and then does not release its buffers.
    */
   private void closeConnections() throws InterruptedException {
     channels.close().await(STOP_TIMEOUT_MILLIS);
-    // The handlers are told by tasks of the loop: those are done when this one is.
+    // Event-loop tasks notify the handlers; they are complete when this later task is.
     eventLoop.submit(() -> {}).await(STOP_TIMEOUT_MILLIS);
   }
 
@@ -293,7 +295,7 @@
       return;
     }
     commitScheduler.commitNow();
-    // The task runs, or the wait for it ends by its time limit.
+    // Either the task runs, or the wait for it times out.
     var unused =
         eventLoop.schedule(() -> completeWhenIdle(idle, deadlineNanos), 1, TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/fawndock/counter/FileStorage.java
+++ b/src/main/java/fawndock/counter/FileStorage.java
@@ -14,16 +14,16 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system. */
+/** Stores the log and the snapshots in a directory of the file system. */
 public final class FileStorage implements Storage, AutoCloseable {
   private final Path directory;
   private final FileChannel lockChannel;
 
   /**
-   * Makes the directory if need be and takes its lock.
+   * Opens a directory. For exclusive use, creates it if it is missing and takes its lock.
    *
-   * @param locked whether to take the lock; without it, only read
-   * @throws IOException also when another process has the lock
+   * @param exclusive whether to take the lock; without the lock, files may only be read
+   * @throws IOException also if another process holds the lock
    */
   public FileStorage(Path directory, boolean exclusive) throws IOException {
     this.directory = directory;
@@ -32,8 +32,8 @@
       return;
     }
     Files.createDirectories(directory);
-    // Guards against two processes on one log. The lock goes with its process, so none is left by a
-    // crash.
+    // The lock keeps two processes from using one log. The operating system releases it when the
+    // process ends, so a crash leaves no stale lock.
     lockChannel =
         FileChannel.open(
             directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -130,7 +130,7 @@
       channel.truncate(size);
     }
 
-    // Data alone, and of the metadata what is needed to read it again, such as the size.
+    // force(false) syncs the data and only the metadata needed to read it, such as the size.
     @Override
     public void sync() throws IOException {
       channel.force(false);
--- a/src/main/java/fawndock/counter/GlobPattern.java
+++ b/src/main/java/fawndock/counter/GlobPattern.java
@@ -1,10 +1,16 @@
 package fawndock.counter;
 
-/** Patterns of names: * ? [a-z] [^a-z] and \ before a character that stands for itself. */
+/**
+ * Matches names against glob patterns: * ? [a-z] [^a-z], and \ before a literal character.
+ * Stateless.
+ */
 final class GlobPattern {
   private GlobPattern() {}
 
-  /** Whether the whole name is of the pattern; takes at most the product of their lengths. */
+  /**
+   * Returns whether the pattern matches the whole name. The time is at most proportional to the
+   * product of the lengths.
+   */
   static boolean matches(byte[] pattern, byte[] name) {
     int patternIndex = 0;
     int nameIndex = 0;
@@ -34,7 +40,10 @@
     return patternIndex == pattern.length;
   }
 
-  /** The place after the element at a place when it is of the character, or -1. */
+  /**
+   * Returns the index after the pattern element at the index if that element matches the character,
+   * or else -1.
+   */
   private static int matchElement(byte[] pattern, int index, byte character) {
     return switch (pattern[index]) {
       case '?' -> index + 1;
--- a/src/main/java/fawndock/counter/LogSupervisor.java
+++ b/src/main/java/fawndock/counter/LogSupervisor.java
@@ -11,18 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows from the log's writes: replies go out, snapshots are taken, and after a failed sync
- * a new log is begun. Used on the event loop.
+ * Handles the results of log writes: it releases replies, takes snapshots, and starts a new log
+ * after a failed sync. Confined to the event loop.
  *
- * <p>Invariant: a segment whose sync failed is never written again. All that is in memory goes into
- * a snapshot, and a new segment after it, before changes are accepted again.
+ * <p>Invariant: a segment whose sync failed is never written again. Before changes are accepted
+ * again, the whole state in memory is written to a snapshot and a new segment is started after it.
  */
 final class LogSupervisor implements WriteAheadLogThread.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LogSupervisor.class);
   private static final long NEW_LOG_RETRY_MILLIS = 1_000;
   private static final long DURABILITY_POLL_MILLIS = 2;
 
-  /** Between the begin of a snapshot that failed and the next. */
+  /** The minimum time between the start of a failed snapshot and that of the next one. */
   private static final long SNAPSHOT_BACKOFF_NANOS = 10_000_000_000L;
 
   private final long snapshotAfterBytes;
@@ -56,16 +56,16 @@
   }
 
   /**
-   * Begins a log after what was recovered; tried until it can be.
+   * Starts a log after the recovered records, and retries until that succeeds.
    *
-   * @return completes when the log was begun, or could not be the first time
+   * @return a future that completes when the first attempt has succeeded or failed
    */
   CompletableFuture<Void> start(long recoveredSequence) {
     eventLoop.execute(() -> startNewLog(null, recoveredSequence));
     return firstAttempt;
   }
 
-  /** No snapshot and no new log are begun any more. */
+  /** Prevents further snapshots and new logs from being started. */
   void stop() {
     isStopping = true;
   }
@@ -85,7 +85,10 @@
     }
   }
 
-  /** Not before the log outgrows the last snapshot: writing them would cost more than the log. */
+  /**
+   * Returns whether to take a snapshot. The log has to outgrow the last snapshot first, because
+   * otherwise writing snapshots would cost more than writing the log.
+   */
   private boolean isSnapshotDue(long appendedBytes) {
     return appendedBytes >= Math.max(snapshotAfterBytes, snapshotTask.lastSizeBytes())
         && !snapshotTask.isActive()
@@ -94,7 +97,7 @@
   }
 
   private void takeSnapshot() {
-    // Not again at once when it fails, such as for want of space.
+    // Delays the next attempt if this snapshot fails, for example for lack of disk space.
     earliestSnapshotNanos = System.nanoTime() + SNAPSHOT_BACKOFF_NANOS;
     logThread.roll(
         coveredSequence -> {
@@ -111,7 +114,7 @@
 
   private void onSnapshotCompleted(IOException failure, long coveredSequence, long startedNanos) {
     if (failure != null) {
-      LOG.warn("no snapshot: {}", failure.getMessage());
+      LOG.warn("no snapshot: reason={}", failure.getMessage());
       return;
     }
     earliestSnapshotNanos = System.nanoTime();
@@ -122,7 +125,7 @@
         (System.nanoTime() - startedNanos) / 1_000_000);
   }
 
-  /** Goes on once every change made so far is durable in the log. */
+  /** Runs a task once every change made so far is durable in the log. */
   private void runWhenAllDurable(Runnable task) {
     boolean hasPending = groupCommit.pendingBytes() > 0;
     long lastGroupNumber =
@@ -134,7 +137,7 @@
     if (appendedGroup >= lastGroupNumber) {
       logThread.syncThen(task);
     } else {
-      // The task runs or the loop has ended: nothing waits for it.
+      // Either the task runs or the event loop has ended; nothing waits for the result.
       var unused =
           eventLoop.schedule(
               () -> runWhenDurable(lastGroupNumber, task),
@@ -146,7 +149,7 @@
   @Override
   public void onStalled(String reason) {
     if (state != LogState.STALLED) {
-      LOG.error("the log cannot be written: {}; changes are refused until it can", reason);
+      LOG.error("the log cannot be written, changes are refused until it can: reason={}", reason);
     }
     state = state.transitionTo(LogState.STALLED);
     groupCommit.onStalled(reason);
@@ -155,7 +158,7 @@
   @Override
   public void onSegmentAbandoned(LogWork work, long sequence, String reason) {
     LOG.error(
-        "a sync of the log failed: {}; its file is given up, changes are refused until a new one is begun",
+        "a sync of the log failed, segment abandoned, changes refused until a new one starts: reason={}",
         reason);
     commitScheduler.ensureGroupOpen();
     groupCommit.onStalled(reason);
@@ -164,9 +167,10 @@
   }
 
   /**
-   * All that is in memory into a snapshot, and a new segment after it; tried until it can be done.
+   * Writes the whole state in memory to a snapshot and starts a new segment after it. Retries until
+   * both succeed.
    *
-   * @param work whose sync failed, and which the snapshot makes durable; null at the start
+   * @param work the work whose sync failed, and which the snapshot makes durable; null at startup
    */
   private void startNewLog(LogWork work, long sequence) {
     if (isStopping) {
@@ -207,13 +211,13 @@
   private void scheduleNewLogRetry(LogWork work, long sequence, IOException failure) {
     if (state != LogState.STALLED) {
       LOG.error(
-          "no new segment could be begun: {}; changes are refused until it can",
+          "new segment cannot be started, changes are refused until it can: reason={}",
           failure.getMessage());
     }
     state = state.transitionTo(LogState.STALLED);
     groupCommit.onStalled(String.valueOf(failure.getMessage()));
     firstAttempt.complete(null);
-    // The task runs or the loop has ended: nothing waits for it.
+    // Either the task runs or the event loop has ended; nothing waits for the result.
     var unused =
         eventLoop.schedule(
             () -> startNewLog(work, sequence), NEW_LOG_RETRY_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -10,7 +10,10 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Commands on the names: whether they are there, and for how long. Used on the event loop. */
+/**
+ * Implements the commands on counter names: existence, expiry, deletion and scans. Confined to the
+ * event loop.
+ */
 final class NameCommands {
   private NameCommands() {}
 
@@ -74,11 +77,11 @@
   }
 
   /**
-   * Reads an expiry.
+   * Reads an expiry time from an argument.
    *
-   * @param unitMillis of the word
-   * @param startMillis that it is relative to, 0 for an absolute one
-   * @return milliseconds since 1970
+   * @param unitMillis the unit of the argument in milliseconds
+   * @param baseMillis the time to which the argument is relative, 0 for an absolute time
+   * @return the expiry time in milliseconds since 1970
    */
   static long parseExpiry(
       CommandInvocation call, int index, long unitMillis, long baseMillis, String command)
@@ -136,7 +139,8 @@
   }
 
   /**
-   * Whole shards until there are enough names; what stays throughout a scan is seen exactly once.
+   * Replies with the names of whole shards until the requested count is reached. A name that exists
+   * during the whole scan is returned exactly once.
    */
   private static void scan(CommandInvocation call) throws CommandException {
     CounterTable table = call.operations().table();
--- a/src/main/java/fawndock/counter/PeerConnection.java
+++ b/src/main/java/fawndock/counter/PeerConnection.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * The connection to a peer, made when it is first needed and again after it was lost. Used on the
- * event loop. Replies are single lines, in the order of the commands.
+ * A connection to a peer, opened on first use and reopened after it is lost. Each reply is a single
+ * line, and replies arrive in the order of the commands. Confined to the event loop.
  */
 final class PeerConnection implements AutoCloseable {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -33,7 +33,7 @@
   private final Consumer<String> onReply;
   private final Runnable onLost;
 
-  /** For each command in flight, whether its sender asked for a confirmation. */
+  /** For each command in flight, whether its reply goes to {@code onConfirmation}. */
   private final ArrayDeque<Boolean> inFlight = new ArrayDeque<>();
 
   private Channel channel;
@@ -42,9 +42,10 @@
   private long nextConnectNanos = System.nanoTime();
 
   /**
-   * @param onConfirmation is called with whether a command that was to be confirmed was accepted
-   * @param onReply is called with the reply to each other command
-   * @param onLost is called when the connection is lost
+   * @param onConfirmation receives, for each command sent with confirmation, whether it was
+   *     accepted
+   * @param onReply receives the reply to each other command
+   * @param onLost runs when the connection is lost
    */
   PeerConnection(
       EventLoopGroup eventLoopGroup,
@@ -75,7 +76,7 @@
                 });
   }
 
-  /** Whether something can be sent now; begins to connect when there is no connection. */
+  /** Returns whether a command can be sent now. Starts to connect if there is no connection. */
   boolean isUsable() {
     boolean mayConnect = !isConnecting && !isClosed && System.nanoTime() - nextConnectNanos >= 0;
     if (channel == null && mayConnect) {
@@ -86,7 +87,7 @@
 
   private void connect() {
     isConnecting = true;
-    // The listener handles the result: a failure is tried again after the delay.
+    // The listener handles the result: a failed connect is retried after the delay.
     var unused =
         bootstrap
             .connect(address.host(), address.port())
@@ -101,17 +102,17 @@
     return address;
   }
 
-  /** Closes it for good; no callback runs after this. May be called again. */
+  /** Closes the connection permanently; no callback runs after this. Idempotent. */
   @Override
   public void close() {
     isClosed = true;
     if (channel != null) {
-      var unused = channel.close(); // Nothing is left to do once it is closed.
+      var unused = channel.close(); // Nothing remains to be done once the channel is closed.
     }
   }
 
   /**
-   * Sends a command; only while it {@linkplain #isUsable is usable}.
+   * Sends a command. Must only be called while the connection {@linkplain #isUsable is usable}.
    *
    * @param isConfirmed whether the reply goes to {@code onConfirmation}
    */
@@ -124,14 +125,14 @@
       bytes.writeBytes(text).writeByte('\r').writeByte('\n');
     }
     inFlight.add(isConfirmed);
-    var unused = channel.writeAndFlush(bytes); // A failure closes the channel, which is handled.
+    var unused = channel.writeAndFlush(bytes); // A failed write closes the channel.
   }
 
   private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     public void channelActive(ChannelHandlerContext context) {
       if (isClosed) {
-        var unused = context.close(); // It was closed while it connected.
+        var unused = context.close(); // The connection was closed while it connected.
         return;
       }
       channel = context.channel();
@@ -163,7 +164,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      var unused = context.close(); // The peer is connected to again, and sent the full state.
+      var unused = context.close(); // A new connection is opened, and the peer gets the full state.
     }
   }
 }
--- a/src/main/java/fawndock/counter/PeerOutbox.java
+++ b/src/main/java/fawndock/counter/PeerOutbox.java
@@ -7,11 +7,15 @@
 import java.util.List;
 
 /**
- * The {@code FD.TOLD} messages of one batch to one peer, of which at most one is in flight: a burst
- * would overrun the open group of the peer's log. Used on the event loop.
+ * Queues the {@code FD.TOLD} messages of one batch for one peer. At most one message is in flight,
+ * because a burst would overflow the open commit group of the peer's log. Confined to the event
+ * loop.
  */
 final class PeerOutbox {
-  /** Sums in one message; each makes at most three changes of some 1 KiB in the peer's log. */
+  /**
+   * The maximum number of sums in a message. Each makes at most three changes of about 1 KiB in the
+   * peer's log.
+   */
   static final int SUMS_PER_MESSAGE = 100;
 
   private final String ownName;
@@ -19,7 +23,7 @@
   private boolean isFirstInFlight;
 
   /**
-   * @param ownName this node, as the sender in the messages
+   * @param ownName the name of this node, which the messages give as their sender
    */
   PeerOutbox(String ownName) {
     this.ownName = ownName;
@@ -29,7 +33,9 @@
     return messages.isEmpty();
   }
 
-  /** Splits a batch into messages; a shard of the full state may be more than fits in one. */
+  /**
+   * Splits a batch into messages, because a shard of the full state may not fit into one message.
+   */
   void addAll(DeltaBatch batch) {
     if (batch.isEmpty()) {
       return;
@@ -57,7 +63,10 @@
     return arguments;
   }
 
-  /** The next message to send, which is then in flight; null when there is none or one is. */
+  /**
+   * Returns the next message and marks it as in flight; returns null if there is none or if one is
+   * already in flight.
+   */
   List<String> takeForSending() {
     if (messages.isEmpty() || isFirstInFlight) {
       return null;
@@ -66,12 +75,12 @@
     return messages.peek();
   }
 
-  /** The message in flight was rejected: it is sent again. */
+  /** Marks the message in flight, which the peer rejected, to be sent again. */
   void onRejected() {
     isFirstInFlight = false;
   }
 
-  /** The message in flight was confirmed. */
+  /** Removes the message in flight, which the peer confirmed. */
   void onConfirmed() {
     isFirstInFlight = false;
     messages.poll();
--- a/src/main/java/fawndock/counter/ServerInfo.java
+++ b/src/main/java/fawndock/counter/ServerInfo.java
@@ -5,7 +5,10 @@
 import java.util.Locale;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The answer to {@code INFO}; its fields are public documentation. Used on the event loop. */
+/**
+ * Builds the reply to {@code INFO}, whose fields are documented for users. Confined to the event
+ * loop.
+ */
 final class ServerInfo {
   static final String VERSION = "0.2.0";
   private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -31,7 +34,7 @@
     this.durability = durability.name().toLowerCase(Locale.ROOT);
   }
 
-  /** Sections of lines {@code field:value}. */
+  /** Returns the sections, each with its lines of the form {@code field:value}. */
   String text() {
     Runtime runtime = Runtime.getRuntime();
     String rejection = groupCommit.rejection();
--- a/src/main/java/fawndock/counter/ServerStats.java
+++ b/src/main/java/fawndock/counter/ServerStats.java
@@ -1,6 +1,6 @@
 package fawndock.counter;
 
-/** What {@code INFO} counts; used on the event loop. */
+/** The statistics that {@code INFO} reports. Confined to the event loop. */
 final class ServerStats {
   int connections;
   long processedCommands;
--- a/src/main/java/fawndock/counter/SetOptions.java
+++ b/src/main/java/fawndock/counter/SetOptions.java
@@ -3,13 +3,13 @@
 import fawndock.counter.storage.CommandException;
 
 /**
- * The options of SET, from the fourth word on.
+ * The options of the SET command, which begin at argument index 3. Immutable.
  *
- * @param isIfAbsent NX: only when the name is not there
- * @param isIfPresent XX: only when it is
- * @param keepsExpiry KEEPTTL
- * @param returnsPrevious GET
- * @param expiryMillis from EX, PX, EXAT or PXAT, in milliseconds since 1970; 0 for none
+ * @param onlyIfAbsent NX: set only if the name does not exist
+ * @param onlyIfPresent XX: set only if the name exists
+ * @param keepsExpiry KEEPTTL: keep the current expiry time
+ * @param returnsPrevious GET: reply with the previous amount
+ * @param expiryMillis EX, PX, EXAT or PXAT: the expiry time in milliseconds since 1970; 0 for none
  */
 record SetOptions(
     boolean onlyIfAbsent,
--- a/src/main/java/fawndock/counter/SnapshotTask.java
+++ b/src/main/java/fawndock/counter/SnapshotTask.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes one snapshot at a time. The event loop takes a piece of the table, the snapshot thread
- * writes it, and only then the next is taken: one piece is in memory, and commands run between the
- * pieces. Its methods are called on the event loop.
+ * Writes one snapshot at a time. The event loop copies a part of the table, the snapshot thread
+ * writes it, and only then the next part is copied. Therefore only one part is in memory, and
+ * commands run between the parts. The methods must be called on the event loop.
  */
 final class SnapshotTask implements AutoCloseable {
   private final Storage storage;
@@ -39,7 +39,7 @@
     WriteAheadLogThread.runOnEventLoop(eventLoop, task);
   }
 
-  /** Bytes of the last whole snapshot of this process, 0 for none. */
+  /** Returns the size of the last snapshot that this process completed, 0 if there is none. */
   long lastSizeBytes() {
     return lastSizeBytes;
   }
@@ -48,18 +48,22 @@
     return currentRun != null;
   }
 
-  /** Gives up what is being written, if anything; its file is removed before the next begins. */
+  /**
+   * Abandons the active snapshot, if there is one. Its file is removed before the next snapshot
+   * starts.
+   */
   void abandon() {
     currentRun = null;
   }
 
   /**
-   * Begins a snapshot.
+   * Starts a snapshot.
    *
-   * @param coveredSequence of the last record before it
-   * @param whenDurable is called when all is written, with what to go on with once every change in
-   *     the snapshot is durable in the log
-   * @param onEnd is called with the failure, or null; not when the snapshot was abandoned
+   * @param coveredSequence the sequence number of the last log record before the snapshot
+   * @param runWhenDurable is called when all parts are written, with a task that it must run once
+   *     every change in the snapshot is durable in the log
+   * @param onCompletion receives the failure, or null on success; is not called if the snapshot is
+   *     abandoned
    */
   void start(
       long coveredSequence, Consumer<Runnable> runWhenDurable, Consumer<IOException> onCompletion) {
@@ -72,22 +76,21 @@
     currentRun.write(List.of());
   }
 
-  /** Gives up what is being written and ends the thread; may be called again. */
+  /** Abandons the active snapshot and ends the thread. Idempotent. */
   @Override
   public void close() {
     currentRun = null;
-    var unused =
-        executor.shutdownNow(); // What did not run is the rest of a snapshot that is given up.
+    var unused = executor.shutdownNow(); // The discarded tasks belong to an abandoned snapshot.
   }
 
-  /** One snapshot. */
+  /** The writing of one snapshot. */
   private final class SnapshotRun {
     private final long coveredSequence;
     private final Consumer<Runnable> runWhenDurable;
     private final Consumer<IOException> onCompletion;
     private final SnapshotIterator iterator = new SnapshotIterator(table);
 
-    /** Used on the snapshot thread alone; null before the first piece and after the end. */
+    /** Confined to the snapshot thread; null before the first part and after the end. */
     private SnapshotWriter writer;
 
     SnapshotRun(
@@ -99,7 +102,7 @@
       this.onCompletion = onCompletion;
     }
 
-    /** Writes these parts, then takes the next. */
+    /** Writes these parts, then fetches the next ones. */
     private void write(List<SnapshotPart> parts) {
       long nowMillis = clock.nowMillis();
       executor.execute(
--- a/src/main/java/fawndock/counter/Transaction.java
+++ b/src/main/java/fawndock/counter/Transaction.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Commands that wait for EXEC; they are done in one turn and are in one record of the log. */
+/**
+ * The commands queued between MULTI and EXEC. They run without interruption, and their changes are
+ * in one log record. Confined to the event loop.
+ */
 final class Transaction {
   static final int MAX_COMMANDS = 1_024;
   private static final int MAX_BYTES = 256 << 10;
@@ -11,12 +14,15 @@
   private int queuedBytes;
   private boolean isFailed;
 
-  /** Queues a command; false when it is full, and the transaction can then only be discarded. */
+  /**
+   * Queues a command. Returns false if the transaction is full, after which it can only be
+   * discarded.
+   */
   boolean add(byte[][] arguments) {
     for (byte[] argument : arguments) {
       queuedBytes += argument.length + 16;
     }
-    // Guards against memory that a client fills without ever ending its transaction.
+    // The limits keep a client that never ends its transaction from filling the memory.
     if (commands.size() == MAX_COMMANDS || queuedBytes > MAX_BYTES) {
       isFailed = true;
       commands.clear();
@@ -26,7 +32,7 @@
     return true;
   }
 
-  /** A command of it was rejected when it was queued. */
+  /** Records that a command was rejected instead of queued, so that EXEC fails. */
   void markFailed() {
     isFailed = true;
   }
--- a/src/main/java/fawndock/counter/WriteAheadLogThread.java
+++ b/src/main/java/fawndock/counter/WriteAheadLogThread.java
@@ -15,23 +15,25 @@
 import java.util.function.LongConsumer;
 
 /**
- * The thread that writes the write-ahead log, one piece of work at a time. Its methods are called
- * on the event loop, and its results come back there. Work that the disk does not take is tried
- * again until it does.
+ * Writes the write-ahead log on its own thread, one work item at a time. The methods must be called
+ * on the event loop, and results are delivered there. A failed write is retried until it succeeds.
  */
 final class WriteAheadLogThread {
   private static final long RETRY_DELAY_MILLIS = 200;
   private static final int MAX_QUEUED_TASKS = 16;
 
-  /** Is called on the event loop with what became of the work. */
+  /** Receives the results of the work on the event loop. */
   interface Listener {
-    /** The work is written, and synced if it was to be. */
+    /** Called when the work is written, and synced if that was requested. */
     void onWorkDone(LogWork work, long appendedBytes);
 
-    /** The work is not done yet, and is tried again. */
+    /** Called when the work could not be written and will be retried. */
     void onStalled(String reason);
 
-    /** A sync failed and the segment is given up: the work is in memory only, as all since. */
+    /**
+     * Called when a sync failed and the segment is abandoned: this work and all later changes are
+     * in memory only.
+     */
     void onSegmentAbandoned(LogWork work, long sequence, String reason);
   }
 
@@ -48,7 +50,7 @@
   private final Executor eventLoop;
   private Listener listener;
 
-  /** Used on the log's thread alone. */
+  /** Confined to the log thread. */
   private LogWriter writer;
 
   private volatile boolean isClosing;
@@ -58,7 +60,7 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Sets who is called with results; once, before the first work. */
+  /** Sets the receiver of results. Must be called once, before the first work is submitted. */
   void setListener(Listener resultListener) {
     listener = resultListener;
   }
@@ -69,12 +71,15 @@
     return thread;
   }
 
-  /** Runs a task on the event loop, unless that has ended: then nobody waits for it. */
+  /**
+   * Runs a task on the event loop. Drops the task if the event loop has ended, because nothing
+   * waits for it then.
+   */
   static void runOnEventLoop(Executor eventLoop, Runnable task) {
     try {
       eventLoop.execute(task);
     } catch (RejectedExecutionException e) {
-      // The server has stopped meanwhile.
+      // The server has stopped in the meantime.
     }
   }
 
@@ -82,7 +87,9 @@
     runOnEventLoop(eventLoop, task);
   }
 
-  /** Does the work, then each group that was offered meanwhile. */
+  /**
+   * Performs the work on the log thread, followed by each group that is offered in the meantime.
+   */
   void submit(LogWork work) {
     executor.execute(
         () -> {
@@ -94,19 +101,19 @@
   }
 
   /**
-   * Has a group taken as soon as the one before is done, which spares two threads waking each
-   * other.
+   * Offers a group that the log thread takes as soon as the previous one is done. This saves the
+   * two threads from waking each other.
    */
   void offer(LogWork work) {
     offeredWork.set(work);
   }
 
-  /** Takes back what was offered; false when it was taken. */
+  /** Withdraws the offered work. Returns false if the log thread has already taken it. */
   boolean withdraw() {
     return offeredWork.getAndSet(null) != null;
   }
 
-  /** Does one piece of work; returns what is to be done after it, or null. */
+  /** Performs one work item. Returns the work to perform next, or null. */
   private LogWork performWork(LogWork work) {
     boolean isAppended = work.record() == null;
     while (true) {
@@ -119,8 +126,8 @@
           writer.sync();
         }
         long bytes = writer.appendedBytes();
-        // Others that wait, such as to begin a segment, go first: what was offered is then handed
-        // on by the loop.
+        // Queued tasks, such as the start of a segment, run first. In that case the event loop
+        // submits the offered work later.
         LogWork next = executor.getQueue().isEmpty() ? offeredWork.getAndSet(null) : null;
         runOnEventLoop(() -> listener.onWorkDone(work, bytes));
         return next;
@@ -150,10 +157,10 @@
   }
 
   /**
-   * Begins a new segment.
+   * Starts a new segment.
    *
-   * @param callback is called on the event loop with the sequence before it, or -1 when it could
-   *     not be begun
+   * @param callback receives, on the event loop, the sequence number of the last record before the
+   *     segment, or -1 if the segment could not be started
    */
   void roll(LongConsumer callback) {
     executor.execute(
@@ -162,7 +169,7 @@
           try {
             sequence = writer.roll();
           } catch (IOException e) {
-            // The next work fails too, and its error is reported.
+            // The next work fails as well, and its error is reported.
           }
           long result = sequence;
           runOnEventLoop(() -> callback.accept(result));
@@ -170,9 +177,9 @@
   }
 
   /**
-   * Syncs what was appended.
+   * Syncs the appended records.
    *
-   * @param callback is called on the event loop once that is done; never when it cannot be
+   * @param callback runs on the event loop after the sync; it does not run if the sync fails
    */
   void syncThen(Runnable callback) {
     executor.execute(
@@ -181,16 +188,16 @@
             writer.sync();
             runOnEventLoop(callback);
           } catch (IOException e) {
-            // The next work fails too, and its error is reported.
+            // The next work fails as well, and its error is reported.
           }
         });
   }
 
   /**
-   * Goes on in a new segment after a snapshot.
+   * Starts a new segment after a snapshot.
    *
-   * @param coveredSequence the last record that the snapshot covers
-   * @param callback is called on the event loop with the failure, or null
+   * @param coveredSequence the sequence number of the last record that the snapshot covers
+   * @param callback receives, on the event loop, the failure or null on success
    */
   void startNewSegment(long coveredSequence, Consumer<IOException> callback) {
     executor.execute(
@@ -211,9 +218,9 @@
   }
 
   /**
-   * Syncs what is not yet, and ends after the work that was given; once.
+   * Completes the submitted work, syncs the log and ends the thread. Must be called once.
    *
-   * @param timeoutMillis after which the thread is interrupted
+   * @param timeoutMillis the time after which the thread is interrupted
    */
   void close(long timeoutMillis) {
     isClosing = true;
@@ -227,16 +234,16 @@
               writer.close();
             }
           } catch (IOException e) {
-            // What was acknowledged under `always` is synced by now.
+            // Changes acknowledged with durability `always` are already synced.
           }
         });
     executor.shutdown();
     try {
       if (!executor.awaitTermination(timeoutMillis, TimeUnit.MILLISECONDS)) {
-        var unused = executor.shutdownNow(); // What did not run was not acknowledged.
+        var unused = executor.shutdownNow(); // The discarded work was not acknowledged.
       }
     } catch (InterruptedException e) {
-      var unused = executor.shutdownNow(); // What did not run was not acknowledged.
+      var unused = executor.shutdownNow(); // The discarded work was not acknowledged.
       Thread.currentThread().interrupt();
     }
   }
--- a/src/main/java/fawndock/counter/config/CounterSettings.java
+++ b/src/main/java/fawndock/counter/config/CounterSettings.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /**
- * The settings of one counter process, as its settings file gives them. Immutable.
+ * The settings of one counter process, as read from its settings file. Immutable.
  *
- * @param listen where clients connect
- * @param directory of write-ahead log and snapshots
- * @param durability which crash an acknowledged change outlasts
- * @param syncIntervalMillis between syncs when the durability is by interval, from 1
- * @param snapshotAfterLogBytes bytes of log after which a snapshot is taken
- * @param password that clients must give; empty for none
- * @param maxConnections of clients; more are closed at once
- * @param maxMemoryBytes for names; new names beyond it are rejected
- * @param stalledClientTimeoutMillis after which a connection is closed that leaves a command half
- *     sent, or answers unread
- * @param logSettings how it is logged
- * @param cluster the replicas, this one among them
+ * @param listen the address at which clients connect
+ * @param directory the directory of the write-ahead log and the snapshots
+ * @param durability the kind of crash that an acknowledged change survives
+ * @param syncIntervalMillis the time between syncs with interval durability, at least 1
+ * @param snapshotAfterLogBytes the log size in bytes after which a snapshot is taken
+ * @param password the password that clients must give; empty for none
+ * @param maxConnections the maximum number of client connections; further ones are closed at once
+ * @param maxMemoryBytes the memory limit for names; new names beyond it are rejected
+ * @param stalledClientTimeoutMillis the time after which a connection with an incomplete command or
+ *     unread replies is closed
+ * @param logSettings the format and level of the log messages
+ * @param cluster this node and the other replicas
  */
 public record CounterSettings(
     Address listen,
@@ -35,14 +35,14 @@
     LogSettings logSettings,
     Cluster cluster) {
   /**
-   * The replicas of the counter.
+   * The replicas of the counter and the timeouts between them. Immutable.
    *
-   * @param node the name of this one; empty when it is the only one
-   * @param epoch of the membership list
-   * @param failureTimeoutMillis without a heartbeat after which a peer counts as partitioned or
-   *     dead
-   * @param startAloneMillis after which a node that reaches no peer starts by itself
-   * @param peers the other nodes, by name
+   * @param nodeName the name of this node; empty if it is the only one
+   * @param epoch the epoch of the membership list
+   * @param failureTimeoutMillis the time without a heartbeat after which a peer counts as
+   *     partitioned or dead
+   * @param startAloneMillis the time after which a node that reaches no peer starts alone
+   * @param peers the addresses of the other nodes, by name
    */
   public record Cluster(
       String nodeName,
--- a/src/main/java/fawndock/counter/config/CounterSettingsFile.java
+++ b/src/main/java/fawndock/counter/config/CounterSettingsFile.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads the counter's settings. The constructor lists every keyword with its form; what each means
- * is in docs/operations/counter.md. One thread.
+ * Reads the counter's settings file. The constructor lists every keyword with its form;
+ * docs/operations/counter.md documents their meaning. Not thread-safe.
  */
 public final class CounterSettingsFile extends ConfigurationFile {
   private static final long MINUTE_MICROS = 60_000_000L;
@@ -61,9 +61,10 @@
   }
 
   /**
-   * Reads a settings file and all that it includes; a relative directory is beside the file.
+   * Reads a settings file and the files that it includes. A relative directory is resolved against
+   * the directory of the settings file.
    *
-   * @throws ConfigurationException with every error when there is any
+   * @throws ConfigurationException if there are errors; it contains all of them
    */
   public static CounterSettings read(Path file) throws ConfigurationException {
     return new CounterSettingsFile(file).readAll(file);
@@ -96,7 +97,7 @@
   private void readDurability(LineArguments arguments) {
     try {
       durability = Durability.valueOf(arguments.positional(0).toUpperCase(Locale.ROOT));
-    } catch (IllegalArgumentException e) { // No constant has that name.
+    } catch (IllegalArgumentException e) { // The enum has no such constant.
       arguments.addError(
           "durability '" + arguments.positional(0) + "'", "always, interval or none");
     }
@@ -129,11 +130,14 @@
       arguments.addError("fellow " + name + " is given twice", "each fellow once");
     }
     crossCheck(
-        arguments, () -> !cluster.nodeName().isEmpty(), "a fellow without a fleet", "fleet NAME");
+        arguments,
+        () -> !cluster.nodeName().isEmpty(),
+        "a fellow line without a fleet line",
+        "fleet NAME");
     crossCheck(
         arguments,
         () -> !cluster.nodeName().equals(name),
         "fellow " + name + " is this node",
-        "the others alone");
+        "the name of another node");
   }
 }
--- a/src/main/java/fawndock/counter/config/package-info.java
+++ b/src/main/java/fawndock/counter/config/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The settings of the counter service and the reader of its settings file. Opens nothing; errors
- * are {@link fawndock.settings.ConfigurationException}.
+ * The settings of the counter server and the reader of its settings file. The package opens no
+ * sockets and no files other than settings files; errors are reported as {@link
+ * fawndock.settings.ConfigurationException}.
  */
 package fawndock.counter.config;
