--- a/src/test/java/fawndock/counter/CommandCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/CommandCompatibilityTest.java
@@ -25,19 +25,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Command names, arities, answers, and the words of the messages between nodes are those of the
- * earlier version: the golden lists are what it answered and sent.
+ * Tests that command names, arities, replies and the messages between nodes are the same as in an
+ * earlier version. The golden files contain the replies and messages of that version.
  */
 class CommandCompatibilityTest {
   private static final int TIMEOUT_MILLIS = 20_000;
-  private static final CounterSettings.Cluster ALONE =
+  private static final CounterSettings.Cluster STANDALONE =
       new CounterSettings.Cluster("", 1, 150, 2_000, Map.of());
   @TempDir private Path directory;
   private FileStorage storage;
   private CounterServer server;
   private int port;
 
-  private void start(CounterSettings.Cluster fleet) throws IOException {
+  private void start(CounterSettings.Cluster cluster) throws IOException {
     storage = new FileStorage(directory, true);
     server =
         new CounterServer(
@@ -52,7 +52,7 @@
                 300_000,
                 10_000,
                 new LogSettings(false, "warn"),
-                fleet),
+                cluster),
             storage);
     port = server.start(bytes -> {});
   }
@@ -66,16 +66,17 @@
   }
 
   /**
-   * Words in, the answer as text out: simple strings, errors and integers with their first byte.
+   * A connection that sends commands and returns replies as text. Simple strings, errors and
+   * integers keep their type byte.
    */
   private static final class Connection implements AutoCloseable {
     private final Socket socket;
-    private final InputStream in;
+    private final InputStream input;
 
     Connection(Socket socket) throws IOException {
       this.socket = socket;
       socket.setSoTimeout(TIMEOUT_MILLIS);
-      in = new BufferedInputStream(socket.getInputStream());
+      input = new BufferedInputStream(socket.getInputStream());
     }
 
     String call(String... words) throws IOException {
@@ -84,46 +85,46 @@
         text.append("$" + word.getBytes(StandardCharsets.UTF_8).length + "\r\n" + word + "\r\n");
       }
       socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
-      return answer();
+      return readReply();
     }
 
-    /** One command as a node sends it: an array of its words. */
-    List<String> command() throws IOException {
+    /** Reads a command sent by a node, which is an array of words. */
+    List<String> readCommand() throws IOException {
       List<String> words = new ArrayList<>();
-      for (int left = Integer.parseInt(line().substring(1)); left > 0; left--) {
-        words.add(answer());
+      for (int remaining = Integer.parseInt(readLine().substring(1)); remaining > 0; remaining--) {
+        words.add(readReply());
       }
       return words;
     }
 
-    void reply(String text) throws IOException {
+    void writeLine(String text) throws IOException {
       socket.getOutputStream().write((text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    String answer() throws IOException {
-      String line = line();
+    String readReply() throws IOException {
+      String line = readLine();
       int length = "$*".indexOf(line.charAt(0)) >= 0 ? Integer.parseInt(line.substring(1)) : 0;
       if (length < 0) {
         return "null";
       }
       if (line.charAt(0) == '$') {
-        return new String(in.readNBytes(length + 2), 0, length, StandardCharsets.UTF_8);
+        return new String(input.readNBytes(length + 2), 0, length, StandardCharsets.UTF_8);
       }
       if (line.charAt(0) != '*') {
         return line;
       }
-      List<String> all = new ArrayList<>();
+      List<String> elements = new ArrayList<>();
       for (int i = 0; i < length; i++) {
-        all.add(answer());
+        elements.add(readReply());
       }
-      return all.toString();
+      return elements.toString();
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
       StringBuilder line = new StringBuilder();
-      for (int c = in.read(); c != '\n'; c = in.read()) {
+      for (int c = input.read(); c != '\n'; c = input.read()) {
         if (c < 0) {
-          throw new IOException("closed by the other side");
+          throw new IOException("connection closed by the peer");
         }
         line.append(c == '\r' ? "" : Character.toString(c));
       }
@@ -141,8 +142,8 @@
   }
 
   @Test
-  void commandTable_hasTheSameNamesAritiesAndPlacesOfNames() throws IOException {
-    start(ALONE);
+  void commandTable_asInEarlierVersion_hasSameNamesAritiesAndNameIndexes() throws IOException {
+    start(STANDALONE);
     try (Connection client = connect()) {
       List<String> expected = new ArrayList<>();
       for (String line : EarlierVersionFiles.lines("command-table.txt")) {
@@ -156,8 +157,8 @@
   }
 
   @Test
-  void info_hasTheSameSectionsAndFieldsInTheirOrder() throws IOException {
-    start(ALONE);
+  void info_asInEarlierVersion_hasSameSectionsAndFieldsInOrder() throws IOException {
+    start(STANDALONE);
     try (Connection client = connect()) {
       List<String> fields =
           Arrays.stream(client.call("INFO").split("\r\n", 0))
@@ -170,25 +171,25 @@
   }
 
   @Test
-  void commands_replayedInOrder_haveTheSameAnswersAlsoAfterARestart() throws IOException {
-    start(ALONE);
+  void commands_replayedInOrder_haveSameRepliesAlsoAfterRestart() throws IOException {
+    start(STANDALONE);
     Connection client = connect();
     try {
       for (String line : EarlierVersionFiles.lines("commands.txt")) {
         if (line.startsWith("--")) {
           client.close();
           stop();
-          start(ALONE);
+          start(STANDALONE);
           client = connect();
           continue;
         }
-        int arrow = line.lastIndexOf("\t-> ");
-        String command = line.substring(0, arrow);
-        assertEquals(line.substring(arrow + 4), client.call(command.split("\t", 0)), command);
+        int separator = line.lastIndexOf("\t-> ");
+        String command = line.substring(0, separator);
+        assertEquals(line.substring(separator + 4), client.call(command.split("\t", 0)), command);
       }
       for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
-        String[] nameAndAnswer = line.split("\t", 0);
-        assertEquals(nameAndAnswer[1], client.call("GET", nameAndAnswer[0]), nameAndAnswer[0]);
+        String[] nameAndReply = line.split("\t", 0);
+        assertEquals(nameAndReply[1], client.call("GET", nameAndReply[0]), nameAndReply[0]);
       }
     } finally {
       client.close();
@@ -196,23 +197,24 @@
   }
 
   @Test
-  void server_startedOnFilesOfTheEarlierVersion_givesTheSameAnswers() throws IOException {
+  void server_startedOnFilesOfEarlierVersion_givesSameReplies() throws IOException {
     EarlierVersionFiles.copyTo("restarted", directory);
-    start(ALONE);
+    start(STANDALONE);
     try (Connection client = connect()) {
       for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
-        String[] nameAndAnswer = line.split("\t", 0);
-        // The fixture's relative expiries end one day; those that never expire are held for good.
-        if (!nameAndAnswer[0].matches("window\\..*|lives|after-snapshot")) {
-          assertEquals(nameAndAnswer[1], client.call("GET", nameAndAnswer[0]), nameAndAnswer[0]);
+        String[] nameAndReply = line.split("\t", 0);
+        // The fixture's relative expiries pass eventually; only names that never expire are
+        // compared.
+        if (!nameAndReply[0].matches("window\\..*|lives|after-snapshot")) {
+          assertEquals(nameAndReply[1], client.call("GET", nameAndReply[0]), nameAndReply[0]);
         }
       }
     }
   }
 
   @Test
-  void aloneCounter_answersNodeCommandsWithTheSameWording() throws IOException {
-    start(ALONE);
+  void standaloneCounter_nodeCommands_haveSameReplyTexts() throws IOException {
+    start(STANDALONE);
     try (Connection client = connect()) {
       assertEquals("[alone epoch 1 ready]", client.call("FD.STATUS"));
       assertEquals("[:1, :1048576]", client.call("FD.HERE", "7", "1"));
@@ -236,66 +238,74 @@
     }
   }
 
-  /** The test is the other node: it reads what this one sends and answers as a node does. */
+  /** The test acts as the peer: it reads the messages of the node and replies to them. */
   @Test
-  void messagesBetweenNodes_haveTheSameWordsInTheSameOrder() throws IOException {
+  void messagesBetweenNodes_haveSameWordsInSameOrder() throws IOException {
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       listener.setSoTimeout(TIMEOUT_MILLIS);
       Address peer = new Address("127.0.0.1", listener.getLocalPort());
       start(new CounterSettings.Cluster("n0", 1, 300, 600, Map.of("n1", peer)));
-      try (Connection fromNode = new Connection(listener.accept());
+      try (Connection nodeConnection = new Connection(listener.accept());
           Connection client = connect()) {
-        List<String> heartbeat = fromNode.command();
+        List<String> heartbeat = nodeConnection.readCommand();
         assertEquals(List.of("FD.BEAT", "n0", "1048576"), heartbeat.subList(0, 3));
-        Long.parseLong(heartbeat.get(3)); // The incarnation, by chance.
-        assertEquals(List.of("0"), heartbeat.subList(4, heartbeat.size()), "not ready, no stamps");
-        fromNode.reply("+OK");
+        Long.parseLong(heartbeat.get(3)); // The incarnation is random.
+        assertEquals(
+            List.of("0"),
+            heartbeat.subList(4, heartbeat.size()),
+            "the node is not ready and sends no stamps");
+        nodeConnection.writeLine("+OK");
         assertEquals(
             "+OK", client.call("FD.TOLD", "n1", "1", "a.1", "8", "2.5", "1", "2000000000"));
         assertEquals("+OK", client.call("FD.BEAT", "n1", "1048576", "12345", "1", "8", "17"));
-        List<String> everything = answerUntilSums(fromNode);
-        assertEquals(List.of("n0", "1"), everything.subList(1, 3), "sender, and that it is all");
-        assertEquals(List.of("a.1 8 0 1", "a.1 8 2.5 0"), sumsWithoutTimes(everything));
-        fromNode.reply("+OK");
+        List<String> fullState = replyUntilSums(nodeConnection);
+        assertEquals(
+            List.of("n0", "1"), fullState.subList(1, 3), "sender, and full state complete");
+        assertEquals(List.of("a.1 8 0 1", "a.1 8 2.5 0"), sumsWithoutExpiry(fullState));
+        nodeConnection.writeLine("+OK");
         assertEquals("6.5", client.call("FD.SUM", "a.1", "7", "6", "1", "60000"));
-        List<String> changed = answerUntilSums(fromNode);
-        assertEquals(List.of("n0", "0"), changed.subList(1, 3), "sender, and that it is not all");
-        assertEquals(List.of("a.1 7 6 1"), sumsWithoutTimes(changed));
-        fromNode.reply("+OK");
+        List<String> changedSums = replyUntilSums(nodeConnection);
+        assertEquals(
+            List.of("n0", "0"), changedSums.subList(1, 3), "sender, and full state not complete");
+        assertEquals(List.of("a.1 7 6 1"), sumsWithoutExpiry(changedSums));
+        nodeConnection.writeLine("+OK");
         client.call("FD.BEAT", "n1", "1048576", "12345", "1");
         String status = client.call("FD.STATUS");
         assertTrue(
             status.matches("\\[n0 epoch 1 ready,   n1 heard lag (everything|[0-9]+)]"), status);
         assertEquals(
             "+LIST 2 n0=127.0.0.1:1 n1=127.0.0.1:2",
-            listAfter(client, "2", "n0=127.0.0.1:1", "n1=127.0.0.1:2"));
+            replyAfterMembershipChange(client, "2", "n0=127.0.0.1:1", "n1=127.0.0.1:2"));
       }
     }
   }
 
-  private static List<String> sumsWithoutTimes(List<String> command) {
+  private static List<String> sumsWithoutExpiry(List<String> command) {
     assertEquals(0, (command.size() - 3) % 5, command.toString());
     List<String> sums = new ArrayList<>();
-    for (int at = 3; at < command.size(); at += 5) {
-      sums.add(String.join(" ", command.subList(at, at + 4)));
-      assertTrue(Long.parseLong(command.get(at + 4)) > 0, "milliseconds that it is kept");
+    for (int index = 3; index < command.size(); index += 5) {
+      sums.add(String.join(" ", command.subList(index, index + 4)));
+      assertTrue(Long.parseLong(command.get(index + 4)) > 0, "the time to live is positive");
     }
     sums.sort(null);
     return sums;
   }
 
-  private static String listAfter(Connection client, String... list) throws IOException {
-    String[] words = new String[list.length + 1];
+  private static String replyAfterMembershipChange(Connection client, String... membershipWords)
+      throws IOException {
+    String[] words = new String[membershipWords.length + 1];
     words[0] = "FD.NODES";
-    System.arraycopy(list, 0, words, 1, list.length);
-    assertEquals(String.join(" ", list), client.call(words));
+    System.arraycopy(membershipWords, 0, words, 1, membershipWords.length);
+    assertEquals(String.join(" ", membershipWords), client.call(words));
     return client.call("FD.BEAT", "n1", "1048576", "12345", "1");
   }
 
-  /** Answers heartbeats until sums come; holds their form on the way. */
-  private static List<String> answerUntilSums(Connection fromNode) throws IOException {
+  /**
+   * Replies to heartbeats until a message with sums arrives, and checks the form of the heartbeats.
+   */
+  private static List<String> replyUntilSums(Connection nodeConnection) throws IOException {
     while (true) {
-      List<String> command = fromNode.command();
+      List<String> command = nodeConnection.readCommand();
       if (command.get(0).equals("FD.TOLD")) {
         return command;
       }
@@ -305,7 +315,7 @@
       if (command.size() > 5) {
         assertEquals(List.of("8", "17"), command.subList(5, command.size()), "origin and stamp");
       }
-      fromNode.reply("+OK");
+      nodeConnection.writeLine("+OK");
     }
   }
 }
--- a/src/test/java/fawndock/counter/CounterClusterTest.java
+++ b/src/test/java/fawndock/counter/CounterClusterTest.java
@@ -24,41 +24,41 @@
 import redis.clients.jedis.Jedis;
 import redis.clients.jedis.exceptions.JedisDataException;
 
-/** Three replicas of a counter, as gateways see them. */
+/** Tests three replicas of a counter through the commands that gateways send. */
 class CounterClusterTest {
-  private static final int NODES = 3;
+  private static final int NODE_COUNT = 3;
   @TempDir private Path directory;
   private final List<Integer> ports = new ArrayList<>();
   private final Map<Integer, CounterServer> servers = new TreeMap<>();
-  private final Map<Integer, FileStorage> disks = new TreeMap<>();
+  private final Map<Integer, FileStorage> storages = new TreeMap<>();
 
   @BeforeEach
   void start() throws IOException {
-    for (int i = 0; i < NODES; i++) {
-      try (ServerSocket free = new ServerSocket(0)) {
-        ports.add(free.getLocalPort());
+    for (int i = 0; i < NODE_COUNT; i++) {
+      try (ServerSocket socket = new ServerSocket(0)) {
+        ports.add(socket.getLocalPort());
       }
     }
-    for (int i = 0; i < NODES; i++) {
+    for (int i = 0; i < NODE_COUNT; i++) {
       start(i, 1);
     }
   }
 
   private void start(int node, long epoch) throws IOException {
     Map<String, Address> peers = new TreeMap<>();
-    for (int i = 0; i < NODES; i++) {
+    for (int i = 0; i < NODE_COUNT; i++) {
       if (i != node) {
         peers.put("n" + i, new Address("127.0.0.1", ports.get(i)));
       }
     }
-    Path of = directory.resolve("n" + node);
-    disks.put(node, new FileStorage(of, true));
+    Path nodeDirectory = directory.resolve("n" + node);
+    storages.put(node, new FileStorage(nodeDirectory, true));
     servers.put(
         node,
         new CounterServer(
             new CounterSettings(
                 new Address("127.0.0.1", ports.get(node)),
-                of,
+                nodeDirectory,
                 Durability.ALWAYS,
                 1_000,
                 1 << 20,
@@ -68,8 +68,8 @@
                 10_000,
                 new LogSettings(false, "error"),
                 new CounterSettings.Cluster("n" + node, epoch, 300, 600, peers)),
-            disks.get(node)));
-    servers.get(node).start(b -> {});
+            storages.get(node)));
+    servers.get(node).start(bytesRead -> {});
   }
 
   @AfterEach
@@ -81,61 +81,65 @@
 
   private void stop(int node) throws IOException {
     servers.remove(node).close();
-    disks.remove(node).close();
+    storages.remove(node).close();
   }
 
   private String call(int node, String... words) {
-    try (Jedis c = new Jedis("127.0.0.1", ports.get(node), 20_000)) {
-      String[] rest = java.util.Arrays.copyOfRange(words, 1, words.length);
-      Object answer =
-          c.sendCommand(() -> words[0].getBytes(java.nio.charset.StandardCharsets.UTF_8), rest);
-      return answer instanceof byte[] bytes
+    try (Jedis client = new Jedis("127.0.0.1", ports.get(node), 20_000)) {
+      String[] arguments = java.util.Arrays.copyOfRange(words, 1, words.length);
+      Object reply =
+          client.sendCommand(
+              () -> words[0].getBytes(java.nio.charset.StandardCharsets.UTF_8), arguments);
+      return reply instanceof byte[] bytes
           ? new String(bytes, java.nio.charset.StandardCharsets.UTF_8)
-          : String.valueOf(answer);
+          : String.valueOf(reply);
     }
   }
 
-  /** Repeats a call until the node has caught up, or has the list. */
-  private void until(int node, String expected, String... words) {
-    String answer = "";
-    while (!expected.equals(answer)) { // The test's own time limit ends it.
+  /**
+   * Repeats a call until the node gives the expected reply, for example once it has caught up or
+   * has the membership list.
+   */
+  private void callUntilReply(int node, String expected, String... words) {
+    String reply = "";
+    while (!expected.equals(reply)) { // The timeout of the test ends the loop.
       try {
-        answer = call(node, words);
+        reply = call(node, words);
       } catch (JedisDataException e) {
         assertTrue(
             e.getMessage().matches("(LOADING|FENCED).*"),
-            e.getMessage()); // Until it has the list, too.
+            e.getMessage()); // Also until the node has the list.
       }
     }
   }
 
   @Test
-  void sum_sentToAnyNodeAndAgain_countsOnceEverywhere() {
-    until(0, "5", "FD.SUM", "a.1", "7", "5", "0", "60000");
-    until(1, "5", "GET", "a.1");
-    until(1, "6", "FD.SUM", "a.1", "7", "7", "1", "60000");
+  void sum_sentRepeatedlyToAnyNode_countsOnceOnAllNodes() {
+    callUntilReply(0, "5", "FD.SUM", "a.1", "7", "5", "0", "60000");
+    callUntilReply(1, "5", "GET", "a.1");
+    callUntilReply(1, "6", "FD.SUM", "a.1", "7", "7", "1", "60000");
     assertEquals(
         "6", call(1, "FD.SUM", "a.1", "7", "5", "0", "60000"), "an older sum changes nothing");
-    until(2, "8.5", "FD.SUM", "a.1", "8", "2.5", "0", "60000");
-    for (int i = 0; i < NODES; i++) {
-      until(i, "8.5", "GET", "a.1");
+    callUntilReply(2, "8.5", "FD.SUM", "a.1", "8", "2.5", "0", "60000");
+    for (int i = 0; i < NODE_COUNT; i++) {
+      callUntilReply(i, "8.5", "GET", "a.1");
     }
   }
 
   @Test
-  void emptyNode_answersOnceItHasTheFullState() throws IOException {
+  void nodeWithoutData_servesOnlyAfterReceivingTheFullState() throws IOException {
     for (int i = 0; i < 500; i++) {
-      until(0, "1", "FD.SUM", "name-" + i + ".1", "7", "1", "0", "60000");
+      callUntilReply(0, "1", "FD.SUM", "name-" + i + ".1", "7", "1", "0", "60000");
     }
-    until(2, "1", "GET", "name-499.1");
+    callUntilReply(2, "1", "GET", "name-499.1");
     stop(2);
     try (Stream<Path> files = Files.list(directory.resolve("n2"))) {
-      for (Path each : files.toList()) {
-        Files.delete(each);
+      for (Path file : files.toList()) {
+        Files.delete(file);
       }
     }
     start(2, 1);
-    until(
+    callUntilReply(
         2,
         "2",
         "FD.SUM",
@@ -143,7 +147,7 @@
         "8",
         "1",
         "0",
-        "60000"); // Its first answer has the others' sums.
+        "60000"); // The first reply includes the sums of the other nodes.
     for (int i = 0; i < 500; i++) {
       assertEquals(i == 250 ? "2" : "1", call(2, "GET", "name-" + i + ".1"));
     }
@@ -151,12 +155,12 @@
 
   @Test
   void node_withAnOldMembershipList_isFenced() throws IOException {
-    until(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
+    callUntilReply(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
     stop(2);
     start(2, 2);
-    String answer = "";
-    while (!answer.startsWith("FENCED")) {
-      answer =
+    String reply = "";
+    while (!reply.startsWith("FENCED")) {
+      reply =
           assertThrows(
                   JedisDataException.class,
                   () -> {
@@ -166,14 +170,14 @@
                   })
               .getMessage();
     }
-    until(2, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
+    callUntilReply(2, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
   }
 
   @Test
-  void membershipList_givenToOneNode_reachesAllAndFencesTheRemovedOne() throws IOException {
-    until(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
-    try (ServerSocket free = new ServerSocket(0)) {
-      ports.add(free.getLocalPort());
+  void membershipList_givenToOneNode_reachesAllAndFencesTheRemovedNode() throws IOException {
+    callUntilReply(0, "1", "FD.SUM", "a.1", "7", "1", "0", "60000");
+    try (ServerSocket socket = new ServerSocket(0)) {
+      ports.add(socket.getLocalPort());
     }
     start(3, 1);
     String list =
@@ -188,13 +192,13 @@
     assertThrows(
         JedisDataException.class,
         () -> call(3, "FD.SUM", "a.1", "8", "1", "0", "60000"),
-        "it is not on the others' list yet");
+        "the node is not on the other nodes' list yet");
     assertEquals(list, call(0, words));
-    until(
+    callUntilReply(
         3, "2", "FD.SUM", "a.1", "8", "1", "0",
-        "60000"); // Its first answer has what the others had.
+        "60000"); // The first reply includes the sums of the other nodes.
     for (int node : List.of(1, 2, 3)) {
-      until(node, list, "FD.NODES");
+      callUntilReply(node, list, "FD.NODES");
     }
     assertTrue(
         assertThrows(
@@ -202,8 +206,8 @@
             .getMessage()
             .startsWith("FENCED"));
     stop(2);
-    start(2, 1); // By the list in its settings, on which it is.
-    until(2, list, "FD.NODES");
+    start(2, 1); // The node starts with the list in its settings, which includes it.
+    callUntilReply(2, list, "FD.NODES");
     assertEquals(
         list,
         call(0, ("FD.NODES 1 n0=127.0.0.1:" + ports.get(0)).split(" ")),
--- a/src/test/java/fawndock/counter/CounterLimitsTest.java
+++ b/src/test/java/fawndock/counter/CounterLimitsTest.java
@@ -20,34 +20,37 @@
 import redis.clients.jedis.Transaction;
 import redis.clients.jedis.exceptions.JedisDataException;
 
-/** What a client, a connection and a transaction may take of the counter. */
+/** Tests the limits on clients, connections, names and transactions. */
 class CounterLimitsTest extends CounterServerFixture {
-  /** Many more answers than may wait: reading pauses, nothing is lost and all come in order. */
+  /**
+   * With many more pending replies than allowed, reading pauses, and no reply is lost or out of
+   * order.
+   */
   @Test
   void deepPipeline_isAnsweredInOrder() throws Exception {
-    int many = 200_000;
+    int commandCount = 200_000;
     try (Socket socket = new Socket("127.0.0.1", port)) {
       Thread writer =
           new Thread(
               () -> {
                 try {
-                  byte[] one = "INCRBY deep 1\r\n".getBytes(StandardCharsets.US_ASCII);
-                  var out = new java.io.BufferedOutputStream(socket.getOutputStream(), 1 << 16);
-                  for (int i = 0; i < many; i++) {
-                    out.write(one);
+                  byte[] command = "INCRBY deep 1\r\n".getBytes(StandardCharsets.US_ASCII);
+                  var output = new java.io.BufferedOutputStream(socket.getOutputStream(), 1 << 16);
+                  for (int i = 0; i < commandCount; i++) {
+                    output.write(command);
                   }
-                  out.flush();
+                  output.flush();
                 } catch (IOException e) {
                   throw new java.io.UncheckedIOException(e);
                 }
               });
       writer.start();
-      BufferedReader in = reader(socket);
-      long next = 1;
-      for (int i = 0; i < many; i++) {
-        String line = in.readLine();
-        if (line.startsWith(":")) { // Others were rejected: more than fits in a group.
-          assertEquals(":" + next++, line);
+      BufferedReader replies = reader(socket);
+      long nextTotal = 1;
+      for (int i = 0; i < commandCount; i++) {
+        String line = replies.readLine();
+        if (line.startsWith(":")) { // Other adds are rejected because the commit group is full.
+          assertEquals(":" + nextTotal++, line);
         } else {
           assertEquals("-BUSY the log is behind, nothing was added", line);
         }
@@ -56,146 +59,164 @@
     }
   }
 
-  /** A client that does not read replies is not read from: what it sends stays in the sockets. */
+  /**
+   * The server stops reading from a client that does not read its replies, so the unread commands
+   * stay in the socket buffers.
+   */
   @Test
-  void unreadReplies_stopReadingFromTheClient() throws IOException {
-    byte[] echo = ("ECHO " + "x".repeat(60_000) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-    int most = 2_000;
+  void unreadReplies_stopReadingFromClient() throws IOException {
+    byte[] echoCommand =
+        ("ECHO " + "x".repeat(60_000) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+    int maxCommands = 2_000;
     try (SocketChannel channel = SocketChannel.open(new InetSocketAddress("127.0.0.1", port));
-        Jedis other = client()) {
+        Jedis otherClient = client()) {
       channel.configureBlocking(false);
-      int sent = 0;
-      ByteBuffer next = ByteBuffer.wrap(echo);
-      for (int inVain = 0; inVain < 200 && sent < most; ) {
-        inVain = channel.write(next) > 0 ? 0 : inVain + 1;
-        if (!next.hasRemaining()) {
-          sent++;
-          next.clear();
+      int sentCount = 0;
+      ByteBuffer unsent = ByteBuffer.wrap(echoCommand);
+      for (int failedWrites = 0; failedWrites < 200 && sentCount < maxCommands; ) {
+        failedWrites = channel.write(unsent) > 0 ? 0 : failedWrites + 1;
+        if (!unsent.hasRemaining()) {
+          sentCount++;
+          unsent.clear();
         }
-        other.ping(); // The counter has had a turn.
+        otherClient.ping(); // Ensures that the event loop of the counter has run.
       }
-      assertTrue(sent < most, "120 MB were taken without an answer read");
+      assertTrue(
+          sentCount < maxCommands, "the server read 120 MB although the client read no reply");
     }
   }
 
   @Test
-  void incompleteCommand_isClosedAndAHugeOneRejected() throws IOException {
-    try (Socket half = new Socket("127.0.0.1", port);
-        Socket huge = new Socket("127.0.0.1", port)) {
-      half.getOutputStream().write("*2\r\n$3\r\nGET\r\n$1".getBytes(StandardCharsets.US_ASCII));
-      huge.getOutputStream()
+  void incompleteCommand_isClosedAndOversizedCommandIsRejected() throws IOException {
+    try (Socket incomplete = new Socket("127.0.0.1", port);
+        Socket oversized = new Socket("127.0.0.1", port)) {
+      incomplete
+          .getOutputStream()
+          .write("*2\r\n$3\r\nGET\r\n$1".getBytes(StandardCharsets.US_ASCII));
+      oversized
+          .getOutputStream()
           .write("*2\r\n$3\r\nGET\r\n$2147483647\r\nab".getBytes(StandardCharsets.US_ASCII));
-      assertEquals("-ERR Protocol error: invalid bulk length", reader(huge).readLine());
-      assertEquals(-1, huge.getInputStream().read());
-      assertNull(reader(half).readLine());
+      assertEquals("-ERR Protocol error: invalid bulk length", reader(oversized).readLine());
+      assertEquals(-1, oversized.getInputStream().read());
+      assertNull(reader(incomplete).readLine());
     }
   }
 
   @Test
   void thousandConnections_ofWhichFewAreActive_areServed() throws IOException {
-    List<Socket> all = new ArrayList<>();
+    List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 1_000; i++) {
-        all.add(new Socket("127.0.0.1", port));
+        sockets.add(new Socket("127.0.0.1", port));
       }
       for (int round = 0; round < 3; round++) {
         for (int i = 0; i < 1_000; i += 10) {
-          all.get(i).getOutputStream().write("INCRBY n 1\r\n".getBytes(StandardCharsets.US_ASCII));
+          sockets
+              .get(i)
+              .getOutputStream()
+              .write("INCRBY n 1\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         for (int i = 0; i < 1_000; i += 10) {
-          assertTrue(reader(all.get(i)).readLine().matches(":[0-9]+"));
+          assertTrue(reader(sockets.get(i)).readLine().matches(":[0-9]+"));
         }
       }
-      try (Jedis c = client()) {
-        assertEquals("300", c.get("n"));
-        assertTrue(c.info().contains("connected_clients:1001"));
+      try (Jedis client = client()) {
+        assertEquals("300", client.get("n"));
+        assertTrue(client.info().contains("connected_clients:1001"));
       }
     } finally {
-      for (Socket each : all) {
-        each.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
   }
 
-  /** The first beyond a limit is rejected, and the others go on. */
+  /** The first request beyond a limit is rejected, and others are still served. */
   @Test
   void namesConnectionsAndTransactions_beyondTheirLimits_areRejected() throws IOException {
-    try (Jedis c = client()) {
-      c.incrBy("old", 1);
-      String message = "";
-      for (int i = 0; message.isEmpty(); i++) {
+    try (Jedis client = client()) {
+      client.incrBy("old", 1);
+      String errorReply = "";
+      for (int i = 0; errorReply.isEmpty(); i++) {
         try {
-          c.incrBy("name-" + i, 1);
+          client.incrBy("name-" + i, 1);
         } catch (JedisDataException e) {
-          message = e.getMessage();
+          errorReply = e.getMessage();
         }
       }
-      assertEquals("OOM command not allowed when used memory > 'maxmemory'.", message);
-      assertEquals(message, error(() -> c.set("another", "1")));
-      assertEquals(2, c.incrBy("old", 1));
-      assertEquals("ERR a name is at most 1024 bytes", error(() -> c.incrBy("x".repeat(1_025), 1)));
-      Transaction t = c.multi();
+      assertEquals("OOM command not allowed when used memory > 'maxmemory'.", errorReply);
+      assertEquals(errorReply, errorMessage(() -> client.set("another", "1")));
+      assertEquals(2, client.incrBy("old", 1));
+      assertEquals(
+          "ERR a name is at most 1024 bytes",
+          errorMessage(() -> client.incrBy("x".repeat(1_025), 1)));
+      Transaction transaction = client.multi();
       for (int i = 0; i < fawndock.counter.Transaction.MAX_COMMANDS + 1; i++) {
-        t.incrBy("old", 1);
+        transaction.incrBy("old", 1);
       }
-      assertEquals("EXECABORT Transaction discarded because of previous errors.", error(t::exec));
-      assertEquals("2", c.get("old"));
+      assertEquals(
+          "EXECABORT Transaction discarded because of previous errors.",
+          errorMessage(transaction::exec));
+      assertEquals("2", client.get("old"));
       assertEquals(
           "ERR unknown command 'A  B', with args beginning with: ",
-          error(() -> c.sendCommand(() -> "A\r\nB".getBytes(StandardCharsets.US_ASCII))));
+          errorMessage(
+              () -> client.sendCommand(() -> "A\r\nB".getBytes(StandardCharsets.US_ASCII))));
     }
-    List<Socket> all = new ArrayList<>();
+    List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 1_100; i++) {
-        all.add(new Socket("127.0.0.1", port));
-        all.get(i).getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
+        sockets.add(new Socket("127.0.0.1", port));
+        sockets.get(i).getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
       }
-      Set<String> first = new HashSet<>();
-      for (Socket each : all) {
-        first.add(reader(each).readLine());
+      Set<String> replies = new HashSet<>();
+      for (Socket socket : sockets) {
+        replies.add(reader(socket).readLine());
       }
-      assertTrue(first.contains("+PONG"), first.toString());
-      try (Socket more = new Socket("127.0.0.1", port)) {
-        assertEquals("-ERR max number of clients reached", reader(more).readLine());
+      assertTrue(replies.contains("+PONG"), replies.toString());
+      try (Socket extraSocket = new Socket("127.0.0.1", port)) {
+        assertEquals("-ERR max number of clients reached", reader(extraSocket).readLine());
       }
     } finally {
-      for (Socket each : all) {
-        each.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
   }
 
-  /** A transaction that does not fit in the open group is not begun. */
+  /** A transaction that does not fit into the open commit group is not started. */
   @Test
-  void transaction_beyondTheOpenGroup_isRejectedWhole() throws Exception {
+  void transaction_largerThanSpaceInOpenGroup_isRejectedEntirely() throws Exception {
     storage.syncPermits.acquireUninterruptibly();
-    try (Socket first = new Socket("127.0.0.1", port);
-        Socket second = new Socket("127.0.0.1", port);
-        Jedis other = client()) {
-      first.getOutputStream().write("INCRBY first 1\r\n".getBytes(StandardCharsets.US_ASCII));
-      while (other.get("first") == null) {
+    try (Socket firstSocket = new Socket("127.0.0.1", port);
+        Socket secondSocket = new Socket("127.0.0.1", port);
+        Jedis otherClient = client()) {
+      firstSocket.getOutputStream().write("INCRBY first 1\r\n".getBytes(StandardCharsets.US_ASCII));
+      while (otherClient.get("first") == null) {
         Thread.onSpinWait();
       }
-      byte[] large = ("INCRBY " + "x".repeat(1_000) + " 1\r\n").getBytes(StandardCharsets.US_ASCII);
-      // Until what is left of the group takes some of the transaction but not all.
-      while (waiting(other) < (1 << 20) - 40_000) {
-        second.getOutputStream().write(large);
+      byte[] largeAdd =
+          ("INCRBY " + "x".repeat(1_000) + " 1\r\n").getBytes(StandardCharsets.US_ASCII);
+      // Fills the group until its free space is enough for a part of the transaction but not for
+      // all of it.
+      while (waitingBytes(otherClient) < (1 << 20) - 40_000) {
+        secondSocket.getOutputStream().write(largeAdd);
       }
-      try (Jedis c = client()) {
-        Transaction t = c.multi();
-        t.incrBy("small", 1);
+      try (Jedis client = client()) {
+        Transaction transaction = client.multi();
+        transaction.incrBy("small", 1);
         for (int i = 0; i < 100; i++) {
-          t.incrBy("y".repeat(1_000), 1);
+          transaction.incrBy("y".repeat(1_000), 1);
         }
-        assertTrue(error(t::exec).startsWith("BUSY"));
-        assertNull(c.get("small"));
+        assertTrue(errorMessage(transaction::exec).startsWith("BUSY"));
+        assertNull(client.get("small"));
       }
     } finally {
       storage.syncPermits.release();
     }
   }
 
-  private static long waiting(Jedis c) {
-    return Long.parseLong(c.info().replaceAll("(?s).*waiting_bytes:([0-9]+).*", "$1"));
+  private static long waitingBytes(Jedis client) {
+    return Long.parseLong(client.info().replaceAll("(?s).*waiting_bytes:([0-9]+).*", "$1"));
   }
 }
--- a/src/test/java/fawndock/counter/CounterServerFixture.java
+++ b/src/test/java/fawndock/counter/CounterServerFixture.java
@@ -18,9 +18,9 @@
 import redis.clients.jedis.Jedis;
 import redis.clients.jedis.exceptions.JedisDataException;
 
-/** A running counter with storage that can fail, started anew for each test. */
+/** Runs a counter server on storage with fault injection; each test gets a new server. */
 abstract class CounterServerFixture {
-  private static final CounterSettings.Cluster ALONE =
+  private static final CounterSettings.Cluster STANDALONE =
       new CounterSettings.Cluster("", 1, 150, 2_000, java.util.Map.of());
   @TempDir Path directory;
   FileStorage files;
@@ -33,7 +33,7 @@
     start("", 1_000);
   }
 
-  private void start(String password, long stallMillis) throws IOException {
+  private void start(String password, long stalledClientTimeoutMillis) throws IOException {
     files = new FileStorage(directory, true);
     storage = new FaultInjectingStorage(files);
     server =
@@ -47,9 +47,9 @@
                 password,
                 1_100,
                 300_000,
-                stallMillis,
+                stalledClientTimeoutMillis,
                 new LogSettings(false, "warn"),
-                ALONE),
+                STANDALONE),
             storage);
     port = server.start(bytes -> {});
   }
@@ -60,17 +60,17 @@
     files.close();
   }
 
-  final void restart(String password, long stallMillis) throws IOException {
+  final void restart(String password, long stalledClientTimeoutMillis) throws IOException {
     stop();
-    start(password, stallMillis);
+    start(password, stalledClientTimeoutMillis);
   }
 
   final Jedis client() {
     return new Jedis("127.0.0.1", port, 20_000);
   }
 
-  static String error(org.junit.jupiter.api.function.Executable what) {
-    return assertThrows(JedisDataException.class, what).getMessage();
+  static String errorMessage(org.junit.jupiter.api.function.Executable call) {
+    return assertThrows(JedisDataException.class, call).getMessage();
   }
 
   static BufferedReader reader(Socket socket) throws IOException {
--- a/src/test/java/fawndock/counter/EarlierVersionFiles.java
+++ b/src/test/java/fawndock/counter/EarlierVersionFiles.java
@@ -7,27 +7,30 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The files that an earlier version wrote; see the README beside them. */
+/**
+ * Gives access to the test fixtures that an earlier version stored; see the README in their
+ * directory.
+ */
 public final class EarlierVersionFiles {
   private static final Path ROOT = Path.of("src/test/resources/fawndock/counter/written-before");
 
-  /** Directories with a log of their own. */
+  /** The fixture directories, each of which contains a log. */
   public static final List<String> DIRECTORIES =
       List.of("first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2");
 
   private EarlierVersionFiles() {}
 
-  /** A file or directory by its path below the fixtures. */
+  /** Returns the path of a file or directory, given its path relative to the fixtures. */
   public static Path path(String name) {
     return ROOT.resolve(name);
   }
 
-  /** The lines of a text file. */
+  /** Returns the lines of a text file. */
   public static List<String> lines(String name) throws IOException {
     return Files.readAllLines(path(name), StandardCharsets.UTF_8);
   }
 
-  /** Names of the segments and snapshots in a directory, snapshots last. */
+  /** Returns the names of the segments and snapshots in a directory, snapshots last. */
   public static List<String> storedFiles(String directory) throws IOException {
     try (Stream<Path> files = Files.list(path(directory))) {
       return files
@@ -38,7 +41,9 @@
     }
   }
 
-  /** Copies the segments and snapshots of a directory to another, where they may be changed. */
+  /**
+   * Copies the segments and snapshots of a directory to another one, where tests may modify them.
+   */
   public static void copyTo(String directory, Path target) throws IOException {
     Files.createDirectories(target);
     for (String name : storedFiles(directory)) {
--- a/src/test/java/fawndock/counter/FaultInjectingStorage.java
+++ b/src/test/java/fawndock/counter/FaultInjectingStorage.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.concurrent.Semaphore;
 
-/** A directory whose log can be full, slow to sync, or fail a sync. */
+/** Storage that can be full, sync slowly or fail a sync. Tests control it from another thread. */
 final class FaultInjectingStorage implements Storage {
   private final Storage delegate;
   volatile boolean isFull;
   volatile boolean failNextSync;
 
-  /** Held by a test so that syncs of files wait. */
+  /** A test acquires the permits to make syncs of files wait. */
   final Semaphore syncPermits = new Semaphore(1);
 
-  /** Whether each sync of a file takes a permit for good. */
-  volatile boolean isStepping;
+  /** Whether each sync of a file consumes its permit instead of returning it. */
+  volatile boolean consumesSyncPermits;
 
   FaultInjectingStorage(Storage delegate) {
     this.delegate = delegate;
@@ -38,8 +38,8 @@
   }
 
   @Override
-  public void rename(String from, String to) throws IOException {
-    delegate.rename(from, to);
+  public void rename(String oldName, String newName) throws IOException {
+    delegate.rename(oldName, newName);
   }
 
   @Override
@@ -65,17 +65,17 @@
     }
 
     @Override
-    public int read(ByteBuffer to, long at) throws IOException {
-      return file.read(to, at);
+    public int read(ByteBuffer destination, long offset) throws IOException {
+      return file.read(destination, offset);
     }
 
     @Override
-    public void write(ByteBuffer from, long at) throws IOException {
+    public void write(ByteBuffer source, long offset) throws IOException {
       if (isFull) {
-        file.write(from.duplicate().limit(from.position() + from.remaining() / 2), at);
+        file.write(source.duplicate().limit(source.position() + source.remaining() / 2), offset);
         throw new IOException("no space left");
       }
-      file.write(from, at);
+      file.write(source, offset);
     }
 
     @Override
@@ -86,7 +86,7 @@
     @Override
     public void sync() throws IOException {
       syncPermits.acquireUninterruptibly();
-      syncPermits.release(isStepping ? 0 : 1);
+      syncPermits.release(consumesSyncPermits ? 0 : 1);
       if (failNextSync) {
         failNextSync = false;
         throw new IOException("sync failed");
--- a/src/test/java/fawndock/counter/ProtocolTest.java
+++ b/src/test/java/fawndock/counter/ProtocolTest.java
@@ -18,10 +18,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** Tests the parser of the Redis serialization protocol and the glob patterns. */
 class ProtocolTest {
-  /** However a stream of commands is cut, the same commands come out. */
+  /** A stream of commands yields the same commands however it is split into reads. */
   @Property(tries = 300, seed = "15")
-  void commands_arrivingInAnyPieces_areTheSame(@ForAll long seed) throws ProtocolException {
+  void commands_splitAtAnyPosition_areParsedEqually(@ForAll long seed) throws ProtocolException {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> sent = new ArrayList<>();
     StringBuilder stream = new StringBuilder();
@@ -36,22 +37,22 @@
           w -> stream.append('$').append(w.length()).append("\r\n").append(w).append("\r\n"));
     }
     CommandReader reader = new CommandReader(CommandReader.Limits.SERVER);
-    ByteBuf in = Unpooled.buffer();
-    List<String> got = new ArrayList<>();
-    byte[] all = stream.toString().getBytes(StandardCharsets.ISO_8859_1);
-    for (int at = 0; at < all.length; ) {
-      int to = Math.min(all.length, at + 1 + random.nextInt(30));
-      in.writeBytes(all, at, to - at);
-      at = to;
-      for (byte[][] words = reader.next(in); words != null; words = reader.next(in)) {
-        got.add(
+    ByteBuf input = Unpooled.buffer();
+    List<String> parsed = new ArrayList<>();
+    byte[] bytes = stream.toString().getBytes(StandardCharsets.ISO_8859_1);
+    for (int offset = 0; offset < bytes.length; ) {
+      int end = Math.min(bytes.length, offset + 1 + random.nextInt(30));
+      input.writeBytes(bytes, offset, end - offset);
+      offset = end;
+      for (byte[][] words = reader.next(input); words != null; words = reader.next(input)) {
+        parsed.add(
             Arrays.stream(words)
                 .map(w -> new String(w, StandardCharsets.ISO_8859_1))
                 .toList()
                 .toString());
       }
     }
-    assertEquals(sent, got);
+    assertEquals(sent, parsed);
   }
 
   private static byte[][] read(String text) throws ProtocolException {
@@ -60,7 +61,7 @@
   }
 
   @Example
-  void inlineCommands_mayHaveQuotedWords() throws ProtocolException {
+  void inlineCommands_withQuotedWords_areParsed() throws ProtocolException {
     assertArrayEquals(
         new String[] {"SET", "a b", "", "1"},
         Arrays.stream(read("\r\n SET 'a b' \"\"  1\r\n"))
@@ -70,8 +71,8 @@
   }
 
   @Example
-  void malformedCommands_areReported() {
-    for (String[] each :
+  void malformedCommands_areRejected() {
+    for (String[] example :
         new String[][] {
           {"*1\r\n+x\r\n", "expected '$', got '+'"},
           {"*-x\r\n", "invalid multibulk length"},
@@ -83,14 +84,14 @@
           {"GET \"a\r\n", "unbalanced quotes in request"}
         }) {
       assertEquals(
-          "ERR Protocol error: " + each[1],
-          assertThrows(ProtocolException.class, () -> read(each[0])).getMessage());
+          "ERR Protocol error: " + example[1],
+          assertThrows(ProtocolException.class, () -> read(example[0])).getMessage());
     }
   }
 
   @Example
-  void globPatterns_matchWholeNames() {
-    String[][] yes = {
+  void globPatterns_matchOnlyWholeNames() {
+    String[][] matching = {
       {"*", ""},
       {"a*c", "abbc"},
       {"a?c", "abc"},
@@ -100,17 +101,19 @@
       {"*a*b", "xaayb"},
       {"[]", "x"}
     };
-    String[][] no = {{"a*c", "abb"}, {"a?c", "ac"}, {"[^a]x", "ax"}, {"a\\*", "ab"}, {"", "a"}};
-    for (String[] each : yes) {
-      assertEquals(!each[0].equals("[]"), matches(each), each[0]);
+    String[][] nonMatching = {
+      {"a*c", "abb"}, {"a?c", "ac"}, {"[^a]x", "ax"}, {"a\\*", "ab"}, {"", "a"}
+    };
+    for (String[] example : matching) {
+      assertEquals(!example[0].equals("[]"), matches(example), example[0]);
     }
-    for (String[] each : no) {
-      assertEquals(false, matches(each), each[0]);
+    for (String[] example : nonMatching) {
+      assertEquals(false, matches(example), example[0]);
     }
   }
 
-  private static boolean matches(String[] each) {
+  private static boolean matches(String[] example) {
     return GlobPattern.matches(
-        each[0].getBytes(StandardCharsets.UTF_8), each[1].getBytes(StandardCharsets.UTF_8));
+        example[0].getBytes(StandardCharsets.UTF_8), example[1].getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -34,7 +34,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Logs and snapshots keep their bytes: those of an earlier version are read, and written alike. */
+/**
+ * Tests that logs and snapshots of an earlier version can be read, and that the same changes
+ * produce the same bytes.
+ */
 class StoredDataCompatibilityTest {
   private static final long NO_TIME = 0;
   @TempDir private Path directory;
@@ -56,17 +59,17 @@
     return kind + " " + amount.digits() + " expires " + expiry;
   }
 
-  private static Map<String, String> expectedState(String from) throws IOException {
+  private static Map<String, String> expectedState(String fixture) throws IOException {
     Map<String, String> state = new TreeMap<>();
-    for (String line : EarlierVersionFiles.lines(from + "/state.txt")) {
+    for (String line : EarlierVersionFiles.lines(fixture + "/state.txt")) {
       int space = line.indexOf(' ');
       state.put(line.substring(0, space), line.substring(space + 1));
     }
     return state;
   }
 
-  private Recovery.Result recover(String from, CounterTable table) throws IOException {
-    EarlierVersionFiles.copyTo(from, directory);
+  private Recovery.Result recover(String fixture, CounterTable table) throws IOException {
+    EarlierVersionFiles.copyTo(fixture, directory);
     try (FileStorage storage = new FileStorage(directory, true)) {
       return Recovery.recover(storage, table, bytes -> {});
     }
@@ -74,55 +77,55 @@
 
   @ParameterizedTest
   @CsvSource({"first-start,28", "restarted,34", "fleet-n0,5", "fleet-n1,4", "fleet-n2,3"})
-  void recovery_filesOfTheEarlierVersion_findsEveryAmountAndExpiry(String from, long lastRecord)
+  void recovery_ofEarlierVersionsFiles_findsEveryAmountAndExpiry(String fixture, long lastRecord)
       throws IOException {
     CounterTable table = new CounterTable(1);
-    Recovery.Result found = recover(from, table);
-    assertEquals(expectedState(from), state(table, NO_TIME));
-    assertEquals(lastRecord, found.lastSequence());
-    assertEquals(List.of(), found.warnings());
+    Recovery.Result recovered = recover(fixture, table);
+    assertEquals(expectedState(fixture), state(table, NO_TIME));
+    assertEquals(lastRecord, recovered.lastSequence());
+    assertEquals(List.of(), recovered.warnings());
   }
 
   @Test
-  void recovery_filesOfTheEarlierVersion_giveTheAnswersThatItGave() throws IOException {
+  void recovery_ofEarlierVersionsFiles_givesSameReplies() throws IOException {
     CounterTable table = new CounterTable(1);
-    Recovery.Result found = recover("restarted", table);
+    Recovery.Result recovered = recover("restarted", table);
     for (String line : EarlierVersionFiles.lines("restarted/answers.txt")) {
-      String[] nameAndAnswer = line.split("\t", 0);
-      byte[] name = nameAndAnswer[0].getBytes(StandardCharsets.UTF_8);
+      String[] nameAndReply = line.split("\t", 0);
+      byte[] name = nameAndReply[0].getBytes(StandardCharsets.UTF_8);
       assertEquals(
-          nameAndAnswer[1],
-          String.valueOf(table.get(name, found.latestTimeMillis())),
-          nameAndAnswer[0]);
+          nameAndReply[1],
+          String.valueOf(table.get(name, recovered.latestTimeMillis())),
+          nameAndReply[0]);
     }
   }
 
   @Test
-  void recovery_lastByteMissing_cutsOffTheTornRecordAlone() throws IOException {
+  void recovery_withLastByteMissing_truncatesOnlyTheTornRecord() throws IOException {
     EarlierVersionFiles.copyTo("restarted", directory);
     Path segment = directory.resolve("segment-00000000000000000029.log");
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 1));
     CounterTable table = new CounterTable(1);
     try (FileStorage storage = new FileStorage(directory, true)) {
-      Recovery.Result found = Recovery.recover(storage, table, read -> {});
-      assertEquals(33, found.lastSequence());
+      Recovery.Result recovered = Recovery.recover(storage, table, read -> {});
+      assertEquals(33, recovered.lastSequence());
       assertEquals(
           List.of(
               "segment-00000000000000000029.log: cut off 56 bytes of a torn record at offset 249"),
-          found.warnings());
+          recovered.warnings());
     }
     byte[] name = "after-snapshot".getBytes(StandardCharsets.UTF_8);
     assertEquals(new DecimalAmount(1, false), table.get(name, NO_TIME));
-    assertEquals(0, table.expiryMillis(name, NO_TIME), "the expiry was in the torn record");
+    assertEquals(0, table.expiryMillis(name, NO_TIME), "the torn record contained the expiry");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
-  void records_ofTheEarlierVersion_areDecodedOneByOne(String from) throws IOException {
-    for (String file : EarlierVersionFiles.storedFiles(from)) {
+  void records_ofEarlierVersion_areDecoded(String fixture) throws IOException {
+    for (String file : EarlierVersionFiles.storedFiles(fixture)) {
       List<String> lines = new ArrayList<>();
-      try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(from), false)) {
+      try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(fixture), false)) {
         String error =
             LogVerifier.dump(
                 storage,
@@ -132,7 +135,7 @@
                 new LineCollector(lines));
         assertEquals("", error);
       }
-      assertEquals(EarlierVersionFiles.lines(from + "/" + file + ".decoded"), lines);
+      assertEquals(EarlierVersionFiles.lines(fixture + "/" + file + ".decoded"), lines);
     }
   }
 
@@ -153,17 +156,17 @@
     }
   }
 
-  /** One record of a file, its changes noted again. */
+  /** One record of a file, with its changes added to a new change record. */
   private record RewrittenRecord(ChangeRecord changes, long time, long names, boolean isEnd) {}
 
-  private static List<RewrittenRecord> readAll(String from, String file) throws IOException {
+  private static List<RewrittenRecord> readAll(String fixture, String file) throws IOException {
     LogFormat.FileKind kind =
         file.endsWith(".snap") ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
-    long first = kind == LogFormat.FileKind.SNAPSHOT ? 1 : kind.sequenceOf(file);
+    long firstSequence = kind == LogFormat.FileKind.SNAPSHOT ? 1 : kind.sequenceOf(file);
     List<RewrittenRecord> records = new ArrayList<>();
-    try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(from), false);
-        Storage.File open = storage.open(file)) {
-      RecordReader reader = new RecordReader(open, first);
+    try (FileStorage storage = new FileStorage(EarlierVersionFiles.path(fixture), false);
+        Storage.File storedFile = storage.open(file)) {
+      RecordReader reader = new RecordReader(storedFile, firstSequence);
       assertTrue(reader.matchesHeader(kind, kind.sequenceOf(file)), file);
       while (reader.next()) {
         ChangeRecord changes = new ChangeRecord(16);
@@ -185,7 +188,7 @@
                   }
 
                   @Override
-                  public void onSnapshotEnd(long many) {
+                  public void onSnapshotEnd(long nameCount) {
                     isEnd[0] = true;
                   }
                 });
@@ -197,70 +200,73 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"first-start", "restarted", "fleet-n0", "fleet-n1", "fleet-n2"})
-  void files_writtenFromTheSameChanges_haveTheSameBytes(String from) throws IOException {
-    for (String file : EarlierVersionFiles.storedFiles(from)) {
+  void files_rewrittenFromSameChanges_haveSameBytes(String fixture) throws IOException {
+    for (String file : EarlierVersionFiles.storedFiles(fixture)) {
       try (FileStorage storage = new FileStorage(directory, true)) {
         if (file.endsWith(".snap")) {
           rewriteSnapshot(
-              storage, LogFormat.FileKind.SNAPSHOT.sequenceOf(file), readAll(from, file));
+              storage, LogFormat.FileKind.SNAPSHOT.sequenceOf(file), readAll(fixture, file));
         } else {
-          rewriteSegment(storage, LogFormat.FileKind.SEGMENT.sequenceOf(file), readAll(from, file));
+          rewriteSegment(
+              storage, LogFormat.FileKind.SEGMENT.sequenceOf(file), readAll(fixture, file));
         }
       }
       assertArrayEquals(
-          Files.readAllBytes(EarlierVersionFiles.path(from).resolve(file)),
+          Files.readAllBytes(EarlierVersionFiles.path(fixture).resolve(file)),
           Files.readAllBytes(directory.resolve(file)),
           file);
     }
   }
 
   private static void rewriteSnapshot(
-      FileStorage storage, long covered, List<RewrittenRecord> records) throws IOException {
-    SnapshotWriter writer = new SnapshotWriter(storage, covered);
-    for (RewrittenRecord each : records) {
-      if (each.isEnd()) {
-        writer.finish(each.time());
+      FileStorage storage, long coveredSequence, List<RewrittenRecord> records) throws IOException {
+    SnapshotWriter writer = new SnapshotWriter(storage, coveredSequence);
+    for (RewrittenRecord rewritten : records) {
+      if (rewritten.isEnd()) {
+        writer.finish(rewritten.time());
       } else {
-        writer.write(each.changes(), each.names(), each.time());
+        writer.write(rewritten.changes(), rewritten.names(), rewritten.time());
       }
     }
   }
 
-  private static void rewriteSegment(FileStorage storage, long first, List<RewrittenRecord> records)
-      throws IOException {
-    LogWriter writer = new LogWriter(storage, first - 1);
-    for (RewrittenRecord each : records) {
-      writer.append(each.changes().toRecord(each.time()));
+  private static void rewriteSegment(
+      FileStorage storage, long firstSequence, List<RewrittenRecord> records) throws IOException {
+    LogWriter writer = new LogWriter(storage, firstSequence - 1);
+    for (RewrittenRecord rewritten : records) {
+      writer.append(rewritten.changes().toRecord(rewritten.time()));
     }
     writer.sync();
     writer.close();
   }
 
-  /** A whole number, a fraction with an expiry and a deleted name, committed as one group. */
+  /**
+   * The operations are a whole number, a fraction with an expiry and a deleted name, committed as
+   * one group.
+   */
   @Test
-  void logAndSnapshot_ofFixedOperations_haveTheSpecifiedBytes()
-      throws IOException, CommandException {
+  void logAndSnapshot_ofFixedOperations_haveSpecifiedBytes() throws IOException, CommandException {
     CounterTable table = new CounterTable(1);
-    CounterOperations counts = new CounterOperations(table, Long.MAX_VALUE);
+    CounterOperations operations = new CounterOperations(table, Long.MAX_VALUE);
     GroupCommit commit = new GroupCommit(GroupCommit.Durability.ALWAYS, 1_000);
     commit.onResumed();
     ChangeRecord changes = commit.reserve(1_000);
-    counts.add(bytes("a"), new DecimalAmount(5, false), 0, 1_000, changes);
-    counts.add(bytes("bc"), DecimalAmount.parse(bytes("-1.5")), 500, 1_000, changes);
-    counts.delete(bytes("a"), 1_000, changes);
+    operations.add(bytes("a"), new DecimalAmount(5, false), 0, 1_000, changes);
+    operations.add(bytes("bc"), DecimalAmount.parse(bytes("-1.5")), 500, 1_000, changes);
+    operations.delete(bytes("a"), 1_000, changes);
     try (FileStorage storage = new FileStorage(directory, true)) {
       LogWriter log = new LogWriter(storage, 0);
       log.append(commit.nextWork(1_001).record());
       log.sync();
       log.close();
       SnapshotWriter snapshot = new SnapshotWriter(storage, 1);
-      ChangeRecord all = new ChangeRecord(16);
-      table.visitShard(shardOf(table, bytes("bc")), 1_001, all::putAmount);
-      snapshot.write(all, 1, 1_002);
+      ChangeRecord snapshotChanges = new ChangeRecord(16);
+      table.visitShard(shardOf(table, bytes("bc")), 1_001, snapshotChanges::putAmount);
+      snapshot.write(snapshotChanges, 1, 1_002);
       snapshot.finish(1_003);
     }
-    assertEquals(GOLDEN_SEGMENT, hex("segment-00000000000000000001.log"));
-    assertEquals(GOLDEN_SNAPSHOT, hex("snapshot-00000000000000000001.snap"));
+    assertEquals(GOLDEN_SEGMENT, hexOfFile("segment-00000000000000000001.log"));
+    assertEquals(GOLDEN_SNAPSHOT, hexOfFile("snapshot-00000000000000000001.snap"));
   }
 
   private static final String GOLDEN_SEGMENT =
@@ -279,7 +285,7 @@
       table.visitShard(
           shard,
           NO_TIME,
-          (each, amount, expiry) -> found[0] |= java.util.Arrays.equals(each, name));
+          (other, amount, expiry) -> found[0] |= java.util.Arrays.equals(other, name));
       if (found[0]) {
         return shard;
       }
@@ -291,15 +297,15 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private String hex(String file) throws IOException {
+  private String hexOfFile(String file) throws IOException {
     return HexFormat.of().formatHex(Files.readAllBytes(directory.resolve(file)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"fleet-n0", "fleet-n1", "fleet-n2"})
-  void replicatedSums_ofTheEarlierVersion_areFoundByNameAndOrigin(String from) throws IOException {
+  void replicatedSums_ofEarlierVersion_areFoundByNameAndOrigin(String fixture) throws IOException {
     CounterTable table = new CounterTable(1);
-    long now = recover(from, table).latestTimeMillis();
+    long now = recover(fixture, table).latestTimeMillis();
     ReplicatedSums sums = new ReplicatedSums(new CounterOperations(table, Long.MAX_VALUE));
     assertEquals("9.5", sums.total("agency.1", now).toString());
     assertEquals("0.000000001", sums.total("agency.2", now).toString());
@@ -310,8 +316,8 @@
     assertSum("3", "1", sums.sumOf("other", Long.MAX_VALUE, now));
   }
 
-  private static void assertSum(String plus, String minus, ReplicatedSum sum) {
-    assertEquals(plus, sum.added().toString());
-    assertEquals(minus, sum.withdrawn().toString());
+  private static void assertSum(String expectedAdded, String expectedWithdrawn, ReplicatedSum sum) {
+    assertEquals(expectedAdded, sum.added().toString());
+    assertEquals(expectedWithdrawn, sum.withdrawn().toString());
   }
 }
--- a/src/test/java/fawndock/counter/config/CounterSettingsKeywordsTest.java
+++ b/src/test/java/fawndock/counter/config/CounterSettingsKeywordsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Golden list of what operators may write in a counter's settings file. */
+/** Tests the keywords and forms of a counter's settings file against a golden list. */
 class CounterSettingsKeywordsTest {
   private static final String KEYWORDS =
       "listen directory durability snapshot password max-connections max-memory stall log fleet"
@@ -36,10 +36,10 @@
           List.of("fellow", "fellow NAME HOST:PORT"),
           List.of("include", "include FILE"));
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   private CounterSettings read(String text) throws Exception {
-    return CounterSettingsFile.read(Files.writeString(folder.resolve("golden.conf"), text));
+    return CounterSettingsFile.read(Files.writeString(directory.resolve("golden.conf"), text));
   }
 
   private String error(String text) {
@@ -47,13 +47,13 @@
   }
 
   @Test
-  void keywords_areThoseOfTheManual() {
+  void unknownKeyword_errorListsTheDocumentedKeywords() {
     String error = error("no-such-keyword\n");
     assertTrue(error.lines().anyMatch(line -> line.endsWith("expected one of " + KEYWORDS)), error);
   }
 
   @Test
-  void incompleteLine_namesFileLineAndExpectedForm() {
+  void incompleteLine_errorNamesFileLineAndExpectedForm() {
     for (List<String> form : FORMS) {
       String error = error(form.get(0) + "\n");
       assertTrue(
@@ -75,7 +75,7 @@
     assertEquals(
         new CounterSettings(
             new Address("127.0.0.1", 6379),
-            folder.toAbsolutePath().resolve("data"),
+            directory.toAbsolutePath().resolve("data"),
             Durability.INTERVAL,
             2_000,
             32 << 20,
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void durabilityWords_areThoseOfTheManual() throws Exception {
+  void durabilityWords_asDocumented_areAccepted() throws Exception {
     Map<String, Durability> words =
         Map.of(
             "always", Durability.ALWAYS, "interval", Durability.INTERVAL, "none", Durability.NONE);
