--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -19,20 +19,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hosts a {@link ReplicaNode}: the connections to its peers, and the heartbeats and sums that go
- * out on them at each tick. Used on the event loop.
+ * Connects a {@link ReplicaNode} to the network: it holds the connections to the peers, and sends
+ * heartbeats and sums on them at each tick. Confined to the event loop.
  */
 final class ClusterNode {
   static final long TICK_MILLIS = 20;
   private static final Logger LOG = LoggerFactory.getLogger(ClusterNode.class);
 
-  /** A peer, its connection, and what is on the way to it. */
+  /** A peer, its connection, and the messages that are still to be confirmed by it. */
   private static final class Peer {
     final PeerConnection connection;
     PeerOutbox outbox;
 
-    /** As logged last; null before the first tick. */
-    Boolean wasAlive;
+    /** The liveness that was logged last; null before the first tick. */
+    Boolean lastLoggedAlive;
 
     Peer(PeerConnection connection, PeerOutbox outbox) {
       this.connection = connection;
@@ -42,8 +42,8 @@
 
   private final ReplicaNode replica;
   private final ServerClock clock;
-  private final String name;
-  private final EventLoopGroup group;
+  private final String ownName;
+  private final EventLoopGroup eventLoopGroup;
   private final String password;
   private final Map<String, Peer> peers = new TreeMap<>();
   private boolean wasReady;
@@ -52,22 +52,23 @@
       CounterSettings settings,
       CounterOperations operations,
       ServerClock clock,
-      EventLoopGroup group) {
+      EventLoopGroup eventLoopGroup) {
     this.clock = clock;
-    this.group = group;
-    CounterSettings.Cluster cluster = settings.cluster();
-    name = cluster.node();
+    this.eventLoopGroup = eventLoopGroup;
+    CounterSettings.Cluster clusterSettings = settings.cluster();
+    ownName = clusterSettings.nodeName();
     password = settings.password();
     replica =
         new ReplicaNode(
-            name,
-            List.copyOf(cluster.peers().keySet()),
-            cluster.epoch(),
+            ownName,
+            List.copyOf(clusterSettings.peers().keySet()),
+            clusterSettings.epoch(),
             ThreadLocalRandom.current().nextLong(),
-            new FailureDetectorTimeouts(cluster.failureTimeoutMillis(), cluster.startAloneMillis()),
+            new FailureDetectorTimeouts(
+                clusterSettings.failureTimeoutMillis(), clusterSettings.startAloneMillis()),
             new ReplicatedSums(operations),
             clock.nowMillis());
-    cluster.peers().forEach(this::addPeer);
+    clusterSettings.peers().forEach(this::addPeer);
     wasReady = replica.isReady();
   }
 
@@ -75,71 +76,77 @@
     return replica;
   }
 
-  /** This node's name; empty when it is alone. */
-  String name() {
-    return name;
+  /** Returns this node's name, which is empty if the node is not part of a cluster. */
+  String ownName() {
+    return ownName;
   }
 
-  boolean isPeer(String id) {
-    return peers.containsKey(id);
+  boolean isPeer(String peerName) {
+    return peers.containsKey(peerName);
   }
 
-  private void addPeer(String id, Address address) {
+  private void addPeer(String peerName, Address address) {
     PeerConnection connection =
         new PeerConnection(
-            group,
+            eventLoopGroup,
             address,
             password,
-            isAccepted -> onSumsAnswered(id, isAccepted),
-            text -> onHeartbeatReply(id, text),
-            () -> onConnectionLost(id));
-    peers.put(id, new Peer(connection, new PeerOutbox(name)));
+            isAccepted -> onSumsReply(peerName, isAccepted),
+            reply -> onHeartbeatReply(peerName, reply),
+            () -> onConnectionLost(peerName));
+    peers.put(peerName, new Peer(connection, new PeerOutbox(ownName)));
   }
 
-  private void onHeartbeatReply(String id, String answer) {
-    if (answer.startsWith("+" + ClusterCommands.NEWER_LIST_PREFIX)) {
-      int prefix = 1 + ClusterCommands.NEWER_LIST_PREFIX.length();
-      adoptMembership(MembershipList.parse(answer.substring(prefix)));
-    } else if (answer.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
-        && replica.peers().contains(id)) {
-      replica.onNotOnPeersList(id, clock.nowMillis());
+  private void onHeartbeatReply(String peerName, String reply) {
+    if (reply.startsWith("+" + ClusterCommands.NEWER_LIST_PREFIX)) {
+      int prefixLength = 1 + ClusterCommands.NEWER_LIST_PREFIX.length();
+      adoptMembership(MembershipList.parse(reply.substring(prefixLength)));
+    } else if (reply.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
+        && replica.peers().contains(peerName)) {
+      replica.onNotOnPeersList(peerName, clock.nowMillis());
     }
   }
 
-  /** Uses a newer list; connections to peers that are on it at the same address stay. */
+  /**
+   * Adopts a membership list if it is newer. Connections to peers whose address is unchanged stay
+   * open.
+   */
   void adoptMembership(MembershipList list) {
     if (!replica.adoptMembership(list, clock.nowMillis())) {
       return;
     }
-    LOG.info("membership list adopted: {}", list);
-    for (String id : List.copyOf(peers.keySet())) {
-      PeerConnection connection = peers.get(id).connection;
-      if (!connection.address().toString().equals(list.addresses().get(id))) {
-        peers.remove(id);
+    LOG.info("membership list adopted: list={}", list);
+    for (String peerName : List.copyOf(peers.keySet())) {
+      PeerConnection connection = peers.get(peerName).connection;
+      if (!connection.address().toString().equals(list.addresses().get(peerName))) {
+        peers.remove(peerName);
         connection.close();
-        onConnectionLost(id);
+        onConnectionLost(peerName);
       }
     }
     list.addresses()
         .forEach(
-            (id, address) -> {
-              if (!id.equals(name) && !peers.containsKey(id)) {
-                addPeer(id, Address.of(address));
+            (peerName, address) -> {
+              if (!peerName.equals(ownName) && !peers.containsKey(peerName)) {
+                addPeer(peerName, Address.of(address));
               }
             });
   }
 
-  /** Sends heartbeats and sums to all peers; on the event loop, every {@link #TICK_MILLIS}. */
+  /**
+   * Sends heartbeats and sums to all peers. Must be called on the event loop every {@link
+   * #TICK_MILLIS}.
+   */
   void tick() {
     long nowMillis = clock.nowMillis();
     replica.tick(nowMillis);
     List<String> heartbeat = heartbeatMessage(replica.nextHeartbeat(nowMillis));
     peers.forEach(
-        (id, peer) -> {
-          logLiveness(id, peer, nowMillis);
+        (peerName, peer) -> {
+          logLiveness(peerName, peer, nowMillis);
           if (peer.connection.isUsable()) {
             peer.connection.send(heartbeat, false);
-            sendNextSums(id, peer, nowMillis);
+            sendNextSums(peerName, peer, nowMillis);
           }
         });
     if (wasReady != replica.isReady()) {
@@ -148,38 +155,38 @@
     }
   }
 
-  private void logLiveness(String id, Peer peer, long nowMillis) {
-    boolean isAlive = replica.isPeerAlive(id, nowMillis);
-    if (peer.wasAlive == null || peer.wasAlive != isAlive) {
-      peer.wasAlive = isAlive;
-      LOG.warn("node {} is {}", id, isAlive ? "heard" : "missing");
+  private void logLiveness(String peerName, Peer peer, long nowMillis) {
+    boolean isAlive = replica.isPeerAlive(peerName, nowMillis);
+    if (peer.lastLoggedAlive == null || peer.lastLoggedAlive != isAlive) {
+      peer.lastLoggedAlive = isAlive;
+      LOG.warn("node {} is {}", peerName, isAlive ? "heard" : "missing");
     }
   }
 
-  /** {@code FD.BEAT node version incarnation ready [origin stamp ...]}. */
+  /** Builds {@code FD.BEAT node version incarnation ready [origin stamp ...]}. */
   private List<String> heartbeatMessage(Heartbeat heartbeat) {
-    List<String> words = new ArrayList<>();
-    words.add("FD.BEAT");
-    words.add(name);
-    words.add(Long.toString(heartbeat.membershipVersion()));
-    words.add(Long.toString(heartbeat.incarnation()));
-    words.add(heartbeat.isReady() ? "1" : "0");
+    List<String> arguments = new ArrayList<>();
+    arguments.add("FD.BEAT");
+    arguments.add(ownName);
+    arguments.add(Long.toString(heartbeat.membershipVersion()));
+    arguments.add(Long.toString(heartbeat.incarnation()));
+    arguments.add(heartbeat.isReady() ? "1" : "0");
     heartbeat
         .originStamps()
         .forEach(
             (origin, stamp) -> {
-              words.add(Long.toString(origin));
-              words.add(Long.toString(stamp));
+              arguments.add(Long.toString(origin));
+              arguments.add(Long.toString(stamp));
             });
-    return words;
+    return arguments;
   }
 
   /**
-   * Sends the next message, of the next batch when none is left; nothing while one is in flight.
+   * Sends the next message unless one is in flight. Fetches the next batch when no message is left.
    */
-  private void sendNextSums(String id, Peer peer, long nowMillis) {
+  private void sendNextSums(String peerName, Peer peer, long nowMillis) {
     if (peer.outbox.isEmpty()) {
-      DeltaBatch batch = replica.nextBatch(id, PeerOutbox.SUMS_PER_MESSAGE, nowMillis);
+      DeltaBatch batch = replica.nextBatch(peerName, PeerOutbox.SUMS_PER_MESSAGE, nowMillis);
       peer.outbox.addAll(batch);
     }
     List<String> message = peer.outbox.takeForSending();
@@ -188,32 +195,32 @@
     }
   }
 
-  private void onSumsAnswered(String id, boolean isAccepted) {
-    Peer peer = peers.get(id);
+  private void onSumsReply(String peerName, boolean isAccepted) {
+    Peer peer = peers.get(peerName);
     if (peer == null) {
       return;
     }
-    replica.onBatchProgress(id, clock.nowMillis());
+    replica.onBatchProgress(peerName, clock.nowMillis());
     if (!isAccepted) {
-      peer.outbox.onRejected(); // Its log is behind: the same message again at the next tick.
+      peer.outbox.onRejected(); // The peer's log is behind: the next tick sends the message again.
       return;
     }
     peer.outbox.onConfirmed();
     if (peer.outbox.isEmpty()) {
-      replica.onBatchAcknowledged(id);
+      replica.onBatchAcknowledged(peerName);
     }
     if (peer.connection.isUsable()) {
-      sendNextSums(id, peer, clock.nowMillis());
+      sendNextSums(peerName, peer, clock.nowMillis());
     }
   }
 
-  private void onConnectionLost(String id) {
-    Peer peer = peers.get(id);
+  private void onConnectionLost(String peerName) {
+    Peer peer = peers.get(peerName);
     if (peer != null) {
-      peer.outbox = new PeerOutbox(name);
+      peer.outbox = new PeerOutbox(ownName);
     }
-    if (replica.peers().contains(id)) {
-      replica.restartFullTransfer(id);
+    if (replica.peers().contains(peerName)) {
+      replica.restartFullTransfer(peerName);
     }
   }
 }
--- a/src/main/java/fawndock/counter/CommandInvocation.java
+++ b/src/main/java/fawndock/counter/CommandInvocation.java
@@ -9,50 +9,50 @@
 import java.util.Locale;
 
 /**
- * One run of a command. The words are not copied, for their cost on the hot path; nobody changes
- * them.
+ * One invocation of a command. The arguments are not copied, because a copy is expensive on the hot
+ * path, and must not be modified. Confined to the event loop.
  *
- * @param words the command's name and arguments
- * @param reply where its answer goes
- * @param connection whose it is
- * @param operations what it is done to
- * @param nowMillis milliseconds since 1970
- * @param changes where changes are noted; null for a command that makes none
+ * @param arguments the command's name and its arguments
+ * @param reply the writer for the command's reply
+ * @param connection the connection that sent the command
+ * @param operations the counters to read and change
+ * @param nowMillis the current time in milliseconds since 1970
+ * @param changes the record to which changes are added; null for a command that makes none
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy a command would cost.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy would be costly.
 record CommandInvocation(
-    byte[][] words,
+    byte[][] arguments,
     ReplyWriter reply,
     ClientConnection connection,
     CounterOperations operations,
     long nowMillis,
     ChangeRecord changes) {
-  byte[] word(int place) {
-    return words[place];
+  byte[] argument(int index) {
+    return arguments[index];
   }
 
-  String text(int place) {
-    return new String(words[place], StandardCharsets.UTF_8);
+  String argumentText(int index) {
+    return new String(arguments[index], StandardCharsets.UTF_8);
   }
 
-  /** A word that is an option, in capitals. */
-  String option(int place) {
-    return text(place).toUpperCase(Locale.ROOT);
+  /** Returns an option argument in capitals. */
+  String optionArgument(int index) {
+    return argumentText(index).toUpperCase(Locale.ROOT);
   }
 
-  long integer(int place) throws CommandException {
-    return DecimalAmount.parseLong(words[place]);
+  long integerArgument(int index) throws CommandException {
+    return DecimalAmount.parseLong(arguments[index]);
   }
 
-  /** The name of a count. */
-  byte[] requireName(int place) throws CommandException {
-    if (words[place].length > ChangeRecord.MAX_NAME_BYTES) {
+  /** Returns an argument that is the name of a counter, after a check of its length. */
+  byte[] nameArgument(int index) throws CommandException {
+    if (arguments[index].length > ChangeRecord.MAX_NAME_BYTES) {
       throw new CommandException("ERR a name is at most " + ChangeRecord.MAX_NAME_BYTES + " bytes");
     }
-    return words[place];
+    return arguments[index];
   }
 
-  /** Ends a command whose words do not go together. */
+  /** Returns the exception for invalid or incompatible arguments. */
   static CommandException syntaxError() {
     return new CommandException(CommandException.SYNTAX);
   }
--- a/src/main/java/fawndock/counter/CommitScheduler.java
+++ b/src/main/java/fawndock/counter/CommitScheduler.java
@@ -7,33 +7,40 @@
 import java.util.concurrent.Executor;
 
 /**
- * Hands groups of changes to the log's thread, and releases the replies that wait for them. Used on
+ * Passes commit groups to the log thread, and releases the replies that wait for them. Confined to
  * the event loop.
  *
- * <p>Invariant: changes are only noted in a group that the log's thread cannot take; {@link
- * #ensureGroupOpen} is called before.
+ * <p>Invariant: changes are only added to a group that the log thread cannot take. {@link
+ * #ensureGroupOpen} must be called before each change.
  */
 final class CommitScheduler {
-  private final GroupCommit commit;
-  private final WriteAheadLogThread log;
+  private final GroupCommit groupCommit;
+  private final WriteAheadLogThread logThread;
   private final ServerClock clock;
-  private final Executor loop;
+  private final Executor eventLoop;
   private final Set<ClientConnection> waitingConnections = new LinkedHashSet<>();
   private boolean isCommitScheduled;
   private long durableGroup;
 
-  CommitScheduler(GroupCommit commit, WriteAheadLogThread log, ServerClock clock, Executor loop) {
-    this.commit = commit;
-    this.log = log;
+  CommitScheduler(
+      GroupCommit groupCommit,
+      WriteAheadLogThread logThread,
+      ServerClock clock,
+      Executor eventLoop) {
+    this.groupCommit = groupCommit;
+    this.logThread = logThread;
     this.clock = clock;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
   }
 
-  /** Has the open group committed in a later turn of the loop, with what else comes in this one. */
-  void commitSoon() {
+  /**
+   * Schedules a commit of the open group as a later event-loop task, so that further commands of
+   * the current iteration join the group.
+   */
+  void scheduleCommit() {
     if (!isCommitScheduled) {
       isCommitScheduled = true;
-      loop.execute(
+      eventLoop.execute(
           () -> {
             isCommitScheduled = false;
             commitNow();
@@ -41,52 +48,58 @@
     }
   }
 
-  /** Gives the log's thread what is to be written, or offers it for when it is done. */
+  /**
+   * Passes the next group to the log thread. While that thread is busy, offers the open group for
+   * it to take next.
+   */
   void commitNow() {
     ensureGroupOpen();
     long nowMillis = clock.nowMillis();
-    LogWork work = commit.nextWork(nowMillis);
+    LogWork work = groupCommit.nextWork(nowMillis);
     if (work != null) {
-      log.perform(work);
+      logThread.submit(work);
       return;
     }
-    LogWork offer = commit.offerOpenGroup(nowMillis);
+    LogWork offer = groupCommit.offerOpenGroup(nowMillis);
     if (offer != null) {
-      log.offer(offer);
+      logThread.offer(offer);
     }
   }
 
-  /** Withdraws the group that was offered, or begins another when that one was taken. */
+  /**
+   * Ensures that the log thread cannot take the open group: withdraws the offered group, or opens a
+   * new one if the log thread has taken it.
+   */
   void ensureGroupOpen() {
-    if (commit.hasOffer()) {
-      if (log.withdraw()) {
-        commit.onOfferWithdrawn();
+    if (groupCommit.hasOffer()) {
+      if (logThread.withdraw()) {
+        groupCommit.onOfferWithdrawn();
       } else {
-        commit.onOfferTaken();
+        groupCommit.onOfferTaken();
       }
     }
   }
 
-  /** A connection has a reply that waits for a group. */
-  void addWaiting(ClientConnection connection) {
+  /** Registers a connection that has replies waiting for a group. */
+  void addWaitingConnection(ClientConnection connection) {
     waitingConnections.add(connection);
   }
 
-  void removeWaiting(ClientConnection connection) {
+  void removeWaitingConnection(ClientConnection connection) {
     waitingConnections.remove(connection);
   }
 
-  /** All groups up to this one are durable: replies that waited for them go out. */
-  void releaseUpTo(long group) {
-    durableGroup = Math.max(durableGroup, group);
+  /** Sends the replies that wait for groups up to this one, which are durable now. */
+  void releaseReplies(long groupNumber) {
+    durableGroup = Math.max(durableGroup, groupNumber);
     for (ClientConnection connection : Set.copyOf(waitingConnections)) {
-      if (!connection.releaseUpTo(durableGroup)) {
+      if (!connection.releaseReplies(durableGroup)) {
         waitingConnections.remove(connection);
       }
     }
   }
 
-  /** The last group that is durable. */
+  /** Returns the number of the last durable group. */
   long durableGroup() {
     return durableGroup;
   }
--- a/src/main/java/fawndock/counter/LogSupervisor.java
+++ b/src/main/java/fawndock/counter/LogSupervisor.java
@@ -11,61 +11,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows from the log's writes: replies go out, snapshots are taken, and after a failed sync
- * a new log is begun. Used on the event loop.
+ * Handles the results of log writes: it releases replies, takes snapshots, and starts a new log
+ * after a failed sync. Confined to the event loop.
  *
- * <p>Invariant: a segment whose sync failed is never written again. All that is in memory goes into
- * a snapshot, and a new segment after it, before changes are accepted again.
+ * <p>Invariant: a segment whose sync failed is never written again. Before changes are accepted
+ * again, the whole state in memory is written to a snapshot and a new segment is started after it.
  */
 final class LogSupervisor implements WriteAheadLogThread.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LogSupervisor.class);
   private static final long NEW_LOG_RETRY_MILLIS = 1_000;
   private static final long DURABILITY_POLL_MILLIS = 2;
 
-  /** Between the begin of a snapshot that failed and the next. */
+  /** The minimum time between the start of a failed snapshot and that of the next one. */
   private static final long SNAPSHOT_BACKOFF_NANOS = 10_000_000_000L;
 
   private final long snapshotAfterBytes;
-  private final EventExecutor loop;
-  private final GroupCommit commit;
-  private final CommitScheduler scheduler;
-  private final WriteAheadLogThread log;
-  private final SnapshotTask snapshots;
+  private final EventExecutor eventLoop;
+  private final GroupCommit groupCommit;
+  private final CommitScheduler commitScheduler;
+  private final WriteAheadLogThread logThread;
+  private final SnapshotTask snapshotTask;
   private final CounterTable table;
   private final CompletableFuture<Void> firstAttempt = new CompletableFuture<>();
   private long appendedGroup;
-  private long nextSnapshotNanos = System.nanoTime();
+  private long earliestSnapshotNanos = System.nanoTime();
   private LogState state = LogState.STARTING;
   private boolean isStopping;
 
   LogSupervisor(
       long snapshotAfterBytes,
-      EventExecutor loop,
-      GroupCommit commit,
-      CommitScheduler scheduler,
-      WriteAheadLogThread log,
-      SnapshotTask snapshots,
+      EventExecutor eventLoop,
+      GroupCommit groupCommit,
+      CommitScheduler commitScheduler,
+      WriteAheadLogThread logThread,
+      SnapshotTask snapshotTask,
       CounterTable table) {
     this.snapshotAfterBytes = snapshotAfterBytes;
-    this.loop = loop;
-    this.commit = commit;
-    this.scheduler = scheduler;
-    this.log = log;
-    this.snapshots = snapshots;
+    this.eventLoop = eventLoop;
+    this.groupCommit = groupCommit;
+    this.commitScheduler = commitScheduler;
+    this.logThread = logThread;
+    this.snapshotTask = snapshotTask;
     this.table = table;
   }
 
   /**
-   * Begins a log after what was recovered; tried until it can be.
+   * Starts a log after the recovered records, and retries until that succeeds.
    *
-   * @return completes when the log was begun, or could not be the first time
+   * @return a future that completes when the first attempt has succeeded or failed
    */
   CompletableFuture<Void> start(long recoveredSequence) {
-    loop.execute(() -> beginNewLog(null, recoveredSequence));
+    eventLoop.execute(() -> startNewLog(null, recoveredSequence));
     return firstAttempt;
   }
 
-  /** No snapshot and no new log are begun any more. */
+  /** Prevents further snapshots and new logs from being started. */
   void stop() {
     isStopping = true;
   }
@@ -76,45 +76,48 @@
       LOG.info("the log is written again");
     }
     state = state.transitionTo(LogState.WRITABLE);
-    commit.onWorkDone(work.groupNumber());
+    groupCommit.onWorkDone(work.groupNumber());
     appendedGroup = work.groupNumber();
-    scheduler.releaseUpTo(work.groupNumber());
-    scheduler.commitNow();
+    commitScheduler.releaseReplies(work.groupNumber());
+    commitScheduler.commitNow();
     if (isSnapshotDue(appendedBytes)) {
       takeSnapshot();
     }
   }
 
-  /** Not before the log outgrows the last snapshot: writing them would cost more than the log. */
+  /**
+   * Returns whether to take a snapshot. The log has to outgrow the last snapshot first, because
+   * otherwise writing snapshots would cost more than writing the log.
+   */
   private boolean isSnapshotDue(long appendedBytes) {
-    return appendedBytes >= Math.max(snapshotAfterBytes, snapshots.lastSizeBytes())
-        && !snapshots.isActive()
-        && System.nanoTime() - nextSnapshotNanos >= 0
+    return appendedBytes >= Math.max(snapshotAfterBytes, snapshotTask.lastSizeBytes())
+        && !snapshotTask.isActive()
+        && System.nanoTime() - earliestSnapshotNanos >= 0
         && !isStopping;
   }
 
   private void takeSnapshot() {
-    // Not again at once when it fails, such as for want of space.
-    nextSnapshotNanos = System.nanoTime() + SNAPSHOT_BACKOFF_NANOS;
-    log.roll(
+    // Delays the next attempt if this snapshot fails, for example for lack of disk space.
+    earliestSnapshotNanos = System.nanoTime() + SNAPSHOT_BACKOFF_NANOS;
+    logThread.roll(
         coveredSequence -> {
-          if (coveredSequence < 0 || snapshots.isActive() || commit.rejection() != null) {
+          if (coveredSequence < 0 || snapshotTask.isActive() || groupCommit.rejection() != null) {
             return;
           }
           long startedNanos = System.nanoTime();
-          snapshots.begin(
+          snapshotTask.start(
               coveredSequence,
               this::runWhenAllDurable,
-              failure -> onSnapshotEnded(failure, coveredSequence, startedNanos));
+              failure -> onSnapshotCompleted(failure, coveredSequence, startedNanos));
         });
   }
 
-  private void onSnapshotEnded(IOException failure, long coveredSequence, long startedNanos) {
+  private void onSnapshotCompleted(IOException failure, long coveredSequence, long startedNanos) {
     if (failure != null) {
       LOG.warn("no snapshot: {}", failure.getMessage());
       return;
     }
-    nextSnapshotNanos = System.nanoTime();
+    earliestSnapshotNanos = System.nanoTime();
     LOG.info(
         "snapshot of {} names up to record {} in {} ms",
         table.size(),
@@ -122,21 +125,24 @@
         (System.nanoTime() - startedNanos) / 1_000_000);
   }
 
-  /** Goes on once every change made so far is durable in the log. */
-  private void runWhenAllDurable(Runnable next) {
-    boolean hasPending = commit.pendingBytes() > 0;
-    long lastGroup = hasPending ? commit.openGroupNumber() : commit.openGroupNumber() - 1;
-    runWhenDurable(lastGroup, next);
+  /** Runs a task once every change made so far is durable in the log. */
+  private void runWhenAllDurable(Runnable task) {
+    boolean hasPending = groupCommit.pendingBytes() > 0;
+    long lastGroupNumber =
+        hasPending ? groupCommit.openGroupNumber() : groupCommit.openGroupNumber() - 1;
+    runWhenDurable(lastGroupNumber, task);
   }
 
-  private void runWhenDurable(long lastGroup, Runnable next) {
-    if (appendedGroup >= lastGroup) {
-      log.syncThen(next);
+  private void runWhenDurable(long lastGroupNumber, Runnable task) {
+    if (appendedGroup >= lastGroupNumber) {
+      logThread.syncThen(task);
     } else {
-      // The task runs or the loop has ended: nothing waits for it.
+      // Either the task runs or the event loop has ended; nothing waits for the result.
       var unused =
-          loop.schedule(
-              () -> runWhenDurable(lastGroup, next), DURABILITY_POLL_MILLIS, TimeUnit.MILLISECONDS);
+          eventLoop.schedule(
+              () -> runWhenDurable(lastGroupNumber, task),
+              DURABILITY_POLL_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
   }
 
@@ -146,7 +152,7 @@
       LOG.error("the log cannot be written: {}; changes are refused until it can", reason);
     }
     state = state.transitionTo(LogState.STALLED);
-    commit.onStalled(reason);
+    groupCommit.onStalled(reason);
   }
 
   @Override
@@ -154,65 +160,66 @@
     LOG.error(
         "a sync of the log failed: {}; its file is given up, changes are refused until a new one is begun",
         reason);
-    scheduler.ensureGroupOpen();
-    commit.onStalled(reason);
-    snapshots.abandon();
-    beginNewLog(work, sequence);
+    commitScheduler.ensureGroupOpen();
+    groupCommit.onStalled(reason);
+    snapshotTask.abandon();
+    startNewLog(work, sequence);
   }
 
   /**
-   * All that is in memory into a snapshot, and a new segment after it; tried until it can be done.
+   * Writes the whole state in memory to a snapshot and starts a new segment after it. Retries until
+   * both succeed.
    *
-   * @param work whose sync failed, and which the snapshot makes durable; null at the start
+   * @param work the work whose sync failed, and which the snapshot makes durable; null at startup
    */
-  private void beginNewLog(LogWork work, long sequence) {
+  private void startNewLog(LogWork work, long sequence) {
     if (isStopping) {
       return;
     }
-    snapshots.begin(
+    snapshotTask.start(
         sequence,
         Runnable::run,
         snapshotFailure -> {
           if (snapshotFailure != null) {
-            retryNewLog(work, sequence, snapshotFailure);
+            scheduleNewLogRetry(work, sequence, snapshotFailure);
             return;
           }
-          log.startNewSegment(
+          logThread.startNewSegment(
               sequence,
               segmentFailure -> {
                 if (segmentFailure != null) {
-                  retryNewLog(work, sequence, segmentFailure);
+                  scheduleNewLogRetry(work, sequence, segmentFailure);
                 } else {
-                  onNewLogBegun(work, sequence);
+                  onNewLogStarted(work, sequence);
                 }
               });
         });
   }
 
-  private void onNewLogBegun(LogWork work, long sequence) {
+  private void onNewLogStarted(LogWork work, long sequence) {
     state = state.transitionTo(LogState.WRITABLE);
-    commit.onResumed();
+    groupCommit.onResumed();
     firstAttempt.complete(null);
     if (work != null) {
       LOG.info("a new segment is begun after record {}", sequence);
       appendedGroup = work.groupNumber();
-      scheduler.releaseUpTo(work.groupNumber());
+      commitScheduler.releaseReplies(work.groupNumber());
     }
-    scheduler.commitNow();
+    commitScheduler.commitNow();
   }
 
-  private void retryNewLog(LogWork work, long sequence, IOException failure) {
+  private void scheduleNewLogRetry(LogWork work, long sequence, IOException failure) {
     if (state != LogState.STALLED) {
       LOG.error(
-          "no new segment could be begun: {}; changes are refused until it can",
+          "new segment cannot be started, changes are refused until it can: reason={}",
           failure.getMessage());
     }
     state = state.transitionTo(LogState.STALLED);
-    commit.onStalled(String.valueOf(failure.getMessage()));
+    groupCommit.onStalled(String.valueOf(failure.getMessage()));
     firstAttempt.complete(null);
-    // The task runs or the loop has ended: nothing waits for it.
+    // Either the task runs or the event loop has ended; nothing waits for the result.
     var unused =
-        loop.schedule(
-            () -> beginNewLog(work, sequence), NEW_LOG_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(
+            () -> startNewLog(work, sequence), NEW_LOG_RETRY_MILLIS, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/fawndock/counter/config/CounterSettingsFile.java
+++ b/src/main/java/fawndock/counter/config/CounterSettingsFile.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads the counter's settings. The constructor lists every keyword with its form; what each means
- * is in docs/operations/counter.md. One thread.
+ * Reads the counter's settings file. The constructor lists every keyword with its form;
+ * docs/operations/counter.md documents their meaning. Not thread-safe.
  */
 public final class CounterSettingsFile extends ConfigurationFile {
   private static final long MINUTE_MICROS = 60_000_000L;
@@ -44,8 +44,9 @@
         "snapshot",
         0,
         "snapshot after SIZE",
-        a ->
-            snapshotAfterLogBytes = a.parseBytes("after", a.word("after", "64MiB"), MAX_LOG_BYTES));
+        arguments ->
+            snapshotAfterLogBytes =
+                arguments.parseBytes("after", arguments.word("after", "64MiB"), MAX_LOG_BYTES));
     wordKeyword("password", "WORD", word -> password = word);
     integerKeyword("max-connections", 1, 1_000_000, number -> maxConnections = number);
     keyword("max-memory", 1, "max-memory SIZE", this::readMaxMemory);
@@ -60,9 +61,10 @@
   }
 
   /**
-   * Reads a settings file and all that it includes; a relative directory is beside the file.
+   * Reads a settings file and the files that it includes. A relative directory is resolved against
+   * the directory of the settings file.
    *
-   * @throws ConfigurationException with every error when there is any
+   * @throws ConfigurationException if there are errors; it contains all of them
    */
   public static CounterSettings read(Path file) throws ConfigurationException {
     return new CounterSettingsFile(file).readAll(file);
@@ -85,50 +87,57 @@
         stalledClientTimeoutMillis,
         log,
         new Cluster(
-            cluster.node(),
+            cluster.nodeName(),
             cluster.epoch(),
             cluster.failureTimeoutMillis(),
             cluster.startAloneMillis(),
             Map.copyOf(peers)));
   }
 
-  private void readDurability(LineArguments a) {
+  private void readDurability(LineArguments arguments) {
     try {
-      durability = Durability.valueOf(a.positional(0).toUpperCase(Locale.ROOT));
-    } catch (IllegalArgumentException e) { // No constant has that name.
-      a.addError("durability '" + a.positional(0) + "'", "always, interval or none");
+      durability = Durability.valueOf(arguments.positional(0).toUpperCase(Locale.ROOT));
+    } catch (IllegalArgumentException e) { // The enum has no such constant.
+      arguments.addError(
+          "durability '" + arguments.positional(0) + "'", "always, interval or none");
     }
-    syncIntervalMillis = a.micros("every", 1_000, MINUTE_MICROS, 1_000_000) / 1_000;
+    syncIntervalMillis = arguments.micros("every", 1_000, MINUTE_MICROS, 1_000_000) / 1_000;
   }
 
-  private void readMaxMemory(LineArguments a) {
-    maxMemoryBytes = a.parseBytes("max-memory", a.positional(0), Runtime.getRuntime().maxMemory());
+  private void readMaxMemory(LineArguments arguments) {
+    maxMemoryBytes =
+        arguments.parseBytes(
+            "max-memory", arguments.positional(0), Runtime.getRuntime().maxMemory());
   }
 
-  private void readCluster(LineArguments a) {
+  private void readCluster(LineArguments arguments) {
     cluster =
         new Cluster(
-            a.positional(0),
-            a.integer("epoch", 1, 999_999_999, 1),
-            a.micros("missing", 50_000, MINUTE_MICROS, 150_000) / 1_000,
-            a.micros("alone", 100_000, 10 * MINUTE_MICROS, 2_000_000) / 1_000,
+            arguments.positional(0),
+            arguments.integer("epoch", 1, 999_999_999, 1),
+            arguments.micros("missing", 50_000, MINUTE_MICROS, 150_000) / 1_000,
+            arguments.micros("alone", 100_000, 10 * MINUTE_MICROS, 2_000_000) / 1_000,
             Map.of());
     if (cluster.startAloneMillis() < cluster.failureTimeoutMillis()) {
-      a.addError(
+      arguments.addError(
           "alone is shorter than missing", "at least " + cluster.failureTimeoutMillis() + "ms");
     }
   }
 
-  private void readPeer(LineArguments a) {
-    String name = a.positional(0);
-    if (peers.putIfAbsent(name, a.address(1)) != null) {
-      a.addError("fellow " + name + " is given twice", "each fellow once");
+  private void readPeer(LineArguments arguments) {
+    String name = arguments.positional(0);
+    if (peers.putIfAbsent(name, arguments.address(1)) != null) {
+      arguments.addError("fellow " + name + " is given twice", "each fellow once");
     }
-    crossCheck(a, () -> !cluster.node().isEmpty(), "a fellow without a fleet", "fleet NAME");
     crossCheck(
-        a,
-        () -> !cluster.node().equals(name),
+        arguments,
+        () -> !cluster.nodeName().isEmpty(),
+        "a fellow line without a fleet line",
+        "fleet NAME");
+    crossCheck(
+        arguments,
+        () -> !cluster.nodeName().equals(name),
         "fellow " + name + " is this node",
-        "the others alone");
+        "the name of another node");
   }
 }
