--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -57,7 +57,7 @@
     DecimalAmount added = DecimalAmount.parse(c.word(at + 2));
     DecimalAmount withdrawn = DecimalAmount.parse(c.word(at + 3));
     long timeToLiveMillis = c.integer(at + 4);
-    if (added.digits() < 0 || withdrawn.digits() < 0) {
+    if (added.unscaledValue() < 0 || withdrawn.unscaledValue() < 0) {
       throw new CommandException("ERR a sum is not negative");
     }
     if (timeToLiveMillis <= 0 || timeToLiveMillis > Integer.MAX_VALUE) {
--- a/src/main/java/fawndock/counter/replication/OwnSums.java
+++ b/src/main/java/fawndock/counter/replication/OwnSums.java
@@ -19,7 +19,7 @@
     long expiryMillis;
 
     void apply(DecimalAmount amount) throws CommandException {
-      if (amount.digits() >= 0) {
+      if (amount.unscaledValue() >= 0) {
         added = added.plus(amount);
       } else {
         withdrawn = withdrawn.plus(amount.negated());
--- a/src/main/java/fawndock/counter/replication/ReplicatedSums.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSums.java
@@ -51,15 +51,15 @@
     byte[] withdrawnKey = key(name, sum.origin(), WITHDRAWN);
     DecimalAmount added = growth(addedKey, sum.added(), nowMillis);
     DecimalAmount withdrawn = growth(withdrawnKey, sum.withdrawn(), nowMillis);
-    if (added.digits() == 0 && withdrawn.digits() == 0) {
+    if (added.unscaledValue() == 0 && withdrawn.unscaledValue() == 0) {
       return null;
     }
     DecimalAmount net = added.plus(withdrawn.negated());
     long expiryMillis = putTotal(name, net, nowMillis + sum.timeToLiveMillis(), nowMillis, changes);
-    if (added.digits() > 0) {
+    if (added.unscaledValue() > 0) {
       operations.put(addedKey, sum.added(), expiryMillis, changes);
     }
-    if (withdrawn.digits() > 0) {
+    if (withdrawn.unscaledValue() > 0) {
       operations.put(withdrawnKey, sum.withdrawn(), expiryMillis, changes);
     }
     return net;
@@ -97,7 +97,7 @@
       throws CommandException {
     DecimalAmount kept = operations.table().get(key, nowMillis);
     DecimalAmount growth = kept == null ? amount : amount.plus(kept.negated());
-    return growth.digits() > 0 ? growth : DecimalAmount.ZERO;
+    return growth.unscaledValue() > 0 ? growth : DecimalAmount.ZERO;
   }
 
   /** The total of a name. */
--- a/src/main/java/fawndock/counter/storage/ChangeRecord.java
+++ b/src/main/java/fawndock/counter/storage/ChangeRecord.java
@@ -79,7 +79,7 @@
         .put(amount.isFraction() ? KIND_FRACTION : KIND_WHOLE)
         .putShort((short) name.length)
         .put(name)
-        .putLong(amount.digits())
+        .putLong(amount.unscaledValue())
         .putLong(expiryMillis);
     changeCount++;
   }
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -135,7 +135,7 @@
       size++;
       nameBytes += name.length;
     }
-    shard.digits[slot] = amount.digits();
+    shard.digits[slot] = amount.unscaledValue();
     shard.expiryMarks[slot] = expiry << 1 | (amount.isFraction() ? 1 : 0);
     if (shard.size * 4 > shard.names.length * 3) {
       resize(shard, shard.names.length * 2);
--- a/src/main/java/fawndock/counter/storage/DecimalAmount.java
+++ b/src/main/java/fawndock/counter/storage/DecimalAmount.java
@@ -9,10 +9,10 @@
  * that is added and withdrawn leaves what was there. A number is a fraction only when it is not
  * whole, so that equal numbers are equal records.
  *
- * @param digits the number itself, or its multiple of 10^-9
+ * @param unscaledValue the number itself, or its multiple of 10^-9
  * @param isFraction whether the digits are in units of 10^-9
  */
-public record DecimalAmount(long digits, boolean isFraction) {
+public record DecimalAmount(long unscaledValue, boolean isFraction) {
   public static final DecimalAmount ZERO = new DecimalAmount(0, false);
   private static final long UNITS_PER_ONE = 1_000_000_000L;
   private static final int MAX_PLACES = 9;
@@ -120,7 +120,7 @@
   public DecimalAmount plus(DecimalAmount other) throws CommandException {
     try {
       if (!isFraction && !other.isFraction) {
-        return new DecimalAmount(Math.addExact(digits, other.digits), false);
+        return new DecimalAmount(Math.addExact(unscaledValue, other.unscaledValue), false);
       }
       return ofUnits(Math.addExact(units(), other.units()));
     } catch (ArithmeticException e) {
@@ -130,18 +130,18 @@
 
   /** Its opposite; the least whole number has none and becomes the greatest. */
   public DecimalAmount negated() {
-    return new DecimalAmount(digits == Long.MIN_VALUE ? Long.MAX_VALUE : -digits, isFraction);
+    return new DecimalAmount(unscaledValue == Long.MIN_VALUE ? Long.MAX_VALUE : -unscaledValue, isFraction);
   }
 
   private long units() {
-    return isFraction ? digits : Math.multiplyExact(digits, UNITS_PER_ONE);
+    return isFraction ? unscaledValue : Math.multiplyExact(unscaledValue, UNITS_PER_ONE);
   }
 
   /** The shortest decimal form, without exponent. */
   @Override
   public String toString() {
     return isFraction
-        ? BigDecimal.valueOf(digits, MAX_PLACES).stripTrailingZeros().toPlainString()
-        : Long.toString(digits);
+        ? BigDecimal.valueOf(unscaledValue, MAX_PLACES).stripTrailingZeros().toPlainString()
+        : Long.toString(unscaledValue);
   }
 }
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -53,7 +53,7 @@
 
   private static String describe(DecimalAmount amount, long expiry) {
     String kind = amount.isFraction() ? "fraction" : "whole";
-    return kind + " " + amount.digits() + " expires " + expiry;
+    return kind + " " + amount.unscaledValue() + " expires " + expiry;
   }
 
   private static Map<String, String> expectedState(String from) throws IOException {
--- a/src/test/java/fawndock/counter/replication/ReplicationPropertyTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicationPropertyTest.java
@@ -150,8 +150,8 @@
           ReplicatedSum other =
               new ReplicatedSums(new CounterOperations(first.table, Long.MAX_VALUE))
                   .sumOf(name, gate.origin(), first.clock());
-          long plus = has == null ? 0 : has.added().digits();
-          long minus = has == null ? 0 : has.withdrawn().digits();
+          long plus = has == null ? 0 : has.added().unscaledValue();
+          long minus = has == null ? 0 : has.withdrawn().unscaledValue();
           all += plus - minus;
           if (plus < acknowledged[0] || minus < acknowledged[1]) {
             wrong.add(
@@ -176,7 +176,7 @@
             wrong.add(node.id + " and " + first.id + " do not agree on " + name + " of " + gate.id);
           }
         }
-        if (sums.total(name, node.clock()).digits() != all) {
+        if (sums.total(name, node.clock()).unscaledValue() != all) {
           wrong.add(
               node.id + " has the total " + sums.total(name, node.clock()) + " for sums of " + all);
         }
--- a/src/test/java/fawndock/counter/storage/CounterStorageTest.java
+++ b/src/test/java/fawndock/counter/storage/CounterStorageTest.java
@@ -101,7 +101,7 @@
       long[] has = model.get(name);
       DecimalAmount found = table.get(bytes(name), at);
       assertEquals(has != null && (has[1] == 0 || has[1] > at), found != null);
-      assertTrue(found == null || found.digits() == has[0]);
+      assertTrue(found == null || found.unscaledValue() == has[0]);
     }
     long end = now;
     long alive = model.values().stream().filter(v -> v[1] == 0 || v[1] > end).count();
