--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -102,7 +102,7 @@
       adoptMembership(MembershipList.parse(answer.substring(prefix)));
     } else if (answer.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
         && replica.peers().contains(id)) {
-      replica.onNotOnPeersList(id, clock.nowMillis());
+      replica.onUnknownToPeer(id, clock.nowMillis());
     }
   }
 
--- a/src/main/java/fawndock/counter/replication/PeerState.java
+++ b/src/main/java/fawndock/counter/replication/PeerState.java
@@ -63,11 +63,11 @@
     hasSentFullState = true;
   }
 
-  void onNotOnPeersList(long nowMillis) {
+  void onUnknownToPeer(long nowMillis) {
     rejectedByPeerAtMillis = nowMillis;
   }
 
-  boolean isNotOnPeersList(long nowMillis, long timeoutMillis) {
+  boolean isUnknownToPeer(long nowMillis, long timeoutMillis) {
     return nowMillis - rejectedByPeerAtMillis <= timeoutMillis;
   }
 
--- a/src/main/java/fawndock/counter/replication/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -237,8 +237,8 @@
   }
 
   /** A peer answered that this node is not on its membership list. */
-  public void onNotOnPeersList(String peer, long nowMillis) {
-    peers.get(peer).onNotOnPeersList(nowMillis);
+  public void onUnknownToPeer(String peer, long nowMillis) {
+    peers.get(peer).onUnknownToPeer(nowMillis);
   }
 
   /** A peer has sent all that it had when it began to; nothing when it is off the list. */
@@ -286,7 +286,7 @@
    */
   private boolean isUnknownToAnyPeer(long nowMillis) {
     return peers.values().stream()
-        .anyMatch(peer -> peer.isNotOnPeersList(nowMillis, timeouts.soloStartTimeoutMillis()));
+        .anyMatch(peer -> peer.isUnknownToPeer(nowMillis, timeouts.soloStartTimeoutMillis()));
   }
 
   /**
--- a/src/test/java/fawndock/counter/replication/ClusterSimulation.java
+++ b/src/test/java/fawndock/counter/replication/ClusterSimulation.java
@@ -109,7 +109,7 @@
                       if (newer != null) {
                         me.node.adoptMembership(newer, me.clock());
                       } else if (me.life == mine && me.node.peers().contains(n.id)) {
-                        me.node.onNotOnPeersList(n.id, me.clock());
+                        me.node.onUnknownToPeer(n.id, me.clock());
                       }
                     }));
       }
--- a/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
+++ b/src/test/java/fawndock/counter/replication/ReplicaNodeTest.java
@@ -100,7 +100,7 @@
         new ReplicaNode(
             "a", List.of("b", "c"), 1, 10, new FailureDetectorTimeouts(150, 500), sums, 0);
     for (long now = 0; now <= 20_000; now += 400) {
-      unknown.onNotOnPeersList("b", now);
+      unknown.onUnknownToPeer("b", now);
       unknown.tick(now);
       assertFalse(unknown.isReady(), "b does not know it yet, at " + now);
     }
