--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -43,7 +43,8 @@
       throw new CommandException(CommandException.NOT_INTEGER);
     }
     DecimalAmount amount = new DecimalAmount(by, false);
-    c.reply().integer(c.operations().add(name, amount, 0, c.nowMillis(), c.changes()).unscaledValue());
+    c.reply()
+        .integer(c.operations().add(name, amount, 0, c.nowMillis(), c.changes()).unscaledValue());
   }
 
   private static void decrBy(CommandInvocation c) throws CommandException {
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -142,7 +142,7 @@
     List<byte[]> names = new ArrayList<>();
     byte[] wantedNames = pattern;
     long seen = 0;
-    while (shard >= 0 && shard < table.shards() && seen < wanted) {
+    while (shard >= 0 && shard < table.shardCount() && seen < wanted) {
       int before = names.size();
       long[] all = {0};
       table.visitShard(
@@ -157,7 +157,7 @@
       seen += Math.max(all[0], names.size() - before);
     }
     c.reply().array(2);
-    c.reply().bulk(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
+    c.reply().bulk(Long.toString(shard >= 0 && shard < table.shardCount() ? shard : 0));
     c.reply().array(none ? 0 : names.size());
     if (!none) {
       names.forEach(c.reply()::bulk);
--- a/src/main/java/fawndock/counter/replication/ReplicatedSums.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSums.java
@@ -154,7 +154,7 @@
 
   /** Shards to visit. */
   public int shardCount() {
-    return operations.table().shards();
+    return operations.table().shardCount();
   }
 
   private static byte[] key(byte[] name, long origin, byte sign) {
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -59,7 +59,7 @@
   }
 
   /** Number of shards. */
-  public int shards() {
+  public int shardCount() {
     return shards.length;
   }
 
--- a/src/main/java/fawndock/counter/storage/DecimalAmount.java
+++ b/src/main/java/fawndock/counter/storage/DecimalAmount.java
@@ -130,7 +130,8 @@
 
   /** Its opposite; the least whole number has none and becomes the greatest. */
   public DecimalAmount negated() {
-    return new DecimalAmount(unscaledValue == Long.MIN_VALUE ? Long.MAX_VALUE : -unscaledValue, isFraction);
+    return new DecimalAmount(
+        unscaledValue == Long.MIN_VALUE ? Long.MAX_VALUE : -unscaledValue, isFraction);
   }
 
   private long units() {
--- a/src/main/java/fawndock/counter/storage/SnapshotIterator.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotIterator.java
@@ -28,7 +28,7 @@
     List<SnapshotPart> parts = new ArrayList<>();
     ChangeRecord[] open = {new ChangeRecord(PIECE_BYTES)};
     int[] names = {0};
-    while (shard < table.shards() && parts.isEmpty() && open[0].sizeBytes() < PIECE_BYTES) {
+    while (shard < table.shardCount() && parts.isEmpty() && open[0].sizeBytes() < PIECE_BYTES) {
       table.visitShard(
           shard++,
           now,
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -41,7 +41,7 @@
 
   private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> state = new TreeMap<>();
-    for (int shard = 0; shard < table.shards(); shard++) {
+    for (int shard = 0; shard < table.shardCount(); shard++) {
       table.visitShard(
           shard,
           now,
@@ -275,7 +275,7 @@
 
   private static int shardOf(CounterTable table, byte[] name) {
     boolean[] found = {false};
-    for (int shard = 0; shard < table.shards(); shard++) {
+    for (int shard = 0; shard < table.shardCount(); shard++) {
       table.visitShard(
           shard,
           NO_TIME,
--- a/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
@@ -207,7 +207,7 @@
 
   private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> all = new TreeMap<>();
-    for (int i = 0; i < table.shards(); i++) {
+    for (int i = 0; i < table.shardCount(); i++) {
       table.visitShard(
           i,
           now,
