--- a/src/main/java/fawndock/counter/storage/ChangeRecord.java
+++ b/src/main/java/fawndock/counter/storage/ChangeRecord.java
@@ -4,62 +4,63 @@
 import java.nio.ByteBuffer;
 
 /**
- * The changes of one record, after the space for the record's header. Used from one thread.
+ * Buffer for the changes of one log or snapshot record, with space reserved for the record header.
+ * Not thread-safe.
  *
- * <p>Invariant: a change holds what a name is after it, not what was added, so that a record may be
- * replayed twice.
+ * <p>Invariant: a change stores the resulting value of a name, not the increment, so that replaying
+ * a record is idempotent.
  *
  * <table>
- *   <caption>A change</caption>
- *   <tr><th>bytes</th><th>what</th></tr>
- *   <tr><td>1</td><td>kind: 1 a whole number, 2 a fraction, 3 deleted, 4 the end of a snapshot</td></tr>
+ *   <caption>Encoding of a change</caption>
+ *   <tr><th>bytes</th><th>content</th></tr>
+ *   <tr><td>1</td><td>kind: 1 integer, 2 fraction, 3 deletion, 4 end of a snapshot</td></tr>
  *   <tr><td>2</td><td>kinds 1 to 3: length of the name</td></tr>
  *   <tr><td></td><td>kinds 1 to 3: the name</td></tr>
- *   <tr><td>8</td><td>kinds 1 and 2: the number, or the fraction in units of 10^-9</td></tr>
+ *   <tr><td>8</td><td>kinds 1 and 2: the integer, or the fraction in units of 10^-9</td></tr>
  *   <tr><td>8</td><td>kinds 1 and 2: expiry in milliseconds since 1970, 0 for none</td></tr>
  *   <tr><td>8</td><td>kind 4: number of names in the snapshot</td></tr>
  * </table>
  */
 public final class ChangeRecord {
-  /** Longest name, in bytes. */
+  /** Maximum length of a name, in bytes. */
   public static final int MAX_NAME_BYTES = 1_024;
 
-  /** Bytes of an amount's change besides the name: kind, length, amount, expiry. */
+  /** Bytes of an amount change in addition to the name: kind, length, amount, expiry. */
   static final int AMOUNT_CHANGE_OVERHEAD_BYTES = 1 + 2 + 8 + 8;
 
-  /** Most bytes that one change takes. */
+  /** Maximum size of one change, in bytes. */
   public static final int MAX_CHANGE_BYTES = AMOUNT_CHANGE_OVERHEAD_BYTES + MAX_NAME_BYTES;
 
   private static final int DELETED_OVERHEAD_BYTES = 1 + 2;
   private static final int SNAPSHOT_END_BYTES = 1 + 8;
 
-  private static final byte KIND_WHOLE = 1;
+  private static final byte KIND_INTEGER = 1;
   private static final byte KIND_FRACTION = 2;
   private static final byte KIND_DELETED = 3;
   private static final byte KIND_SNAPSHOT_END = 4;
   private static final int CHANGES_OFFSET = LogFormat.RECORD_HEADER_BYTES + LogFormat.TIME_BYTES;
 
-  /** Is called with the changes of a record, in their order. */
+  /** Receives the changes of a record in order. */
   public interface Visitor {
     void onAmount(byte[] name, DecimalAmount amount, long expiryMillis);
 
     void onDeleted(byte[] name);
 
-    /** The end of a snapshot that has so many names. */
-    void onSnapshotEnd(long names);
+    /** Receives the end of a snapshot that contains this number of names. */
+    void onSnapshotEnd(long nameCount);
   }
 
   private ByteBuffer buffer;
   private int changeCount;
 
   /**
-   * @param size bytes to begin with; it grows up to a record's longest body
+   * @param initialBytes initial capacity; the buffer grows up to the maximum body of a record
    */
-  public ChangeRecord(int size) {
-    buffer = ByteBuffer.allocate(CHANGES_OFFSET + size).position(CHANGES_OFFSET);
+  public ChangeRecord(int initialBytes) {
+    buffer = ByteBuffer.allocate(CHANGES_OFFSET + initialBytes).position(CHANGES_OFFSET);
   }
 
-  /** Whether so many more bytes of changes fit in this record. */
+  /** Returns whether this number of additional bytes of changes fits in this record. */
   public boolean hasCapacityFor(long bytes) {
     return buffer.position() - LogFormat.RECORD_HEADER_BYTES + bytes <= LogFormat.MAX_BODY_BYTES;
   }
@@ -68,7 +69,7 @@
     return changeCount == 0;
   }
 
-  /** Bytes of the changes. */
+  /** Returns the size of the changes, in bytes. */
   public int sizeBytes() {
     return buffer.position() - CHANGES_OFFSET;
   }
@@ -76,7 +77,7 @@
   public void putAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
     ensureCapacity(AMOUNT_CHANGE_OVERHEAD_BYTES + name.length);
     buffer
-        .put(amount.isFraction() ? KIND_FRACTION : KIND_WHOLE)
+        .put(amount.isFraction() ? KIND_FRACTION : KIND_INTEGER)
         .putShort((short) name.length)
         .put(name)
         .putLong(amount.unscaledValue())
@@ -90,9 +91,9 @@
     changeCount++;
   }
 
-  void putSnapshotEnd(long names) {
+  void putSnapshotEnd(long nameCount) {
     ensureCapacity(SNAPSHOT_END_BYTES);
-    buffer.put(KIND_SNAPSHOT_END).putLong(names);
+    buffer.put(KIND_SNAPSHOT_END).putLong(nameCount);
     changeCount++;
   }
 
@@ -105,8 +106,8 @@
   }
 
   /**
-   * The record, all but its sealing, with the time at which it was made, in milliseconds since
-   * 1970.
+   * Returns the record with its creation time in milliseconds since 1970; {@link LogFormat#seal}
+   * still has to fill in its header.
    */
   public ByteBuffer toRecord(long timeMillis) {
     return buffer.duplicate().flip().putLong(LogFormat.RECORD_HEADER_BYTES, timeMillis);
@@ -118,9 +119,11 @@
   }
 
   /**
-   * Shows the changes in a body, and returns its time in milliseconds since 1970.
+   * Passes the changes in a record body to a visitor and returns the time of the record in
+   * milliseconds since 1970.
    *
-   * @throws IllegalArgumentException when a change cannot be read; some may have been shown by then
+   * @throws IllegalArgumentException when a change cannot be decoded; the visitor may have received
+   *     the changes before it
    */
   public static long visitBody(ByteBuffer body, Visitor visitor) {
     try {
@@ -128,19 +131,19 @@
       while (body.hasRemaining()) {
         byte kind = body.get();
         switch (kind) {
-          case KIND_WHOLE, KIND_FRACTION -> {
+          case KIND_INTEGER, KIND_FRACTION -> {
             byte[] name = readName(body);
             visitor.onAmount(
                 name, new DecimalAmount(body.getLong(), kind == KIND_FRACTION), body.getLong());
           }
           case KIND_DELETED -> visitor.onDeleted(readName(body));
           case KIND_SNAPSHOT_END -> visitor.onSnapshotEnd(body.getLong());
-          default -> throw new IllegalArgumentException("a change of kind " + kind);
+          default -> throw new IllegalArgumentException("change of unknown kind " + kind);
         }
       }
       return timeMillis;
     } catch (BufferUnderflowException e) {
-      throw new IllegalArgumentException("a change that is cut short", e);
+      throw new IllegalArgumentException("truncated change", e);
     }
   }
 
--- a/src/main/java/fawndock/counter/storage/CommandException.java
+++ b/src/main/java/fawndock/counter/storage/CommandException.java
@@ -1,9 +1,9 @@
 package fawndock.counter.storage;
 
 /**
- * A command that cannot be done; the message is the error that the client gets, in the words of the
- * public command documentation. Nothing has been changed when it is thrown. It has no stack trace:
- * it is an answer, not a fault.
+ * Thrown when a command is rejected; the message is the error reply to the client, worded as in the
+ * public command documentation. The command has changed nothing. The exception has no stack trace
+ * because it is an expected reply, not a fault.
  */
 public final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/fawndock/counter/storage/CounterOperations.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -1,14 +1,14 @@
 package fawndock.counter.storage;
 
 /**
- * What the commands do to the table, each change noted for the log. An expired name is as one that
- * is not there, also when it is added to before it was swept. Nothing is changed when a command
- * throws.
+ * The write operations of the commands: each changes the table and appends the change to a record
+ * for the log. An expired name counts as absent even before it is swept. An operation that throws
+ * changes nothing. Not thread-safe.
  */
 public final class CounterOperations {
   /**
-   * When an expiry is set: always, when there is none, when there is one, only to a later, only to
-   * an earlier one.
+   * Condition for setting an expiry: always, only if the name has none (NX), only if it has one
+   * (XX), only if the new expiry is later (GT), only if it is earlier (LT).
    */
   public enum ExpiryCondition {
     ALWAYS,
@@ -18,14 +18,14 @@
     LT
   }
 
-  /** Latest expiry, in milliseconds since 1970. */
+  /** Maximum expiry, in milliseconds since 1970. */
   public static final long MAX_EXPIRY_MILLIS = Long.MAX_VALUE >> 2;
 
   private final CounterTable table;
   private final long maxMemoryBytes;
 
   /**
-   * @param maxMemoryBytes of memory for names; a new name beyond it is rejected
+   * @param maxMemoryBytes memory limit for names; a new name that would exceed it is rejected
    */
   public CounterOperations(CounterTable table, long maxMemoryBytes) {
     this.table = table;
@@ -36,23 +36,27 @@
     return table;
   }
 
-  /** Most bytes of changes that a command on such a name notes. */
+  /** Returns the maximum size of a change to this name, in bytes. */
   public static long maxChangeBytes(byte[] name) {
     return (long) ChangeRecord.AMOUNT_CHANGE_OVERHEAD_BYTES + name.length;
   }
 
   /**
-   * Adds to a name; one that is not there begins at zero.
+   * Adds to the amount of a name; an absent name starts at zero.
    *
-   * @param timeToLiveMillis after which it expires if it has no expiry yet, or 0 for none
-   * @return the total
+   * @param timeToLiveMillis time to live to set if the name has no expiry yet, or 0 for none
+   * @return the new amount
    */
   public DecimalAmount add(
-      byte[] name, DecimalAmount by, long timeToLiveMillis, long nowMillis, ChangeRecord changes)
+      byte[] name,
+      DecimalAmount increment,
+      long timeToLiveMillis,
+      long nowMillis,
+      ChangeRecord changes)
       throws CommandException {
     DecimalAmount current = table.get(name, nowMillis);
     long expiryMillis = current == null ? 0 : table.expiryMillis(name, nowMillis);
-    DecimalAmount total = current == null ? by : current.plus(by);
+    DecimalAmount total = current == null ? increment : current.plus(increment);
     if (current == null) {
       requireMemoryFor(name);
     }
@@ -64,10 +68,11 @@
   }
 
   /**
-   * Guards against names that fill the heap, which ends the service for all. May reject new names
-   * while expired ones are not swept yet.
+   * Checks that the memory limit allows one more name; without it, new names could fill the heap
+   * and stop the counter for all clients. May reject a new name while expired names are not swept
+   * yet.
    *
-   * @throws CommandException when there is no memory for one more name
+   * @throws CommandException when the name would exceed the memory limit
    */
   public void requireMemoryFor(byte[] name) throws CommandException {
     if (table.memoryBytes() + name.length + CounterTable.NAME_OVERHEAD_BYTES > maxMemoryBytes) {
@@ -75,13 +80,16 @@
     }
   }
 
-  /** Sets a name, whatever it was; expiry in milliseconds since 1970, or 0 for none. */
+  /**
+   * Sets the amount and expiry of a name unconditionally; the expiry is in milliseconds since 1970,
+   * or 0 for none.
+   */
   public void put(byte[] name, DecimalAmount amount, long expiryMillis, ChangeRecord changes) {
     table.put(name, amount, expiryMillis);
     changes.putAmount(name, amount, expiryMillis);
   }
 
-  /** Forgets a name; returns whether it was there. */
+  /** Deletes a name; returns whether it existed. */
   public boolean delete(byte[] name, long nowMillis, ChangeRecord changes) {
     if (table.get(name, nowMillis) == null) {
       return false;
@@ -91,32 +99,39 @@
     return true;
   }
 
-  /** Sets when a name expires; a time that is past forgets it. Returns whether it did either. */
+  /**
+   * Sets the expiry of a name if the condition holds; an expiry in the past deletes the name.
+   * Returns whether the name existed and the condition held.
+   */
   public boolean expire(
-      byte[] name, long atMillis, ExpiryCondition condition, long nowMillis, ChangeRecord changes) {
+      byte[] name,
+      long newExpiryMillis,
+      ExpiryCondition condition,
+      long nowMillis,
+      ChangeRecord changes) {
     DecimalAmount amount = table.get(name, nowMillis);
     if (amount == null) {
       return false;
     }
-    long current = table.expiryMillis(name, nowMillis);
+    long currentExpiryMillis = table.expiryMillis(name, nowMillis);
     boolean applies =
         switch (condition) {
           case ALWAYS -> true;
-          case NX -> current == 0;
-          case XX -> current != 0;
-          case GT ->
-              current != 0 && atMillis > current; // None counts as never, and nothing is later.
-          case LT -> current == 0 || atMillis < current;
+          case NX -> currentExpiryMillis == 0;
+          case XX -> currentExpiryMillis != 0;
+          // A name without an expiry never expires: no expiry is later.
+          case GT -> currentExpiryMillis != 0 && newExpiryMillis > currentExpiryMillis;
+          case LT -> currentExpiryMillis == 0 || newExpiryMillis < currentExpiryMillis;
         };
-    if (applies && atMillis <= nowMillis) {
+    if (applies && newExpiryMillis <= nowMillis) {
       delete(name, nowMillis, changes);
     } else if (applies) {
-      put(name, amount, atMillis, changes);
+      put(name, amount, newExpiryMillis, changes);
     }
     return applies;
   }
 
-  /** Lets a name stay for good; returns whether it had an expiry. */
+  /** Removes the expiry of a name; returns whether it had one. */
   public boolean persist(byte[] name, long nowMillis, ChangeRecord changes) {
     boolean hadExpiry = table.expiryMillis(name, nowMillis) > 0;
     if (hadExpiry) {
--- a/src/main/java/fawndock/counter/storage/CounterStorageException.java
+++ b/src/main/java/fawndock/counter/storage/CounterStorageException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Root of the errors of the counter's storage; the message names file or directory. */
+/** Base class of the errors of the counter storage; the message names the file or directory. */
 public class CounterStorageException extends IOException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -5,29 +5,32 @@
 import java.util.Arrays;
 
 /**
- * Names with their amounts and expiry, in open addressing over many small shards. A shard grows by
- * itself, so that no call waits while millions of names are moved, and a snapshot or a scan goes
- * shard by shard. An idle name costs its bytes and some 50 more. Used from one thread at a time.
+ * Hash table of names with their amounts and expiry times: open addressing, split into many small
+ * shards. Each shard is resized on its own, so that no call waits for the rehash of millions of
+ * names; a snapshot or scan visits one shard at a time. An idle name takes its own bytes plus about
+ * 50. Not thread-safe.
  */
 public final class CounterTable {
-  /** Bytes of memory that a name takes besides its own, on average over how full the shards are. */
+  /** Memory overhead of a name in bytes, averaged over the load factors of the shards. */
   public static final int NAME_OVERHEAD_BYTES = 72;
 
   private static final int DEFAULT_SHARDS = 1_024;
   private static final int MIN_SLOTS = 4;
 
-  /** Is shown names one by one; must not change the table. */
+  /** Receives names one by one; must not change the table. */
   @FunctionalInterface
   public interface Visitor {
-    void onName(byte[] name, DecimalAmount amount, long expiry);
+    void onName(byte[] name, DecimalAmount amount, long expiryMillis);
   }
 
   private static final class Shard {
     byte[][] names = new byte[MIN_SLOTS][];
-    long[] digits = new long[MIN_SLOTS];
+    long[] unscaledValues = new long[MIN_SLOTS];
 
-    /** Twice the expiry, and one more for a fraction. */
-    long[] expiryMarks = new long[MIN_SLOTS];
+    /**
+     * Expiry in milliseconds since 1970, shifted left by one; the lowest bit is set for a fraction.
+     */
+    long[] packedExpiries = new long[MIN_SLOTS];
 
     int size;
   }
@@ -41,24 +44,24 @@
   private int sweepSlot;
 
   /**
-   * @param seed of the hash, which those who choose names should not know: many of one hash would
-   *     be slow
+   * @param seed seed of the hash function; it must be unpredictable to those who choose names,
+   *     since many names with the same hash slow the table down
    */
   public CounterTable(long seed) {
     this(seed, DEFAULT_SHARDS);
   }
 
   /**
-   * @param shards a power of two from 2
+   * @param shardCount a power of two, at least 2
    */
-  public CounterTable(long seed, int shards) {
+  public CounterTable(long seed, int shardCount) {
     hasher = Hashing.xxh3_64(seed);
-    this.shards = new Shard[shards];
-    shift = 64 - Integer.numberOfTrailingZeros(shards);
+    this.shards = new Shard[shardCount];
+    shift = 64 - Integer.numberOfTrailingZeros(shardCount);
     clear();
   }
 
-  /** Number of shards. */
+  /** Returns the number of shards. */
   public int shardCount() {
     return shards.length;
   }
@@ -69,13 +72,14 @@
     nameBytes = 0;
   }
 
-  /** Names, those among them that have expired and were not yet swept. */
+  /** Returns the number of names, including expired names that are not swept yet. */
   public long size() {
     return size;
   }
 
   /**
-   * About the bytes of memory that the names take: their own and {@link #NAME_OVERHEAD_BYTES} each.
+   * Returns the estimated memory of the names in bytes: their lengths plus {@link
+   * #NAME_OVERHEAD_BYTES} each.
    */
   public long memoryBytes() {
     return nameBytes + size * NAME_OVERHEAD_BYTES;
@@ -85,7 +89,7 @@
     return shards[(int) (hash >>> shift)];
   }
 
-  /** The slot that has the name, or ~ of the free one where it belongs. */
+  /** Returns the slot of the name, or the bitwise complement of the free slot for it. */
   private static int findSlot(Shard shard, byte[] name, long hash) {
     int mask = shard.names.length - 1;
     int slot = (int) hash & mask;
@@ -98,33 +102,35 @@
     return ~slot;
   }
 
-  /** The amount, or null when the name is not there or has expired by now. */
-  public DecimalAmount get(byte[] name, long now) {
+  /** Returns the amount of a name, or null if the name is absent or has expired. */
+  public DecimalAmount get(byte[] name, long nowMillis) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
     int slot = findSlot(shard, name, hash);
-    return slot < 0 || isExpired(shard.expiryMarks[slot], now)
+    return slot < 0 || isExpired(shard.packedExpiries[slot], nowMillis)
         ? null
-        : new DecimalAmount(shard.digits[slot], (shard.expiryMarks[slot] & 1) != 0);
+        : new DecimalAmount(shard.unscaledValues[slot], (shard.packedExpiries[slot] & 1) != 0);
   }
 
   /**
-   * Milliseconds since 1970 at which the name expires, 0 for never, -1 when it is not there or has
-   * expired.
+   * Returns the expiry of a name in milliseconds since 1970; 0 if it never expires, -1 if it is
+   * absent or has expired.
    */
-  public long expiryMillis(byte[] name, long now) {
+  public long expiryMillis(byte[] name, long nowMillis) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
     int slot = findSlot(shard, name, hash);
-    return slot < 0 || isExpired(shard.expiryMarks[slot], now) ? -1 : shard.expiryMarks[slot] >> 1;
+    return slot < 0 || isExpired(shard.packedExpiries[slot], nowMillis)
+        ? -1
+        : shard.packedExpiries[slot] >> 1;
   }
 
-  private static boolean isExpired(long mark, long now) {
-    return mark >> 1 != 0 && mark >> 1 <= now;
+  private static boolean isExpired(long packedExpiry, long nowMillis) {
+    return packedExpiry >> 1 != 0 && packedExpiry >> 1 <= nowMillis;
   }
 
-  /** Sets amount and expiry; the array becomes the table's. */
-  public void put(byte[] name, DecimalAmount amount, long expiry) {
+  /** Sets the amount and expiry of a name; the table takes ownership of the array. */
+  public void put(byte[] name, DecimalAmount amount, long expiryMillis) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
     int slot = findSlot(shard, name, hash);
@@ -135,14 +141,14 @@
       size++;
       nameBytes += name.length;
     }
-    shard.digits[slot] = amount.unscaledValue();
-    shard.expiryMarks[slot] = expiry << 1 | (amount.isFraction() ? 1 : 0);
+    shard.unscaledValues[slot] = amount.unscaledValue();
+    shard.packedExpiries[slot] = expiryMillis << 1 | (amount.isFraction() ? 1 : 0);
     if (shard.size * 4 > shard.names.length * 3) {
       resize(shard, shard.names.length * 2);
     }
   }
 
-  /** Forgets a name; returns whether it was there, expired or not. */
+  /** Removes a name; returns whether the table contained it, expired or not. */
   public boolean remove(byte[] name) {
     long hash = hasher.hashBytesToLong(name);
     Shard shard = shardOf(hash);
@@ -157,7 +163,10 @@
     return true;
   }
 
-  /** Empties a slot and moves up those after it that would not be found past the gap. */
+  /**
+   * Empties a slot and moves later entries of the probe sequence back into the gap, so that lookups
+   * still find them.
+   */
   private void removeSlot(Shard shard, int slot) {
     int mask = shard.names.length - 1;
     shard.size--;
@@ -165,11 +174,11 @@
     nameBytes -= shard.names[slot].length;
     int gap = slot;
     for (int i = slot + 1 & mask; shard.names[i] != null; i = i + 1 & mask) {
-      int home = (int) hasher.hashBytesToLong(shard.names[i]) & mask;
-      if ((i - home & mask) >= (i - gap & mask)) {
+      int homeSlot = (int) hasher.hashBytesToLong(shard.names[i]) & mask;
+      if ((i - homeSlot & mask) >= (i - gap & mask)) {
         shard.names[gap] = shard.names[i];
-        shard.digits[gap] = shard.digits[i];
-        shard.expiryMarks[gap] = shard.expiryMarks[i];
+        shard.unscaledValues[gap] = shard.unscaledValues[i];
+        shard.packedExpiries[gap] = shard.packedExpiries[i];
         gap = i;
       }
     }
@@ -178,40 +187,40 @@
 
   private void resize(Shard shard, int length) {
     byte[][] names = shard.names;
-    long[] digits = shard.digits;
-    long[] marks = shard.expiryMarks;
+    long[] unscaledValues = shard.unscaledValues;
+    long[] packedExpiries = shard.packedExpiries;
     shard.names = new byte[length][];
-    shard.digits = new long[length];
-    shard.expiryMarks = new long[length];
+    shard.unscaledValues = new long[length];
+    shard.packedExpiries = new long[length];
     for (int i = 0; i < names.length; i++) {
       if (names[i] != null) {
         int slot = ~findSlot(shard, names[i], hasher.hashBytesToLong(names[i]));
         shard.names[slot] = names[i];
-        shard.digits[slot] = digits[i];
-        shard.expiryMarks[slot] = marks[i];
+        shard.unscaledValues[slot] = unscaledValues[i];
+        shard.packedExpiries[slot] = packedExpiries[i];
       }
     }
   }
 
-  /** Shows the names of a shard that have not expired. */
-  public void visitShard(int shard, long now, Visitor visitor) {
+  /** Passes the unexpired names of a shard to a visitor. */
+  public void visitShard(int shard, long nowMillis, Visitor visitor) {
     Shard s = shards[shard];
     for (int i = 0; i < s.names.length; i++) {
-      if (s.names[i] != null && !isExpired(s.expiryMarks[i], now)) {
+      if (s.names[i] != null && !isExpired(s.packedExpiries[i], nowMillis)) {
         visitor.onName(
             s.names[i],
-            new DecimalAmount(s.digits[i], (s.expiryMarks[i] & 1) != 0),
-            s.expiryMarks[i] >> 1);
+            new DecimalAmount(s.unscaledValues[i], (s.packedExpiries[i] & 1) != 0),
+            s.packedExpiries[i] >> 1);
       }
     }
   }
 
   /**
-   * Looks at the next so many slots in turn and forgets the names there that have expired; returns
-   * how many.
+   * Checks the next {@code slots} slots, continuing from the previous call, and removes the expired
+   * names in them; returns the number of names removed.
    */
-  public int sweepExpired(long now, int slots) {
-    int forgotten = 0;
+  public int sweepExpired(long nowMillis, int slots) {
+    int removed = 0;
     for (int i = 0; i < slots; i++) {
       Shard shard = shards[sweepShard];
       if (sweepSlot >= shard.names.length) {
@@ -220,14 +229,15 @@
         if (shard.size * 5 < shard.names.length && shard.names.length > MIN_SLOTS) {
           resize(shard, shard.names.length / 2);
         }
-      } else if (shard.names[sweepSlot] != null && isExpired(shard.expiryMarks[sweepSlot], now)) {
+      } else if (shard.names[sweepSlot] != null
+          && isExpired(shard.packedExpiries[sweepSlot], nowMillis)) {
         removeSlot(
-            shard, sweepSlot); // Another may have moved up to this slot: it is looked at next.
-        forgotten++;
+            shard, sweepSlot); // Another name may have moved to this slot: it is checked next.
+        removed++;
       } else {
         sweepSlot++;
       }
     }
-    return forgotten;
+    return removed;
   }
 }
--- a/src/main/java/fawndock/counter/storage/DecimalAmount.java
+++ b/src/main/java/fawndock/counter/storage/DecimalAmount.java
@@ -5,79 +5,79 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An exact number: a whole 64-bit one, or a fraction in units of 10^-9. Sums never drift: an amount
- * that is added and withdrawn leaves what was there. A number is a fraction only when it is not
- * whole, so that equal numbers are equal records.
+ * An exact decimal number: a 64-bit integer, or a fraction in units of 10^-9. Sums have no rounding
+ * error: adding an amount and withdrawing it restores the previous value. A number is stored as a
+ * fraction only if it is not an integer, so that equal numbers are equal records.
  *
- * @param unscaledValue the number itself, or its multiple of 10^-9
- * @param isFraction whether the digits are in units of 10^-9
+ * @param unscaledValue the integer, or the fraction in units of 10^-9
+ * @param isFraction whether the unscaled value is in units of 10^-9
  */
 public record DecimalAmount(long unscaledValue, boolean isFraction) {
   public static final DecimalAmount ZERO = new DecimalAmount(0, false);
   private static final long UNITS_PER_ONE = 1_000_000_000L;
-  private static final int MAX_PLACES = 9;
+  private static final int MAX_DECIMAL_PLACES = 9;
   private static final int MAX_TEXT_BYTES = 64;
 
   /**
-   * Reads a decimal number, also one with an exponent. What lies below 10^-9 is rounded half to
-   * even, which is the same for an amount and for its withdrawal.
+   * Parses a decimal number, optionally with an exponent. Digits below 10^-9 are rounded half to
+   * even, which rounds an amount and its withdrawal the same way.
    *
-   * @throws CommandException when it is none, or beyond a whole 64-bit number, or a fraction beyond
-   *     9.2e9
+   * @throws CommandException when the text is not a number, or is outside the range of 64-bit
+   *     integers, or is a fraction beyond 9.2e9
    */
   public static DecimalAmount parse(byte[] text) throws CommandException {
     if (text.length > MAX_TEXT_BYTES || text.length == 0) {
       throw new CommandException(CommandException.NOT_FLOAT);
     }
-    DecimalAmount plain = parsePlain(text);
-    return plain != null ? plain : parseWithExponent(text);
+    DecimalAmount amount = parsePlain(text);
+    return amount != null ? amount : parseWithExponent(text);
   }
 
-  /** Digits with at most nine places after a point, or null when it is anything else. */
+  /** Parses digits with at most nine decimal places; returns null for any other text. */
   private static DecimalAmount parsePlain(byte[] text) {
     int i = text[0] == '-' || text[0] == '+' ? 1 : 0;
     long digits = 0;
-    int places = -1;
-    int many = 0;
+    int decimalPlaces = -1;
+    int digitCount = 0;
     for (; i < text.length; i++) {
       byte b = text[i];
-      if (b == '.' && places < 0) {
-        places = 0;
-      } else if (b >= '0' && b <= '9' && many < 18) {
+      if (b == '.' && decimalPlaces < 0) {
+        decimalPlaces = 0;
+      } else if (b >= '0' && b <= '9' && digitCount < 18) {
         digits = digits * 10 + b - '0';
-        many++;
-        places += places >= 0 ? 1 : 0;
+        digitCount++;
+        decimalPlaces += decimalPlaces >= 0 ? 1 : 0;
       } else {
         return null;
       }
     }
-    if (many == 0 || places > MAX_PLACES) {
+    if (digitCount == 0 || decimalPlaces > MAX_DECIMAL_PLACES) {
       return null;
     }
-    long signed = text[0] == '-' ? -digits : digits;
-    if (places <= 0) {
-      return new DecimalAmount(signed, false);
+    long signedValue = text[0] == '-' ? -digits : digits;
+    if (decimalPlaces <= 0) {
+      return new DecimalAmount(signedValue, false);
     }
-    for (int p = places; p < MAX_PLACES; p++) {
-      if (Math.abs(signed) > Long.MAX_VALUE / 10) {
+    for (int place = decimalPlaces; place < MAX_DECIMAL_PLACES; place++) {
+      if (Math.abs(signedValue) > Long.MAX_VALUE / 10) {
         return null;
       }
-      signed *= 10;
+      signedValue *= 10;
     }
-    return ofUnits(signed);
+    return ofUnits(signedValue);
   }
 
   private static DecimalAmount parseWithExponent(byte[] text) throws CommandException {
     try {
       BigDecimal number = new BigDecimal(new String(text, StandardCharsets.ISO_8859_1));
-      // Guards against numbers such as 1e999999999, which would be written out digit by digit.
+      // Rejects numbers such as 1e999999999, which setScale would expand digit by digit.
       if (Math.abs((long) number.precision() - number.scale()) > MAX_TEXT_BYTES) {
         if (number.signum() != 0 && number.precision() - (long) number.scale() > 0) {
           throw new CommandException(CommandException.OVERFLOW);
         }
         return ZERO;
       }
-      BigDecimal rounded = number.setScale(MAX_PLACES, RoundingMode.HALF_EVEN);
+      BigDecimal rounded = number.setScale(MAX_DECIMAL_PLACES, RoundingMode.HALF_EVEN);
       try {
         return new DecimalAmount(rounded.longValueExact(), false);
       } catch (ArithmeticException e) {
@@ -90,17 +90,17 @@
     }
   }
 
-  /** Reads a whole 64-bit number, written as one would print it. */
+  /** Parses a 64-bit integer in canonical form, such as {@link Long#toString} prints it. */
   public static long parseLong(byte[] text) throws CommandException {
     if (text.length > 0 && text.length <= 20) {
-      String word = new String(text, StandardCharsets.ISO_8859_1);
+      String string = new String(text, StandardCharsets.ISO_8859_1);
       try {
-        long number = Long.parseLong(word);
-        if (word.equals(Long.toString(number))) {
+        long number = Long.parseLong(string);
+        if (string.equals(Long.toString(number))) {
           return number;
         }
       } catch (NumberFormatException e) {
-        // Told below.
+        // Rejected below.
       }
     }
     throw new CommandException(CommandException.NOT_INTEGER);
@@ -113,9 +113,9 @@
   }
 
   /**
-   * The exact sum.
+   * Returns the exact sum.
    *
-   * @throws CommandException when it does not fit
+   * @throws CommandException when the sum overflows
    */
   public DecimalAmount plus(DecimalAmount other) throws CommandException {
     try {
@@ -128,7 +128,10 @@
     }
   }
 
-  /** Its opposite; the least whole number has none and becomes the greatest. */
+  /**
+   * Returns the negated amount; the smallest 64-bit integer has no negation and becomes the
+   * largest.
+   */
   public DecimalAmount negated() {
     return new DecimalAmount(
         unscaledValue == Long.MIN_VALUE ? Long.MAX_VALUE : -unscaledValue, isFraction);
@@ -138,11 +141,11 @@
     return isFraction ? unscaledValue : Math.multiplyExact(unscaledValue, UNITS_PER_ONE);
   }
 
-  /** The shortest decimal form, without exponent. */
+  /** Returns the shortest decimal form, without an exponent. */
   @Override
   public String toString() {
     return isFraction
-        ? BigDecimal.valueOf(unscaledValue, MAX_PLACES).stripTrailingZeros().toPlainString()
+        ? BigDecimal.valueOf(unscaledValue, MAX_DECIMAL_PLACES).stripTrailingZeros().toPlainString()
         : Long.toString(unscaledValue);
   }
 }
--- a/src/main/java/fawndock/counter/storage/FileState.java
+++ b/src/main/java/fawndock/counter/storage/FileState.java
@@ -1,15 +1,17 @@
 package fawndock.counter.storage;
 
-/** How a stored file is, by the rules of the log; the names are printed in lower case. */
+/** State of a stored file; the constant names are printed in lower case. */
 public enum FileState {
-  /** Each record to the end of the file is whole. */
+  /** Every record up to the end of the file is valid. */
   WHOLE,
-  /** The newest segment ends in a record that a crash cut short: recovery cuts it off. */
+  /** The newest segment ends in a record that a crash truncated; recovery removes that record. */
   TORN,
-  /** Something before the end of the log is not whole or missing: no counter starts on it. */
+  /**
+   * A record before the end of the log is corrupt or missing; a counter does not start on the log.
+   */
   DAMAGED,
-  /** A snapshot that was being written: it is overwritten by the next. */
+  /** An incomplete snapshot; the next snapshot overwrites it. */
   UNFINISHED,
-  /** An older snapshot or segment that a whole snapshot makes superfluous: it is not read. */
+  /** An older snapshot or segment that a complete snapshot replaces; it is not read. */
   COVERED
 }
--- a/src/main/java/fawndock/counter/storage/GroupCommit.java
+++ b/src/main/java/fawndock/counter/storage/GroupCommit.java
@@ -4,46 +4,52 @@
 import java.util.ArrayDeque;
 
 /**
- * Group commit: when changes go to the log, and when their replies may go out. While one record is
- * written and synced, changes gather in the open group: one sync serves all that wait. Used from
- * one thread.
+ * Group commit: decides when changes are written to the log and when their replies may be sent.
+ * While one record is written and synced, new changes collect in the open group, so that one sync
+ * serves all waiting replies. Confined to one thread.
  *
- * <p>Invariants: one group is open, and at most one is in flight besides one sync; when the open
- * one is full, changes are rejected rather than made to wait for a third. The open group may be
- * offered to the log's writer, which takes it without asking once it is done with the one before;
- * until then it can be withdrawn and gathers on.
+ * <p>Invariants: one group is open, and at most one is in flight in addition to one sync; when the
+ * open group is full, changes are rejected instead of queued in a third group. The open group may
+ * be offered to the log writer, which takes it without notice as soon as it has finished the group
+ * before; until then the offer can be withdrawn and the group accepts more changes.
  */
 public final class GroupCommit {
-  /** Which crash an acknowledged change outlasts. */
+  /** Which crashes an acknowledged change survives. */
   public enum Durability {
-    /** Any: it is synced before it is acknowledged. */
+    /** All crashes: a change is synced before it is acknowledged. */
     ALWAYS,
-    /** One of the process a moment later; one of the machine after the interval. */
+    /**
+     * A crash of the process once the change is written, shortly after; a crash of the machine
+     * after the sync interval.
+     */
     INTERVAL,
-    /** One of the process a moment later; one of the machine when the system has written it. */
+    /**
+     * A crash of the process once the change is written, shortly after; a crash of the machine once
+     * the operating system has written it to disk.
+     */
     NONE
   }
 
   /**
-   * What is to be done with the log.
+   * One unit of work for the log writer.
    *
-   * @param record to append, or null for a sync alone
-   * @param shouldSync whether to sync then
-   * @param groupNumber of the last group that it makes durable
+   * @param record record to append, or null for a sync only
+   * @param shouldSync whether to sync after the append
+   * @param groupNumber number of the last group that this work makes durable
    */
   public record LogWork(ByteBuffer record, boolean shouldSync, long groupNumber) {}
 
-  /** A group that is offered or in flight; the record is null for a sync alone. */
+  /** A group that is offered or in flight; its changes are null for a sync only. */
   private record InFlightGroup(ChangeRecord changes, boolean shouldSync) {}
 
-  private static final int INITIAL_BYTES = 1 << 16;
-  private static final long NOT_AWAITED = 0;
+  private static final int INITIAL_RECORD_BYTES = 1 << 16;
+  private static final long NO_AWAITED_GROUP = 0;
 
   private final Durability durability;
-  private final long intervalMillis;
-  private final ArrayDeque<ChangeRecord> spareRecords = new ArrayDeque<>();
+  private final long syncIntervalMillis;
+  private final ArrayDeque<ChangeRecord> recycledRecords = new ArrayDeque<>();
   private final ArrayDeque<InFlightGroup> inFlight = new ArrayDeque<>();
-  private ChangeRecord openRecord = new ChangeRecord(INITIAL_BYTES);
+  private ChangeRecord openRecord = new ChangeRecord(INITIAL_RECORD_BYTES);
   private long openGroupNumber = 1;
   private InFlightGroup offer;
   private boolean hasUnsyncedRecords;
@@ -51,55 +57,58 @@
   private String rejection = "LOADING the counter is starting, nothing was added";
 
   /**
-   * Nothing to be committed; rejects changes until {@link #onResumed}.
+   * Creates an empty group commit that rejects changes until {@link #onResumed}.
    *
-   * @param intervalMillis between syncs under {@link Durability#INTERVAL}
+   * @param syncIntervalMillis time between syncs under {@link Durability#INTERVAL}
    */
-  public GroupCommit(Durability durability, long intervalMillis) {
+  public GroupCommit(Durability durability, long syncIntervalMillis) {
     this.durability = durability;
-    this.intervalMillis = intervalMillis;
+    this.syncIntervalMillis = syncIntervalMillis;
   }
 
   /**
-   * The record to note changes in, if it takes so many more bytes of them.
+   * Returns the record of the open group if it has room for this number of additional bytes of
+   * changes.
    *
-   * @throws CommandException when it does not: nothing must be changed then
+   * @throws CommandException when changes are rejected or the group is full; the caller must then
+   *     change nothing
    */
   public ChangeRecord reserve(long bytes) throws CommandException {
     if (rejection != null) {
       throw new CommandException(rejection);
     }
     if (!openRecord.hasCapacityFor(bytes)) {
-      // Guards against waits that grow with the load. May reject a burst that the disk would have
-      // taken.
+      // Bounds the latency under load. May reject a burst that the disk could have written.
       throw new CommandException("BUSY the log is behind, nothing was added");
     }
     return openRecord;
   }
 
-  /** The group that the reply to a change made just now waits for, or 0 when it need not wait. */
+  /**
+   * Returns the group that the reply to the latest change must wait for, or 0 if it need not wait.
+   */
   public long awaitedGroup() {
-    return durability == Durability.ALWAYS ? openGroupNumber : NOT_AWAITED;
+    return durability == Durability.ALWAYS ? openGroupNumber : NO_AWAITED_GROUP;
   }
 
-  /** The number of the open group; all changes made so far are in it or in earlier ones. */
+  /** Returns the number of the open group; all changes so far are in it or in earlier groups. */
   public long openGroupNumber() {
     return openGroupNumber;
   }
 
   private boolean isSyncDue(long nowMillis) {
     return durability == Durability.ALWAYS
-        || (durability == Durability.INTERVAL && nowMillis - lastSyncMillis >= intervalMillis);
+        || (durability == Durability.INTERVAL && nowMillis - lastSyncMillis >= syncIntervalMillis);
   }
 
-  /** What to do next, or null when something is in flight or offered, or nothing is to be done. */
+  /** Returns the next work, or null if work is in flight or offered, or there is none. */
   public LogWork nextWork(long nowMillis) {
     if (!inFlight.isEmpty() || offer != null || rejection != null) {
       return null;
     }
     boolean isSyncDue = isSyncDue(nowMillis);
     if (openRecord.isEmpty()) {
-      return isSyncDue && hasUnsyncedRecords ? syncAlone(nowMillis) : null;
+      return isSyncDue && hasUnsyncedRecords ? syncOnlyWork(nowMillis) : null;
     }
     offer = new InFlightGroup(openRecord, isSyncDue);
     LogWork work = new LogWork(openRecord.toRecord(nowMillis), isSyncDue, openGroupNumber);
@@ -108,15 +117,15 @@
     return work;
   }
 
-  private LogWork syncAlone(long nowMillis) {
+  private LogWork syncOnlyWork(long nowMillis) {
     lastSyncMillis = nowMillis;
     inFlight.add(new InFlightGroup(null, true));
     return new LogWork(null, true, openGroupNumber - 1);
   }
 
   /**
-   * Offers the open group, for the writer to take when it is done with what it has; null when there
-   * is none to offer.
+   * Offers the open group for the writer to take once it has finished its current work; returns
+   * null if there is nothing to offer.
    */
   public LogWork offerOpenGroup(long nowMillis) {
     if (inFlight.isEmpty() || offer != null || rejection != null || openRecord.isEmpty()) {
@@ -127,28 +136,29 @@
   }
 
   /**
-   * Whether a group is offered: it must be withdrawn, or known to be taken, before more is noted in
-   * it.
+   * Returns whether a group is offered; the offer must be withdrawn, or known to be taken, before
+   * more changes are added.
    */
   public boolean hasOffer() {
     return offer != null;
   }
 
-  /** The offered group was not taken and is open again. */
+  /** Handles the withdrawal of the offer: the group was not taken and is open again. */
   public void onOfferWithdrawn() {
     offer = null;
   }
 
-  /** The offered group is in flight, and another one open. */
+  /** Handles the taking of the offer: the group is in flight, and a new group is open. */
   public void onOfferTaken() {
     inFlight.add(offer);
     hasUnsyncedRecords = true;
     offer = null;
     openGroupNumber++;
-    openRecord = spareRecords.isEmpty() ? new ChangeRecord(INITIAL_BYTES) : spareRecords.poll();
+    openRecord =
+        recycledRecords.isEmpty() ? new ChangeRecord(INITIAL_RECORD_BYTES) : recycledRecords.poll();
   }
 
-  /** The work with this number is done; the log can be written. */
+  /** Handles the completion of the work with this group number; the log is writable. */
   public void onWorkDone(long groupNumber) {
     if (offer != null && groupNumber == openGroupNumber) {
       onOfferTaken();
@@ -162,19 +172,22 @@
   private void recycle(InFlightGroup done) {
     if (done.changes != null) {
       done.changes.clear();
-      spareRecords.add(done.changes);
+      recycledRecords.add(done.changes);
     }
   }
 
   /**
-   * The work is not done: it is tried again, or its segment is given up. Changes are rejected until
-   * it is done or resumed.
+   * Handles a failure of the work: it is retried, or its segment is abandoned. Changes are rejected
+   * until the work completes or the log is resumed.
    */
   public void onStalled(String reason) {
     rejection = "MISCONF the log cannot be written (" + reason + "), nothing was added";
   }
 
-  /** A new log holds all that is in memory; nothing may be offered. */
+  /**
+   * Handles the start of a new log that contains the whole table; no group may be offered at this
+   * time.
+   */
   public void onResumed() {
     inFlight.forEach(this::recycle);
     inFlight.clear();
@@ -182,17 +195,17 @@
     rejection = null;
   }
 
-  /** Bytes of changes in the open group. */
+  /** Returns the size of the changes in the open group, in bytes. */
   public int pendingBytes() {
     return openRecord.sizeBytes();
   }
 
-  /** Whether nothing is left to be done. */
+  /** Returns whether no change is pending and no work is in flight. */
   public boolean isIdle() {
     return inFlight.isEmpty() && openRecord.isEmpty();
   }
 
-  /** Why changes are rejected, as the error that clients get; null while they are not. */
+  /** Returns the error reply with which changes are rejected, or null while they are accepted. */
   public String rejection() {
     return rejection;
   }
--- a/src/main/java/fawndock/counter/storage/LogFormat.java
+++ b/src/main/java/fawndock/counter/storage/LogFormat.java
@@ -7,41 +7,41 @@
 import java.util.zip.CRC32C;
 
 /**
- * On-disk format of log segments and snapshots. Existing files depend on it: do not change it
- * without raising the version. Numbers are big-endian.
+ * On-disk format of log segments and snapshots. Stored files depend on it: a change of the format
+ * requires a new version number. Integers are big-endian.
  *
  * <table>
- *   <caption>A file: a header, then records without gaps</caption>
- *   <tr><th>offset</th><th>bytes</th><th>what</th></tr>
+ *   <caption>A file: a header followed by contiguous records</caption>
+ *   <tr><th>offset</th><th>bytes</th><th>content</th></tr>
  *   <tr><td>0</td><td>4</td><td>{@code FDCL} for a segment, {@code FDCS} for a snapshot</td></tr>
- *   <tr><td>4</td><td>4</td><td>version of the format, 1</td></tr>
- *   <tr><td>8</td><td>8</td><td>sequence in the file's name: of a segment's first record, or of the
- *       last record that a snapshot covers</td></tr>
+ *   <tr><td>4</td><td>4</td><td>format version, 1</td></tr>
+ *   <tr><td>8</td><td>8</td><td>sequence number in the file name: of the first record of a
+ *       segment, or of the last record that a snapshot covers</td></tr>
  * </table>
  *
  * <table>
- *   <caption>A record; a snapshot's are numbered from 1</caption>
- *   <tr><th>offset</th><th>bytes</th><th>what</th></tr>
- *   <tr><td>0</td><td>4</td><td>length n of the body, 8 to 1 MiB</td></tr>
+ *   <caption>A record; the records of a snapshot are numbered from 1</caption>
+ *   <tr><th>offset</th><th>bytes</th><th>content</th></tr>
+ *   <tr><td>0</td><td>4</td><td>length n of the body, 8 bytes to 1 MiB</td></tr>
  *   <tr><td>4</td><td>4</td><td>CRC32C of length, sequence and body</td></tr>
- *   <tr><td>8</td><td>8</td><td>sequence, one above the record before</td></tr>
+ *   <tr><td>8</td><td>8</td><td>sequence number, one higher than in the previous record</td></tr>
  *   <tr><td>16</td><td>8</td><td>body: time in milliseconds since 1970</td></tr>
  *   <tr><td>24</td><td>n - 8</td><td>body: changes, see {@link ChangeRecord}</td></tr>
  * </table>
  *
- * <p>The same tables stand in docs/design/counter.md.
+ * <p>docs/design/counter.md contains the same tables.
  */
 public final class LogFormat {
-  /** Bytes before the first record of a file. */
+  /** Size of the header of a file, in bytes. */
   public static final int FILE_HEADER_BYTES = 16;
 
-  /** Bytes of a record before its body: length, checksum, sequence. */
+  /** Size of the header of a record, in bytes: length, checksum, sequence number. */
   public static final int RECORD_HEADER_BYTES = 16;
 
-  /** Longest body of a record. */
+  /** Maximum size of the body of a record, in bytes. */
   public static final int MAX_BODY_BYTES = 1 << 20;
 
-  /** Bytes of a body before its changes: the time in milliseconds since 1970. */
+  /** Size of the time at the start of a body, in bytes; the time is in milliseconds since 1970. */
   public static final int TIME_BYTES = 8;
 
   private static final int CHECKSUM_OFFSET = 4;
@@ -51,7 +51,7 @@
 
   private LogFormat() {}
 
-  /** What a file is, told by its name and its first bytes. */
+  /** Kind of a stored file, identified by its name and its header. */
   public enum FileKind {
     SEGMENT(0x4644434C, "segment-", ".log"),
     SNAPSHOT(0x46444353, "snapshot-", ".snap");
@@ -66,12 +66,12 @@
       this.suffix = suffix;
     }
 
-    /** The name of the file with this sequence. */
+    /** Returns the name of the file with this sequence number. */
     public String fileName(long sequence) {
       return prefix + String.format("%020d", sequence) + suffix;
     }
 
-    /** The sequence in a file's name, or -1 when it is not one of this kind. */
+    /** Returns the sequence number in a file name, or -1 if the file is not of this kind. */
     public long sequenceOf(String fileName) {
       int sequenceEnd = prefix.length() + SEQUENCE_DIGITS;
       if (!fileName.startsWith(prefix)
@@ -83,7 +83,7 @@
       return Long.parseLong(fileName.substring(prefix.length(), sequenceEnd));
     }
 
-    /** The names of the files of this kind in a storage, by their sequences. */
+    /** Returns the names of the files of this kind in a storage, by sequence number. */
     public NavigableMap<Long, String> filesBySequence(Storage storage) throws IOException {
       NavigableMap<Long, String> files = new TreeMap<>();
       for (String name : storage.list()) {
@@ -95,7 +95,7 @@
       return files;
     }
 
-    /** The first bytes of a file. */
+    /** Returns the header of the file with this sequence number. */
     public ByteBuffer header(long sequence) {
       return ByteBuffer.allocate(FILE_HEADER_BYTES)
           .putInt(magic)
@@ -104,7 +104,7 @@
           .flip();
     }
 
-    /** Whether these are the first bytes of this kind's file with this sequence. */
+    /** Returns whether this is the header of the file of this kind with this sequence number. */
     public boolean matchesHeader(ByteBuffer header, long sequence) {
       return header.remaining() >= FILE_HEADER_BYTES
           && header.getInt(0) == magic
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Fills in the header of a record whose body is already there; position 0 to limit is the whole
-   * record.
+   * Fills in the header of a record that already contains its body; the record extends from
+   * position 0 to the limit.
    */
   public static void seal(ByteBuffer record, long sequence) {
     int length = record.limit() - RECORD_HEADER_BYTES;
@@ -123,12 +123,14 @@
     record.putInt(CHECKSUM_OFFSET, checksum(record, 0, length));
   }
 
-  /** The checksum of the record at this offset, over length, sequence and body. */
-  static int checksum(ByteBuffer bytes, int at, int length) {
+  /**
+   * Returns the checksum of the record at this offset over its length, sequence number and body.
+   */
+  static int checksum(ByteBuffer buffer, int recordOffset, int length) {
     CRC32C crc = new CRC32C();
-    crc.update(bytes.duplicate().limit(at + CHECKSUM_OFFSET).position(at));
-    int end = at + RECORD_HEADER_BYTES + length;
-    crc.update(bytes.duplicate().limit(end).position(at + SEQUENCE_OFFSET));
+    crc.update(buffer.duplicate().limit(recordOffset + CHECKSUM_OFFSET).position(recordOffset));
+    int recordEnd = recordOffset + RECORD_HEADER_BYTES + length;
+    crc.update(buffer.duplicate().limit(recordEnd).position(recordOffset + SEQUENCE_OFFSET));
     return (int) crc.getValue();
   }
 }
--- a/src/main/java/fawndock/counter/storage/LogVerifier.java
+++ b/src/main/java/fawndock/counter/storage/LogVerifier.java
@@ -8,45 +8,47 @@
 import java.util.Map;
 
 /**
- * Checks a log without starting on it, by the rules of {@link Recovery}, and cuts a damaged one on
- * the operator's word.
+ * Verifies a log by the rules of {@link Recovery} without starting a counter on it, and truncates a
+ * damaged log when the operator confirms.
  */
 public final class LogVerifier {
   /**
-   * What was found of one file.
+   * Result of the verification of one file.
    *
-   * @param file its name
-   * @param state by the rules of the log
-   * @param firstRecord its first record
-   * @param lastRecord its last whole record; below the first when there is none
-   * @param wholeBytes where the first bytes are that are not whole, or its size
-   * @param sizeBytes its size
-   * @param problem what is wrong, empty when nothing is
+   * @param file name of the file
+   * @param state state of the file within the log
+   * @param firstSequence sequence number of its first record
+   * @param lastSequence sequence number of its last valid record; less than the first if there is
+   *     none
+   * @param validBytes size of the valid prefix of the file, in bytes
+   * @param sizeBytes size of the file
+   * @param problem description of the damage, empty if there is none
    */
   public record FileReport(
       String file,
       FileState state,
-      long firstRecord,
-      long lastRecord,
-      long wholeBytes,
+      long firstSequence,
+      long lastSequence,
+      long validBytes,
       long sizeBytes,
       String problem) {
     static FileReport of(StoredFileScan scan, FileState state, String problem) {
       return new FileReport(
           scan.name(),
           state,
-          scan.firstRecord(),
-          scan.lastRecord(),
-          scan.wholeBytes(),
+          scan.firstSequence(),
+          scan.lastSequence(),
+          scan.validBytes(),
           scan.sizeBytes(),
           problem);
     }
 
-    FileReport withState(FileState other) {
-      return new FileReport(file, other, firstRecord, lastRecord, wholeBytes, sizeBytes, problem);
+    FileReport withState(FileState newState) {
+      return new FileReport(
+          file, newState, firstSequence, lastSequence, validBytes, sizeBytes, problem);
     }
 
-    /** The report as a line. */
+    /** Returns the report as one line of text. */
     public String describe() {
       return file
           + ": "
@@ -56,13 +58,13 @@
           + ", "
           + sizeBytes
           + " bytes"
-          + (problem.isEmpty() ? "" : ", " + problem + " at offset " + wholeBytes);
+          + (problem.isEmpty() ? "" : ", " + problem + " at offset " + validBytes);
     }
 
     String describeRecords() {
-      return lastRecord < firstRecord
+      return lastSequence < firstSequence
           ? "no records"
-          : "records " + firstRecord + " to " + lastRecord;
+          : "records " + firstSequence + " to " + lastSequence;
     }
 
     boolean isSegment() {
@@ -70,18 +72,18 @@
     }
   }
 
-  /** Is called with each record before its changes. */
+  /** Receives each record before its changes. */
   @FunctionalInterface
   public interface RecordListener {
     void onRecord(long sequence, long timeMillis);
   }
 
-  /** Added to the name of a file that is set aside. */
+  /** Suffix for the name of a file that is set aside. */
   private static final String SET_ASIDE_SUFFIX = ".cut";
 
   private static final int COPY_BUFFER_BYTES = 1 << 20;
 
-  private static final ChangeRecord.Visitor NO_VISITOR =
+  private static final ChangeRecord.Visitor NO_OP_VISITOR =
       new ChangeRecord.Visitor() {
         @Override
         public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {}
@@ -95,7 +97,7 @@
 
   private LogVerifier() {}
 
-  /** Reports on all files, snapshots first, each in the order of their sequences. */
+  /** Returns a report for each file, snapshots first, each kind in order of sequence numbers. */
   public static List<FileReport> verify(Storage storage) throws IOException {
     List<FileReport> reports = new ArrayList<>();
     long baseSequence = verifySnapshots(storage, reports);
@@ -106,31 +108,35 @@
     return reports;
   }
 
-  /** Returns the last record that the newest whole snapshot covers, 0 for none. */
+  /**
+   * Returns the last record that the newest complete snapshot covers, or 0 if there is no complete
+   * snapshot.
+   */
   private static long verifySnapshots(Storage storage, List<FileReport> reports)
       throws IOException {
     long baseSequence = 0;
-    for (Map.Entry<Long, String> each :
+    for (Map.Entry<Long, String> snapshot :
         LogFormat.FileKind.SNAPSHOT.filesBySequence(storage).entrySet()) {
-      FileReport report = verifySnapshot(storage, each.getValue());
+      FileReport report = verifySnapshot(storage, snapshot.getValue());
       reports.add(report);
-      baseSequence = report.state() == FileState.WHOLE ? each.getKey() : baseSequence;
+      baseSequence = report.state() == FileState.WHOLE ? snapshot.getKey() : baseSequence;
     }
     if (baseSequence > 0) {
-      // An older whole snapshot makes up for a damaged one as long as its segments are there.
-      long whole = baseSequence;
+      // A damaged snapshot is not needed if a newer one is complete. An older complete snapshot
+      // replaces a damaged one only as long as its segments exist.
+      long newestComplete = baseSequence;
       reports.replaceAll(
-          each ->
-              each.state() == FileState.DAMAGED
-                      && LogFormat.FileKind.SNAPSHOT.sequenceOf(each.file()) < whole
-                  ? each.withState(FileState.COVERED)
-                  : each);
+          report ->
+              report.state() == FileState.DAMAGED
+                      && LogFormat.FileKind.SNAPSHOT.sequenceOf(report.file()) < newestComplete
+                  ? report.withState(FileState.COVERED)
+                  : report);
     }
     return baseSequence;
   }
 
   private static FileReport verifySnapshot(Storage storage, String name) throws IOException {
-    SnapshotEndCheck check = new SnapshotEndCheck(NO_VISITOR);
+    SnapshotEndCheck check = new SnapshotEndCheck(NO_OP_VISITOR);
     boolean[] hasBadChange = {false};
     StoredFileScan scan =
         StoredFileScan.scan(
@@ -141,13 +147,13 @@
               try {
                 ChangeRecord.visitBody(reader.body(), check);
               } catch (IllegalArgumentException e) {
-                hasBadChange[0] = true; // Reported as a snapshot without its end.
+                hasBadChange[0] = true; // Reported as a snapshot without an end record.
               }
             });
     if (scan.state() == FileState.WHOLE && check.isComplete() && !hasBadChange[0]) {
       return FileReport.of(scan, FileState.WHOLE, "");
     }
-    String problem = scan.state() == FileState.WHOLE ? "no end" : problem(scan);
+    String problem = scan.state() == FileState.WHOLE ? "no end record" : problem(scan);
     return FileReport.of(scan, FileState.DAMAGED, problem);
   }
 
@@ -156,17 +162,17 @@
       return "no file header";
     }
     String what = scan.state() == FileState.DAMAGED ? "damaged" : "torn";
-    return what + " record " + (scan.lastRecord() + 1);
+    return what + " record " + (scan.lastSequence() + 1);
   }
 
   private static void verifySegments(Storage storage, long baseSequence, List<FileReport> reports)
       throws IOException {
     SegmentChain chain = SegmentChain.after(storage, baseSequence);
     long expectedFirst = chain.firstNeeded() == null ? baseSequence + 1 : chain.firstNeeded();
-    for (Map.Entry<Long, String> each : chain.all().entrySet()) {
-      FileReport report = verifySegment(storage, chain, each, expectedFirst);
+    for (Map.Entry<Long, String> segment : chain.all().entrySet()) {
+      FileReport report = verifySegment(storage, chain, segment, expectedFirst);
       if (report.state() != FileState.COVERED) {
-        expectedFirst = report.lastRecord() + 1;
+        expectedFirst = report.lastSequence() + 1;
       }
       reports.add(report);
     }
@@ -175,24 +181,24 @@
   private static FileReport verifySegment(
       Storage storage, SegmentChain chain, Map.Entry<Long, String> segment, long expectedFirst)
       throws IOException {
-    long first = segment.getKey();
+    long firstSequence = segment.getKey();
     StoredFileScan scan =
         StoredFileScan.scan(storage, LogFormat.FileKind.SEGMENT, segment.getValue(), reader -> {});
     String problem = scan.state() == FileState.WHOLE ? "" : problem(scan);
-    if (chain.isCovered(first)) {
+    if (chain.isCovered(firstSequence)) {
       return FileReport.of(scan, FileState.COVERED, problem);
     }
-    if (first != expectedFirst) {
+    if (firstSequence != expectedFirst) {
       return new FileReport(
           scan.name(),
           FileState.DAMAGED,
-          scan.firstRecord(),
-          scan.lastRecord(),
+          scan.firstSequence(),
+          scan.lastSequence(),
           0,
           scan.sizeBytes(),
-          SegmentChain.missingRecords(expectedFirst, first) + "it,");
+          SegmentChain.missingRecords(expectedFirst, firstSequence) + "it,");
     }
-    return FileReport.of(scan, scan.stateInLog(chain.isNewest(first)), problem);
+    return FileReport.of(scan, scan.stateInLog(chain.isNewest(firstSequence)), problem);
   }
 
   private static FileReport unfinishedSnapshot(Storage storage) throws IOException {
@@ -204,21 +210,21 @@
   }
 
   /**
-   * Shows the records of one file, from a sequence on; returns what is wrong after the last whole
-   * one, or an empty text.
+   * Passes the records of one file, starting at a sequence number, to the listener and the visitor;
+   * returns a description of the damage after the last valid record, or an empty string.
    */
   public static String dump(
       Storage storage,
       String name,
       long fromSequence,
-      RecordListener records,
-      ChangeRecord.Visitor changes)
+      RecordListener recordListener,
+      ChangeRecord.Visitor changeVisitor)
       throws IOException {
     boolean isSnapshot = LogFormat.FileKind.SNAPSHOT.sequenceOf(name) >= 0;
     LogFormat.FileKind kind = isSnapshot ? LogFormat.FileKind.SNAPSHOT : LogFormat.FileKind.SEGMENT;
     long sequence = kind.sequenceOf(name);
     if (sequence < 0) {
-      return "expected a segment or a snapshot by its name";
+      return "expected a segment or a snapshot, identified by its name";
     }
     try (Storage.File file = storage.open(name)) {
       RecordReader reader = new RecordReader(file, isSnapshot ? 1 : sequence);
@@ -227,9 +233,9 @@
       }
       while (reader.next()) {
         if (reader.sequence() >= fromSequence) {
-          records.onRecord(reader.sequence(), reader.body().getLong());
+          recordListener.onRecord(reader.sequence(), reader.body().getLong());
           try {
-            ChangeRecord.visitBody(reader.body(), changes);
+            ChangeRecord.visitBody(reader.body(), changeVisitor);
           } catch (IllegalArgumentException e) {
             return e.getMessage() + " in record " + reader.sequence();
           }
@@ -237,28 +243,31 @@
       }
       return reader.offset() == reader.sizeBytes()
           ? ""
-          : "record " + (reader.sequence() + 1) + " is not whole, at offset " + reader.offset();
+          : "record "
+              + (reader.sequence() + 1)
+              + " is truncated or corrupt, at offset "
+              + reader.offset();
     }
   }
 
   /**
-   * Cuts the log before its first damaged record, and sets aside the segments after it and damaged
-   * snapshots. Returns the steps, a line each.
+   * Truncates the log before its first damaged record, and renames the later segments and the
+   * damaged snapshots. Returns the steps, one line each.
    *
-   * @param isConfirmed whether to take the steps
+   * @param isConfirmed whether to perform the steps
    */
   public static List<String> truncate(Storage storage, boolean isConfirmed) throws IOException {
     List<String> steps = new ArrayList<>();
-    boolean isCut = false;
+    boolean isLogCut = false;
     for (FileReport report : verify(storage)) {
       boolean isSegment = report.isSegment();
-      if (report.state() != FileState.DAMAGED && !(isCut && isSegment)) {
+      if (report.state() != FileState.DAMAGED && !(isLogCut && isSegment)) {
         continue;
       }
-      if (isSegment && !isCut && report.wholeBytes() > 0) {
+      if (isSegment && !isLogCut && report.validBytes() > 0) {
         steps.add(describeCut(report));
         if (isConfirmed) {
-          cutOff(storage, report);
+          cutOffTail(storage, report);
         }
       } else {
         steps.add(report.file() + ": set aside, " + report.describeRecords());
@@ -266,7 +275,7 @@
           storage.rename(report.file(), report.file() + SET_ASIDE_SUFFIX);
         }
       }
-      isCut |= isSegment;
+      isLogCut |= isSegment;
     }
     if (isConfirmed) {
       storage.sync();
@@ -279,24 +288,24 @@
         + ": cut from "
         + report.sizeBytes()
         + " to "
-        + report.wholeBytes()
+        + report.validBytes()
         + " bytes, after record "
-        + report.lastRecord();
+        + report.lastSequence();
   }
 
-  /** Copies what is after the whole bytes to a file beside it, then cuts it. */
-  private static void cutOff(Storage storage, FileReport report) throws IOException {
+  /** Copies the bytes after the valid prefix to a new file, then truncates the segment. */
+  private static void cutOffTail(Storage storage, FileReport report) throws IOException {
     try (Storage.File file = storage.open(report.file());
-        Storage.File rest = storage.create(report.file() + SET_ASIDE_SUFFIX)) {
+        Storage.File tail = storage.create(report.file() + SET_ASIDE_SUFFIX)) {
       ByteBuffer buffer = ByteBuffer.allocate(COPY_BUFFER_BYTES);
-      long from = report.wholeBytes();
-      for (long at = from; at < report.sizeBytes(); at += buffer.limit()) {
-        file.read(buffer.clear(), at);
-        rest.write(buffer.flip(), at - from);
+      long start = report.validBytes();
+      for (long offset = start; offset < report.sizeBytes(); offset += buffer.limit()) {
+        file.read(buffer.clear(), offset);
+        tail.write(buffer.flip(), offset - start);
       }
-      rest.sync();
+      tail.sync();
       storage.sync();
-      file.truncate(from);
+      file.truncate(start);
       file.sync();
     }
   }
--- a/src/main/java/fawndock/counter/storage/LogWriter.java
+++ b/src/main/java/fawndock/counter/storage/LogWriter.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 
 /**
- * Appends records to the newest segment of the write-ahead log. Used from one thread.
+ * Appends records to the newest segment of the write-ahead log. Confined to one thread.
  *
- * <p>Invariants: a record that could not be written may be tried again, at the same place; after a
- * sync that failed nothing more is written to the segment, since the system may have dropped the
- * dirty pages and reported it once, so that a later success would prove nothing. The way on is a
- * snapshot of what is in memory, and a new segment.
+ * <p>Invariants: a record that could not be written may be retried at the same position; after a
+ * failed sync nothing more is written to the segment, because the operating system may have dropped
+ * the dirty pages and reported the error only once, so that a later successful sync would prove
+ * nothing. Writing resumes after a snapshot of the table in memory, in a new segment.
  */
 public final class LogWriter implements AutoCloseable {
   private final Storage storage;
@@ -21,33 +21,33 @@
   private boolean isAbandoned;
 
   /**
-   * Begins a segment.
+   * Creates the next segment.
    *
-   * @param sequence of the last record before it
+   * @param precedingSequence sequence number of the last record before the segment
    */
-  public LogWriter(Storage storage, long sequence) throws IOException {
+  public LogWriter(Storage storage, long precedingSequence) throws IOException {
     this.storage = storage;
-    this.lastSequence = sequence;
-    file = createSegment(sequence + 1);
+    this.lastSequence = precedingSequence;
+    file = createSegment(precedingSequence + 1);
     position = LogFormat.FILE_HEADER_BYTES;
   }
 
-  private Storage.File createSegment(long first) throws IOException {
-    Storage.File made = storage.create(LogFormat.FileKind.SEGMENT.fileName(first));
+  private Storage.File createSegment(long firstSequence) throws IOException {
+    Storage.File segment = storage.create(LogFormat.FileKind.SEGMENT.fileName(firstSequence));
     try {
-      made.write(LogFormat.FileKind.SEGMENT.header(first), 0);
-      storage.sync(); // Else records in it could be acknowledged, and the file itself be lost.
-      return made;
+      segment.write(LogFormat.FileKind.SEGMENT.header(firstSequence), 0);
+      storage.sync(); // Without it the file could be lost after its records were acknowledged.
+      return segment;
     } catch (IOException e) {
-      made.close();
+      segment.close();
       throw e;
     }
   }
 
   /**
-   * Writes one record, sealed with the next sequence.
+   * Seals a record with the next sequence number and writes it.
    *
-   * @throws IOException when it could not be written; the same record may be tried again unless
+   * @throws IOException when the record could not be written; the same record may be retried unless
    *     {@link #isAbandoned}
    */
   public void append(ByteBuffer record) throws IOException {
@@ -61,7 +61,7 @@
     hasUnsyncedRecords = true;
   }
 
-  /** Makes all that was appended outlast a crash. After an error the segment is given up. */
+  /** Makes all appended records durable. After an error the segment is abandoned. */
   public void sync() throws IOException {
     requireUsable();
     if (!hasUnsyncedRecords) {
@@ -77,26 +77,26 @@
   }
 
   /**
-   * Syncs this segment and begins another, unless this one is still empty; returns the last
-   * sequence before it.
+   * Syncs this segment and creates the next one, unless this one is empty; returns the sequence
+   * number of the last record before it.
    */
   public long roll() throws IOException {
     sync();
     if (position > LogFormat.FILE_HEADER_BYTES) {
       Storage.File next = createNextSegment();
-      Storage.File full = file;
+      Storage.File previous = file;
       file = next;
       position = LogFormat.FILE_HEADER_BYTES;
-      full.close();
+      previous.close();
     }
     appendedBytes = 0;
     return lastSequence;
   }
 
   /**
-   * Guards against a segment that was made in vain and stays while this one goes on past its first
-   * sequence: two files would claim the same records. When it cannot be removed for good, this one
-   * is given up.
+   * Creates the next segment and deletes it again on failure: if it remained while this segment
+   * grew past its first sequence number, two files would contain the same sequence numbers. If the
+   * deletion is not durable, this segment is abandoned.
    */
   private Storage.File createNextSegment() throws IOException {
     try {
@@ -116,22 +116,22 @@
     }
   }
 
-  /** Whether the segment is given up. */
+  /** Returns whether the segment is abandoned. */
   public boolean isAbandoned() {
     return isAbandoned;
   }
 
-  /** Sequence of the last record appended. */
+  /** Returns the sequence number of the last appended record. */
   public long lastSequence() {
     return lastSequence;
   }
 
-  /** Bytes appended since the last roll. */
+  /** Returns the number of bytes appended since the last roll. */
   public long appendedBytes() {
     return appendedBytes;
   }
 
-  /** Closes without syncing; may be called again. */
+  /** Closes the segment without syncing it; may be called more than once. */
   @Override
   public void close() throws IOException {
     file.close();
--- a/src/main/java/fawndock/counter/storage/MonotonicWallClock.java
+++ b/src/main/java/fawndock/counter/storage/MonotonicWallClock.java
@@ -1,32 +1,33 @@
 package fawndock.counter.storage;
 
 /**
- * Wall-clock milliseconds that never run backwards. Expiry is kept by absolute time, so that it
- * means the same after a restart; a wall clock that is set back would let names that have expired
- * live again. While the wall clock is behind, time goes on at the pace of the monotonic clock. A
- * wall clock set forward is believed: names may expire early then.
+ * Wall-clock time in milliseconds that never decreases. Expiry is stored as absolute time, so that
+ * it remains valid after a restart; if the wall clock were set back, expired names would become
+ * valid again. While the wall clock is behind, time advances with the monotonic clock. When the
+ * wall clock is set forward, the new time is used and names may expire early. Not thread-safe.
  */
 public final class MonotonicWallClock {
   private long nowMillis;
-  private long nanos;
+  private long lastNanos;
 
   /**
-   * Starts.
+   * Starts the clock.
    *
-   * @param atLeast milliseconds since 1970 that have been reached before, such as by an earlier run
-   * @param wall the wall clock, in milliseconds since 1970
-   * @param monotonic the monotonic clock, in nanoseconds
+   * @param minMillis lower bound in milliseconds since 1970, such as the latest time of an earlier
+   *     run
+   * @param wallMillis time of the wall clock, in milliseconds since 1970
+   * @param monotonicNanos time of the monotonic clock, in nanoseconds
    */
-  public MonotonicWallClock(long atLeast, long wall, long monotonic) {
-    nowMillis = Math.max(atLeast, wall);
-    nanos = monotonic;
+  public MonotonicWallClock(long minMillis, long wallMillis, long monotonicNanos) {
+    nowMillis = Math.max(minMillis, wallMillis);
+    lastNanos = monotonicNanos;
   }
 
-  /** Milliseconds since 1970, given what the two clocks show. */
-  public long nowMillis(long wall, long monotonic) {
-    long passed = Math.max(0, monotonic - nanos) / 1_000_000;
-    nowMillis = Math.max(nowMillis + passed, wall);
-    nanos += passed * 1_000_000;
+  /** Returns the time in milliseconds since 1970 for the current readings of both clocks. */
+  public long nowMillis(long wallMillis, long monotonicNanos) {
+    long elapsedMillis = Math.max(0, monotonicNanos - lastNanos) / 1_000_000;
+    nowMillis = Math.max(nowMillis + elapsedMillis, wallMillis);
+    lastNanos += elapsedMillis * 1_000_000;
     return nowMillis;
   }
 }
--- a/src/main/java/fawndock/counter/storage/RecordReader.java
+++ b/src/main/java/fawndock/counter/storage/RecordReader.java
@@ -4,11 +4,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the records of a segment or snapshot in order, through a window of the file in memory. Used
- * from one thread.
+ * Reads the records of a segment or snapshot in order, through a buffered window of the file.
+ * Confined to one thread.
  *
- * <p>Invariant: a record counts as whole only when its length is possible, it ends within the file,
- * its sequence is the next, and its checksum matches.
+ * <p>Invariant: a record is valid only if its length is in range, it ends within the file, it has
+ * the next sequence number, and its checksum matches.
  */
 public final class RecordReader {
   private static final int WINDOW_BYTES = LogFormat.MAX_BODY_BYTES + LogFormat.RECORD_HEADER_BYTES;
@@ -21,7 +21,7 @@
   private ByteBuffer body;
 
   /**
-   * @param sequence that the first record must have
+   * @param sequence sequence number that the first record must have
    */
   public RecordReader(Storage.File file, long sequence) throws IOException {
     this.file = file;
@@ -30,93 +30,100 @@
     window = ByteBuffer.allocate((int) Math.min(2 * WINDOW_BYTES, sizeBytes)).limit(0);
   }
 
-  /** Whether the file begins as such a file must. */
-  public boolean matchesHeader(LogFormat.FileKind kind, long first) throws IOException {
+  /** Returns whether the file starts with the header for its kind and sequence number. */
+  public boolean matchesHeader(LogFormat.FileKind kind, long fileSequence) throws IOException {
     load(0, LogFormat.FILE_HEADER_BYTES);
-    return kind.matchesHeader(window.duplicate().position(0).slice(), first);
+    return kind.matchesHeader(window.duplicate().position(0).slice(), fileSequence);
   }
 
   /**
-   * Goes to the next record; false at the end of the file and at a record that is not whole or out
-   * of sequence. Then {@link #offset()} is where that is.
+   * Advances to the next record; returns false at the end of the file and at an invalid record,
+   * whose offset is then {@link #offset()}.
    */
   public boolean next() throws IOException {
-    int length = wholeRecordLength(offset, sequence + 1, sequence + 1);
+    int length = validRecordLength(offset, sequence + 1, sequence + 1);
     if (length < 0) {
       return false;
     }
-    int place = (int) (offset - windowOffset) + LogFormat.RECORD_HEADER_BYTES;
-    body = window.duplicate().limit(place + length).position(place);
+    int windowIndex = (int) (offset - windowOffset) + LogFormat.RECORD_HEADER_BYTES;
+    body = window.duplicate().limit(windowIndex + length).position(windowIndex);
     sequence++;
     offset += LogFormat.RECORD_HEADER_BYTES + length;
     return true;
   }
 
-  /** The length of the whole record at an offset whose sequence is in a range, or -1. */
-  private int wholeRecordLength(long recordOffset, long least, long most) throws IOException {
+  /**
+   * Returns the body length of the record at an offset, or -1 if it is not valid or its sequence
+   * number is outside the range.
+   */
+  private int validRecordLength(long recordOffset, long minSequence, long maxSequence)
+      throws IOException {
     if (sizeBytes - recordOffset <= LogFormat.RECORD_HEADER_BYTES) {
       return -1;
     }
     load(recordOffset, WINDOW_BYTES);
-    int place = (int) (recordOffset - windowOffset);
-    int length = window.getInt(place);
-    long found = window.getLong(place + 8);
+    int windowIndex = (int) (recordOffset - windowOffset);
+    int length = window.getInt(windowIndex);
+    long recordSequence = window.getLong(windowIndex + 8);
     if (length < LogFormat.TIME_BYTES
         || length > LogFormat.MAX_BODY_BYTES
-        || found < least
-        || found > most
+        || recordSequence < minSequence
+        || recordSequence > maxSequence
         || length > sizeBytes - recordOffset - LogFormat.RECORD_HEADER_BYTES) {
       return -1;
     }
-    return LogFormat.checksum(window, place, length) == window.getInt(place + 4) ? length : -1;
+    return LogFormat.checksum(window, windowIndex, length) == window.getInt(windowIndex + 4)
+        ? length
+        : -1;
   }
 
-  private void load(long recordOffset, int bytes) throws IOException {
-    if (recordOffset >= windowOffset
-        && Math.min(sizeBytes, recordOffset + bytes) <= windowOffset + window.limit()) {
+  private void load(long startOffset, int requiredBytes) throws IOException {
+    if (startOffset >= windowOffset
+        && Math.min(sizeBytes, startOffset + requiredBytes) <= windowOffset + window.limit()) {
       return;
     }
     window.clear();
-    file.read(window, recordOffset);
+    file.read(window, startOffset);
     window.flip();
-    windowOffset = recordOffset;
-    if (window.limit() < Math.min(bytes, sizeBytes - recordOffset)) {
+    windowOffset = startOffset;
+    if (window.limit() < Math.min(requiredBytes, sizeBytes - startOffset)) {
       throw new IOException(
-          "the file ended at " + (recordOffset + window.limit()) + " instead of " + sizeBytes);
+          "file ended at offset " + (startOffset + window.limit()) + " instead of " + sizeBytes);
     }
   }
 
   /**
-   * Whether any whole record with a later sequence begins after the offset at which reading ended.
+   * Returns whether a valid record with a later sequence number starts after the offset at which
+   * reading ended.
    */
-  public boolean hasLaterWholeRecord() throws IOException {
-    long most = sequence + 1 + (sizeBytes - offset) / LogFormat.RECORD_HEADER_BYTES;
+  public boolean hasLaterValidRecord() throws IOException {
+    long maxSequence = sequence + 1 + (sizeBytes - offset) / LogFormat.RECORD_HEADER_BYTES;
     for (long candidate = offset + 1;
         candidate < sizeBytes - LogFormat.RECORD_HEADER_BYTES;
         candidate++) {
-      if (wholeRecordLength(candidate, sequence + 1, most) >= 0) {
+      if (validRecordLength(candidate, sequence + 1, maxSequence) >= 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** The body of the record that was read last; good until the next is read. */
+  /** Returns the body of the current record; valid until the next call of {@link #next()}. */
   public ByteBuffer body() {
     return body.duplicate();
   }
 
-  /** Sequence of the record that was read last. */
+  /** Returns the sequence number of the current record. */
   public long sequence() {
     return sequence;
   }
 
-  /** Where the next record begins, in bytes. */
+  /** Returns the offset of the next record, in bytes. */
   public long offset() {
     return offset;
   }
 
-  /** Bytes of the file. */
+  /** Returns the size of the file, in bytes. */
   public long sizeBytes() {
     return sizeBytes;
   }
--- a/src/main/java/fawndock/counter/storage/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -8,49 +8,51 @@
 import java.util.function.LongConsumer;
 
 /**
- * Recovers the counts: the newest whole snapshot, then the log to its last whole record.
+ * Recovers the counter table: loads the newest complete snapshot, then replays the log up to its
+ * last valid record.
  *
- * <p>Rules: a record that is not whole, with none after it, is the tail of a crash and is cut off;
- * anything else that is not whole, or is missing, is damage, and nothing is changed. A record that
- * was acknowledged last and was damaged since looks like the tail of a crash too.
+ * <p>Rules: an invalid record at the end of the log, with no valid record after it, is a torn write
+ * from a crash and is truncated; any other invalid or missing record is damage, and recovery
+ * changes nothing. The last acknowledged record, if it was damaged later, cannot be told from a
+ * torn write.
  */
 public final class Recovery {
   /**
-   * What was recovered.
+   * Result of a recovery.
    *
-   * @param lastSequence of the last record
-   * @param latestTimeMillis the latest that a record has, in milliseconds since 1970
-   * @param bytesRead of all records
-   * @param warnings what the operator should know, a line each
+   * @param lastSequence sequence number of the last record
+   * @param latestTimeMillis latest time of a record, in milliseconds since 1970
+   * @param bytesRead total size of the records read
+   * @param warnings messages for the operator, one line each
    */
   public record Result(
       long lastSequence, long latestTimeMillis, long bytesRead, List<String> warnings) {}
 
   private final Storage storage;
   private final CounterTable table;
-  private final LongConsumer progress;
+  private final LongConsumer progressListener;
   private final TableFiller tableFiller;
   private final List<String> warnings = new ArrayList<>();
   private long latestTimeMillis;
   private long bytesRead;
 
-  private Recovery(Storage storage, CounterTable table, LongConsumer progress) {
+  private Recovery(Storage storage, CounterTable table, LongConsumer progressListener) {
     this.storage = storage;
     this.table = table;
-    this.progress = progress;
+    this.progressListener = progressListener;
     tableFiller = new TableFiller(table);
   }
 
   /**
-   * Fills an empty table from the storage, and cuts off what a crash left of a record.
+   * Loads an empty table from the storage and truncates a torn record at the end of the log.
    *
-   * @param progress is called with the bytes read so far
-   * @throws CorruptLogException when a record before the end is not whole, or some are missing; the
-   *     storage is as it was then
+   * @param progressListener receives the number of bytes read so far
+   * @throws CorruptLogException when a record before the end of the log is invalid or missing; the
+   *     storage is then unchanged
    */
-  public static Result recover(Storage storage, CounterTable table, LongConsumer progress)
+  public static Result recover(Storage storage, CounterTable table, LongConsumer progressListener)
       throws IOException {
-    return new Recovery(storage, table, progress).recover();
+    return new Recovery(storage, table, progressListener).recover();
   }
 
   private Result recover() throws IOException {
@@ -59,20 +61,26 @@
     return new Result(lastSequence, latestTimeMillis, bytesRead, warnings);
   }
 
-  /** Loads the newest whole snapshot; returns the last record that it covers, 0 for none. */
+  /**
+   * Loads the newest complete snapshot; returns the last record that it covers, or 0 if there is no
+   * complete snapshot.
+   */
   private long recoverSnapshot() throws IOException {
     NavigableMap<Long, String> snapshots = LogFormat.FileKind.SNAPSHOT.filesBySequence(storage);
-    for (Map.Entry<Long, String> each : snapshots.descendingMap().entrySet()) {
-      if (loadSnapshot(each.getValue())) {
-        return each.getKey();
+    for (Map.Entry<Long, String> snapshot : snapshots.descendingMap().entrySet()) {
+      if (loadSnapshot(snapshot.getValue())) {
+        return snapshot.getKey();
       }
-      warnings.add(each.getValue() + ": not whole, left aside");
+      warnings.add(snapshot.getValue() + ": not whole, left aside");
       table.clear();
     }
     return 0;
   }
 
-  /** Returns whether it is whole; when not, the table holds a part of it. */
+  /**
+   * Loads a snapshot; returns whether it is complete. If it is not, the table contains a part of
+   * it.
+   */
   private boolean loadSnapshot(String name) throws IOException {
     SnapshotEndCheck check = new SnapshotEndCheck(tableFiller);
     StoredFileScan scan =
@@ -83,7 +91,7 @@
         && check.nameCount() == table.size();
   }
 
-  /** Replays what follows the snapshot; returns the sequence of the last record. */
+  /** Replays the records after the snapshot; returns the sequence number of the last record. */
   private long replaySegments(long baseSequence) throws IOException {
     SegmentChain chain = SegmentChain.after(storage, baseSequence);
     if (chain.all().isEmpty()) {
@@ -98,20 +106,21 @@
               + "this file, or the snapshot that holds them,");
     }
     long expectedFirst = chain.firstNeeded();
-    for (Map.Entry<Long, String> each : chain.all().tailMap(chain.firstNeeded(), true).entrySet()) {
-      if (each.getKey() != expectedFirst) {
+    for (Map.Entry<Long, String> segment :
+        chain.all().tailMap(chain.firstNeeded(), true).entrySet()) {
+      if (segment.getKey() != expectedFirst) {
         throw new CorruptLogException(
-            each.getValue(),
+            segment.getValue(),
             0,
-            SegmentChain.missingRecords(expectedFirst, each.getKey()) + "this file,");
+            SegmentChain.missingRecords(expectedFirst, segment.getKey()) + "this file,");
       }
       expectedFirst =
-          replaySegment(each.getValue(), baseSequence, chain.isNewest(each.getKey())) + 1;
+          replaySegment(segment.getValue(), baseSequence, chain.isNewest(segment.getKey())) + 1;
     }
     return Math.max(baseSequence, expectedFirst - 1);
   }
 
-  /** Replays a segment's records after the base; returns the last sequence in it. */
+  /** Replays the records of a segment after the base; returns the last sequence number in it. */
   private long replaySegment(String name, long baseSequence, boolean isNewest) throws IOException {
     StoredFileScan scan =
         StoredFileScan.scan(
@@ -125,29 +134,32 @@
             });
     switch (scan.stateInLog(isNewest)) {
       case WHOLE -> {}
-      case TORN -> cutOffTail(scan);
+      case TORN -> truncateTornRecord(scan);
       default -> {
-        String what =
-            scan.hasHeader() ? "damaged record " + (scan.lastRecord() + 1) : "damaged file header";
-        throw new CorruptLogException(name, scan.wholeBytes(), what + " before the end of the log");
+        String problem =
+            scan.hasHeader()
+                ? "damaged record " + (scan.lastSequence() + 1)
+                : "damaged file header";
+        throw new CorruptLogException(
+            name, scan.validBytes(), problem + " before the end of the log");
       }
     }
-    return scan.lastRecord();
+    return scan.lastSequence();
   }
 
-  private void cutOffTail(StoredFileScan scan) throws IOException {
+  private void truncateTornRecord(StoredFileScan scan) throws IOException {
     warnings.add(
         scan.name()
             + ": cut off "
-            + (scan.sizeBytes() - scan.wholeBytes())
+            + (scan.sizeBytes() - scan.validBytes())
             + " bytes of a torn record at offset "
-            + scan.wholeBytes());
+            + scan.validBytes());
     if (!scan.hasHeader()) {
-      storage.delete(scan.name()); // Never begun: nothing was acknowledged in it.
+      storage.delete(scan.name()); // No record in it was acknowledged.
       return;
     }
     try (Storage.File file = storage.open(scan.name())) {
-      file.truncate(scan.wholeBytes());
+      file.truncate(scan.validBytes());
       file.sync();
     }
   }
@@ -164,10 +176,10 @@
           e.getMessage() + " in record " + reader.sequence() + ", which ends");
     }
     bytesRead += reader.body().remaining() + LogFormat.RECORD_HEADER_BYTES;
-    progress.accept(bytesRead);
+    progressListener.accept(bytesRead);
   }
 
-  /** Makes the table what the records say. */
+  /** Applies the changes in records to the table. */
   private record TableFiller(CounterTable table) implements ChangeRecord.Visitor {
     @Override
     public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
@@ -181,7 +193,7 @@
 
     @Override
     public void onSnapshotEnd(long names) {
-      // Held by SnapshotEndCheck; a segment has none.
+      // SnapshotEndCheck verifies it; a segment has none.
     }
   }
 }
--- a/src/main/java/fawndock/counter/storage/SegmentAbandonedException.java
+++ b/src/main/java/fawndock/counter/storage/SegmentAbandonedException.java
@@ -1,13 +1,14 @@
 package fawndock.counter.storage;
 
 /**
- * Something was to be written to a segment whose sync had failed. The segment stays given up: the
- * way on is a snapshot of what is in memory, and a new segment after it.
+ * Thrown on a write to a segment that was abandoned after a failed sync. The segment stays
+ * abandoned; recovering from this takes a snapshot of the table in memory followed by a new
+ * segment.
  */
 public final class SegmentAbandonedException extends CounterStorageException {
   private static final long serialVersionUID = 1L;
 
   SegmentAbandonedException() {
-    super("this segment is given up: a sync of it failed");
+    super("segment is abandoned: a sync of it failed");
   }
 }
--- a/src/main/java/fawndock/counter/storage/SegmentChain.java
+++ b/src/main/java/fawndock/counter/storage/SegmentChain.java
@@ -4,9 +4,9 @@
 import java.util.NavigableMap;
 
 /**
- * The segments of a log after a snapshot: which of them are needed, and what is missing. Recovery
- * and verification share this rule: the chain begins with the last segment that begins at or before
- * the record after the snapshot, and each later one begins right after the one before it ended.
+ * The segments of a log that follow a snapshot. Recovery and verification share its rule: the chain
+ * starts with the last segment that starts at or before the first record after the snapshot, and
+ * each later segment starts with the record after the end of the previous one.
  */
 final class SegmentChain {
   private final NavigableMap<Long, String> segments;
@@ -18,34 +18,38 @@
   }
 
   /**
-   * The chain after a snapshot.
+   * Returns the chain after a snapshot.
    *
-   * @param baseSequence the last record that the snapshot covers, 0 for no snapshot
+   * @param baseSequence sequence number of the last record that the snapshot covers, 0 for no
+   *     snapshot
    */
   static SegmentChain after(Storage storage, long baseSequence) throws IOException {
     return new SegmentChain(LogFormat.FileKind.SEGMENT.filesBySequence(storage), baseSequence);
   }
 
-  /** All segments by the sequence of their first record. */
+  /** Returns all segments by the sequence number of their first record. */
   NavigableMap<Long, String> all() {
     return segments;
   }
 
-  /** The sequence with which the chain begins, or null when no segment begins early enough. */
+  /** Returns the first sequence number of the chain, or null if no segment starts early enough. */
   Long firstNeeded() {
     return firstNeeded;
   }
 
-  /** Whether the snapshot covers all of a segment. */
-  boolean isCovered(long firstRecord) {
-    return firstNeeded != null && firstRecord < firstNeeded;
+  /** Returns whether the snapshot covers all records of a segment. */
+  boolean isCovered(long firstSequence) {
+    return firstNeeded != null && firstSequence < firstNeeded;
   }
 
-  boolean isNewest(long firstRecord) {
-    return firstRecord == segments.lastKey();
+  boolean isNewest(long firstSequence) {
+    return firstSequence == segments.lastKey();
   }
 
-  /** What is missing before a segment that should have begun earlier; an unfinished clause. */
+  /**
+   * Returns the start of an error message about the records missing before a segment; the caller
+   * appends the name of the segment.
+   */
   static String missingRecords(long expectedFirst, long foundFirst) {
     return "records " + expectedFirst + " to " + (foundFirst - 1) + " are missing before ";
   }
--- a/src/main/java/fawndock/counter/storage/SnapshotEndCheck.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotEndCheck.java
@@ -1,19 +1,19 @@
 package fawndock.counter.storage;
 
 /**
- * Holds a snapshot against its end record: it is complete when the end is the last change and has
- * the number of names before it.
+ * Verifies a snapshot against its end record: the snapshot is complete if the end is its last
+ * change and states the number of names before it. Not thread-safe.
  */
 final class SnapshotEndCheck implements ChangeRecord.Visitor {
   private static final long NO_END = -1;
 
   private final ChangeRecord.Visitor next;
   private long nameCount;
-  private long endCount = NO_END;
+  private long expectedNameCount = NO_END;
   private boolean hasChangesAfterEnd;
 
   /**
-   * @param next is shown the amounts too
+   * @param next visitor that receives the amounts and deletions too
    */
   SnapshotEndCheck(ChangeRecord.Visitor next) {
     this.next = next;
@@ -21,21 +21,21 @@
 
   @Override
   public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
-    hasChangesAfterEnd |= endCount != NO_END;
+    hasChangesAfterEnd |= expectedNameCount != NO_END;
     nameCount++;
     next.onAmount(name, amount, expiryMillis);
   }
 
   @Override
   public void onDeleted(byte[] name) {
-    hasChangesAfterEnd |= endCount != NO_END;
+    hasChangesAfterEnd |= expectedNameCount != NO_END;
     next.onDeleted(name);
   }
 
   @Override
-  public void onSnapshotEnd(long names) {
-    hasChangesAfterEnd |= endCount != NO_END;
-    endCount = names;
+  public void onSnapshotEnd(long expectedNames) {
+    hasChangesAfterEnd |= expectedNameCount != NO_END;
+    expectedNameCount = expectedNames;
   }
 
   long nameCount() {
@@ -43,6 +43,6 @@
   }
 
   boolean isComplete() {
-    return endCount == nameCount && !hasChangesAfterEnd;
+    return expectedNameCount == nameCount && !hasChangesAfterEnd;
   }
 }
--- a/src/main/java/fawndock/counter/storage/SnapshotIterator.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotIterator.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Goes through a table a piece at a time while it changes. The pieces are of different moments; the
- * log from before the first on brings each name to what it is in the end, since a record holds what
- * a name is after it.
+ * Iterates over a table in chunks while the table changes. The chunks are from different times;
+ * replaying the log from before the first chunk gives each name its final value, because a record
+ * stores the resulting value of a name. Not thread-safe.
  */
 public final class SnapshotIterator {
-  /** A part of a piece that is one record, with so many names. */
+  /** The part of a chunk that forms one record, with its number of names. */
   public record SnapshotPart(ChangeRecord changes, int nameCount) {}
 
-  private static final int PIECE_BYTES = 128 << 10;
+  private static final int CHUNK_BYTES = 128 << 10;
   private final CounterTable table;
   private int shard;
 
@@ -21,29 +21,29 @@
   }
 
   /**
-   * The next piece; empty when all names were gone through. A shard is never cut: its names may
-   * move.
+   * Returns the next chunk; it is empty after the last name. A chunk always contains complete
+   * shards, because the names within a shard may move between calls.
    */
-  public List<SnapshotPart> next(long now) {
+  public List<SnapshotPart> next(long nowMillis) {
     List<SnapshotPart> parts = new ArrayList<>();
-    ChangeRecord[] open = {new ChangeRecord(PIECE_BYTES)};
-    int[] names = {0};
-    while (shard < table.shardCount() && parts.isEmpty() && open[0].sizeBytes() < PIECE_BYTES) {
+    ChangeRecord[] current = {new ChangeRecord(CHUNK_BYTES)};
+    int[] nameCounter = {0};
+    while (shard < table.shardCount() && parts.isEmpty() && current[0].sizeBytes() < CHUNK_BYTES) {
       table.visitShard(
           shard++,
-          now,
-          (name, amount, expiry) -> {
-            if (!open[0].hasCapacityFor(ChangeRecord.MAX_CHANGE_BYTES)) {
-              parts.add(new SnapshotPart(open[0], names[0]));
-              open[0] = new ChangeRecord(PIECE_BYTES);
-              names[0] = 0;
+          nowMillis,
+          (name, amount, expiryMillis) -> {
+            if (!current[0].hasCapacityFor(ChangeRecord.MAX_CHANGE_BYTES)) {
+              parts.add(new SnapshotPart(current[0], nameCounter[0]));
+              current[0] = new ChangeRecord(CHUNK_BYTES);
+              nameCounter[0] = 0;
             }
-            open[0].putAmount(name, amount, expiry);
-            names[0]++;
+            current[0].putAmount(name, amount, expiryMillis);
+            nameCounter[0]++;
           });
     }
-    if (names[0] > 0) {
-      parts.add(new SnapshotPart(open[0], names[0]));
+    if (nameCounter[0] > 0) {
+      parts.add(new SnapshotPart(current[0], nameCounter[0]));
     }
     return parts;
   }
--- a/src/main/java/fawndock/counter/storage/SnapshotWriter.java
+++ b/src/main/java/fawndock/counter/storage/SnapshotWriter.java
@@ -5,11 +5,14 @@
 import java.util.List;
 
 /**
- * Writes a snapshot beside the log and puts it in place when it is whole and durable. Used from one
- * thread; ends with {@link #finish} or {@link #abandon}.
+ * Writes a snapshot to a temporary file and renames it when it is complete and durable. Confined to
+ * one thread; ends with {@link #finish} or {@link #abandon}.
  */
 public final class SnapshotWriter {
-  /** The name while it is written; left behind by a crash and overwritten then. */
+  /**
+   * Name of the file while the snapshot is incomplete; after a crash the file remains and the next
+   * snapshot overwrites it.
+   */
   public static final String UNFINISHED_FILE = "snapshot.new";
 
   private final Storage storage;
@@ -20,7 +23,7 @@
   private long nameCount;
 
   /**
-   * @param coveredSequence of the last record whose changes are all in it
+   * @param coveredSequence sequence number of the last record whose changes are all in the snapshot
    */
   public SnapshotWriter(Storage storage, long coveredSequence) throws IOException {
     this.storage = storage;
@@ -34,19 +37,21 @@
     }
   }
 
-  /** Appends a record with so many names. */
-  public void write(ChangeRecord changes, long names, long timeMillis) throws IOException {
+  /** Appends a record that contains this number of names. */
+  public void write(ChangeRecord changes, long additionalNames, long timeMillis)
+      throws IOException {
     ByteBuffer record = changes.toRecord(timeMillis);
     LogFormat.seal(record, ++recordCount);
     int length = record.limit();
     file.write(record, position);
     position += length;
-    nameCount += names;
+    nameCount += additionalNames;
   }
 
   /**
-   * Ends it and puts it in place. All records up to the newest change in it must be durable in the
-   * log by now: otherwise a crash could leave half of a record's changes, those in the snapshot.
+   * Writes the end record, syncs the file and renames it. All records up to the newest change in
+   * the snapshot must already be durable in the log: otherwise a crash could leave only those
+   * changes of a record that are in the snapshot.
    */
   public void finish(long timeMillis) throws IOException {
     ChangeRecord end = new ChangeRecord(16);
@@ -58,25 +63,27 @@
     storage.sync();
   }
 
-  /** Bytes so far. */
+  /** Returns the size so far, in bytes. */
   public long sizeBytes() {
     return position;
   }
 
-  /** Gives it up; what is there of it is removed. */
+  /** Abandons the snapshot and deletes its temporary file. */
   public void abandon() {
     try {
       file.close();
       storage.delete(UNFINISHED_FILE);
     } catch (IOException e) {
-      // What is left of it is overwritten by the next snapshot.
+      // The next snapshot overwrites the file.
     }
   }
 
-  /** Removes the segments that the snapshot of this sequence covers, and older snapshots. */
+  /**
+   * Deletes the segments that the snapshot with this sequence number covers, and older snapshots.
+   */
   public static void deleteObsoleteFiles(Storage storage, long coveredSequence) throws IOException {
     List<String> files = storage.list();
-    long newest =
+    long firstNeededSegment =
         files.stream()
             .mapToLong(LogFormat.FileKind.SEGMENT::sequenceOf)
             .filter(s -> s >= 0 && s <= coveredSequence + 1)
@@ -85,7 +92,7 @@
     for (String name : files) {
       long segment = LogFormat.FileKind.SEGMENT.sequenceOf(name);
       long snapshot = LogFormat.FileKind.SNAPSHOT.sequenceOf(name);
-      boolean isCoveredSegment = segment >= 0 && segment < newest;
+      boolean isCoveredSegment = segment >= 0 && segment < firstNeededSegment;
       if (isCoveredSegment || (snapshot >= 0 && snapshot < coveredSequence)) {
         storage.delete(name);
       }
--- a/src/main/java/fawndock/counter/storage/Storage.java
+++ b/src/main/java/fawndock/counter/storage/Storage.java
@@ -5,42 +5,42 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/**
- * A directory, as far as the log needs it. What is not yet synced may be lost at a crash, in any
- * part.
- */
+/** The directory of a log. A crash may lose any part of the changes that are not synced yet. */
 public interface Storage {
-  /** Names of all files, in no order. */
+  /** Returns the names of all files in no particular order. */
   List<String> list() throws IOException;
 
-  /** Makes an empty file, in place of one of that name. */
+  /** Creates an empty file, replacing any file of the same name. */
   File create(String name) throws IOException;
 
-  /** Opens a file that is there. */
+  /** Opens an existing file. */
   File open(String name) throws IOException;
 
-  /** Puts a file in place of another at once; after a crash there is one or the other. */
+  /**
+   * Renames a file atomically, replacing any file of the new name; after a crash one of the two
+   * exists under that name.
+   */
   void rename(String from, String to) throws IOException;
 
-  /** Removes a file; none of that name is no error. */
+  /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Makes what was created, renamed and deleted outlast a crash. */
+  /** Makes all creations, renames and deletions durable. */
   void sync() throws IOException;
 
   /** An open file. */
   interface File extends Closeable {
     long size() throws IOException;
 
-    /** Reads until the buffer is full or the file ends; returns the bytes read. */
-    int read(ByteBuffer to, long at) throws IOException;
+    /** Reads until the buffer is full or the file ends; returns the number of bytes read. */
+    int read(ByteBuffer target, long offset) throws IOException;
 
-    /** Writes all of the buffer; when it fails, any part may have been written. */
-    void write(ByteBuffer from, long at) throws IOException;
+    /** Writes the whole buffer; after a failure any part may have been written. */
+    void write(ByteBuffer source, long offset) throws IOException;
 
     void truncate(long size) throws IOException;
 
-    /** Makes what was written outlast a crash. */
+    /** Makes all writes to the file durable. */
     void sync() throws IOException;
 
     @Override
--- a/src/main/java/fawndock/counter/storage/StorageInUseException.java
+++ b/src/main/java/fawndock/counter/storage/StorageInUseException.java
@@ -1,11 +1,13 @@
 package fawndock.counter.storage;
 
-/** Another process has the directory; it is as it was. */
+/**
+ * Thrown when another process holds the lock of the storage directory; the directory is unchanged.
+ */
 public final class StorageInUseException extends CounterStorageException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * @param directory that is locked
+   * @param directory the locked directory
    */
   public StorageInUseException(String directory) {
     super(directory + " is in use by another counter");
--- a/src/main/java/fawndock/counter/storage/StoredFileScan.java
+++ b/src/main/java/fawndock/counter/storage/StoredFileScan.java
@@ -3,58 +3,60 @@
 import java.io.IOException;
 
 /**
- * What one pass over a segment or snapshot has found: how far its records are whole, and whether
- * what follows looks like the tail of a crash. Recovery and verification share this rule.
+ * Result of one scan of a segment or snapshot: how far its records are valid, and whether the rest
+ * looks like a torn write from a crash. Recovery and verification share this rule.
  *
- * @param kind of the file
- * @param name of the file
- * @param firstRecord sequence of its first record
- * @param lastRecord sequence of its last whole record; below the first when there is none
- * @param wholeBytes where the first bytes are that are not whole, or the size
- * @param sizeBytes of the file
- * @param hasHeader whether it begins as its name says
- * @param state WHOLE, TORN when no whole record follows what is not whole, else DAMAGED
+ * @param kind kind of the file
+ * @param name name of the file
+ * @param firstSequence sequence number of its first record
+ * @param lastSequence sequence number of its last valid record; less than the first if there is
+ *     none
+ * @param validBytes size of the valid prefix of the file, in bytes
+ * @param sizeBytes size of the file
+ * @param hasHeader whether the header matches the file name
+ * @param state WHOLE if all records are valid, TORN if no valid record follows the invalid bytes,
+ *     else DAMAGED
  */
 record StoredFileScan(
     LogFormat.FileKind kind,
     String name,
-    long firstRecord,
-    long lastRecord,
-    long wholeBytes,
+    long firstSequence,
+    long lastSequence,
+    long validBytes,
     long sizeBytes,
     boolean hasHeader,
     FileState state) {
-  /** Is called with the reader at each whole record, in order. */
+  /** Receives the reader at each valid record, in order. */
   @FunctionalInterface
   interface RecordHandler {
     void onRecord(RecordReader reader) throws IOException;
   }
 
-  /** Reads a file to its end, or to the first record that is not whole. */
+  /** Reads a file up to its end or its first invalid record. */
   static StoredFileScan scan(
       Storage storage, LogFormat.FileKind kind, String name, RecordHandler handler)
       throws IOException {
     long fileSequence = kind.sequenceOf(name);
-    long firstRecord = kind == LogFormat.FileKind.SNAPSHOT ? 1 : fileSequence;
+    long firstSequence = kind == LogFormat.FileKind.SNAPSHOT ? 1 : fileSequence;
     try (Storage.File file = storage.open(name)) {
-      RecordReader reader = new RecordReader(file, firstRecord);
+      RecordReader reader = new RecordReader(file, firstSequence);
       boolean hasHeader = reader.matchesHeader(kind, fileSequence);
       while (hasHeader && reader.next()) {
         handler.onRecord(reader);
       }
-      long wholeBytes = hasHeader ? reader.offset() : 0;
+      long validBytes = hasHeader ? reader.offset() : 0;
       FileState state;
-      if (hasHeader && wholeBytes == reader.sizeBytes()) {
+      if (hasHeader && validBytes == reader.sizeBytes()) {
         state = FileState.WHOLE;
       } else {
-        state = reader.hasLaterWholeRecord() ? FileState.DAMAGED : FileState.TORN;
+        state = reader.hasLaterValidRecord() ? FileState.DAMAGED : FileState.TORN;
       }
       return new StoredFileScan(
           kind,
           name,
-          firstRecord,
+          firstSequence,
           reader.sequence(),
-          wholeBytes,
+          validBytes,
           reader.sizeBytes(),
           hasHeader,
           state);
@@ -62,8 +64,8 @@
   }
 
   /**
-   * The state within the log: a torn record is the tail of a crash in the newest segment alone, and
-   * damage anywhere else.
+   * Returns the state within the log: a torn record is the result of a crash only in the newest
+   * segment, and damage in any other file.
    */
   FileState stateInLog(boolean isNewestSegment) {
     return state == FileState.TORN && !isNewestSegment ? FileState.DAMAGED : state;
--- a/src/main/java/fawndock/counter/storage/package-info.java
+++ b/src/main/java/fawndock/counter/storage/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The pure part of the counter service: exact amounts, the table of counts, expiry, the log's
- * format, when a group of changes is committed, snapshots and recovery. Storage is an interface
- * here, time is an argument, and nothing starts a thread; so all of it runs on simulated storage
- * that fails.
+ * Deterministic core of the counter service: exact amounts, the counter table, expiry, the log
+ * format, group commit, snapshots and recovery. Storage is an interface, time is a parameter, and
+ * no code here starts a thread, so that tests run all of it on simulated storage with injected
+ * faults.
  */
 package fawndock.counter.storage;
