--- a/src/main/java/fawndock/counter/replication/AddRateEstimator.java
+++ b/src/main/java/fawndock/counter/replication/AddRateEstimator.java
@@ -4,27 +4,28 @@
 import java.util.Map;
 
 /**
- * How fast each origin's net sums grow on each series of names, and from it what an origin that is
- * not heard may have added since. Used from one thread.
+ * Estimates the growth rate of the net sums of each origin on each series of names, and from it the
+ * amount that an unreachable origin may have added since it was last seen. Confined to one thread.
  *
- * <p>Guards against a half of a split that counts as if it were alone. It may have requests
- * rejected that the quota allows, for as long as the other half adds less than it did before.
+ * <p>Without the estimate, each side of a network partition would count only its own requests. With
+ * it, requests within the quota may be rejected while the other side adds less than it did before
+ * the partition.
  */
 public final class AddRateEstimator {
   /**
-   * Time constant of the averaged rate, in milliseconds: at 15 adds a second some 240 of them, an
-   * error of some 7%. A longer one would take what was long ago for what is now.
+   * Time constant of the average rate, in milliseconds. At 15 adds per second it averages over
+   * about 240 adds, an error of about 7%; a longer one would include outdated rates.
    */
   static final double AVERAGING_MILLIS = 8_000;
 
-  /** Younger rates are taken as if they were so old, in milliseconds. */
+  /** Minimum age in milliseconds; a more recent rate is computed as if it had this age. */
   private static final double MIN_AGE_MILLIS = 300;
 
   private static final int MAX_ENTRIES = 200_000;
 
   private record Key(String series, long origin) {}
 
-  /** An exponentially decaying average of adds a millisecond. */
+  /** Exponentially weighted average of the amount added per millisecond. */
   private static final class Rate {
     double perMilli;
     final long firstMillis;
@@ -41,30 +42,36 @@
       lastMillis = Math.max(lastMillis, nowMillis);
     }
 
-    /** The rate at a time; a young one is scaled up, as it has not yet reached its height. */
+    /**
+     * Returns the rate at a time, corrected for the startup bias of the average: a recent rate is
+     * scaled up.
+     */
     double unbiasedPerMilli(long nowMillis) {
       double ageMillis = Math.max(MIN_AGE_MILLIS, (double) (lastMillis - firstMillis));
-      double full = 1 - Math.exp(-ageMillis / AVERAGING_MILLIS);
+      double warmUpFactor = 1 - Math.exp(-ageMillis / AVERAGING_MILLIS);
       double decay = Math.exp(-Math.max(0, nowMillis - lastMillis) / AVERAGING_MILLIS);
-      return perMilli * decay / full;
+      return perMilli * decay / warmUpFactor;
     }
   }
 
-  /** When the windows of a series began, as seen here: the newest, and the one before. */
+  /** Start times of the newest and the previous window of a series, as seen by this node. */
   private static final class SeriesWindows {
     String newest = "";
     long newestSinceMillis;
     String previous = "";
     long previousSinceMillis;
 
-    /** A late use of it, such as a withdrawal, does not begin a window again. */
-    String older = "";
+    /**
+     * Window before the previous one; a late use of it, such as a withdrawal, does not start a new
+     * window.
+     */
+    String beforePrevious = "";
 
-    void use(String name, long nowMillis) {
-      if (newest.equals(name) || previous.equals(name) || older.equals(name)) {
+    void recordWindow(String name, long nowMillis) {
+      if (newest.equals(name) || previous.equals(name) || beforePrevious.equals(name)) {
         return;
       }
-      older = previous;
+      beforePrevious = previous;
       previous = newest;
       previousSinceMillis = newestSinceMillis;
       newest = name;
@@ -72,10 +79,10 @@
     }
   }
 
-  private final Map<Key, Rate> rates = leastRecentlyUsed();
-  private final Map<String, SeriesWindows> windows = leastRecentlyUsed();
+  private final Map<Key, Rate> ratesByKey = newLruMap();
+  private final Map<String, SeriesWindows> windowsBySeries = newLruMap();
 
-  private static <K, V> Map<K, V> leastRecentlyUsed() {
+  private static <K, V> Map<K, V> newLruMap() {
     return new LinkedHashMap<>(16, 0.75f, true) {
       private static final long serialVersionUID = 1L;
 
@@ -86,38 +93,40 @@
     };
   }
 
-  /** An origin's net sum on a name has grown. */
+  /** Records growth of the net sum of an origin on a name. */
   public void recordGrowth(String name, long origin, double amount, long nowMillis) {
     Key key = new Key(ReplicatedSum.series(name), origin);
-    rates.computeIfAbsent(key, k -> new Rate(nowMillis)).add(amount, nowMillis);
+    ratesByKey.computeIfAbsent(key, k -> new Rate(nowMillis)).add(amount, nowMillis);
     recordUse(name, nowMillis);
   }
 
-  /** A name was added to or its total requested. */
+  /** Records that a name was added to or its total was requested. */
   public void recordUse(String name, long nowMillis) {
-    windows
+    windowsBySeries
         .computeIfAbsent(ReplicatedSum.series(name), series -> new SeriesWindows())
-        .use(name, nowMillis);
+        .recordWindow(name, nowMillis);
   }
 
   /**
-   * What an origin may have added to a name between when it was last seen and now: its rate then,
-   * times the part of that time in which the name was the newest of its series.
+   * Returns the estimated amount that an origin has added to a name since it was last seen: its
+   * rate at that time, multiplied by the time since then during which the name was the newest
+   * window of its series.
    */
   public double estimateSince(String name, long origin, long lastSeenMillis, long nowMillis) {
     String series = ReplicatedSum.series(name);
-    Rate rate = rates.get(new Key(series, origin));
-    SeriesWindows of = windows.get(series);
-    if (rate == null || of == null) {
+    Rate rate = ratesByKey.get(new Key(series, origin));
+    SeriesWindows seriesWindows = windowsBySeries.get(series);
+    if (rate == null || seriesWindows == null) {
       return 0;
     }
-    boolean isNewest = of.newest.equals(name);
-    if (!isNewest && !of.previous.equals(name)) {
+    boolean isNewest = seriesWindows.newest.equals(name);
+    if (!isNewest && !seriesWindows.previous.equals(name)) {
       return 0;
     }
-    long sinceMillis = isNewest ? of.newestSinceMillis : of.previousSinceMillis;
-    long untilMillis = isNewest ? nowMillis : of.newestSinceMillis;
-    long fromMillis = Math.max(lastSeenMillis, sinceMillis);
-    return Math.max(0, untilMillis - fromMillis) * rate.unbiasedPerMilli(lastSeenMillis);
+    long windowStartMillis =
+        isNewest ? seriesWindows.newestSinceMillis : seriesWindows.previousSinceMillis;
+    long windowEndMillis = isNewest ? nowMillis : seriesWindows.newestSinceMillis;
+    long fromMillis = Math.max(lastSeenMillis, windowStartMillis);
+    return Math.max(0, windowEndMillis - fromMillis) * rate.unbiasedPerMilli(lastSeenMillis);
   }
 }
--- a/src/main/java/fawndock/counter/replication/CallOutcome.java
+++ b/src/main/java/fawndock/counter/replication/CallOutcome.java
@@ -1,13 +1,13 @@
 package fawndock.counter.replication;
 
-/** How a {@link ReplicaClient}'s call ended. */
+/** Outcome of a call of {@link ReplicaClient}. */
 public enum CallOutcome {
   /** A node answered with the total. */
   OK,
-  /** No answer in time; the amount may have been added. */
+  /** No answer within the call timeout; the amount may have been added. */
   TIMEOUT,
-  /** No node could be sent to; the amount is withdrawn. */
+  /** No healthy node to send to; the amount is withdrawn. */
   UNREACHABLE,
-  /** Each node that could be reached rejected it; the amount is withdrawn. */
+  /** Each reachable node rejected the call; the amount is withdrawn. */
   REJECTED
 }
--- a/src/main/java/fawndock/counter/replication/ClientAction.java
+++ b/src/main/java/fawndock/counter/replication/ClientAction.java
@@ -1,31 +1,34 @@
 package fawndock.counter.replication;
 
-/** What a {@link ReplicaClient} wants done; its host does it in order. */
+/** An action that {@link ReplicaClient} requests; the caller executes actions in order. */
 public sealed interface ClientAction {
   /**
-   * Sends this gateway's sum to a node, which answers with the total.
+   * Sends the sum of this gateway to a node, which answers with the total.
    *
-   * @param callId that the answer belongs to; 0 only informs the node, and nothing waits for it
+   * @param callId call that the answer belongs to; 0 if no call waits for the answer
    */
   record SendSum(String node, long callId, ReplicatedSum sum) implements ClientAction {}
 
   /**
-   * Shows a node that this gateway is alive, and asks whether the node is ready.
+   * Sends a heartbeat of this gateway to a node, which answers whether it is ready.
    *
-   * @param stamp higher than all before
+   * @param stamp strictly increasing number
    */
   record SendHeartbeat(String node, long stamp) implements ClientAction {}
 
-  /** Asks a node for its membership list. */
+  /** Requests the membership list of a node. */
   record FetchMembership(String node) implements ClientAction {}
 
-  /** Gives a node a newer membership list than it has; it may have lost it in a restart. */
+  /**
+   * Sends a membership list to a node that has an older one, for example because it lost the newer
+   * one in a restart.
+   */
   record PushMembership(String node, MembershipList list) implements ClientAction {}
 
   /**
-   * A call has ended, each once.
+   * Reports the end of a call, exactly once for each call.
    *
-   * @param total of the name; counts only when the outcome is OK
+   * @param total total of the name; valid only if the outcome is OK
    */
   record CallEnded(long callId, String name, CallOutcome outcome, double total)
       implements ClientAction {}
--- a/src/main/java/fawndock/counter/replication/ClientTimeouts.java
+++ b/src/main/java/fawndock/counter/replication/ClientTimeouts.java
@@ -1,12 +1,12 @@
 package fawndock.counter.replication;
 
 /**
- * A {@link ReplicaClient}'s times.
+ * Timeouts and intervals of {@link ReplicaClient}.
  *
- * @param hedgeDelayMillis without an answer after which a call is also sent to the next node
- * @param callTimeoutMillis after which a call has ended
- * @param nodeTimeoutMillis without any answer after which a node is unhealthy
- * @param heartbeatIntervalMillis between heartbeats to a node
+ * @param hedgeDelayMillis time without an answer after which a call is also sent to the next node
+ * @param callTimeoutMillis time after which a call ends
+ * @param nodeTimeoutMillis time without any answer after which a node is unhealthy
+ * @param heartbeatIntervalMillis time between heartbeats to a node
  */
 public record ClientTimeouts(
     long hedgeDelayMillis,
--- a/src/main/java/fawndock/counter/replication/DeltaBatch.java
+++ b/src/main/java/fawndock/counter/replication/DeltaBatch.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Sums to be sent to one peer, in one or more messages.
+ * Sums to send to one peer, in one or more messages.
  *
- * @param sums that changed, or a part of the full state
- * @param completesFullState whether the peer has the full state once it has these
+ * @param sums changed sums, or a part of the full state
+ * @param completesFullState whether the peer has the full state after this batch
  */
 public record DeltaBatch(List<ReplicatedSum> sums, boolean completesFullState) {
-  /** Whether there is nothing to send. */
+  /** Returns whether there is nothing to send. */
   public boolean isEmpty() {
     return sums.isEmpty() && !completesFullState;
   }
--- a/src/main/java/fawndock/counter/replication/Heartbeat.java
+++ b/src/main/java/fawndock/counter/replication/Heartbeat.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * What a node sends every other node at each tick.
+ * Heartbeat that a node sends to every peer at each tick.
  *
- * @param membershipVersion of the membership list that the sender uses
- * @param incarnation of the sender, a random number for each start
+ * @param membershipVersion version of the membership list that the sender uses
+ * @param incarnation random number that the sender chooses at each start
  * @param isReady whether the sender answers gateways
- * @param originStamps highest stamp of each origin that the sender saw alive lately
+ * @param originStamps highest stamp of each origin that the sender recently saw alive
  */
 public record Heartbeat(
     long membershipVersion, long incarnation, boolean isReady, Map<Long, Long> originStamps) {}
--- a/src/main/java/fawndock/counter/replication/MembershipList.java
+++ b/src/main/java/fawndock/counter/replication/MembershipList.java
@@ -7,32 +7,33 @@
 import java.util.regex.Pattern;
 
 /**
- * The replicas of a counter, with their membership epoch, as an operator gave them to one of them.
- * Each node and gateway that gets a newer list adopts it and passes it on. Immutable.
+ * Immutable list of the replicas of a counter with a membership epoch. An operator sends a new list
+ * to one node; each node and gateway that receives a newer list adopts it and forwards it.
  *
- * @param epoch of the list, 1 to {@link #MAX_EPOCH}
- * @param addresses of the nodes by name, as HOST:PORT, one to {@link #MAX_NODES}
+ * @param epoch epoch of the list, 1 to {@link #MAX_EPOCH}
+ * @param addresses addresses of the nodes by name, as HOST:PORT, one to {@link #MAX_NODES}
  */
 public record MembershipList(long epoch, Map<String, String> addresses) {
-  /** Nodes on a list. */
+  /** Maximum number of nodes on a list. */
   public static final int MAX_NODES = 16;
 
-  /** Highest epoch of a list. */
+  /** Maximum epoch of a list. */
   public static final long MAX_EPOCH = 999_999_999;
 
   private static final int HASH_BITS = 20;
   private static final Pattern NODE =
       Pattern.compile("([A-Za-z0-9._-]{1,64})=([^\\s=]{1,120}:[0-9]{1,5})");
 
-  /** Copies the addresses, in the order of their names. */
+  /** Copies the addresses in order of node names. */
   public MembershipList {
     addresses = Collections.unmodifiableMap(new TreeMap<>(addresses));
   }
 
   /**
-   * Reads what {@link #toString} gives: the epoch, then {@code NAME=HOST:PORT} for each node.
+   * Parses the form that {@link #toString} returns: the epoch, then {@code NAME=HOST:PORT} for each
+   * node.
    *
-   * @throws IllegalArgumentException that says what is wrong with the text
+   * @throws IllegalArgumentException if the text is malformed; the message describes the error
    */
   public static MembershipList parse(String text) {
     String[] words = text.trim().split(" +", 0);
@@ -57,22 +58,22 @@
   }
 
   /**
-   * The version of a list that stands in the settings, where the same nodes may have other
-   * addresses on each.
+   * Returns the version of a list from the settings; it omits the hash of the addresses, since the
+   * settings of different instances may give the same nodes different addresses.
    */
   public static long settingsVersion(long epoch) {
     return epoch << HASH_BITS;
   }
 
-  /** The epoch of a version. */
+  /** Returns the epoch of a version. */
   public static long epoch(long version) {
     return version >> HASH_BITS;
   }
 
   /**
-   * Orders lists: by epoch, and two of the same epoch by what is in them. Guards against two
-   * operators whose lists would each hold on a part of the nodes; one of the two loses, and sees it
-   * in the status.
+   * Returns a number that orders lists: by epoch, then by a hash of the addresses. If two operators
+   * distribute different lists with the same epoch, all nodes converge on one of them; the status
+   * shows which one.
    */
   public long version() {
     long hash = 0xCBF29CE484222325L;
--- a/src/main/java/fawndock/counter/replication/OriginTable.java
+++ b/src/main/java/fawndock/counter/replication/OriginTable.java
@@ -4,23 +4,24 @@
 import java.util.Map;
 
 /**
- * Which origins (gateway incarnations) were seen alive, and when. Only a stamp above the highest
- * seen counts as a sign of life: otherwise two nodes that tell each other of an origin that neither
- * hears would keep it alive for ever. Used from one thread.
+ * Table of the origins (gateway incarnations) with the time at which each was last seen alive. Only
+ * a stamp higher than all previous ones proves that an origin is alive: otherwise two nodes that
+ * announce to each other an origin that neither can reach would keep it alive forever. Confined to
+ * one thread.
  */
 final class OriginTable {
   private static final int MAX_ORIGINS = 4_096;
 
-  /** Silence after which an origin is left out of heartbeats. */
-  private static final long ANNOUNCED_MILLIS = 30_000;
+  /** Time since an origin was last seen after which heartbeats omit it. */
+  private static final long ANNOUNCE_TIMEOUT_MILLIS = 30_000;
 
-  /** Silence after which an origin is forgotten. */
+  /** Time since an origin was last seen after which its entry is removed. */
   private static final long RETENTION_MILLIS = 3_600_000;
 
-  /** The highest stamp of an origin, and when it was first seen here. */
+  /** The highest stamp of an origin and the time at which this node first saw that stamp. */
   private record OriginState(long stamp, long lastSeenMillis) {}
 
-  /** Is shown an origin and when it was last seen. */
+  /** Receives an origin and the time at which it was last seen. */
   @FunctionalInterface
   interface SilentOriginVisitor {
     void onSilentOrigin(long origin, long lastSeenMillis);
@@ -28,28 +29,34 @@
 
   private final Map<Long, OriginState> origins = new HashMap<>();
 
-  /** An origin showed itself, here or at a peer, with a stamp that it raises each time. */
+  /**
+   * Handles a stamp of an origin, received from the origin or from a peer; the origin increases it
+   * each time.
+   */
   void onStamp(long origin, long stamp, long nowMillis) {
-    OriginState last = origins.get(origin);
-    if (last == null ? origins.size() < MAX_ORIGINS : stamp > last.stamp) {
+    OriginState previous = origins.get(origin);
+    if (previous == null ? origins.size() < MAX_ORIGINS : stamp > previous.stamp) {
       origins.put(origin, new OriginState(stamp, nowMillis));
     }
   }
 
-  /** The stamps to announce to peers; forgets origins that have long been silent. */
+  /**
+   * Returns the stamps to announce to peers; removes origins that were not seen for the retention
+   * time.
+   */
   Map<Long, Long> announcedStamps(long nowMillis) {
-    origins.values().removeIf(each -> nowMillis - each.lastSeenMillis > RETENTION_MILLIS);
+    origins.values().removeIf(state -> nowMillis - state.lastSeenMillis > RETENTION_MILLIS);
     Map<Long, Long> stamps = new HashMap<>();
     origins.forEach(
         (origin, state) -> {
-          if (nowMillis - state.lastSeenMillis <= ANNOUNCED_MILLIS) {
+          if (nowMillis - state.lastSeenMillis <= ANNOUNCE_TIMEOUT_MILLIS) {
             stamps.put(origin, state.stamp);
           }
         });
     return stamps;
   }
 
-  /** Shows the origins that were last seen longer ago than a timeout. */
+  /** Passes the origins that were not seen for longer than a timeout to a visitor. */
   void visitSilent(long nowMillis, long timeoutMillis, SilentOriginVisitor visitor) {
     origins.forEach(
         (origin, state) -> {
--- a/src/main/java/fawndock/counter/replication/OwnSums.java
+++ b/src/main/java/fawndock/counter/replication/OwnSums.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What this gateway itself has added to each name and withdrawn from it. Both amounts only grow
- * until the name expires. Used from one thread.
+ * The amounts that this gateway has added to each name and withdrawn from it. Both only grow until
+ * the name expires. Confined to one thread.
  */
 final class OwnSums {
   private static final int MAX_NAMES = 200_000;
@@ -31,16 +31,16 @@
   private final Map<String, OwnSum> sums = new LinkedHashMap<>();
 
   /**
-   * @param origin incarnation of this gateway
+   * @param origin incarnation number of this gateway
    */
   OwnSums(long origin) {
     this.origin = origin;
   }
 
   /**
-   * Adds to a name, or withdraws with a negative amount.
+   * Adds an amount to a name; a negative amount is a withdrawal.
    *
-   * @throws CommandException when there are too many names, or the sum would overflow
+   * @throws CommandException when there are too many names or the sum would overflow
    */
   void add(String name, DecimalAmount amount, long timeToLiveMillis, long nowMillis)
       throws CommandException {
@@ -56,23 +56,23 @@
 
   private void requireCapacity(long nowMillis) throws CommandException {
     if (sums.size() >= MAX_NAMES) {
-      sums.values().removeIf(each -> each.expiryMillis <= nowMillis);
+      sums.values().removeIf(sum -> sum.expiryMillis <= nowMillis);
       if (sums.size() >= MAX_NAMES) {
         throw new CommandException("OOM too many names");
       }
     }
   }
 
-  /** Withdraws an amount that was not added anywhere. */
+  /** Withdraws an amount that no node has added. */
   void revert(String name, DecimalAmount amount) {
     try {
       sums.get(name).apply(amount.negated());
     } catch (CommandException e) {
-      throw new IllegalStateException("a sum beyond all bounds", e);
+      throw new IllegalStateException("sum overflows", e);
     }
   }
 
-  /** The sum to send, or null when it has expired. */
+  /** Returns the sum to send, or null if the name has expired. */
   ReplicatedSum current(String name, long nowMillis) {
     OwnSum sum = sums.get(name);
     if (sum == null || sum.expiryMillis <= nowMillis) {
--- a/src/main/java/fawndock/counter/replication/PeerState.java
+++ b/src/main/java/fawndock/counter/replication/PeerState.java
@@ -7,36 +7,38 @@
 import java.util.Set;
 
 /**
- * One peer as a node sees it: whether it is alive, and which sums it has yet to be sent. A peer is
- * sent the full state first, shard by shard, then what changed; at most one batch is in flight.
- * Used from one thread.
+ * State of one peer as seen by a node: whether it is alive, and which sums it has not been sent
+ * yet. A peer receives the full state first, shard by shard, then the changed sums; at most one
+ * batch is in flight. Confined to one thread.
  */
 final class PeerState {
-  /** Changed sums that wait for a peer; beyond it the full state is sent again. */
+  /**
+   * Maximum number of changed sums that wait for a peer; beyond it the full state is sent again.
+   */
   private static final int MAX_CHANGED_SUMS = 100_000;
 
   private static final int NO_FULL_TRANSFER = -1;
-  private static final long NONE_IN_FLIGHT = -1;
+  private static final long NO_BATCH_IN_FLIGHT = -1;
 
   private long lastHeartbeatMillis;
 
-  /** The incarnation in its last heartbeat, or null before the first. */
+  /** Incarnation in the last heartbeat, or null before the first. */
   private Long incarnation;
 
   private boolean isReady;
   private boolean hasSentFullState;
 
-  /** When it last answered that this node is not on its membership list. */
-  private long rejectedByPeerAtMillis = Long.MIN_VALUE / 2;
+  /** When the peer last answered that this node is not on its membership list. */
+  private long lastUnknownToPeerMillis = Long.MIN_VALUE / 2;
 
-  private final Set<SumKey> changed = new LinkedHashSet<>();
+  private final Set<SumKey> changedSums = new LinkedHashSet<>();
   private int nextShard;
-  private long batchSentMillis = NONE_IN_FLIGHT;
+  private long batchSentMillis = NO_BATCH_IN_FLIGHT;
 
   /**
-   * A peer without a heartbeat yet.
+   * Creates the state of a peer that has not sent a heartbeat yet.
    *
-   * @param lastHeartbeatMillis long enough ago for it to count as dead
+   * @param lastHeartbeatMillis time old enough for the peer to count as dead
    */
   PeerState(long lastHeartbeatMillis) {
     this.lastHeartbeatMillis = lastHeartbeatMillis;
@@ -54,7 +56,10 @@
     return isReady;
   }
 
-  /** Whether it has sent all that it had when it began to, since its last start. */
+  /**
+   * Returns whether the peer has sent its full state, as of the start of the transfer, since its
+   * last start.
+   */
   boolean hasSentFullState() {
     return hasSentFullState;
   }
@@ -64,15 +69,16 @@
   }
 
   void onUnknownToPeer(long nowMillis) {
-    rejectedByPeerAtMillis = nowMillis;
+    lastUnknownToPeerMillis = nowMillis;
   }
 
   boolean isUnknownToPeer(long nowMillis, long timeoutMillis) {
-    return nowMillis - rejectedByPeerAtMillis <= timeoutMillis;
+    return nowMillis - lastUnknownToPeerMillis <= timeoutMillis;
   }
 
   /**
-   * What it missed while it was away, or lost by a restart, is not known: the full state goes out.
+   * Handles a heartbeat. After a restart or a time without heartbeats it is unknown what the peer
+   * lacks, so the full state is sent again.
    */
   void onHeartbeat(Heartbeat heartbeat, long nowMillis, long timeoutMillis) {
     boolean hasRestarted = incarnation != null && incarnation != heartbeat.incarnation();
@@ -86,16 +92,18 @@
   }
 
   void addChanged(SumKey key) {
-    changed.add(key);
-    if (changed.size() > MAX_CHANGED_SUMS) {
-      changed.clear();
+    changedSums.add(key);
+    if (changedSums.size() > MAX_CHANGED_SUMS) {
+      changedSums.clear();
       nextShard = 0;
     }
   }
 
-  /** Sums that it has yet to be sent; -1 while that is the full state. */
+  /**
+   * Returns the number of sums not sent to the peer yet, or -1 while the full state is being sent.
+   */
   int replicationLag() {
-    return nextShard >= 0 ? -1 : changed.size();
+    return nextShard >= 0 ? -1 : changedSums.size();
   }
 
   boolean hasBatchInFlight() {
@@ -106,47 +114,47 @@
     return hasBatchInFlight() && nowMillis - batchSentMillis > timeoutMillis;
   }
 
-  /** A part of the batch was answered: the rest is on its way. */
+  /** Handles the answer to a part of the batch; the rest is still in flight. */
   void onBatchProgress(long nowMillis) {
     batchSentMillis = nowMillis;
   }
 
   void onBatchAcknowledged() {
-    batchSentMillis = NONE_IN_FLIGHT;
+    batchSentMillis = NO_BATCH_IN_FLIGHT;
   }
 
-  /** What was sent may not have arrived: the full state is sent again. */
+  /** Sends the full state again, because the batch in flight may be lost. */
   void restartFullTransfer() {
     nextShard = 0;
-    batchSentMillis = NONE_IN_FLIGHT;
-    changed.clear();
+    batchSentMillis = NO_BATCH_IN_FLIGHT;
+    changedSums.clear();
   }
 
   /**
-   * Takes the next batch, which is then in flight.
+   * Returns the next batch, which is then in flight.
    *
-   * @param maxSums beyond which no more are added; a shard is never cut
+   * @param maxSums maximum number of sums; exceeded when needed to complete a shard
    */
   DeltaBatch nextBatch(ReplicatedSums sums, int maxSums, long nowMillis) {
-    List<ReplicatedSum> next = new ArrayList<>();
-    boolean completesFullState = addShards(sums, maxSums, nowMillis, next);
-    Iterator<SumKey> keys = changed.iterator();
-    while (next.size() < maxSums && keys.hasNext()) {
+    List<ReplicatedSum> batchSums = new ArrayList<>();
+    boolean completesFullState = addShards(sums, maxSums, nowMillis, batchSums);
+    Iterator<SumKey> keys = changedSums.iterator();
+    while (batchSums.size() < maxSums && keys.hasNext()) {
       SumKey key = keys.next();
       keys.remove();
       ReplicatedSum sum = sums.sumOf(key.name(), key.origin(), nowMillis);
-      if (sum != null) { // Null when it has expired meanwhile.
-        next.add(sum);
+      if (sum != null) { // Null if the name has expired meanwhile.
+        batchSums.add(sum);
       }
     }
-    batchSentMillis = next.isEmpty() && !completesFullState ? NONE_IN_FLIGHT : nowMillis;
-    return new DeltaBatch(next, completesFullState);
+    batchSentMillis = batchSums.isEmpty() && !completesFullState ? NO_BATCH_IN_FLIGHT : nowMillis;
+    return new DeltaBatch(batchSums, completesFullState);
   }
 
   private boolean addShards(
-      ReplicatedSums sums, int maxSums, long nowMillis, List<ReplicatedSum> next) {
-    while (nextShard >= 0 && next.size() < maxSums) {
-      sums.visitShard(nextShard++, nowMillis, next::add);
+      ReplicatedSums sums, int maxSums, long nowMillis, List<ReplicatedSum> batchSums) {
+    while (nextShard >= 0 && batchSums.size() < maxSums) {
+      sums.visitShard(nextShard++, nowMillis, batchSums::add);
       if (nextShard == sums.shardCount()) {
         nextShard = NO_FULL_TRANSFER;
         return true;
--- a/src/main/java/fawndock/counter/replication/RendezvousOrder.java
+++ b/src/main/java/fawndock/counter/replication/RendezvousOrder.java
@@ -8,26 +8,27 @@
 import java.util.Map;
 
 /**
- * The order in which a name's nodes are tried, by rendezvous hashing: a node that leaves moves only
- * the names that were its own. All names of a series have one order, the same on all gateways.
+ * Order in which nodes are tried for a name, by rendezvous hashing: removing a node moves only the
+ * names for which it came first. All names of a series have the same order on all gateways. Not
+ * thread-safe.
  */
 final class RendezvousOrder {
   private static final int MAX_CACHED_SERIES = 200_000;
   private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
   private static final long FNV_PRIME = 0x100000001B3L;
-  private static final long MIX_MULTIPLIER = 0xFF51AFD7ED558CCDL;
+  private static final long FINALIZER_MULTIPLIER = 0xFF51AFD7ED558CCDL;
 
   private final Collection<String> nodes;
   private final Map<String, List<String>> cachedOrders = new HashMap<>();
 
   /**
-   * @param nodes a view of the nodes on the list
+   * @param nodes live view of the nodes on the membership list
    */
   RendezvousOrder(Collection<String> nodes) {
     this.nodes = nodes;
   }
 
-  /** The nodes have changed. */
+  /** Clears the cache after a change of the nodes. */
   void clear() {
     cachedOrders.clear();
   }
@@ -50,7 +51,7 @@
     for (char c : (node + '/' + series).toCharArray()) {
       hash = (hash ^ c) * FNV_PRIME;
     }
-    hash = (hash ^ (hash >>> 33)) * MIX_MULTIPLIER;
+    hash = (hash ^ (hash >>> 33)) * FINALIZER_MULTIPLIER;
     return hash ^ (hash >>> 33);
   }
 }
--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -10,20 +10,20 @@
 import java.util.Set;
 
 /**
- * A gateway's side of several counter nodes: its own sums, which node a call goes to, and the
- * hedged second attempt within the call's time. No I/O and no clock: what is to be done comes out
- * as {@link ClientAction}s. Used from one thread.
+ * Client side of a replicated counter in a gateway: keeps its own sums, selects the node for a
+ * call, and sends a hedged second attempt within the call timeout. It performs no I/O and reads no
+ * clock; it returns {@link ClientAction}s for its caller to execute. Confined to one thread.
  */
 public final class ReplicaClient {
   private static final int MAX_RESENDS_PER_TICK = 200;
 
-  /** As {@code callId}: nothing waits for the answer. */
+  /** Value of {@code callId} if no call waits for the answer. */
   private static final long NO_CALL = 0;
 
   private static final class NodeHealth {
     boolean isHealthy;
 
-    /** Since when something sent has had no answer, or -1. */
+    /** Send time of the oldest unanswered message, or -1 if there is none. */
     long unansweredSinceMillis = -1;
 
     long lastHeartbeatMillis = Long.MIN_VALUE / 2;
@@ -37,15 +37,15 @@
     final long id;
     final String name;
     final DecimalAmount amount;
-    final long startedMillis;
+    final long startMillis;
     final Set<String> triedNodes = new HashSet<>();
     long lastSentMillis;
 
-    InFlightCall(long id, String name, DecimalAmount amount, long startedMillis) {
+    InFlightCall(long id, String name, DecimalAmount amount, long startMillis) {
       this.id = id;
       this.name = name;
       this.amount = amount;
-      this.startedMillis = startedMillis;
+      this.startMillis = startMillis;
     }
   }
 
@@ -60,21 +60,21 @@
   private MembershipList adoptedMembership;
 
   /**
-   * A client that takes every node for healthy until it learns otherwise.
+   * Creates a client that considers every node healthy until it learns otherwise.
    *
-   * @param origin incarnation of this gateway; no other has it
+   * @param origin incarnation number of this gateway, unique among all gateways
    */
   public ReplicaClient(long origin, List<String> nodeIds, ClientTimeouts timeouts) {
     this.timeouts = timeouts;
     ownSums = new OwnSums(origin);
-    nodeIds.forEach(each -> nodes.put(each, new NodeHealth(true)));
+    nodeIds.forEach(id -> nodes.put(id, new NodeHealth(true)));
   }
 
   /**
-   * Uses a newer membership list: a node that is new on it is sent calls once it says that it is
-   * ready, and all sums are sent again.
+   * Adopts a newer membership list. A new node receives calls once it reports that it is ready, and
+   * all sums are sent again.
    *
-   * @return false when it has this list, or a newer one
+   * @return false if the client already uses this list or a newer one
    */
   public boolean adoptMembership(MembershipList list, long nowMillis, List<ClientAction> actions) {
     if (adoptedMembership != null && list.version() <= adoptedMembership.version()) {
@@ -82,26 +82,30 @@
     }
     adoptedMembership = list;
     nodes.keySet().retainAll(list.addresses().keySet());
-    for (String each : list.addresses().keySet()) {
-      nodes.computeIfAbsent(each, id -> new NodeHealth(false));
+    for (String id : list.addresses().keySet()) {
+      nodes.computeIfAbsent(id, newId -> new NodeHealth(false));
     }
     nodeOrder.clear();
     resendAll();
     for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
-      sendToNextNode(call, nowMillis, actions); // The node that has it may be off the list.
+      sendToNextNode(call, nowMillis, actions); // Its node may be off the list.
     }
     return true;
   }
 
-  /** The newest list that it was given, or null while it uses the one in its settings. */
+  /**
+   * Returns the newest adopted membership list, or null while the client uses the nodes in its
+   * settings.
+   */
   public MembershipList adoptedMembership() {
     return adoptedMembership;
   }
 
   /**
-   * Adds to a name, or withdraws with a negative amount; returns the call's id.
+   * Starts a call that adds an amount to a name; a negative amount is a withdrawal. Returns the id
+   * of the call.
    *
-   * @throws CommandException when there are too many names, or the sum would overflow
+   * @throws CommandException when there are too many names or the sum would overflow
    */
   public long add(
       String name,
@@ -119,7 +123,10 @@
     return call.id;
   }
 
-  /** Sends to the first healthy node that this call was not sent to; false when there is none. */
+  /**
+   * Sends a call to the first healthy node that has not received it; returns false if there is
+   * none.
+   */
   private boolean sendToNextNode(InFlightCall call, long nowMillis, List<ClientAction> actions) {
     for (String id : nodeOrder.nodesFor(call.name)) {
       if (nodes.get(id).isHealthy && call.triedNodes.add(id)) {
@@ -146,7 +153,7 @@
     }
   }
 
-  /** A node answered a sum with the total. */
+  /** Handles the answer of a node to a sum: the total of the name. */
   public void onTotal(String node, long callId, double total, List<ClientAction> actions) {
     healthOf(node).unansweredSinceMillis = -1;
     InFlightCall call = inFlightCalls.get(callId);
@@ -155,7 +162,10 @@
     }
   }
 
-  /** A node rejected a call, such as one that is catching up; it has kept nothing of it. */
+  /**
+   * Handles the rejection of a call by a node, for example one that is catching up; the node has
+   * not stored the sum.
+   */
   public void onRejected(
       String node, long callId, boolean isNotReady, long nowMillis, List<ClientAction> actions) {
     NodeHealth health = healthOf(node);
@@ -169,13 +179,19 @@
     }
   }
 
-  /** Of a node that is off the list by now, a throwaway: its answers change nothing else. */
+  /**
+   * Returns the health of a node; for a node that is no longer on the list, a temporary object, so
+   * that its answers have no effect.
+   */
   private NodeHealth healthOf(String node) {
     NodeHealth health = nodes.get(node);
     return health == null ? new NodeHealth(true) : health;
   }
 
-  /** A node answered a heartbeat: whether it is ready, and which membership list it uses. */
+  /**
+   * Handles the answer of a node to a heartbeat: whether the node is ready, and the version of its
+   * membership list.
+   */
   public void onHeartbeatReply(
       String node, boolean isReady, long membershipVersion, List<ClientAction> actions) {
     exchangeMembership(node, membershipVersion, actions);
@@ -183,14 +199,15 @@
     health.unansweredSinceMillis = -1;
     if (isReady && !health.isHealthy) {
       health.isHealthy = true;
-      resendAll(); // It may have come back with less than others have, or with nothing.
+      resendAll(); // After a restart it may have lost some or all sums.
     } else if (!isReady) {
       markUnhealthy(health);
     }
   }
 
   private void exchangeMembership(String node, long theirVersion, List<ClientAction> actions) {
-    // By the settings alone, addresses may differ between instances: only the epoch counts then.
+    // Addresses in the settings may differ between instances: a list from them compares by epoch
+    // only.
     long ownVersion =
         adoptedMembership == null
             ? MembershipList.settingsVersion(MembershipList.epoch(theirVersion))
@@ -202,7 +219,7 @@
     }
   }
 
-  /** The connection to a node is lost: its calls go to the next node at once. */
+  /** Handles the loss of the connection to a node: its calls are sent to the next node at once. */
   public void onConnectionLost(String node, long nowMillis, List<ClientAction> actions) {
     NodeHealth health = healthOf(node);
     health.unansweredSinceMillis = -1;
@@ -214,7 +231,10 @@
     }
   }
 
-  /** What only this node had from this gateway is sent to the nodes that take its names over. */
+  /**
+   * Marks a node unhealthy and sends all sums again, since the nodes that take over its names may
+   * lack them.
+   */
   private void markUnhealthy(NodeHealth node) {
     if (node.isHealthy) {
       node.isHealthy = false;
@@ -227,11 +247,14 @@
     resendQueue.addAll(ownSums.names());
   }
 
-  /** Ends and hedges calls, sends heartbeats and some of the sums that are to be sent again. */
+  /**
+   * Ends calls that have timed out, hedges slow calls, sends heartbeats, and sends a limited number
+   * of the sums queued for resending.
+   */
   public void tick(long nowMillis, List<ClientAction> actions) {
     checkNodes(nowMillis, actions);
     checkCalls(nowMillis, actions);
-    resendSome(nowMillis, actions);
+    resendOwnSums(nowMillis, actions);
   }
 
   private void checkNodes(long nowMillis, List<ClientAction> actions) {
@@ -251,17 +274,17 @@
 
   private void checkCalls(long nowMillis, List<ClientAction> actions) {
     for (InFlightCall call : List.copyOf(inFlightCalls.values())) {
-      if (nowMillis - call.startedMillis >= timeouts.callTimeoutMillis()) {
+      if (nowMillis - call.startMillis >= timeouts.callTimeoutMillis()) {
         endCall(call, CallOutcome.TIMEOUT, 0, actions);
       } else if (nowMillis - call.lastSentMillis >= timeouts.hedgeDelayMillis()) {
-        // Guards against the wait for a node that has stalled. It may send to a second node in vain
-        // when the first is only slow; nothing is counted twice by that.
+        // A hedged attempt avoids waiting for a stalled node. If the first node is only slow, the
+        // second attempt is redundant, but nothing is counted twice.
         sendToNextNode(call, nowMillis, actions);
       }
     }
   }
 
-  private void resendSome(long nowMillis, List<ClientAction> actions) {
+  private void resendOwnSums(long nowMillis, List<ClientAction> actions) {
     for (int i = 0; i < MAX_RESENDS_PER_TICK && !resendQueue.isEmpty(); i++) {
       String name = resendQueue.poll();
       for (String id : nodeOrder.nodesFor(name)) {
@@ -277,14 +300,14 @@
       InFlightCall call, CallOutcome outcome, double total, List<ClientAction> actions) {
     inFlightCalls.remove(call.id);
     if (outcome == CallOutcome.UNREACHABLE || outcome == CallOutcome.REJECTED) {
-      // To the caller it was not added; it may have gone out with another call of the name
-      // meanwhile.
+      // The caller is told that the amount was not added, but another call of the same name may
+      // have sent it meanwhile.
       ownSums.revert(call.name, call.amount);
     }
     actions.add(new ClientAction.CallEnded(call.id, call.name, outcome, total));
   }
 
-  /** Whether calls go to this node first for its names. */
+  /** Returns whether a node is healthy and thus receives calls. */
   public boolean isHealthy(String node) {
     return healthOf(node).isHealthy;
   }
--- a/src/main/java/fawndock/counter/replication/ReplicaNode.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaNode.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * One node of several replicas: whether it may answer, with which total, and what it has to send
- * its peers. No I/O and no clock; used from one thread. Specification:
+ * One replica of a counter: decides whether it may answer, computes totals, and selects the sums to
+ * send to its peers. It performs no I/O and reads no clock. Confined to one thread. Specification:
  * docs/design/counter-replication.md.
  */
 public final class ReplicaNode {
   /**
-   * A node that gets no sum from any peer for this many solo-start timeouts becomes ready without
-   * them.
+   * Number of solo-start timeouts without a sum from any peer after which a node becomes ready
+   * without its peers.
    */
   private static final int MAX_CATCH_UP_TIMEOUTS = 10;
 
@@ -27,23 +27,25 @@
   private final long incarnation;
   private final Map<String, PeerState> peers = new TreeMap<>();
   private final OriginTable origins = new OriginTable();
-  private final AddRateEstimator rates = new AddRateEstimator();
-  private final long startedMillis;
+  private final AddRateEstimator rateEstimator = new AddRateEstimator();
+  private final long startMillis;
   private long lastPeerSumMillis;
   private boolean hasCaughtUp;
   private long membershipVersion;
   private long highestPeerVersion;
 
-  /** The list that was given while it ran, or null while it uses the one in its settings. */
+  /**
+   * The membership list adopted since the start, or null while the list in the settings is used.
+   */
   private MembershipList adoptedMembership;
 
   /**
-   * A node that has just started, with the list in its settings.
+   * Creates a node that has just started and uses the membership list in its settings.
    *
-   * @param id its own name
-   * @param peerIds the names of the others on the list
-   * @param epoch of the list
-   * @param incarnation that no start of this node had before
+   * @param id name of this node
+   * @param peerIds names of the other nodes on the list
+   * @param epoch epoch of the list
+   * @param incarnation number that is different at each start of this node
    */
   public ReplicaNode(
       String id,
@@ -57,10 +59,10 @@
     this.sums = sums;
     this.timeouts = timeouts;
     this.incarnation = incarnation;
-    this.startedMillis = nowMillis;
+    this.startMillis = nowMillis;
     membershipVersion = MembershipList.settingsVersion(epoch);
     hasCaughtUp = peerIds.isEmpty();
-    peerIds.forEach(each -> addPeer(each, nowMillis));
+    peerIds.forEach(peer -> addPeer(peer, nowMillis));
   }
 
   private void addPeer(String peer, long nowMillis) {
@@ -68,10 +70,10 @@
   }
 
   /**
-   * Uses a newer membership list; what was counted stays. Peers that are on it for the first time
-   * are sent the full state once they are alive.
+   * Adopts a newer membership list and keeps all sums. New peers receive the full state once they
+   * are alive.
    *
-   * @return false when it has this list, or a newer one
+   * @return false if the node already uses this list or a newer one
    */
   public boolean adoptMembership(MembershipList list, long nowMillis) {
     if (list.version() <= membershipVersion) {
@@ -80,27 +82,27 @@
     membershipVersion = list.version();
     adoptedMembership = list;
     peers.keySet().retainAll(list.addresses().keySet());
-    for (String each : list.addresses().keySet()) {
-      if (!each.equals(id) && !peers.containsKey(each)) {
-        addPeer(each, nowMillis);
+    for (String peer : list.addresses().keySet()) {
+      if (!peer.equals(id) && !peers.containsKey(peer)) {
+        addPeer(peer, nowMillis);
       }
     }
     return true;
   }
 
-  /** The list that was given while it ran, or null. */
+  /** Returns the membership list adopted since the start, or null. */
   public MembershipList adoptedMembership() {
     return adoptedMembership;
   }
 
-  /** The list to answer one that uses an older version; null when there is none to give. */
+  /** Returns the adopted list if it is newer than a version of a sender, else null. */
   public MembershipList membershipNewerThan(long theirVersion) {
     return adoptedMembership != null && adoptedMembership.version() > theirVersion
         ? adoptedMembership
         : null;
   }
 
-  /** Whether it may answer gateways, and if not why. */
+  /** Returns whether the node may answer gateways, and if not, why. */
   public NodeState state() {
     if (highestPeerVersion > membershipVersion
         || (adoptedMembership != null && !adoptedMembership.addresses().containsKey(id))) {
@@ -109,35 +111,37 @@
     return hasCaughtUp ? NodeState.READY : NodeState.CATCHING_UP;
   }
 
-  /** Whether it may answer gateways. */
+  /** Returns whether the node may answer gateways. */
   public boolean isReady() {
     return state() == NodeState.READY;
   }
 
-  /** The version of the membership list that it uses. */
+  /** Returns the version of the membership list in use. */
   public long membershipVersion() {
     return membershipVersion;
   }
 
-  /** The other nodes on the membership list. */
+  /** Returns the other nodes on the membership list. */
   public Set<String> peers() {
     return peers.keySet();
   }
 
-  /** Whether a peer's last heartbeat is recent. */
+  /** Returns whether the last heartbeat of a peer is recent enough for it to be alive. */
   public boolean isPeerAlive(String peer, long nowMillis) {
     return peers.get(peer).isAlive(nowMillis, timeouts.peerTimeoutMillis());
   }
 
-  /** Sums that a peer has yet to be sent; -1 for the full state. */
+  /**
+   * Returns the number of sums not sent to a peer yet, or -1 while the full state is being sent.
+   */
   public int replicationLag(String peer) {
     return peers.get(peer).replicationLag();
   }
 
   /**
-   * Merges a gateway's sum and returns the total of the name. Nothing is merged when it throws.
+   * Merges the sum of a gateway and returns the total of the name. Merges nothing if it throws.
    *
-   * @throws CommandException when this node may not answer, or cannot take the sum
+   * @throws CommandException when this node may not answer or cannot store the sum
    */
   public DecimalAmount mergeAndTotal(ReplicatedSum sum, long nowMillis, ChangeRecord changes)
       throws CommandException {
@@ -149,11 +153,11 @@
               "LOADING this node has not caught up with the others, nothing was added");
       case READY -> merge(sum, "", nowMillis, changes);
     }
-    rates.recordUse(sum.name(), nowMillis);
+    rateEstimator.recordUse(sum.name(), nowMillis);
     return totalWithEstimate(sum.name(), nowMillis);
   }
 
-  /** Merges a sum that a peer sent. */
+  /** Merges a sum from a peer. */
   public void mergeFromPeer(String peer, ReplicatedSum sum, long nowMillis, ChangeRecord changes)
       throws CommandException {
     lastPeerSumMillis = nowMillis;
@@ -162,15 +166,16 @@
 
   private void merge(ReplicatedSum sum, String sender, long nowMillis, ChangeRecord changes)
       throws CommandException {
-    DecimalAmount grown = sums.merge(sum, nowMillis, changes);
-    if (grown == null) {
+    DecimalAmount growth = sums.merge(sum, nowMillis, changes);
+    if (growth == null) {
       return;
     }
-    rates.recordGrowth(sum.name(), sum.origin(), Double.parseDouble(grown.toString()), nowMillis);
+    rateEstimator.recordGrowth(
+        sum.name(), sum.origin(), Double.parseDouble(growth.toString()), nowMillis);
     SumKey key = new SumKey(sum.name(), sum.origin());
     peers.forEach(
         (peer, state) -> {
-          // Also to peers that the sender can reach: those two may be cut from each other.
+          // Also to peers that the sender may have sent it to: a partition may separate those two.
           if (!peer.equals(sender)) {
             state.addChanged(key);
           }
@@ -178,18 +183,19 @@
   }
 
   /**
-   * A gateway sent a heartbeat, or a peer passed on that it did. Only a stamp above the highest
-   * before counts.
+   * Handles a stamp of a gateway, from its heartbeat or from that of a peer. Only a stamp higher
+   * than all previous ones counts.
    *
-   * @param stamp of the gateway's own, which it raises each time
+   * @param stamp number that the gateway increases with each heartbeat
    */
   public void onOriginStamp(long origin, long stamp, long nowMillis) {
     origins.onStamp(origin, stamp, nowMillis);
   }
 
   /**
-   * The total, and while a peer is dead or cut off an estimate of what origins that are silent may
-   * have added there. When all peers are alive a silent origin counts nowhere: no estimate.
+   * Returns the total, plus, while a peer is dead or partitioned, an estimate of what silent
+   * origins may have added at that peer. If all peers are alive, a silent origin is adding at no
+   * node, and no estimate is needed.
    */
   private DecimalAmount totalWithEstimate(String name, long nowMillis) throws CommandException {
     DecimalAmount total = sums.total(name, nowMillis);
@@ -201,7 +207,7 @@
         nowMillis,
         timeouts.peerTimeoutMillis(),
         (origin, lastSeenMillis) ->
-            estimate[0] += rates.estimateSince(name, origin, lastSeenMillis, nowMillis));
+            estimate[0] += rateEstimator.estimateSince(name, origin, lastSeenMillis, nowMillis));
     if (estimate[0] <= 0) {
       return total;
     }
@@ -218,13 +224,16 @@
     return true;
   }
 
-  /** The heartbeat to send to every peer now. */
+  /** Returns the heartbeat to send to every peer. */
   public Heartbeat nextHeartbeat(long nowMillis) {
     return new Heartbeat(
         membershipVersion, incarnation, isReady(), origins.announcedStamps(nowMillis));
   }
 
-  /** A peer's heartbeat; one that uses an older membership list does not count as alive. */
+  /**
+   * Handles a heartbeat of a peer; a peer that uses an older membership list does not count as
+   * alive.
+   */
   public void onHeartbeat(String from, Heartbeat heartbeat, long nowMillis) {
     PeerState peer = peers.get(from);
     highestPeerVersion = Math.max(highestPeerVersion, heartbeat.membershipVersion());
@@ -236,12 +245,15 @@
     heartbeat.originStamps().forEach((origin, stamp) -> onOriginStamp(origin, stamp, nowMillis));
   }
 
-  /** A peer answered that this node is not on its membership list. */
+  /** Handles the answer of a peer that this node is not on its membership list. */
   public void onUnknownToPeer(String peer, long nowMillis) {
     peers.get(peer).onUnknownToPeer(nowMillis);
   }
 
-  /** A peer has sent all that it had when it began to; nothing when it is off the list. */
+  /**
+   * Handles the end of a full state transfer from a peer, which contains the sums that the peer had
+   * when the transfer began; has no effect if the peer is no longer on the list.
+   */
   public void onFullStateReceived(String from, long nowMillis) {
     PeerState peer = peers.get(from);
     if (peer != null) {
@@ -251,8 +263,8 @@
   }
 
   /**
-   * Ready when there is an alive peer that is ready, and each such peer has sent its full state:
-   * one of them alone may lag behind another.
+   * Marks this node as caught up when at least one live peer is ready and every such peer has sent
+   * its full state. One peer is not enough, since it may lag behind another.
    */
   private void updateReadiness(long nowMillis) {
     boolean hasSource = false;
@@ -267,7 +279,10 @@
     hasCaughtUp |= hasSource;
   }
 
-  /** Starts overdue transfers again; a node that has waited in vain for its peers starts alone. */
+  /**
+   * Restarts overdue transfers, and lets a node become ready alone after it has waited for its
+   * peers without success.
+   */
   public void tick(long nowMillis) {
     for (PeerState peer : peers.values()) {
       if (peer.isBatchOverdue(nowMillis, timeouts.peerTimeoutMillis())) {
@@ -276,13 +291,14 @@
     }
     updateReadiness(nowMillis);
     if (!hasCaughtUp && !isUnknownToAnyPeer(nowMillis)) {
-      hasCaughtUp = mayStartAlone(nowMillis);
+      hasCaughtUp = canStartAlone(nowMillis);
     }
   }
 
   /**
-   * Guards against a node that starts empty beside others that do not know it yet: it waits for a
-   * membership list that has both.
+   * Returns whether a peer recently reported that this node is not on its membership list. An empty
+   * node must not become ready next to peers that do not know it yet; it waits for a membership
+   * list that contains both.
    */
   private boolean isUnknownToAnyPeer(long nowMillis) {
     return peers.values().stream()
@@ -290,28 +306,30 @@
   }
 
   /**
-   * Guards against a cluster in which each node waits for another. It may then answer with less
-   * than a node that cannot be reached has; the estimate does not know of that either.
+   * Returns whether the node may become ready without its peers, so that nodes do not wait for each
+   * other forever. Its totals may then lack sums that only an unreachable node has; the estimate
+   * does not cover them.
    */
-  private boolean mayStartAlone(long nowMillis) {
+  private boolean canStartAlone(long nowMillis) {
     long soloStartTimeout = timeouts.soloStartTimeoutMillis();
-    boolean noPeerToWaitFor =
+    boolean noPeerToAwait =
         peers.values().stream()
             .allMatch(
                 peer ->
                     peer.hasSentFullState()
-                        || nowMillis - Math.max(startedMillis, peer.lastHeartbeatMillis())
+                        || nowMillis - Math.max(startMillis, peer.lastHeartbeatMillis())
                             >= soloStartTimeout);
-    return (noPeerToWaitFor && nowMillis - startedMillis >= soloStartTimeout)
-        || nowMillis - Math.max(startedMillis, lastPeerSumMillis)
+    return (noPeerToAwait && nowMillis - startMillis >= soloStartTimeout)
+        || nowMillis - Math.max(startMillis, lastPeerSumMillis)
             >= MAX_CATCH_UP_TIMEOUTS * soloStartTimeout;
   }
 
   /**
-   * Takes the next batch for a peer; empty while the peer is not alive, or has not confirmed the
-   * last one.
+   * Returns the next batch for a peer, which is then in flight; empty while the peer is not alive
+   * or has not acknowledged the previous batch.
    *
-   * @param maxSums in the batch; a shard of the full state may be more
+   * @param maxSums maximum number of sums; exceeded when needed to complete a shard of the full
+   *     state
    */
   public DeltaBatch nextBatch(String to, int maxSums, long nowMillis) {
     PeerState peer = peers.get(to);
@@ -321,17 +339,17 @@
     return peer.nextBatch(sums, maxSums, nowMillis);
   }
 
-  /** A part of the batch in flight was answered: the rest is on its way. */
+  /** Handles the answer to a part of the batch in flight. */
   public void onBatchProgress(String to, long nowMillis) {
     peers.get(to).onBatchProgress(nowMillis);
   }
 
-  /** The batch in flight has arrived. */
+  /** Handles the acknowledgement of the batch in flight. */
   public void onBatchAcknowledged(String to) {
     peers.get(to).onBatchAcknowledged();
   }
 
-  /** The batch in flight may not have arrived: the full state is sent again. */
+  /** Sends the full state again, because the batch in flight may be lost. */
   public void restartFullTransfer(String to) {
     peers.get(to).restartFullTransfer();
   }
--- a/src/main/java/fawndock/counter/replication/ReplicatedSum.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSum.java
@@ -3,21 +3,25 @@
 import fawndock.counter.storage.DecimalAmount;
 
 /**
- * What one origin (gateway incarnation) ever added to a name and withdrew from it: its entry in a
- * PN-counter. Both amounts only grow, so that of two states the larger is the later, whatever way
- * and however often they came; merging takes the maximum of each.
+ * The amounts that one origin (gateway incarnation) has added to a name and withdrawn from it: its
+ * entry in a PN-counter. Both amounts only grow, so that the larger of two states is the later one.
+ * Merging takes the maximum of each amount and is therefore independent of the order and number of
+ * deliveries.
  *
- * @param name of the count
- * @param origin incarnation of the gateway
- * @param added what it added
- * @param withdrawn what it withdrew, as a positive number
- * @param timeToLiveMillis how much longer the name is kept
+ * @param name name of the counter
+ * @param origin incarnation number of the gateway
+ * @param added total amount added
+ * @param withdrawn total amount withdrawn, as a positive number
+ * @param timeToLiveMillis remaining time until the name expires
  */
 public record ReplicatedSum(
     String name, long origin, DecimalAmount added, DecimalAmount withdrawn, long timeToLiveMillis) {
-  /** What the names of a count's windows have in common: the part before the last point. */
+  /**
+   * Returns the series of a name: the part before the last dot, which the names of all windows of a
+   * counter share.
+   */
   public static String series(String name) {
-    int point = name.lastIndexOf('.');
-    return point < 0 ? name : name.substring(0, point);
+    int lastDot = name.lastIndexOf('.');
+    return lastDot < 0 ? name : name.substring(0, lastDot);
   }
 }
--- a/src/main/java/fawndock/counter/replication/ReplicatedSums.java
+++ b/src/main/java/fawndock/counter/replication/ReplicatedSums.java
@@ -10,23 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * The replicated sums: a state-based CRDT, for each name a PN-counter with one entry an origin,
- * merged by maximum. They live in the table of counts, so that log, snapshots, recovery and expiry
- * are those of all counts, and any client reads a total by its name.
+ * The replicated sums: a state-based CRDT that keeps for each name a PN-counter with one entry for
+ * each origin, merged by maximum. They are stored in the counter table, so that logging, snapshots,
+ * recovery and expiry work as for all other names, and any client can read a total by its name. Not
+ * thread-safe.
  *
  * <table>
- *   <caption>Keys in the table; stored files have them</caption>
+ *   <caption>Keys in the table; stored files contain them</caption>
  *   <tr><th>key</th><th>value</th></tr>
- *   <tr><td>name</td><td>the total: all added amounts less all withdrawn ones</td></tr>
- *   <tr><td>name, 0 (1 byte), origin (8, big-endian), {@code +}</td><td>what the origin added</td></tr>
- *   <tr><td>name, 0 (1 byte), origin (8, big-endian), {@code -}</td><td>what it withdrew</td></tr>
+ *   <tr><td>name</td><td>the total: all added amounts minus all withdrawn amounts</td></tr>
+ *   <tr><td>name, 0 (1 byte), origin (8, big-endian), {@code +}</td><td>amount added</td></tr>
+ *   <tr><td>name, 0 (1 byte), origin (8, big-endian), {@code -}</td><td>amount withdrawn</td></tr>
  * </table>
  *
- * <p>Invariant: all keys of a name expire at once; otherwise an entry that was forgotten before the
- * total would be added to it again.
+ * <p>Invariant: all keys of a name expire at the same time; otherwise an entry that expired before
+ * the total would be added to the total again.
  */
 public final class ReplicatedSums {
-  /** Between a name and an origin; names must not have it. */
+  /** Separates the name from the origin in a key; a name must not contain it. */
   private static final char ORIGIN_SEPARATOR = '\0';
 
   private static final int KEY_SUFFIX_BYTES = 1 + Long.BYTES + 1;
@@ -39,10 +40,11 @@
   }
 
   /**
-   * Merges one origin's state: keeps the larger of each amount, and brings the total up to it.
+   * Merges the state of one origin: keeps the larger of each amount and updates the total.
    *
-   * @return the growth of the origin's net sum, or null when nothing grew
-   * @throws CommandException when the name or the total cannot be; nothing is changed then
+   * @return the growth of the net sum of the origin, or null if neither amount grew
+   * @throws CommandException when the name is invalid, or the total overflows or exceeds the memory
+   *     limit; nothing is changed then
    */
   public DecimalAmount merge(ReplicatedSum sum, long nowMillis, ChangeRecord changes)
       throws CommandException {
@@ -77,7 +79,9 @@
     return name;
   }
 
-  /** Adds to the total; returns the expiry of the name, which a new name gets. */
+  /**
+   * Adds to the total; returns the expiry of the name, which is the given one if the name is new.
+   */
   private long putTotal(
       byte[] name, DecimalAmount net, long newExpiryMillis, long nowMillis, ChangeRecord changes)
       throws CommandException {
@@ -92,20 +96,20 @@
     return expiryMillis;
   }
 
-  /** By how much an amount is above what is kept; zero when it is not. */
+  /** Returns by how much an amount exceeds the stored one, or zero if it does not. */
   private DecimalAmount growth(byte[] key, DecimalAmount amount, long nowMillis)
       throws CommandException {
-    DecimalAmount kept = operations.table().get(key, nowMillis);
-    DecimalAmount growth = kept == null ? amount : amount.plus(kept.negated());
+    DecimalAmount current = operations.table().get(key, nowMillis);
+    DecimalAmount growth = current == null ? amount : amount.plus(current.negated());
     return growth.unscaledValue() > 0 ? growth : DecimalAmount.ZERO;
   }
 
-  /** The total of a name. */
+  /** Returns the total of a name. */
   public DecimalAmount total(String name, long nowMillis) {
     return orZero(operations.table().get(name.getBytes(StandardCharsets.UTF_8), nowMillis));
   }
 
-  /** One origin's state on a name, to be sent to a peer; null when there is none. */
+  /** Returns the state of one origin on a name, or null if there is none. */
   public ReplicatedSum sumOf(String name, long origin, long nowMillis) {
     CounterTable table = operations.table();
     byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
@@ -127,7 +131,10 @@
     return amount == null ? DecimalAmount.ZERO : amount;
   }
 
-  /** Shows all sums of a shard; added and withdrawn amounts apart, as merging takes any order. */
+  /**
+   * Passes all sums of a shard to a visitor; added and withdrawn amounts are separate sums, which
+   * merge in any order.
+   */
   public void visitShard(int shard, long nowMillis, Consumer<ReplicatedSum> visitor) {
     operations
         .table()
@@ -135,12 +142,12 @@
             shard,
             nowMillis,
             (key, amount, expiryMillis) -> {
-              int separatorAt = key.length - KEY_SUFFIX_BYTES;
-              if (separatorAt <= 0 || key[separatorAt] != ORIGIN_SEPARATOR) {
-                return; // A total.
+              int separatorIndex = key.length - KEY_SUFFIX_BYTES;
+              if (separatorIndex <= 0 || key[separatorIndex] != ORIGIN_SEPARATOR) {
+                return; // The key of a total.
               }
-              String name = new String(key, 0, separatorAt, StandardCharsets.UTF_8);
-              long origin = ByteBuffer.wrap(key).getLong(separatorAt + 1);
+              String name = new String(key, 0, separatorIndex, StandardCharsets.UTF_8);
+              long origin = ByteBuffer.wrap(key).getLong(separatorIndex + 1);
               byte sign = key[key.length - 1];
               visitor.accept(
                   new ReplicatedSum(
@@ -152,7 +159,7 @@
             });
   }
 
-  /** Shards to visit. */
+  /** Returns the number of shards to visit. */
   public int shardCount() {
     return operations.table().shardCount();
   }
--- a/src/main/java/fawndock/counter/replication/SumKey.java
+++ b/src/main/java/fawndock/counter/replication/SumKey.java
@@ -1,9 +1,9 @@
 package fawndock.counter.replication;
 
 /**
- * Which sum: one origin's on one name.
+ * Key of a replicated sum: the name and the origin.
  *
- * @param name of the count
- * @param origin incarnation of the gateway that the sum belongs to
+ * @param name name of the counter
+ * @param origin incarnation number of the gateway that the sum belongs to
  */
 record SumKey(String name, long origin) {}
