--- a/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
+++ b/src/test/java/fawndock/counter/storage/CrashRecoveryTest.java
@@ -16,81 +16,85 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Counts, group commit, log, snapshots and recovery together, on a storage that fails. */
+/**
+ * Tests operations, group commit, log, snapshots and recovery together on a storage with injected
+ * faults.
+ */
 class CrashRecoveryTest {
   private static final int NAMES = 40;
 
   /**
-   * One life of a counter, driven by chance as the host drives it; any call to the storage may be
-   * its last.
+   * One run of a counter between two crashes. Random steps drive it as the server does; any storage
+   * call may crash it.
    */
   private static final class CounterRun {
     final SimulatedStorage storage;
     final SplittableRandom random;
     final CounterTable table;
-    final CounterOperations counts;
-    final GroupCommit commit = new GroupCommit(GroupCommit.Durability.ALWAYS, 0);
+    final CounterOperations operations;
+    final GroupCommit groupCommit = new GroupCommit(GroupCommit.Durability.ALWAYS, 0);
 
-    /** What the names were at the end of each group, by its number. */
-    final TreeMap<Long, Map<String, String>> states = new TreeMap<>();
+    /** State of the table at the end of each group, by group number. */
+    final TreeMap<Long, Map<String, String>> statesByGroup = new TreeMap<>();
 
-    final List<Long> acknowledged = new ArrayList<>();
+    final List<Long> acknowledgedGroups = new ArrayList<>();
 
     /**
-     * What snapshots held that were begun anew since: they may have changes of the group that was
-     * open.
+     * States of the table in the snapshots with which the log was restarted since; they may contain
+     * changes of the open group.
      */
-    final List<Map<String, String>> anew = new ArrayList<>();
+    final List<Map<String, String>> snapshotStates = new ArrayList<>();
 
-    long time;
+    long nowMillis;
     LogWriter log;
-    GroupCommit.LogWork work;
-    GroupCommit.LogWork offered;
+    GroupCommit.LogWork workInFlight;
+    GroupCommit.LogWork offeredWork;
     SnapshotWriter snapshot;
-    SnapshotIterator walk;
-    Iterator<SnapshotIterator.SnapshotPart> parts;
-    long covered;
-    long walkedTo = -1;
+    SnapshotIterator iterator;
+    Iterator<SnapshotIterator.SnapshotPart> remainingParts;
+    long coveredSequence;
+    long snapshotGroup = -1;
 
-    CounterRun(SimulatedStorage storage, SplittableRandom random, long time) throws IOException {
+    CounterRun(SimulatedStorage storage, SplittableRandom random, long nowMillis)
+        throws IOException {
       this.storage = storage;
       this.random = random;
       table = new CounterTable(random.nextLong(), 8);
-      counts = new CounterOperations(table, Long.MAX_VALUE);
-      Recovery.Result found = Recovery.recover(storage, table, bytes -> {});
-      this.time = Math.max(time, found.latestTimeMillis());
-      states.put(0L, state(table, this.time));
-      acknowledged.add(0L);
-      anew(found.lastSequence());
+      operations = new CounterOperations(table, Long.MAX_VALUE);
+      Recovery.Result recovered = Recovery.recover(storage, table, bytes -> {});
+      this.nowMillis = Math.max(nowMillis, recovered.latestTimeMillis());
+      statesByGroup.put(0L, tableState(table, this.nowMillis));
+      acknowledgedGroups.add(0L);
+      restartLog(recovered.lastSequence());
     }
 
     /**
-     * A snapshot of all in a new file, then a new segment: at the start and after a sync that
-     * failed.
+     * Writes a snapshot of the whole table, then creates a new segment: at the start and after a
+     * failed sync.
      */
-    void anew(long sequence) throws IOException {
-      anew.add(state(table, Long.MIN_VALUE));
-      SnapshotWriter all = new SnapshotWriter(storage, sequence);
-      SnapshotIterator through = new SnapshotIterator(table);
-      for (List<SnapshotIterator.SnapshotPart> piece = through.next(time);
-          !piece.isEmpty();
-          piece = through.next(time)) {
-        for (SnapshotIterator.SnapshotPart part : piece) {
-          all.write(part.changes(), part.nameCount(), time);
+    void restartLog(long lastSequence) throws IOException {
+      snapshotStates.add(tableState(table, Long.MIN_VALUE));
+      SnapshotWriter writer = new SnapshotWriter(storage, lastSequence);
+      SnapshotIterator tableIterator = new SnapshotIterator(table);
+      for (List<SnapshotIterator.SnapshotPart> chunk = tableIterator.next(nowMillis);
+          !chunk.isEmpty();
+          chunk = tableIterator.next(nowMillis)) {
+        for (SnapshotIterator.SnapshotPart part : chunk) {
+          writer.write(part.changes(), part.nameCount(), nowMillis);
         }
       }
-      all.finish(time);
-      log = new LogWriter(storage, sequence);
-      SnapshotWriter.deleteObsoleteFiles(storage, sequence);
-      commit.onResumed();
+      writer.finish(nowMillis);
+      log = new LogWriter(storage, lastSequence);
+      SnapshotWriter.deleteObsoleteFiles(storage, lastSequence);
+      groupCommit.onResumed();
     }
 
     void step() throws IOException {
-      time += random.nextInt(3);
+      nowMillis += random.nextInt(3);
       switch (random.nextInt(12)) {
-        case 0 -> begin();
-        case 1, 2 -> perform();
-        case 3 -> snapshot();
+        case 0 -> beginWork();
+        case 1, 2 -> performWork();
+        case 3 -> stepSnapshot();
         case 4 -> {
           storage.failingSyncs = random.nextInt(40) == 0 ? 1 : storage.failingSyncs;
           storage.freeBytes = random.nextInt(10) > 0 ? Long.MAX_VALUE : random.nextInt(200);
@@ -100,171 +104,188 @@
     }
 
     void change() {
-      openGroup();
+      reclaimOpenGroup();
       byte[] name = ("n" + random.nextInt(NAMES)).getBytes(StandardCharsets.UTF_8);
       try {
-        ChangeRecord to = commit.reserve(2 * CounterOperations.maxChangeBytes(name));
+        ChangeRecord changes = groupCommit.reserve(2 * CounterOperations.maxChangeBytes(name));
         switch (random.nextInt(8)) {
-          case 0 -> counts.delete(name, time, to);
+          case 0 -> operations.delete(name, nowMillis, changes);
           case 1 ->
-              counts.expire(
+              operations.expire(
                   name,
-                  time + random.nextInt(20),
+                  nowMillis + random.nextInt(20),
                   CounterOperations.ExpiryCondition.ALWAYS,
-                  time,
-                  to);
+                  nowMillis,
+                  changes);
           case 2 ->
-              counts.add(name, new DecimalAmount(random.nextInt(-500, 500), true), 30, time, to);
-          default -> counts.add(name, new DecimalAmount(random.nextInt(9), false), 0, time, to);
+              operations.add(
+                  name, new DecimalAmount(random.nextInt(-500, 500), true), 30, nowMillis, changes);
+          default ->
+              operations.add(
+                  name, new DecimalAmount(random.nextInt(9), false), 0, nowMillis, changes);
         }
-        states.put(commit.openGroupNumber(), state(table, Long.MIN_VALUE));
+        statesByGroup.put(groupCommit.openGroupNumber(), tableState(table, Long.MIN_VALUE));
       } catch (CommandException e) {
-        // Refused: nothing has changed.
+        // Rejected: nothing has changed.
       }
-      table.sweepExpired(time, 3);
+      table.sweepExpired(nowMillis, 3);
     }
 
-    void begin() {
-      openGroup();
-      if (work == null) {
-        work = commit.nextWork(time);
+    void beginWork() {
+      reclaimOpenGroup();
+      if (workInFlight == null) {
+        workInFlight = groupCommit.nextWork(nowMillis);
       } else {
-        offered = commit.offerOpenGroup(time);
+        offeredWork = groupCommit.offerOpenGroup(nowMillis);
       }
     }
 
-    /** As the event loop does: it withdraws what was offered, or finds it taken. */
-    void openGroup() {
-      if (commit.hasOffer() && offered != null) {
-        commit.onOfferWithdrawn();
-        offered = null;
-      } else if (commit.hasOffer()) {
-        commit.onOfferTaken();
+    /** Withdraws the offered group or finds that it was taken, as the event loop does. */
+    void reclaimOpenGroup() {
+      if (groupCommit.hasOffer() && offeredWork != null) {
+        groupCommit.onOfferWithdrawn();
+        offeredWork = null;
+      } else if (groupCommit.hasOffer()) {
+        groupCommit.onOfferTaken();
       }
     }
 
-    void perform() throws IOException {
-      if (work == null) {
+    void performWork() throws IOException {
+      if (workInFlight == null) {
         return;
       }
       try {
-        log.append(work.record());
+        log.append(workInFlight.record());
         log.sync();
-        GroupCommit.LogWork next = random.nextBoolean() ? offered : null;
-        offered = next == null ? offered : null;
-        commit.onWorkDone(work.groupNumber());
-        anew.clear();
-        acknowledged.add(work.groupNumber());
-        work = next;
+        GroupCommit.LogWork takenOffer = random.nextBoolean() ? offeredWork : null;
+        offeredWork = takenOffer == null ? offeredWork : null;
+        groupCommit.onWorkDone(workInFlight.groupNumber());
+        snapshotStates.clear();
+        acknowledgedGroups.add(workInFlight.groupNumber());
+        workInFlight = takenOffer;
         return;
       } catch (IOException e) {
-        commit.onStalled("disk");
+        groupCommit.onStalled("disk");
         if (!log.isAbandoned()) {
-          return; // Tried again.
+          return; // The work is retried.
         }
         if (snapshot != null) {
           snapshot.abandon();
           snapshot = null;
         }
-        openGroup();
+        reclaimOpenGroup();
         storage.freeBytes = Long.MAX_VALUE;
         storage.failingSyncs = 0;
-        anew(log.lastSequence());
+        restartLog(log.lastSequence());
       }
-      acknowledged.add(work.groupNumber());
-      work = null;
+      acknowledgedGroups.add(workInFlight.groupNumber());
+      workInFlight = null;
     }
 
-    void snapshot() throws IOException {
+    void stepSnapshot() throws IOException {
       try {
         if (snapshot == null) {
-          if (work == null && !log.isAbandoned()) {
-            covered = log.roll();
-            snapshot = new SnapshotWriter(storage, covered);
-            walk = new SnapshotIterator(table);
-            parts = walk.next(time).iterator();
-            walkedTo = commit.openGroupNumber();
+          if (workInFlight == null && !log.isAbandoned()) {
+            coveredSequence = log.roll();
+            snapshot = new SnapshotWriter(storage, coveredSequence);
+            iterator = new SnapshotIterator(table);
+            remainingParts = iterator.next(nowMillis).iterator();
+            snapshotGroup = groupCommit.openGroupNumber();
           }
-        } else if (parts.hasNext()) {
-          SnapshotIterator.SnapshotPart part = parts.next();
-          snapshot.write(part.changes(), part.nameCount(), time);
-        } else if (walkedTo >= 0 && walkedTo < acknowledged.get(acknowledged.size() - 1)) {
-          SnapshotWriter ending = snapshot;
+        } else if (remainingParts.hasNext()) {
+          SnapshotIterator.SnapshotPart part = remainingParts.next();
+          snapshot.write(part.changes(), part.nameCount(), nowMillis);
+        } else if (snapshotGroup >= 0
+            && snapshotGroup < acknowledgedGroups.get(acknowledgedGroups.size() - 1)) {
+          SnapshotWriter completeSnapshot = snapshot;
           snapshot = null;
-          ending.finish(time);
-          SnapshotWriter.deleteObsoleteFiles(storage, covered);
+          completeSnapshot.finish(nowMillis);
+          SnapshotWriter.deleteObsoleteFiles(storage, coveredSequence);
         }
       } catch (IOException e) {
         snapshot = null;
         if (log.isAbandoned()) {
           storage.freeBytes = Long.MAX_VALUE;
           storage.failingSyncs = 0;
-          anew(log.lastSequence());
+          restartLog(log.lastSequence());
         }
       }
     }
   }
 
-  private static Map<String, String> state(CounterTable table, long now) {
-    Map<String, String> all = new TreeMap<>();
-    for (int i = 0; i < table.shardCount(); i++) {
+  private static Map<String, String> tableState(CounterTable table, long nowMillis) {
+    Map<String, String> entries = new TreeMap<>();
+    for (int shard = 0; shard < table.shardCount(); shard++) {
       table.visitShard(
-          i,
-          now,
-          (name, amount, expiry) ->
-              all.put(new String(name, StandardCharsets.UTF_8), amount + " until " + expiry));
+          shard,
+          nowMillis,
+          (name, amount, expiryMillis) ->
+              entries.put(
+                  new String(name, StandardCharsets.UTF_8), amount + " until " + expiryMillis));
     }
-    return all;
+    return entries;
   }
 
-  private static Map<String, String> alive(Map<String, String> state, long now) {
-    Map<String, String> left = new TreeMap<>(state);
-    left.values()
+  private static Map<String, String> unexpired(Map<String, String> state, long nowMillis) {
+    Map<String, String> remaining = new TreeMap<>(state);
+    remaining
+        .values()
         .removeIf(
-            v -> !v.endsWith(" 0") && Long.parseLong(v.substring(v.lastIndexOf(' ') + 1)) <= now);
-    return left;
+            value ->
+                !value.endsWith(" 0")
+                    && Long.parseLong(value.substring(value.lastIndexOf(' ') + 1)) <= nowMillis);
+    return remaining;
   }
 
   /**
-   * After any crash the names are as they were at the end of some group not before the last
-   * acknowledged one.
+   * After any crash the table has the state at the end of the last acknowledged group or of a later
+   * one.
    */
   @Property(tries = 1_000, seed = "15", edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
   void acknowledgedChanges_surviveEveryCrash(@ForAll long seed) throws IOException {
     SplittableRandom random = new SplittableRandom(seed);
     SimulatedStorage storage = new SimulatedStorage(random.nextLong());
-    CounterRun life = null;
-    long time = 1_000;
+    CounterRun run = null;
+    long startMillis = 1_000;
     for (int crash = 0; crash < 5; crash++) {
-      CounterRun before = life;
+      CounterRun previousRun = run;
       storage.callsUntilCrash = -1;
       storage.freeBytes = Long.MAX_VALUE;
       storage.failingSyncs = 0;
-      life = new CounterRun(storage, random, time);
-      if (before != null) {
-        long from = before.acknowledged.get(before.acknowledged.size() - 1);
-        long now = life.time;
-        Map<String, String> found = life.states.get(0L);
-        List<Map<String, String>> may = new ArrayList<>();
-        may.add(alive(before.states.floorEntry(from).getValue(), now));
-        before.anew.forEach(s -> may.add(alive(s, now)));
-        before.states.tailMap(from, false).values().forEach(s -> may.add(alive(s, now)));
-        assertTrue(may.contains(found), () -> "found " + found + "\nwhich is none of " + may);
+      run = new CounterRun(storage, random, startMillis);
+      if (previousRun != null) {
+        long lastAcknowledged =
+            previousRun.acknowledgedGroups.get(previousRun.acknowledgedGroups.size() - 1);
+        long nowMillis = run.nowMillis;
+        Map<String, String> recovered = run.statesByGroup.get(0L);
+        List<Map<String, String>> permitted = new ArrayList<>();
+        permitted.add(
+            unexpired(
+                previousRun.statesByGroup.floorEntry(lastAcknowledged).getValue(), nowMillis));
+        previousRun.snapshotStates.forEach(state -> permitted.add(unexpired(state, nowMillis)));
+        previousRun
+            .statesByGroup
+            .tailMap(lastAcknowledged, false)
+            .values()
+            .forEach(state -> permitted.add(unexpired(state, nowMillis)));
+        assertTrue(
+            permitted.contains(recovered),
+            () -> "recovered " + recovered + "\nexpected one of " + permitted);
       }
       storage.callsUntilCrash = random.nextInt(300);
       try {
         for (int i = 0; i < 400; i++) {
-          life.step();
+          run.step();
         }
       } catch (SimulatedStorage.Crash e) {
-        // Gone.
+        // The run ends here.
       }
-      time = life.time - random.nextInt(50); // The wall clock may have been set back.
+      startMillis = run.nowMillis - random.nextInt(50); // The wall clock may have been set back.
       storage.crash();
     }
   }
 
-  private static SimulatedStorage written(int records) throws IOException {
+  private static SimulatedStorage newLog(int records) throws IOException {
     SimulatedStorage storage = new SimulatedStorage(1);
     LogWriter log = new LogWriter(storage, 0);
     for (int i = 0; i < records; i++) {
@@ -277,22 +298,22 @@
   }
 
   @Example
-  void tornLastRecord_isCutOffAndReported() throws IOException {
-    SimulatedStorage storage = written(3);
+  void tornLastRecord_isTruncatedAndReported() throws IOException {
+    SimulatedStorage storage = newLog(3);
     String name = LogFormat.FileKind.SEGMENT.fileName(1);
     storage.flipBit(name, (int) storage.open(name).size() - 1);
     CounterTable table = new CounterTable(1);
-    Recovery.Result found = Recovery.recover(storage, table, b -> {});
-    assertEquals(2, found.lastSequence());
+    Recovery.Result recovered = Recovery.recover(storage, table, b -> {});
+    assertEquals(2, recovered.lastSequence());
     assertEquals(new DecimalAmount(2, false), table.get(new byte[] {'n'}, 0));
     assertEquals(
-        List.of(name + ": cut off 44 bytes of a torn record at offset 104"), found.warnings());
+        List.of(name + ": cut off 44 bytes of a torn record at offset 104"), recovered.warnings());
     assertEquals(104, storage.open(name).size());
   }
 
   @Example
   void damageBeforeTheEnd_isRejected() throws IOException {
-    SimulatedStorage storage = written(3);
+    SimulatedStorage storage = newLog(3);
     storage.flipBit(LogFormat.FileKind.SEGMENT.fileName(1), 16 + 44 + 30);
     IOException e =
         assertThrows(
@@ -304,8 +325,8 @@
   }
 
   @Example
-  void missingSegment_isDamage() throws IOException {
-    SimulatedStorage storage = written(2);
+  void missingSegment_isReportedAsCorruption() throws IOException {
+    SimulatedStorage storage = newLog(2);
     LogWriter later = new LogWriter(storage, 5);
     later.close();
     assertThrows(
@@ -313,11 +334,11 @@
   }
 
   /**
-   * Also when nothing else is synced, as under `none`: else a whole segment could follow one with a
-   * hole.
+   * This also holds when nothing else is synced, as with durability `none`: otherwise a valid
+   * segment could follow one with missing records.
    */
   @Example
-  void segment_isDurableBeforeTheNextBegins() throws IOException {
+  void segment_isDurableBeforeTheNextIsCreated() throws IOException {
     SimulatedStorage storage = new SimulatedStorage(1);
     LogWriter log = new LogWriter(storage, 0);
     for (int i = 0; i < 40; i++) {
@@ -331,24 +352,24 @@
   }
 
   @Example
-  void damagedSnapshot_isLeftAsideAndTheLogRead() throws IOException {
-    SimulatedStorage storage = written(3);
+  void damagedSnapshot_isIgnoredAndTheLogReplayed() throws IOException {
+    SimulatedStorage storage = newLog(3);
     CounterTable table = new CounterTable(1);
     Recovery.recover(storage, table, b -> {});
     SnapshotWriter snapshot = new SnapshotWriter(storage, 3);
     snapshot.write(new SnapshotIterator(table).next(0).get(0).changes(), 1, 0);
     snapshot.finish(0);
-    storage.flipBit(LogFormat.FileKind.SNAPSHOT.fileName(3), 16 + 44 + 30); // In its end.
-    CounterTable again = new CounterTable(1);
-    Recovery.Result found = Recovery.recover(storage, again, b -> {});
-    assertEquals(3, found.lastSequence());
+    storage.flipBit(LogFormat.FileKind.SNAPSHOT.fileName(3), 16 + 44 + 30); // In the end record.
+    CounterTable recoveredTable = new CounterTable(1);
+    Recovery.Result recovered = Recovery.recover(storage, recoveredTable, b -> {});
+    assertEquals(3, recovered.lastSequence());
     assertEquals(
-        List.of("snapshot-00000000000000000003.snap: not whole, left aside"), found.warnings());
-    assertEquals(new DecimalAmount(3, false), again.get(new byte[] {'n'}, 0));
+        List.of("snapshot-00000000000000000003.snap: not whole, left aside"), recovered.warnings());
+    assertEquals(new DecimalAmount(3, false), recoveredTable.get(new byte[] {'n'}, 0));
   }
 
   @Example
-  void afterAFailedSync_nothingIsAppended() throws IOException {
+  void failedSync_preventsFurtherAppends() throws IOException {
     SimulatedStorage storage = new SimulatedStorage(1);
     LogWriter log = new LogWriter(storage, 0);
     ChangeRecord changes = new ChangeRecord(64);
--- a/src/test/java/fawndock/counter/storage/SimulatedStorage.java
+++ b/src/test/java/fawndock/counter/storage/SimulatedStorage.java
@@ -10,183 +10,198 @@
 import java.util.SplittableRandom;
 
 /**
- * A disk that keeps no promise that it need not keep: at a crash each unsynced sector, and each
- * unsynced change of the directory, is there or not by itself. It can be full, fail a sync and lose
- * what that covered, and crash at any call.
+ * Simulated disk with the weakest permitted guarantees: at a crash each unsynced sector and each
+ * unsynced change of the directory independently survives or is lost. It can be full, fail a sync
+ * and lose the data covered by it, and crash at any call.
  */
 public final class SimulatedStorage implements Storage {
-  /** The process is gone. */
+  /** Simulates a crash of the process. */
   public static final class Crash extends Error {
     private static final long serialVersionUID = 1L;
   }
 
-  private static final int SECTOR = 32;
+  private static final int SECTOR_BYTES = 32;
 
   private static final class FileContent {
-    byte[] seen = new byte[0];
-    byte[] kept = new byte[0];
-    final List<long[]> unsynced = new ArrayList<>(); // From and to, or a size cut to and -1.
+    byte[] visibleBytes = new byte[0];
+    byte[] durableBytes = new byte[0];
+    final List<long[]> unsyncedRanges =
+        new ArrayList<>(); // Start and end of a write, or the new size and -1.
   }
 
   private final SplittableRandom random;
-  private Map<String, FileContent> seen = new HashMap<>();
-  private final Map<String, FileContent> kept = new HashMap<>();
-  private final List<Runnable> unsynced = new ArrayList<>();
+  private Map<String, FileContent> visibleFiles = new HashMap<>();
+  private final Map<String, FileContent> durableFiles = new HashMap<>();
+  private final List<Runnable> unsyncedChanges = new ArrayList<>();
 
-  /** Bytes that can still be written. */
+  /** Remaining free space in bytes. */
   public long freeBytes = Long.MAX_VALUE;
 
-  /** Syncs of files that fail from now on. */
+  /** Number of the next file syncs that fail. */
   public int failingSyncs;
 
-  /** Calls until the crash; below 0 for none. */
+  /** Number of calls until the crash; negative for no crash. */
   public int callsUntilCrash = -1;
 
   public SimulatedStorage(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  private void call() {
+  private void countCall() {
     if (callsUntilCrash >= 0 && callsUntilCrash-- == 0) {
       throw new Crash();
     }
   }
 
-  /** What is left after the crash: the disk goes on as that. */
+  /** Continues with the state of the disk after a crash. */
   public void crash() {
     callsUntilCrash = -1;
-    unsynced.stream().filter(op -> random.nextBoolean()).forEach(Runnable::run);
-    unsynced.clear();
-    seen = new HashMap<>(kept);
-    for (FileContent node : seen.values()) {
-      persist(node);
-      node.seen = node.kept.clone();
+    unsyncedChanges.stream().filter(change -> random.nextBoolean()).forEach(Runnable::run);
+    unsyncedChanges.clear();
+    visibleFiles = new HashMap<>(durableFiles);
+    for (FileContent content : visibleFiles.values()) {
+      persist(content);
+      content.visibleBytes = content.durableBytes.clone();
     }
   }
 
-  private void persist(FileContent node) {
-    for (long[] op : node.unsynced) {
-      if (op[1] < 0) {
-        node.kept =
+  private void persist(FileContent content) {
+    for (long[] range : content.unsyncedRanges) {
+      if (range[1] < 0) {
+        content.durableBytes =
             random.nextBoolean()
-                ? Arrays.copyOf(node.kept, (int) Math.min(op[0], node.kept.length))
-                : node.kept;
+                ? Arrays.copyOf(
+                    content.durableBytes, (int) Math.min(range[0], content.durableBytes.length))
+                : content.durableBytes;
         continue;
       }
-      for (long from = op[0]; from < op[1]; from = Math.min(op[1], (from / SECTOR + 1) * SECTOR)) {
-        int to = (int) Math.min(Math.min(op[1], (from / SECTOR + 1) * SECTOR), node.seen.length);
+      for (long from = range[0];
+          from < range[1];
+          from = Math.min(range[1], (from / SECTOR_BYTES + 1) * SECTOR_BYTES)) {
+        int to =
+            (int)
+                Math.min(
+                    Math.min(range[1], (from / SECTOR_BYTES + 1) * SECTOR_BYTES),
+                    content.visibleBytes.length);
         if (random.nextBoolean() && from < to) {
-          node.kept = Arrays.copyOf(node.kept, Math.max(node.kept.length, to));
-          System.arraycopy(node.seen, (int) from, node.kept, (int) from, to - (int) from);
+          content.durableBytes =
+              Arrays.copyOf(content.durableBytes, Math.max(content.durableBytes.length, to));
+          System.arraycopy(
+              content.visibleBytes, (int) from, content.durableBytes, (int) from, to - (int) from);
         }
       }
     }
-    node.unsynced.clear();
+    content.unsyncedRanges.clear();
   }
 
   @Override
   public List<String> list() {
-    return new ArrayList<>(seen.keySet());
+    return new ArrayList<>(visibleFiles.keySet());
   }
 
   @Override
   public File create(String name) {
-    FileContent node = new FileContent();
-    seen.put(name, node);
-    unsynced.add(() -> kept.put(name, node));
-    call();
-    return new OpenFile(node);
+    FileContent content = new FileContent();
+    visibleFiles.put(name, content);
+    unsyncedChanges.add(() -> durableFiles.put(name, content));
+    countCall();
+    return new OpenFile(content);
   }
 
   @Override
   public File open(String name) {
-    return new OpenFile(seen.get(name));
+    return new OpenFile(visibleFiles.get(name));
   }
 
   @Override
   public void rename(String from, String to) {
-    FileContent node = seen.remove(from);
-    seen.put(to, node);
-    unsynced.add(
+    FileContent content = visibleFiles.remove(from);
+    visibleFiles.put(to, content);
+    unsyncedChanges.add(
         () -> {
-          kept.remove(from);
-          kept.put(to, node);
+          durableFiles.remove(from);
+          durableFiles.put(to, content);
         });
-    call();
+    countCall();
   }
 
   @Override
   public void delete(String name) {
-    seen.remove(name);
-    unsynced.add(() -> kept.remove(name));
-    call();
+    visibleFiles.remove(name);
+    unsyncedChanges.add(() -> durableFiles.remove(name));
+    countCall();
   }
 
   @Override
   public void sync() {
-    call();
-    unsynced.forEach(Runnable::run);
-    unsynced.clear();
-    call();
+    countCall();
+    unsyncedChanges.forEach(Runnable::run);
+    unsyncedChanges.clear();
+    countCall();
   }
 
-  /** Changes a byte on the disk itself. */
-  public void flipBit(String name, int at) {
-    seen.get(name).seen[at] ^= 1;
-    seen.get(name).kept[at] ^= 1;
+  /** Flips a bit of a byte in the visible and durable content of a file. */
+  public void flipBit(String name, int offset) {
+    visibleFiles.get(name).visibleBytes[offset] ^= 1;
+    visibleFiles.get(name).durableBytes[offset] ^= 1;
   }
 
   private final class OpenFile implements File {
-    private final FileContent node;
+    private final FileContent content;
 
-    OpenFile(FileContent node) {
-      this.node = node;
+    OpenFile(FileContent content) {
+      this.content = content;
     }
 
     @Override
     public long size() {
-      return node.seen.length;
+      return content.visibleBytes.length;
     }
 
     @Override
-    public int read(ByteBuffer to, long at) {
-      int many = (int) Math.max(0, Math.min(to.remaining(), node.seen.length - at));
-      to.put(node.seen, (int) at, many);
-      return many;
+    public int read(ByteBuffer target, long offset) {
+      int byteCount =
+          (int) Math.max(0, Math.min(target.remaining(), content.visibleBytes.length - offset));
+      target.put(content.visibleBytes, (int) offset, byteCount);
+      return byteCount;
     }
 
     @Override
-    public void write(ByteBuffer from, long at) throws IOException {
-      int wanted = from.remaining();
-      int many = (int) Math.min(wanted, freeBytes);
-      freeBytes -= freeBytes == Long.MAX_VALUE ? 0 : many;
-      node.seen = Arrays.copyOf(node.seen, (int) Math.max(node.seen.length, at + many));
-      from.get(node.seen, (int) at, many);
-      node.unsynced.add(new long[] {at, at + many});
-      call();
-      if (many < wanted) {
+    public void write(ByteBuffer source, long offset) throws IOException {
+      int requestedBytes = source.remaining();
+      int byteCount = (int) Math.min(requestedBytes, freeBytes);
+      freeBytes -= freeBytes == Long.MAX_VALUE ? 0 : byteCount;
+      content.visibleBytes =
+          Arrays.copyOf(
+              content.visibleBytes,
+              (int) Math.max(content.visibleBytes.length, offset + byteCount));
+      source.get(content.visibleBytes, (int) offset, byteCount);
+      content.unsyncedRanges.add(new long[] {offset, offset + byteCount});
+      countCall();
+      if (byteCount < requestedBytes) {
         throw new IOException("no space left");
       }
     }
 
     @Override
     public void truncate(long size) {
-      node.seen = Arrays.copyOf(node.seen, (int) Math.min(size, node.seen.length));
-      node.unsynced.add(new long[] {size, -1});
-      call();
+      content.visibleBytes =
+          Arrays.copyOf(content.visibleBytes, (int) Math.min(size, content.visibleBytes.length));
+      content.unsyncedRanges.add(new long[] {size, -1});
+      countCall();
     }
 
     @Override
     public void sync() throws IOException {
-      call();
+      countCall();
       if (failingSyncs > 0) {
         failingSyncs--;
-        persist(node); // Some of it; the rest is never tried again.
+        persist(content); // Persists a random part; the rest is lost for good.
         throw new IOException("sync failed");
       }
-      node.kept = node.seen.clone();
-      node.unsynced.clear();
-      call();
+      content.durableBytes = content.visibleBytes.clone();
+      content.unsyncedRanges.clear();
+      countCall();
     }
 
     @Override
