--- a/src/main/java/fawndock/counter/replication/AddRateEstimator.java
+++ b/src/main/java/fawndock/counter/replication/AddRateEstimator.java
@@ -23,6 +23,7 @@
 
   private static final int MAX_ENTRIES = 200_000;
 
+  /** Key of a rate: a series of names and an origin. */
   private record Key(String series, long origin) {}
 
   /** Exponentially weighted average of the amount added per millisecond. */
--- a/src/main/java/fawndock/counter/replication/OwnSums.java
+++ b/src/main/java/fawndock/counter/replication/OwnSums.java
@@ -13,6 +13,7 @@
 final class OwnSums {
   private static final int MAX_NAMES = 200_000;
 
+  /** The amounts of one name with its expiry time. */
   private static final class OwnSum {
     DecimalAmount added = DecimalAmount.ZERO;
     DecimalAmount withdrawn = DecimalAmount.ZERO;
--- a/src/main/java/fawndock/counter/replication/ReplicaClient.java
+++ b/src/main/java/fawndock/counter/replication/ReplicaClient.java
@@ -20,6 +20,7 @@
   /** Value of {@code callId} if no call waits for the answer. */
   private static final long NO_CALL = 0;
 
+  /** Health of one node as seen by this client. */
   private static final class NodeHealth {
     boolean isHealthy;
 
@@ -33,6 +34,7 @@
     }
   }
 
+  /** A call that has not ended, with the nodes to which it was sent. */
   private static final class InFlightCall {
     final long id;
     final String name;
--- a/src/main/java/fawndock/counter/storage/CounterOperations.java
+++ b/src/main/java/fawndock/counter/storage/CounterOperations.java
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Checks that the memory limit allows one more name; without it, new names could fill the heap
-   * and stop the counter for all clients. May reject a new name while expired names are not swept
-   * yet.
+   * Checks that the memory limit allows one more name; without this check, new names could fill the
+   * heap and stop the counter for all clients. May reject a new name while expired names are not
+   * swept yet.
    *
    * @throws CommandException when the name would exceed the memory limit
    */
--- a/src/main/java/fawndock/counter/storage/CounterTable.java
+++ b/src/main/java/fawndock/counter/storage/CounterTable.java
@@ -23,6 +23,7 @@
     void onName(byte[] name, DecimalAmount amount, long expiryMillis);
   }
 
+  /** One shard: parallel arrays of slots, probed linearly. A slot is free if its name is null. */
   private static final class Shard {
     byte[][] names = new byte[MIN_SLOTS][];
     long[] unscaledValues = new long[MIN_SLOTS];
--- a/src/main/java/fawndock/counter/storage/Recovery.java
+++ b/src/main/java/fawndock/counter/storage/Recovery.java
@@ -13,8 +13,8 @@
  *
  * <p>Rules: an invalid record at the end of the log, with no valid record after it, is a torn write
  * from a crash and is truncated; any other invalid or missing record is damage, and recovery
- * changes nothing. The last acknowledged record, if it was damaged later, cannot be told from a
- * torn write.
+ * changes nothing. The last acknowledged record, if it was damaged later, is indistinguishable from
+ * a torn write.
  */
 public final class Recovery {
   /**
--- a/src/test/java/fawndock/counter/replication/ClusterSimulation.java
+++ b/src/test/java/fawndock/counter/replication/ClusterSimulation.java
@@ -31,6 +31,7 @@
   static final FailureDetectorTimeouts NODE_TIMEOUTS = new FailureDetectorTimeouts(150, 300);
   static final ClientTimeouts CLIENT_TIMEOUTS = new ClientTimeouts(25, 50, 100, 40);
 
+  /** An action scheduled for a time; events at the same time run in order of their numbers. */
   private record Event(long at, long number, Runnable action) {}
 
   /** A node with its counter table, which a crash may preserve or erase. */
@@ -94,7 +95,7 @@
 
     /**
      * Delivers a heartbeat of this node to another node, which processes it and answers if the list
-     * of this node is outdated or its own list does not contain this replica.
+     * of this node is outdated or the list of the receiver does not contain this node.
      */
     private void receiveHeartbeat(SimulatedNode receiver, Heartbeat heartbeat, int ownStartNumber) {
       MembershipList newer = receiver.replica.membershipNewerThan(heartbeat.membershipVersion());
@@ -426,6 +427,7 @@
     nowMillis = end;
   }
 
+  /** An action that runs on a node when a message reaches it. */
   private interface NodeAction {
     void run(SimulatedNode node);
   }
--- a/src/test/java/fawndock/counter/storage/CounterStorageTest.java
+++ b/src/test/java/fawndock/counter/storage/CounterStorageTest.java
@@ -22,6 +22,7 @@
 import net.jqwik.api.constraints.BigRange;
 import net.jqwik.api.constraints.Scale;
 
+/** Tests amounts, the clock, the counter table, group commit and log verification separately. */
 class CounterStorageTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/fawndock/counter/storage/SimulatedStorage.java
+++ b/src/test/java/fawndock/counter/storage/SimulatedStorage.java
@@ -22,6 +22,7 @@
 
   private static final int SECTOR_BYTES = 32;
 
+  /** Content of a file as visible to the process and as durable on the disk. */
   private static final class FileContent {
     byte[] visibleBytes = new byte[0];
     byte[] durableBytes = new byte[0];
@@ -146,6 +147,7 @@
     visibleFiles.get(name).durableBytes[offset] ^= 1;
   }
 
+  /** An open file; writes and syncs may fail as configured. */
   private final class OpenFile implements File {
     private final FileContent content;
 
