--- a/src/main/java/fawndock/counter/AmountCommands.java
+++ b/src/main/java/fawndock/counter/AmountCommands.java
@@ -46,7 +46,10 @@
     }
     DecimalAmount amount = new DecimalAmount(increment, false);
     call.reply()
-        .integer(call.operations().add(name, amount, 0, call.nowMillis(), call.changes()).digits());
+        .integer(
+            call.operations()
+                .add(name, amount, 0, call.nowMillis(), call.changes())
+                .unscaledValue());
   }
 
   private static void decrBy(CommandInvocation call) throws CommandException {
--- a/src/main/java/fawndock/counter/ClusterCommands.java
+++ b/src/main/java/fawndock/counter/ClusterCommands.java
@@ -61,7 +61,7 @@
     DecimalAmount added = DecimalAmount.parse(call.argument(index + 2));
     DecimalAmount withdrawn = DecimalAmount.parse(call.argument(index + 3));
     long timeToLiveMillis = call.integerArgument(index + 4);
-    if (added.digits() < 0 || withdrawn.digits() < 0) {
+    if (added.unscaledValue() < 0 || withdrawn.unscaledValue() < 0) {
       throw new CommandException("ERR a sum is not negative");
     }
     if (timeToLiveMillis <= 0 || timeToLiveMillis > Integer.MAX_VALUE) {
--- a/src/main/java/fawndock/counter/ClusterNode.java
+++ b/src/main/java/fawndock/counter/ClusterNode.java
@@ -103,7 +103,7 @@
       adoptMembership(MembershipList.parse(reply.substring(prefixLength)));
     } else if (reply.startsWith("-" + ClusterCommands.UNKNOWN_NODE_CODE)
         && replica.peers().contains(peerName)) {
-      replica.onNotOnPeersList(peerName, clock.nowMillis());
+      replica.onUnknownToPeer(peerName, clock.nowMillis());
     }
   }
 
--- a/src/main/java/fawndock/counter/NameCommands.java
+++ b/src/main/java/fawndock/counter/NameCommands.java
@@ -170,7 +170,7 @@
     List<byte[]> names = new ArrayList<>();
     byte[] matchPattern = pattern;
     long visitedCount = 0;
-    while (shard >= 0 && shard < table.shards() && visitedCount < requestedCount) {
+    while (shard >= 0 && shard < table.shardCount() && visitedCount < requestedCount) {
       int countBefore = names.size();
       long[] visitedInShard = {0};
       table.visitShard(
@@ -185,7 +185,7 @@
       visitedCount += Math.max(visitedInShard[0], names.size() - countBefore);
     }
     call.reply().beginArray(2);
-    call.reply().bulkString(Long.toString(shard >= 0 && shard < table.shards() ? shard : 0));
+    call.reply().bulkString(Long.toString(shard >= 0 && shard < table.shardCount() ? shard : 0));
     call.reply().beginArray(excludesAll ? 0 : names.size());
     if (!excludesAll) {
       names.forEach(call.reply()::bulkString);
--- a/src/main/java/fawndock/settings/RateLimitSection.java
+++ b/src/main/java/fawndock/settings/RateLimitSection.java
@@ -54,7 +54,7 @@
       int equalsSign = entry.indexOf('=');
       if (equalsSign <= 0 || equalsSign == entry.length() - 1) {
         arguments.addError(
-            "'" + entry + "' is no valid entry of a descriptor",
+            "'" + entry + "' is no entry of a descriptor",
             "KEY=VALUE, or KEY=* for any value");
       } else {
         entries.add(Map.entry(entry.substring(0, equalsSign), entry.substring(equalsSign + 1)));
--- a/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
+++ b/src/test/java/fawndock/counter/StoredDataCompatibilityTest.java
@@ -44,7 +44,7 @@
 
   private static Map<String, String> state(CounterTable table, long now) {
     Map<String, String> state = new TreeMap<>();
-    for (int shard = 0; shard < table.shards(); shard++) {
+    for (int shard = 0; shard < table.shardCount(); shard++) {
       table.visitShard(
           shard,
           now,
@@ -56,7 +56,7 @@
 
   private static String describe(DecimalAmount amount, long expiry) {
     String kind = amount.isFraction() ? "fraction" : "whole";
-    return kind + " " + amount.digits() + " expires " + expiry;
+    return kind + " " + amount.unscaledValue() + " expires " + expiry;
   }
 
   private static Map<String, String> expectedState(String fixture) throws IOException {
@@ -281,7 +281,7 @@
 
   private static int shardOf(CounterTable table, byte[] name) {
     boolean[] found = {false};
-    for (int shard = 0; shard < table.shards(); shard++) {
+    for (int shard = 0; shard < table.shardCount(); shard++) {
       table.visitShard(
           shard,
           NO_TIME,
