--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -1,6 +1,6 @@
 package fawndock.cli;
 
-import fawndock.experiment.Build;
+import fawndock.experiment.BuildHash;
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
 import fawndock.experiment.ExperimentRunner;
@@ -63,7 +63,7 @@
     try (ResultStore results = ResultStore.open(folder)) {
       Experiment experiment = ExperimentFile.read(file);
       ExperimentRunner runner =
-          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, Build.running());
+          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, BuildHash.running());
       int left = runner.left(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
--- a/src/main/java/fawndock/experiment/Build.java
+++ b/src/main/java/fawndock/experiment/BuildHash.java
@@ -18,7 +18,7 @@
  * Tells builds apart: results of other decisions, or of another model, are not taken for those of
  * this one.
  */
-public final class Build {
+public final class BuildHash {
   private static final int SHOWN = 16;
 
   /** What a simulated run depends on. */
@@ -32,7 +32,7 @@
           "fawndock/conformance/",
           "fawndock/counter/storage/");
 
-  private Build() {}
+  private BuildHash() {}
 
   /** A short hash of some texts. */
   public static String hash(String... texts) {
@@ -55,7 +55,7 @@
   /** Of the classes that this program runs with. */
   public static String running() throws IOException {
     try {
-      Path from = Path.of(Build.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      Path from = Path.of(BuildHash.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       if (Files.isDirectory(from)) {
         return of(from);
       }
--- a/src/main/java/fawndock/experiment/ExperimentRunner.java
+++ b/src/main/java/fawndock/experiment/ExperimentRunner.java
@@ -47,7 +47,7 @@
       DeploymentFile.ParsedDeployment read = scenarios.get(run.values());
       planned.add(
           new PlannedRun(
-              Build.hash(read.effectiveSettings(), Long.toString(run.seed()), build), run, read));
+              BuildHash.hash(read.effectiveSettings(), Long.toString(run.seed()), build), run, read));
     }
   }
 
