--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -5,7 +5,7 @@
 import fawndock.experiment.ExperimentFile;
 import fawndock.experiment.ExperimentRunner;
 import fawndock.experiment.ResultStore;
-import fawndock.experiment.ResultTable;
+import fawndock.experiment.ResultStatistics;
 import fawndock.experiment.RunResult;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.settings.ConfigurationException;
@@ -84,7 +84,7 @@
   }
 
   private boolean told(Experiment experiment, List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> cells = ResultTable.by(all);
+    Map<Map<String, String>, List<RunResult>> cells = ResultStatistics.by(all);
     if (!quiet) {
       System.out.println("median (least..most) over the seeds, simulated:");
       cells.forEach(
@@ -93,7 +93,7 @@
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
             for (String figure : experiment.shown()) {
-              ResultTable.SeedSpread s = ResultTable.spread(outcomes, figure);
+              ResultStatistics.SeedSpread s = ResultStatistics.spread(outcomes, figure);
               line.append("  ")
                   .append(figure)
                   .append(' ')
@@ -109,7 +109,7 @@
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (ResultTable.ExpectationResult each : ResultTable.judge(experiment.expected(), all)) {
+    for (ResultStatistics.ExpectationResult each : ResultStatistics.judge(experiment.expected(), all)) {
       kept &= each.kept();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
@@ -146,7 +146,7 @@
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
           for (String figure : experiment.shown()) {
-            ResultTable.Difference d = ResultTable.difference(cells.get(with), outcomes, figure);
+            ResultStatistics.Difference d = ResultStatistics.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
                 .append(' ')
--- a/src/main/java/fawndock/experiment/ResultTable.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -11,7 +11,7 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /** Results put together: over seeds, against expectations, and seed by seed against each other. */
-public final class ResultTable {
+public final class ResultStatistics {
   private static final double CONFIDENCE = 0.95;
 
   /** A figure over the seeds of one cell. */
@@ -38,7 +38,7 @@
       int cells,
       int broken) {}
 
-  private ResultTable() {}
+  private ResultStatistics() {}
 
   /** Outcomes by their values, in the order in which they come. */
   public static Map<Map<String, String>, List<RunResult>> by(List<RunResult> all) {
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -1,7 +1,7 @@
 package fawndock.report;
 
 import fawndock.experiment.Experiment;
-import fawndock.experiment.ResultTable;
+import fawndock.experiment.ResultStatistics;
 import fawndock.experiment.RunResult;
 import fawndock.report.PlotSelection.Plot;
 import fawndock.simulation.DeploymentFile.FaultWindow;
@@ -111,12 +111,12 @@
   }
 
   private void expectations() {
-    List<ResultTable.ExpectationResult> judged = ResultTable.judge(experiment.expected(), after);
+    List<ResultStatistics.ExpectationResult> judged = ResultStatistics.judge(experiment.expected(), after);
     long bad =
         after.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).count();
     html.append(
         "<h2>Expected</h2><table><tr><th class=n>what<th class=n>holds<th>worst<th class=n>with<th>runs<th>break it");
-    for (ResultTable.ExpectationResult each : judged) {
+    for (ResultStatistics.ExpectationResult each : judged) {
       row(
           each.expect().text(),
           each.kept(),
@@ -151,7 +151,7 @@
         "<h2>All cells</h2><p>Median over the seeds, least and most in brackets.</p><table><tr><th class=n>cell");
     experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultTable.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
       if (rows++ >= MOST_ROWS) {
         html.append("<tr><td class=n>more are in results.csv");
         break;
@@ -159,7 +159,7 @@
       html.append("<tr><td class=n>")
           .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
       for (String figure : experiment.shown()) {
-        ResultTable.SeedSpread s = ResultTable.spread(cell.getValue(), figure);
+        ResultStatistics.SeedSpread s = ResultStatistics.spread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 s == null
@@ -177,23 +177,23 @@
 
   private void differences() {
     Map<String, Set<String>> varied = PlotSelection.varied(after);
-    Map<Map<String, String>, List<RunResult>> was = ResultTable.by(before);
+    Map<Map<String, String>, List<RunResult>> was = ResultStatistics.by(before);
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
     experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultTable.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
       if (!was.containsKey(cell.getKey()) || rows++ >= MOST_ROWS) {
         continue;
       }
       html.append("<tr><td class=n>")
           .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
       for (String figure : experiment.shown()) {
-        ResultTable.Difference d =
-            ResultTable.difference(was.get(cell.getKey()), cell.getValue(), figure);
-        ResultTable.SeedSpread a = ResultTable.spread(was.get(cell.getKey()), figure);
-        ResultTable.SeedSpread b = ResultTable.spread(cell.getValue(), figure);
+        ResultStatistics.Difference d =
+            ResultStatistics.difference(was.get(cell.getKey()), cell.getValue(), figure);
+        ResultStatistics.SeedSpread a = ResultStatistics.spread(was.get(cell.getKey()), figure);
+        ResultStatistics.SeedSpread b = ResultStatistics.spread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 d == null
@@ -214,14 +214,14 @@
     }
     html.append("</table>");
     int none =
-        (int) ResultTable.by(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
+        (int) ResultStatistics.by(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
     html.append(
         none == 0 ? "" : "<p>" + none + " cells have nothing before to be held against.</p>");
   }
 
   /** The course of some cells' first runs, spread evenly over all cells. */
   private void courses() throws IOException {
-    List<List<RunResult>> cells = List.copyOf(ResultTable.by(after).values());
+    List<List<RunResult>> cells = List.copyOf(ResultStatistics.by(after).values());
     Set<String> varied = PlotSelection.varied(after).keySet();
     int many = Math.min(MOST_COURSES, cells.size());
     html.append("<h2>How single runs went</h2>")
--- a/src/main/java/fawndock/report/PlotSelection.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -1,6 +1,6 @@
 package fawndock.report;
 
-import fawndock.experiment.ResultTable;
+import fawndock.experiment.ResultStatistics;
 import fawndock.experiment.RunResult;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -96,10 +96,10 @@
     Map<String, Map<String, double[]>> plots = new LinkedHashMap<>();
     sets.forEach(
         (set, outcomes) ->
-            ResultTable.by(outcomes)
+            ResultStatistics.by(outcomes)
                 .forEach(
                     (values, cell) -> {
-                      ResultTable.SeedSpread spread = ResultTable.spread(cell, figure);
+                      ResultStatistics.SeedSpread spread = ResultStatistics.spread(cell, figure);
                       String line =
                           (named(values, lineNames) + (set.isEmpty() ? "" : ", " + set))
                               .replaceFirst("^all, ", "");
