--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -63,7 +63,7 @@
     try (ResultStore results = ResultStore.open(folder)) {
       Experiment experiment = ExperimentFile.read(file);
       ExperimentRunner runner =
-          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, BuildHash.running());
+          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, BuildHash.ofRunningClasses());
       int left = runner.left(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
--- a/src/main/java/fawndock/experiment/BuildHash.java
+++ b/src/main/java/fawndock/experiment/BuildHash.java
@@ -53,7 +53,7 @@
   }
 
   /** Of the classes that this program runs with. */
-  public static String running() throws IOException {
+  public static String ofRunningClasses() throws IOException {
     try {
       Path from = Path.of(BuildHash.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       if (Files.isDirectory(from)) {
