--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -92,7 +92,7 @@
             StringBuilder line =
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
-            for (String figure : experiment.shown()) {
+            for (String figure : experiment.shownFigures()) {
               ResultStatistics.SeedSpread s = ResultStatistics.spread(outcomes, figure);
               line.append("  ")
                   .append(figure)
@@ -145,7 +145,7 @@
             return;
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
-          for (String figure : experiment.shown()) {
+          for (String figure : experiment.shownFigures()) {
             ResultStatistics.Difference d = ResultStatistics.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -23,7 +23,7 @@
     List<VariedVariable> varied,
     List<Map<String, List<String>>> skipped,
     List<Long> seeds,
-    List<String> shown,
+    List<String> shownFigures,
     List<Expectation> expected,
     VariedVariable compare,
     String axis) {
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -78,7 +78,7 @@
       sets.put("before", before);
     }
     sets.put(before.isEmpty() ? "" : "after", after);
-    for (String figure : experiment.shown()) {
+    for (String figure : experiment.shownFigures()) {
       for (Plot plot : PlotSelection.along(experiment.axis(), figure, sets)) {
         draw(plot, List.of());
       }
@@ -149,7 +149,7 @@
     Map<String, Set<String>> varied = PlotSelection.varied(after);
     html.append(
         "<h2>All cells</h2><p>Median over the seeds, least and most in brackets.</p><table><tr><th class=n>cell");
-    experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
+    experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
     for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
       if (rows++ >= MOST_ROWS) {
@@ -158,7 +158,7 @@
       }
       html.append("<tr><td class=n>")
           .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
-      for (String figure : experiment.shown()) {
+      for (String figure : experiment.shownFigures()) {
         ResultStatistics.SeedSpread s = ResultStatistics.spread(cell.getValue(), figure);
         html.append("<td>")
             .append(
@@ -181,7 +181,7 @@
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
-    experiment.shown().forEach(figure -> html.append("<th>").append(safe(figure)));
+    experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
     for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
       if (!was.containsKey(cell.getKey()) || rows++ >= MOST_ROWS) {
@@ -189,7 +189,7 @@
       }
       html.append("<tr><td class=n>")
           .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
-      for (String figure : experiment.shown()) {
+      for (String figure : experiment.shownFigures()) {
         ResultStatistics.Difference d =
             ResultStatistics.difference(was.get(cell.getKey()), cell.getValue(), figure);
         ResultStatistics.SeedSpread a = ResultStatistics.spread(was.get(cell.getKey()), figure);
