--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -24,7 +24,7 @@
     List<Map<String, List<String>>> skipped,
     List<Long> seeds,
     List<String> shownFigures,
-    List<Expectation> expected,
+    List<Expectation> expectations,
     VariedVariable compare,
     String axis) {
   /** A variable and the values that it takes in turns. */
