--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -105,7 +105,7 @@
             System.out.println(line);
           });
     }
-    if (experiment.compare() != null) {
+    if (experiment.baseline() != null) {
       differences(experiment, cells);
     }
     boolean kept = true;
@@ -132,8 +132,8 @@
 
   private static void differences(
       Experiment experiment, Map<Map<String, String>, List<RunResult>> cells) {
-    String name = experiment.compare().name();
-    String base = experiment.compare().values().get(0);
+    String name = experiment.baseline().name();
+    String base = experiment.baseline().values().get(0);
     System.out.printf(
         "difference from %s %s, mean over the same seeds [95%% interval]; * where it leaves out 0:%n",
         name, base);
--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -25,7 +25,7 @@
     List<Long> seeds,
     List<String> shownFigures,
     List<Expectation> expectations,
-    VariedVariable compare,
+    VariedVariable baseline,
     String axis) {
   /** A variable and the values that it takes in turns. */
   public record VariedVariable(String name, List<String> values) {}
