--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -42,7 +42,7 @@
     try {
       Experiment experiment = ExperimentFile.asRun(folder.resolve(ResultStore.EXPERIMENT));
       System.out.println(
-          new HtmlReport(experiment, experiment.inOrder(after), experiment.inOrder(was), folder)
+          new HtmlReport(experiment, experiment.inRunOrder(after), experiment.inRunOrder(was), folder)
               .write());
       return 0;
     } catch (ConfigurationException e) {
--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -93,7 +93,7 @@
    * Outcomes in the order of the runs, and others after them. Of several for the same values and
    * seed, by other settings or builds, those that were added last.
    */
-  public List<RunResult> inOrder(List<RunResult> all) {
+  public List<RunResult> inRunOrder(List<RunResult> all) {
     Map<Run, RunResult> last = new LinkedHashMap<>();
     runs().forEach(run -> last.put(run, null));
     all.forEach(o -> last.put(new Run(o.values(), o.seed()), o));
