--- a/src/main/java/fawndock/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -177,7 +177,7 @@
    * @throws ConfigurationException with every error when there is any
    */
   public static Experiment read(Path file) throws ConfigurationException {
-    Experiment read = asRun(file);
+    Experiment read = readWithoutScenario(file);
     for (Map<String, String> values : read.cells()) {
       DeploymentFile.read(read.scenario(), values);
     }
@@ -185,7 +185,7 @@
   }
 
   /** The same without a look at the scenario, which may be elsewhere by now. */
-  public static Experiment asRun(Path file) throws ConfigurationException {
+  public static Experiment readWithoutScenario(Path file) throws ConfigurationException {
     ExperimentFile f = new ExperimentFile(file);
     f.readLines(file);
     f.addFileErrorIf(f.scenario == null, "no scenario", "scenario FILE");
