--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -64,7 +64,7 @@
       Experiment experiment = ExperimentFile.read(file);
       ExperimentRunner runner =
           new ExperimentRunner(experiment, DefaultGatewayPolicy::new, BuildHash.ofRunningClasses());
-      int left = runner.left(results);
+      int left = runner.remainingRuns(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
           experiment.title(), experiment.runs().size(), left, jobs);
--- a/src/main/java/fawndock/experiment/ExperimentRunner.java
+++ b/src/main/java/fawndock/experiment/ExperimentRunner.java
@@ -54,7 +54,7 @@
   private record PlannedRun(String key, Run run, DeploymentFile.ParsedDeployment read) {}
 
   /** How many runs are still to be done. */
-  public int left(ResultStore results) {
+  public int remainingRuns(ResultStore results) {
     return (int)
         planned.stream()
             .map(PlannedRun::key)
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -117,7 +117,7 @@
           assertEquals(
               8 - line,
               new ExperimentRunner(ExperimentFile.read(file), this::countedPolicy, "b")
-                  .left(results),
+                  .remainingRuns(results),
               "cut at " + cut);
         }
         assertEquals(
