--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -74,7 +74,7 @@
       ResultStore.csv(folder.resolve("results.csv"), all);
       Files.copy(
           file,
-          folder.resolve(ResultStore.EXPERIMENT),
+          folder.resolve(ResultStore.EXPERIMENT_FILE),
           java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       return told(experiment, all) ? 0 : 1;
     } catch (ConfigurationException e) {
--- a/src/main/java/fawndock/experiment/ResultStore.java
+++ b/src/main/java/fawndock/experiment/ResultStore.java
@@ -28,7 +28,7 @@
  */
 public final class ResultStore implements AutoCloseable {
   /** The experiment as it was run last, in the same folder. */
-  public static final String EXPERIMENT = "experiment.conf";
+  public static final String EXPERIMENT_FILE = "experiment.conf";
 
   private static final String LINES = "results.jsonl";
   private static final ObjectMapper JSON = new ObjectMapper();
