--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -71,7 +71,7 @@
       ProgressBar bar = new ProgressBar("runs", left, left + " runs", System.out);
       List<RunResult> all = runner.run(results, jobs, bar::update);
       bar.finish();
-      ResultStore.csv(folder.resolve("results.csv"), all);
+      ResultStore.writeCsv(folder.resolve("results.csv"), all);
       Files.copy(
           file,
           folder.resolve(ResultStore.EXPERIMENT_FILE),
--- a/src/main/java/fawndock/experiment/ResultStore.java
+++ b/src/main/java/fawndock/experiment/ResultStore.java
@@ -128,7 +128,7 @@
   }
 
   /** Writes the figures of some runs as CSV, a row for each; the file is put in its place whole. */
-  public static void csv(Path file, List<RunResult> outcomes) throws IOException {
+  public static void writeCsv(Path file, List<RunResult> outcomes) throws IOException {
     Set<String> values = new LinkedHashSet<>();
     Set<String> figures = new LinkedHashSet<>();
     outcomes.forEach(
