--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -84,7 +84,7 @@
   }
 
   private boolean told(Experiment experiment, List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> cells = ResultStatistics.by(all);
+    Map<Map<String, String>, List<RunResult>> cells = ResultStatistics.groupByValues(all);
     if (!quiet) {
       System.out.println("median (least..most) over the seeds, simulated:");
       cells.forEach(
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -41,7 +41,7 @@
   private ResultStatistics() {}
 
   /** Outcomes by their values, in the order in which they come. */
-  public static Map<Map<String, String>, List<RunResult>> by(List<RunResult> all) {
+  public static Map<Map<String, String>, List<RunResult>> groupByValues(List<RunResult> all) {
     Map<Map<String, String>, List<RunResult>> cells = new LinkedHashMap<>();
     all.forEach(o -> cells.computeIfAbsent(o.values(), v -> new ArrayList<>()).add(o));
     return cells;
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -151,7 +151,7 @@
         "<h2>All cells</h2><p>Median over the seeds, least and most in brackets.</p><table><tr><th class=n>cell");
     experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.groupByValues(after).entrySet()) {
       if (rows++ >= MOST_ROWS) {
         html.append("<tr><td class=n>more are in results.csv");
         break;
@@ -177,13 +177,13 @@
 
   private void differences() {
     Map<String, Set<String>> varied = PlotSelection.varied(after);
-    Map<Map<String, String>, List<RunResult>> was = ResultStatistics.by(before);
+    Map<Map<String, String>, List<RunResult>> was = ResultStatistics.groupByValues(before);
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
     experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.by(after).entrySet()) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.groupByValues(after).entrySet()) {
       if (!was.containsKey(cell.getKey()) || rows++ >= MOST_ROWS) {
         continue;
       }
@@ -214,14 +214,14 @@
     }
     html.append("</table>");
     int none =
-        (int) ResultStatistics.by(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
+        (int) ResultStatistics.groupByValues(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
     html.append(
         none == 0 ? "" : "<p>" + none + " cells have nothing before to be held against.</p>");
   }
 
   /** The course of some cells' first runs, spread evenly over all cells. */
   private void courses() throws IOException {
-    List<List<RunResult>> cells = List.copyOf(ResultStatistics.by(after).values());
+    List<List<RunResult>> cells = List.copyOf(ResultStatistics.groupByValues(after).values());
     Set<String> varied = PlotSelection.varied(after).keySet();
     int many = Math.min(MOST_COURSES, cells.size());
     html.append("<h2>How single runs went</h2>")
--- a/src/main/java/fawndock/report/PlotSelection.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -96,7 +96,7 @@
     Map<String, Map<String, double[]>> plots = new LinkedHashMap<>();
     sets.forEach(
         (set, outcomes) ->
-            ResultStatistics.by(outcomes)
+            ResultStatistics.groupByValues(outcomes)
                 .forEach(
                     (values, cell) -> {
                       ResultStatistics.SeedSpread spread = ResultStatistics.spread(cell, figure);
