--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -93,7 +93,7 @@
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
             for (String figure : experiment.shownFigures()) {
-              ResultStatistics.SeedSpread s = ResultStatistics.spread(outcomes, figure);
+              ResultStatistics.SeedSpread s = ResultStatistics.seedSpread(outcomes, figure);
               line.append("  ")
                   .append(figure)
                   .append(' ')
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -48,7 +48,7 @@
   }
 
   /** A figure of one cell's outcomes, or null when none has it. */
-  public static SeedSpread spread(List<RunResult> cell, String figure) {
+  public static SeedSpread seedSpread(List<RunResult> cell, String figure) {
     double[] values =
         cell.stream()
             .map(o -> o.figures().get(figure))
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -159,7 +159,7 @@
       html.append("<tr><td class=n>")
           .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
       for (String figure : experiment.shownFigures()) {
-        ResultStatistics.SeedSpread s = ResultStatistics.spread(cell.getValue(), figure);
+        ResultStatistics.SeedSpread s = ResultStatistics.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 s == null
@@ -192,8 +192,8 @@
       for (String figure : experiment.shownFigures()) {
         ResultStatistics.Difference d =
             ResultStatistics.difference(was.get(cell.getKey()), cell.getValue(), figure);
-        ResultStatistics.SeedSpread a = ResultStatistics.spread(was.get(cell.getKey()), figure);
-        ResultStatistics.SeedSpread b = ResultStatistics.spread(cell.getValue(), figure);
+        ResultStatistics.SeedSpread a = ResultStatistics.seedSpread(was.get(cell.getKey()), figure);
+        ResultStatistics.SeedSpread b = ResultStatistics.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 d == null
--- a/src/main/java/fawndock/report/PlotSelection.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -99,7 +99,7 @@
             ResultStatistics.groupByValues(outcomes)
                 .forEach(
                     (values, cell) -> {
-                      ResultStatistics.SeedSpread spread = ResultStatistics.spread(cell, figure);
+                      ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell, figure);
                       String line =
                           (named(values, lineNames) + (set.isEmpty() ? "" : ", " + set))
                               .replaceFirst("^all, ", "");
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -240,7 +240,7 @@
     assertFalse(
         ResultStatistics.difference(base.subList(0, 1), other, "use").told(), "one pair tells nothing");
     assertNull(ResultStatistics.difference(base, other, "kept"));
-    assertEquals(new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3), ResultStatistics.spread(base, "use"));
+    assertEquals(new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3), ResultStatistics.seedSpread(base, "use"));
     List<RunResult> all =
         List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
     List<ResultStatistics.ExpectationResult> judged =
