--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -109,7 +109,7 @@
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (ResultStatistics.ExpectationResult each : ResultStatistics.judge(experiment.expectations(), all)) {
+    for (ResultStatistics.ExpectationResult each : ResultStatistics.evaluate(experiment.expectations(), all)) {
       kept &= each.kept();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -104,7 +104,7 @@
    * Each expectation, held against every run that it is meant for; one that is meant for none is
    * not kept.
    */
-  public static List<ExpectationResult> judge(List<Expectation> expected, List<RunResult> all) {
+  public static List<ExpectationResult> evaluate(List<Expectation> expected, List<RunResult> all) {
     List<ExpectationResult> judged = new ArrayList<>();
     for (Expectation expect : expected) {
       RunResult worst = null;
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -111,7 +111,7 @@
   }
 
   private void expectations() {
-    List<ResultStatistics.ExpectationResult> judged = ResultStatistics.judge(experiment.expectations(), after);
+    List<ResultStatistics.ExpectationResult> judged = ResultStatistics.evaluate(experiment.expectations(), after);
     long bad =
         after.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).count();
     html.append(
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -244,7 +244,7 @@
     List<RunResult> all =
         List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
     List<ResultStatistics.ExpectationResult> judged =
-        ResultStatistics.judge(
+        ResultStatistics.evaluate(
             List.of(
                 new Expectation("use", true, 1.2, Map.of("fleet", List.of("4"))),
                 new Expectation("use", true, 1.2, Map.of()),
