--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -100,7 +100,7 @@
                   .append(
                       s == null
                           ? "-"
-                          : String.format("%.3f (%.3f..%.3f)", s.median(), s.min(), s.most()));
+                          : String.format("%.3f (%.3f..%.3f)", s.median(), s.min(), s.max()));
             }
             System.out.println(line);
           });
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -168,7 +168,7 @@
                         + " ("
                         + number(s.min())
                         + " – "
-                        + number(s.most())
+                        + number(s.max())
                         + ")");
       }
     }
