--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -155,7 +155,7 @@
                         ? "-"
                         : String.format(
                             "%+.3f [%+.3f, %+.3f]%s",
-                            d.mean(), d.low(), d.high(), d.told() ? "*" : ""));
+                            d.mean(), d.low(), d.high(), d.isSignificant() ? "*" : ""));
           }
           System.out.println(line);
         });
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -23,7 +23,7 @@
    */
   public record Difference(double mean, double low, double high, int seeds) {
     /** Whether the interval leaves out zero. */
-    public boolean told() {
+    public boolean isSignificant() {
       return low > 0 || high < 0;
     }
   }
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -202,9 +202,9 @@
                         + " → "
                         + number(b.median())
                         + "<br>"
-                        + (d.told() ? "<b>" : "")
+                        + (d.isSignificant() ? "<b>" : "")
                         + String.format(Locale.ROOT, "%+.3f", d.mean())
-                        + (d.told() ? "</b>" : "")
+                        + (d.isSignificant() ? "</b>" : "")
                         + " ["
                         + number(d.low())
                         + ", "
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -236,9 +236,9 @@
     ResultStatistics.Difference d = ResultStatistics.difference(base, other, "use");
     assertEquals(0.1, d.mean(), 1e-9); // 0.10, 0.08, 0.12: t(0.975, 2) = 4.303, deviation 0.02.
     assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), d.low(), 1e-6);
-    assertTrue(d.told());
+    assertTrue(d.isSignificant());
     assertFalse(
-        ResultStatistics.difference(base.subList(0, 1), other, "use").told(), "one pair tells nothing");
+        ResultStatistics.difference(base.subList(0, 1), other, "use").isSignificant(), "one pair tells nothing");
     assertNull(ResultStatistics.difference(base, other, "kept"));
     assertEquals(new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3), ResultStatistics.seedSpread(base, "use"));
     List<RunResult> all =
