--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -114,7 +114,7 @@
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
           each.kept() ? "holds" : "BROKEN",
-          each.expect().text(),
+          each.expectation().text(),
           each.worst(),
           each.where(),
           each.seed(),
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -30,7 +30,7 @@
 
   /** An expectation in the cell where it held worst. */
   public record ExpectationResult(
-      Expectation expect,
+      Expectation expectation,
       boolean kept,
       double worst,
       Map<String, String> where,
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -118,7 +118,7 @@
         "<h2>Expected</h2><table><tr><th class=n>what<th class=n>holds<th>worst<th class=n>with<th>runs<th>break it");
     for (ResultStatistics.ExpectationResult each : judged) {
       row(
-          each.expect().text(),
+          each.expectation().text(),
           each.kept(),
           number(each.worst()),
           each.where().isEmpty()
