--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -110,10 +110,10 @@
     }
     boolean kept = true;
     for (ResultStatistics.ExpectationResult each : ResultStatistics.evaluate(experiment.expectations(), all)) {
-      kept &= each.kept();
+      kept &= each.isSatisfied();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
-          each.kept() ? "holds" : "BROKEN",
+          each.isSatisfied() ? "holds" : "BROKEN",
           each.expectation().text(),
           each.worst(),
           each.where(),
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -31,7 +31,7 @@
   /** An expectation in the cell where it held worst. */
   public record ExpectationResult(
       Expectation expectation,
-      boolean kept,
+      boolean isSatisfied,
       double worst,
       Map<String, String> where,
       long seed,
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -119,7 +119,7 @@
     for (ResultStatistics.ExpectationResult each : judged) {
       row(
           each.expectation().text(),
-          each.kept(),
+          each.isSatisfied(),
           number(each.worst()),
           each.where().isEmpty()
               ? ""
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -253,7 +253,7 @@
             all);
     assertEquals(
         List.of(true, false, false, false),
-        judged.stream().map(ResultStatistics.ExpectationResult::kept).toList());
+        judged.stream().map(ResultStatistics.ExpectationResult::isSatisfied).toList());
     assertEquals(1.30, judged.get(1).worst());
     assertEquals(1, judged.get(1).broken());
     assertEquals(0.90, judged.get(2).worst());
