--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -115,7 +115,7 @@
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
           each.isSatisfied() ? "holds" : "BROKEN",
           each.expectation().text(),
-          each.worst(),
+          each.worstValue(),
           each.where(),
           each.seed(),
           each.broken(),
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -32,7 +32,7 @@
   public record ExpectationResult(
       Expectation expectation,
       boolean isSatisfied,
-      double worst,
+      double worstValue,
       Map<String, String> where,
       long seed,
       int cells,
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -120,7 +120,7 @@
       row(
           each.expectation().text(),
           each.isSatisfied(),
-          number(each.worst()),
+          number(each.worstValue()),
           each.where().isEmpty()
               ? ""
               : PlotSelection.named(each.where(), each.where().keySet()) + ", seed " + each.seed(),
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -254,8 +254,8 @@
     assertEquals(
         List.of(true, false, false, false),
         judged.stream().map(ResultStatistics.ExpectationResult::isSatisfied).toList());
-    assertEquals(1.30, judged.get(1).worst());
+    assertEquals(1.30, judged.get(1).worstValue());
     assertEquals(1, judged.get(1).broken());
-    assertEquals(0.90, judged.get(2).worst());
+    assertEquals(0.90, judged.get(2).worstValue());
   }
 }
