--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -116,7 +116,7 @@
           each.isSatisfied() ? "holds" : "BROKEN",
           each.expectation().text(),
           each.worstValue(),
-          each.where(),
+          each.worstCell(),
           each.seed(),
           each.broken(),
           each.cells());
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -33,7 +33,7 @@
       Expectation expectation,
       boolean isSatisfied,
       double worstValue,
-      Map<String, String> where,
+      Map<String, String> worstCell,
       long seed,
       int cells,
       int broken) {}
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -121,9 +121,9 @@
           each.expectation().text(),
           each.isSatisfied(),
           number(each.worstValue()),
-          each.where().isEmpty()
+          each.worstCell().isEmpty()
               ? ""
-              : PlotSelection.named(each.where(), each.where().keySet()) + ", seed " + each.seed(),
+              : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.seed(),
           each.cells(),
           each.broken());
     }
