--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -118,7 +118,7 @@
           each.worstValue(),
           each.worstCell(),
           each.seed(),
-          each.broken(),
+          each.violationCount(),
           each.cells());
     }
     List<RunResult> bad =
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -36,7 +36,7 @@
       Map<String, String> worstCell,
       long seed,
       int cells,
-      int broken) {}
+      int violationCount) {}
 
   private ResultStatistics() {}
 
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -125,7 +125,7 @@
               ? ""
               : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.seed(),
           each.cells(),
-          each.broken());
+          each.violationCount());
     }
     row("the five rules", bad == 0, "", "", after.size(), (int) bad);
     html.append("</table>");
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -255,7 +255,7 @@
         List.of(true, false, false, false),
         judged.stream().map(ResultStatistics.ExpectationResult::isSatisfied).toList());
     assertEquals(1.30, judged.get(1).worstValue());
-    assertEquals(1, judged.get(1).broken());
+    assertEquals(1, judged.get(1).violationCount());
     assertEquals(0.90, judged.get(2).worstValue());
   }
 }
