--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -119,7 +119,7 @@
           each.worstCell(),
           each.seed(),
           each.violationCount(),
-          each.cells());
+          each.runCount());
     }
     List<RunResult> bad =
         all.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).toList();
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -35,16 +35,16 @@
       double worstValue,
       Map<String, String> worstCell,
       long seed,
-      int cells,
+      int runCount,
       int violationCount) {}
 
   private ResultStatistics() {}
 
   /** Outcomes by their values, in the order in which they come. */
   public static Map<Map<String, String>, List<RunResult>> groupByValues(List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> cells = new LinkedHashMap<>();
-    all.forEach(o -> cells.computeIfAbsent(o.values(), v -> new ArrayList<>()).add(o));
-    return cells;
+    Map<Map<String, String>, List<RunResult>> runCount = new LinkedHashMap<>();
+    all.forEach(o -> runCount.computeIfAbsent(o.values(), v -> new ArrayList<>()).add(o));
+    return runCount;
   }
 
   /** A figure of one cell's outcomes, or null when none has it. */
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -124,7 +124,7 @@
           each.worstCell().isEmpty()
               ? ""
               : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.seed(),
-          each.cells(),
+          each.runCount(),
           each.violationCount());
     }
     row("the five rules", bad == 0, "", "", after.size(), (int) bad);
