--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -117,7 +117,7 @@
           each.expectation().text(),
           each.worstValue(),
           each.worstCell(),
-          each.seed(),
+          each.worstSeed(),
           each.violationCount(),
           each.runCount());
     }
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -34,7 +34,7 @@
       boolean isSatisfied,
       double worstValue,
       Map<String, String> worstCell,
-      long seed,
+      long worstSeed,
       int runCount,
       int violationCount) {}
 
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -123,7 +123,7 @@
           number(each.worstValue()),
           each.worstCell().isEmpty()
               ? ""
-              : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.seed(),
+              : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.worstSeed(),
           each.runCount(),
           each.violationCount());
     }
