--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -15,7 +15,7 @@
   private static final double CONFIDENCE = 0.95;
 
   /** A figure over the seeds of one cell. */
-  public record SeedSpread(double median, double min, double max, int seeds) {}
+  public record SeedSpread(double median, double min, double max, int seedCount) {}
 
   /**
    * The mean of the differences between two cells, seed by seed, and the 95% confidence interval of
