--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -21,7 +21,7 @@
    * The mean of the differences between two cells, seed by seed, and the 95% confidence interval of
    * that mean (Student's t); the interval has no ends when there are fewer than two seeds.
    */
-  public record Difference(double mean, double low, double high, int seeds) {
+  public record Difference(double mean, double low, double high, int seedCount) {
     /** Whether the interval leaves out zero. */
     public boolean isSignificant() {
       return low > 0 || high < 0;
