--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -36,15 +36,15 @@
    * @param most whether the bound is the most; else the least
    */
   public record Expectation(
-      String figure, boolean most, double bound, Map<String, List<String>> when) {
+      String figure, boolean isUpperBound, double bound, Map<String, List<String>> when) {
     /** Whether a value is within the bound. */
     public boolean holds(double value) {
-      return most ? value <= bound : value >= bound;
+      return isUpperBound ? value <= bound : value >= bound;
     }
 
     /** As the file says it. */
     public String text() {
-      StringBuilder text = new StringBuilder(figure + (most ? " at most " : " at least ") + bound);
+      StringBuilder text = new StringBuilder(figure + (isUpperBound ? " at most " : " at least ") + bound);
       when.forEach(
           (name, values) ->
               text.append(text.indexOf(" when ") < 0 ? " when " : ", ")
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -118,7 +118,7 @@
         runs++;
         broken += expect.holds(value) ? 0 : 1;
         double before = worst == null ? 0 : worst.figures().get(expect.figure());
-        if (worst == null || (expect.most() ? value > before : value < before)) {
+        if (worst == null || (expect.isUpperBound() ? value > before : value < before)) {
           worst = each;
         }
       }
