--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -36,7 +36,7 @@
    * @param most whether the bound is the most; else the least
    */
   public record Expectation(
-      String figure, boolean isUpperBound, double bound, Map<String, List<String>> when) {
+      String figure, boolean isUpperBound, double bound, Map<String, List<String>> conditions) {
     /** Whether a value is within the bound. */
     public boolean holds(double value) {
       return isUpperBound ? value <= bound : value >= bound;
@@ -45,7 +45,7 @@
     /** As the file says it. */
     public String text() {
       StringBuilder text = new StringBuilder(figure + (isUpperBound ? " at most " : " at least ") + bound);
-      when.forEach(
+      conditions.forEach(
           (name, values) ->
               text.append(text.indexOf(" when ") < 0 ? " when " : ", ")
                   .append(name)
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -112,7 +112,7 @@
       int broken = 0;
       for (RunResult each : all) {
         Double value = each.figures().get(expect.figure());
-        if (value == null || !Experiment.matches(each.values(), expect.when())) {
+        if (value == null || !Experiment.matches(each.values(), expect.conditions())) {
           continue;
         }
         runs++;
