--- a/src/main/java/fawndock/measurement/TraceMetrics.java
+++ b/src/main/java/fawndock/measurement/TraceMetrics.java
@@ -28,7 +28,7 @@
    * @param statuses answers by status; 0 for clients that left, -1 for connections that broke
    */
   public record Metrics(
-      Map<String, Double> figures, Map<String, double[]> series, Map<Integer, Long> statuses) {}
+      Map<String, Double> figures, Map<String, double[]> series, Map<Integer, Long> responsesByStatus) {}
 
   private static final long LONGEST = 3_600_000_000L;
   private static final int TOO_MANY = 429;
@@ -48,7 +48,7 @@
   private final Map<String, Integer> arrivals = new HashMap<>();
   private final Map<String, double[]> series = new LinkedHashMap<>();
   private final Map<String, Long> totals = new HashMap<>();
-  private final Map<Integer, Long> statuses = new TreeMap<>();
+  private final Map<Integer, Long> responsesByStatus = new TreeMap<>();
   private final Map<String, RequestClass> classes;
   private final QuotaUsage use;
   private final int seconds;
@@ -154,7 +154,7 @@
     if (!open.remove(request)) {
       return false;
     }
-    statuses.merge(status, 1L, Long::sum);
+    responsesByStatus.merge(status, 1L, Long::sum);
     add(what, at);
     return true;
   }
@@ -189,7 +189,7 @@
     }
     series.put("p50 ms", percentile(50));
     series.put("p99 ms", percentile(99));
-    return new Metrics(figures, series, statuses);
+    return new Metrics(figures, series, responsesByStatus);
   }
 
   private double[] percentile(double which) {
--- a/src/main/java/fawndock/simulation/Simulation.java
+++ b/src/main/java/fawndock/simulation/Simulation.java
@@ -148,7 +148,7 @@
     measured.figures().put("rules-broken", (double) conformance.violationCount());
     return new SimulationResult(
         conformance,
-        measured.statuses(),
+        measured.responsesByStatus(),
         measured.figures(),
         measured.series(),
         events.scheduledCount());
--- a/src/test/java/fawndock/measurement/MeasuresTest.java
+++ b/src/test/java/fawndock/measurement/MeasuresTest.java
@@ -95,7 +95,7 @@
     trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "r3.1", 429));
     trace.add(new TraceEvent.ResponseReceived(4 * S + 10_000, "unknown.1", 200));
     TraceMetrics.Metrics told = TraceMetrics.of(trace, Map.of(), PLANS, List.of("a"), 0, 6);
-    assertEquals(Map.of(200, 1L, 504, 1L, 0, 1L, 429, 1L), told.statuses());
+    assertEquals(Map.of(200, 1L, 504, 1L, 0, 1L, 429, 1L), told.responsesByStatus());
     assertEquals(0.25, told.figures().get("served-a-try"));
     assertEquals(0.25, told.figures().get("refused-within-plan-a-try"));
     assertEquals(1.0, told.figures().get("attempts-a-try"));
