--- a/src/main/java/fawndock/calibration/FigureComparison.java
+++ b/src/main/java/fawndock/calibration/FigureComparison.java
@@ -26,7 +26,7 @@
   private FigureComparison() {}
 
   /** Rows of the figures that both have, in the order of the first. */
-  public static List<Row> rows(Map<String, Double> emulated, Map<String, Double> real) {
+  public static List<Row> compare(Map<String, Double> emulated, Map<String, Double> real) {
     List<Row> rows = new ArrayList<>();
     emulated.forEach(
         (figure, value) -> {
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -23,7 +23,7 @@
     emulated.put("c", 2.0);
     emulated.put("d", 1.0);
     List<FigureComparison.Row> rows =
-        FigureComparison.rows(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
+        FigureComparison.compare(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
     assertEquals(
         List.of(false, false, true), rows.stream().map(FigureComparison.Row::much).toList());
     assertEquals(0.15, rows.get(2).differs(), 1e-9);
