--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -99,7 +99,7 @@
                 System.out.printf(
                     "%-28s %10.3f %10.3f %8.1f%%%s%n",
                     row.figure(),
-                    row.emulated(),
+                    row.simulated(),
                     row.real(),
                     100 * row.differs(),
                     row.much() ? " *" : ""));
