--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -100,7 +100,7 @@
                     "%-28s %10.3f %10.3f %8.1f%%%s%n",
                     row.figure(),
                     row.simulated(),
-                    row.real(),
+                    row.measured(),
                     100 * row.differs(),
                     row.much() ? " *" : ""));
     played.verdict().violations().forEach(b -> System.out.println("  " + b));
