--- a/src/main/java/fawndock/calibration/FigureComparison.java
+++ b/src/main/java/fawndock/calibration/FigureComparison.java
@@ -17,9 +17,9 @@
    * @param differs by which share of the larger one they differ; 0 when both are too small to
    *     matter
    */
-  public record Row(String figure, double simulated, double measured, double differs) {
+  public record Row(String figure, double simulated, double measured, double relativeDifference) {
     public boolean much() {
-      return differs > MUCH;
+      return relativeDifference > MUCH;
     }
   }
 
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -101,7 +101,7 @@
                     row.figure(),
                     row.simulated(),
                     row.measured(),
-                    100 * row.differs(),
+                    100 * row.relativeDifference(),
                     row.much() ? " *" : ""));
     played.verdict().violations().forEach(b -> System.out.println("  " + b));
     System.out.println("emulated: " + emulated.conformance().summaryLine());
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -26,7 +26,7 @@
         FigureComparison.compare(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
     assertEquals(
         List.of(false, false, true), rows.stream().map(FigureComparison.Row::much).toList());
-    assertEquals(0.15, rows.get(2).differs(), 1e-9);
+    assertEquals(0.15, rows.get(2).relativeDifference(), 1e-9);
   }
 
   /**
