--- a/src/main/java/fawndock/calibration/FigureComparison.java
+++ b/src/main/java/fawndock/calibration/FigureComparison.java
@@ -18,7 +18,7 @@
    *     matter
    */
   public record Row(String figure, double simulated, double measured, double relativeDifference) {
-    public boolean much() {
+    public boolean isLarge() {
       return relativeDifference > MUCH;
     }
   }
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -102,7 +102,7 @@
                     row.simulated(),
                     row.measured(),
                     100 * row.relativeDifference(),
-                    row.much() ? " *" : ""));
+                    row.isLarge() ? " *" : ""));
     played.verdict().violations().forEach(b -> System.out.println("  " + b));
     System.out.println("emulated: " + emulated.conformance().summaryLine());
     System.out.println("over sockets: " + played.verdict().summaryLine());
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -25,7 +25,7 @@
     List<FigureComparison.Row> rows =
         FigureComparison.compare(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
     assertEquals(
-        List.of(false, false, true), rows.stream().map(FigureComparison.Row::much).toList());
+        List.of(false, false, true), rows.stream().map(FigureComparison.Row::isLarge).toList());
     assertEquals(0.15, rows.get(2).relativeDifference(), 1e-9);
   }
 
