--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -57,7 +57,7 @@
   }
 
   /** What of the deployment cannot be played so; empty when all can. */
-  public List<String> beyond() {
+  public List<String> unsupportedFeatures() {
     List<String> all = new ArrayList<>();
     if (d.gatewayCount() > MOST_GATEKEEPERS
         || d.backendCount() > MOST_WORKERS
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -86,8 +86,8 @@
   private static int beside(DeploymentFile.ParsedDeployment read, SimulationResult emulated)
       throws Exception {
     SocketRun real = new SocketRun(read, System.out);
-    if (!real.beyond().isEmpty()) {
-      real.beyond().forEach(System.err::println);
+    if (!real.unsupportedFeatures().isEmpty()) {
+      real.unsupportedFeatures().forEach(System.err::println);
       return 2;
     }
     LogConfigurator.configureForTool();
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrateTest.java
@@ -63,6 +63,6 @@
     assertTrue(Files.readString(file).contains("# trouble sunspots"));
     assertEquals(
         List.of("over sockets each customer comes through all gatekeepers"),
-        new SocketRun(read, System.out).beyond());
+        new SocketRun(read, System.out).unsupportedFeatures());
   }
 }
