--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -87,7 +87,7 @@
   }
 
   /** Plays it, in real time. */
-  public SocketRunResult play() throws Exception {
+  public SocketRunResult run() throws Exception {
     try (FleetFixture scene = new FleetFixture(d.backendCount(), d.backend(), d.seed())) {
       scene.addGateways(d.gatewayCount(), settings());
       scene.gateways.startAll();
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -91,7 +91,7 @@
       return 2;
     }
     LogConfigurator.configureForTool();
-    SocketRun.SocketRunResult played = real.play();
+    SocketRun.SocketRunResult played = real.run();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
     FigureComparison.compare(emulated.figures(), played.told().figures())
         .forEach(
