--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -44,7 +44,7 @@
   private static final double WARM = 3;
 
   /** What came of it. */
-  public record SocketRunResult(TraceMetrics.Metrics told, ConformanceResult verdict) {}
+  public record SocketRunResult(TraceMetrics.Metrics metrics, ConformanceResult verdict) {}
 
   private final ParsedDeployment read;
   private final Deployment d;
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -93,7 +93,7 @@
     LogConfigurator.configureForTool();
     SocketRun.SocketRunResult played = real.run();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
-    FigureComparison.compare(emulated.figures(), played.told().figures())
+    FigureComparison.compare(emulated.figures(), played.metrics().figures())
         .forEach(
             row ->
                 System.out.printf(
