--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -44,7 +44,7 @@
   private static final double WARM = 3;
 
   /** What came of it. */
-  public record SocketRunResult(TraceMetrics.Metrics metrics, ConformanceResult verdict) {}
+  public record SocketRunResult(TraceMetrics.Metrics metrics, ConformanceResult conformance) {}
 
   private final ParsedDeployment read;
   private final Deployment d;
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -103,9 +103,9 @@
                     row.measured(),
                     100 * row.relativeDifference(),
                     row.isLarge() ? " *" : ""));
-    played.verdict().violations().forEach(b -> System.out.println("  " + b));
+    played.conformance().violations().forEach(b -> System.out.println("  " + b));
     System.out.println("emulated: " + emulated.conformance().summaryLine());
-    System.out.println("over sockets: " + played.verdict().summaryLine());
-    return emulated.conformance().isConformant() && played.verdict().isConformant() ? 0 : 1;
+    System.out.println("over sockets: " + played.conformance().summaryLine());
+    return emulated.conformance().isConformant() && played.conformance().isConformant() ? 0 : 1;
   }
 }
