--- a/src/main/java/fawndock/calibration/DayDeployment.java
+++ b/src/main/java/fawndock/calibration/DayDeployment.java
@@ -8,164 +8,183 @@
 import java.util.Locale;
 
 /**
- * Describes a day that the bench drew to the emulator, as a deployment file. What the emulator does
- * not model is written there as a comment, so that nobody takes the two for the same.
+ * Converts a day file of the bench into a deployment file for the simulation. A fault that the
+ * simulation does not model becomes a comment in the deployment file, so that the difference
+ * between the two stays visible.
  */
 public final class DayDeployment {
-  private static final double HEAVY = 3;
-  private static final double FULL = 0.95;
+  private static final double OVER_QUOTA_FACTOR = 3;
+  private static final double AT_QUOTA_FACTOR = 0.95;
   private final DayFile day;
-  private final StringBuilder text = new StringBuilder();
+  private final StringBuilder deploymentText = new StringBuilder();
 
   private DayDeployment(DayFile day) {
     this.day = day;
   }
 
-  /** The text of a deployment file. */
+  /** Returns the text of a deployment file for a day. */
   public static String of(DayFile day) {
-    return new DayDeployment(day).describe();
+    return new DayDeployment(day).appendDeployment();
   }
 
-  private void line(String form, Object... values) {
-    text.append(String.format(Locale.ROOT, form, values)).append('\n');
+  private void appendLine(String format, Object... values) {
+    deploymentText.append(String.format(Locale.ROOT, format, values)).append('\n');
   }
 
-  private String describe() {
-    double work =
-        day.requestClasses().stream().mapToDouble(k -> k.share() * k.workMicros()).sum()
+  private String appendDeployment() {
+    double meanWorkMicros =
+        day.requestClasses().stream()
+                .mapToDouble(requestClass -> requestClass.share() * requestClass.workMicros())
+                .sum()
             / day.requestClasses().stream().mapToDouble(DayRequestClass::share).sum();
-    line(
+    appendLine(
         "# %s, described to the emulator: sizes, plans, load and troubles are the day's, work lies evenly about its mean",
         day.name());
-    line("gatekeepers %d", day.gatewayCount());
-    line(
+    appendLine("gatekeepers %d", day.gatewayCount());
+    appendLine(
         "workers %d cores %d work %.0fus queue %d cold-share %.3f cold-time %.0fus fall-multiple %.2f fall-time %.0fus",
         day.backendCount(),
         day.backend().cores(),
-        work,
+        meanWorkMicros,
         day.backend().queueCapacity(),
         day.backend().slowStartShare(),
         day.backend().slowStartMicros(),
         day.collapseMultiple(),
         day.collapseWindowMicros());
-    line(
+    appendLine(
         "network way %.0fus more %.0fus",
         Math.max(1, day.networkDelayMicros()), day.networkDelayMicros() / 4);
-    line(
+    appendLine(
         "counter rate %.1f wait %.0fus parts %d queue %.0fus",
         day.counter().callsPerSecond(),
         day.counter().timeoutMicros(),
         day.counter().partitionCount(),
         day.counter().maxQueueMicros());
-    line("roster %.0fus", day.discoveryDelayMicros());
-    line("for %.3fs", day.seconds());
-    for (DayRequestClass k : day.requestClasses()) {
-      line(
+    appendLine("roster %.0fus", day.discoveryDelayMicros());
+    appendLine("for %.3fs", day.seconds());
+    for (DayRequestClass requestClass : day.requestClasses()) {
+      appendLine(
           "class %s aim %dus deadline %dus repeat %s%s",
-          k.name(),
-          k.latencyObjectiveMicros(),
-          k.deadlineMicros(),
-          k.idempotency().name().toLowerCase(Locale.ROOT).replace('_', '-'),
-          k.deduplicationWindowMicros() > 0 && k.idempotency() == Idempotency.DEDUPLICATED
-              ? " group all window " + k.deduplicationWindowMicros() + "us"
+          requestClass.name(),
+          requestClass.latencyObjectiveMicros(),
+          requestClass.deadlineMicros(),
+          requestClass.idempotency().name().toLowerCase(Locale.ROOT).replace('_', '-'),
+          requestClass.deduplicationWindowMicros() > 0
+                  && requestClass.idempotency() == Idempotency.DEDUPLICATED
+              ? " group all window " + requestClass.deduplicationWindowMicros() + "us"
               : "");
     }
     day.plans()
         .forEach(
-            p ->
-                line(
-                    p.unitsPerSecond() > 0
+            plan ->
+                appendLine(
+                    plan.unitsPerSecond() > 0
                         ? "plan %s rate %.4f store %.3f pays %.2f over-cost %.2f"
                         : "plan %s rate 0 pays %4$.2f",
-                    p.name(),
-                    p.unitsPerSecond(),
-                    Math.max(1, p.burstUnits()),
-                    p.priorityWeight(),
-                    p.overQuotaCost()));
-    line("limits attempts 4 open 5000");
-    line(
+                    plan.name(),
+                    plan.unitsPerSecond(),
+                    Math.max(1, plan.burstUnits()),
+                    plan.priorityWeight(),
+                    plan.overQuotaCost()));
+    appendLine("limits attempts 4 open 5000");
+    appendLine(
         "rules answer-grace 10ms drain-grace %.0fus cold-share %.3f cold-time %.0fus fall-multiple %.2f fall-time %.0fus",
         day.drainGraceMicros(),
         day.backend().slowStartShare(),
         day.backend().slowStartMicros(),
         day.collapseMultiple(),
         day.collapseWindowMicros());
-    day.plans().forEach(this::customers);
-    day.faults().forEach(this::trouble);
-    return text.toString();
+    day.plans().forEach(this::appendDemands);
+    day.faults().forEach(this::appendFault);
+    return deploymentText.toString();
   }
 
   /**
-   * A plan's customers: some ask far more than their plan, some nearly all of it, the others a
-   * part.
+   * Appends the demands of a plan's customers: some send far more than their plan allows, some
+   * nearly as much, and the others a part of it.
    */
-  private void customers(DayPlan plan) {
+  private void appendDemands(DayPlan plan) {
     double rate = plan.unitsPerSecond() > 0 ? plan.unitsPerSecond() : 5;
-    int heavy = (int) Math.round(day.overQuotaShare() * plan.customerCount());
-    int full = (int) Math.round(day.atQuotaShare() * plan.customerCount());
-    demand(plan, "heavy", heavy, HEAVY * rate);
-    demand(plan, "full", full, FULL * rate);
-    demand(plan, "calm", plan.customerCount() - heavy - full, day.belowQuotaDemand() * rate);
+    int overQuotaCustomers = (int) Math.round(day.overQuotaShare() * plan.customerCount());
+    int atQuotaCustomers = (int) Math.round(day.atQuotaShare() * plan.customerCount());
+    appendDemand(plan, "heavy", overQuotaCustomers, OVER_QUOTA_FACTOR * rate);
+    appendDemand(plan, "full", atQuotaCustomers, AT_QUOTA_FACTOR * rate);
+    appendDemand(
+        plan,
+        "calm",
+        plan.customerCount() - overQuotaCustomers - atQuotaCustomers,
+        day.belowQuotaDemand() * rate);
   }
 
-  private void demand(DayPlan plan, String manner, int customers, double each) {
-    for (DayRequestClass k :
+  private void appendDemand(
+      DayPlan plan, String demandLevel, int customers, double unitsPerSecond) {
+    for (DayRequestClass requestClass :
         customers <= 0 ? java.util.List.<DayRequestClass>of() : day.requestClasses()) {
       double share =
-          k.share() / day.requestClasses().stream().mapToDouble(DayRequestClass::share).sum();
-      line(
+          requestClass.share()
+              / day.requestClasses().stream().mapToDouble(DayRequestClass::share).sum();
+      appendLine(
           "demand %s-%s-%s class %s plan %s customers %d rate %.4f spread %d remaining %dus give-up %dus retry after wait 300ms "
               + "tries %d",
           plan.name(),
-          manner,
-          k.name(),
-          k.name(),
+          demandLevel,
+          requestClass.name(),
+          requestClass.name(),
           plan.name(),
           customers,
-          Math.max(0.001, share * customers * each),
+          Math.max(0.001, share * customers * unitsPerSecond),
           plan.gatewaysPerCustomer(),
-          k.deadlineMicros(),
-          k.deadlineMicros() + 1_000_000,
+          requestClass.deadlineMicros(),
+          requestClass.deadlineMicros() + 1_000_000,
           1 + Math.min(3, day.retries()));
     }
   }
 
-  private void trouble(DayFault t) {
-    double until = Math.max(t.atSecond() + 0.001, t.atSecond() + t.seconds());
-    String when = String.format(Locale.ROOT, "from %.3fs until %.3fs", t.atSecond(), until);
-    int count =
+  private void appendFault(DayFault fault) {
+    double untilSecond = Math.max(fault.atSecond() + 0.001, fault.atSecond() + fault.seconds());
+    String timeWindow =
+        String.format(Locale.ROOT, "from %.3fs until %.3fs", fault.atSecond(), untilSecond);
+    int backendCount =
         (int)
             Math.max(
-                1, Math.min(day.backendCount(), Math.round(t.backendShare() * day.backendCount())));
-    boolean empty = t.extra() > 0.5 || t.mode().contains("empty");
-    switch (t.kind()) {
+                1,
+                Math.min(
+                    day.backendCount(), Math.round(fault.backendShare() * day.backendCount())));
+    boolean losesState = fault.extra() > 0.5 || fault.mode().contains("empty");
+    switch (fault.kind()) {
       case "slow", "ageing" ->
-          line("trouble worker-slow %s count %d times %.3f", when, count, Math.max(1, t.size()));
+          appendLine(
+              "trouble worker-slow %s count %d times %.3f",
+              timeWindow, backendCount, Math.max(1, fault.size()));
       case "shared_slow" ->
-          line(
+          appendLine(
               "trouble worker-slow %s count %d times %.3f",
-              when, day.backendCount(), Math.max(1, t.size()));
+              timeWindow, day.backendCount(), Math.max(1, fault.size()));
       case "answer_lost" ->
-          line(
+          appendLine(
               "trouble worker-loses-answers %s count %d share %.3f",
-              when, count, Math.min(1, t.size()));
-      case "vanish" -> line("trouble worker-dies %s count %d", when, count);
+              timeWindow, backendCount, Math.min(1, fault.size()));
+      case "vanish" -> appendLine("trouble worker-dies %s count %d", timeWindow, backendCount);
       case "burst", "tenant_burst" ->
-          line("trouble burst %s times %.3f", when, Math.max(1, t.size()));
-      case "give_up" -> line("trouble give-up %s share %.3f", when, Math.min(0.5, t.size()));
-      case "retry_abuse" -> line("trouble retry-storm %s many 8", when);
-      case "origin_slow" -> line("trouble counter-slow %s times %.3f", when, Math.max(1, t.size()));
-      case "flush" -> line("trouble counter-loses %s", when);
+          appendLine("trouble burst %s times %.3f", timeWindow, Math.max(1, fault.size()));
+      case "give_up" ->
+          appendLine("trouble give-up %s share %.3f", timeWindow, Math.min(0.5, fault.size()));
+      case "retry_abuse" -> appendLine("trouble retry-storm %s many 8", timeWindow);
+      case "origin_slow" ->
+          appendLine("trouble counter-slow %s times %.3f", timeWindow, Math.max(1, fault.size()));
+      case "flush" -> appendLine("trouble counter-loses %s", timeWindow);
       case "counter_down" ->
-          line(
-              t.mode().contains("refus") || empty
-                  ? "trouble counter-dies %s empty " + (empty ? "yes" : "no")
+          appendLine(
+              fault.mode().contains("refus") || losesState
+                  ? "trouble counter-dies %s empty " + (losesState ? "yes" : "no")
                   : "trouble counter-silent %s",
-              when);
-      case "deploy" -> line("trouble deploy %s many %d", when, Math.max(1, day.backendCount() / 8));
+              timeWindow);
+      case "deploy" ->
+          appendLine("trouble deploy %s many %d", timeWindow, Math.max(1, day.backendCount() / 8));
       case "shrink" ->
-          line("trouble worker-drains %s count %d", when, Math.max(1, day.backendCount() / 3));
-      default -> line("# trouble %s %s: no such kind here", t.kind(), when);
+          appendLine(
+              "trouble worker-drains %s count %d", timeWindow, Math.max(1, day.backendCount() / 3));
+      default -> appendLine("# trouble %s %s: no such kind here", fault.kind(), timeWindow);
     }
   }
 }
--- a/src/main/java/fawndock/calibration/FigureComparison.java
+++ b/src/main/java/fawndock/calibration/FigureComparison.java
@@ -4,40 +4,44 @@
 import java.util.List;
 import java.util.Map;
 
-/** Two measurements of the same thing, side by side. */
+/** Compares the figures of a simulated run with those of a run over sockets. Stateless. */
 public final class FigureComparison {
-  /** From here on a difference wants a reason. */
-  public static final double MUCH = 0.1;
+  /** Relative difference above which a figure is marked in the comparison. */
+  public static final double LARGE_DIFFERENCE = 0.1;
 
-  private static final double FLOOR = 0.02;
+  private static final double NEGLIGIBLE_VALUE = 0.02;
 
   /**
-   * A figure of both.
+   * A figure that both runs have.
    *
-   * @param differs by which share of the larger one they differ; 0 when both are too small to
-   *     matter
+   * @param relativeDifference the absolute difference divided by the larger value; 0 when both
+   *     values are negligible
    */
   public record Row(String figure, double simulated, double measured, double relativeDifference) {
     public boolean isLarge() {
-      return relativeDifference > MUCH;
+      return relativeDifference > LARGE_DIFFERENCE;
     }
   }
 
   private FigureComparison() {}
 
-  /** Rows of the figures that both have, in the order of the first. */
-  public static List<Row> compare(Map<String, Double> emulated, Map<String, Double> real) {
-    List<Row> rows = new ArrayList<>();
-    emulated.forEach(
-        (figure, value) -> {
-          Double other = real.get(figure);
-          if (other != null) {
-            double larger = Math.max(Math.abs(value), Math.abs(other));
-            rows.add(
+  /** Returns a row for each figure that both runs have, in the order of the simulated figures. */
+  public static List<Row> compare(
+      Map<String, Double> simulatedFigures, Map<String, Double> measuredFigures) {
+    List<Row> comparedRows = new ArrayList<>();
+    simulatedFigures.forEach(
+        (figure, simulated) -> {
+          Double measured = measuredFigures.get(figure);
+          if (measured != null) {
+            double larger = Math.max(Math.abs(simulated), Math.abs(measured));
+            comparedRows.add(
                 new Row(
-                    figure, value, other, larger < FLOOR ? 0 : Math.abs(value - other) / larger));
+                    figure,
+                    simulated,
+                    measured,
+                    larger < NEGLIGIBLE_VALUE ? 0 : Math.abs(simulated - measured) / larger));
           }
         });
-    return rows;
+    return comparedRows;
   }
 }
--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -27,170 +27,190 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays a small deployment over loopback: gateways and counter in processes of their own, backends
- * and clients as fakes.
+ * Runs a small deployment over loopback sockets, in real time: gateways and the counter in
+ * processes of their own, backends and clients as fakes in this process.
  */
 public final class SocketRun {
-  private static final int MOST_GATEKEEPERS = 8;
-  private static final int MOST_WORKERS = 24;
-  private static final double MOST_RATE = 500;
-  private static final double LONGEST = 120;
-  private static final long SLACK = 250_000;
+  private static final int MAX_GATEWAYS = 8;
+  private static final int MAX_BACKENDS = 24;
+  private static final double MAX_REQUESTS_PER_SECOND = 500;
+  private static final double MAX_DURATION_SECONDS = 120;
+  private static final long TOLERANCE_MICROS = 250_000;
 
   /**
-   * Seconds of light traffic before it is measured: processes start cold, and it is not their start
-   * that is emulated.
+   * Seconds of light traffic before the measurement starts. Processes start cold, and the
+   * simulation does not model their start.
    */
-  private static final double WARM = 3;
+  private static final double WARM_UP_SECONDS = 3;
 
-  /** What came of it. */
+  /** The measured figures and the conformance of one run. */
   public record SocketRunResult(TraceMetrics.Metrics metrics, ConformanceResult conformance) {}
 
-  private final ParsedDeployment read;
-  private final Deployment d;
+  private final ParsedDeployment parsedDeployment;
+  private final Deployment deployment;
   private final PrintStream out;
 
-  public SocketRun(ParsedDeployment read, PrintStream out) {
-    this.read = read;
-    this.d = read.deployment();
+  public SocketRun(ParsedDeployment parsedDeployment, PrintStream out) {
+    this.parsedDeployment = parsedDeployment;
+    this.deployment = parsedDeployment.deployment();
     this.out = out;
   }
 
-  /** What of the deployment cannot be played so; empty when all can. */
+  /** Returns an error message for each feature of the deployment that a run over sockets lacks. */
   public List<String> unsupportedFeatures() {
-    List<String> all = new ArrayList<>();
-    if (d.gatewayCount() > MOST_GATEKEEPERS
-        || d.backendCount() > MOST_WORKERS
-        || d.durationSeconds() > LONGEST
-        || d.demands().stream().mapToDouble(Demand::requestsPerSecond).sum() > MOST_RATE) {
-      all.add(
+    List<String> unsupported = new ArrayList<>();
+    if (deployment.gatewayCount() > MAX_GATEWAYS
+        || deployment.backendCount() > MAX_BACKENDS
+        || deployment.durationSeconds() > MAX_DURATION_SECONDS
+        || deployment.demands().stream().mapToDouble(Demand::requestsPerSecond).sum()
+            > MAX_REQUESTS_PER_SECOND) {
+      unsupported.add(
           "at most "
-              + MOST_GATEKEEPERS
+              + MAX_GATEWAYS
               + " gatekeepers, "
-              + MOST_WORKERS
+              + MAX_BACKENDS
               + " workers, "
-              + (int) MOST_RATE
+              + (int) MAX_REQUESTS_PER_SECOND
               + " requests a second and "
-              + (int) LONGEST
-              + " s are played over sockets");
+              + (int) MAX_DURATION_SECONDS
+              + " s are supported over sockets");
     }
-    if (d.demands().stream().anyMatch(x -> x.gatewaysPerCustomer() < d.gatewayCount())) {
-      all.add("over sockets each customer comes through all gatekeepers");
+    if (deployment.demands().stream()
+        .anyMatch(demand -> demand.gatewaysPerCustomer() < deployment.gatewayCount())) {
+      unsupported.add("over sockets each customer comes through all gatekeepers");
     }
-    for (FaultWindow mark : read.faultWindows()) {
-      if (!mark.kind()
+    for (FaultWindow faultWindow : parsedDeployment.faultWindows()) {
+      if (!faultWindow
+          .kind()
           .matches("counter-silent|worker-slow|worker-silent|worker-loses-answers|worker-dies")) {
-        all.add("trouble " + mark.kind() + " is not played over sockets");
+        unsupported.add("trouble " + faultWindow.kind() + " is not supported over sockets");
       }
     }
-    return all;
+    return unsupported;
   }
 
-  /** Plays it, in real time. */
+  /** Runs the deployment in real time, after the warm-up, and measures it. */
   public SocketRunResult run() throws Exception {
-    try (FleetFixture scene = new FleetFixture(d.backendCount(), d.backend(), d.seed())) {
-      scene.addGateways(d.gatewayCount(), settings());
-      scene.gateways.startAll();
-      List<TrafficGenerator> traffics = new ArrayList<>();
-      RawHttpClient client = new RawHttpClient(scene.vertx, scene.recorder);
-      for (Demand demand : d.demands()) {
-        RequestClass type =
-            d.requestClasses().stream()
-                .filter(c -> c.name().equals(demand.requestClass()))
+    try (FleetFixture fleet =
+        new FleetFixture(deployment.backendCount(), deployment.backend(), deployment.seed())) {
+      fleet.addGateways(deployment.gatewayCount(), gatewaySettings());
+      fleet.gateways.startAll();
+      List<TrafficGenerator> trafficGenerators = new ArrayList<>();
+      RawHttpClient client = new RawHttpClient(fleet.vertx, fleet.recorder);
+      for (Demand demand : deployment.demands()) {
+        RequestClass requestClass =
+            deployment.requestClasses().stream()
+                .filter(candidate -> candidate.name().equals(demand.requestClass()))
                 .findFirst()
                 .orElseThrow();
         List<TrafficGenerator.Customer> customers =
             IntStream.range(0, demand.customerCount())
                 .mapToObj(
-                    i ->
+                    index ->
                         new TrafficGenerator.Customer(
-                            demand.name() + "-" + i,
-                            "key-" + demand.name() + "-" + i,
+                            demand.name() + "-" + index,
+                            "key-" + demand.name() + "-" + index,
                             demand.requestsPerSecond() / demand.customerCount()))
                 .toList();
-        traffics.add(
+        trafficGenerators.add(
             new TrafficGenerator(
-                    scene.vertx,
+                    fleet.vertx,
                     client,
                     List.of(
                         new TrafficGenerator.RequestKind(
-                            type.name(),
+                            requestClass.name(),
                             "GET",
-                            "/" + type.name(),
-                            type.idempotency(),
+                            "/" + requestClass.name(),
+                            requestClass.idempotency(),
                             demand.timeoutMicros(),
                             1)),
                     customers,
-                    d.gatewayCount(),
-                    scene.gateways::port,
-                    d.seed() + traffics.size())
+                    deployment.gatewayCount(),
+                    fleet.gateways::port,
+                    deployment.seed() + trafficGenerators.size())
                 .withOperationPrefix(demand.name())
                 .withMaxAttempts(1));
       }
-      traffics.forEach(t -> t.setRateFactor(0.2));
-      traffics.forEach(TrafficGenerator::start);
-      long[] begin = {0};
-      FaultSchedule script =
+      trafficGenerators.forEach(generator -> generator.setRateFactor(0.2));
+      trafficGenerators.forEach(TrafficGenerator::start);
+      long[] startMicros = {0};
+      FaultSchedule schedule =
           new FaultSchedule()
               .at(
-                  WARM,
+                  WARM_UP_SECONDS,
                   "measured from here",
                   () -> {
-                    begin[0] = TraceRecorder.nowMicros();
-                    traffics.forEach(t -> t.setRateFactor(1));
+                    startMicros[0] = TraceRecorder.nowMicros();
+                    trafficGenerators.forEach(generator -> generator.setRateFactor(1));
                   });
-      read.faultWindows().forEach(mark -> trouble(mark, script, scene));
-      script.playUntil(WARM + d.durationSeconds(), out);
-      traffics.forEach(TrafficGenerator::stop);
-      for (TrafficGenerator each : traffics) {
-        BadDayScenario.awaitCompletion(each);
+      parsedDeployment
+          .faultWindows()
+          .forEach(faultWindow -> scheduleFault(faultWindow, schedule, fleet));
+      schedule.playUntil(WARM_UP_SECONDS + deployment.durationSeconds(), out);
+      trafficGenerators.forEach(TrafficGenerator::stop);
+      for (TrafficGenerator generator : trafficGenerators) {
+        BadDayScenario.awaitCompletion(generator);
       }
-      return played(scene.recorder.events(), begin[0]);
+      return evaluate(fleet.recorder.events(), startMicros[0]);
     }
   }
 
-  private SocketRunResult played(List<TraceEvent> trace, long begin) {
-    Map<String, Plan> plans = d.customerPlans();
-    Map<String, RequestClass> classes =
-        d.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
-    ConformanceResult verdict =
-        InvariantChecker.check(trace, new ConformanceLimits(classes, d.rules(), plans, SLACK));
-    List<TraceEvent> measured = trace.stream().filter(s -> s.atMicros() >= begin).toList();
-    TraceMetrics.Metrics told =
+  private SocketRunResult evaluate(List<TraceEvent> trace, long startMicros) {
+    Map<String, Plan> plans = deployment.customerPlans();
+    Map<String, RequestClass> requestClasses =
+        deployment.requestClasses().stream()
+            .collect(Collectors.toMap(RequestClass::name, requestClass -> requestClass));
+    ConformanceResult conformance =
+        InvariantChecker.check(
+            trace,
+            new ConformanceLimits(requestClasses, deployment.rules(), plans, TOLERANCE_MICROS));
+    List<TraceEvent> measured =
+        trace.stream().filter(event -> event.atMicros() >= startMicros).toList();
+    TraceMetrics.Metrics metrics =
         TraceMetrics.of(
             measured,
-            classes,
+            requestClasses,
             plans,
-            d.demands().stream().map(Demand::name).toList(),
-            begin,
-            d.durationSeconds());
-    told.figures()
+            deployment.demands().stream().map(Demand::name).toList(),
+            startMicros,
+            deployment.durationSeconds());
+    metrics
+        .figures()
         .put(
             "worth",
             WeightedGoodput.shareOfOffered(
-                measured, new ConformanceLimits(classes, d.rules(), plans, SLACK)));
-    return new SocketRunResult(told, verdict);
+                measured,
+                new ConformanceLimits(
+                    requestClasses, deployment.rules(), plans, TOLERANCE_MICROS)));
+    return new SocketRunResult(metrics, conformance);
   }
 
-  /** The deployment's lines that a gateway knows too, and a key for each customer. */
-  private String settings() {
-    StringBuilder text = new StringBuilder();
-    read.effectiveSettings()
+  /**
+   * Returns the settings of the gateways: the lines of the deployment file that they share with it,
+   * a route for each request class and a key for each customer.
+   */
+  private String gatewaySettings() {
+    StringBuilder settingsText = new StringBuilder();
+    parsedDeployment
+        .effectiveSettings()
         .lines()
         .filter(line -> line.matches("(class|plan|limits|rules) .*"))
-        .forEach(line -> text.append(line).append('\n'));
-    d.requestClasses()
+        .forEach(line -> settingsText.append(line).append('\n'));
+    deployment
+        .requestClasses()
         .forEach(
-            c ->
-                text.append("route GET /")
-                    .append(c.name())
+            requestClass ->
+                settingsText
+                    .append("route GET /")
+                    .append(requestClass.name())
                     .append(' ')
-                    .append(c.name())
+                    .append(requestClass.name())
                     .append('\n'));
-    for (Demand demand : d.demands()) {
-      for (int i = 0; i < demand.customerCount(); i++) {
-        String name = demand.name() + "-" + i;
-        text.append("key key-")
+    for (Demand demand : deployment.demands()) {
+      for (int index = 0; index < demand.customerCount(); index++) {
+        String name = demand.name() + "-" + index;
+        settingsText
+            .append("key key-")
             .append(name)
             .append(" customer ")
             .append(name)
@@ -199,83 +219,94 @@
             .append('\n');
       }
     }
-    return text.append("log text level info\n").toString();
+    return settingsText.append("log text level info\n").toString();
   }
 
-  private static void trouble(FaultWindow mark, FaultSchedule script, FleetFixture scene) {
-    List<Integer> on =
-        IntStream.range(mark.firstBackend(), mark.firstBackend() + mark.backendCount())
+  private static void scheduleFault(
+      FaultWindow faultWindow, FaultSchedule schedule, FleetFixture fleet) {
+    List<Integer> backendIndexes =
+        IntStream.range(
+                faultWindow.firstBackend(), faultWindow.firstBackend() + faultWindow.backendCount())
             .boxed()
             .toList();
-    double from = WARM + mark.fromSecond();
-    double until = WARM + mark.untilSecond();
-    switch (mark.kind()) {
+    double startSecond = WARM_UP_SECONDS + faultWindow.fromSecond();
+    double endSecond = WARM_UP_SECONDS + faultWindow.untilSecond();
+    switch (faultWindow.kind()) {
       case "counter-silent" ->
-          script
-              .at(from, mark.kind(), () -> scene.counter.setUnresponsive(true))
-              .at(until, "its end", () -> scene.counter.setUnresponsive(false));
+          schedule
+              .at(startSecond, faultWindow.kind(), () -> fleet.counter.setUnresponsive(true))
+              .at(endSecond, "fault ends", () -> fleet.counter.setUnresponsive(false));
       case "worker-slow" ->
-          faults(
-              script,
-              scene,
-              on,
-              mark,
-              f -> f.workTimeFactor = mark.factor(),
-              f -> f.workTimeFactor = 1);
+          scheduleBackendFault(
+              schedule,
+              fleet,
+              backendIndexes,
+              faultWindow,
+              backendFaults -> backendFaults.workTimeFactor = faultWindow.factor(),
+              backendFaults -> backendFaults.workTimeFactor = 1);
       case "worker-silent" ->
-          faults(
-              script, scene, on, mark, f -> f.isUnresponsive = true, f -> f.isUnresponsive = false);
+          scheduleBackendFault(
+              schedule,
+              fleet,
+              backendIndexes,
+              faultWindow,
+              backendFaults -> backendFaults.isUnresponsive = true,
+              backendFaults -> backendFaults.isUnresponsive = false);
       case "worker-loses-answers" ->
-          faults(
-              script,
-              scene,
-              on,
-              mark,
-              f -> f.lostResponseRatio = mark.ratio(),
-              f -> f.lostResponseRatio = 0);
+          scheduleBackendFault(
+              schedule,
+              fleet,
+              backendIndexes,
+              faultWindow,
+              backendFaults -> backendFaults.lostResponseRatio = faultWindow.ratio(),
+              backendFaults -> backendFaults.lostResponseRatio = 0);
       default ->
-          script
+          schedule
               .at(
-                  from,
-                  mark.kind(),
+                  startSecond,
+                  faultWindow.kind(),
                   () ->
-                      on.forEach(
-                          i -> {
-                            scene.backends.get(i).kill();
-                            scene.discovery.publish(scene.endpointEntry(i, "deleted"));
+                      backendIndexes.forEach(
+                          index -> {
+                            fleet.backends.get(index).kill();
+                            fleet.discovery.publish(fleet.endpointEntry(index, "deleted"));
                           }))
               .at(
-                  until,
-                  "they come back cold",
+                  endSecond,
+                  "backends restarted cold",
                   () ->
-                      on.forEach(
-                          i ->
-                              scene
+                      backendIndexes.forEach(
+                          index ->
+                              fleet
                                   .backends
-                                  .get(i)
+                                  .get(index)
                                   .start(true)
                                   .onSuccess(
-                                      p ->
-                                          scene.discovery.publish(
-                                              scene.endpointEntry(i, "running")))));
+                                      port ->
+                                          fleet.discovery.publish(
+                                              fleet.endpointEntry(index, "running")))));
     }
   }
 
-  private static void faults(
-      FaultSchedule script,
-      FleetFixture scene,
-      List<Integer> on,
-      FaultWindow mark,
-      java.util.function.Consumer<FakeBackend.Faults> begin,
-      java.util.function.Consumer<FakeBackend.Faults> end) {
-    script
+  private static void scheduleBackendFault(
+      FaultSchedule schedule,
+      FleetFixture fleet,
+      List<Integer> backendIndexes,
+      FaultWindow faultWindow,
+      java.util.function.Consumer<FakeBackend.Faults> injectFault,
+      java.util.function.Consumer<FakeBackend.Faults> clearFault) {
+    schedule
         .at(
-            WARM + mark.fromSecond(),
-            mark.kind(),
-            () -> on.forEach(i -> scene.backends.get(i).injectFaults(begin)))
+            WARM_UP_SECONDS + faultWindow.fromSecond(),
+            faultWindow.kind(),
+            () ->
+                backendIndexes.forEach(
+                    index -> fleet.backends.get(index).injectFaults(injectFault)))
         .at(
-            WARM + mark.untilSecond(),
-            "its end",
-            () -> on.forEach(i -> scene.backends.get(i).injectFaults(end)));
+            WARM_UP_SECONDS + faultWindow.untilSecond(),
+            "fault ends",
+            () ->
+                backendIndexes.forEach(
+                    index -> fleet.backends.get(index).injectFaults(clearFault)));
   }
 }
--- a/src/main/java/fawndock/calibration/package-info.java
+++ b/src/main/java/fawndock/calibration/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The emulator held against the real program: the same small deployment in simulated time and over
- * sockets, measured by the same code. It uses drills and emulator; neither knows it.
+ * Calibration of the simulation against the real program: runs the same small deployment in
+ * simulated time and over sockets and compares the figures, which the same code measures. The
+ * package depends on the scenarios and on the simulation; neither depends on it.
  */
 package fawndock.calibration;
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -4,8 +4,8 @@
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
 import fawndock.experiment.ExperimentRunner;
-import fawndock.experiment.ResultStore;
 import fawndock.experiment.ResultStatistics;
+import fawndock.experiment.ResultStore;
 import fawndock.experiment.RunResult;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.settings.ConfigurationException;
@@ -109,7 +109,8 @@
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (ResultStatistics.ExpectationResult each : ResultStatistics.evaluate(experiment.expectations(), all)) {
+    for (ResultStatistics.ExpectationResult each :
+        ResultStatistics.evaluate(experiment.expectations(), all)) {
       kept &= each.isSatisfied();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
@@ -146,7 +147,8 @@
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
           for (String figure : experiment.shownFigures()) {
-            ResultStatistics.Difference d = ResultStatistics.difference(cells.get(with), outcomes, figure);
+            ResultStatistics.Difference d =
+                ResultStatistics.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
                 .append(' ')
--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -40,9 +40,11 @@
           (after.isEmpty() ? folder : before) + ": no run is done yet, expected at least one");
     }
     try {
-      Experiment experiment = ExperimentFile.readWithoutScenario(folder.resolve(ResultStore.EXPERIMENT_FILE));
+      Experiment experiment =
+          ExperimentFile.readWithoutScenario(folder.resolve(ResultStore.EXPERIMENT_FILE));
       System.out.println(
-          new HtmlReport(experiment, experiment.inRunOrder(after), experiment.inRunOrder(was), folder)
+          new HtmlReport(
+                  experiment, experiment.inRunOrder(after), experiment.inRunOrder(was), folder)
               .write());
       return 0;
     } catch (ConfigurationException e) {
--- a/src/main/java/fawndock/experiment/BuildHash.java
+++ b/src/main/java/fawndock/experiment/BuildHash.java
@@ -15,14 +15,14 @@
 import java.util.stream.Stream;
 
 /**
- * Tells builds apart: results of other decisions, or of another model, are not taken for those of
- * this one.
+ * Hashes that identify a build. The hash is part of each result's key, so that results of another
+ * policy or of another simulation model are not reused.
  */
 public final class BuildHash {
-  private static final int SHOWN = 16;
+  private static final int HASH_LENGTH = 16;
 
-  /** What a simulated run depends on. */
-  private static final List<String> PARTS =
+  /** Class files that the result of a simulated run depends on. */
+  private static final List<String> HASHED_CLASS_PREFIXES =
       List.of(
           "fawndock/Logic",
           "fawndock/Gatekeeper",
@@ -34,14 +34,14 @@
 
   private BuildHash() {}
 
-  /** A short hash of some texts. */
+  /** Returns the first {@value #HASH_LENGTH} hexadecimal digits of the SHA-256 of some texts. */
   public static String hash(String... texts) {
     MessageDigest digest = digest();
     for (String text : texts) {
       digest.update(text.getBytes(StandardCharsets.UTF_8));
       digest.update((byte) 0);
     }
-    return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+    return HexFormat.of().formatHex(digest.digest()).substring(0, HASH_LENGTH);
   }
 
   private static MessageDigest digest() {
@@ -52,45 +52,47 @@
     }
   }
 
-  /** Of the classes that this program runs with. */
+  /** Returns the hash of the class files that this process runs with. */
   public static String ofRunningClasses() throws IOException {
     try {
-      Path from = Path.of(BuildHash.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-      if (Files.isDirectory(from)) {
-        return of(from);
+      Path codeSource =
+          Path.of(BuildHash.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      if (Files.isDirectory(codeSource)) {
+        return ofClasses(codeSource);
       }
-      try (FileSystem jar = FileSystems.newFileSystem(from)) {
-        return of(jar.getPath("/"));
+      try (FileSystem jar = FileSystems.newFileSystem(codeSource)) {
+        return ofClasses(jar.getPath("/"));
       }
     } catch (URISyntaxException e) {
       throw new IOException(e);
     }
   }
 
-  private static String of(Path root) throws IOException {
+  private static String ofClasses(Path root) throws IOException {
     MessageDigest digest = digest();
     List<Path> classes;
-    try (Stream<Path> all = Files.walk(root.resolve("fawndock"))) {
+    try (Stream<Path> paths = Files.walk(root.resolve("fawndock"))) {
       classes =
-          all.filter(
-                  p ->
-                      PARTS.stream()
+          paths
+              .filter(
+                  path ->
+                      HASHED_CLASS_PREFIXES.stream()
                               .anyMatch(
-                                  part ->
-                                      root.relativize(p)
+                                  prefix ->
+                                      root.relativize(path)
                                           .toString()
                                           .replace('\\', '/')
-                                          .startsWith(part))
-                          && p.toString().endsWith(".class"))
+                                          .startsWith(prefix))
+                          && path.toString().endsWith(".class"))
               .sorted((a, b) -> a.toString().compareTo(b.toString()))
               .toList();
     }
-    for (Path each : classes) {
-      digest.update(root.relativize(each).toString().getBytes(StandardCharsets.UTF_8));
-      try (InputStream in = Files.newInputStream(each)) {
+    for (Path classFile : classes) {
+      digest.update(root.relativize(classFile).toString().getBytes(StandardCharsets.UTF_8));
+      try (InputStream in = Files.newInputStream(classFile)) {
         digest.update(in.readAllBytes());
       }
     }
-    return HexFormat.of().formatHex(digest.digest()).substring(0, SHOWN);
+    return HexFormat.of().formatHex(digest.digest()).substring(0, HASH_LENGTH);
   }
 }
--- a/src/main/java/fawndock/experiment/Experiment.java
+++ b/src/main/java/fawndock/experiment/Experiment.java
@@ -8,43 +8,46 @@
 import java.util.Objects;
 
 /**
- * What is to be run, and what is expected of it.
+ * An experiment: the combinations of values and the seeds that a scenario runs with, and the
+ * expectations of the results. A cell is one combination of values, over all seeds. Immutable.
  *
- * @param scenario a deployment file, whose variables are varied
- * @param varied in the order of the file; the last changes fastest
- * @param skipped combinations that are left out
- * @param shown figures that tables and plots show
- * @param compare a variable and the value of it that the others are held against, or null
- * @param axis the variable that plots have along their foot
+ * @param scenario a deployment file that declares the variables
+ * @param variables in the order of the file; the last one changes fastest
+ * @param excluded combinations that are not run
+ * @param shownFigures figures that tables and plots show
+ * @param baseline a variable and the value that its other values are compared with, or null
+ * @param axis the variable on the x-axis of plots
  */
 public record Experiment(
     String title,
     Path scenario,
-    List<VariedVariable> varied,
-    List<Map<String, List<String>>> skipped,
+    List<VariedVariable> variables,
+    List<Map<String, List<String>>> excluded,
     List<Long> seeds,
     List<String> shownFigures,
     List<Expectation> expectations,
     VariedVariable baseline,
     String axis) {
-  /** A variable and the values that it takes in turns. */
+  /** A variable and its values, one for each variant. */
   public record VariedVariable(String name, List<String> values) {}
 
   /**
-   * A bound on a figure, in each cell that has one of the values given.
+   * A bound on a figure, for each cell that meets the conditions.
    *
-   * @param most whether the bound is the most; else the least
+   * @param isUpperBound whether the bound is the maximum; otherwise it is the minimum
+   * @param conditions allowed values by variable
    */
   public record Expectation(
       String figure, boolean isUpperBound, double bound, Map<String, List<String>> conditions) {
-    /** Whether a value is within the bound. */
-    public boolean holds(double value) {
+    /** Returns whether a value is within the bound. */
+    public boolean isSatisfiedBy(double value) {
       return isUpperBound ? value <= bound : value >= bound;
     }
 
-    /** As the file says it. */
+    /** Returns the expectation in the syntax of the experiment file. */
     public String text() {
-      StringBuilder text = new StringBuilder(figure + (isUpperBound ? " at most " : " at least ") + bound);
+      StringBuilder text =
+          new StringBuilder(figure + (isUpperBound ? " at most " : " at least ") + bound);
       conditions.forEach(
           (name, values) ->
               text.append(text.indexOf(" when ") < 0 ? " when " : ", ")
@@ -58,30 +61,34 @@
   /** One run: a value of each variable, and a seed. */
   public record Run(Map<String, String> values, long seed) {}
 
-  /** Whether these values are among those given for each name. */
-  static boolean matches(Map<String, String> values, Map<String, List<String>> given) {
-    return given.entrySet().stream().allMatch(e -> e.getValue().contains(values.get(e.getKey())));
+  /** Returns whether the value of each listed variable is among its allowed values. */
+  static boolean matches(Map<String, String> values, Map<String, List<String>> allowedValues) {
+    return allowedValues.entrySet().stream()
+        .allMatch(entry -> entry.getValue().contains(values.get(entry.getKey())));
   }
 
-  /** All combinations that are not skipped. */
+  /** Returns all combinations of values that are not excluded. */
   public List<Map<String, String>> cells() {
     List<Map<String, String>> all = new ArrayList<>(List.of(Map.of()));
-    for (VariedVariable vary : varied) {
-      List<Map<String, String>> longer = new ArrayList<>();
-      for (Map<String, String> each : all) {
-        for (String value : vary.values()) {
-          Map<String, String> with = new LinkedHashMap<>(each);
-          with.put(vary.name(), value);
-          longer.add(with);
+    for (VariedVariable variable : variables) {
+      List<Map<String, String>> extended = new ArrayList<>();
+      for (Map<String, String> combination : all) {
+        for (String value : variable.values()) {
+          Map<String, String> extendedCombination = new LinkedHashMap<>(combination);
+          extendedCombination.put(variable.name(), value);
+          extended.add(extendedCombination);
         }
       }
-      all = longer;
+      all = extended;
     }
-    all.removeIf(values -> skipped.stream().anyMatch(s -> matches(values, s)));
+    all.removeIf(values -> excluded.stream().anyMatch(exclusion -> matches(values, exclusion)));
     return all;
   }
 
-  /** All runs, seed by seed, so that what is there when it is stopped early has all variants. */
+  /**
+   * Returns all runs. All variants of a seed come before the next seed, so that an experiment that
+   * is stopped early has results of all variants.
+   */
   public List<Run> runs() {
     List<Run> all = new ArrayList<>();
     List<Map<String, String>> cells = cells();
@@ -90,13 +97,14 @@
   }
 
   /**
-   * Outcomes in the order of the runs, and others after them. Of several for the same values and
-   * seed, by other settings or builds, those that were added last.
+   * Returns results in the order of the runs, followed by results of other runs. When several
+   * results have the same values and seed, from different settings or builds, only the last one is
+   * returned.
    */
   public List<RunResult> inRunOrder(List<RunResult> all) {
-    Map<Run, RunResult> last = new LinkedHashMap<>();
-    runs().forEach(run -> last.put(run, null));
-    all.forEach(o -> last.put(new Run(o.values(), o.seed()), o));
-    return last.values().stream().filter(Objects::nonNull).toList();
+    Map<Run, RunResult> latestByRun = new LinkedHashMap<>();
+    runs().forEach(run -> latestByRun.put(run, null));
+    all.forEach(result -> latestByRun.put(new Run(result.values(), result.seed()), result));
+    return latestByRun.values().stream().filter(Objects::nonNull).toList();
   }
 }
--- a/src/main/java/fawndock/experiment/ExperimentFile.java
+++ b/src/main/java/fawndock/experiment/ExperimentFile.java
@@ -14,17 +14,17 @@
 import java.util.Set;
 import java.util.stream.LongStream;
 
-/** Reads an experiment; what each keyword means is in docs/operations/experiment.md. */
+/** Reads an experiment file. The meaning of each keyword is in docs/operations/experiment.md. */
 public final class ExperimentFile extends ConfigurationFile {
-  private static final int MOST_RUNS = 100_000;
-  private final List<VariedVariable> varied = new ArrayList<>();
-  private final List<Map<String, List<String>>> skipped = new ArrayList<>();
-  private final List<Expectation> expected = new ArrayList<>();
+  private static final int MAX_RUNS = 100_000;
+  private final List<VariedVariable> variables = new ArrayList<>();
+  private final List<Map<String, List<String>>> excluded = new ArrayList<>();
+  private final List<Expectation> expectations = new ArrayList<>();
   private List<Long> seeds = List.of(1L, 2L, 3L, 4L, 5L);
-  private List<String> shown = List.of("use", "kept", "good-a-try", "p99-ms", "calls-a-try");
+  private List<String> shownFigures = List.of("use", "kept", "good-a-try", "p99-ms", "calls-a-try");
   private String title = "";
   private Path scenario;
-  private VariedVariable compare;
+  private VariedVariable baseline;
   private String axis = "";
 
   private ExperimentFile(Path file) {
@@ -34,74 +34,76 @@
     keywords.put(
         "scenario",
         line -> {
-          if (needs(line, 1, 1, "scenario FILE")) {
+          if (hasArgumentCount(line, 1, 1, "scenario FILE")) {
             scenario = file.toAbsolutePath().resolveSibling(line.words().get(1));
           }
         });
     keywords.put(
         "vary",
         line -> {
-          if (needs(line, 2, Integer.MAX_VALUE, "vary NAME VALUE VALUE ...")) {
-            VariedVariable vary =
+          if (hasArgumentCount(line, 2, Integer.MAX_VALUE, "vary NAME VALUE VALUE ...")) {
+            VariedVariable variable =
                 new VariedVariable(
                     line.words().get(1), List.copyOf(line.words().subList(2, line.words().size())));
-            if (Set.copyOf(vary.values()).size() < vary.values().size()) {
-              addError(line, "a value of " + vary.name() + " is given twice", "each value once");
+            if (Set.copyOf(variable.values()).size() < variable.values().size()) {
+              addError(
+                  line, "a value of " + variable.name() + " is given twice", "each value once");
             }
-            if (varied.stream().anyMatch(v -> v.name().equals(vary.name()))) {
-              addError(line, vary.name() + " is varied twice", "each name once");
+            if (variables.stream().anyMatch(v -> v.name().equals(variable.name()))) {
+              addError(line, variable.name() + " is varied twice", "each name once");
             }
-            varied.add(vary);
+            variables.add(variable);
           }
         });
     keywords.put(
         "skip",
         line -> {
-          if (needs(line, 2, Integer.MAX_VALUE, "skip NAME VALUE|VALUE ...")) {
-            skipped.add(pairs(line, 1));
+          if (hasArgumentCount(line, 2, Integer.MAX_VALUE, "skip NAME VALUE|VALUE ...")) {
+            excluded.add(readConditions(line, 1));
           }
         });
-    keywords.put("seeds", this::seeds);
+    keywords.put("seeds", this::readSeeds);
     keywords.put(
         "show",
         line -> {
-          if (needs(line, 1, Integer.MAX_VALUE, "show FIGURE FIGURE ...")) {
-            shown = List.copyOf(line.words().subList(1, line.words().size()));
+          if (hasArgumentCount(line, 1, Integer.MAX_VALUE, "show FIGURE FIGURE ...")) {
+            shownFigures = List.copyOf(line.words().subList(1, line.words().size()));
           }
         });
-    keywords.put("expect", this::expect);
+    keywords.put("expect", this::readExpectation);
     keywords.put(
         "compare",
         line -> {
-          if (needs(line, 2, 2, "compare NAME VALUE")) {
-            compare = new VariedVariable(line.words().get(1), List.of(line.words().get(2)));
-            checkLater(line, compare.name(), compare.values());
+          if (hasArgumentCount(line, 2, 2, "compare NAME VALUE")) {
+            baseline = new VariedVariable(line.words().get(1), List.of(line.words().get(2)));
+            crossCheckVariable(line, baseline.name(), baseline.values());
           }
         });
     keywords.put(
         "axis",
         line -> {
-          if (needs(line, 1, 1, "axis NAME")) {
+          if (hasArgumentCount(line, 1, 1, "axis NAME")) {
             axis = line.words().get(1);
-            checkLater(line, axis, List.of());
+            crossCheckVariable(line, axis, List.of());
           }
         });
   }
 
-  private boolean needs(ConfigurationLine line, int least, int most, String form) {
-    int has = line.words().size() - 1;
-    if (has < least || has > most) {
-      addError(line, line.keyword() + " has " + has + " arguments", form);
+  private boolean hasArgumentCount(ConfigurationLine line, int min, int max, String form) {
+    int argumentCount = line.words().size() - 1;
+    if (argumentCount < min || argumentCount > max) {
+      addError(line, line.keyword() + " has " + argumentCount + " arguments", form);
       return false;
     }
     return true;
   }
 
-  private void checkLater(ConfigurationLine line, String name, List<String> values) {
+  private void crossCheckVariable(ConfigurationLine line, String name, List<String> values) {
     crossCheck(
         line,
         () ->
-            varied.stream().anyMatch(v -> v.name().equals(name) && v.values().containsAll(values)),
+            variables.stream()
+                .anyMatch(v -> v.name().equals(name) && v.values().containsAll(values)),
         "'"
             + name
             + "' is not varied"
@@ -109,102 +111,115 @@
         "a name of a vary line" + (values.isEmpty() ? "" : " and values of it"));
   }
 
-  /** Names, each with one or several values of it. */
-  private Map<String, List<String>> pairs(ConfigurationLine line, int from) {
-    Map<String, List<String>> all = new LinkedHashMap<>();
+  /** Reads variable names, each followed by one or several values. */
+  private Map<String, List<String>> readConditions(ConfigurationLine line, int firstWord) {
+    Map<String, List<String>> conditions = new LinkedHashMap<>();
     List<String> words = line.words();
-    for (int i = from; i + 1 < words.size(); i += 2) {
-      all.put(words.get(i), List.of(words.get(i + 1).split("\\|")));
-      checkLater(line, words.get(i), all.get(words.get(i)));
+    for (int i = firstWord; i + 1 < words.size(); i += 2) {
+      conditions.put(words.get(i), List.of(words.get(i + 1).split("\\|")));
+      crossCheckVariable(line, words.get(i), conditions.get(words.get(i)));
     }
-    if ((words.size() - from) % 2 == 1) {
+    if ((words.size() - firstWord) % 2 == 1) {
       addError(line, "'" + words.get(words.size() - 1) + "' has no value", "NAME VALUE|VALUE");
     }
-    return all;
+    return conditions;
   }
 
-  private void seeds(ConfigurationLine line) {
+  private void readSeeds(ConfigurationLine line) {
     List<String> words = line.words().subList(1, line.words().size());
     if (words.isEmpty()
-        || words.stream().anyMatch(w -> !w.matches("[0-9]{1,9}(\\.\\.[0-9]{1,9})?"))) {
+        || words.stream().anyMatch(word -> !word.matches("[0-9]{1,9}(\\.\\.[0-9]{1,9})?"))) {
       addError(
           line,
           "seeds '" + String.join(" ", words) + "'",
           "whole numbers, or ranges such as 1..20");
       return;
     }
-    List<Long> all = new ArrayList<>();
-    for (String word : words) {
-      String[] ends = word.split("\\.\\.", 0);
-      long from = Long.parseLong(ends[0]);
-      long to = Long.parseLong(ends[ends.length - 1]);
-      if (to < from || to - from > MOST_RUNS) {
-        addError(line, "seeds '" + word + "'", "a range that goes up, of at most " + MOST_RUNS);
+    List<Long> distinctSeeds = new ArrayList<>();
+    for (String seedRange : words) {
+      String[] bounds = seedRange.split("\\.\\.", 0);
+      long firstSeed = Long.parseLong(bounds[0]);
+      long lastSeed = Long.parseLong(bounds[bounds.length - 1]);
+      if (lastSeed < firstSeed || lastSeed - firstSeed > MAX_RUNS) {
+        addError(line, "seeds '" + seedRange + "'", "a range that goes up, of at most " + MAX_RUNS);
         return;
       }
-      LongStream.rangeClosed(from, to).filter(s -> !all.contains(s)).forEach(all::add);
+      LongStream.rangeClosed(firstSeed, lastSeed)
+          .filter(s -> !distinctSeeds.contains(s))
+          .forEach(distinctSeeds::add);
     }
-    seeds = List.copyOf(all);
+    seeds = List.copyOf(distinctSeeds);
   }
 
-  private void expect(ConfigurationLine line) {
+  private void readExpectation(ConfigurationLine line) {
     List<String> words = line.words();
     String form = "expect FIGURE at-most|at-least NUMBER [when NAME VALUE|VALUE ...]";
-    if (!needs(line, 3, Integer.MAX_VALUE, form)) {
+    if (!hasArgumentCount(line, 3, Integer.MAX_VALUE, form)) {
       return;
     }
     double bound = Double.NaN;
     try {
       bound = Double.parseDouble(words.get(3));
     } catch (NumberFormatException e) {
-      // Told below.
+      // NaN is reported as an error below.
     }
-    boolean when = words.size() > 4;
+    boolean hasConditions = words.size() > 4;
     if (Double.isNaN(bound)
         || !words.get(2).matches("at-most|at-least")
-        || (when && (!words.get(4).equals("when") || words.size() < 7))) {
+        || (hasConditions && (!words.get(4).equals("when") || words.size() < 7))) {
       addError(line, "expect '" + String.join(" ", words.subList(1, words.size())) + "'", form);
       return;
     }
-    expected.add(
+    expectations.add(
         new Expectation(
-            words.get(1), words.get(2).equals("at-most"), bound, when ? pairs(line, 5) : Map.of()));
+            words.get(1),
+            words.get(2).equals("at-most"),
+            bound,
+            hasConditions ? readConditions(line, 5) : Map.of()));
   }
 
   /**
-   * Reads an experiment and its scenario, with the first value of each variable.
+   * Reads an experiment file and checks its scenario with each combination of values.
    *
-   * @throws ConfigurationException with every error when there is any
+   * @throws ConfigurationException with every error in both files, when there is any
    */
   public static Experiment read(Path file) throws ConfigurationException {
-    Experiment read = readWithoutScenario(file);
-    for (Map<String, String> values : read.cells()) {
-      DeploymentFile.read(read.scenario(), values);
+    Experiment experiment = readWithoutScenario(file);
+    for (Map<String, String> values : experiment.cells()) {
+      DeploymentFile.read(experiment.scenario(), values);
     }
-    return read;
+    return experiment;
   }
 
-  /** The same without a look at the scenario, which may be elsewhere by now. */
+  /**
+   * Reads an experiment file without its scenario, which may have been moved since the run.
+   *
+   * @throws ConfigurationException with every error in the file, when there is any
+   */
   public static Experiment readWithoutScenario(Path file) throws ConfigurationException {
-    ExperimentFile f = new ExperimentFile(file);
-    f.readLines(file);
-    f.addFileErrorIf(f.scenario == null, "no scenario", "scenario FILE");
-    long runs = f.seeds.size();
-    for (VariedVariable vary : f.varied) {
-      runs = Math.min(Integer.MAX_VALUE, runs * vary.values().size());
+    ExperimentFile reader = new ExperimentFile(file);
+    reader.readLines(file);
+    reader.addFileErrorIf(reader.scenario == null, "no scenario", "scenario FILE");
+    long runs = reader.seeds.size();
+    for (VariedVariable variable : reader.variables) {
+      runs = Math.min(Integer.MAX_VALUE, runs * variable.values().size());
     }
-    f.addFileErrorIf(runs > MOST_RUNS, "more than " + MOST_RUNS + " runs", "fewer values or seeds");
-    f.throwIfErrors();
-    String axis = f.axis.isEmpty() && !f.varied.isEmpty() ? f.varied.get(0).name() : f.axis;
+    reader.addFileErrorIf(
+        runs > MAX_RUNS, "more than " + MAX_RUNS + " runs", "fewer values or seeds");
+    reader.throwIfErrors();
+    String axis =
+        reader.axis.isEmpty() && !reader.variables.isEmpty()
+            ? reader.variables.get(0).name()
+            : reader.axis;
     return new Experiment(
-        f.title.isEmpty() ? file.getFileName().toString() : f.title,
-        f.scenario,
-        List.copyOf(f.varied),
-        List.copyOf(f.skipped),
-        f.seeds,
-        f.shown,
-        List.copyOf(f.expected),
-        f.compare,
+        reader.title.isEmpty() ? file.getFileName().toString() : reader.title,
+        reader.scenario,
+        List.copyOf(reader.variables),
+        List.copyOf(reader.excluded),
+        reader.seeds,
+        reader.shownFigures,
+        List.copyOf(reader.expectations),
+        reader.baseline,
         axis);
   }
 }
--- a/src/main/java/fawndock/experiment/ExperimentRunner.java
+++ b/src/main/java/fawndock/experiment/ExperimentRunner.java
@@ -20,62 +20,64 @@
 import java.util.function.IntConsumer;
 
 /**
- * Runs what an experiment asks for and its results do not have yet, on several threads; each run is
- * on one.
+ * Executes the runs of an experiment that have no stored result yet. Runs execute in parallel, each
+ * on one thread; the object itself is used by a single thread.
  */
 public final class ExperimentRunner {
-  private final List<PlannedRun> planned = new ArrayList<>();
-  private final Function<PolicyConfig, GatewayPolicy> maker;
+  private final List<PlannedRun> plannedRuns = new ArrayList<>();
+  private final Function<PolicyConfig, GatewayPolicy> policyFactory;
   private final String build;
 
   /**
    * Plans all runs.
    *
-   * @param build that tells results of other decisions apart
+   * @param build hash of the build, a part of each run's key
    * @throws ConfigurationException when the scenario has errors
    */
   public ExperimentRunner(
-      Experiment experiment, Function<PolicyConfig, GatewayPolicy> maker, String build)
+      Experiment experiment, Function<PolicyConfig, GatewayPolicy> policyFactory, String build)
       throws ConfigurationException {
-    this.maker = maker;
+    this.policyFactory = policyFactory;
     this.build = build;
-    Map<Map<String, String>, DeploymentFile.ParsedDeployment> scenarios = new HashMap<>();
+    Map<Map<String, String>, DeploymentFile.ParsedDeployment> deploymentByValues = new HashMap<>();
     for (Map<String, String> values : experiment.cells()) {
-      scenarios.put(values, DeploymentFile.read(experiment.scenario(), values));
+      deploymentByValues.put(values, DeploymentFile.read(experiment.scenario(), values));
     }
     for (Run run : experiment.runs()) {
-      DeploymentFile.ParsedDeployment read = scenarios.get(run.values());
-      planned.add(
+      DeploymentFile.ParsedDeployment deployment = deploymentByValues.get(run.values());
+      plannedRuns.add(
           new PlannedRun(
-              BuildHash.hash(read.effectiveSettings(), Long.toString(run.seed()), build), run, read));
+              BuildHash.hash(deployment.effectiveSettings(), Long.toString(run.seed()), build),
+              run,
+              deployment));
     }
   }
 
-  private record PlannedRun(String key, Run run, DeploymentFile.ParsedDeployment read) {}
+  private record PlannedRun(String key, Run run, DeploymentFile.ParsedDeployment deployment) {}
 
-  /** How many runs are still to be done. */
+  /** Returns the number of distinct runs without a stored result. */
   public int remainingRuns(ResultStore results) {
     return (int)
-        planned.stream()
+        plannedRuns.stream()
             .map(PlannedRun::key)
             .distinct()
-            .filter(key -> !results.outcomes().containsKey(key))
+            .filter(key -> !results.resultsByKey().containsKey(key))
             .count();
   }
 
   /**
-   * Does what is left.
+   * Executes the runs that have no stored result and stores theirs.
    *
-   * @param progress told how many runs have been done
-   * @return the outcomes of all runs, in the experiment's order, whichever ended first
+   * @param progress receives the number of completed runs after each of them
+   * @return the results of all runs in the experiment's order
    */
   public List<RunResult> run(ResultStore results, int jobs, IntConsumer progress)
       throws IOException, InterruptedException {
-    Map<String, PlannedRun> left = new LinkedHashMap<>();
-    planned.stream()
-        .filter(p -> !results.outcomes().containsKey(p.key))
-        .forEach(p -> left.putIfAbsent(p.key, p));
-    ExecutorService pool =
+    Map<String, PlannedRun> remaining = new LinkedHashMap<>();
+    plannedRuns.stream()
+        .filter(plannedRun -> !results.resultsByKey().containsKey(plannedRun.key))
+        .forEach(plannedRun -> remaining.putIfAbsent(plannedRun.key, plannedRun));
+    ExecutorService executor =
         Executors.newFixedThreadPool(
             jobs,
             task -> {
@@ -84,58 +86,60 @@
               return thread;
             });
     try {
-      ExecutorCompletionService<RunResult> done = new ExecutorCompletionService<>(pool);
-      left.values().forEach(p -> done.submit(() -> outcome(p)));
-      for (int i = 0; i < left.size(); i++) {
-        results.add(done.take().get());
+      ExecutorCompletionService<RunResult> completedRuns =
+          new ExecutorCompletionService<>(executor);
+      remaining.values().forEach(plannedRun -> completedRuns.submit(() -> execute(plannedRun)));
+      for (int i = 0; i < remaining.size(); i++) {
+        results.add(completedRuns.take().get());
         progress.accept(i + 1);
       }
     } catch (ExecutionException e) {
       throw new IOException("a run failed: " + e.getCause(), e.getCause());
     } finally {
-      pool.shutdownNow();
+      executor.shutdownNow();
     }
-    List<RunResult> inOrder = new ArrayList<>();
-    for (PlannedRun p :
-        planned) { // A cell may be the same run as another: it has its own values all the same.
-      RunResult o = results.outcomes().get(p.key);
-      inOrder.add(
+    List<RunResult> orderedResults = new ArrayList<>();
+    for (PlannedRun plannedRun :
+        plannedRuns) { // Cells with equal settings share one run; each result gets its own values.
+      RunResult result = results.resultsByKey().get(plannedRun.key);
+      orderedResults.add(
           new RunResult(
-              o.key(),
-              p.run.values(),
-              o.seed(),
-              o.settings(),
-              o.build(),
-              o.figures(),
-              o.series(),
-              o.marks(),
-              o.verdict()));
+              result.key(),
+              plannedRun.run.values(),
+              result.seed(),
+              result.settings(),
+              result.build(),
+              result.figures(),
+              result.series(),
+              result.marks(),
+              result.verdict()));
     }
-    return inOrder;
+    return orderedResults;
   }
 
-  private RunResult outcome(PlannedRun p) {
-    SimulationResult result = p.read.withSeed(p.run.seed()).createSimulation(maker).run();
+  private RunResult execute(PlannedRun plannedRun) {
+    SimulationResult result =
+        plannedRun.deployment.withSeed(plannedRun.run.seed()).createSimulation(policyFactory).run();
     Map<String, double[]> series = new LinkedHashMap<>();
     result
         .series()
         .forEach(
             (name, values) -> {
-              double[] short3 = new double[values.length];
+              double[] rounded = new double[values.length];
               for (int i = 0; i < values.length; i++) {
-                short3[i] = Math.round(values[i] * 1e3) / 1e3;
+                rounded[i] = Math.round(values[i] * 1e3) / 1e3;
               }
-              series.put(name, short3);
+              series.put(name, rounded);
             });
     return new RunResult(
-        p.key,
-        p.run.values(),
-        p.run.seed(),
-        p.read.effectiveSettings(),
+        plannedRun.key,
+        plannedRun.run.values(),
+        plannedRun.run.seed(),
+        plannedRun.deployment.effectiveSettings(),
         build,
         result.figures(),
         series,
-        p.read.faultWindows(),
+        plannedRun.deployment.faultWindows(),
         result.conformance().summaryLine());
   }
 }
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultStatistics.java
@@ -10,25 +10,34 @@
 import java.util.TreeMap;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** Results put together: over seeds, against expectations, and seed by seed against each other. */
+/**
+ * Statistics of results: spread over the seeds of a cell, differences between cells paired by seed,
+ * and evaluation of expectations. Stateless.
+ */
 public final class ResultStatistics {
-  private static final double CONFIDENCE = 0.95;
+  private static final double CONFIDENCE_LEVEL = 0.95;
 
-  /** A figure over the seeds of one cell. */
+  /** Median, minimum and maximum of a figure over the seeds of one cell. */
   public record SeedSpread(double median, double min, double max, int seedCount) {}
 
   /**
-   * The mean of the differences between two cells, seed by seed, and the 95% confidence interval of
-   * that mean (Student's t); the interval has no ends when there are fewer than two seeds.
+   * The mean of the differences between two cells, paired by seed, and the 95% confidence interval
+   * of that mean (Student's t). The interval is unbounded when there are fewer than two seeds.
    */
   public record Difference(double mean, double low, double high, int seedCount) {
-    /** Whether the interval leaves out zero. */
+    /** Returns whether the interval excludes zero. */
     public boolean isSignificant() {
       return low > 0 || high < 0;
     }
   }
 
-  /** An expectation in the cell where it held worst. */
+  /**
+   * The evaluation of an expectation.
+   *
+   * @param worstValue the value that is worst with regard to the bound, from a run of the worst
+   *     cell
+   * @param runCount runs that the expectation applies to
+   */
   public record ExpectationResult(
       Expectation expectation,
       boolean isSatisfied,
@@ -40,20 +49,21 @@
 
   private ResultStatistics() {}
 
-  /** Outcomes by their values, in the order in which they come. */
-  public static Map<Map<String, String>, List<RunResult>> groupByValues(List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> runCount = new LinkedHashMap<>();
-    all.forEach(o -> runCount.computeIfAbsent(o.values(), v -> new ArrayList<>()).add(o));
-    return runCount;
+  /** Groups results by the values of their variables, in the order of their first occurrence. */
+  public static Map<Map<String, String>, List<RunResult>> groupByValues(List<RunResult> results) {
+    Map<Map<String, String>, List<RunResult>> cells = new LinkedHashMap<>();
+    results.forEach(
+        result -> cells.computeIfAbsent(result.values(), key -> new ArrayList<>()).add(result));
+    return cells;
   }
 
-  /** A figure of one cell's outcomes, or null when none has it. */
+  /** Returns the spread of a figure over one cell's results, or null when none has it. */
   public static SeedSpread seedSpread(List<RunResult> cell, String figure) {
     double[] values =
         cell.stream()
-            .map(o -> o.figures().get(figure))
+            .map(result -> result.figures().get(figure))
             .filter(Objects::nonNull)
-            .mapToDouble(v -> v)
+            .mapToDouble(value -> value)
             .sorted()
             .toArray();
     if (values.length == 0) {
@@ -64,74 +74,81 @@
   }
 
   /**
-   * The differences of a figure between the outcomes of two cells that have the same seed, or null
-   * when none have.
+   * Returns the difference of a figure between two cells, from pairs of results with the same seed,
+   * or null when there is no such pair.
    */
   public static Difference difference(List<RunResult> base, List<RunResult> other, String figure) {
-    Map<Long, Double> bySeed = new TreeMap<>();
+    Map<Long, Double> baseValueBySeed = new TreeMap<>();
     base.stream()
-        .filter(o -> o.figures().containsKey(figure))
-        .forEach(o -> bySeed.put(o.seed(), o.figures().get(figure)));
+        .filter(result -> result.figures().containsKey(figure))
+        .forEach(result -> baseValueBySeed.put(result.seed(), result.figures().get(figure)));
     double[] differences =
         other.stream()
-            .filter(o -> o.figures().containsKey(figure) && bySeed.containsKey(o.seed()))
-            .mapToDouble(o -> o.figures().get(figure) - bySeed.get(o.seed()))
+            .filter(
+                result ->
+                    result.figures().containsKey(figure)
+                        && baseValueBySeed.containsKey(result.seed()))
+            .mapToDouble(
+                result -> result.figures().get(figure) - baseValueBySeed.get(result.seed()))
             .toArray();
-    return differences.length == 0 ? null : interval(differences);
+    return differences.length == 0 ? null : confidenceInterval(differences);
   }
 
-  static Difference interval(double[] values) {
+  static Difference confidenceInterval(double[] values) {
     int n = values.length;
     double sum = 0;
-    for (double each : values) {
-      sum += each;
+    for (double value : values) {
+      sum += value;
     }
     double mean = sum / n;
     if (n < 2) {
       return new Difference(mean, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, n);
     }
-    double squares = 0;
-    for (double each : values) {
-      squares += (each - mean) * (each - mean);
+    double sumOfSquares = 0;
+    for (double value : values) {
+      sumOfSquares += (value - mean) * (value - mean);
     }
-    double half =
-        TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
-            * Math.sqrt(squares / (n - 1) / n);
-    return new Difference(mean, mean - half, mean + half, n);
+    double halfWidth =
+        TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE_LEVEL) / 2)
+            * Math.sqrt(sumOfSquares / (n - 1) / n);
+    return new Difference(mean, mean - halfWidth, mean + halfWidth, n);
   }
 
   /**
-   * Each expectation, held against every run that it is meant for; one that is meant for none is
-   * not kept.
+   * Evaluates each expectation on all runs that meet its conditions. An expectation without such a
+   * run is not satisfied.
    */
-  public static List<ExpectationResult> evaluate(List<Expectation> expected, List<RunResult> all) {
-    List<ExpectationResult> judged = new ArrayList<>();
-    for (Expectation expect : expected) {
-      RunResult worst = null;
-      int runs = 0;
-      int broken = 0;
-      for (RunResult each : all) {
-        Double value = each.figures().get(expect.figure());
-        if (value == null || !Experiment.matches(each.values(), expect.conditions())) {
+  public static List<ExpectationResult> evaluate(
+      List<Expectation> expectations, List<RunResult> results) {
+    List<ExpectationResult> evaluated = new ArrayList<>();
+    for (Expectation expectation : expectations) {
+      RunResult worstResult = null;
+      int runCount = 0;
+      int violationCount = 0;
+      for (RunResult result : results) {
+        Double value = result.figures().get(expectation.figure());
+        if (value == null || !Experiment.matches(result.values(), expectation.conditions())) {
           continue;
         }
-        runs++;
-        broken += expect.holds(value) ? 0 : 1;
-        double before = worst == null ? 0 : worst.figures().get(expect.figure());
-        if (worst == null || (expect.isUpperBound() ? value > before : value < before)) {
-          worst = each;
+        runCount++;
+        violationCount += expectation.isSatisfiedBy(value) ? 0 : 1;
+        double worstValue =
+            worstResult == null ? 0 : worstResult.figures().get(expectation.figure());
+        if (worstResult == null
+            || (expectation.isUpperBound() ? value > worstValue : value < worstValue)) {
+          worstResult = result;
         }
       }
-      judged.add(
+      evaluated.add(
           new ExpectationResult(
-              expect,
-              runs > 0 && broken == 0,
-              worst == null ? Double.NaN : worst.figures().get(expect.figure()),
-              worst == null ? Map.of() : worst.values(),
-              worst == null ? 0 : worst.seed(),
-              runs,
-              broken));
+              expectation,
+              runCount > 0 && violationCount == 0,
+              worstResult == null ? Double.NaN : worstResult.figures().get(expectation.figure()),
+              worstResult == null ? Map.of() : worstResult.values(),
+              worstResult == null ? 0 : worstResult.seed(),
+              runCount,
+              violationCount));
     }
-    return judged;
+    return evaluated;
   }
 }
--- a/src/main/java/fawndock/experiment/ResultStore.java
+++ b/src/main/java/fawndock/experiment/ResultStore.java
@@ -22,17 +22,18 @@
 import java.util.Set;
 
 /**
- * The results of an experiment in a folder: one JSON line for each run, written whole and flushed
- * before the run counts as done. A line that was cut off by a stop is taken off when the folder is
- * opened again. One process at a time.
+ * The stored results of an experiment in a folder: one JSON line for each run, forced to disk
+ * before the run counts as done. Opening the folder removes an incomplete last line, which a
+ * process that was stopped leaves behind. A file lock admits one process at a time; the object is
+ * used by a single thread.
  */
 public final class ResultStore implements AutoCloseable {
-  /** The experiment as it was run last, in the same folder. */
+  /** Name of the copy of the experiment file of the last run, in the same folder. */
   public static final String EXPERIMENT_FILE = "experiment.conf";
 
-  private static final String LINES = "results.jsonl";
+  private static final String RESULTS_FILE = "results.jsonl";
   private static final ObjectMapper JSON = new ObjectMapper();
-  private final Map<String, RunResult> outcomes = new LinkedHashMap<>();
+  private final Map<String, RunResult> resultsByKey = new LinkedHashMap<>();
   private final FileChannel channel;
   private final FileLock lock;
 
@@ -42,13 +43,13 @@
   }
 
   /**
-   * Opens a folder to add to it, and makes it when there is none.
+   * Opens a folder for appending; creates it when it does not exist.
    *
-   * @throws IOException when another process has it open, or a line in it is damaged
+   * @throws IOException when the folder is already open or one of its lines is malformed
    */
   public static ResultStore open(Path folder) throws IOException {
     Files.createDirectories(folder);
-    Path file = folder.resolve(LINES);
+    Path file = folder.resolve(RESULTS_FILE);
     FileChannel channel =
         FileChannel.open(
             file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -57,11 +58,11 @@
       if (lock == null) {
         throw new IOException(file + " is in use by another process");
       }
-      ResultStore results = new ResultStore(channel, lock);
-      long whole = read(Files.readAllBytes(file), file, results.outcomes);
-      channel.truncate(whole);
-      channel.position(whole);
-      return results;
+      ResultStore store = new ResultStore(channel, lock);
+      long completeLength = readLines(Files.readAllBytes(file), file, store.resultsByKey);
+      channel.truncate(completeLength);
+      channel.position(completeLength);
+      return store;
     } catch (OverlappingFileLockException e) {
       channel.close();
       throw new IOException(file + " is in use by this process", e);
@@ -71,86 +72,92 @@
     }
   }
 
-  /** Reads what is in a folder, without the last line when it is cut off. */
+  /** Reads the results in a folder, ignoring an incomplete last line. */
   public static List<RunResult> read(Path folder) throws IOException {
-    Path file = folder.resolve(LINES);
+    Path file = folder.resolve(RESULTS_FILE);
     if (!Files.isRegularFile(file)) {
-      throw new IOException(file + ": no results there, expected what 'fawndock experiment' wrote");
+      throw new IOException(
+          file + ": no results found, expected the output of 'fawndock experiment'");
     }
-    Map<String, RunResult> all = new LinkedHashMap<>();
-    read(Files.readAllBytes(file), file, all);
-    return List.copyOf(all.values());
+    Map<String, RunResult> resultsByKey = new LinkedHashMap<>();
+    readLines(Files.readAllBytes(file), file, resultsByKey);
+    return List.copyOf(resultsByKey.values());
   }
 
-  /** Returns where the last whole line ends. */
-  private static long read(byte[] bytes, Path file, Map<String, RunResult> into)
+  /** Parses all complete lines and returns the offset at which the last of them ends. */
+  private static long readLines(byte[] bytes, Path file, Map<String, RunResult> resultsByKey)
       throws IOException {
-    int begin = 0;
-    int number = 0;
+    int lineStart = 0;
+    int lineNumber = 0;
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == '\n') {
-        number++;
+        lineNumber++;
         try {
-          RunResult each =
+          RunResult result =
               JSON.readValue(
-                  new String(bytes, begin, i - begin, StandardCharsets.UTF_8), RunResult.class);
-          into.putIfAbsent(each.key(), each);
+                  new String(bytes, lineStart, i - lineStart, StandardCharsets.UTF_8),
+                  RunResult.class);
+          resultsByKey.putIfAbsent(result.key(), result);
         } catch (JsonProcessingException e) {
           throw new IOException(
               file
                   + ":"
-                  + number
+                  + lineNumber
                   + ": not a result: "
                   + e.getOriginalMessage()
-                  + ", expected a JSON line; move the file away to begin anew",
+                  + ", expected a JSON line; move the file away to start again",
               e);
         }
-        begin = i + 1;
+        lineStart = i + 1;
       }
     }
-    return begin;
+    return lineStart;
   }
 
-  /** What is there, by its key. */
-  public Map<String, RunResult> outcomes() {
-    return outcomes;
+  /** Returns the stored results by their keys. */
+  public Map<String, RunResult> resultsByKey() {
+    return resultsByKey;
   }
 
-  /** Adds a run, which is on the disk when this returns. */
-  public void add(RunResult outcome) throws IOException {
+  /** Appends a result and forces it to disk. */
+  public void add(RunResult result) throws IOException {
     ByteBuffer line =
-        ByteBuffer.wrap((JSON.writeValueAsString(outcome) + "\n").getBytes(StandardCharsets.UTF_8));
+        ByteBuffer.wrap((JSON.writeValueAsString(result) + "\n").getBytes(StandardCharsets.UTF_8));
     while (line.hasRemaining()) {
       channel.write(line);
     }
     channel.force(false);
-    outcomes.put(outcome.key(), outcome);
+    resultsByKey.put(result.key(), result);
   }
 
-  /** Writes the figures of some runs as CSV, a row for each; the file is put in its place whole. */
-  public static void writeCsv(Path file, List<RunResult> outcomes) throws IOException {
+  /**
+   * Writes the figures of some results as CSV, a row for each, and replaces the file atomically.
+   */
+  public static void writeCsv(Path file, List<RunResult> results) throws IOException {
     Set<String> values = new LinkedHashSet<>();
     Set<String> figures = new LinkedHashSet<>();
-    outcomes.forEach(
-        o -> {
-          values.addAll(o.values().keySet());
-          figures.addAll(o.figures().keySet());
+    results.forEach(
+        result -> {
+          values.addAll(result.values().keySet());
+          figures.addAll(result.figures().keySet());
         });
     CsvSchema.Builder schema = CsvSchema.builder();
     values.forEach(schema::addColumn);
     schema.addColumn("seed");
     figures.forEach(schema::addColumn);
     List<Map<String, Object>> rows = new ArrayList<>();
-    for (RunResult each : outcomes) {
-      Map<String, Object> row = new LinkedHashMap<>(each.values());
-      row.put("seed", each.seed());
-      row.putAll(each.figures());
+    for (RunResult result : results) {
+      Map<String, Object> row = new LinkedHashMap<>(result.values());
+      row.put("seed", result.seed());
+      row.putAll(result.figures());
       rows.add(row);
     }
-    Path whole = file.resolveSibling(file.getFileName() + ".new");
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
     Files.writeString(
-        whole, new CsvMapper().writer(schema.build().withHeader()).writeValueAsString(rows));
-    Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        temporaryFile,
+        new CsvMapper().writer(schema.build().withHeader()).writeValueAsString(rows));
+    Files.move(
+        temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
   @Override
--- a/src/main/java/fawndock/experiment/RunResult.java
+++ b/src/main/java/fawndock/experiment/RunResult.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * What one run gave, with all that made it.
+ * The result of one run and its inputs. The component names are the property names in the results
+ * file.
  *
- * @param key of the settings, the seed and the build: the same key is the same run
+ * @param key hash of the settings, the seed and the build; equal keys mean the same run
  * @param values of the experiment's variables
- * @param settings the deployment as it was run, line by line
- * @param build of the decisions and of the model, in short
+ * @param settings effective lines of the deployment file
+ * @param build hash of the policy's and the simulation's classes
  * @param series by name, a value for each second
- * @param marks when which fault was
- * @param verdict on the five rules
+ * @param marks time windows of the faults
+ * @param verdict summary line of the conformance check
  */
 public record RunResult(
     String key,
--- a/src/main/java/fawndock/experiment/package-info.java
+++ b/src/main/java/fawndock/experiment/package-info.java
@@ -1,7 +1,6 @@
 /**
- * Experiments: a scenario run in many variants and with many seeds, on all cores, its results kept
- * so that a run is never done twice. What is to run, how results are put together and what is
- * expected of them are pure ({@code Experiment}, {@code ResultStatistics}); only {@code ResultStore}
- * opens files and only {@code ExperimentRunner} starts threads.
+ * Experiments: run a scenario in many variants and with many seeds, on all cores, and store the
+ * results so that no run is repeated. {@code Experiment} and {@code ResultStatistics} do no I/O;
+ * only {@code ResultStore} writes result files and only {@code ExperimentRunner} starts threads.
  */
 package fawndock.experiment;
--- a/src/main/java/fawndock/measurement/TraceMetrics.java
+++ b/src/main/java/fawndock/measurement/TraceMetrics.java
@@ -16,23 +16,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Reads a trace once, and tells what became of its requests: figures of the whole run, and series
- * with a value a second.
+ * Computes metrics from a trace: figures of the whole run, and series with a value for each second.
+ * An object reads one trace, on a single thread.
  */
 public final class TraceMetrics {
   /**
-   * What came of a run.
+   * The metrics of a run.
    *
    * @param figures by name; see docs/operations/experiment.md
    * @param series by name, one value for each second
-   * @param statuses answers by status; 0 for clients that left, -1 for connections that broke
+   * @param responsesByStatus 0 stands for clients that disconnected, -1 for connections that broke
    */
   public record Metrics(
-      Map<String, Double> figures, Map<String, double[]> series, Map<Integer, Long> responsesByStatus) {}
+      Map<String, Double> figures,
+      Map<String, double[]> series,
+      Map<Integer, Long> responsesByStatus) {}
 
-  private static final long LONGEST = 3_600_000_000L;
-  private static final int TOO_MANY = 429;
-  private static final List<String> COUNTED =
+  private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final List<String> COUNTED_SERIES =
       List.of(
           "asked",
           "served",
@@ -43,160 +45,175 @@
           "left",
           "attempts",
           "repeated attempts");
-  private final Map<String, TraceEvent.RequestSent> asked = new HashMap<>();
-  private final Set<String> open = new HashSet<>();
-  private final Map<String, Integer> arrivals = new HashMap<>();
+  private final Map<String, TraceEvent.RequestSent> sentRequests = new HashMap<>();
+  private final Set<String> openRequests = new HashSet<>();
+  private final Map<String, Integer> attemptCounts = new HashMap<>();
   private final Map<String, double[]> series = new LinkedHashMap<>();
-  private final Map<String, Long> totals = new HashMap<>();
+  private final Map<String, Long> totalByName = new HashMap<>();
   private final Map<Integer, Long> responsesByStatus = new TreeMap<>();
-  private final Map<String, RequestClass> classes;
-  private final QuotaUsage use;
-  private final int seconds;
-  private final Histogram latency = new Histogram(LONGEST, 3);
-  private final List<Histogram> bySecond = new ArrayList<>();
-  private final long begin;
+  private final Map<String, RequestClass> requestClasses;
+  private final QuotaUsage quotaUsage;
+  private final int durationSeconds;
+  private final Histogram latencyHistogram = new Histogram(MAX_LATENCY_MICROS, 3);
+  private final List<Histogram> latencyBySecond = new ArrayList<>();
+  private final long startMicros;
 
   private TraceMetrics(
-      Map<String, RequestClass> classes, Map<String, Plan> plans, long begin, int seconds) {
-    this.classes = classes;
-    this.begin = begin;
-    this.seconds = seconds;
-    use = new QuotaUsage(plans, seconds);
-    COUNTED.forEach(name -> series.put(name, new double[seconds]));
-    for (int i = 0; i < seconds; i++) {
-      bySecond.add(null);
+      Map<String, RequestClass> requestClasses,
+      Map<String, Plan> plans,
+      long startMicros,
+      int durationSeconds) {
+    this.requestClasses = requestClasses;
+    this.startMicros = startMicros;
+    this.durationSeconds = durationSeconds;
+    quotaUsage = new QuotaUsage(plans, durationSeconds);
+    COUNTED_SERIES.forEach(name -> series.put(name, new double[durationSeconds]));
+    for (int i = 0; i < durationSeconds; i++) {
+      latencyBySecond.add(null);
     }
   }
 
   /**
-   * Measures a trace.
+   * Computes the metrics of a trace.
    *
-   * @param plans of each customer
-   * @param groups beginnings of the customers' names, each with its use told by itself
-   * @param begin of the run, in the trace's microseconds
-   * @param length of the run in seconds; what is asked later does not count
+   * @param plans by customer
+   * @param customerGroups prefixes of customers' names; each group has its own quota figures
+   * @param startMicros start of the run on the trace's clock
+   * @param durationSeconds length of the run; requests sent later are ignored
    */
   public static Metrics of(
       List<TraceEvent> trace,
-      Map<String, RequestClass> classes,
+      Map<String, RequestClass> requestClasses,
       Map<String, Plan> plans,
-      List<String> groups,
-      long begin,
-      double length) {
-    TraceMetrics m = new TraceMetrics(classes, plans, begin, Math.max(1, (int) Math.ceil(length)));
-    List<TraceEvent> inOrder = new ArrayList<>(trace);
-    inOrder.sort(Comparator.comparingLong(TraceEvent::atMicros));
-    inOrder.forEach(m::take);
-    return m.told(groups);
+      List<String> customerGroups,
+      long startMicros,
+      double durationSeconds) {
+    TraceMetrics metrics =
+        new TraceMetrics(
+            requestClasses, plans, startMicros, Math.max(1, (int) Math.ceil(durationSeconds)));
+    List<TraceEvent> orderedEvents = new ArrayList<>(trace);
+    orderedEvents.sort(Comparator.comparingLong(TraceEvent::atMicros));
+    orderedEvents.forEach(metrics::onEvent);
+    return metrics.toMetrics(customerGroups);
   }
 
-  private void take(TraceEvent seen) {
-    long at = seen.atMicros() - begin;
-    if (seen instanceof TraceEvent.RequestSent e) {
-      if (at < seconds * 1_000_000L && asked.putIfAbsent(e.requestId(), e) == null) {
-        add("asked", at);
-        open.add(e.requestId());
-        use.onRequest(at, e.customer(), e.units());
+  private void onEvent(TraceEvent event) {
+    long relativeMicros = event.atMicros() - startMicros;
+    if (event instanceof TraceEvent.RequestSent sent) {
+      if (relativeMicros < durationSeconds * 1_000_000L
+          && sentRequests.putIfAbsent(sent.requestId(), sent) == null) {
+        count("asked", relativeMicros);
+        openRequests.add(sent.requestId());
+        quotaUsage.onRequest(relativeMicros, sent.customer(), sent.units());
       }
-    } else if (seen instanceof TraceEvent.AttemptArrived e) {
-      TraceEvent.RequestSent a = asked.get(e.requestId());
-      if (a != null) {
-        add("attempts", at);
-        if (arrivals.merge(e.requestId(), 1, Integer::sum) == 1) {
-          use.onForwarded(at, a.customer(), a.units());
+    } else if (event instanceof TraceEvent.AttemptArrived attempt) {
+      TraceEvent.RequestSent sentRequest = sentRequests.get(attempt.requestId());
+      if (sentRequest != null) {
+        count("attempts", relativeMicros);
+        if (attemptCounts.merge(attempt.requestId(), 1, Integer::sum) == 1) {
+          quotaUsage.onForwarded(relativeMicros, sentRequest.customer(), sentRequest.units());
         } else {
-          add("repeated attempts", at);
+          count("repeated attempts", relativeMicros);
         }
       }
-    } else if (seen instanceof TraceEvent.ResponseReceived e) {
-      answered(e, at);
-    } else if (seen instanceof TraceEvent.ClientDisconnected e) {
-      ended(e.requestId(), 0, "left", at);
-    } else if (seen instanceof TraceEvent.ConnectionLost e) {
-      ended(e.requestId(), -1, "left", at);
+    } else if (event instanceof TraceEvent.ResponseReceived response) {
+      onResponse(response, relativeMicros);
+    } else if (event instanceof TraceEvent.ClientDisconnected disconnect) {
+      completeRequest(disconnect.requestId(), 0, "left", relativeMicros);
+    } else if (event instanceof TraceEvent.ConnectionLost loss) {
+      completeRequest(loss.requestId(), -1, "left", relativeMicros);
     }
   }
 
-  private void answered(TraceEvent.ResponseReceived e, long at) {
-    TraceEvent.RequestSent a = asked.get(e.requestId());
-    if (a == null) {
+  private void onResponse(TraceEvent.ResponseReceived response, long relativeMicros) {
+    TraceEvent.RequestSent sentRequest = sentRequests.get(response.requestId());
+    if (sentRequest == null) {
       return;
     }
-    boolean ok = e.status() >= 200 && e.status() < 300;
-    String what =
-        ok
+    boolean isSuccess = response.status() >= 200 && response.status() < 300;
+    String outcome =
+        isSuccess
             ? "served"
-            : e.status() != TOO_MANY
+            : response.status() != TOO_MANY_REQUESTS
                 ? "failed"
-                : use.isBelowPlanRate(at, a.customer())
+                : quotaUsage.isBelowPlanRate(relativeMicros, sentRequest.customer())
                     ? "refused within plan"
                     : "refused beyond plan";
-    if (ended(e.requestId(), e.status(), what, at) && ok) {
-      long took = Math.min(LONGEST, Math.max(0, e.atMicros() - a.atMicros()));
-      latency.recordValue(took);
-      if (at < seconds * 1_000_000L) {
-        Histogram second = bySecond.get((int) (at / 1_000_000));
-        if (second == null) {
-          second = new Histogram(LONGEST, 2);
-          bySecond.set((int) (at / 1_000_000), second);
+    if (completeRequest(response.requestId(), response.status(), outcome, relativeMicros)
+        && isSuccess) {
+      long latencyMicros =
+          Math.min(MAX_LATENCY_MICROS, Math.max(0, response.atMicros() - sentRequest.atMicros()));
+      latencyHistogram.recordValue(latencyMicros);
+      if (relativeMicros < durationSeconds * 1_000_000L) {
+        Histogram secondHistogram = latencyBySecond.get((int) (relativeMicros / 1_000_000));
+        if (secondHistogram == null) {
+          secondHistogram = new Histogram(MAX_LATENCY_MICROS, 2);
+          latencyBySecond.set((int) (relativeMicros / 1_000_000), secondHistogram);
         }
-        second.recordValue(took);
+        secondHistogram.recordValue(latencyMicros);
       }
-      RequestClass type = classes.get(a.requestClass());
-      if (type == null || took <= type.latencyObjectiveMicros()) {
-        add("good", at);
+      RequestClass requestClass = requestClasses.get(sentRequest.requestClass());
+      if (requestClass == null || latencyMicros <= requestClass.latencyObjectiveMicros()) {
+        count("good", relativeMicros);
       }
     }
   }
 
-  /** Notes a request's end, once; returns whether it was its first. */
-  private boolean ended(String request, int status, String what, long at) {
-    if (!open.remove(request)) {
+  /** Completes a request unless it is already complete; returns whether it was open. */
+  private boolean completeRequest(
+      String requestId, int status, String outcome, long relativeMicros) {
+    if (!openRequests.remove(requestId)) {
       return false;
     }
     responsesByStatus.merge(status, 1L, Long::sum);
-    add(what, at);
+    count(outcome, relativeMicros);
     return true;
   }
 
-  /** Counts for the whole run, and for its second when the run has not ended by then. */
-  private void add(String name, long at) {
-    totals.merge(name, 1L, Long::sum);
-    if (at >= 0 && at < seconds * 1_000_000L) {
-      series.get(name)[(int) (at / 1_000_000)]++;
+  /** Counts an event in the total, and in its second when that is within the run. */
+  private void count(String name, long relativeMicros) {
+    totalByName.merge(name, 1L, Long::sum);
+    if (relativeMicros >= 0 && relativeMicros < durationSeconds * 1_000_000L) {
+      series.get(name)[(int) (relativeMicros / 1_000_000)]++;
     }
   }
 
-  private Metrics told(List<String> groups) {
+  private Metrics toMetrics(List<String> customerGroups) {
     Map<String, Double> figures = new LinkedHashMap<>();
-    double all = Math.max(1, asked.size());
-    figures.put("requests", (double) asked.size());
-    for (String name : COUNTED.subList(1, COUNTED.size())) {
-      figures.put(name.replace(' ', '-') + "-a-try", totals.getOrDefault(name, 0L) / all);
+    double requestCount = Math.max(1, sentRequests.size());
+    figures.put("requests", (double) sentRequests.size());
+    for (String name : COUNTED_SERIES.subList(1, COUNTED_SERIES.size())) {
+      figures.put(
+          name.replace(' ', '-') + "-a-try", totalByName.getOrDefault(name, 0L) / requestCount);
     }
-    figures.put("p50-ms", latency.getValueAtPercentile(50) / 1e3);
-    figures.put("p99-ms", latency.getValueAtPercentile(99) / 1e3);
-    QuotaUsage.Summary whole = use.summarize("");
-    figures.put("use", whole.peakPlanRatio());
-    figures.put("use-worst-customer", whole.peakCustomerPlanRatio());
-    figures.put("kept", whole.entitledUseRatio());
-    figures.put("beyond", whole.excessRatio());
-    for (String group : groups) {
-      figures.put("use." + group, use.summarize(group + "-").peakPlanRatio());
-      figures.put("kept." + group, use.summarize(group + "-").entitledUseRatio());
-      figures.put("plan." + group, use.planUnitsPerSecond(group + "-"));
-      series.put("used " + group, use.usedUnitsBySecond(group + "-"));
+    figures.put("p50-ms", latencyHistogram.getValueAtPercentile(50) / 1e3);
+    figures.put("p99-ms", latencyHistogram.getValueAtPercentile(99) / 1e3);
+    QuotaUsage.Summary overall = quotaUsage.summarize("");
+    figures.put("use", overall.peakPlanRatio());
+    figures.put("use-worst-customer", overall.peakCustomerPlanRatio());
+    figures.put("kept", overall.entitledUseRatio());
+    figures.put("beyond", overall.excessRatio());
+    for (String customerGroup : customerGroups) {
+      figures.put(
+          "use." + customerGroup, quotaUsage.summarize(customerGroup + "-").peakPlanRatio());
+      figures.put(
+          "kept." + customerGroup, quotaUsage.summarize(customerGroup + "-").entitledUseRatio());
+      figures.put("plan." + customerGroup, quotaUsage.planUnitsPerSecond(customerGroup + "-"));
+      series.put("used " + customerGroup, quotaUsage.usedUnitsBySecond(customerGroup + "-"));
     }
-    series.put("p50 ms", percentile(50));
-    series.put("p99 ms", percentile(99));
+    series.put("p50 ms", percentileBySecond(50));
+    series.put("p99 ms", percentileBySecond(99));
     return new Metrics(figures, series, responsesByStatus);
   }
 
-  private double[] percentile(double which) {
-    double[] all = new double[seconds];
-    for (int i = 0; i < seconds; i++) {
-      all[i] = bySecond.get(i) == null ? 0 : bySecond.get(i).getValueAtPercentile(which) / 1e3;
+  private double[] percentileBySecond(double percentile) {
+    double[] millisBySecond = new double[durationSeconds];
+    for (int i = 0; i < durationSeconds; i++) {
+      millisBySecond[i] =
+          latencyBySecond.get(i) == null
+              ? 0
+              : latencyBySecond.get(i).getValueAtPercentile(percentile) / 1e3;
     }
-    return all;
+    return millisBySecond;
   }
 }
--- a/src/main/java/fawndock/measurement/package-info.java
+++ b/src/main/java/fawndock/measurement/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What a trace says, in figures and by the second: the same for a run of the emulator and for one
- * over sockets, so that both can be laid side by side. Pure: it reads what was seen and nothing
- * else.
+ * Computes figures and series per second from a trace. The same code measures simulated runs and
+ * runs over sockets, so that their figures can be compared. Does no I/O and reads no clock.
  */
 package fawndock.measurement;
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -18,224 +18,267 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Writes a report: one HTML page with its plots inside, and each plot as a PNG file beside it. */
+/**
+ * Writes the report of an experiment: one HTML page with embedded plots, and each plot as a PNG
+ * file in a folder beside it. Single-threaded; an object writes one report.
+ */
 public final class HtmlReport {
-  private static final int MOST_PLOTS = 60;
-  private static final int MOST_COURSES = 6;
-  private static final int MOST_ROWS = 400;
+  private static final int MAX_PLOTS = 60;
+  private static final int MAX_RUNS_WITH_PLOTS = 6;
+  private static final int MAX_ROWS = 400;
   private final StringBuilder html = new StringBuilder();
   private final Experiment experiment;
-  private final List<RunResult> after;
-  private final List<RunResult> before;
+  private final List<RunResult> results;
+  private final List<RunResult> baselineResults;
   private final Path folder;
-  private int plots;
-  private int left;
+  private int plotCount;
+  private int omittedPlotCount;
 
   /**
-   * @param before results that the others are held against, or none
-   * @param folder where page and plots go
+   * @param baselineResults results to compare with; empty for a report without a comparison
+   * @param folder where the page and the plots are written
    */
   public HtmlReport(
-      Experiment experiment, List<RunResult> after, List<RunResult> before, Path folder) {
+      Experiment experiment,
+      List<RunResult> results,
+      List<RunResult> baselineResults,
+      Path folder) {
     this.experiment = experiment;
-    this.after = after;
-    this.before = before;
+    this.results = results;
+    this.baselineResults = baselineResults;
     this.folder = folder;
   }
 
-  /** Writes it all; returns the page. */
+  /** Writes the page and all plots; returns the path of the page. */
   public Path write() throws IOException {
     Files.createDirectories(folder.resolve("plots"));
     html.append("<!doctype html><html lang=en><meta charset=utf-8><title>")
-        .append(safe(experiment.title()))
+        .append(escapeHtml(experiment.title()))
         .append(
             "</title><style>body{font:15px/1.45 sans-serif;max-width:1200px;margin:24px auto;padding:0 16px;color:#222}"
                 + "table{border-collapse:collapse;margin:12px 0;font-size:13px}td,th{padding:3px 10px;border-bottom:1px solid #ddd;"
                 + "text-align:right}td.n,th.n{text-align:left}th{background:#f4f4f4}.bad{color:#a32020;font-weight:bold}"
                 + ".good{color:#1d6b3f}img{display:block;margin:14px 0;max-width:100%}h2{margin-top:34px}</style>");
     html.append("<h1>")
-        .append(safe(experiment.title()))
+        .append(escapeHtml(experiment.title()))
         .append("</h1><p>Simulated, by <code>fawndock experiment</code>: ")
-        .append(after.size())
+        .append(results.size())
         .append(" runs, seeds ")
-        .append(after.stream().map(RunResult::seed).distinct().count())
+        .append(results.stream().map(RunResult::seed).distinct().count())
         .append(", build ")
-        .append(builds(after))
+        .append(joinBuilds(results))
         .append(
-            before.isEmpty() ? "" : "; before: " + before.size() + " runs, build " + builds(before))
+            baselineResults.isEmpty()
+                ? ""
+                : "; before: "
+                    + baselineResults.size()
+                    + " runs, build "
+                    + joinBuilds(baselineResults))
         .append(".</p>");
-    expectations();
-    if (before.isEmpty()) {
-      cells();
+    appendExpectations();
+    if (baselineResults.isEmpty()) {
+      appendCells();
     } else {
-      differences();
+      appendDifferences();
     }
     html.append("<h2>Along ")
-        .append(safe(experiment.axis()))
+        .append(escapeHtml(experiment.axis()))
         .append("</h2><p>Medians over the seeds.</p>");
-    Map<String, List<RunResult>> sets = new LinkedHashMap<>();
-    if (!before.isEmpty()) {
-      sets.put("before", before);
+    Map<String, List<RunResult>> resultsByName = new LinkedHashMap<>();
+    if (!baselineResults.isEmpty()) {
+      resultsByName.put("before", baselineResults);
     }
-    sets.put(before.isEmpty() ? "" : "after", after);
+    resultsByName.put(baselineResults.isEmpty() ? "" : "after", results);
     for (String figure : experiment.shownFigures()) {
-      for (Plot plot : PlotSelection.along(experiment.axis(), figure, sets)) {
-        draw(plot, List.of());
+      for (Plot plot : PlotSelection.byVariable(experiment.axis(), figure, resultsByName)) {
+        appendPlot(plot, List.of());
       }
     }
-    courses();
-    if (left > 0) {
+    appendRunPlots();
+    if (omittedPlotCount > 0) {
       html.append("<p>")
-          .append(left)
+          .append(omittedPlotCount)
           .append(" plots more were left out; an experiment that varies less has them all.</p>");
     }
-    Path page = folder.resolve("report.html");
-    Path whole = folder.resolve("report.html.new");
-    Files.writeString(whole, html, StandardCharsets.UTF_8);
+    Path pageFile = folder.resolve("report.html");
+    Path temporaryFile = folder.resolve("report.html.new");
+    Files.writeString(temporaryFile, html, StandardCharsets.UTF_8);
     return Files.move(
-        whole, page, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        temporaryFile,
+        pageFile,
+        StandardCopyOption.ATOMIC_MOVE,
+        StandardCopyOption.REPLACE_EXISTING);
   }
 
-  private static String builds(List<RunResult> all) {
-    return all.stream().map(RunResult::build).distinct().collect(Collectors.joining(", "));
+  private static String joinBuilds(List<RunResult> results) {
+    return results.stream().map(RunResult::build).distinct().collect(Collectors.joining(", "));
   }
 
-  private static String safe(String text) {
+  private static String escapeHtml(String text) {
     return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
   }
 
-  private static String number(double value) {
+  private static String formatNumber(double value) {
     return Double.isInfinite(value)
         ? "-"
         : String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.1f" : "%.3f", value);
   }
 
-  private void expectations() {
-    List<ResultStatistics.ExpectationResult> judged = ResultStatistics.evaluate(experiment.expectations(), after);
-    long bad =
-        after.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).count();
+  private void appendExpectations() {
+    List<ResultStatistics.ExpectationResult> evaluated =
+        ResultStatistics.evaluate(experiment.expectations(), results);
+    long violatingRunCount =
+        results.stream()
+            .filter(result -> result.figures().getOrDefault("rules-broken", 0.0) > 0)
+            .count();
     html.append(
         "<h2>Expected</h2><table><tr><th class=n>what<th class=n>holds<th>worst<th class=n>with<th>runs<th>break it");
-    for (ResultStatistics.ExpectationResult each : judged) {
-      row(
-          each.expectation().text(),
-          each.isSatisfied(),
-          number(each.worstValue()),
-          each.worstCell().isEmpty()
+    for (ResultStatistics.ExpectationResult evaluation : evaluated) {
+      appendExpectationRow(
+          evaluation.expectation().text(),
+          evaluation.isSatisfied(),
+          formatNumber(evaluation.worstValue()),
+          evaluation.worstCell().isEmpty()
               ? ""
-              : PlotSelection.named(each.worstCell(), each.worstCell().keySet()) + ", seed " + each.worstSeed(),
-          each.runCount(),
-          each.violationCount());
+              : PlotSelection.label(evaluation.worstCell(), evaluation.worstCell().keySet())
+                  + ", seed "
+                  + evaluation.worstSeed(),
+          evaluation.runCount(),
+          evaluation.violationCount());
     }
-    row("the five rules", bad == 0, "", "", after.size(), (int) bad);
+    appendExpectationRow(
+        "the five rules", violatingRunCount == 0, "", "", results.size(), (int) violatingRunCount);
     html.append("</table>");
   }
 
-  private void row(String what, boolean kept, String worst, String with, int runs, int broken) {
+  private void appendExpectationRow(
+      String description,
+      boolean isSatisfied,
+      String worstValue,
+      String worstRun,
+      int runCount,
+      int violationCount) {
     html.append("<tr><td class=n>")
-        .append(safe(what))
-        .append(kept ? "<td class='n good'>yes" : "<td class='n bad'>NO")
+        .append(escapeHtml(description))
+        .append(isSatisfied ? "<td class='n good'>yes" : "<td class='n bad'>NO")
         .append("<td>")
-        .append(worst)
+        .append(worstValue)
         .append("<td class=n>")
-        .append(safe(with))
+        .append(escapeHtml(worstRun))
         .append("<td>")
-        .append(runs)
+        .append(runCount)
         .append("<td>")
-        .append(broken);
+        .append(violationCount);
   }
 
-  private void cells() {
-    Map<String, Set<String>> varied = PlotSelection.varied(after);
+  private void appendCells() {
+    Map<String, Set<String>> varyingVariables = PlotSelection.varyingVariables(results);
     html.append(
         "<h2>All cells</h2><p>Median over the seeds, least and most in brackets.</p><table><tr><th class=n>cell");
-    experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
+    experiment.shownFigures().forEach(figure -> html.append("<th>").append(escapeHtml(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.groupByValues(after).entrySet()) {
-      if (rows++ >= MOST_ROWS) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell :
+        ResultStatistics.groupByValues(results).entrySet()) {
+      if (rows++ >= MAX_ROWS) {
         html.append("<tr><td class=n>more are in results.csv");
         break;
       }
       html.append("<tr><td class=n>")
-          .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
+          .append(escapeHtml(PlotSelection.label(cell.getKey(), varyingVariables.keySet())));
       for (String figure : experiment.shownFigures()) {
-        ResultStatistics.SeedSpread s = ResultStatistics.seedSpread(cell.getValue(), figure);
+        ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
-                s == null
+                spread == null
                     ? "-"
-                    : number(s.median())
+                    : formatNumber(spread.median())
                         + " ("
-                        + number(s.min())
+                        + formatNumber(spread.min())
                         + " – "
-                        + number(s.max())
+                        + formatNumber(spread.max())
                         + ")");
       }
     }
     html.append("</table>");
   }
 
-  private void differences() {
-    Map<String, Set<String>> varied = PlotSelection.varied(after);
-    Map<Map<String, String>, List<RunResult>> was = ResultStatistics.groupByValues(before);
+  private void appendDifferences() {
+    Map<String, Set<String>> varyingVariables = PlotSelection.varyingVariables(results);
+    Map<Map<String, String>, List<RunResult>> baselineCells =
+        ResultStatistics.groupByValues(baselineResults);
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
-    experiment.shownFigures().forEach(figure -> html.append("<th>").append(safe(figure)));
+    experiment.shownFigures().forEach(figure -> html.append("<th>").append(escapeHtml(figure)));
     int rows = 0;
-    for (Map.Entry<Map<String, String>, List<RunResult>> cell : ResultStatistics.groupByValues(after).entrySet()) {
-      if (!was.containsKey(cell.getKey()) || rows++ >= MOST_ROWS) {
+    for (Map.Entry<Map<String, String>, List<RunResult>> cell :
+        ResultStatistics.groupByValues(results).entrySet()) {
+      if (!baselineCells.containsKey(cell.getKey()) || rows++ >= MAX_ROWS) {
         continue;
       }
       html.append("<tr><td class=n>")
-          .append(safe(PlotSelection.named(cell.getKey(), varied.keySet())));
+          .append(escapeHtml(PlotSelection.label(cell.getKey(), varyingVariables.keySet())));
       for (String figure : experiment.shownFigures()) {
-        ResultStatistics.Difference d =
-            ResultStatistics.difference(was.get(cell.getKey()), cell.getValue(), figure);
-        ResultStatistics.SeedSpread a = ResultStatistics.seedSpread(was.get(cell.getKey()), figure);
-        ResultStatistics.SeedSpread b = ResultStatistics.seedSpread(cell.getValue(), figure);
+        ResultStatistics.Difference difference =
+            ResultStatistics.difference(baselineCells.get(cell.getKey()), cell.getValue(), figure);
+        ResultStatistics.SeedSpread baselineSpread =
+            ResultStatistics.seedSpread(baselineCells.get(cell.getKey()), figure);
+        ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
-                d == null
+                difference == null
                     ? "-"
-                    : number(a.median())
+                    : formatNumber(baselineSpread.median())
                         + " → "
-                        + number(b.median())
+                        + formatNumber(spread.median())
                         + "<br>"
-                        + (d.isSignificant() ? "<b>" : "")
-                        + String.format(Locale.ROOT, "%+.3f", d.mean())
-                        + (d.isSignificant() ? "</b>" : "")
+                        + (difference.isSignificant() ? "<b>" : "")
+                        + String.format(Locale.ROOT, "%+.3f", difference.mean())
+                        + (difference.isSignificant() ? "</b>" : "")
                         + " ["
-                        + number(d.low())
+                        + formatNumber(difference.low())
                         + ", "
-                        + number(d.high())
+                        + formatNumber(difference.high())
                         + "]");
       }
     }
     html.append("</table>");
-    int none =
-        (int) ResultStatistics.groupByValues(after).keySet().stream().filter(v -> !was.containsKey(v)).count();
+    int cellsWithoutBaseline =
+        (int)
+            ResultStatistics.groupByValues(results).keySet().stream()
+                .filter(values -> !baselineCells.containsKey(values))
+                .count();
     html.append(
-        none == 0 ? "" : "<p>" + none + " cells have nothing before to be held against.</p>");
+        cellsWithoutBaseline == 0
+            ? ""
+            : "<p>" + cellsWithoutBaseline + " cells have nothing before to be held against.</p>");
   }
 
-  /** The course of some cells' first runs, spread evenly over all cells. */
-  private void courses() throws IOException {
-    List<List<RunResult>> cells = List.copyOf(ResultStatistics.groupByValues(after).values());
-    Set<String> varied = PlotSelection.varied(after).keySet();
-    int many = Math.min(MOST_COURSES, cells.size());
+  /**
+   * Appends the plots of the first run of some cells, which are chosen at even distances among all
+   * cells.
+   */
+  private void appendRunPlots() throws IOException {
+    List<List<RunResult>> cells = List.copyOf(ResultStatistics.groupByValues(results).values());
+    Set<String> varyingVariables = PlotSelection.varyingVariables(results).keySet();
+    int shownCellCount = Math.min(MAX_RUNS_WITH_PLOTS, cells.size());
     html.append("<h2>How single runs went</h2>")
-        .append(cells.size() > many ? "<p>" + many + " of " + cells.size() + " cells.</p>" : "");
-    for (int i = 0; i < many; i++) {
-      RunResult run = cells.get(many == 1 ? 0 : i * (cells.size() - 1) / (many - 1)).get(0);
-      String name = PlotSelection.named(run.values(), varied) + ", seed " + run.seed();
+        .append(
+            cells.size() > shownCellCount
+                ? "<p>" + shownCellCount + " of " + cells.size() + " cells.</p>"
+                : "");
+    for (int i = 0; i < shownCellCount; i++) {
+      RunResult run =
+          cells.get(shownCellCount == 1 ? 0 : i * (cells.size() - 1) / (shownCellCount - 1)).get(0);
+      String runLabel =
+          PlotSelection.label(run.values(), varyingVariables) + ", seed " + run.seed();
       html.append("<h3>")
-          .append(safe(name))
+          .append(escapeHtml(runLabel))
           .append("</h3><p>")
-          .append(safe(run.verdict()))
+          .append(escapeHtml(run.verdict()))
           .append("</p>");
-      draw(
-          PlotSelection.course(
+      appendPlot(
+          PlotSelection.timeSeries(
               run,
               "Answers",
               "requests a second",
@@ -248,34 +291,34 @@
                   "failed",
                   "left")),
           run.marks());
-      draw(
-          PlotSelection.course(
+      appendPlot(
+          PlotSelection.timeSeries(
               run, "Latency of what was served", "ms", List.of("p50 ms", "p99 ms")),
           run.marks());
-      draw(PlotSelection.quota(run), run.marks());
-      draw(
-          PlotSelection.course(
+      appendPlot(PlotSelection.quotaUsage(run), run.marks());
+      appendPlot(
+          PlotSelection.timeSeries(
               run,
               "Attempts at workers and calls to the counter",
               "a second",
               List.of("attempts", "repeated attempts", "tries asked", "counter calls")),
           run.marks());
-      draw(
-          PlotSelection.course(
+      appendPlot(
+          PlotSelection.timeSeries(
               run, "Longest wait in the counter's queue", "ms", List.of("counter queue ms")),
           run.marks());
     }
   }
 
-  private void draw(Plot plot, List<FaultWindow> marks) throws IOException {
-    if (plot.series().isEmpty() || plot.foot().isEmpty()) {
+  private void appendPlot(Plot plot, List<FaultWindow> faultWindows) throws IOException {
+    if (plot.series().isEmpty() || plot.xValues().isEmpty()) {
       return;
     }
-    if (plots >= MOST_PLOTS) {
-      left++;
+    if (plotCount >= MAX_PLOTS) {
+      omittedPlotCount++;
       return;
     }
-    byte[] png = PlotRenderer.png(plot, marks);
+    byte[] png = PlotRenderer.renderPng(plot, faultWindows);
     Files.write(
         folder
             .resolve("plots")
@@ -283,13 +326,13 @@
                 String.format(
                     Locale.ROOT,
                     "%02d-%s.png",
-                    ++plots,
+                    ++plotCount,
                     plot.title().replaceAll("[^A-Za-z0-9]+", "-").toLowerCase(Locale.ROOT))),
         png);
     html.append("<img width=")
         .append(PlotRenderer.WIDTH)
         .append(" alt=\"")
-        .append(safe(plot.title()).replace("\"", "&quot;"))
+        .append(escapeHtml(plot.title()).replace("\"", "&quot;"))
         .append("\" src=\"data:image/png;base64,")
         .append(Base64.getEncoder().encodeToString(png))
         .append("\">");
--- a/src/main/java/fawndock/report/PlotRenderer.java
+++ b/src/main/java/fawndock/report/PlotRenderer.java
@@ -29,11 +29,11 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws plots as PNG, of a size that is read without zooming at 1280 pixels. */
+/** Renders plots as PNG images that are readable without zooming on a screen 1280 pixels wide. */
 final class PlotRenderer {
   static final int WIDTH = 1160;
   private static final int HEIGHT = 380;
-  private static final Color[] COLOURS = {
+  private static final Color[] LINE_COLORS = {
     new Color(0x1f, 0x5f, 0xa8),
     new Color(0xd1, 0x49, 0x3f),
     new Color(0x2a, 0x8a, 0x57),
@@ -43,18 +43,19 @@
     new Color(0x0f, 0x98, 0xa8),
     new Color(0xa3, 0x3c, 0x7c)
   };
-  private static final Color TROUBLE = new Color(0x99, 0x33, 0x33, 0x90);
+  private static final Color FAULT_COLOR = new Color(0x99, 0x33, 0x33, 0x90);
 
   private PlotRenderer() {}
 
-  static byte[] png(Plot plot, List<FaultWindow> marks) throws IOException {
-    Chart<?, ?> chart = plot.course() ? course(plot, marks) : along(plot);
+  static byte[] renderPng(Plot plot, List<FaultWindow> faultWindows) throws IOException {
+    Chart<?, ?> chart =
+        plot.isTimeSeries() ? timeSeriesChart(plot, faultWindows) : categoryChart(plot);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     BitmapEncoder.saveBitmap(chart, out, BitmapEncoder.BitmapFormat.PNG);
     return out.toByteArray();
   }
 
-  private static XYChart course(Plot plot, List<FaultWindow> marks) {
+  private static XYChart timeSeriesChart(Plot plot, List<FaultWindow> faultWindows) {
     XYChart chart =
         new XYChartBuilder()
             .width(WIDTH)
@@ -63,40 +64,45 @@
             .xAxisTitle(plot.xLabel())
             .yAxisTitle(plot.yLabel())
             .build();
-    style(chart.getStyler());
-    int i = 0;
-    double most = 0;
-    for (Series each : plot.series()) {
+    styleChart(chart.getStyler());
+    int seriesIndex = 0;
+    double maxValue = 0;
+    for (Series line : plot.series()) {
       XYSeries series =
           chart.addSeries(
-              each.name(),
-              IntStream.range(0, each.values().length).asDoubleStream().toArray(),
-              each.values());
-      most = Math.max(most, Arrays.stream(each.values()).filter(Double::isFinite).max().orElse(0));
-      line(series, each.name(), i++);
+              line.name(),
+              IntStream.range(0, line.values().length).asDoubleStream().toArray(),
+              line.values());
+      maxValue =
+          Math.max(maxValue, Arrays.stream(line.values()).filter(Double::isFinite).max().orElse(0));
+      styleLine(series, line.name(), seriesIndex++);
       series.setMarker(SeriesMarkers.NONE);
     }
     chart.getStyler().setYAxisMin(0.0);
-    if (most > 0) {
-      chart.getStyler().setYAxisMax(1.12 * most);
+    if (maxValue > 0) {
+      chart.getStyler().setYAxisMax(1.12 * maxValue);
     }
-    int at = 0;
-    for (FaultWindow mark : marks) {
-      chart.addAnnotation(new AnnotationLine(mark.fromSecond(), true, false));
+    int labelIndex = 0;
+    for (FaultWindow faultWindow : faultWindows) {
+      chart.addAnnotation(new AnnotationLine(faultWindow.fromSecond(), true, false));
       chart.addAnnotation(
-          new AnnotationLine(Math.min(mark.untilSecond(), plot.foot().size()), true, false));
+          new AnnotationLine(
+              Math.min(faultWindow.untilSecond(), plot.xValues().size()), true, false));
       chart.addAnnotation(
           new AnnotationText(
-              mark.kind(),
-              Math.min(mark.fromSecond(), plot.foot().size()) + 0.08 * plot.foot().size(),
-              (1.08 - 0.06 * (at++ % 4)) * most,
+              faultWindow.kind(),
+              Math.min(faultWindow.fromSecond(), plot.xValues().size())
+                  + 0.08 * plot.xValues().size(),
+              (1.08 - 0.06 * (labelIndex++ % 4)) * maxValue,
               false));
     }
     return chart;
   }
 
-  /** Each value along the foot has its name and the same room, however far they lie apart. */
-  private static CategoryChart along(Plot plot) {
+  /**
+   * Renders a chart whose x values are evenly spaced categories, whatever their numeric distance.
+   */
+  private static CategoryChart categoryChart(Plot plot) {
     CategoryChart chart =
         new CategoryChartBuilder()
             .width(WIDTH)
@@ -105,32 +111,32 @@
             .xAxisTitle(plot.xLabel())
             .yAxisTitle(plot.yLabel())
             .build();
-    style(chart.getStyler());
+    styleChart(chart.getStyler());
     chart.getStyler().setDefaultSeriesRenderStyle(CategorySeries.CategorySeriesRenderStyle.Line);
     chart.getStyler().setOverlapped(true);
-    double most = 0;
-    int i = 0;
-    for (Series each : plot.series()) {
-      List<Double> ys = new ArrayList<>();
-      for (double value : each.values()) {
-        ys.add(Double.isNaN(value) ? null : value);
-        most = Math.max(most, Double.isNaN(value) ? 0 : value);
+    double maxValue = 0;
+    int seriesIndex = 0;
+    for (Series line : plot.series()) {
+      List<Double> yValues = new ArrayList<>();
+      for (double value : line.values()) {
+        yValues.add(Double.isNaN(value) ? null : value);
+        maxValue = Math.max(maxValue, Double.isNaN(value) ? 0 : value);
       }
-      if (ys.stream().anyMatch(Objects::nonNull)) {
-        CategorySeries series = chart.addSeries(each.name(), plot.foot(), ys);
-        line(series, each.name(), i++);
+      if (yValues.stream().anyMatch(Objects::nonNull)) {
+        CategorySeries series = chart.addSeries(line.name(), plot.xValues(), yValues);
+        styleLine(series, line.name(), seriesIndex++);
         series.setMarker(SeriesMarkers.CIRCLE);
       }
     }
     chart.getStyler().setYAxisMin(0.0);
-    chart.getStyler().setYAxisMax(most > 0 ? 1.12 * most : 1);
+    chart.getStyler().setYAxisMax(maxValue > 0 ? 1.12 * maxValue : 1);
     return chart;
   }
 
-  private static void line(AxesChartSeries series, String name, int number) {
-    series.setLineColor(COLOURS[number % COLOURS.length]);
-    if (series instanceof MarkerSeries marked) {
-      marked.setMarkerColor(COLOURS[number % COLOURS.length]);
+  private static void styleLine(AxesChartSeries series, String name, int index) {
+    series.setLineColor(LINE_COLORS[index % LINE_COLORS.length]);
+    if (series instanceof MarkerSeries markerSeries) {
+      markerSeries.setMarkerColor(LINE_COLORS[index % LINE_COLORS.length]);
     }
     if (name.startsWith("plan of ") || name.endsWith("before")) {
       series.setLineStyle(
@@ -139,7 +145,7 @@
     }
   }
 
-  private static void style(AxesChartStyler styler) {
+  private static void styleChart(AxesChartStyler styler) {
     styler.setLegendPosition(LegendPosition.OutsideE);
     styler.setChartBackgroundColor(Color.WHITE);
     styler.setLegendBorderColor(Color.WHITE);
@@ -150,8 +156,8 @@
     styler.setLegendFont(new Font(Font.SANS_SERIF, Font.PLAIN, 13));
     styler.setAxisTitleFont(new Font(Font.SANS_SERIF, Font.PLAIN, 13));
     styler.setAxisTickLabelsFont(new Font(Font.SANS_SERIF, Font.PLAIN, 12));
-    styler.setAnnotationLineColor(TROUBLE);
-    styler.setAnnotationTextFontColor(TROUBLE.darker());
+    styler.setAnnotationLineColor(FAULT_COLOR);
+    styler.setAnnotationTextFontColor(FAULT_COLOR.darker());
     styler.setAnnotationTextFont(new Font(Font.SANS_SERIF, Font.PLAIN, 12));
   }
 }
--- a/src/main/java/fawndock/report/PlotSelection.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -14,128 +14,141 @@
 import java.util.stream.IntStream;
 
 /**
- * What is plotted: figures along a variable, split into as many plots as can be read, and the
- * course of single runs.
+ * Selects the data of plots: medians of figures by the values of a variable, split into several
+ * plots where one would have too many lines, and time series of single runs. Does no I/O.
  */
 public final class PlotSelection {
-  /** Lines in one plot that a person can still tell apart. */
+  /** More lines in one plot are hard to tell apart. */
   static final int MAX_LINES = 8;
 
-  /** A line: its name, and a value for each point of the axis, NaN where there is none. */
+  /** A line of a plot: its name, and a value for each x value, NaN where there is none. */
   @SuppressWarnings("ArrayRecordComponent") // The chart library takes arrays; never compared.
   public record Series(String name, double[] values) {}
 
   /**
    * One plot.
    *
-   * @param course whether its foot is the seconds of a run; else values that a variable takes
-   * @param foot the values along the axis, as they are named
+   * @param isTimeSeries whether the x values are the seconds of a run; otherwise they are the
+   *     values of a variable
+   * @param xValues labels of the points on the x-axis
    */
   public record Plot(
       String title,
-      boolean course,
+      boolean isTimeSeries,
       String xLabel,
       String yLabel,
-      List<String> foot,
+      List<String> xValues,
       List<Series> series) {}
 
   private PlotSelection() {}
 
-  /** Each variable with the values that it takes, those of one value left out. */
-  static Map<String, Set<String>> varied(List<RunResult> all) {
-    Map<String, Set<String>> varied = new LinkedHashMap<>();
-    all.forEach(
-        o ->
-            o.values()
+  /** Returns the variables that have at least two values, with their values. */
+  static Map<String, Set<String>> varyingVariables(List<RunResult> results) {
+    Map<String, Set<String>> varyingVariables = new LinkedHashMap<>();
+    results.forEach(
+        result ->
+            result
+                .values()
                 .forEach(
                     (name, value) ->
-                        varied.computeIfAbsent(name, n -> new LinkedHashSet<>()).add(value)));
-    varied.values().removeIf(values -> values.size() < 2);
-    return varied;
+                        varyingVariables
+                            .computeIfAbsent(name, key -> new LinkedHashSet<>())
+                            .add(value)));
+    varyingVariables.values().removeIf(values -> values.size() < 2);
+    return varyingVariables;
   }
 
-  /** Values as they are read: those of the variables that vary. */
-  static String named(Map<String, String> values, Set<String> names) {
-    List<String> all = new ArrayList<>();
+  /** Returns a label that names the values of some variables. */
+  static String label(Map<String, String> values, Set<String> variables) {
+    List<String> parts = new ArrayList<>();
     values.forEach(
         (name, value) -> {
-          if (names.contains(name)) {
-            all.add(name + " " + value);
+          if (variables.contains(name)) {
+            parts.add(name + " " + value);
           }
         });
-    return all.isEmpty() ? "all" : String.join(", ", all);
+    return parts.isEmpty() ? "all" : String.join(", ", parts);
   }
 
   /**
-   * A figure's medians along a variable. The other variables that vary make lines; when those are
-   * too many, the first of them make plots of their own.
+   * Returns plots of a figure's medians by the values of a variable. Each combination of the other
+   * variables that vary is a line; when one plot would have more than {@value #MAX_LINES} lines,
+   * the first of these variables are split over several plots.
    *
-   * @param sets results, each with its name, empty for the only one
+   * @param axis the variable on the x-axis
+   * @param resultsByName sets of results to compare, by name; the name of a single set is empty
    */
-  public static List<Plot> along(String axis, String figure, Map<String, List<RunResult>> sets) {
-    List<RunResult> every = new ArrayList<>();
-    sets.values().forEach(every::addAll);
-    Map<String, Set<String>> varied = varied(every);
-    Set<String> foot = varied.getOrDefault(axis, Set.of());
-    if (foot.isEmpty()) {
+  public static List<Plot> byVariable(
+      String axis, String figure, Map<String, List<RunResult>> resultsByName) {
+    List<RunResult> allResults = new ArrayList<>();
+    resultsByName.values().forEach(allResults::addAll);
+    Map<String, Set<String>> varyingVariables = varyingVariables(allResults);
+    Set<String> xValues = varyingVariables.getOrDefault(axis, Set.of());
+    if (xValues.isEmpty()) {
       return List.of();
     }
-    List<String> others = new ArrayList<>(varied.keySet());
-    others.remove(axis);
-    int lines = sets.size();
-    int inPlot = others.size();
-    while (inPlot > 0 && lines * varied.get(others.get(inPlot - 1)).size() <= MAX_LINES) {
-      lines *= varied.get(others.get(--inPlot)).size();
+    List<String> otherVariables = new ArrayList<>(varyingVariables.keySet());
+    otherVariables.remove(axis);
+    int lineCount = resultsByName.size();
+    int firstLineVariable = otherVariables.size();
+    while (firstLineVariable > 0
+        && lineCount * varyingVariables.get(otherVariables.get(firstLineVariable - 1)).size()
+            <= MAX_LINES) {
+      lineCount *= varyingVariables.get(otherVariables.get(--firstLineVariable)).size();
     }
-    Set<String> plotNames = new LinkedHashSet<>(others.subList(0, inPlot));
-    Set<String> lineNames = new LinkedHashSet<>(others.subList(inPlot, others.size()));
-    List<String> points = new ArrayList<>(foot);
-    if (points.stream().allMatch(p -> p.matches("-?[0-9]+(\\.[0-9]+)?"))) {
-      points.sort(Comparator.comparingDouble(Double::parseDouble));
+    Set<String> plotVariables = new LinkedHashSet<>(otherVariables.subList(0, firstLineVariable));
+    Set<String> lineVariables =
+        new LinkedHashSet<>(otherVariables.subList(firstLineVariable, otherVariables.size()));
+    List<String> xAxisValues = new ArrayList<>(xValues);
+    if (xAxisValues.stream().allMatch(value -> value.matches("-?[0-9]+(\\.[0-9]+)?"))) {
+      xAxisValues.sort(Comparator.comparingDouble(Double::parseDouble));
     }
     Map<String, Map<String, double[]>> plots = new LinkedHashMap<>();
-    sets.forEach(
-        (set, outcomes) ->
-            ResultStatistics.groupByValues(outcomes)
+    resultsByName.forEach(
+        (resultsName, results) ->
+            ResultStatistics.groupByValues(results)
                 .forEach(
                     (values, cell) -> {
-                      ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell, figure);
+                      ResultStatistics.SeedSpread spread =
+                          ResultStatistics.seedSpread(cell, figure);
                       String line =
-                          (named(values, lineNames) + (set.isEmpty() ? "" : ", " + set))
+                          (label(values, lineVariables)
+                                  + (resultsName.isEmpty() ? "" : ", " + resultsName))
                               .replaceFirst("^all, ", "");
-                      double[] at =
+                      double[] lineValues =
                           plots
-                              .computeIfAbsent(named(values, plotNames), n -> new LinkedHashMap<>())
+                              .computeIfAbsent(
+                                  label(values, plotVariables), key -> new LinkedHashMap<>())
                               .computeIfAbsent(
                                   line,
-                                  n -> {
-                                    double[] none = new double[points.size()];
-                                    Arrays.fill(none, Double.NaN);
-                                    return none;
+                                  key -> {
+                                    double[] missing = new double[xAxisValues.size()];
+                                    Arrays.fill(missing, Double.NaN);
+                                    return missing;
                                   });
                       if (spread != null) {
-                        at[points.indexOf(values.get(axis))] = spread.median();
+                        lineValues[xAxisValues.indexOf(values.get(axis))] = spread.median();
                       }
                     }));
-    List<Plot> made = new ArrayList<>();
+    List<Plot> result = new ArrayList<>();
     plots.forEach(
-        (name, byLine) -> {
+        (name, valuesByLine) -> {
           List<Series> series = new ArrayList<>();
-          byLine.forEach((line, values) -> series.add(new Series(line, values)));
-          made.add(
+          valuesByLine.forEach((line, values) -> series.add(new Series(line, values)));
+          result.add(
               new Plot(
                   figure + (name.equals("all") ? "" : " (" + name + ")"),
                   false,
                   axis,
                   figure,
-                  points,
+                  xAxisValues,
                   series));
         });
-    return made;
+    return result;
   }
 
-  /** How one run went: some of its series, a point a second. */
-  public static Plot course(RunResult run, String title, String yLabel, List<String> names) {
+  /** Returns a plot of some series of one run, with a point for each second. */
+  public static Plot timeSeries(RunResult run, String title, String yLabel, List<String> names) {
     List<Series> series = new ArrayList<>();
     int length = 0;
     for (String name : names) {
@@ -145,11 +158,14 @@
         length = Math.max(length, values.length);
       }
     }
-    return new Plot(title, true, "second of the run", yLabel, seconds(length), series);
+    return new Plot(title, true, "second of the run", yLabel, secondLabels(length), series);
   }
 
-  /** What each group of customers used beside what its plans allow. */
-  public static Plot quota(RunResult run) {
+  /**
+   * Returns a plot of the units that each group of customers used and of the rate that its plans
+   * allow.
+   */
+  public static Plot quotaUsage(RunResult run) {
     List<Series> series = new ArrayList<>();
     int[] length = {0};
     new TreeMap<>(run.series())
@@ -169,11 +185,11 @@
         true,
         "second of the run",
         "units a second",
-        seconds(length[0]),
+        secondLabels(length[0]),
         series);
   }
 
-  private static List<String> seconds(int many) {
-    return IntStream.range(0, many).mapToObj(Integer::toString).toList();
+  private static List<String> secondLabels(int count) {
+    return IntStream.range(0, count).mapToObj(Integer::toString).toList();
   }
 }
--- a/src/main/java/fawndock/report/package-info.java
+++ b/src/main/java/fawndock/report/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reports of experiments: plots and tables of one set of results, or of two beside each other, in
- * one HTML page that needs nothing else. What is plotted against what is decided in {@code
- * PlotSelection}, free of I/O; drawing is XChart's.
+ * Reports of experiments: tables and plots of one set of results, or of two sets compared with each
+ * other, in one self-contained HTML page. {@code PlotSelection} selects the data without I/O;
+ * XChart renders the plots.
  */
 package fawndock.report;
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -238,9 +238,12 @@
     assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), d.low(), 1e-6);
     assertTrue(d.isSignificant());
     assertFalse(
-        ResultStatistics.difference(base.subList(0, 1), other, "use").isSignificant(), "one pair tells nothing");
+        ResultStatistics.difference(base.subList(0, 1), other, "use").isSignificant(),
+        "one pair tells nothing");
     assertNull(ResultStatistics.difference(base, other, "kept"));
-    assertEquals(new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3), ResultStatistics.seedSpread(base, "use"));
+    assertEquals(
+        new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3),
+        ResultStatistics.seedSpread(base, "use"));
     List<RunResult> all =
         List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
     List<ResultStatistics.ExpectationResult> judged =
--- a/src/test/java/fawndock/report/ReportTest.java
+++ b/src/test/java/fawndock/report/ReportTest.java
@@ -56,19 +56,19 @@
 
   @Test
   void aPlotHasNoMoreLinesThanCanBeRead() {
-    List<PlotSelection.Plot> plots = PlotSelection.along("fleet", "use", Map.of("", all(0)));
+    List<PlotSelection.Plot> plots = PlotSelection.byVariable("fleet", "use", Map.of("", all(0)));
     assertEquals(2, plots.size(), "ten lines are too many for one: a plot for each mode");
     assertEquals("use (mode calm)", plots.get(0).title());
-    assertEquals(List.of("4", "20", "100"), plots.get(0).foot(), "as numbers, not as text");
+    assertEquals(List.of("4", "20", "100"), plots.get(0).xValues(), "as numbers, not as text");
     assertEquals(5, plots.get(0).series().size());
     assertArrayEquals(new double[] {5, 21, 101}, plots.get(0).series().get(0).values());
     assertArrayEquals(
         new double[] {5, Double.NaN, 101},
         plots.get(0).series().get(4).values(),
         "no run, no point");
-    assertEquals(List.of(), PlotSelection.along("speed", "use", Map.of("", all(0))));
+    assertEquals(List.of(), PlotSelection.byVariable("speed", "use", Map.of("", all(0))));
     assertTrue(
-        PlotSelection.along("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
+        PlotSelection.byVariable("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
             .allMatch(p -> p.series().size() <= PlotSelection.MAX_LINES));
   }
 
