--- a/src/main/java/fawndock/calibration/SocketRun.java
+++ b/src/main/java/fawndock/calibration/SocketRun.java
@@ -235,7 +235,7 @@
       case "counter-silent" ->
           schedule
               .at(startSecond, faultWindow.kind(), () -> fleet.counter.setUnresponsive(true))
-              .at(endSecond, "fault ends", () -> fleet.counter.setUnresponsive(false));
+              .at(endSecond, "its end", () -> fleet.counter.setUnresponsive(false));
       case "worker-slow" ->
           scheduleBackendFault(
               schedule,
@@ -304,7 +304,7 @@
                     index -> fleet.backends.get(index).injectFaults(injectFault)))
         .at(
             WARM_UP_SECONDS + faultWindow.untilSecond(),
-            "fault ends",
+            "its end",
             () ->
                 backendIndexes.forEach(
                     index -> fleet.backends.get(index).injectFaults(clearFault)));
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -4,8 +4,8 @@
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
 import fawndock.experiment.ExperimentRunner;
-import fawndock.experiment.ResultStatistics;
 import fawndock.experiment.ResultStore;
+import fawndock.experiment.ResultTable;
 import fawndock.experiment.RunResult;
 import fawndock.policy.DefaultGatewayPolicy;
 import fawndock.settings.ConfigurationException;
@@ -84,7 +84,7 @@
   }
 
   private boolean told(Experiment experiment, List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> cells = ResultStatistics.groupByValues(all);
+    Map<Map<String, String>, List<RunResult>> cells = ResultTable.groupByValues(all);
     if (!quiet) {
       System.out.println("median (least..most) over the seeds, simulated:");
       cells.forEach(
@@ -93,7 +93,7 @@
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
             for (String figure : experiment.shownFigures()) {
-              ResultStatistics.SeedSpread s = ResultStatistics.seedSpread(outcomes, figure);
+              ResultTable.SeedSpread s = ResultTable.seedSpread(outcomes, figure);
               line.append("  ")
                   .append(figure)
                   .append(' ')
@@ -109,8 +109,8 @@
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (ResultStatistics.ExpectationResult each :
-        ResultStatistics.evaluate(experiment.expectations(), all)) {
+    for (ResultTable.ExpectationResult each :
+        ResultTable.evaluate(experiment.expectations(), all)) {
       kept &= each.isSatisfied();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
@@ -147,8 +147,7 @@
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
           for (String figure : experiment.shownFigures()) {
-            ResultStatistics.Difference d =
-                ResultStatistics.difference(cells.get(with), outcomes, figure);
+            ResultTable.Difference d = ResultTable.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
                 .append(' ')
--- a/src/main/java/fawndock/experiment/ResultStore.java
+++ b/src/main/java/fawndock/experiment/ResultStore.java
@@ -77,7 +77,7 @@
     Path file = folder.resolve(RESULTS_FILE);
     if (!Files.isRegularFile(file)) {
       throw new IOException(
-          file + ": no results found, expected the output of 'fawndock experiment'");
+          file + ": no results found, expected what 'fawndock experiment' writes");
     }
     Map<String, RunResult> resultsByKey = new LinkedHashMap<>();
     readLines(Files.readAllBytes(file), file, resultsByKey);
--- a/src/main/java/fawndock/experiment/ResultStatistics.java
+++ b/src/main/java/fawndock/experiment/ResultTable.java
@@ -14,7 +14,7 @@
  * Statistics of results: spread over the seeds of a cell, differences between cells paired by seed,
  * and evaluation of expectations. Stateless.
  */
-public final class ResultStatistics {
+public final class ResultTable {
   private static final double CONFIDENCE_LEVEL = 0.95;
 
   /** Median, minimum and maximum of a figure over the seeds of one cell. */
@@ -47,7 +47,7 @@
       int runCount,
       int violationCount) {}
 
-  private ResultStatistics() {}
+  private ResultTable() {}
 
   /** Groups results by the values of their variables, in the order of their first occurrence. */
   public static Map<Map<String, String>, List<RunResult>> groupByValues(List<RunResult> results) {
--- a/src/main/java/fawndock/report/HtmlReport.java
+++ b/src/main/java/fawndock/report/HtmlReport.java
@@ -1,7 +1,7 @@
 package fawndock.report;
 
 import fawndock.experiment.Experiment;
-import fawndock.experiment.ResultStatistics;
+import fawndock.experiment.ResultTable;
 import fawndock.experiment.RunResult;
 import fawndock.report.PlotSelection.Plot;
 import fawndock.simulation.DeploymentFile.FaultWindow;
@@ -125,15 +125,15 @@
   }
 
   private void appendExpectations() {
-    List<ResultStatistics.ExpectationResult> evaluated =
-        ResultStatistics.evaluate(experiment.expectations(), results);
+    List<ResultTable.ExpectationResult> evaluated =
+        ResultTable.evaluate(experiment.expectations(), results);
     long violatingRunCount =
         results.stream()
             .filter(result -> result.figures().getOrDefault("rules-broken", 0.0) > 0)
             .count();
     html.append(
         "<h2>Expected</h2><table><tr><th class=n>what<th class=n>holds<th>worst<th class=n>with<th>runs<th>break it");
-    for (ResultStatistics.ExpectationResult evaluation : evaluated) {
+    for (ResultTable.ExpectationResult evaluation : evaluated) {
       appendExpectationRow(
           evaluation.expectation().text(),
           evaluation.isSatisfied(),
@@ -178,7 +178,7 @@
     experiment.shownFigures().forEach(figure -> html.append("<th>").append(escapeHtml(figure)));
     int rows = 0;
     for (Map.Entry<Map<String, String>, List<RunResult>> cell :
-        ResultStatistics.groupByValues(results).entrySet()) {
+        ResultTable.groupByValues(results).entrySet()) {
       if (rows++ >= MAX_ROWS) {
         html.append("<tr><td class=n>more are in results.csv");
         break;
@@ -186,7 +186,7 @@
       html.append("<tr><td class=n>")
           .append(escapeHtml(PlotSelection.label(cell.getKey(), varyingVariables.keySet())));
       for (String figure : experiment.shownFigures()) {
-        ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell.getValue(), figure);
+        ResultTable.SeedSpread spread = ResultTable.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 spread == null
@@ -205,25 +205,25 @@
   private void appendDifferences() {
     Map<String, Set<String>> varyingVariables = PlotSelection.varyingVariables(results);
     Map<Map<String, String>, List<RunResult>> baselineCells =
-        ResultStatistics.groupByValues(baselineResults);
+        ResultTable.groupByValues(baselineResults);
     html.append(
         "<h2>Before and after</h2><p>Mean of the differences, seed by seed, and its 95% interval; bold where that leaves out "
             + "0.</p><table><tr><th class=n>cell");
     experiment.shownFigures().forEach(figure -> html.append("<th>").append(escapeHtml(figure)));
     int rows = 0;
     for (Map.Entry<Map<String, String>, List<RunResult>> cell :
-        ResultStatistics.groupByValues(results).entrySet()) {
+        ResultTable.groupByValues(results).entrySet()) {
       if (!baselineCells.containsKey(cell.getKey()) || rows++ >= MAX_ROWS) {
         continue;
       }
       html.append("<tr><td class=n>")
           .append(escapeHtml(PlotSelection.label(cell.getKey(), varyingVariables.keySet())));
       for (String figure : experiment.shownFigures()) {
-        ResultStatistics.Difference difference =
-            ResultStatistics.difference(baselineCells.get(cell.getKey()), cell.getValue(), figure);
-        ResultStatistics.SeedSpread baselineSpread =
-            ResultStatistics.seedSpread(baselineCells.get(cell.getKey()), figure);
-        ResultStatistics.SeedSpread spread = ResultStatistics.seedSpread(cell.getValue(), figure);
+        ResultTable.Difference difference =
+            ResultTable.difference(baselineCells.get(cell.getKey()), cell.getValue(), figure);
+        ResultTable.SeedSpread baselineSpread =
+            ResultTable.seedSpread(baselineCells.get(cell.getKey()), figure);
+        ResultTable.SeedSpread spread = ResultTable.seedSpread(cell.getValue(), figure);
         html.append("<td>")
             .append(
                 difference == null
@@ -245,7 +245,7 @@
     html.append("</table>");
     int cellsWithoutBaseline =
         (int)
-            ResultStatistics.groupByValues(results).keySet().stream()
+            ResultTable.groupByValues(results).keySet().stream()
                 .filter(values -> !baselineCells.containsKey(values))
                 .count();
     html.append(
@@ -259,7 +259,7 @@
    * cells.
    */
   private void appendRunPlots() throws IOException {
-    List<List<RunResult>> cells = List.copyOf(ResultStatistics.groupByValues(results).values());
+    List<List<RunResult>> cells = List.copyOf(ResultTable.groupByValues(results).values());
     Set<String> varyingVariables = PlotSelection.varyingVariables(results).keySet();
     int shownCellCount = Math.min(MAX_RUNS_WITH_PLOTS, cells.size());
     html.append("<h2>How single runs went</h2>")
--- a/src/main/java/fawndock/report/PlotSelection.java
+++ b/src/main/java/fawndock/report/PlotSelection.java
@@ -1,6 +1,6 @@
 package fawndock.report;
 
-import fawndock.experiment.ResultStatistics;
+import fawndock.experiment.ResultTable;
 import fawndock.experiment.RunResult;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -106,11 +106,10 @@
     Map<String, Map<String, double[]>> plots = new LinkedHashMap<>();
     resultsByName.forEach(
         (resultsName, results) ->
-            ResultStatistics.groupByValues(results)
+            ResultTable.groupByValues(results)
                 .forEach(
                     (values, cell) -> {
-                      ResultStatistics.SeedSpread spread =
-                          ResultStatistics.seedSpread(cell, figure);
+                      ResultTable.SeedSpread spread = ResultTable.seedSpread(cell, figure);
                       String line =
                           (label(values, lineVariables)
                                   + (resultsName.isEmpty() ? "" : ", " + resultsName))
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -233,21 +233,20 @@
         i -> outcome("9", 2 - i, with[2 - i]); // In another order: paired by seed all the same.
     List<RunResult> base = List.of(a.apply(0), a.apply(1), a.apply(2));
     List<RunResult> other = List.of(b.apply(0), b.apply(1), b.apply(2));
-    ResultStatistics.Difference d = ResultStatistics.difference(base, other, "use");
+    ResultTable.Difference d = ResultTable.difference(base, other, "use");
     assertEquals(0.1, d.mean(), 1e-9); // 0.10, 0.08, 0.12: t(0.975, 2) = 4.303, deviation 0.02.
     assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), d.low(), 1e-6);
     assertTrue(d.isSignificant());
     assertFalse(
-        ResultStatistics.difference(base.subList(0, 1), other, "use").isSignificant(),
+        ResultTable.difference(base.subList(0, 1), other, "use").isSignificant(),
         "one pair tells nothing");
-    assertNull(ResultStatistics.difference(base, other, "kept"));
+    assertNull(ResultTable.difference(base, other, "kept"));
     assertEquals(
-        new ResultStatistics.SeedSpread(1.02, 0.90, 1.18, 3),
-        ResultStatistics.seedSpread(base, "use"));
+        new ResultTable.SeedSpread(1.02, 0.90, 1.18, 3), ResultTable.seedSpread(base, "use"));
     List<RunResult> all =
         List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
-    List<ResultStatistics.ExpectationResult> judged =
-        ResultStatistics.evaluate(
+    List<ResultTable.ExpectationResult> judged =
+        ResultTable.evaluate(
             List.of(
                 new Expectation("use", true, 1.2, Map.of("fleet", List.of("4"))),
                 new Expectation("use", true, 1.2, Map.of()),
@@ -256,7 +255,7 @@
             all);
     assertEquals(
         List.of(true, false, false, false),
-        judged.stream().map(ResultStatistics.ExpectationResult::isSatisfied).toList());
+        judged.stream().map(ResultTable.ExpectationResult::isSatisfied).toList());
     assertEquals(1.30, judged.get(1).worstValue());
     assertEquals(1, judged.get(1).violationCount());
     assertEquals(0.90, judged.get(2).worstValue());
