--- a/src/main/java/fawndock/simulation/Deployment.java
+++ b/src/main/java/fawndock/simulation/Deployment.java
@@ -12,18 +12,16 @@
 import java.util.Map;
 
 /**
- * The deployment that a simulation runs.
+ * Describes the deployment that a simulation runs, its demand and its duration. Immutable.
  *
- * @param gatewayCount gateway instances
- * @param backendCount backends
- * @param zoneCount zones that backends are in, in turns
- * @param backend how each backend is built
- * @param queueingSlowdown by which work takes longer for each request that queues beyond one a
- *     core, as a share; 0 for not at all
- * @param network between all processes
- * @param counter that all gateways share
- * @param discoveryDelayMicros until a gateway is notified of a change
- * @param durationSeconds how long clients send
+ * @param zoneCount number of zones; backends are assigned to them round-robin
+ * @param backend capacity and overload behavior of each backend
+ * @param queueingSlowdown relative increase of the work time for each queued request beyond one per
+ *     core; 0 for no slowdown
+ * @param network model of the network between all processes
+ * @param counter model of the counter that all gateways share
+ * @param discoveryDelayMicros delay until a gateway is notified of a change
+ * @param durationSeconds how long clients send requests
  */
 public record Deployment(
     int gatewayCount,
@@ -42,11 +40,12 @@
     double durationSeconds,
     long seed) {
   /**
-   * The delay of each message, drawn for each by itself.
+   * The network. The delay of each message is drawn independently.
    *
-   * @param minDelayMicros the least delay
-   * @param meanExtraDelayMicros mean of what is added, exponentially distributed
-   * @param lossRatio share of the messages to and from the counter that are lost
+   * @param minDelayMicros the minimum delay
+   * @param meanExtraDelayMicros mean of the exponentially distributed delay beyond the minimum
+   * @param lossRatio share of the messages to and from the counter, and between gateways, that are
+   *     lost
    */
   public record NetworkModel(long minDelayMicros, long meanExtraDelayMicros, double lossRatio) {}
 
@@ -54,11 +53,11 @@
    * The counter.
    *
    * @param callsPerSecond service rate of each partition
-   * @param timeoutMicros after which a gateway gives up a call
-   * @param partitionCount partitions, each name on one of them
-   * @param rejectRatio share of the calls that are rejected uncounted
-   * @param maxQueueMicros longest queueing time, beyond which a call is rejected uncounted; 0 for a
-   *     second, beyond which a call gets no reply
+   * @param timeoutMicros time after which a gateway stops waiting for a reply
+   * @param partitionCount number of partitions; each counter name belongs to one of them
+   * @param rejectRatio share of the calls that are rejected without being counted
+   * @param maxQueueMicros longest queueing time; a call that would queue longer is rejected without
+   *     being counted. With 0 the limit is one second, and a call beyond it gets no reply
    */
   public record CounterModel(
       double callsPerSecond,
@@ -68,13 +67,13 @@
       long maxQueueMicros) {}
 
   /**
-   * What a group of customers sends.
+   * The requests that a group of customers sends.
    *
-   * @param customerCount customers, named after the demand, with a number
-   * @param skew of the customers' shares; 0 for equal shares
-   * @param gatewaysPerCustomer gateways that a customer uses
-   * @param requestsPerSecond of all customers together
-   * @param timeoutMicros from a request to its deadline
+   * @param customerCount number of customers; their names are the demand's name and an index
+   * @param skew of the customers' shares of the requests; 0 for equal shares
+   * @param gatewaysPerCustomer number of gateways that each customer uses
+   * @param requestsPerSecond rate of all customers together
+   * @param timeoutMicros time from sending a request to its deadline
    */
   public record Demand(
       String name,
@@ -88,16 +87,19 @@
       long timeoutMicros,
       ClientBehavior clientBehavior) {}
 
-  /** Each customer's plan, by the customer's name. */
+  /** Returns the plan of each customer, by the customer's name. */
   public Map<String, Plan> customerPlans() {
-    Map<String, Plan> all = new HashMap<>();
+    Map<String, Plan> planByCustomer = new HashMap<>();
     for (Demand demand : demands) {
       Plan plan =
-          plans.stream().filter(p -> p.name().equals(demand.plan())).findFirst().orElseThrow();
+          plans.stream()
+              .filter(candidate -> candidate.name().equals(demand.plan()))
+              .findFirst()
+              .orElseThrow();
       for (int i = 0; i < demand.customerCount(); i++) {
-        all.put(demand.name() + "-" + i, plan);
+        planByCustomer.put(demand.name() + "-" + i, plan);
       }
     }
-    return all;
+    return planByCustomer;
   }
 }
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -23,48 +23,48 @@
 import java.util.function.Function;
 
 /**
- * Reads a deployment file: the deployment to simulate and its faults. The meaning of each keyword
- * is in docs/operations/emulate.md.
+ * Reads a deployment file, which describes the deployment to simulate and its faults. The meaning
+ * of each keyword is in docs/operations/emulate.md.
  */
 public final class DeploymentFile extends ConfigurationFile {
   /**
-   * What was read.
+   * The content of a deployment file.
    *
-   * @param faults scheduled before a run, in the order of the file
-   * @param faultWindows when each fault happens, in the same order
-   * @param effectiveSettings all lines that were read, with variables replaced
+   * @param faults actions that schedule the faults in a simulation, in the order of the file
+   * @param faultWindows the time and target of each fault, in the same order
+   * @param effectiveSettings all lines that apply, with variables replaced by their values
    */
   public record ParsedDeployment(
       Deployment deployment,
       List<Consumer<Simulation>> faults,
       List<FaultWindow> faultWindows,
       String effectiveSettings) {
-    /** The run that the file describes, ready to start. */
+    /** Returns a new simulation of the deployment, with its faults scheduled. */
     public Simulation createSimulation(Function<PolicyConfig, GatewayPolicy> policyFactory) {
       Simulation simulation = new Simulation(deployment, policyFactory);
       faults.forEach(fault -> fault.accept(simulation));
       return simulation;
     }
 
-    /** The same deployment with another seed. */
+    /** Returns the same deployment with another seed. */
     public ParsedDeployment withSeed(long seed) {
-      Deployment d = deployment;
+      Deployment original = deployment;
       return new ParsedDeployment(
           new Deployment(
-              d.gatewayCount(),
-              d.backendCount(),
-              d.zoneCount(),
-              d.backend(),
-              d.queueingSlowdown(),
-              d.network(),
-              d.counter(),
-              d.discoveryDelayMicros(),
-              d.requestClasses(),
-              d.plans(),
-              d.limits(),
-              d.rules(),
-              d.demands(),
-              d.durationSeconds(),
+              original.gatewayCount(),
+              original.backendCount(),
+              original.zoneCount(),
+              original.backend(),
+              original.queueingSlowdown(),
+              original.network(),
+              original.counter(),
+              original.discoveryDelayMicros(),
+              original.requestClasses(),
+              original.plans(),
+              original.limits(),
+              original.rules(),
+              original.demands(),
+              original.durationSeconds(),
               seed),
           faults,
           faultWindows,
@@ -73,12 +73,13 @@
   }
 
   /**
-   * When a fault happens, and on what.
+   * The time and the target of a fault. The component names are property names in the results of
+   * experiments.
    *
-   * @param kind as the file names it
-   * @param firstBackend the first of the backends that it affects, where its kind has any
-   * @param factor its size, where its kind has a factor
-   * @param ratio its size, where its kind has a share
+   * @param kind keyword of the fault in the file
+   * @param firstBackend index of the first affected backend, for faults of backends
+   * @param factor severity of faults that are specified by a factor
+   * @param ratio severity of faults that are specified by a share
    */
   public record FaultWindow(
       String kind,
@@ -125,15 +126,15 @@
   private DeploymentFile(Map<String, String> overrides) {
     super(Set.of("class", "plan", "demand", "trouble", "let"));
     this.overrides = overrides;
-    // The keywords of the file format stand here and in FaultLine alone.
+    // All keywords of the file format are here and in FaultLine.
     keywords.put("let", this::readVariable);
     keywords.put("gatekeepers", line -> gatewayCount = readInt(line, 1, 10_000));
     keywords.put("workers", this::readBackends);
     keywords.put("network", this::readNetwork);
     keywords.put("counter", this::readCounter);
-    keywords.put("roster", line -> discoveryDelayMicros = time(line, HOUR_MICROS));
+    keywords.put("roster", line -> discoveryDelayMicros = readTime(line, HOUR_MICROS));
     keywords.put(
-        "for", line -> durationSeconds = time(line, 24 * HOUR_MICROS) / (double) SECOND_MICROS);
+        "for", line -> durationSeconds = readTime(line, 24 * HOUR_MICROS) / (double) SECOND_MICROS);
     keywords.put("seed", line -> seed = readInt(line, 0, 999_999_999));
     keywords.put("class", this::readRequestClass);
     keywords.put("plan", this::readPlan);
@@ -144,153 +145,155 @@
   }
 
   private void readNetwork(ConfigurationLine line) {
-    LineArguments a = arguments(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
+    LineArguments args = arguments(line, 0, "network [way TIME] [more TIME] [loss SHARE]");
     network =
         new Deployment.NetworkModel(
-            a.micros("way", 1, SECOND_MICROS, 200),
-            a.micros("more", 0, SECOND_MICROS, 100),
-            a.number("loss", 0, 1, 0));
-    a.rejectUnknown();
+            args.micros("way", 1, SECOND_MICROS, 200),
+            args.micros("more", 0, SECOND_MICROS, 100),
+            args.number("loss", 0, 1, 0));
+    args.rejectUnknown();
   }
 
   private void readCounter(ConfigurationLine line) {
-    LineArguments a =
+    LineArguments args =
         arguments(
             line,
             0,
             "counter [rate CALLS-A-SECOND] [wait TIME] [parts NUMBER] [turns-away SHARE] [queue TIME]");
     counter =
         new Deployment.CounterModel(
-            a.number("rate", 1, 1e9, 20_000),
-            a.micros("wait", 1_000, 10 * SECOND_MICROS, 50_000),
-            a.integer("parts", 1, 1_000, 1),
-            a.number("turns-away", 0, 1, 0),
-            a.micros("queue", 0, SECOND_MICROS, 0));
-    a.rejectUnknown();
+            args.number("rate", 1, 1e9, 20_000),
+            args.micros("wait", 1_000, 10 * SECOND_MICROS, 50_000),
+            args.integer("parts", 1, 1_000, 1),
+            args.number("turns-away", 0, 1, 0),
+            args.micros("queue", 0, SECOND_MICROS, 0));
+    args.rejectUnknown();
   }
 
   private void readRequestClass(ConfigurationLine line) {
-    LineArguments a = arguments(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
-    RequestClass requestClass = PolicyConfigReader.readRequestClass(a);
+    LineArguments args =
+        arguments(line, 1, "class NAME aim TIME deadline TIME [ARGUMENT VALUE ...]");
+    RequestClass requestClass = PolicyConfigReader.readRequestClass(args);
     if (requestClasses.putIfAbsent(requestClass.name(), requestClass) != null) {
-      a.addError("class " + requestClass.name() + " is given twice", "each class once");
+      args.addError("class " + requestClass.name() + " is given twice", "each class once");
     }
-    a.rejectUnknown();
+    args.rejectUnknown();
   }
 
   private void readPlan(ConfigurationLine line) {
-    LineArguments a = arguments(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
-    Plan plan = PolicyConfigReader.readPlan(a);
+    LineArguments args = arguments(line, 1, "plan NAME [rate N] [store N] [ARGUMENT VALUE ...]");
+    Plan plan = PolicyConfigReader.readPlan(args);
     if (plans.putIfAbsent(plan.name(), plan) != null) {
-      a.addError("plan " + plan.name() + " is given twice", "each plan once");
+      args.addError("plan " + plan.name() + " is given twice", "each plan once");
     }
-    a.rejectUnknown();
+    args.rejectUnknown();
   }
 
   private void readLimits(ConfigurationLine line) {
-    LineArguments a = arguments(line, 0, "limits [ARGUMENT VALUE ...]");
-    limits = PolicyConfigReader.readLimits(a);
-    a.rejectUnknown();
+    LineArguments args = arguments(line, 0, "limits [ARGUMENT VALUE ...]");
+    limits = PolicyConfigReader.readLimits(args);
+    args.rejectUnknown();
   }
 
   private void readRules(ConfigurationLine line) {
-    LineArguments a = arguments(line, 0, "rules [ARGUMENT VALUE ...]");
-    rules = PolicyConfigReader.readRules(a);
-    a.rejectUnknown();
+    LineArguments args = arguments(line, 0, "rules [ARGUMENT VALUE ...]");
+    rules = PolicyConfigReader.readRules(args);
+    args.rejectUnknown();
   }
 
-  private long time(ConfigurationLine line, long most) {
-    LineArguments a = arguments(line, 1, line.keyword() + " TIME");
-    long time = a.parseMicros(line.keyword(), a.positional(0), 0, most, SECOND_MICROS);
-    a.rejectUnknown();
-    return time;
+  private long readTime(ConfigurationLine line, long maxMicros) {
+    LineArguments args = arguments(line, 1, line.keyword() + " TIME");
+    long micros = args.parseMicros(line.keyword(), args.positional(0), 0, maxMicros, SECOND_MICROS);
+    args.rejectUnknown();
+    return micros;
   }
 
   private void readBackends(ConfigurationLine line) {
-    LineArguments a =
+    LineArguments args =
         arguments(
             line,
             1,
             "workers NUMBER [cores N] [work TIME] [queue N] [cold-share N] [cold-time TIME] "
                 + "[fall-multiple N] [fall-time TIME] [thrash SHARE] [zones N]");
-    backendCount = a.parseInteger("workers", a.positional(0), 1, 10_000, 1);
+    backendCount = args.parseInteger("workers", args.positional(0), 1, 10_000, 1);
     backend =
         new BackendConfig(
-            a.integer("cores", 1, 1_000, 4),
-            a.micros("work", 1, HOUR_MICROS, 20_000),
-            a.integer("queue", 1, 1_000_000, 200),
-            a.number("cold-share", 0.01, 1, 0.2),
-            a.micros("cold-time", 0, HOUR_MICROS, 10 * SECOND_MICROS),
-            a.number("fall-multiple", 1, 1_000, 2),
-            a.micros("fall-time", 1_000, HOUR_MICROS, 2 * SECOND_MICROS));
-    queueingSlowdown = a.number("thrash", 0, 10, 0);
-    zoneCount = a.integer("zones", 1, 1_000, 1);
-    a.rejectUnknown();
+            args.integer("cores", 1, 1_000, 4),
+            args.micros("work", 1, HOUR_MICROS, 20_000),
+            args.integer("queue", 1, 1_000_000, 200),
+            args.number("cold-share", 0.01, 1, 0.2),
+            args.micros("cold-time", 0, HOUR_MICROS, 10 * SECOND_MICROS),
+            args.number("fall-multiple", 1, 1_000, 2),
+            args.micros("fall-time", 1_000, HOUR_MICROS, 2 * SECOND_MICROS));
+    queueingSlowdown = args.number("thrash", 0, 10, 0);
+    zoneCount = args.integer("zones", 1, 1_000, 1);
+    args.rejectUnknown();
   }
 
   private void readDemand(ConfigurationLine line) {
-    LineArguments a =
+    LineArguments args =
         arguments(line, 1, "demand NAME class NAME plan NAME rate NUMBER [ARGUMENT VALUE ...]");
-    String type = a.word("class", "");
-    String plan = a.word("plan", "");
-    double rate = a.number("rate", 0.001, 1_000_000, 0);
-    if (a.isValid() && rate == 0) {
-      a.addError("demand " + a.positional(0) + " has no rate", "rate NUMBER");
+    String requestClass = args.word("class", "");
+    String plan = args.word("plan", "");
+    double rate = args.number("rate", 0.001, 1_000_000, 0);
+    if (args.isValid() && rate == 0) {
+      args.addError("demand " + args.positional(0) + " has no rate", "rate NUMBER");
     }
-    double each = a.number("each", 0.001, 1_000_000, 0);
-    int customers = a.integer("customers", 1, 1_000_000, 1);
-    if (each > 0) {
-      customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / each)));
-      rate = customers * each;
+    double ratePerCustomer = args.number("each", 0.001, 1_000_000, 0);
+    int customers = args.integer("customers", 1, 1_000_000, 1);
+    if (ratePerCustomer > 0) {
+      customers = (int) Math.max(1, Math.min(1_000_000, Math.round(rate / ratePerCustomer)));
+      rate = customers * ratePerCustomer;
     }
     demands.add(
         new Deployment.Demand(
-            a.positional(0),
-            type,
+            args.positional(0),
+            requestClass,
             plan,
             customers,
-            a.number("skew", 0, 10, 0),
-            a.integer("spread", 1, 10_000, 10_000),
+            args.number("skew", 0, 10, 0),
+            args.integer("spread", 1, 10_000, 10_000),
             rate,
-            LoadArguments.shape(a),
-            a.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
-            LoadArguments.manners(a)));
-    a.rejectUnknown();
+            LoadArguments.shape(args),
+            args.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
+            LoadArguments.manners(args)));
+    args.rejectUnknown();
     crossCheck(
-        a,
-        () -> requestClasses.containsKey(type),
-        "there is no class '" + type + "'",
+        args,
+        () -> requestClasses.containsKey(requestClass),
+        "there is no class '" + requestClass + "'",
         "the name of a class line");
     crossCheck(
-        a,
+        args,
         () -> plans.containsKey(plan),
         "there is no plan '" + plan + "'",
         "the name of a plan line");
   }
 
   /**
-   * Takes a variable, whose value replaces {@code $NAME} in later lines, unless the caller gave
-   * another value.
+   * Reads the declaration of a variable. Its value, or the value in the overrides when there is
+   * one, replaces {@code $NAME} in later lines.
    */
   private void readVariable(ConfigurationLine line) {
-    LineArguments a = arguments(line, 2, "let NAME VALUE");
-    if (a.isValid() && !a.positional(0).matches("[a-z][a-z0-9-]*")) {
-      a.addError("the name '" + a.positional(0) + "'", "small letters, digits and -");
+    LineArguments args = arguments(line, 2, "let NAME VALUE");
+    if (args.isValid() && !args.positional(0).matches("[a-z][a-z0-9-]*")) {
+      args.addError("the name '" + args.positional(0) + "'", "small letters, digits and -");
     }
-    variables.put(a.positional(0), overrides.getOrDefault(a.positional(0), a.positional(1)));
-    a.rejectUnknown();
+    variables.put(
+        args.positional(0), overrides.getOrDefault(args.positional(0), args.positional(1)));
+    args.rejectUnknown();
   }
 
   @Override
   protected ConfigurationLine prepare(ConfigurationLine line) {
     List<String> words = line.words();
     if (line.keyword().equals("when")) {
-      if (!holds(line)) {
+      if (!isConditionMet(line)) {
         return null;
       }
       words = words.subList(3, words.size());
     }
-    List<String> expanded = expand(line, words);
+    List<String> expanded = expandVariables(line, words);
     if (expanded == null) {
       return null;
     }
@@ -300,8 +303,8 @@
     return new ConfigurationLine(line.file(), line.number(), expanded);
   }
 
-  /** Whether the condition of a {@code when} line holds; an error in it counts as no. */
-  private boolean holds(ConfigurationLine line) {
+  /** Returns whether the condition of a {@code when} line is met; false after an error. */
+  private boolean isConditionMet(ConfigurationLine line) {
     List<String> words = line.words();
     boolean isComplete = words.size() > 3;
     String name = isComplete ? words.get(1) : "";
@@ -317,8 +320,8 @@
     return List.of(words.get(2).split("\\|", 0)).contains(variables.get(name));
   }
 
-  /** The words with variables replaced by their values, or null after an error. */
-  private List<String> expand(ConfigurationLine line, List<String> words) {
+  /** Replaces variables by their values; returns null after an error. */
+  private List<String> expandVariables(ConfigurationLine line, List<String> words) {
     List<String> expanded = new ArrayList<>();
     for (String word : words) {
       String name = word.startsWith("$") ? word.substring(1) : null;
@@ -332,90 +335,91 @@
   }
 
   private void readFault(ConfigurationLine line) {
-    LineArguments a =
+    LineArguments args =
         arguments(line, 1, "trouble KIND from TIME [until TIME] [ARGUMENT VALUE ...]");
-    FaultLine read = FaultLine.read(a);
-    int last = read.window().firstBackend() + read.window().backendCount() - 1;
+    FaultLine faultLine = FaultLine.read(args);
+    int lastBackend = faultLine.window().firstBackend() + faultLine.window().backendCount() - 1;
     crossCheck(
-        a,
-        () -> last < backendCount,
-        "there is no worker " + last,
+        args,
+        () -> lastBackend < backendCount,
+        "there is no worker " + lastBackend,
         "a number below " + backendCount);
     crossCheck(
-        a,
-        () -> read.gatewayCount() <= gatewayCount,
-        "there are not " + read.gatewayCount() + " gatekeepers",
+        args,
+        () -> faultLine.gatewayCount() <= gatewayCount,
+        "there are fewer than " + faultLine.gatewayCount() + " gatekeepers",
         "at most " + gatewayCount);
     crossCheck(
-        a,
-        () -> read.counterPartition() < counter.partitionCount(),
-        "the counter has no part " + read.counterPartition(),
+        args,
+        () -> faultLine.counterPartition() < counter.partitionCount(),
+        "the counter has no part " + faultLine.counterPartition(),
         "a number below " + counter.partitionCount());
     crossCheck(
-        a,
-        () -> read.zone() < zoneCount,
-        "there is no zone " + read.zone(),
+        args,
+        () -> faultLine.zone() < zoneCount,
+        "there is no zone " + faultLine.zone(),
         "a number below " + zoneCount);
     crossCheck(
-        a,
+        args,
         () ->
-            read.demand().isEmpty()
-                || demands.stream().anyMatch(d -> d.name().equals(read.demand())),
-        "there is no demand '" + read.demand() + "'",
+            faultLine.demand().isEmpty()
+                || demands.stream().anyMatch(demand -> demand.name().equals(faultLine.demand())),
+        "there is no demand '" + faultLine.demand() + "'",
         "the name of a demand line");
-    faults.add(read.fault());
-    faultWindows.add(read.window());
-    a.rejectUnknown();
+    faults.add(faultLine.fault());
+    faultWindows.add(faultLine.window());
+    args.rejectUnknown();
   }
 
   /**
-   * Reads a deployment file and all that it includes.
+   * Reads a deployment file and the files that it includes.
    *
-   * @throws ConfigurationException with every error in the file, when there is any
+   * @throws ConfigurationException with every error in the files, when there is any
    */
   public static ParsedDeployment read(Path file) throws ConfigurationException {
     return read(file, Map.of());
   }
 
   /**
-   * Reads a deployment file with other values of its variables.
+   * Reads a deployment file with overridden values of its variables.
    *
-   * @param overrides by name; each must have a {@code let} line
+   * @param overrides values by variable name; the file must declare each of them in a {@code let}
+   *     line
    */
   public static ParsedDeployment read(Path file, Map<String, String> overrides)
       throws ConfigurationException {
-    DeploymentFile f = new DeploymentFile(overrides);
-    f.readLines(file);
+    DeploymentFile reader = new DeploymentFile(overrides);
+    reader.readLines(file);
     overrides
         .keySet()
         .forEach(
             name ->
-                f.addFileErrorIf(
-                    !f.variables.containsKey(name),
+                reader.addFileErrorIf(
+                    !reader.variables.containsKey(name),
                     "no variable '" + name + "'",
                     "let " + name + " VALUE"));
-    f.addFileErrorIf(
-        f.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
-    f.throwIfErrors();
+    reader.addFileErrorIf(
+        reader.demands.isEmpty(), "no demand", "demand NAME class NAME plan NAME rate NUMBER");
+    reader.throwIfErrors();
     return new ParsedDeployment(
         new Deployment(
-            f.gatewayCount,
-            f.backendCount,
-            f.zoneCount,
-            f.backend,
-            f.queueingSlowdown,
-            f.network,
-            f.counter,
-            f.discoveryDelayMicros,
-            List.copyOf(f.requestClasses.values()),
-            List.copyOf(f.plans.values()),
-            f.limits,
-            f.rules,
-            List.copyOf(f.demands),
-            f.durationSeconds,
-            f.seed),
-        List.copyOf(f.faults),
-        List.copyOf(f.faultWindows),
-        f.effectiveSettings.toString());
+            reader.gatewayCount,
+            reader.backendCount,
+            reader.zoneCount,
+            reader.backend,
+            reader.queueingSlowdown,
+            reader.network,
+            reader.counter,
+            reader.discoveryDelayMicros,
+            List.copyOf(reader.requestClasses.values()),
+            List.copyOf(reader.plans.values()),
+            reader.limits,
+            reader.rules,
+            List.copyOf(reader.demands),
+            reader.durationSeconds,
+            reader.seed),
+        List.copyOf(reader.faults),
+        List.copyOf(reader.faultWindows),
+        reader.effectiveSettings.toString());
   }
 }
--- a/src/main/java/fawndock/simulation/EventQueue.java
+++ b/src/main/java/fawndock/simulation/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * The simulated clock and its events, in microseconds. Events at the same time run in the order in
- * which they were scheduled. Single-threaded.
+ * The simulated clock, in microseconds, and the queue of scheduled events. Events at the same time
+ * run in the order in which they were scheduled. Single-threaded.
  */
 public final class EventQueue {
   private record ScheduledEvent(long atMicros, long sequence, Runnable action) {}
@@ -18,32 +18,32 @@
   private long nowMicros;
   private long nextSequence;
 
-  /** Simulated microseconds since the start. */
+  /** Returns the simulated microseconds since the start. */
   public long nowMicros() {
     return nowMicros;
   }
 
-  /** Schedules an action at a time; at the present when that is past. */
-  public void scheduleAt(long micros, Runnable action) {
-    scheduled.add(new ScheduledEvent(Math.max(nowMicros, micros), nextSequence++, action));
+  /** Schedules an action at a time, or at the present time when that time has passed. */
+  public void scheduleAt(long atMicros, Runnable action) {
+    scheduled.add(new ScheduledEvent(Math.max(nowMicros, atMicros), nextSequence++, action));
   }
 
   /** Schedules an action after a delay from now. */
-  public void scheduleAfter(long micros, Runnable action) {
-    scheduleAt(nowMicros + micros, action);
+  public void scheduleAfter(long delayMicros, Runnable action) {
+    scheduleAt(nowMicros + delayMicros, action);
   }
 
-  /** Runs all events up to a time, with those that they schedule up to then. */
-  public void runUntil(long until) {
-    while (!scheduled.isEmpty() && scheduled.peek().atMicros <= until) {
+  /** Runs all events up to a time, including those that are scheduled meanwhile. */
+  public void runUntil(long untilMicros) {
+    while (!scheduled.isEmpty() && scheduled.peek().atMicros <= untilMicros) {
       ScheduledEvent next = scheduled.poll();
       nowMicros = next.atMicros;
       next.action.run();
     }
-    nowMicros = Math.max(nowMicros, until);
+    nowMicros = Math.max(nowMicros, untilMicros);
   }
 
-  /** How many events were scheduled so far. */
+  /** Returns the number of events that were scheduled so far. */
   public long scheduledCount() {
     return nextSequence;
   }
--- a/src/main/java/fawndock/simulation/FaultLine.java
+++ b/src/main/java/fawndock/simulation/FaultLine.java
@@ -7,10 +7,12 @@
 import java.util.stream.IntStream;
 
 /**
- * A {@code trouble} line of a deployment file: the kind of a fault, when it happens, and on what.
+ * A {@code trouble} line of a deployment file, which describes the kind, the time and the target of
+ * a fault. Immutable.
  *
- * @param gatewayCount how many gateways it names; 0 for none
- * @param counterPartition of the counter; below 0 for all
+ * @param gatewayCount number of affected gateways; 0 when the line gives none
+ * @param counterPartition index of the affected partition; below 0 for all partitions
+ * @param demand name of the affected demand; empty for all demands
  * @param fault schedules the fault in a simulation; null after an error
  */
 record FaultLine(
@@ -23,7 +25,7 @@
   private static final double SECOND_MICROS = 1e6;
   private static final long DAY_MICROS = 86_400_000_000L;
 
-  /** The arguments of a line; each kind uses some of them. */
+  /** The arguments of a line; each kind of fault uses some of them. */
   private record Arguments(
       double fromSecond,
       double untilSecond,
@@ -34,35 +36,36 @@
       double factor,
       double ratio,
       long clockOffsetMicros,
-      int count,
+      int itemCount,
       boolean losesState,
       String demand) {}
 
-  /** Reads a line and records its errors. */
-  static FaultLine read(LineArguments a) {
-    double fromSecond = a.micros("from", 0, DAY_MICROS, 0) / SECOND_MICROS;
+  /** Reads a line; errors are added to its arguments. */
+  static FaultLine read(LineArguments args) {
+    double fromSecond = args.micros("from", 0, DAY_MICROS, 0) / SECOND_MICROS;
     double untilSecond =
-        a.micros("until", 0, DAY_MICROS, (long) (fromSecond * SECOND_MICROS) + 1) / SECOND_MICROS;
-    int firstBackend = a.integer("worker", 0, 9_999, 0);
-    int backendCount = a.integer("count", 1, 10_000, 1);
-    int gatewayCount = a.integer("gatekeepers", 0, 10_000, 0);
-    int counterPartition = a.integer("part", 0, 999, -1);
-    int zone = a.integer("zone", 0, 999, 0);
-    double factor = a.number("times", 1, 1_000, 10);
-    double ratio = a.number("share", 0, 1, 0.5);
+        args.micros("until", 0, DAY_MICROS, (long) (fromSecond * SECOND_MICROS) + 1)
+            / SECOND_MICROS;
+    int firstBackend = args.integer("worker", 0, 9_999, 0);
+    int backendCount = args.integer("count", 1, 10_000, 1);
+    int gatewayCount = args.integer("gatekeepers", 0, 10_000, 0);
+    int counterPartition = args.integer("part", 0, 999, -1);
+    int zone = args.integer("zone", 0, 999, 0);
+    double factor = args.number("times", 1, 1_000, 10);
+    double ratio = args.number("share", 0, 1, 0.5);
     long clockOffsetMicros =
-        a.micros("by", 0, DAY_MICROS, 1_000_000) * (a.flag("behind", false) ? -1 : 1);
-    int itemCount = a.integer("many", 1, 10_000, 10);
-    boolean losesState = a.flag("empty", false);
-    String demand = a.word("demand", "");
-    if (a.isValid() && untilSecond <= fromSecond) {
-      a.addError("trouble " + a.positional(0) + " ends before it begins", "until after from");
+        args.micros("by", 0, DAY_MICROS, 1_000_000) * (args.flag("behind", false) ? -1 : 1);
+    int itemCount = args.integer("many", 1, 10_000, 10);
+    boolean losesState = args.flag("empty", false);
+    String demand = args.word("demand", "");
+    if (args.isValid() && untilSecond <= fromSecond) {
+      args.addError("trouble " + args.positional(0) + " ends before it begins", "until after from");
     }
     List<String> backendIds =
         IntStream.range(firstBackend, firstBackend + backendCount).mapToObj(i -> "w" + i).toList();
     Consumer<Simulation> fault =
         fault(
-            a.positional(0),
+            args.positional(0),
             new Arguments(
                 fromSecond,
                 untilSecond,
@@ -77,11 +80,11 @@
                 losesState,
                 demand));
     if (fault == null) {
-      a.addError("trouble '" + a.positional(0) + "'", "one of " + String.join(" ", KINDS));
+      args.addError("trouble '" + args.positional(0) + "'", "one of " + String.join(" ", KINDS));
     }
     return new FaultLine(
         new DeploymentFile.FaultWindow(
-            a.positional(0), fromSecond, untilSecond, firstBackend, backendCount, factor, ratio),
+            args.positional(0), fromSecond, untilSecond, firstBackend, backendCount, factor, ratio),
         gatewayCount,
         counterPartition,
         zone,
@@ -139,12 +142,13 @@
           forEachBackend(args, (sim, id) -> Faults.backendErrors(sim, from, until, id, args.ratio));
       case "worker-leaks" ->
           forEachBackend(
-              args, (sim, id) -> Faults.backendLeaksConnections(sim, from, until, id, args.count));
+              args,
+              (sim, id) -> Faults.backendLeaksConnections(sim, from, until, id, args.itemCount));
       case "worker-dies" ->
           forEachBackend(args, (sim, id) -> Faults.backendRestart(sim, from, until, id));
       case "worker-drains" ->
           forEachBackend(args, (sim, id) -> Faults.backendDrains(sim, from, until, id));
-      case "deploy" -> sim -> Faults.rollingDeploy(sim, from, until, args.count);
+      case "deploy" -> sim -> Faults.rollingDeploy(sim, from, until, args.itemCount);
       case "zone-dies" -> sim -> Faults.zoneOutage(sim, from, until, args.zone);
       case "network-slow" -> sim -> Faults.networkSlow(sim, from, until, args.factor);
       case "roster-mute" -> sim -> Faults.discoveryMuted(sim, from, until);
@@ -156,15 +160,15 @@
           sim -> Faults.gatewaysKilled(sim, from, until, Math.max(1, args.gatewayCount));
       case "burst" -> sim -> Faults.demandBurst(sim, from, until, args.demand, args.factor);
       case "give-up" -> sim -> Faults.clientsDisconnectEarly(sim, from, until, args.ratio);
-      case "retry-storm" -> sim -> Faults.retryStorm(sim, from, until, args.count);
+      case "retry-storm" -> sim -> Faults.retryStorm(sim, from, until, args.itemCount);
       case "poison" -> sim -> Faults.poisonRequests(sim, from, until, args.ratio);
       default -> null;
     };
   }
 
   private static Consumer<Simulation> forEachBackend(
-      Arguments args, BiConsumer<Simulation, String> one) {
+      Arguments args, BiConsumer<Simulation, String> scheduleFault) {
     List<String> backendIds = args.backendIds;
-    return sim -> backendIds.forEach(id -> one.accept(sim, id));
+    return sim -> backendIds.forEach(id -> scheduleFault.accept(sim, id));
   }
 }
--- a/src/main/java/fawndock/simulation/Faults.java
+++ b/src/main/java/fawndock/simulation/Faults.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Faults that can be combined at will; each begins at a second of a run and ends at another. They
- * are scheduled before the run; when several of one kind overlap on the same target, all of them
- * end with the first that ends.
+ * Faults of a simulation. Each is scheduled before the run, starts at one second of the run and
+ * ends at another, and can be combined with the others. When several faults of one kind overlap on
+ * the same target, all of them end when the first of them ends.
  */
 public final class Faults {
   private static final double KILL_DELAY_SECONDS = 1;
@@ -19,9 +19,9 @@
       Simulation simulation,
       double fromSecond,
       double untilSecond,
-      Consumer<Simulation> on,
-      Consumer<Simulation> off) {
-    simulation.scheduleAt(fromSecond, on).scheduleAt(untilSecond, off);
+      Consumer<Simulation> onStart,
+      Consumer<Simulation> onEnd) {
+    simulation.scheduleAt(fromSecond, onStart).scheduleAt(untilSecond, onEnd);
   }
 
   private static void cutPaths(
@@ -30,11 +30,11 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.network.cutPaths.addAll(paths),
-        e -> paths.forEach(e.network.cutPaths::remove));
+        sim -> sim.network.cutPaths.addAll(paths),
+        sim -> paths.forEach(sim.network.cutPaths::remove));
   }
 
-  /** Nothing reaches the counter, and nothing comes from it. */
+  /** The counter is unreachable: all messages to and from it are lost. */
   public static void counterUnreachable(
       Simulation simulation, double fromSecond, double untilSecond) {
     List<String> paths = new ArrayList<>();
@@ -43,16 +43,16 @@
     cutPaths(simulation, fromSecond, untilSecond, paths);
   }
 
-  /** The counter is killed and starts again, with or without its state. */
+  /** The counter is killed and restarts, with or without its state. */
   public static void counterRestart(
       Simulation simulation, double fromSecond, double untilSecond, boolean losesState) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.counterPartitions.forEach(partition -> partition.setRunning(false)),
-        e ->
-            e.counterPartitions.forEach(
+        sim -> sim.counterPartitions.forEach(partition -> partition.setRunning(false)),
+        sim ->
+            sim.counterPartitions.forEach(
                 partition -> {
                   if (losesState) {
                     partition.clear();
@@ -61,38 +61,39 @@
                 }));
   }
 
-  /** The counter loses all counts and goes on. */
+  /** The counter loses all counts and continues to run. */
   public static void counterLosesState(Simulation simulation, double fromSecond) {
-    simulation.scheduleAt(fromSecond, e -> e.counterPartitions.forEach(SimulatedCounter::clear));
+    simulation.scheduleAt(
+        fromSecond, sim -> sim.counterPartitions.forEach(SimulatedCounter::clear));
   }
 
-  /** Each call takes the counter so many times as long. */
+  /** The service time of each counter call is multiplied by a factor. */
   public static void counterSlow(
       Simulation simulation, double fromSecond, double untilSecond, double factor) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.counterPartitions.forEach(partition -> partition.serviceTimeFactor = factor),
-        e -> e.counterPartitions.forEach(partition -> partition.serviceTimeFactor = 1));
+        sim -> sim.counterPartitions.forEach(partition -> partition.serviceTimeFactor = factor),
+        sim -> sim.counterPartitions.forEach(partition -> partition.serviceTimeFactor = 1));
   }
 
-  /** The counter rejects this share of the calls. */
+  /** The counter rejects a share of the calls. */
   public static void counterRejects(
       Simulation simulation, double fromSecond, double untilSecond, double ratio) {
-    double before = simulation.deployment.counter().rejectRatio();
+    double usualRatio = simulation.deployment.counter().rejectRatio();
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.counterPartitions.forEach(partition -> partition.rejectRatio = ratio),
-        e -> e.counterPartitions.forEach(partition -> partition.rejectRatio = before));
+        sim -> sim.counterPartitions.forEach(partition -> partition.rejectRatio = ratio),
+        sim -> sim.counterPartitions.forEach(partition -> partition.rejectRatio = usualRatio));
   }
 
   /**
-   * Some gateways, from the first on, are partitioned from the counter.
+   * The first gateways are partitioned from the counter: their calls are lost.
    *
-   * @param partition one partition of the counter, or all of them when below 0
+   * @param partition index of a partition of the counter; below 0 for all partitions
    */
   public static void counterPartitioned(
       Simulation simulation,
@@ -101,18 +102,18 @@
       int gatewayCount,
       int partition) {
     List<String> paths = new ArrayList<>();
-    for (SimulatedCounter each :
+    for (SimulatedCounter counterPartition :
         partition < 0
             ? simulation.counterPartitions
             : List.of(simulation.counterPartitions.get(partition))) {
       for (int i = 0; i < gatewayCount; i++) {
-        paths.add("g" + i + ">" + each.name);
+        paths.add("g" + i + ">" + counterPartition.name);
       }
     }
     cutPaths(simulation, fromSecond, untilSecond, paths);
   }
 
-  /** A backend's work takes so many times as long. */
+  /** The work time of a backend is multiplied by a factor. */
   public static void backendSlow(
       Simulation simulation,
       double fromSecond,
@@ -123,22 +124,22 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.backend(endpointId).workTimeFactor = factor,
-        e -> e.backend(endpointId).workTimeFactor = 1);
+        sim -> sim.backend(endpointId).workTimeFactor = factor,
+        sim -> sim.backend(endpointId).workTimeFactor = 1);
   }
 
-  /** A backend accepts attempts and does not respond. */
+  /** A backend accepts attempts but does not respond. */
   public static void backendUnresponsive(
       Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.backend(endpointId).isUnresponsive = true,
-        e -> e.backend(endpointId).isUnresponsive = false);
+        sim -> sim.backend(endpointId).isUnresponsive = true,
+        sim -> sim.backend(endpointId).isUnresponsive = false);
   }
 
-  /** A backend does its work and loses this share of its responses. */
+  /** A backend does its work but loses a share of its responses. */
   public static void backendLosesResponses(
       Simulation simulation,
       double fromSecond,
@@ -149,11 +150,11 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.backend(endpointId).lostResponseRatio = ratio,
-        e -> e.backend(endpointId).lostResponseRatio = 0);
+        sim -> sim.backend(endpointId).lostResponseRatio = ratio,
+        sim -> sim.backend(endpointId).lostResponseRatio = 0);
   }
 
-  /** A backend answers this share of the attempts with an error. */
+  /** A backend responds to a share of the attempts with an error. */
   public static void backendErrors(
       Simulation simulation,
       double fromSecond,
@@ -164,12 +165,13 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.backend(endpointId).errorRatio = ratio,
-        e -> e.backend(endpointId).errorRatio = 0);
+        sim -> sim.backend(endpointId).errorRatio = ratio,
+        sim -> sim.backend(endpointId).errorRatio = 0);
   }
 
   /**
-   * A backend leaks so many connections a second until none are left; they are returned at the end.
+   * A backend leaks connections at a constant rate until none are free. All are released at the end
+   * of the fault.
    */
   public static void backendLeaksConnections(
       Simulation simulation,
@@ -181,28 +183,28 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.backend(endpointId).leakConnections(connectionsPerSecond),
-        e -> e.backend(endpointId).leakConnections(0));
+        sim -> sim.backend(endpointId).leakConnections(connectionsPerSecond),
+        sim -> sim.backend(endpointId).leakConnections(0));
   }
 
-  /** A backend is killed, is removed from discovery, and starts again, warming up. */
+  /** A backend is killed and removed from discovery, and restarts with a slow start. */
   public static void backendRestart(
       Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> {
-          e.backend(endpointId).kill();
-          e.discovery.announceState(endpointId, EndpointState.REMOVED);
+        sim -> {
+          sim.backend(endpointId).kill();
+          sim.discovery.announceState(endpointId, EndpointState.REMOVED);
         },
-        e -> {
-          e.backend(endpointId).start(true);
-          e.discovery.announceState(endpointId, EndpointState.RUNNING);
+        sim -> {
+          sim.backend(endpointId).start(true);
+          sim.discovery.announceState(endpointId, EndpointState.RUNNING);
         });
   }
 
-  /** A backend drains, is killed after the drain grace, and starts again, warming up. */
+  /** A backend drains, is killed after the drain grace, and restarts with a slow start. */
   public static void backendDrains(
       Simulation simulation, double fromSecond, double untilSecond, String endpointId) {
     double graceSeconds =
@@ -210,25 +212,25 @@
             + simulation.deployment.discoveryDelayMicros() / 1e6
             + KILL_DELAY_SECONDS;
     simulation.scheduleAt(
-        fromSecond, e -> e.discovery.announceState(endpointId, EndpointState.DRAINING));
+        fromSecond, sim -> sim.discovery.announceState(endpointId, EndpointState.DRAINING));
     backendRestart(
         simulation, Math.min(fromSecond + graceSeconds, untilSecond), untilSecond, endpointId);
   }
 
-  /** All backends are replaced, so many at a time, as a rolling deploy does. */
+  /** All backends drain and restart in batches, as in a rolling deploy. */
   public static void rollingDeploy(
       Simulation simulation, double fromSecond, double untilSecond, int batchSize) {
     int backendCount = simulation.deployment.backendCount();
     int batches = (backendCount + batchSize - 1) / batchSize;
-    double step = (untilSecond - fromSecond) / batches;
+    double batchSeconds = (untilSecond - fromSecond) / batches;
     for (int i = 0; i < backendCount; i++) {
       int batch = i / batchSize;
-      double begin = fromSecond + batch * step;
-      backendDrains(simulation, begin, begin + step, "w" + i);
+      double startSecond = fromSecond + batch * batchSeconds;
+      backendDrains(simulation, startSecond, startSecond + batchSeconds, "w" + i);
     }
   }
 
-  /** All backends of a zone are killed at once and start again at once, warming up. */
+  /** All backends of a zone are killed at once and restart at once with a slow start. */
   public static void zoneOutage(
       Simulation simulation, double fromSecond, double untilSecond, int zone) {
     for (int i = zone;
@@ -238,29 +240,30 @@
     }
   }
 
-  /** All messages take so many times as long. */
+  /** The delay of all messages is multiplied by a factor. */
   public static void networkSlow(
       Simulation simulation, double fromSecond, double untilSecond, double factor) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.network.delayFactor = factor,
-        e -> e.network.delayFactor = 1);
+        sim -> sim.network.delayFactor = factor,
+        sim -> sim.network.delayFactor = 1);
   }
 
-  /** Discovery sends no changes; each gateway gets a snapshot at the end. */
+  /** Discovery sends no changes; each gateway receives a snapshot at the end of the fault. */
   public static void discoveryMuted(Simulation simulation, double fromSecond, double untilSecond) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.discovery.setMuted(true),
-        e -> e.discovery.setMuted(false));
+        sim -> sim.discovery.setMuted(true),
+        sim -> sim.discovery.setMuted(false));
   }
 
   /**
-   * The clocks of some gateways, from the first on, are ahead by so much, or behind when below 0.
+   * The clocks of the first gateways are ahead of simulated time by an offset, or behind it when
+   * the offset is negative.
    */
   public static void clockSkew(
       Simulation simulation,
@@ -272,58 +275,64 @@
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.gateways.subList(0, gatewayCount).forEach(g -> g.setClockOffset(offsetMicros)),
-        e -> e.gateways.subList(0, gatewayCount).forEach(g -> g.setClockOffset(0)));
+        sim ->
+            sim.gateways
+                .subList(0, gatewayCount)
+                .forEach(gateway -> gateway.setClockOffset(offsetMicros)),
+        sim -> sim.gateways.subList(0, gatewayCount).forEach(gateway -> gateway.setClockOffset(0)));
   }
 
-  /** The processes of some gateways, from the first on, are killed and start again. */
+  /** The processes of the first gateways are killed and restart. */
   public static void gatewaysKilled(
       Simulation simulation, double fromSecond, double untilSecond, int gatewayCount) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.gateways.subList(0, gatewayCount).forEach(e::killGateway),
-        e -> e.gateways.subList(0, gatewayCount).forEach(SimulatedGateway::start));
+        sim -> sim.gateways.subList(0, gatewayCount).forEach(sim::killGateway),
+        sim -> sim.gateways.subList(0, gatewayCount).forEach(SimulatedGateway::start));
   }
 
-  /** Customers of one demand, or of all when the name is empty, send so many times as much. */
+  /**
+   * The request rate of one demand, or of all demands when the name is empty, is multiplied by a
+   * factor.
+   */
   public static void demandBurst(
       Simulation simulation, double fromSecond, double untilSecond, String demand, double factor) {
     simulation.scheduleAt(
-        fromSecond, e -> e.clients.addDemand(demand, factor - 1, untilSecond - fromSecond));
+        fromSecond, sim -> sim.clients.addDemand(demand, factor - 1, untilSecond - fromSecond));
   }
 
-  /** This share of the clients disconnects early. */
+  /** A share of the clients disconnects early. */
   public static void clientsDisconnectEarly(
       Simulation simulation, double fromSecond, double untilSecond, double ratio) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.clients.earlyDisconnectRatio = ratio,
-        e -> e.clients.earlyDisconnectRatio = 0);
+        sim -> sim.clients.earlyDisconnectRatio = ratio,
+        sim -> sim.clients.earlyDisconnectRatio = 0);
   }
 
-  /** Clients retry at once whatever the response, up to so many tries of each operation. */
+  /** Clients retry immediately whatever the response, up to a number of attempts per operation. */
   public static void retryStorm(
       Simulation simulation, double fromSecond, double untilSecond, int maxAttempts) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.clients.retryStormAttempts = maxAttempts,
-        e -> e.clients.retryStormAttempts = 0);
+        sim -> sim.clients.retryStormAttempts = maxAttempts,
+        sim -> sim.clients.retryStormAttempts = 0);
   }
 
-  /** This share of the operations kills the backend that works on it, in each attempt. */
+  /** Each attempt of a share of the operations kills the backend that processes it. */
   public static void poisonRequests(
       Simulation simulation, double fromSecond, double untilSecond, double ratio) {
     during(
         simulation,
         fromSecond,
         untilSecond,
-        e -> e.clients.poisonRatio = ratio,
-        e -> e.clients.poisonRatio = 0);
+        sim -> sim.clients.poisonRatio = ratio,
+        sim -> sim.clients.poisonRatio = 0);
   }
 }
--- a/src/main/java/fawndock/simulation/SimulatedBackend.java
+++ b/src/main/java/fawndock/simulation/SimulatedBackend.java
@@ -15,11 +15,11 @@
 import java.util.function.Predicate;
 
 /**
- * A backend: cores, a queue, slow start, and how it collapses when it is overloaded while warming
- * up. Single-threaded.
+ * A simulated backend with cores, a bounded queue, a slow start after a restart, and a crash when
+ * it is overloaded during its slow start. Single-threaded.
  */
 final class SimulatedBackend {
-  /** An attempt that it accepted. */
+  /** An accepted attempt. */
   private static final class BackendCall {
     final String requestId;
     final String idempotencyKey;
@@ -50,22 +50,22 @@
   private boolean isRunning;
   long startedAtMicros;
 
-  /** Multiplies the time of call; set by faults, as the next three. */
+  /** Multiplies the work time of an attempt; set by faults, as are the next three fields. */
   double workTimeFactor = 1;
 
   double lostResponseRatio;
   double errorRatio;
   boolean isUnresponsive;
 
-  /** Connections that leak each second; a start returns them. */
+  /** Connections that leak each second; a restart releases them. */
   double leakedConnectionsPerSecond;
 
   private long leakingSinceMicros;
 
   /**
-   * @param appliedKeys idempotency keys of effects so far, shared by all backends
+   * @param appliedKeys idempotency keys of the effects applied so far, shared by all backends
    * @param isPoisoned whether a request kills the process that works on it
-   * @param onCrash called when the process onCompleted by itself
+   * @param onCrash called when the process crashes on its own, not when a fault kills it
    */
   SimulatedBackend(
       int number,
@@ -104,22 +104,22 @@
             config.cores() * 1e6 / config.workMicros()));
   }
 
-  /** Kills its process: all attempts that it has end with a reset. */
+  /** Kills the process: all queued and running attempts end with a reset. */
   void kill() {
     isRunning = false;
     incarnation++;
-    List<BackendCall> lost = new ArrayList<>(running);
-    lost.addAll(queue);
+    List<BackendCall> resetCalls = new ArrayList<>(running);
+    resetCalls.addAll(queue);
     running.clear();
     queue.clear();
-    lost.forEach(call -> call.onCompleted.accept(CallResult.RESET, LoadReport.NONE));
+    resetCalls.forEach(call -> call.onCompleted.accept(CallResult.RESET, LoadReport.NONE));
   }
 
   boolean isRunning() {
     return isRunning;
   }
 
-  /** Takes an attempt; its callback is never called while the backend is unresponsive. */
+  /** Handles an attempt. The callback is never called for an attempt at an unresponsive backend. */
   void onAttempt(
       String requestId, String idempotencyKey, BiConsumer<CallResult, LoadReport> onCompleted) {
     if (!isRunning) {
@@ -157,7 +157,7 @@
     onCrash.accept(this);
   }
 
-  /** Leaks so many connections a second from now on; none when 0. */
+  /** Sets the rate at which connections leak from now on; 0 releases them. */
   void leakConnections(double perSecond) {
     leakedConnectionsPerSecond = perSecond;
     leakingSinceMicros = events.nowMicros();
@@ -177,14 +177,14 @@
       BackendCall call = queue.poll();
       running.add(call);
       double slowdown = 1 + queueingSlowdown * Math.max(0, queue.size() - config.cores());
-      double micros =
+      double workMicros =
           config.workMicros()
               * workTimeFactor
               * slowdown
               / config.slowStartFactor(startedAtMicros, events.nowMicros())
               * (0.5 + random.nextDouble());
       events.scheduleAfter(
-          (long) micros,
+          (long) workMicros,
           () -> {
             if (running.remove(call)) {
               finish(call);
@@ -196,7 +196,7 @@
 
   private void finish(BackendCall call) {
     if (isPoisoned.test(call.requestId)) {
-      running.add(call); // Its connection breaks with the others.
+      running.add(call); // The crash resets its connection too.
       crash();
       return;
     }
--- a/src/main/java/fawndock/simulation/SimulatedClients.java
+++ b/src/main/java/fawndock/simulation/SimulatedClients.java
@@ -15,12 +15,12 @@
 import java.util.SplittableRandom;
 
 /**
- * The customers' clients: open-loop arrivals of each demand, and for each request its timeout and
- * its retries. Single-threaded; random numbers are drawn in a fixed order, so that the same seed
- * gives the same requests.
+ * The simulated clients of the customers: open-loop arrivals of each demand, and the timeout and
+ * the retries of each request. Random numbers are drawn in a fixed order, so that the same seed
+ * gives the same requests. Single-threaded.
  */
 final class SimulatedClients {
-  /** Spaces the first gateways of customers evenly over the fleet; a prime. */
+  /** Distributes the first gateways of customers evenly over the fleet; a prime number. */
   private static final long CUSTOMER_STRIDE = 7_919L;
 
   private static final int EARLY_DISCONNECT_MIN_MICROS = 5_000;
@@ -28,10 +28,10 @@
   private static final int TOO_MANY_REQUESTS = 429;
 
   /**
-   * One operation of a customer, kept over its tries.
+   * An operation of a customer; a retry of a request belongs to the same operation.
    *
-   * @param isPoisoned whether each of its attempts kills the process that works on it
-   * @param random of the demand that it belongs to
+   * @param isPoisoned whether each attempt kills the backend that processes it
+   * @param random generator of the demand that the operation belongs to
    */
   private record Operation(
       Demand demand, int customer, String id, boolean isPoisoned, SplittableRandom random) {
@@ -40,7 +40,7 @@
     }
   }
 
-  /** One request in flight from its client's view. */
+  /** A request from its client's point of view. */
   private static final class ClientRequest {
     final Operation operation;
     final int attempt;
@@ -65,10 +65,10 @@
   /** Share of the clients that disconnect early; set by faults. */
   double earlyDisconnectRatio;
 
-  /** Share of the operations that kill the process that works on them; set by faults. */
+  /** Share of the operations that kill the backend that processes them; set by faults. */
   double poisonRatio;
 
-  /** Tries of each operation while clients retry at once; 0 for their usual behavior. */
+  /** Maximum attempts per operation during a retry storm; 0 for the usual behavior of clients. */
   int retryStormAttempts;
 
   SimulatedClients(
@@ -82,12 +82,12 @@
     this.random = random;
   }
 
-  /** Whether a request kills the process that works on it. */
+  /** Returns whether a request kills the backend that processes it. */
   boolean isPoisoned(String requestId) {
     return poisonedRequests.contains(requestId);
   }
 
-  /** Starts a demand for the whole run. */
+  /** Schedules the arrivals of a demand for the whole run. */
   void startDemand(Demand demand) {
     ArrivalProcess arrivals =
         new ArrivalProcess(
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Adds a multiple of a demand for a while from now on; of all demands when the name is empty.
+   * Adds load to a demand for some seconds from now on, or to all demands when the name is empty.
    *
-   * @param factor of the demand's own rate
+   * @param factor added rate relative to the demand's own rate
    */
   void addDemand(String name, double factor, double seconds) {
     simulation.deployment.demands().stream()
@@ -144,15 +144,18 @@
         });
   }
 
-  /** A customer uses some gateways in a row, the first by the customer's number. */
+  /**
+   * Sends a request to a random gateway among those of the customer, which are consecutive and
+   * start at an index that follows from the customer's.
+   */
   private void send(Operation operation, int attempt) {
     Demand demand = operation.demand();
     int gatewayCount = simulation.gateways.size();
     int gatewaysPerCustomer = Math.min(gatewayCount, demand.gatewaysPerCustomer());
     long firstGateway = operation.customer() * CUSTOMER_STRIDE;
-    int chosen = operation.random().nextInt(gatewaysPerCustomer);
+    int offset = operation.random().nextInt(gatewaysPerCustomer);
     SimulatedGateway gateway =
-        simulation.firstRunningGateway((int) ((firstGateway + chosen) % gatewayCount));
+        simulation.firstRunningGateway((int) ((firstGateway + offset) % gatewayCount));
     ClientRequest request = new ClientRequest(operation, attempt);
     long nowMicros = simulation.events.nowMicros();
     long deadlineAtMicros = nowMicros + demand.timeoutMicros();
--- a/src/main/java/fawndock/simulation/SimulatedCounter.java
+++ b/src/main/java/fawndock/simulation/SimulatedCounter.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /**
- * One partition of the counter: the real counter table behind a queue of a fixed service rate.
- * Single-threaded.
+ * One partition of the simulated counter: the real counter table behind a queue with a fixed
+ * service rate. Single-threaded.
  */
 final class SimulatedCounter {
   /** Receives the reply to a call. */
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Takes a call, whose reply comes when it is the call's turn; there is none when the counter is
-   * down or its queue is too long.
+   * Handles a call. The reply follows when the queue has reached the call; there is no reply when
+   * the counter is down or when its queue is too long.
    */
   void add(String counterName, double amount, long timeToLiveMicros, CounterCallback callback) {
     if (!isRunning) {
@@ -107,28 +107,28 @@
                   changeRecord)
               .toString());
     } catch (CommandException e) {
-      throw new IllegalStateException("count of " + counterName, e);
+      throw new IllegalStateException("cannot add a count to counter " + counterName, e);
     }
   }
 
-  /** Stops, or starts again with the state that it had. */
+  /** Stops the counter, or restarts it with its state. */
   void setRunning(boolean running) {
     isRunning = running;
     incarnation++;
     availableAtMicros = events.nowMicros();
   }
 
-  /** Loses all counts. */
+  /** Deletes all counts. */
   void clear() {
     operations = emptyTable();
   }
 
-  /** Calls that arrived, by second. */
+  /** Returns the number of calls that arrived, by second. */
   double[] callsBySecond() {
     return callsBySecond;
   }
 
-  /** The longest time that a call would have queued, in milliseconds, by second. */
+  /** Returns the longest queueing time of arriving calls in milliseconds, by second. */
   double[] queueMillisBySecond() {
     return queueMillisBySecond;
   }
--- a/src/main/java/fawndock/simulation/SimulatedDiscovery.java
+++ b/src/main/java/fawndock/simulation/SimulatedDiscovery.java
@@ -12,15 +12,15 @@
 import java.util.Map;
 
 /**
- * Endpoint discovery: a snapshot for a gateway at its start or on its request, and changes for all
- * gateways after the deployment's delay. Single-threaded, as all of a simulation.
+ * Simulated endpoint discovery: sends a snapshot to a gateway when it starts or requests one, and
+ * changes to all gateways after the deployment's delay. Single-threaded.
  */
 final class SimulatedDiscovery {
   private final Simulation simulation;
   private final List<TraceEvent> trace;
   private final Map<String, EndpointState> stateByEndpoint = new HashMap<>();
 
-  /** While set, changes are kept from the gateways. */
+  /** While true, gateways are not notified of changes. */
   private boolean isMuted;
 
   SimulatedDiscovery(Simulation simulation, List<TraceEvent> trace) {
@@ -28,12 +28,12 @@
     this.trace = trace;
   }
 
-  /** Lists an endpoint without notifying anyone. */
+  /** Adds an endpoint without notifying the gateways. */
   void register(String endpointId) {
     stateByEndpoint.put(endpointId, EndpointState.RUNNING);
   }
 
-  /** Keeps changes from all gateways, or sends each gateway what it missed. */
+  /** Stops notifying gateways, or sends each gateway a snapshot and resumes notifications. */
   void setMuted(boolean muted) {
     isMuted = muted;
     if (!muted) {
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Sends a gateway the whole list at once: only changes take the deployment's delay, since a
-   * gateway that has no list is not ready.
+   * Sends a gateway all endpoints without delay. Only changes take the deployment's delay, because
+   * a gateway without a list of endpoints is not ready.
    */
   void sendSnapshot(SimulatedGateway gateway) {
     simulation.events.scheduleAfter(
@@ -56,7 +56,7 @@
         });
   }
 
-  /** Changes an endpoint's state and notifies all gateways after the delay. */
+  /** Sets an endpoint's state and notifies all gateways after the deployment's delay. */
   void announceState(String endpointId, EndpointState state) {
     stateByEndpoint.put(endpointId, state);
     if (isMuted) {
--- a/src/main/java/fawndock/simulation/SimulatedGateway.java
+++ b/src/main/java/fawndock/simulation/SimulatedGateway.java
@@ -30,11 +30,14 @@
 import java.util.function.Supplier;
 
 /**
- * A gateway instance in simulated time: passes events to the real policy and executes its actions,
- * as the gateway does over sockets. Single-threaded.
+ * A simulated gateway instance: passes events to the real policy and executes the policy's actions
+ * in simulated time, as the gateway does over sockets. Single-threaded.
  */
 final class SimulatedGateway {
-  /** A client's request, and where its response goes: a status and a retry delay in micros. */
+  /**
+   * A client's request and the callback for its response, which receives a status and a retry delay
+   * in microseconds.
+   */
   private static final class InFlightRequest {
     final RequestArrived request;
     final String traceId;
@@ -69,7 +72,7 @@
     }
   }
 
-  /** In place of a status: the connection broke. */
+  /** Stands for a lost connection in place of a status. */
   static final int CONNECTION_LOST = -1;
 
   final int instanceIndex;
@@ -94,20 +97,20 @@
   }
 
   /**
-   * Sets by how much its clock is ahead of simulated time from nowMicros on; behind when below 0.
+   * Sets the offset of the gateway's clock from simulated time; a positive offset is ahead of it.
    */
   void setClockOffset(long micros) {
     clock.setOffset(micros);
   }
 
-  /** Kills its process: clients' connections break, and its state is lost. */
+  /** Kills the process: its client connections are reset and its state is lost. */
   void kill() {
     isRunning = false;
     incarnation++;
     pendingEvents.clear();
-    Map<Long, InFlightRequest> broken = new TreeMap<>(inFlight);
+    Map<Long, InFlightRequest> interrupted = new TreeMap<>(inFlight);
     inFlight.clear();
-    broken.values().stream()
+    interrupted.values().stream()
         .filter(pending -> !pending.isAnswered)
         .forEach(
             pending -> {
@@ -126,7 +129,7 @@
     simulation.discovery.sendSnapshot(this);
   }
 
-  /** Takes a request; returns the id that the gateway gave it. */
+  /** Handles a request; returns the id that the gateway assigns to it. */
   long onRequest(
       RequestArrived arrived,
       String traceId,
@@ -153,7 +156,7 @@
     return id;
   }
 
-  /** Takes note that the client of a request disconnected. */
+  /** Handles the disconnect of the client of a request. */
   void onClientDisconnected(long requestId) {
     InFlightRequest pending = inFlight.get(requestId);
     if (pending != null && !pending.isAnswered) {
@@ -204,23 +207,23 @@
       simulation.forEachPeer(
           instanceIndex,
           a.toInstance(),
-          to ->
+          peer ->
               simulation.network.sendLossy(
                   "g" + instanceIndex,
-                  "g" + to.instanceIndex,
-                  () -> to.onEvent(new PeerMessageReceived(instanceIndex, a.text()))));
+                  "g" + peer.instanceIndex,
+                  () -> peer.onEvent(new PeerMessageReceived(instanceIndex, a.text()))));
     } else if (action instanceof FetchEndpoints) {
       simulation.discovery.sendSnapshot(this);
     }
   }
 
-  /** Schedules an action of this process; it does not run once the process was killed. */
+  /** Schedules an action of this process; it does not run when the process is killed before. */
   private void scheduleAfter(long micros, Runnable action) {
-    int callIncarnation = incarnation;
+    int scheduledIncarnation = incarnation;
     simulation.events.scheduleAfter(
         micros,
         () -> {
-          if (callIncarnation == incarnation) {
+          if (scheduledIncarnation == incarnation) {
             action.run();
           }
         });
@@ -239,7 +242,7 @@
     InFlightRequest pending = inFlight.get(a.requestId());
     if (pending == null) {
       throw new IllegalStateException(
-          "an attempt for request " + a.requestId() + ", which is not in flight");
+          "attempt for request " + a.requestId() + ", which is not in flight");
     }
     int attemptIndex = pending.attemptCount++;
     pending.endpointByAttempt.put(attemptIndex, a.endpointId());
@@ -264,7 +267,7 @@
             backend.onAttempt(
                 pending.traceId,
                 pending.idempotencyKey,
-                (result, load) ->
+                (result, loadReport) ->
                     simulation.network.send(
                         () ->
                             completeAttempt(
@@ -272,7 +275,7 @@
                                 attemptIndex,
                                 simulation.events.nowMicros() - nowMicros,
                                 result,
-                                load))));
+                                loadReport))));
     simulation.events.scheduleAt(
         deadlineAtMicros,
         () ->
@@ -284,13 +287,13 @@
                 LoadReport.NONE));
   }
 
-  /** Completes an attempt, unless it was completed before. */
+  /** Completes an attempt unless it is already complete. */
   private void completeAttempt(
       InFlightRequest pending,
       int attemptIndex,
       long latencyMicros,
       CallResult result,
-      LoadReport load) {
+      LoadReport loadReport) {
     String endpointId = pending.endpointByAttempt.remove(attemptIndex);
     if (endpointId == null || inFlight.get(pending.request.requestId()) != pending) {
       return;
@@ -308,7 +311,7 @@
             result,
             pending.isAnswered,
             0,
-            load));
+            loadReport));
     removeIfDone(pending);
   }
 
@@ -345,7 +348,9 @@
         () -> complete(call, new CounterReply(name, CallResult.TIMEOUT, 0, timeoutMicros)));
   }
 
-  /** Passes a call's first reply on, unless the gateway was killed since the call. */
+  /**
+   * Passes the first reply to a call to the policy, unless the gateway was killed since the call.
+   */
   private void complete(PendingCounterCall call, CounterReply reply) {
     if (!call.isCompleted && call.gatewayIncarnation == incarnation) {
       call.isCompleted = true;
--- a/src/main/java/fawndock/simulation/Simulation.java
+++ b/src/main/java/fawndock/simulation/Simulation.java
@@ -27,12 +27,12 @@
 
 /**
  * One run of a deployment in simulated time, on the calling thread. The same deployment, faults and
- * policy give the same result, to the digit, on every machine.
+ * policy give exactly the same result on every machine. Single-threaded.
  */
 public final class Simulation {
   private static final long ROUND_TRIP_MICROS = 5_000;
 
-  /** The run goes on so long after the last arrival, so that all requests are answered. */
+  /** Time that the run continues after the last arrival, so that all requests complete. */
   private static final long DRAIN_MICROS = 10_000_000;
 
   private static final long RESTART_MICROS = 5_000_000;
@@ -50,17 +50,21 @@
   private long admittedRequests;
 
   /**
-   * @param policyFactory makes each gateway's policy
+   * Creates a simulation that has not started.
+   *
+   * @param policyFactory creates the policy of each gateway
    */
   public Simulation(Deployment deployment, Function<PolicyConfig, GatewayPolicy> policyFactory) {
     this.deployment = deployment;
-    // The order of the splits is part of what a seed means.
+    // The result for a seed depends on the order of these splits.
     SplittableRandom random = new SplittableRandom(deployment.seed());
     checkedRequestsBySecond = new double[seconds()];
     network = new SimulatedNetwork(events, deployment.network(), random.split());
     discovery = new SimulatedDiscovery(this, trace);
     clients = new SimulatedClients(this, trace, requestClasses, random);
-    deployment.requestClasses().forEach(c -> requestClasses.put(c.name(), c));
+    deployment
+        .requestClasses()
+        .forEach(requestClass -> requestClasses.put(requestClass.name(), requestClass));
     addCounterPartitions(random);
     addBackends(random);
     addGateways(policyFactory);
@@ -121,13 +125,13 @@
         new CounterConfig(true, deployment.counter().timeoutMicros(), false));
   }
 
-  /** Schedules an action at a second of the run; to be called before {@link #run}. */
+  /** Schedules an action at a second of the run. Must be called before {@link #run}. */
   public Simulation scheduleAt(double second, Consumer<Simulation> action) {
     events.scheduleAt((long) (second * 1e6), () -> action.accept(this));
     return this;
   }
 
-  /** Runs until long after the last arrival. To be called once. */
+  /** Runs until {@link #DRAIN_MICROS} after the last arrival. Must be called only once. */
   public SimulationResult run() {
     deployment.demands().forEach(clients::startDemand);
     events.runUntil((long) (deployment.durationSeconds() * 1e6) + DRAIN_MICROS);
@@ -168,19 +172,19 @@
         queueMillis[i] = Math.max(queueMillis[i], partition.queueMillisBySecond()[i]);
       }
     }
-    double checked = Arrays.stream(checkedRequestsBySecond).sum();
+    double checkedRequests = Arrays.stream(checkedRequestsBySecond).sum();
     measured.series().put("counter calls", calls);
     measured.series().put("tries asked", checkedRequestsBySecond);
-    measured.figures().put("asked-a-try", checked / Math.max(1, admittedRequests));
+    measured.figures().put("asked-a-try", checkedRequests / Math.max(1, admittedRequests));
     measured.series().put("counter queue ms", queueMillis);
     measured.figures().put("calls-a-try", Arrays.stream(calls).sum() / Math.max(1, requestCount));
     measured.figures().put("counter-queue-ms", Arrays.stream(queueMillis).max().orElse(0));
   }
 
   /**
-   * A gateway has received a request.
+   * Records that a gateway received a request.
    *
-   * @param isChecked whether it called the counter for it at once
+   * @param isChecked whether the gateway called the counter when the request arrived
    */
   void recordAdmission(boolean isChecked) {
     admittedRequests++;
@@ -190,12 +194,12 @@
     }
   }
 
-  /** The partition of the counter that holds a name. */
+  /** Returns the partition of the counter that stores a counter name. */
   SimulatedCounter counterPartition(String counterName) {
     return counterPartitions.get(Math.floorMod(counterName.hashCode(), counterPartitions.size()));
   }
 
-  /** A backend's process crashed: it is removed from discovery and starts again, warming up. */
+  /** Removes a crashed backend from discovery and restarts it later, with a slow start. */
   private void onBackendCrash(SimulatedBackend backend) {
     discovery.announceState(backend.id, EndpointState.REMOVED);
     events.scheduleAfter(
@@ -208,7 +212,10 @@
         });
   }
 
-  /** A gateway by its index, or the next one that is running. */
+  /**
+   * Returns the first running gateway from an index on, or the gateway at the index when none is
+   * running.
+   */
   SimulatedGateway firstRunningGateway(int index) {
     for (int i = 0; i < gateways.size(); i++) {
       SimulatedGateway gateway = gateways.get((index + i) % gateways.size());
@@ -224,7 +231,7 @@
     gateway.kill();
   }
 
-  /** The backend of an endpoint id, or null. */
+  /** Returns the backend with an endpoint id, or null. */
   SimulatedBackend backend(String endpointId) {
     return backends.get(endpointId);
   }
@@ -232,7 +239,7 @@
   /**
    * Applies an action to the peers of a gateway.
    *
-   * @param toInstance one peer's index, or below 0 for all peers
+   * @param toInstance index of one peer; below 0 for all peers
    */
   void forEachPeer(int fromInstance, int toInstance, Consumer<SimulatedGateway> action) {
     gateways.stream()
--- a/src/main/java/fawndock/simulation/SimulationResult.java
+++ b/src/main/java/fawndock/simulation/SimulationResult.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * What came of one run.
+ * The result of one run.
  *
- * @param conformance how often each of the five rules was broken
- * @param responsesByStatus 0 for clients that disconnected, -1 for connections that broke
+ * @param conformance the result of the conformance check
+ * @param responsesByStatus 0 stands for clients that disconnected, -1 for lost connections
  * @param figures of the whole run, by name
  * @param series by name, a value for each second
- * @param eventCount events that were scheduled
+ * @param eventCount number of scheduled events
  */
 public record SimulationResult(
     ConformanceResult conformance,
--- a/src/main/java/fawndock/simulation/SkewedClock.java
+++ b/src/main/java/fawndock/simulation/SkewedClock.java
@@ -1,8 +1,9 @@
 package fawndock.simulation;
 
 /**
- * A gateway's clock over simulated time. As the gateway's own clock it never runs backwards: when
- * its offset shrinks, it runs at half speed until it has caught up. Single-threaded.
+ * A gateway's clock, which has an offset from simulated time. Like the gateway's real clock it
+ * never runs backwards: when its offset decreases, it runs at half speed until simulated time plus
+ * the offset has caught up. Single-threaded.
  */
 final class SkewedClock {
   private final EventQueue events;
@@ -14,13 +15,13 @@
     this.events = events;
   }
 
-  /** Sets by how much it is ahead of simulated time from now on; behind when below 0. */
-  void setOffset(long micros) {
+  /** Sets the offset from simulated time from now on; a positive offset is ahead of it. */
+  void setOffset(long newOffsetMicros) {
     nowMicros();
-    offsetMicros = micros;
+    offsetMicros = newOffsetMicros;
   }
 
-  /** What the clock shows. */
+  /** Returns the clock's time in microseconds. */
   long nowMicros() {
     long simulatedMicros = events.nowMicros();
     long slowedMicros = lastClockMicros + (simulatedMicros - lastReadAtMicros) / 2;
--- a/src/test/java/fawndock/calibration/CalibrateTest.java
+++ b/src/test/java/fawndock/calibration/CalibrationTest.java
@@ -13,28 +13,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class CalibrateTest {
+class CalibrationTest {
   @TempDir private Path directory;
 
   @Test
-  void figuresThatDifferMuchAreMarked() {
-    Map<String, Double> emulated = new LinkedHashMap<>(Map.of("a", 1.0));
-    emulated.put("b", 0.01);
-    emulated.put("c", 2.0);
-    emulated.put("d", 1.0);
+  void compare_largeDifference_isMarked() {
+    Map<String, Double> simulated = new LinkedHashMap<>(Map.of("a", 1.0));
+    simulated.put("b", 0.01);
+    simulated.put("c", 2.0);
+    simulated.put("d", 1.0);
     List<FigureComparison.Row> rows =
-        FigureComparison.compare(emulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
+        FigureComparison.compare(simulated, Map.of("a", 1.05, "b", 0.0, "c", 1.7));
     assertEquals(
         List.of(false, false, true), rows.stream().map(FigureComparison.Row::isLarge).toList());
     assertEquals(0.15, rows.get(2).relativeDifference(), 1e-9);
   }
 
   /**
-   * What a day says is a deployment that can be read, with its sizes, and what has no match is
-   * said.
+   * The deployment file of a day can be parsed and has the day's sizes. A fault that the simulation
+   * does not model becomes a comment.
    */
   @Test
-  void aDayIsDescribed() throws Exception {
+  void of_dayFile_givesReadableDeploymentFile() throws Exception {
     DayFile day =
         DayFile.read(
             Files.writeString(
@@ -48,21 +48,21 @@
                 "troubles":[{"kind":"slow","at":1000000,"len":2000000,"size":3,"on":[1,2],"steps":[]},
                 {"kind":"sunspots","at":1000000,"len":2000000,"size":3,"on":[],"steps":[]}]}
                 """));
-    Path file = Files.writeString(directory.resolve("d.emu"), DayDeployment.of(day));
-    DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
-    assertEquals(4, read.deployment().backendCount());
-    assertEquals(2, read.deployment().counter().partitionCount());
-    assertEquals(9_000, read.deployment().counter().maxQueueMicros());
+    Path deploymentFile = Files.writeString(directory.resolve("d.emu"), DayDeployment.of(day));
+    DeploymentFile.ParsedDeployment parsed = DeploymentFile.read(deploymentFile);
+    assertEquals(4, parsed.deployment().backendCount());
+    assertEquals(2, parsed.deployment().counter().partitionCount());
+    assertEquals(9_000, parsed.deployment().counter().maxQueueMicros());
     assertEquals(
         List.of(2, 3, 5),
-        read.deployment().demands().stream().map(d -> d.customerCount()).toList());
-    assertEquals(2 * 3 * 2, read.deployment().demands().get(0).requestsPerSecond(), 1e-6);
+        parsed.deployment().demands().stream().map(demand -> demand.customerCount()).toList());
+    assertEquals(2 * 3 * 2, parsed.deployment().demands().get(0).requestsPerSecond(), 1e-6);
     assertEquals(
         new DeploymentFile.FaultWindow("worker-slow", 1, 3, 0, 2, 3, 0.5),
-        read.faultWindows().get(0));
-    assertTrue(Files.readString(file).contains("# trouble sunspots"));
+        parsed.faultWindows().get(0));
+    assertTrue(Files.readString(deploymentFile).contains("# trouble sunspots"));
     assertEquals(
         List.of("over sockets each customer comes through all gatekeepers"),
-        new SocketRun(read, System.out).unsupportedFeatures());
+        new SocketRun(parsed, System.out).unsupportedFeatures());
   }
 }
--- a/src/test/java/fawndock/experiment/ExperimentTest.java
+++ b/src/test/java/fawndock/experiment/ExperimentTest.java
@@ -27,16 +27,16 @@
 
 class ExperimentTest {
   @TempDir private Path directory;
-  private Path file;
-  private final AtomicInteger made = new AtomicInteger();
+  private Path experimentFile;
+  private final AtomicInteger createdPolicies = new AtomicInteger();
 
   private GatewayPolicy countedPolicy(PolicyConfig config) {
-    made.incrementAndGet();
+    createdPolicies.incrementAndGet();
     return new DefaultGatewayPolicy(config);
   }
 
   @BeforeEach
-  void scenario() throws IOException {
+  void writeFiles() throws IOException {
     Files.writeString(
         directory.resolve("s.emu"),
         """
@@ -50,105 +50,107 @@
                 demand crowd class lookup plan seat rate 60 customers 2 remaining 1500ms
                 when mode silent trouble counter-silent from 0s until 2s
                 """);
-    file = directory.resolve("e.exp");
-    write("vary fleet 1 3", "vary mode calm silent", "seeds 1..2");
+    experimentFile = directory.resolve("e.exp");
+    writeExperiment("vary fleet 1 3", "vary mode calm silent", "seeds 1..2");
   }
 
-  private Experiment write(String... lines) throws IOException {
-    Files.writeString(file, "scenario s.emu\n" + String.join("\n", lines) + "\n");
+  private Experiment writeExperiment(String... lines) throws IOException {
+    Files.writeString(experimentFile, "scenario s.emu\n" + String.join("\n", lines) + "\n");
     try {
-      return ExperimentFile.read(file);
+      return ExperimentFile.read(experimentFile);
     } catch (ConfigurationException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
 
-  private List<RunResult> run(Path folder, String build) throws Exception {
+  private List<RunResult> runExperiment(Path folder, String build) throws Exception {
     try (ResultStore results = ResultStore.open(folder)) {
-      return new ExperimentRunner(ExperimentFile.read(file), this::countedPolicy, build)
+      return new ExperimentRunner(ExperimentFile.read(experimentFile), this::countedPolicy, build)
           .run(results, 4, done -> {});
     }
   }
 
-  private static List<String> told(List<RunResult> all) {
+  private static List<String> describe(List<RunResult> all) {
     return all.stream()
         .map(
-            o ->
-                o.key()
-                    + o.values()
-                    + o.seed()
-                    + o.figures()
-                    + Arrays.toString(o.series().get("served")))
+            result ->
+                result.key()
+                    + result.values()
+                    + result.seed()
+                    + result.figures()
+                    + Arrays.toString(result.series().get("served")))
         .toList();
   }
 
   /**
-   * Cut off at any byte, it goes on with what was whole, does that not again, and ends with the
-   * same results.
+   * An experiment whose process is stopped can leave a results file that is truncated at any byte.
+   * The next start keeps the complete lines, repeats only the other runs and gives the same
+   * results.
    */
   @Test
-  void anExperimentStoppedAtAnyMomentGoesOn() throws Exception {
-    Path whole = directory.resolve("whole");
-    List<RunResult> first = run(whole, "b");
-    assertEquals(8, first.size());
-    assertEquals(2 * (1 + 1 + 3 + 3), made.getAndSet(0), "gatekeepers of 8 runs");
-    byte[] bytes = Files.readAllBytes(whole.resolve("results.jsonl"));
-    List<Integer> ends = new ArrayList<>(List.of(0));
+  void run_resultsTruncatedAtAnyByte_resumesWithSameResults() throws Exception {
+    Path completeFolder = directory.resolve("whole");
+    List<RunResult> completeResults = runExperiment(completeFolder, "b");
+    assertEquals(8, completeResults.size());
+    assertEquals(
+        2 * (1 + 1 + 3 + 3), createdPolicies.getAndSet(0), "one policy for each gateway of 8 runs");
+    byte[] bytes = Files.readAllBytes(completeFolder.resolve("results.jsonl"));
+    List<Integer> lineEnds = new ArrayList<>(List.of(0));
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == '\n') {
-        ends.add(i + 1);
+        lineEnds.add(i + 1);
       }
     }
-    Path part = directory.resolve("part");
-    Files.createDirectories(part);
-    for (int line = 0; line <= 8; line++) {
-      for (int cut :
+    Path truncatedFolder = directory.resolve("part");
+    Files.createDirectories(truncatedFolder);
+    for (int completeLines = 0; completeLines <= 8; completeLines++) {
+      for (int length :
           new int[] {
-            ends.get(line),
-            ends.get(line) + 1,
-            (ends.get(line) + ends.get(Math.min(8, line + 1))) / 2,
-            ends.get(Math.min(8, line + 1)) - 1
+            lineEnds.get(completeLines),
+            lineEnds.get(completeLines) + 1,
+            (lineEnds.get(completeLines) + lineEnds.get(Math.min(8, completeLines + 1))) / 2,
+            lineEnds.get(Math.min(8, completeLines + 1)) - 1
           }) {
-        if (cut > bytes.length || (line == 8 && cut != bytes.length)) {
+        if (length > bytes.length || (completeLines == 8 && length != bytes.length)) {
           continue;
         }
-        Files.write(part.resolve("results.jsonl"), Arrays.copyOf(bytes, cut));
-        try (ResultStore results = ResultStore.open(part)) {
+        Files.write(truncatedFolder.resolve("results.jsonl"), Arrays.copyOf(bytes, length));
+        try (ResultStore results = ResultStore.open(truncatedFolder)) {
           assertEquals(
-              8 - line,
-              new ExperimentRunner(ExperimentFile.read(file), this::countedPolicy, "b")
+              8 - completeLines,
+              new ExperimentRunner(ExperimentFile.read(experimentFile), this::countedPolicy, "b")
                   .remainingRuns(results),
-              "cut at " + cut);
+              "truncated at " + length);
         }
         assertEquals(
-            ends.get(line),
-            (int) Files.size(part.resolve("results.jsonl")),
-            "what was cut off is gone");
+            lineEnds.get(completeLines),
+            (int) Files.size(truncatedFolder.resolve("results.jsonl")),
+            "the incomplete line is removed");
       }
-      if (line % 3 == 2) {
-        assertEquals(told(first), told(run(part, "b")));
-        assertEquals(8, ResultStore.read(part).size());
+      if (completeLines % 3 == 2) {
+        assertEquals(describe(completeResults), describe(runExperiment(truncatedFolder, "b")));
+        assertEquals(8, ResultStore.read(truncatedFolder).size());
       }
     }
-    made.set(0);
-    run(whole, "b");
-    assertEquals(0, made.get(), "nothing is done twice");
-    run(whole, "other");
-    assertEquals(16, made.get(), "another build's results are not taken for this one's");
+    createdPolicies.set(0);
+    runExperiment(completeFolder, "b");
+    assertEquals(0, createdPolicies.get(), "no run is repeated");
+    runExperiment(completeFolder, "other");
+    assertEquals(16, createdPolicies.get(), "results of another build are not reused");
   }
 
   @Test
-  void oneProcessAtATimeAndADamagedLineIsTold() throws Exception {
+  void open_secondTimeOrWithMalformedLine_fails() throws Exception {
     Path folder = directory.resolve("r");
-    run(folder, "b");
-    try (ResultStore open = ResultStore.open(folder)) {
+    runExperiment(folder, "b");
+    try (ResultStore store = ResultStore.open(folder)) {
       assertTrue(
           assertThrows(IOException.class, () -> ResultStore.open(folder))
               .getMessage()
               .contains("in use"));
     }
-    Path lines = folder.resolve("results.jsonl");
-    Files.writeString(lines, "{\"key\":12,,}\n" + Files.readString(lines));
+    Path resultsFile = folder.resolve("results.jsonl");
+    Files.writeString(resultsFile, "{\"key\":12,,}\n" + Files.readString(resultsFile));
     assertTrue(
         assertThrows(IOException.class, () -> ResultStore.open(folder))
             .getMessage()
@@ -156,29 +158,30 @@
   }
 
   @Test
-  void aRunThatFailsEndsTheExperimentAndKeepsTheOthers() throws Exception {
+  void run_failingRun_stopsAndKeepsCompletedResults() throws Exception {
     Path folder = directory.resolve("r");
-    Function<PolicyConfig, GatewayPolicy> broken =
-        s -> {
-          if (s.instanceCount() == 3) {
+    Function<PolicyConfig, GatewayPolicy> failingPolicy =
+        config -> {
+          if (config.instanceCount() == 3) {
             throw new IllegalStateException("no");
           }
-          return new DefaultGatewayPolicy(s);
+          return new DefaultGatewayPolicy(config);
         };
     try (ResultStore results = ResultStore.open(folder)) {
-      ExperimentRunner runner = new ExperimentRunner(ExperimentFile.read(file), broken, "b");
+      ExperimentRunner runner =
+          new ExperimentRunner(ExperimentFile.read(experimentFile), failingPolicy, "b");
       assertThrows(IOException.class, () -> runner.run(results, 1, done -> {}));
     }
-    assertEquals(2, ResultStore.read(folder).size(), "those before it");
+    assertEquals(2, ResultStore.read(folder).size(), "results of the runs before it");
   }
 
   @Test
-  void allMistakesAreToldAtOnce() {
-    String told =
+  void read_severalErrors_reportsAll() {
+    String message =
         assertThrows(
                 IOException.class,
                 () ->
-                    write(
+                    writeExperiment(
                         "vary fleet 1 1",
                         "seeds 5..1",
                         "expect use below 1",
@@ -188,7 +191,7 @@
                         "axis speed",
                         "expect use at-most 1 when fleet 9"))
             .getMessage();
-    for (String each :
+    for (String expectedError :
         List.of(
             ":2: a value of fleet is given twice",
             ":3: seeds '5..1'",
@@ -198,20 +201,20 @@
             ":7: vary has 0",
             ":8: 'speed' is not varied",
             ":9: 'fleet' is not varied with '9'")) {
-      assertTrue(told.contains(each), each + " in " + told);
+      assertTrue(message.contains(expectedError), expectedError + " is missing in " + message);
     }
-    assertEquals(8, told.lines().count(), told);
+    assertEquals(8, message.lines().count(), message);
     assertTrue(
-        assertThrows(IOException.class, () -> write("vary speed 1 2"))
+        assertThrows(IOException.class, () -> writeExperiment("vary speed 1 2"))
             .getMessage()
             .contains("no variable 'speed'"));
     assertTrue(
-        assertThrows(IOException.class, () -> write("vary fleet 1 0"))
+        assertThrows(IOException.class, () -> writeExperiment("vary fleet 1 0"))
             .getMessage()
             .contains("gatekeepers '0'"));
   }
 
-  private static RunResult outcome(String value, long seed, double use) {
+  private static RunResult runResult(String value, long seed, double use) {
     return new RunResult(
         value + seed,
         Map.of("fleet", value),
@@ -225,27 +228,36 @@
   }
 
   @Test
-  void cellsArePutTogetherAndJudged() {
-    double[] with = {1.00, 1.10, 1.30};
-    double[] without = {0.90, 1.02, 1.18};
-    IntFunction<RunResult> a = i -> outcome("4", i, without[i]);
-    IntFunction<RunResult> b =
-        i -> outcome("9", 2 - i, with[2 - i]); // In another order: paired by seed all the same.
-    List<RunResult> base = List.of(a.apply(0), a.apply(1), a.apply(2));
-    List<RunResult> other = List.of(b.apply(0), b.apply(1), b.apply(2));
-    ResultTable.Difference d = ResultTable.difference(base, other, "use");
-    assertEquals(0.1, d.mean(), 1e-9); // 0.10, 0.08, 0.12: t(0.975, 2) = 4.303, deviation 0.02.
-    assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), d.low(), 1e-6);
-    assertTrue(d.isSignificant());
+  void differenceAndEvaluate_pairSeedsAndFindWorstRuns() {
+    double[] otherValues = {1.00, 1.10, 1.30};
+    double[] baseValues = {0.90, 1.02, 1.18};
+    IntFunction<RunResult> baseResult = i -> runResult("4", i, baseValues[i]);
+    IntFunction<RunResult> otherResult =
+        i -> runResult("9", 2 - i, otherValues[2 - i]); // Reverse order: the seeds still match.
+    List<RunResult> baseCell =
+        List.of(baseResult.apply(0), baseResult.apply(1), baseResult.apply(2));
+    List<RunResult> otherCell =
+        List.of(otherResult.apply(0), otherResult.apply(1), otherResult.apply(2));
+    ResultTable.Difference difference = ResultTable.difference(baseCell, otherCell, "use");
+    assertEquals(
+        0.1, difference.mean(), 1e-9); // 0.10, 0.08, 0.12: t(0.975, 2) = 4.303, deviation 0.02.
+    assertEquals(0.1 - 4.302653 * 0.02 / Math.sqrt(3), difference.low(), 1e-6);
+    assertTrue(difference.isSignificant());
     assertFalse(
-        ResultTable.difference(base.subList(0, 1), other, "use").isSignificant(),
-        "one pair tells nothing");
-    assertNull(ResultTable.difference(base, other, "kept"));
+        ResultTable.difference(baseCell.subList(0, 1), otherCell, "use").isSignificant(),
+        "one pair has no bounded interval");
+    assertNull(ResultTable.difference(baseCell, otherCell, "kept"));
     assertEquals(
-        new ResultTable.SeedSpread(1.02, 0.90, 1.18, 3), ResultTable.seedSpread(base, "use"));
+        new ResultTable.SeedSpread(1.02, 0.90, 1.18, 3), ResultTable.seedSpread(baseCell, "use"));
     List<RunResult> all =
-        List.of(base.get(0), base.get(1), base.get(2), other.get(0), other.get(1), other.get(2));
-    List<ResultTable.ExpectationResult> judged =
+        List.of(
+            baseCell.get(0),
+            baseCell.get(1),
+            baseCell.get(2),
+            otherCell.get(0),
+            otherCell.get(1),
+            otherCell.get(2));
+    List<ResultTable.ExpectationResult> evaluated =
         ResultTable.evaluate(
             List.of(
                 new Expectation("use", true, 1.2, Map.of("fleet", List.of("4"))),
@@ -255,9 +267,9 @@
             all);
     assertEquals(
         List.of(true, false, false, false),
-        judged.stream().map(ResultTable.ExpectationResult::isSatisfied).toList());
-    assertEquals(1.30, judged.get(1).worstValue());
-    assertEquals(1, judged.get(1).violationCount());
-    assertEquals(0.90, judged.get(2).worstValue());
+        evaluated.stream().map(ResultTable.ExpectationResult::isSatisfied).toList());
+    assertEquals(1.30, evaluated.get(1).worstValue());
+    assertEquals(1, evaluated.get(1).violationCount());
+    assertEquals(0.90, evaluated.get(2).worstValue());
   }
 }
--- a/src/test/java/fawndock/report/ReportTest.java
+++ b/src/test/java/fawndock/report/ReportTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ReportTest {
-  private static RunResult run(int fleet, int rate, String mode, long seed, double use) {
+  private static RunResult run(int fleetSize, int rate, String mode, long seed, double use) {
     Map<String, String> values =
-        new TreeMap<>(Map.of("fleet", "" + fleet, "rate", "" + rate, "mode", mode));
+        new TreeMap<>(Map.of("fleet", "" + fleetSize, "rate", "" + rate, "mode", mode));
     return new RunResult(
         "k",
         values,
@@ -39,41 +39,44 @@
         "rules kept");
   }
 
-  private static List<RunResult> all(double more) {
-    List<RunResult> all = new ArrayList<>();
-    for (int fleet : new int[] {100, 20, 4}) {
+  private static List<RunResult> results(double useOffset) {
+    List<RunResult> results = new ArrayList<>();
+    for (int fleetSize : new int[] {100, 20, 4}) {
       for (int rate : new int[] {1, 2, 3, 4, 5}) {
         for (String mode : List.of("calm", "silent")) {
-          if (fleet != 20 || rate != 5) {
-            all.add(run(fleet, rate, mode, 1, fleet + more));
-            all.add(run(fleet, rate, mode, 2, fleet + 2 + 2 * more));
+          if (fleetSize != 20 || rate != 5) {
+            results.add(run(fleetSize, rate, mode, 1, fleetSize + useOffset));
+            results.add(run(fleetSize, rate, mode, 2, fleetSize + 2 + 2 * useOffset));
           }
         }
       }
     }
-    return all;
+    return results;
   }
 
   @Test
-  void aPlotHasNoMoreLinesThanCanBeRead() {
-    List<PlotSelection.Plot> plots = PlotSelection.byVariable("fleet", "use", Map.of("", all(0)));
-    assertEquals(2, plots.size(), "ten lines are too many for one: a plot for each mode");
+  void byVariable_manyCombinations_splitsIntoPlots() {
+    List<PlotSelection.Plot> plots =
+        PlotSelection.byVariable("fleet", "use", Map.of("", results(0)));
+    assertEquals(2, plots.size(), "ten lines are too many for one plot: one plot for each mode");
     assertEquals("use (mode calm)", plots.get(0).title());
-    assertEquals(List.of("4", "20", "100"), plots.get(0).xValues(), "as numbers, not as text");
+    assertEquals(
+        List.of("4", "20", "100"), plots.get(0).xValues(), "sorted as numbers, not as text");
     assertEquals(5, plots.get(0).series().size());
     assertArrayEquals(new double[] {5, 21, 101}, plots.get(0).series().get(0).values());
     assertArrayEquals(
         new double[] {5, Double.NaN, 101},
         plots.get(0).series().get(4).values(),
-        "no run, no point");
-    assertEquals(List.of(), PlotSelection.byVariable("speed", "use", Map.of("", all(0))));
+        "a cell without a run has no point");
+    assertEquals(List.of(), PlotSelection.byVariable("speed", "use", Map.of("", results(0))));
     assertTrue(
-        PlotSelection.byVariable("fleet", "use", Map.of("before", all(0), "after", all(1))).stream()
+        PlotSelection.byVariable("fleet", "use", Map.of("before", results(0), "after", results(1)))
+            .stream()
             .allMatch(p -> p.series().size() <= PlotSelection.MAX_LINES));
   }
 
   @Test
-  void aPageStandsByItself(@TempDir Path directory) throws Exception {
+  void write_oneSetOfResults_makesSelfContainedPage(@TempDir Path directory) throws Exception {
     Experiment experiment =
         new Experiment(
             "Fleets <of> all sizes",
@@ -86,7 +89,7 @@
             null,
             "fleet");
     String page =
-        Files.readString(new HtmlReport(experiment, all(0), List.of(), directory).write());
+        Files.readString(new HtmlReport(experiment, results(0), List.of(), directory).write());
     assertTrue(page.contains("Fleets &lt;of&gt; all sizes") && page.contains("Simulated"));
     assertTrue(
         page.contains(
@@ -94,24 +97,26 @@
         page.substring(0, 2000));
     assertTrue(page.contains("<td class=n>fleet 4, mode calm, rate 1<td>5.000 (4.000 – 6.000)"));
     assertFalse(
-        Pattern.compile("(src|href)=\"(?!data:)").matcher(page).find(), "nothing from elsewhere");
+        Pattern.compile("(src|href)=\"(?!data:)").matcher(page).find(),
+        "the page refers to no other file");
     Matcher images = Pattern.compile("data:image/png;base64,([^\"]+)").matcher(page);
-    int many = 0;
+    int imageCount = 0;
     while (images.find()) {
       assertEquals(
           PlotRenderer.WIDTH,
           ImageIO.read(new ByteArrayInputStream(Base64.getDecoder().decode(images.group(1))))
               .getWidth());
-      many++;
+      imageCount++;
     }
     try (var files = Files.list(directory.resolve("plots"))) {
-      assertEquals(many, files.count());
+      assertEquals(imageCount, files.count());
     }
-    assertEquals(2 + 6 * 2, many, "two along the fleet, and for six cells answers and quotas");
+    assertEquals(
+        2 + 6 * 2, imageCount, "two plots by fleet, and two time series for each of six cells");
   }
 
   @Test
-  void twoSetsAreHeldAgainstEachOtherSeedBySeed(@TempDir Path directory) throws Exception {
+  void write_twoSetsOfResults_pairsDifferencesBySeed(@TempDir Path directory) throws Exception {
     Experiment experiment =
         new Experiment(
             "t",
@@ -125,9 +130,9 @@
             "fleet");
     String page =
         Files.readString(
-            new HtmlReport(experiment, all(1), all(0).subList(0, 40), directory).write());
-    // 1 and 2 more: 1.5 on average, t(0.975, 1) = 12.706, deviation 0.707.
+            new HtmlReport(experiment, results(1), results(0).subList(0, 40), directory).write());
+    // The differences are 1 and 2: mean 1.5, t(0.975, 1) = 12.706, standard deviation 0.707.
     assertTrue(page.contains("101.0 → 102.5<br>+1.500 [-4.853, 7.853]"), page.substring(0, 3000));
-    assertTrue(page.contains("cells have nothing before") == all(0).size() > 40);
+    assertTrue(page.contains("cells have nothing before") == results(0).size() > 40);
   }
 }
--- a/src/test/java/fawndock/simulation/SimulationTest.java
+++ b/src/test/java/fawndock/simulation/SimulationTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SimulationTest {
-  private static final ClientBehavior PATIENT_CLIENT =
+  private static final ClientBehavior CLIENT_WITHOUT_RETRIES =
       new ClientBehavior(3_000_000, ClientBehavior.Retry.NONE, 0, 1, false);
 
   private static Deployment deployment(long seed, double seconds) {
@@ -75,7 +75,7 @@
                 120,
                 new RateShape.Constant(),
                 1_500_000,
-                PATIENT_CLIENT),
+                CLIENT_WITHOUT_RETRIES),
             new Deployment.Demand(
                 "under",
                 "lookup",
@@ -86,100 +86,117 @@
                 40,
                 new RateShape.Constant(),
                 1_500_000,
-                PATIENT_CLIENT)),
+                CLIENT_WITHOUT_RETRIES)),
         seconds,
         seed);
   }
 
-  private static SimulationResult run(Simulation emulation) {
-    return emulation.run();
+  private static SimulationResult run(Simulation simulation) {
+    return simulation.run();
   }
 
   @Test
   void runUntil_eventsAtTheSameTime_runInSchedulingOrder() {
-    EventQueue agenda = new EventQueue();
-    List<Integer> seen = new ArrayList<>();
-    agenda.scheduleAt(
+    EventQueue eventQueue = new EventQueue();
+    List<Integer> executed = new ArrayList<>();
+    eventQueue.scheduleAt(
         5,
         () -> {
-          seen.add(1);
-          agenda.scheduleAt(5, () -> seen.add(4));
-          agenda.scheduleAt(3, () -> seen.add(5));
+          executed.add(1);
+          eventQueue.scheduleAt(5, () -> executed.add(4));
+          eventQueue.scheduleAt(3, () -> executed.add(5));
         });
-    agenda.scheduleAt(5, () -> seen.add(2));
-    agenda.scheduleAt(4, () -> seen.add(0));
-    agenda.scheduleAt(5, () -> seen.add(3));
-    agenda.runUntil(5);
-    assertEquals(List.of(0, 1, 2, 3, 4, 5), seen);
-    assertEquals(5, agenda.nowMicros());
+    eventQueue.scheduleAt(5, () -> executed.add(2));
+    eventQueue.scheduleAt(4, () -> executed.add(0));
+    eventQueue.scheduleAt(5, () -> executed.add(3));
+    eventQueue.runUntil(5);
+    assertEquals(List.of(0, 1, 2, 3, 4, 5), executed);
+    assertEquals(5, eventQueue.nowMicros());
   }
 
   @Test
   void run_sameSeed_givesSameResultWithinPlans() {
-    SimulationResult first = run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
-    SimulationResult again = run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
-    assertEquals(first.figures(), again.figures());
-    first
+    SimulationResult firstResult =
+        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    SimulationResult repeatedResult =
+        run(new Simulation(deployment(1, 30), DefaultGatewayPolicy::new));
+    assertEquals(firstResult.figures(), repeatedResult.figures());
+    firstResult
         .series()
-        .forEach((name, values) -> assertArrayEquals(values, again.series().get(name), name));
+        .forEach(
+            (name, values) -> assertArrayEquals(values, repeatedResult.series().get(name), name));
     assertNotEquals(
-        first.responsesByStatus(),
+        firstResult.responsesByStatus(),
         run(new Simulation(deployment(2, 30), DefaultGatewayPolicy::new)).responsesByStatus());
-    assertTrue(first.conformance().isConformant(), first.conformance().violations().toString());
     assertTrue(
-        first.figures().get("use.over") > 0.9 && first.figures().get("use.over") < 1.1,
-        "30 a second asked, 20 " + "allowed, 4 times: " + first.figures());
-    assertTrue(first.figures().get("kept.under") > 0.95, "10 a second asked: " + first.figures());
-    assertTrue(first.figures().get("refused-within-plan-a-try") < 0.05, first.figures().toString());
+        firstResult.conformance().isConformant(),
+        firstResult.conformance().violations().toString());
+    assertTrue(
+        firstResult.figures().get("use.over") > 0.9 && firstResult.figures().get("use.over") < 1.1,
+        "each of 4 customers sends 30 requests/s, "
+            + "its plan allows 20: "
+            + firstResult.figures());
+    assertTrue(
+        firstResult.figures().get("kept.under") > 0.95,
+        "each customer sends 10 requests/s, its plan allows 20: " + firstResult.figures());
+    assertTrue(
+        firstResult.figures().get("refused-within-plan-a-try") < 0.05,
+        firstResult.figures().toString());
   }
 
   @Test
   void run_withFaults_changesResultAndStaysConformant() {
-    long calm =
+    long baselineSuccesses =
         run(new Simulation(deployment(1, 20), DefaultGatewayPolicy::new))
             .responsesByStatus()
             .get(200);
-    Simulation silent = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
-    Faults.counterUnreachable(silent, 5, 15);
-    SimulationResult result = run(silent);
+    Simulation withSilentCounter = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
+    Faults.counterUnreachable(withSilentCounter, 5, 15);
+    SimulationResult result = run(withSilentCounter);
     assertTrue(
-        result.responsesByStatus().get(200) > calm + 200,
-        "let in while the counter is silent: " + result.responsesByStatus());
+        result.responsesByStatus().get(200) > baselineSuccesses + 200,
+        "requests are admitted while the counter is silent: " + result.responsesByStatus());
     assertTrue(result.conformance().isConformant(), result.conformance().violations().toString());
-    Simulation bad = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
-    Faults.backendRestart(bad, 3, 8, "w0");
-    Faults.backendUnresponsive(bad, 6, 12, "w1");
-    Faults.backendSlow(bad, 6, 12, "w2", 10);
-    Faults.backendLosesResponses(bad, 2, 18, "w3", 0.3);
-    Faults.counterRestart(bad, 9, 11, true);
-    Faults.counterPartitioned(bad, 13, 16, 3, -1);
-    Faults.networkSlow(bad, 14, 15, 5);
-    SimulationResult many = run(bad);
-    assertTrue(many.conformance().isConformant(), many.conformance().violations().toString());
+    Simulation withManyFaults = new Simulation(deployment(1, 20), DefaultGatewayPolicy::new);
+    Faults.backendRestart(withManyFaults, 3, 8, "w0");
+    Faults.backendUnresponsive(withManyFaults, 6, 12, "w1");
+    Faults.backendSlow(withManyFaults, 6, 12, "w2", 10);
+    Faults.backendLosesResponses(withManyFaults, 2, 18, "w3", 0.3);
+    Faults.counterRestart(withManyFaults, 9, 11, true);
+    Faults.counterPartitioned(withManyFaults, 13, 16, 3, -1);
+    Faults.networkSlow(withManyFaults, 14, 15, 5);
+    SimulationResult resultWithManyFaults = run(withManyFaults);
+    assertTrue(
+        resultWithManyFaults.conformance().isConformant(),
+        resultWithManyFaults.conformance().violations().toString());
     assertTrue(
-        many.responsesByStatus().get(200) > 0.8 * calm,
-        many.responsesByStatus() + " beside " + calm);
+        resultWithManyFaults.responsesByStatus().get(200) > 0.8 * baselineSuccesses,
+        resultWithManyFaults.responsesByStatus() + " compared with " + baselineSuccesses);
   }
 
-  /** Decisions that answer twice, or send twice what must not be, are found by the same judge. */
+  /**
+   * The conformance check reports a policy that never responds and one that starts two attempts for
+   * a request that allows only one.
+   */
   @Test
   void run_withFaultyPolicy_reportsViolations() {
-    Function<PolicyConfig, GatewayPolicy> mute = s -> (now, event) -> List.of();
-    assertTrue(run(new Simulation(deployment(1, 2), mute)).conformance().unansweredCount() > 100);
-    Function<PolicyConfig, GatewayPolicy> hasty =
-        s ->
+    Function<PolicyConfig, GatewayPolicy> silentPolicy = config -> (now, event) -> List.of();
+    assertTrue(
+        run(new Simulation(deployment(1, 2), silentPolicy)).conformance().unansweredCount() > 100);
+    Function<PolicyConfig, GatewayPolicy> duplicatingPolicy =
+        config ->
             new GatewayPolicy() {
               @Override
               public List<PolicyAction> onEvent(long now, PolicyEvent event) {
-                return event instanceof RequestArrived r
+                return event instanceof RequestArrived request
                     ? List.of(
-                        new StartAttempt(r.requestId(), "w0", 0),
-                        new StartAttempt(r.requestId(), "w1", 0))
+                        new StartAttempt(request.requestId(), "w0", 0),
+                        new StartAttempt(request.requestId(), "w1", 0))
                     : List.of();
               }
             };
-    Deployment once = deployment(1, 2);
-    RequestClass charge =
+    Deployment singleAttemptDeployment = deployment(1, 2);
+    RequestClass singleAttemptClass =
         new RequestClass(
             "lookup",
             500_000,
@@ -191,38 +208,43 @@
             DeduplicationScope.ALL,
             0,
             false);
-    once =
+    singleAttemptDeployment =
         new Deployment(
             6,
             8,
             1,
-            once.backend(),
+            singleAttemptDeployment.backend(),
             0,
-            once.network(),
-            once.counter(),
+            singleAttemptDeployment.network(),
+            singleAttemptDeployment.counter(),
             0,
-            List.of(charge),
-            once.plans(),
-            once.limits(),
-            once.rules(),
-            once.demands(),
+            List.of(singleAttemptClass),
+            singleAttemptDeployment.plans(),
+            singleAttemptDeployment.limits(),
+            singleAttemptDeployment.rules(),
+            singleAttemptDeployment.demands(),
             2,
             1);
-    assertTrue(run(new Simulation(once, hasty)).conformance().violations().size() > 5);
-    Function<PolicyConfig, GatewayPolicy> strict =
-        s ->
+    assertTrue(
+        run(new Simulation(singleAttemptDeployment, duplicatingPolicy))
+                .conformance()
+                .violations()
+                .size()
+            > 5);
+    Function<PolicyConfig, GatewayPolicy> rejectingPolicy =
+        config ->
             (now, event) ->
-                event instanceof RequestArrived r
-                    ? List.of(new RejectRequest(r.requestId(), 1_000_000))
+                event instanceof RequestArrived request
+                    ? List.of(new RejectRequest(request.requestId(), 1_000_000))
                     : List.of();
     assertEquals(
         java.util.Set.of(429),
-        run(new Simulation(deployment(1, 2), strict)).responsesByStatus().keySet());
+        run(new Simulation(deployment(1, 2), rejectingPolicy)).responsesByStatus().keySet());
   }
 
   /**
-   * Each kind does what it says, seen in the figures beside a calm run, and no rule is broken by
-   * it.
+   * Each kind of fault changes a figure in the expected direction, compared with a run without the
+   * fault, and the run stays conformant.
    */
   @ParameterizedTest
   @CsvSource(
@@ -246,10 +268,10 @@
             clock-skew from 5s until 15s gatekeepers 3 by 700ms behind yes | use                       | more | 1.0
             """)
   void run_withEachFault_changesItsFigure(
-      String trouble, String figure, String way, double times, @TempDir Path directory)
+      String faultLine, String figure, String direction, double factor, @TempDir Path directory)
       throws Exception {
     Path file = directory.resolve("d.emu");
-    String base =
+    String settingsWithoutFault =
         """
                 gatekeepers 6
                 workers 8 zones 2 cores 2
@@ -262,19 +284,23 @@
                 demand over class lookup plan seat rate 100 customers 4 remaining 1500ms give-up 3s
                 demand under class lookup plan seat rate 40 customers 4 remaining 1500ms give-up 3s
                 """;
-    Files.writeString(file, base);
-    double calm =
+    Files.writeString(file, settingsWithoutFault);
+    double baselineValue =
         run(DeploymentFile.read(file).createSimulation(DefaultGatewayPolicy::new))
             .figures()
             .get(figure);
-    Files.writeString(file, base + "trouble " + trouble + "\n");
-    SimulationResult result =
+    Files.writeString(file, settingsWithoutFault + "trouble " + faultLine + "\n");
+    SimulationResult faultyResult =
         run(DeploymentFile.read(file).createSimulation(DefaultGatewayPolicy::new));
-    double troubled = result.figures().get(figure);
+    double faultyValue = faultyResult.figures().get(figure);
     assertTrue(
-        way.equals("more") ? troubled > times * calm : troubled < times * calm,
-        troubled + " beside " + calm);
-    assertTrue(result.conformance().isConformant(), result.conformance().violations().toString());
+        direction.equals("more")
+            ? faultyValue > factor * baselineValue
+            : faultyValue < factor * baselineValue,
+        faultyValue + " compared with " + baselineValue);
+    assertTrue(
+        faultyResult.conformance().isConformant(),
+        faultyResult.conformance().violations().toString());
   }
 
   @Test
@@ -292,19 +318,21 @@
                 demand crowd class lookup plan seat rate 160 customers 4 remaining 1500ms
                 trouble counter-silent from 5s until 15s
                 """);
-    DeploymentFile.ParsedDeployment read = DeploymentFile.read(file);
-    SimulationResult calm = run(new Simulation(read.deployment(), DefaultGatewayPolicy::new));
-    Simulation troubled = new Simulation(read.deployment(), DefaultGatewayPolicy::new);
-    read.faults().forEach(trouble -> trouble.accept(troubled));
+    DeploymentFile.ParsedDeployment parsed = DeploymentFile.read(file);
+    SimulationResult baselineResult =
+        run(new Simulation(parsed.deployment(), DefaultGatewayPolicy::new));
+    Simulation faultyRun = new Simulation(parsed.deployment(), DefaultGatewayPolicy::new);
+    parsed.faults().forEach(fault -> fault.accept(faultyRun));
     assertTrue(
-        run(troubled).responsesByStatus().get(200) > calm.responsesByStatus().get(200) + 200);
+        run(faultyRun).responsesByStatus().get(200)
+            > baselineResult.responsesByStatus().get(200) + 200);
     Files.writeString(
         file,
         "let rate 20\nwhen rate 20 demand x class a plan b\ntrouble rain from 3s until 2s\nworkers $n\n"
             + "when rate 21 nonsense\n");
-    String told =
+    String message =
         assertThrows(ConfigurationException.class, () -> DeploymentFile.read(file)).getMessage();
-    for (String each :
+    for (String expectedError :
         List.of(
             ":2: demand x has no rate",
             ":2: there is no class 'a'",
@@ -312,11 +340,14 @@
             ":3: trouble rain ends before",
             ":3: trouble 'rain'",
             ":4: there is no variable '$n'")) {
-      assertTrue(told.contains(each), each + " in " + told);
+      assertTrue(message.contains(expectedError), expectedError + " is missing in " + message);
     }
   }
 
-  /** The file format is the users': its keywords stay while names in the code change. */
+  /**
+   * The keywords of the file format are an interface for users; they stay as names in the code
+   * change.
+   */
   @Test
   void read_unknownKeywordOrFault_listsAllThatTheFormatHas(@TempDir Path directory)
       throws Exception {
@@ -338,7 +369,7 @@
         message);
   }
 
-  /** Each argument of the file format is known to its line. */
+  /** Each argument of the file format is accepted in its line. */
   @ParameterizedTest
   @ValueSource(
       strings = {
