--- a/src/main/java/fawndock/experiment/RunResult.java
+++ b/src/main/java/fawndock/experiment/RunResult.java
@@ -11,7 +11,7 @@
  * @param key hash of the settings, the seed and the build; equal keys mean the same run
  * @param values of the experiment's variables
  * @param settings effective lines of the deployment file
- * @param build hash of the policy's and the simulation's classes
+ * @param build hash of the build, as {@link BuildHash} computes it
  * @param series by name, a value for each second
  * @param marks time windows of the faults
  * @param verdict summary line of the conformance check
--- a/src/main/java/fawndock/simulation/SimulatedBackend.java
+++ b/src/main/java/fawndock/simulation/SimulatedBackend.java
@@ -64,7 +64,7 @@
 
   /**
    * @param appliedKeys idempotency keys of the effects applied so far, shared by all backends
-   * @param isPoisoned whether a request kills the process that works on it
+   * @param isPoisoned whether a request kills the backend that processes it
    * @param onCrash called when the process crashes on its own, not when a fault kills it
    */
   SimulatedBackend(
--- a/src/main/java/fawndock/simulation/Simulation.java
+++ b/src/main/java/fawndock/simulation/Simulation.java
@@ -32,7 +32,7 @@
 public final class Simulation {
   private static final long ROUND_TRIP_MICROS = 5_000;
 
-  /** Time that the run continues after the last arrival, so that all requests complete. */
+  /** Time that the run continues after the arrivals end, so that all requests complete. */
   private static final long DRAIN_MICROS = 10_000_000;
 
   private static final long RESTART_MICROS = 5_000_000;
@@ -131,7 +131,7 @@
     return this;
   }
 
-  /** Runs until {@link #DRAIN_MICROS} after the last arrival. Must be called only once. */
+  /** Runs until some time after the arrivals end, and measures the run. Must be called once. */
   public SimulationResult run() {
     deployment.demands().forEach(clients::startDemand);
     events.runUntil((long) (deployment.durationSeconds() * 1e6) + DRAIN_MICROS);
