--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -86,26 +86,26 @@
   private static int beside(DeploymentFile.ParsedDeployment read, SimulationResult emulated)
       throws Exception {
     SocketRun real = new SocketRun(read, System.out);
-    if (!real.beyond().isEmpty()) {
-      real.beyond().forEach(System.err::println);
+    if (!real.unsupportedFeatures().isEmpty()) {
+      real.unsupportedFeatures().forEach(System.err::println);
       return 2;
     }
     LogConfigurator.configureForTool();
-    SocketRun.SocketRunResult played = real.play();
+    SocketRun.SocketRunResult played = real.run();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
-    FigureComparison.rows(emulated.figures(), played.told().figures())
+    FigureComparison.compare(emulated.figures(), played.metrics().figures())
         .forEach(
             row ->
                 System.out.printf(
                     "%-28s %10.3f %10.3f %8.1f%%%s%n",
                     row.figure(),
-                    row.emulated(),
-                    row.real(),
-                    100 * row.differs(),
-                    row.much() ? " *" : ""));
-    played.verdict().violations().forEach(b -> System.out.println("  " + b));
+                    row.simulated(),
+                    row.measured(),
+                    100 * row.relativeDifference(),
+                    row.isLarge() ? " *" : ""));
+    played.conformance().violations().forEach(b -> System.out.println("  " + b));
     System.out.println("emulated: " + emulated.conformance().summaryLine());
-    System.out.println("over sockets: " + played.verdict().summaryLine());
-    return emulated.conformance().isConformant() && played.verdict().isConformant() ? 0 : 1;
+    System.out.println("over sockets: " + played.conformance().summaryLine());
+    return emulated.conformance().isConformant() && played.conformance().isConformant() ? 0 : 1;
   }
 }
--- a/src/main/java/fawndock/cli/ExperimentCommand.java
+++ b/src/main/java/fawndock/cli/ExperimentCommand.java
@@ -1,6 +1,6 @@
 package fawndock.cli;
 
-import fawndock.experiment.Build;
+import fawndock.experiment.BuildHash;
 import fawndock.experiment.Experiment;
 import fawndock.experiment.ExperimentFile;
 import fawndock.experiment.ExperimentRunner;
@@ -63,18 +63,18 @@
     try (ResultStore results = ResultStore.open(folder)) {
       Experiment experiment = ExperimentFile.read(file);
       ExperimentRunner runner =
-          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, Build.running());
-      int left = runner.left(results);
+          new ExperimentRunner(experiment, DefaultGatewayPolicy::new, BuildHash.ofRunningClasses());
+      int left = runner.remainingRuns(results);
       System.out.printf(
           "%s: %d runs, %d to be done, %d at once%n",
           experiment.title(), experiment.runs().size(), left, jobs);
       ProgressBar bar = new ProgressBar("runs", left, left + " runs", System.out);
       List<RunResult> all = runner.run(results, jobs, bar::update);
       bar.finish();
-      ResultStore.csv(folder.resolve("results.csv"), all);
+      ResultStore.writeCsv(folder.resolve("results.csv"), all);
       Files.copy(
           file,
-          folder.resolve(ResultStore.EXPERIMENT),
+          folder.resolve(ResultStore.EXPERIMENT_FILE),
           java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       return told(experiment, all) ? 0 : 1;
     } catch (ConfigurationException e) {
@@ -84,7 +84,7 @@
   }
 
   private boolean told(Experiment experiment, List<RunResult> all) {
-    Map<Map<String, String>, List<RunResult>> cells = ResultTable.by(all);
+    Map<Map<String, String>, List<RunResult>> cells = ResultTable.groupByValues(all);
     if (!quiet) {
       System.out.println("median (least..most) over the seeds, simulated:");
       cells.forEach(
@@ -92,34 +92,35 @@
             StringBuilder line =
                 new StringBuilder(
                     values.isEmpty() ? "all" : values.toString().replaceAll("[{},]", ""));
-            for (String figure : experiment.shown()) {
-              ResultTable.SeedSpread s = ResultTable.spread(outcomes, figure);
+            for (String figure : experiment.shownFigures()) {
+              ResultTable.SeedSpread s = ResultTable.seedSpread(outcomes, figure);
               line.append("  ")
                   .append(figure)
                   .append(' ')
                   .append(
                       s == null
                           ? "-"
-                          : String.format("%.3f (%.3f..%.3f)", s.median(), s.least(), s.most()));
+                          : String.format("%.3f (%.3f..%.3f)", s.median(), s.min(), s.max()));
             }
             System.out.println(line);
           });
     }
-    if (experiment.compare() != null) {
+    if (experiment.baseline() != null) {
       differences(experiment, cells);
     }
     boolean kept = true;
-    for (ResultTable.ExpectationResult each : ResultTable.judge(experiment.expected(), all)) {
-      kept &= each.kept();
+    for (ResultTable.ExpectationResult each :
+        ResultTable.evaluate(experiment.expectations(), all)) {
+      kept &= each.isSatisfied();
       System.out.printf(
           "%s: %s; worst %.3f with %s seed %d; %d of %d runs break it%n",
-          each.kept() ? "holds" : "BROKEN",
-          each.expect().text(),
-          each.worst(),
-          each.where(),
-          each.seed(),
-          each.broken(),
-          each.cells());
+          each.isSatisfied() ? "holds" : "BROKEN",
+          each.expectation().text(),
+          each.worstValue(),
+          each.worstCell(),
+          each.worstSeed(),
+          each.violationCount(),
+          each.runCount());
     }
     List<RunResult> bad =
         all.stream().filter(o -> o.figures().getOrDefault("rules-broken", 0.0) > 0).toList();
@@ -132,8 +133,8 @@
 
   private static void differences(
       Experiment experiment, Map<Map<String, String>, List<RunResult>> cells) {
-    String name = experiment.compare().name();
-    String base = experiment.compare().values().get(0);
+    String name = experiment.baseline().name();
+    String base = experiment.baseline().values().get(0);
     System.out.printf(
         "difference from %s %s, mean over the same seeds [95%% interval]; * where it leaves out 0:%n",
         name, base);
@@ -145,7 +146,7 @@
             return;
           }
           StringBuilder line = new StringBuilder(values.toString().replaceAll("[{},]", ""));
-          for (String figure : experiment.shown()) {
+          for (String figure : experiment.shownFigures()) {
             ResultTable.Difference d = ResultTable.difference(cells.get(with), outcomes, figure);
             line.append("  ")
                 .append(figure)
@@ -155,7 +156,7 @@
                         ? "-"
                         : String.format(
                             "%+.3f [%+.3f, %+.3f]%s",
-                            d.mean(), d.low(), d.high(), d.told() ? "*" : ""));
+                            d.mean(), d.low(), d.high(), d.isSignificant() ? "*" : ""));
           }
           System.out.println(line);
         });
