--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock check FILE}: prints every error of a gateway's settings file. */
+/** {@code fawndock check FILE}: prints every error of a settings file and starts no gateway. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/src/main/java/fawndock/loadgen/ClientBehavior.java
+++ b/src/main/java/fawndock/loadgen/ClientBehavior.java
@@ -29,7 +29,7 @@
    * @param tried how often so far, from 1
    * @return microseconds, or -1 when it does not try again
    */
-  public long again(int status, long retryAfterSeconds, int tried) {
+  public long retryDelayMicros(int status, long retryAfterSeconds, int tried) {
     boolean failed = status == 0 || status == TOO_MANY || status >= SERVER_ERROR;
     if (!failed || retry == Retry.NONE || tried >= tries) {
       return -1;
--- a/src/test/java/fawndock/loadgen/DrawnTest.java
+++ b/src/test/java/fawndock/loadgen/DrawnTest.java
@@ -82,15 +82,15 @@
   @Test
   void clientsBehaveAsDescribed() {
     ClientBehavior polite = new ClientBehavior(1, ClientBehavior.Retry.AFTER, 5, 3, true);
-    assertEquals(2_000_000, polite.again(429, 2, 1));
-    assertEquals(5, polite.again(0, 0, 2));
-    assertEquals(-1, polite.again(503, 0, 3), "its tries are used up");
-    assertEquals(-1, polite.again(200, 0, 1));
-    assertEquals(-1, polite.again(404, 0, 1));
+    assertEquals(2_000_000, polite.retryDelayMicros(429, 2, 1));
+    assertEquals(5, polite.retryDelayMicros(0, 0, 2));
+    assertEquals(-1, polite.retryDelayMicros(503, 0, 3), "its tries are used up");
+    assertEquals(-1, polite.retryDelayMicros(200, 0, 1));
+    assertEquals(-1, polite.retryDelayMicros(404, 0, 1));
     assertEquals(
-        0, new ClientBehavior(1, ClientBehavior.Retry.AT_ONCE, 5, 3, false).again(429, 60, 1));
+        0, new ClientBehavior(1, ClientBehavior.Retry.AT_ONCE, 5, 3, false).retryDelayMicros(429, 60, 1));
     assertEquals(
-        -1, new ClientBehavior(1, ClientBehavior.Retry.NONE, 5, 3, true).again(429, 60, 1));
+        -1, new ClientBehavior(1, ClientBehavior.Retry.NONE, 5, 3, true).retryDelayMicros(429, 60, 1));
   }
 
   private static RequestTrace.Read read(String text) throws IOException {
