--- a/src/main/java/fawndock/loadgen/ArrivalProcess.java
+++ b/src/main/java/fawndock/loadgen/ArrivalProcess.java
@@ -45,7 +45,7 @@
    * The next intended start in microseconds from the start of the run, or -1 when there is none any
    * more.
    */
-  public long next() {
+  public long nextMicros() {
     while (at < end) {
       double speed = rate * shape.at(stepEnd - STEP);
       double step = stepEnd - at;
--- a/src/main/java/fawndock/loadgen/RequestSchedule.java
+++ b/src/main/java/fawndock/loadgen/RequestSchedule.java
@@ -59,7 +59,7 @@
     CustomerSelector customers = new CustomerSelector(flow.customers(), flow.skew());
     Request r = flow.request();
     return () -> {
-      long at = arrivals.next();
+      long at = arrivals.nextMicros();
       return at < 0
           ? null
           : new ScheduledRequest(
--- a/src/main/java/fawndock/simulation/SimulatedClients.java
+++ b/src/main/java/fawndock/simulation/SimulatedClients.java
@@ -129,7 +129,7 @@
       long startMicros,
       CustomerSelector customers,
       SplittableRandom demandRandom) {
-    long atMicros = arrivals.next();
+    long atMicros = arrivals.nextMicros();
     if (atMicros < 0) {
       return;
     }
--- a/src/test/java/fawndock/loadgen/DrawnTest.java
+++ b/src/test/java/fawndock/loadgen/DrawnTest.java
@@ -17,7 +17,7 @@
   private static List<Long> arrivals(double rate, RateShape shape, boolean even, double end) {
     ArrivalProcess arrivals = new ArrivalProcess(rate, shape, even, end, new SplittableRandom(7));
     List<Long> all = new ArrayList<>();
-    for (long at = arrivals.next(); at >= 0; at = arrivals.next()) {
+    for (long at = arrivals.nextMicros(); at >= 0; at = arrivals.nextMicros()) {
       all.add(at);
     }
     return all;
