--- a/src/main/java/fawndock/loadgen/LoadArguments.java
+++ b/src/main/java/fawndock/loadgen/LoadArguments.java
@@ -31,7 +31,7 @@
   }
 
   /** Reads what clients do. */
-  public static ClientBehavior manners(LineArguments a) {
+  public static ClientBehavior clientBehavior(LineArguments a) {
     String retry = word(a, "retry", "none", "none|at-once|after");
     return new ClientBehavior(
         a.micros("give-up", MILLI, DAY, 10 * SECOND),
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -118,7 +118,7 @@
         path,
         a.word("key", ""),
         a.integer("body", 0, 16 << 20, 0),
-        LoadArguments.manners(a));
+        LoadArguments.clientBehavior(a));
   }
 
   /**
--- a/src/main/java/fawndock/loadgen/LoadGenerator.java
+++ b/src/main/java/fawndock/loadgen/LoadGenerator.java
@@ -341,7 +341,8 @@
     }
 
     private void retryOrFinish(int status, long retryAfter) {
-      long wait = isStopped ? -1 : due.request().manners().retryDelayMicros(status, retryAfter, tried);
+      long wait =
+          isStopped ? -1 : due.request().manners().retryDelayMicros(status, retryAfter, tried);
       if (wait < 0) {
         ended.run();
         return;
--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -254,7 +254,7 @@
             rate,
             LoadArguments.shape(a),
             a.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
-            LoadArguments.manners(a)));
+            LoadArguments.clientBehavior(a)));
     a.rejectUnknown();
     crossCheck(
         a,
--- a/src/main/java/fawndock/simulation/SimulatedClients.java
+++ b/src/main/java/fawndock/simulation/SimulatedClients.java
@@ -243,7 +243,8 @@
             ? operation.demand().clientBehavior()
             : new ClientBehavior(0, ClientBehavior.Retry.AT_ONCE, 0, retryStormAttempts, false);
     long retryAfterSeconds = (retryAfterMicros + 999_999) / 1_000_000;
-    long delayMicros = behavior.retryDelayMicros(Math.max(0, status), retryAfterSeconds, request.attempt);
+    long delayMicros =
+        behavior.retryDelayMicros(Math.max(0, status), retryAfterSeconds, request.attempt);
     if (delayMicros >= 0) {
       simulation.events.scheduleAfter(delayMicros, () -> send(operation, request.attempt + 1));
     }
--- a/src/test/java/fawndock/loadgen/DrawnTest.java
+++ b/src/test/java/fawndock/loadgen/DrawnTest.java
@@ -88,9 +88,12 @@
     assertEquals(-1, polite.retryDelayMicros(200, 0, 1));
     assertEquals(-1, polite.retryDelayMicros(404, 0, 1));
     assertEquals(
-        0, new ClientBehavior(1, ClientBehavior.Retry.AT_ONCE, 5, 3, false).retryDelayMicros(429, 60, 1));
+        0,
+        new ClientBehavior(1, ClientBehavior.Retry.AT_ONCE, 5, 3, false)
+            .retryDelayMicros(429, 60, 1));
     assertEquals(
-        -1, new ClientBehavior(1, ClientBehavior.Retry.NONE, 5, 3, true).retryDelayMicros(429, 60, 1));
+        -1,
+        new ClientBehavior(1, ClientBehavior.Retry.NONE, 5, 3, true).retryDelayMicros(429, 60, 1));
   }
 
   private static RequestTrace.Read read(String text) throws IOException {
