--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -74,18 +74,18 @@
                 plan.flows().stream().map(flow -> flow.request().name()),
                 plan.traces().stream().map(trace -> trace.request().name()))
             .toList();
-    List<RequestTrace.Read> traces = new ArrayList<>();
+    List<RequestTrace.ParsedTrace> traces = new ArrayList<>();
     for (LoadPlan.TraceReplay replay : plan.traces()) {
       try (BufferedReader reader = Files.newBufferedReader(replay.file())) {
-        RequestTrace.Read read = RequestTrace.read(reader, replay.file().toString());
+        RequestTrace.ParsedTrace trace = RequestTrace.read(reader, replay.file().toString());
         System.out.printf(
             "%s: %d requests over %.1f s, %d out of order, %d other lines%n",
             replay.file(),
-            read.entries().size(),
-            read.entries().get(read.entries().size() - 1).atMicros() / 1e6,
-            read.moved(),
-            read.skipped());
-        traces.add(read);
+            trace.entries().size(),
+            trace.entries().get(trace.entries().size() - 1).atMicros() / 1e6,
+            trace.outOfOrderCount(),
+            trace.skippedLineCount());
+        traces.add(trace);
       }
     }
     Vertx vertx = Vertx.vertx();
@@ -96,7 +96,7 @@
               plan,
               traces,
               quiet ? progress -> {} : progress -> printProgress(progress, plan),
-              log == null ? statistics -> {} : log::interval);
+              log == null ? statistics -> {} : log::writeInterval);
       Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "stop"));
       List<FlowStatistics> statistics = generator.run().get();
       return report(plan, names, statistics);
@@ -117,7 +117,7 @@
         progress.due(),
         progress.good(),
         progress.other(),
-        progress.out(),
+        progress.inFlight(),
         progress.p50Micros() / 1e3,
         progress.p99Micros() / 1e3);
   }
@@ -131,7 +131,7 @@
         "latency, ms", "due", "good", "p50", "p90", "p99", "p99.9", "max", "left", "no answer");
     for (int i = 0; i < names.size(); i++) {
       FlowStatistics flowStatistics = statistics.get(i);
-      Map<String, Object> results = flowStatistics.told();
+      Map<String, Object> results = flowStatistics.toMap();
       resultsByName.put(names.get(i), results);
       @SuppressWarnings("unchecked")
       Map<String, Number> latencies = (Map<String, Number>) results.get("latency_us");
@@ -147,7 +147,7 @@
           toMillis(latencies, "max"),
           results.get("client_left"),
           results.get("no_answer"));
-      if (flowStatistics.unusable()) {
+      if (flowStatistics.isUnusable()) {
         isUnusable = true;
         System.out.printf(
             "%s: UNUSABLE: of %s due, %s left more than %d ms late and %s were not sent%n",
--- a/src/main/java/fawndock/loadgen/ArrivalProcess.java
+++ b/src/main/java/fawndock/loadgen/ArrivalProcess.java
@@ -3,60 +3,64 @@
 import java.util.SplittableRandom;
 
 /**
- * When the requests of one flow are meant to start, drawn ahead of time and whatever becomes of
- * them. The same seed draws the same times.
+ * Generates the intended start times of the requests of one flow, independently of the outcome of
+ * earlier requests. The same seed gives the same times. Not thread-safe.
  */
 public final class ArrivalProcess {
-  /** Seconds in which a rate is taken for constant: finer than a person would describe a load. */
-  private static final double STEP = 0.001;
+  /** Interval in which the rate is taken as constant; load files describe no finer changes. */
+  private static final double STEP_SECONDS = 0.001;
 
-  private final double rate;
+  private final double requestsPerSecond;
   private final RateShape shape;
-  private final boolean even;
-  private final double end;
+  private final boolean isEven;
+  private final double endSeconds;
   private final SplittableRandom random;
-  private double at;
-  private double area;
-  private double stepEnd;
+  private double nowSeconds;
+  private double remainingArrivals;
+  private double stepEndSeconds;
 
   /**
-   * Arrivals from 0 on.
+   * Creates a process whose arrivals start at time 0.
    *
-   * @param rate a second, above 0
-   * @param even equal gaps at a constant rate; else Poisson
-   * @param end in seconds, from which on there are none
+   * @param requestsPerSecond base rate, above 0
+   * @param isEven whether gaps at a constant rate are equal; otherwise arrivals are Poisson
+   * @param endSeconds time from which there are no more arrivals
    */
   public ArrivalProcess(
-      double rate, RateShape shape, boolean even, double end, SplittableRandom random) {
-    this.rate = rate;
+      double requestsPerSecond,
+      RateShape shape,
+      boolean isEven,
+      double endSeconds,
+      SplittableRandom random) {
+    this.requestsPerSecond = requestsPerSecond;
     this.shape = shape;
-    this.even = even;
-    this.end = end;
+    this.isEven = isEven;
+    this.endSeconds = endSeconds;
     this.random = random;
-    stepEnd = STEP;
-    area = even ? 1 : gap();
+    stepEndSeconds = STEP_SECONDS;
+    remainingArrivals = isEven ? 1 : drawExponential();
   }
 
-  private double gap() {
+  private double drawExponential() {
     return -Math.log(1 - random.nextDouble());
   }
 
   /**
-   * The next intended start in microseconds from the start of the run, or -1 when there is none any
-   * more.
+   * Returns the next intended start in microseconds from the start of the run, or -1 when there are
+   * no more arrivals.
    */
   public long nextMicros() {
-    while (at < end) {
-      double speed = rate * shape.at(stepEnd - STEP);
-      double step = stepEnd - at;
-      if (speed * step >= area) {
-        at += area / speed;
-        area = even ? 1 : gap();
-        return at < end ? (long) (at * 1e6) : -1;
+    while (nowSeconds < endSeconds) {
+      double currentRate = requestsPerSecond * shape.factorAt(stepEndSeconds - STEP_SECONDS);
+      double remainingStepSeconds = stepEndSeconds - nowSeconds;
+      if (currentRate * remainingStepSeconds >= remainingArrivals) {
+        nowSeconds += remainingArrivals / currentRate;
+        remainingArrivals = isEven ? 1 : drawExponential();
+        return nowSeconds < endSeconds ? (long) (nowSeconds * 1e6) : -1;
       }
-      area -= speed * step;
-      at = stepEnd;
-      stepEnd += STEP;
+      remainingArrivals -= currentRate * remainingStepSeconds;
+      nowSeconds = stepEndSeconds;
+      stepEndSeconds += STEP_SECONDS;
     }
     return -1;
   }
--- a/src/main/java/fawndock/loadgen/ClientBehavior.java
+++ b/src/main/java/fawndock/loadgen/ClientBehavior.java
@@ -1,40 +1,45 @@
 package fawndock.loadgen;
 
 /**
- * What a flow's clients do when they have waited or were refused.
+ * How long the clients of a flow wait for a response, and how they retry. Immutable.
  *
- * @param giveUpMicros after which a client leaves; from 1
- * @param retry whether and when it tries again
- * @param waitMicros before it tries again, when it waits
- * @param tries of one request at most, from 1
- * @param heedsRetryAfter whether it waits at least as long as the answer says
+ * @param giveUpMicros time after which a client abandons an attempt; from 1
+ * @param retry whether and when a client retries
+ * @param retryWaitMicros wait before a retry with {@link Retry#AFTER}
+ * @param maxAttempts most attempts of one request, from 1
+ * @param honorsRetryAfter whether a client waits at least as long as {@code retry-after} says
  */
 public record ClientBehavior(
-    long giveUpMicros, Retry retry, long waitMicros, int tries, boolean heedsRetryAfter) {
-  /** Whether and when a client tries again. */
+    long giveUpMicros,
+    Retry retry,
+    long retryWaitMicros,
+    int maxAttempts,
+    boolean honorsRetryAfter) {
+  /** Whether and when a client retries. */
   public enum Retry {
     NONE,
     AT_ONCE,
     AFTER
   }
 
-  private static final int TOO_MANY = 429;
-  private static final int SERVER_ERROR = 500;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int FIRST_SERVER_ERROR = 500;
 
   /**
-   * How long it waits until it tries again.
+   * Returns the delay before the next attempt.
    *
-   * @param status of the answer; 0 when there was none
-   * @param retryAfterSeconds that the answer says; 0 for nothing
-   * @param tried how often so far, from 1
-   * @return microseconds, or -1 when it does not try again
+   * @param status status of the response; 0 when there was none
+   * @param retryAfterSeconds value of the response's {@code retry-after}; 0 without one
+   * @param attemptCount attempts made so far, from 1
+   * @return microseconds, or -1 when the client does not retry
    */
-  public long retryDelayMicros(int status, long retryAfterSeconds, int tried) {
-    boolean failed = status == 0 || status == TOO_MANY || status >= SERVER_ERROR;
-    if (!failed || retry == Retry.NONE || tried >= tries) {
+  public long retryDelayMicros(int status, long retryAfterSeconds, int attemptCount) {
+    boolean isRetryable =
+        status == 0 || status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR;
+    if (!isRetryable || retry == Retry.NONE || attemptCount >= maxAttempts) {
       return -1;
     }
-    long wait = retry == Retry.AFTER ? waitMicros : 0;
-    return heedsRetryAfter ? Math.max(wait, retryAfterSeconds * 1_000_000) : wait;
+    long delayMicros = retry == Retry.AFTER ? retryWaitMicros : 0;
+    return honorsRetryAfter ? Math.max(delayMicros, retryAfterSeconds * 1_000_000) : delayMicros;
   }
 }
--- a/src/main/java/fawndock/loadgen/CustomerSelector.java
+++ b/src/main/java/fawndock/loadgen/CustomerSelector.java
@@ -2,30 +2,33 @@
 
 import java.util.SplittableRandom;
 
-/** Which customer a request of a flow is of: by Zipf's law, of which even shares are a case. */
+/**
+ * Draws the customers of a flow's requests from a Zipf distribution; exponent 0 gives equal shares.
+ * Immutable.
+ */
 public final class CustomerSelector {
-  private final double[] upTo;
+  private final double[] cumulativeWeights;
 
   /**
-   * The shares of so many customers.
+   * Computes the share of each customer.
    *
-   * @param count 1 to 1,000,000
-   * @param skew exponent of Zipf's law, from 0 for even shares; at 1 the second has half of the
-   *     first's share
+   * @param count number of customers, 1 to 1,000,000
+   * @param skew exponent of the Zipf distribution, 0 for equal shares; with 1 the second customer
+   *     has half the share of the first
    */
   public CustomerSelector(int count, double skew) {
-    upTo = new double[count];
-    double all = 0;
+    cumulativeWeights = new double[count];
+    double totalWeight = 0;
     for (int i = 0; i < count; i++) {
-      all += Math.pow(i + 1, -skew);
-      upTo[i] = all;
+      totalWeight += Math.pow(i + 1, -skew);
+      cumulativeWeights[i] = totalWeight;
     }
   }
 
-  /** A customer's number, from 0, the busiest first. */
+  /** Draws the number of a customer, from 0; lower numbers have larger shares. */
   public int draw(SplittableRandom random) {
-    double at = random.nextDouble() * upTo[upTo.length - 1];
-    int found = java.util.Arrays.binarySearch(upTo, at);
-    return Math.min(upTo.length - 1, found >= 0 ? found + 1 : -found - 1);
+    double target = random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1];
+    int index = java.util.Arrays.binarySearch(cumulativeWeights, target);
+    return Math.min(cumulativeWeights.length - 1, index >= 0 ? index + 1 : -index - 1);
   }
 }
--- a/src/main/java/fawndock/loadgen/FlowStatistics.java
+++ b/src/main/java/fawndock/loadgen/FlowStatistics.java
@@ -5,103 +5,106 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What became of one flow's requests. On one thread. */
+/** Outcomes and latencies of the requests of one flow. Not thread-safe. */
 public final class FlowStatistics {
-  /** Longest latency that is told apart, in microseconds: an hour. */
-  private static final long LONGEST = 3_600_000_000L;
+  /** Upper limit of recorded latencies: one hour. */
+  private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
-  /** From the intended start to the answer, or to where the client left; of all that began. */
-  final Histogram latency = new Histogram(LONGEST, DIGITS);
+  /** Time from the intended start to the response, failure or abandonment of each sent attempt. */
+  final Histogram latency = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
 
-  /** The same in the interval that runs. */
-  final Histogram interval = new Histogram(LONGEST, DIGITS);
+  /** The same latencies, of the current interval only. */
+  final Histogram intervalLatency = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
 
   /**
-   * From where the request was sent: what a client that waits for its turn would call the latency.
+   * Time from sending the request to its response: the latency that a closed-loop client would
+   * measure.
    */
-  final Histogram service = new Histogram(LONGEST, DIGITS);
+  final Histogram serviceTime = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
 
   private final Map<Integer, Long> statuses = new TreeMap<>();
   long due;
-  long late;
-  long unsent;
-  long left;
+  long sentLate;
+  long notSent;
+  long abandoned;
   long failed;
   long retries;
   private long good;
 
-  void answered(int status, long micros, long sentMicros) {
+  void recordResponse(int status, long latencyMicros, long serviceMicros) {
     statuses.merge(status, 1L, Long::sum);
     good += status >= 200 && status < 300 ? 1 : 0;
-    record(micros);
-    service.recordValue(bound(sentMicros));
+    record(latencyMicros);
+    serviceTime.recordValue(clamp(serviceMicros));
   }
 
-  /** The client left without an answer. */
-  void left(long micros) {
-    left++;
-    record(micros);
+  /** Records that the client abandoned the attempt without a response. */
+  void recordAbandoned(long latencyMicros) {
+    abandoned++;
+    record(latencyMicros);
   }
 
-  /** The connection could not be made, or broke. */
-  void failed(long micros) {
+  /** Records that the connection could not be established, or broke. */
+  void recordFailure(long latencyMicros) {
     failed++;
-    record(micros);
+    record(latencyMicros);
   }
 
-  private void record(long micros) {
-    latency.recordValue(bound(micros));
-    interval.recordValue(bound(micros));
+  private void record(long latencyMicros) {
+    latency.recordValue(clamp(latencyMicros));
+    intervalLatency.recordValue(clamp(latencyMicros));
   }
 
-  private static long bound(long micros) {
-    return Math.max(0, Math.min(LONGEST, micros));
+  private static long clamp(long latencyMicros) {
+    return Math.max(0, Math.min(MAX_LATENCY_MICROS, latencyMicros));
   }
 
-  /** Answers of 200 to 299. */
+  /** Returns the number of responses with status 200 to 299. */
   public long good() {
     return good;
   }
 
-  /** Answers with a status. */
+  /** Returns the number of responses with a status. */
   public long status(int status) {
     return statuses.getOrDefault(status, 0L);
   }
 
   /**
-   * Whether so much left late, or was not sent, that the latencies are not those of the intended
-   * load.
+   * Returns whether a request was not sent, or more than 1 % were sent late, so that the latencies
+   * are not those of the intended load.
    */
-  public boolean unusable() {
-    return unsent > 0 || late > 0.01 * due;
+  public boolean isUnusable() {
+    return notSent > 0 || sentLate > 0.01 * due;
   }
 
-  /** All of it, times in microseconds, for JSON. */
-  public Map<String, Object> told() {
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("due", due);
-    all.put("sent_late", late);
-    all.put("not_sent", unsent);
-    all.put("retries", retries);
-    all.put("client_left", left);
-    all.put("no_answer", failed);
-    all.put("statuses", statuses);
-    all.put("latency_us", percentiles(latency));
-    all.put("from_sending_us", percentiles(service));
-    return all;
+  /** Returns all figures for JSON, with times in microseconds. */
+  public Map<String, Object> toMap() {
+    Map<String, Object> figures = new LinkedHashMap<>();
+    figures.put("due", due);
+    figures.put("sent_late", sentLate);
+    figures.put("not_sent", notSent);
+    figures.put("retries", retries);
+    figures.put("client_left", abandoned);
+    figures.put("no_answer", failed);
+    figures.put("statuses", statuses);
+    figures.put("latency_us", percentiles(latency));
+    figures.put("from_sending_us", percentiles(serviceTime));
+    return figures;
   }
 
-  private static Map<String, Object> percentiles(Histogram of) {
-    Map<String, Object> all = new LinkedHashMap<>();
-    for (double each : PERCENTILES) {
-      all.put(
-          each == 100 ? "max" : "p" + (each == 99.9 ? "999" : Integer.toString((int) each)),
-          of.getValueAtPercentile(each));
+  private static Map<String, Object> percentiles(Histogram histogram) {
+    Map<String, Object> figures = new LinkedHashMap<>();
+    for (double percentile : PERCENTILES) {
+      figures.put(
+          percentile == 100
+              ? "max"
+              : "p" + (percentile == 99.9 ? "999" : Integer.toString((int) percentile)),
+          histogram.getValueAtPercentile(percentile));
     }
-    all.put("mean", Math.round(of.getMean()));
-    return all;
+    figures.put("mean", Math.round(histogram.getMean()));
+    return figures;
   }
 }
--- a/src/main/java/fawndock/loadgen/HistogramLog.java
+++ b/src/main/java/fawndock/loadgen/HistogramLog.java
@@ -9,37 +9,37 @@
 import org.HdrHistogram.HistogramLogWriter;
 
 /**
- * An HdrHistogram interval log of all flows, each under its name as the tag; latencies in
- * microseconds.
+ * Writes an HdrHistogram interval log of all flows, tagged with the flow's name, with latencies in
+ * microseconds. Not thread-safe.
  */
 public final class HistogramLog implements AutoCloseable {
   private final List<String> names;
   private final PrintStream out;
   private final HistogramLogWriter writer;
-  private long from = System.currentTimeMillis();
+  private long intervalStartMillis = System.currentTimeMillis();
 
-  /** Begins the log, in the place of what is in the file. */
+  /** Opens the log and overwrites the file. */
   public HistogramLog(Path file, List<String> names) throws IOException {
     this.names = names;
     out = new PrintStream(file.toFile(), StandardCharsets.UTF_8);
     writer = new HistogramLogWriter(out);
     writer.outputLogFormatVersion();
-    writer.outputStartTime(from);
-    writer.setBaseTime(from);
+    writer.outputStartTime(intervalStartMillis);
+    writer.setBaseTime(intervalStartMillis);
     writer.outputLegend();
   }
 
-  /** Writes what the interval that ends now holds. */
-  public void interval(List<FlowStatistics> tallies) {
-    long now = System.currentTimeMillis();
-    for (int i = 0; i < tallies.size(); i++) {
-      Histogram of = tallies.get(i).interval;
-      of.setTag(names.get(i));
-      of.setStartTimeStamp(from);
-      of.setEndTimeStamp(now);
-      writer.outputIntervalHistogram(of);
+  /** Writes the latencies of the interval that ends now. */
+  public void writeInterval(List<FlowStatistics> statistics) {
+    long nowMillis = System.currentTimeMillis();
+    for (int i = 0; i < statistics.size(); i++) {
+      Histogram histogram = statistics.get(i).intervalLatency;
+      histogram.setTag(names.get(i));
+      histogram.setStartTimeStamp(intervalStartMillis);
+      histogram.setEndTimeStamp(nowMillis);
+      writer.outputIntervalHistogram(histogram);
     }
-    from = now;
+    intervalStartMillis = nowMillis;
   }
 
   @Override
--- a/src/main/java/fawndock/loadgen/LoadFile.java
+++ b/src/main/java/fawndock/loadgen/LoadFile.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads a load file; what each keyword means is in docs/operations/load.md. */
+/** Parser of load files. The keywords are specified in docs/operations/load.md. */
 public final class LoadFile extends ConfigurationFile {
-  private static final long MILLI = 1_000;
-  private static final long SECOND = 1_000_000;
-  private static final long DAY = 86_400 * SECOND;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long MICROS_PER_DAY = 86_400 * MICROS_PER_SECOND;
   private final List<Address> targets = new ArrayList<>();
   private final List<Flow> flows = new ArrayList<>();
   private final List<TraceReplay> traces = new ArrayList<>();
@@ -25,9 +25,9 @@
   private double seconds = 10;
   private long seed = 1;
   private int connections = 256;
-  private int outstanding = 10_000;
-  private long slack = 20 * MILLI;
-  private double interval = 1;
+  private int maxOutstanding = 10_000;
+  private long slackMicros = 20 * MICROS_PER_MILLI;
+  private double intervalSeconds = 1;
 
   private LoadFile(Path file) {
     super(Set.of("target", "flow", "trace"));
@@ -48,64 +48,71 @@
           }
           a.rejectUnknown();
         });
-    keywords.put("for", line -> seconds = seconds(line, 100 * MILLI));
-    keywords.put("interval", line -> interval = seconds(line, 100 * MILLI));
-    keywords.put("slack", line -> slack = (long) (seconds(line, MILLI) * SECOND));
+    keywords.put("for", line -> seconds = readSeconds(line, 100 * MICROS_PER_MILLI));
+    keywords.put("interval", line -> intervalSeconds = readSeconds(line, 100 * MICROS_PER_MILLI));
+    keywords.put(
+        "slack",
+        line -> slackMicros = (long) (readSeconds(line, MICROS_PER_MILLI) * MICROS_PER_SECOND));
     keywords.put("seed", line -> seed = readInt(line, 0, 999_999_999));
     keywords.put("connections", line -> connections = readInt(line, 1, 20_000));
-    keywords.put("outstanding", line -> outstanding = readInt(line, 1, 1_000_000));
-    keywords.put("flow", this::flow);
-    keywords.put("trace", line -> trace(line, file));
+    keywords.put("outstanding", line -> maxOutstanding = readInt(line, 1, 1_000_000));
+    keywords.put("flow", this::readFlow);
+    keywords.put("trace", line -> readTrace(line, file));
   }
 
-  private double seconds(ConfigurationLine line, long least) {
+  private double readSeconds(ConfigurationLine line, long minMicros) {
     LineArguments a = arguments(line, 1, line.keyword() + " TIME");
-    double time =
-        a.parseMicros(line.keyword(), a.positional(0), least, DAY, least) / (double) SECOND;
+    double seconds =
+        a.parseMicros(line.keyword(), a.positional(0), minMicros, MICROS_PER_DAY, minMicros)
+            / (double) MICROS_PER_SECOND;
     a.rejectUnknown();
-    return time;
+    return seconds;
   }
 
-  private void flow(ConfigurationLine line) {
+  private void readFlow(ConfigurationLine line) {
     LineArguments a =
         arguments(line, 3, "flow NAME METHOD PATH rate NUMBER|clients NUMBER [ARGUMENT VALUE ...]");
-    double rate = a.number("rate", 0.001, 1_000_000, 0);
-    int closed = a.integer("clients", 1, 100_000, 0);
-    if (a.isValid() && (rate > 0) == (closed > 0)) {
+    double requestsPerSecond = a.number("rate", 0.001, 1_000_000, 0);
+    int closedLoopClients = a.integer("clients", 1, 100_000, 0);
+    if (a.isValid() && (requestsPerSecond > 0) == (closedLoopClients > 0)) {
       a.addError(
-          "flow " + a.positional(0) + " has " + (rate > 0 ? "a rate and clients" : "no rate"),
+          "flow "
+              + a.positional(0)
+              + " has "
+              + (requestsPerSecond > 0 ? "a rate and clients" : "no rate"),
           "rate or clients");
     }
-    boolean even = LoadArguments.word(a, "arrivals", "poisson", "poisson|even").equals("even");
-    RateShape shape = LoadArguments.shape(a);
-    int customers = a.integer("customers", 1, 1_000_000, 1);
+    boolean isEven =
+        LoadArguments.readChoice(a, "arrivals", "poisson", "poisson|even").equals("even");
+    RateShape rateShape = LoadArguments.shape(a);
+    int customerCount = a.integer("customers", 1, 1_000_000, 1);
     double skew = a.number("skew", 0, 10, 0);
     flows.add(
         new Flow(
-            request(a, a.positional(1), a.positional(2)),
-            rate,
-            shape,
-            even,
-            closed,
-            customers,
+            readRequest(a, a.positional(1), a.positional(2)),
+            requestsPerSecond,
+            rateShape,
+            isEven,
+            closedLoopClients,
+            customerCount,
             skew));
     a.rejectUnknown();
   }
 
-  private void trace(ConfigurationLine line, Path file) {
+  private void readTrace(ConfigurationLine line, Path file) {
     LineArguments a = arguments(line, 2, "trace NAME FILE [speed NUMBER] [ARGUMENT VALUE ...]");
     double speed = a.number("speed", 0.001, 1_000, 1);
     String method = a.word("method", "GET");
     String path = a.word("path", "/");
-    Path from = file.toAbsolutePath().getParent().resolve(a.positional(1));
-    if (a.isValid() && !java.nio.file.Files.isReadable(from)) {
-      a.addError("no trace " + from, "a file that can be read");
+    Path traceFile = file.toAbsolutePath().getParent().resolve(a.positional(1));
+    if (a.isValid() && !java.nio.file.Files.isReadable(traceFile)) {
+      a.addError("no trace " + traceFile, "a file that can be read");
     }
-    traces.add(new TraceReplay(request(a, method, path), from, speed));
+    traces.add(new TraceReplay(readRequest(a, method, path), traceFile, speed));
     a.rejectUnknown();
   }
 
-  private static Request request(LineArguments a, String method, String path) {
+  private static Request readRequest(LineArguments a, String method, String path) {
     if (!method.matches("[A-Z]{1,20}|")) {
       a.addError("method '" + method + "'", "letters such as GET");
     }
@@ -122,29 +129,29 @@
   }
 
   /**
-   * Reads a load file and all that it includes.
+   * Reads a load file and the files that it includes.
    *
-   * @throws ConfigurationException with every error when there is any
+   * @throws ConfigurationException with every error, when there is one
    */
   public static LoadPlan read(Path file) throws ConfigurationException {
-    LoadFile read = new LoadFile(file);
-    read.readLines(file);
-    read.addFileErrorIf(read.targets.isEmpty(), "no target", "target HOST:PORT");
-    read.addFileErrorIf(
-        read.flows.isEmpty() && read.traces.isEmpty(),
+    LoadFile loadFile = new LoadFile(file);
+    loadFile.readLines(file);
+    loadFile.addFileErrorIf(loadFile.targets.isEmpty(), "no target", "target HOST:PORT");
+    loadFile.addFileErrorIf(
+        loadFile.flows.isEmpty() && loadFile.traces.isEmpty(),
         "no flow and no trace",
         "flow NAME METHOD PATH rate NUMBER");
-    read.throwIfErrors();
+    loadFile.throwIfErrors();
     return new LoadPlan(
-        List.copyOf(read.targets),
-        read.http2,
-        read.seconds,
-        read.seed,
-        read.connections,
-        read.outstanding,
-        read.slack,
-        read.interval,
-        List.copyOf(read.flows),
-        List.copyOf(read.traces));
+        List.copyOf(loadFile.targets),
+        loadFile.http2,
+        loadFile.seconds,
+        loadFile.seed,
+        loadFile.connections,
+        loadFile.maxOutstanding,
+        loadFile.slackMicros,
+        loadFile.intervalSeconds,
+        List.copyOf(loadFile.flows),
+        List.copyOf(loadFile.traces));
   }
 }
--- a/src/main/java/fawndock/loadgen/LoadGenerator.java
+++ b/src/main/java/fawndock/loadgen/LoadGenerator.java
@@ -21,19 +21,26 @@
 import java.util.function.Consumer;
 
 /**
- * Sends what is due when it is due, whatever became of what was sent before. One event loop; at
- * most the plan's number of requests is out, and what is due beyond it is counted as not sent,
- * which makes the run unusable.
+ * Sends requests at their intended times, independently of the outcome of earlier requests. At most
+ * the plan's number of requests is in flight; requests that are due beyond it are counted as not
+ * sent, which makes the run unusable. All state is confined to one event loop; {@link #run} and
+ * {@link #stop} may be called from any thread.
  */
 public final class LoadGenerator {
-  /** How it goes, told at each interval and at the end. */
+  /** Progress of a run, reported at the end of each interval and of the run. */
   public record Progress(
-      double seconds, long due, long good, long other, int out, long p50Micros, long p99Micros) {}
+      double seconds,
+      long due,
+      long good,
+      long other,
+      int inFlight,
+      long p50Micros,
+      long p99Micros) {}
 
   private static final int HTTP2_STREAMS = 1_000;
   private static final int TICK_MILLIS = 1;
-  private static final int WARM_REQUESTS = 500;
-  static final long WARM_MILLIS = 5_000;
+  private static final int WARM_UP_REQUESTS = 500;
+  static final long WARM_UP_TIMEOUT_MILLIS = 5_000;
   private final Vertx vertx;
   private final LoadPlan plan;
   private final RequestSchedule schedule;
@@ -42,7 +49,7 @@
   private final Consumer<Progress> progressListener;
   private final Consumer<List<FlowStatistics>> intervalListener;
   private final CompletableFuture<List<FlowStatistics>> done = new CompletableFuture<>();
-  private final SplittableRandom random;
+  private final SplittableRandom closedLoopRandom;
   private long startedAtNanos;
   private double nextIntervalSeconds;
   private int requestCount;
@@ -50,19 +57,20 @@
   private int pendingRetryCount;
   private boolean isStopped;
 
-  /** Whether the run has begun: its clients may be closed at any time. */
+  /** Whether the warm-up has ended; from then on the HTTP clients may be closed at any time. */
   private boolean isWarmUpOver;
 
   /**
-   * A run that has not begun.
+   * Creates a generator without starting it.
    *
-   * @param traces read, in the order of the plan's
-   * @param interval told at each interval, before what the statistics hold of it is cleared
+   * @param traces contents of the plan's traces, in the same order
+   * @param progress receives the progress at each interval
+   * @param interval receives the statistics at each interval, before their interval data is cleared
    */
   public LoadGenerator(
       Vertx vertx,
       LoadPlan plan,
-      List<RequestTrace.Read> traces,
+      List<RequestTrace.ParsedTrace> traces,
       Consumer<Progress> progress,
       Consumer<List<FlowStatistics>> interval) {
     this.vertx = vertx;
@@ -70,7 +78,7 @@
     this.progressListener = progress;
     this.intervalListener = interval;
     schedule = new RequestSchedule(plan, traces);
-    random = new SplittableRandom(plan.seed());
+    closedLoopRandom = new SplittableRandom(plan.seed());
     plan.flows().forEach(flow -> statistics.add(new FlowStatistics()));
     plan.traces().forEach(trace -> statistics.add(new FlowStatistics()));
     for (int i = 0; i < plan.targets().size(); i++) {
@@ -85,13 +93,13 @@
               new PoolOptions()
                   .setHttp1MaxSize(plan.connections())
                   .setHttp2MaxSize(plan.connections())
-                  .setMaxWaitQueueSize(-1))); // Bounded by what may be in flight.
+                  .setMaxWaitQueueSize(-1))); // Bounded by maxOutstanding.
     }
   }
 
   /**
-   * Runs; completes when the last request has ended, with statistics for each flow and trace of the
-   * plan.
+   * Starts the run. The future completes when the last request has ended, with statistics for each
+   * flow and trace of the plan.
    */
   public CompletableFuture<List<FlowStatistics>> run() {
     vertx.runOnContext(
@@ -103,8 +111,8 @@
                   for (int i = 0; i < plan.flows().size(); i++) {
                     Flow flow = plan.flows().get(i);
                     CustomerSelector customers =
-                        new CustomerSelector(flow.customers(), flow.skew());
-                    for (int client = 0; client < flow.closed(); client++) {
+                        new CustomerSelector(flow.customerCount(), flow.skew());
+                    for (int client = 0; client < flow.closedLoopClients(); client++) {
                       runClosedLoopClient(flow, i, customers);
                     }
                   }
@@ -114,70 +122,71 @@
   }
 
   /**
-   * Asks a server of its own first. Guards against the generator's own cold start, half a second of
-   * it, in the figures; it keeps a run from its first request for that long.
+   * Sends requests to a local server first, so that the generator's own cold start of half a second
+   * does not enter the statistics. The first request of the run is delayed by that time.
    */
-  private void warmUp(Runnable then) {
-    Runnable once =
+  private void warmUp(Runnable onDone) {
+    Runnable startOnce =
         () -> {
           if (!isWarmUpOver) {
             isWarmUpOver = true;
-            then.run();
+            onDone.run();
           }
         };
     HttpServer server =
         vertx.createHttpServer().requestHandler(request -> request.response().end());
-    vertx.setTimer(WARM_MILLIS, id -> once.run());
+    vertx.setTimer(WARM_UP_TIMEOUT_MILLIS, id -> startOnce.run());
     server
         .listen(0, "127.0.0.1")
         .onSuccess(
             s ->
                 sendWarmUpRequest(
                     s.actualPort(),
-                    WARM_REQUESTS,
+                    WARM_UP_REQUESTS,
                     () -> {
                       server.close();
-                      once.run();
+                      startOnce.run();
                     }))
-        .onFailure(e -> once.run());
+        .onFailure(e -> startOnce.run());
   }
 
-  private void sendWarmUpRequest(int port, int left, Runnable then) {
-    if (left == 0 || isWarmUpOver) {
-      then.run();
+  private void sendWarmUpRequest(int port, int remaining, Runnable onDone) {
+    if (remaining == 0 || isWarmUpOver) {
+      onDone.run();
       return;
     }
     clients
         .get(0)
         .request(new RequestOptions().setHost("127.0.0.1").setPort(port).setURI("/"))
         .compose(request -> request.send())
-        .compose(answer -> answer.body())
-        .onComplete(answer -> sendWarmUpRequest(port, left - 1, then));
+        .compose(response -> response.body())
+        .onComplete(response -> sendWarmUpRequest(port, remaining - 1, onDone));
   }
 
-  /** Sends nothing new; what is in flight ends. */
+  /** Stops sending new requests; the requests in flight end as usual. */
   public void stop() {
     vertx.runOnContext(v -> isStopped = true);
   }
 
-  private long now() {
+  private long nowMicros() {
     return (System.nanoTime() - startedAtNanos) / 1_000;
   }
 
   private void sendDue() {
-    long now = now();
-    for (ScheduledRequest due = isStopped ? null : schedule.next(now);
-        due != null;
-        due = schedule.next(now)) {
-      begin(due, due.atMicros(), 1, () -> {});
+    long nowMicros = nowMicros();
+    for (ScheduledRequest scheduled = isStopped ? null : schedule.next(nowMicros);
+        scheduled != null;
+        scheduled = schedule.next(nowMicros)) {
+      startAttempt(scheduled, scheduled.atMicros(), 1, () -> {});
     }
-    boolean isOver = isStopped || (schedule.done() && now >= plan.seconds() * 1e6);
-    isOver |= plan.flows().isEmpty() && schedule.done();
-    if (now / 1e6 >= nextIntervalSeconds || (isOver && inFlightCount + pendingRetryCount == 0)) {
-      reportInterval(now / 1e6);
+    boolean isEnded = isStopped || (schedule.isExhausted() && nowMicros >= plan.seconds() * 1e6);
+    isEnded |= plan.flows().isEmpty() && schedule.isExhausted();
+    if (nowMicros / 1e6 >= nextIntervalSeconds
+        || (isEnded && inFlightCount + pendingRetryCount == 0)) {
+      reportInterval(nowMicros / 1e6);
       nextIntervalSeconds += plan.intervalSeconds();
     }
-    if (isOver && inFlightCount + pendingRetryCount == 0) {
+    if (isEnded && inFlightCount + pendingRetryCount == 0) {
       clients.forEach(HttpClient::close);
       done.complete(statistics);
     } else {
@@ -189,13 +198,13 @@
     long due = 0;
     long good = 0;
     long other = 0;
-    org.HdrHistogram.Histogram all = statistics.get(0).interval.copy();
-    for (FlowStatistics each : statistics) {
-      due += each.due;
-      good += each.good();
-      other += each.latency.getTotalCount() - each.good();
-      if (each != statistics.get(0)) {
-        all.add(each.interval);
+    org.HdrHistogram.Histogram intervalLatency = statistics.get(0).intervalLatency.copy();
+    for (FlowStatistics flowStatistics : statistics) {
+      due += flowStatistics.due;
+      good += flowStatistics.good();
+      other += flowStatistics.latency.getTotalCount() - flowStatistics.good();
+      if (flowStatistics != statistics.get(0)) {
+        intervalLatency.add(flowStatistics.intervalLatency);
       }
     }
     progressListener.accept(
@@ -205,107 +214,117 @@
             good,
             other,
             inFlightCount,
-            all.getValueAtPercentile(50),
-            all.getValueAtPercentile(99)));
+            intervalLatency.getValueAtPercentile(50),
+            intervalLatency.getValueAtPercentile(99)));
     intervalListener.accept(statistics);
-    statistics.forEach(each -> each.interval.reset());
+    statistics.forEach(flowStatistics -> flowStatistics.intervalLatency.reset());
   }
 
-  /** One client that asks again whenever it has its answer. */
-  private void runClosedLoopClient(Flow flow, int place, CustomerSelector customers) {
-    if (isStopped || now() >= plan.seconds() * 1e6) {
+  /** Runs one client that sends its next request when the previous one has ended. */
+  private void runClosedLoopClient(Flow flow, int flowIndex, CustomerSelector customers) {
+    if (isStopped || nowMicros() >= plan.seconds() * 1e6) {
       return;
     }
-    Request r = flow.request();
-    long now = now();
-    begin(
+    Request template = flow.request();
+    long nowMicros = nowMicros();
+    startAttempt(
         new ScheduledRequest(
-            now, place, r, r.method(), r.path(), RequestSchedule.key(flow, customers.draw(random))),
-        now,
+            nowMicros,
+            flowIndex,
+            template,
+            template.method(),
+            template.path(),
+            RequestSchedule.key(flow, customers.draw(closedLoopRandom))),
+        nowMicros,
         1,
-        () -> vertx.runOnContext(v -> runClosedLoopClient(flow, place, customers)));
+        () -> vertx.runOnContext(v -> runClosedLoopClient(flow, flowIndex, customers)));
   }
 
-  /** Begins one try of a request that was meant to begin at a time. */
-  private void begin(ScheduledRequest due, long intended, int tried, Runnable ended) {
-    FlowStatistics flowStatistics = statistics.get(due.flow());
+  /** Starts one attempt of a request at or after its intended start. */
+  private void startAttempt(
+      ScheduledRequest scheduled, long intendedMicros, int attemptNumber, Runnable onEnd) {
+    FlowStatistics flowStatistics = statistics.get(scheduled.flowIndex());
     flowStatistics.due++;
-    flowStatistics.retries += tried > 1 ? 1 : 0;
-    if (inFlightCount >= plan.outstanding()) {
-      flowStatistics.unsent++;
-      ended.run();
+    flowStatistics.retries += attemptNumber > 1 ? 1 : 0;
+    if (inFlightCount >= plan.maxOutstanding()) {
+      flowStatistics.notSent++;
+      onEnd.run();
       return;
     }
-    if (now() - intended > plan.slackMicros()) {
-      flowStatistics.late++;
+    if (nowMicros() - intendedMicros > plan.slackMicros()) {
+      flowStatistics.sentLate++;
     }
     inFlightCount++;
-    new LoadAttempt(due, intended, tried, ended, flowStatistics).send();
+    new LoadAttempt(scheduled, intendedMicros, attemptNumber, onEnd, flowStatistics).send();
   }
 
   private final class LoadAttempt {
-    private final ScheduledRequest due;
-    private final long intended;
-    private final int tried;
-    private final Runnable ended;
+    private final ScheduledRequest scheduled;
+    private final long intendedMicros;
+    private final int attemptNumber;
+    private final Runnable onEnd;
     private final FlowStatistics flowStatistics;
-    private long sentAt;
+    private long sentAtMicros;
     private HttpClientRequest request;
-    private boolean isOver;
+    private boolean isEnded;
 
     LoadAttempt(
-        ScheduledRequest due,
-        long intended,
-        int tried,
-        Runnable ended,
+        ScheduledRequest scheduled,
+        long intendedMicros,
+        int attemptNumber,
+        Runnable onEnd,
         FlowStatistics flowStatistics) {
-      this.due = due;
-      this.intended = intended;
-      this.tried = tried;
-      this.ended = ended;
+      this.scheduled = scheduled;
+      this.intendedMicros = intendedMicros;
+      this.attemptNumber = attemptNumber;
+      this.onEnd = onEnd;
       this.flowStatistics = flowStatistics;
     }
 
     void send() {
       int target = requestCount++ % plan.targets().size();
       Address address = plan.targets().get(target);
-      long leaveIn = intended + due.request().manners().giveUpMicros() - now();
-      long timer = vertx.setTimer(Math.max(1, (leaveIn + 999) / 1_000), id -> giveUp());
+      long remainingMicros =
+          intendedMicros + scheduled.request().clientBehavior().giveUpMicros() - nowMicros();
+      long timer = vertx.setTimer(Math.max(1, (remainingMicros + 999) / 1_000), id -> giveUp());
       RequestOptions options =
           new RequestOptions()
               .setHost(address.host())
               .setPort(address.port())
-              .setMethod(HttpMethod.valueOf(due.method()))
-              .setURI(due.path());
-      if (!due.key().isEmpty()) {
-        options.putHeader("x-api-key", due.key());
+              .setMethod(HttpMethod.valueOf(scheduled.method()))
+              .setURI(scheduled.path());
+      if (!scheduled.key().isEmpty()) {
+        options.putHeader("x-api-key", scheduled.key());
       }
       options.putHeader(
-          "x-envoy-expected-rq-timeout-ms", Long.toString(Math.max(1, leaveIn / 1_000)));
+          "x-envoy-expected-rq-timeout-ms", Long.toString(Math.max(1, remainingMicros / 1_000)));
       clients
           .get(target)
           .request(options)
           .compose(
-              made -> {
-                request = made;
-                sentAt = now();
-                made.exceptionHandler(e -> {}); // Told by what is composed below.
-                if (isOver) { // The client left while it waited for a connection.
-                  made.reset();
+              createdRequest -> {
+                request = createdRequest;
+                sentAtMicros = nowMicros();
+                createdRequest.exceptionHandler(
+                    e -> {}); // The handlers composed below report the error.
+                if (isEnded) { // The client gave up while it waited for a connection.
+                  createdRequest.reset();
                 }
-                return due.request().bodyBytes() == 0
-                    ? made.send()
-                    : made.send(Buffer.buffer(new byte[due.request().bodyBytes()]));
+                return scheduled.request().bodyBytes() == 0
+                    ? createdRequest.send()
+                    : createdRequest.send(Buffer.buffer(new byte[scheduled.request().bodyBytes()]));
               })
-          .compose(answer -> answer.body().map(body -> answer))
+          .compose(response -> response.body().map(body -> response))
           .onComplete(
-              answer -> {
+              response -> {
                 vertx.cancelTimer(timer);
-                if (answer.succeeded()) {
-                  String wait = answer.result().getHeader("retry-after");
+                if (response.succeeded()) {
+                  String retryAfterHeader = response.result().getHeader("retry-after");
                   complete(
-                      answer.result().statusCode(),
-                      wait != null && wait.matches("[0-9]{1,9}") ? Long.parseLong(wait) : 0);
+                      response.result().statusCode(),
+                      retryAfterHeader != null && retryAfterHeader.matches("[0-9]{1,9}")
+                          ? Long.parseLong(retryAfterHeader)
+                          : 0);
                 } else {
                   complete(0, 0);
                 }
@@ -313,47 +332,52 @@
     }
 
     private void giveUp() {
-      if (isOver) {
+      if (isEnded) {
         return;
       }
-      isOver = true;
+      isEnded = true;
       inFlightCount--;
-      flowStatistics.left(now() - intended);
+      flowStatistics.recordAbandoned(nowMicros() - intendedMicros);
       if (request != null) {
         request.reset();
       }
       retryOrFinish(0, 0);
     }
 
-    private void complete(int status, long retryAfter) {
-      if (isOver) {
+    private void complete(int status, long retryAfterSeconds) {
+      if (isEnded) {
         return;
       }
-      isOver = true;
+      isEnded = true;
       inFlightCount--;
-      long now = now();
+      long nowMicros = nowMicros();
       if (status == 0) {
-        flowStatistics.failed(now - intended);
+        flowStatistics.recordFailure(nowMicros - intendedMicros);
       } else {
-        flowStatistics.answered(status, now - intended, now - sentAt);
+        flowStatistics.recordResponse(status, nowMicros - intendedMicros, nowMicros - sentAtMicros);
       }
-      retryOrFinish(status, retryAfter);
+      retryOrFinish(status, retryAfterSeconds);
     }
 
-    private void retryOrFinish(int status, long retryAfter) {
-      long wait =
-          isStopped ? -1 : due.request().manners().retryDelayMicros(status, retryAfter, tried);
-      if (wait < 0) {
-        ended.run();
+    private void retryOrFinish(int status, long retryAfterSeconds) {
+      long delayMicros =
+          isStopped
+              ? -1
+              : scheduled
+                  .request()
+                  .clientBehavior()
+                  .retryDelayMicros(status, retryAfterSeconds, attemptNumber);
+      if (delayMicros < 0) {
+        onEnd.run();
         return;
       }
       pendingRetryCount++;
-      long at = now() + wait;
+      long retryMicros = nowMicros() + delayMicros;
       vertx.setTimer(
-          Math.max(1, wait / 1_000),
+          Math.max(1, delayMicros / 1_000),
           id -> {
             pendingRetryCount--;
-            begin(due, at, tried + 1, ended);
+            startAttempt(scheduled, retryMicros, attemptNumber + 1, onEnd);
           });
     }
   }
--- a/src/main/java/fawndock/loadgen/LoadPlan.java
+++ b/src/main/java/fawndock/loadgen/LoadPlan.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /**
- * All that a load file says.
+ * The contents of a load file. Immutable.
  *
- * @param targets asked in turns
- * @param http2 over cleartext, by prior knowledge; else HTTP/1.1
- * @param seconds how long requests begin
- * @param connections to each target
- * @param outstanding requests at once, beyond which those that are due are not sent and the run is
- *     unusable
- * @param slackMicros by which a request may leave late before it counts as one that the generator
- *     could not keep up with
- * @param intervalSeconds between the lines that tell how it goes
- * @param flows of requests
- * @param traces recorded requests that are played again
+ * @param targets addresses that receive the requests in round-robin order
+ * @param http2 whether to use HTTP/2 over cleartext with prior knowledge; otherwise HTTP/1.1
+ * @param seconds time during which requests start
+ * @param seed random seed of the load
+ * @param connections maximum number of connections to each target
+ * @param maxOutstanding maximum number of requests in flight; requests that are due beyond it are
+ *     not sent, which makes the run unusable
+ * @param slackMicros delay after its intended start beyond which a request counts as sent late
+ * @param intervalSeconds time between two progress reports
+ * @param flows generated requests
+ * @param traces recorded requests to replay
  */
 public record LoadPlan(
     List<Address> targets,
@@ -25,37 +25,43 @@
     double seconds,
     long seed,
     int connections,
-    int outstanding,
+    int maxOutstanding,
     long slackMicros,
     double intervalSeconds,
     List<Flow> flows,
     List<TraceReplay> traces) {
-  /** What the requests of a flow or a trace have in common. */
+  /** Properties that all requests of a flow or a trace share. */
   public record Request(
-      String name, String method, String path, String key, int bodyBytes, ClientBehavior manners) {}
+      String name,
+      String method,
+      String path,
+      String key,
+      int bodyBytes,
+      ClientBehavior clientBehavior) {}
 
   /**
-   * Requests that are drawn.
+   * Requests that are generated at random.
    *
-   * @param rate a second
-   * @param even equal gaps, else Poisson
-   * @param closed when above 0, so many clients that each ask when they have their answer, and no
-   *     rate
-   * @param skew of the customers' shares
+   * @param requestsPerSecond base rate
+   * @param isEven whether arrivals have equal gaps; otherwise they are Poisson
+   * @param closedLoopClients number of clients that each send a request when the previous one has
+   *     ended, in place of a rate; 0 for an open load
+   * @param customerCount number of customers
+   * @param skew exponent of the Zipf distribution of the customers' shares
    */
   public record Flow(
       Request request,
-      double rate,
+      double requestsPerSecond,
       RateShape shape,
-      boolean even,
-      int closed,
-      int customers,
+      boolean isEven,
+      int closedLoopClients,
+      int customerCount,
       double skew) {}
 
   /**
-   * Requests that were recorded.
+   * Recorded requests to replay.
    *
-   * @param speed at which they are played, 1 for as they were
+   * @param speed factor on the speed of the replay, 1 for the recorded speed
    */
   public record TraceReplay(Request request, Path file, double speed) {}
 }
--- a/src/main/java/fawndock/loadgen/RateShape.java
+++ b/src/main/java/fawndock/loadgen/RateShape.java
@@ -1,58 +1,59 @@
 package fawndock.loadgen;
 
 /**
- * How a flow's rate goes over time, as a factor on its rate; times in seconds from the start of the
- * run.
+ * The course of a flow's rate over time, as a factor on its base rate. Times are in seconds from
+ * the start of the run. Implementations are immutable.
  */
 public sealed interface RateShape {
-  /** The factor at a time, from 0. */
-  double at(double seconds);
+  /** Returns the factor at a time, at least 0. */
+  double factorAt(double seconds);
 
-  /** The same rate all along. */
+  /** A constant rate. */
   record Constant() implements RateShape {
     @Override
-    public double at(double seconds) {
+    public double factorAt(double seconds) {
       return 1;
     }
   }
 
   /**
-   * A wave around the rate.
+   * A sine wave around the base rate.
    *
-   * @param period seconds, above 0
-   * @param depth of the rate, 0 to 1
+   * @param periodSeconds period, above 0
+   * @param depth amplitude as a fraction of the base rate, 0 to 1
    */
-  record SineWave(double period, double depth) implements RateShape {
+  record SineWave(double periodSeconds, double depth) implements RateShape {
     @Override
-    public double at(double seconds) {
-      return 1 + depth * Math.sin(2 * Math.PI * seconds / period);
+    public double factorAt(double seconds) {
+      return 1 + depth * Math.sin(2 * Math.PI * seconds / periodSeconds);
     }
   }
 
   /**
-   * A sudden jump, and back when there is an end.
+   * A step to another rate, and optionally back.
    *
-   * @param from seconds
-   * @param until seconds; infinite for never
-   * @param times the rate
+   * @param fromSeconds start of the step
+   * @param untilSeconds end of the step; infinite for none
+   * @param factor factor on the base rate during the step
    */
-  record TemporaryStep(double from, double until, double times) implements RateShape {
+  record TemporaryStep(double fromSeconds, double untilSeconds, double factor)
+      implements RateShape {
     @Override
-    public double at(double seconds) {
-      return seconds >= from && seconds < until ? times : 1;
+    public double factorAt(double seconds) {
+      return seconds >= fromSeconds && seconds < untilSeconds ? factor : 1;
     }
   }
 
   /**
-   * Bursts with nothing between them.
+   * Bursts at the base rate, without requests between them.
    *
-   * @param on seconds of each burst, above 0
-   * @param off seconds between two
+   * @param onSeconds duration of a burst, above 0
+   * @param offSeconds pause between two bursts
    */
-  record OnOff(double on, double off) implements RateShape {
+  record OnOff(double onSeconds, double offSeconds) implements RateShape {
     @Override
-    public double at(double seconds) {
-      return seconds % (on + off) < on ? 1 : 0;
+    public double factorAt(double seconds) {
+      return seconds % (onSeconds + offSeconds) < onSeconds ? 1 : 0;
     }
   }
 }
--- a/src/main/java/fawndock/loadgen/RequestSchedule.java
+++ b/src/main/java/fawndock/loadgen/RequestSchedule.java
@@ -9,110 +9,120 @@
 import java.util.SplittableRandom;
 
 /**
- * All that is due, of all flows and traces, in the order of its times; those of the same time in
- * the order of the file.
+ * The requests of all flows and traces in the order of their intended starts; requests of the same
+ * time are in the order of the load file. Not thread-safe.
  */
 final class RequestSchedule {
   /**
-   * A request that is due.
+   * A request with its intended start.
    *
-   * @param atMicros from the start of the run
-   * @param flow its place in the file, flows first
+   * @param atMicros intended start, from the start of the run
+   * @param flowIndex index of the flow or trace in the load file, flows first
    */
   record ScheduledRequest(
-      long atMicros, int flow, Request request, String method, String path, String key) {}
+      long atMicros, int flowIndex, Request request, String method, String path, String key) {}
 
   private interface RequestSource {
     ScheduledRequest next();
   }
 
-  private record NextRequest(ScheduledRequest due, RequestSource from) {}
+  private record QueuedRequest(ScheduledRequest scheduled, RequestSource source) {}
 
-  private final PriorityQueue<NextRequest> heads =
+  private final PriorityQueue<QueuedRequest> queue =
       new PriorityQueue<>(
           (a, b) ->
-              a.due.atMicros != b.due.atMicros
-                  ? Long.compare(a.due.atMicros, b.due.atMicros)
-                  : Integer.compare(a.due.flow, b.due.flow));
+              a.scheduled.atMicros != b.scheduled.atMicros
+                  ? Long.compare(a.scheduled.atMicros, b.scheduled.atMicros)
+                  : Integer.compare(a.scheduled.flowIndex, b.scheduled.flowIndex));
 
   /**
-   * @param traces read, in the order of the plan's
+   * @param traces contents of the plan's traces, in the same order
    */
-  RequestSchedule(LoadPlan plan, List<RequestTrace.Read> traces) {
-    List<RequestSource> all = new ArrayList<>();
+  RequestSchedule(LoadPlan plan, List<RequestTrace.ParsedTrace> traces) {
+    List<RequestSource> sources = new ArrayList<>();
     for (int i = 0; i < plan.flows().size(); i++) {
       Flow flow = plan.flows().get(i);
-      if (flow.closed() == 0) {
-        all.add(drawn(flow, i, plan.seconds(), new SplittableRandom(plan.seed() * 1_000 + i)));
+      if (flow.closedLoopClients() == 0) {
+        sources.add(
+            generatedSource(
+                flow, i, plan.seconds(), new SplittableRandom(plan.seed() * 1_000 + i)));
       }
     }
     for (int i = 0; i < traces.size(); i++) {
-      all.add(played(plan.traces().get(i), traces.get(i), plan.flows().size() + i, plan.seconds()));
+      sources.add(
+          replaySource(
+              plan.traces().get(i), traces.get(i), plan.flows().size() + i, plan.seconds()));
     }
-    all.forEach(this::refill);
+    sources.forEach(this::enqueueNext);
   }
 
-  private static RequestSource drawn(
-      Flow flow, int place, double seconds, SplittableRandom random) {
+  private static RequestSource generatedSource(
+      Flow flow, int flowIndex, double seconds, SplittableRandom random) {
     ArrivalProcess arrivals =
-        new ArrivalProcess(flow.rate(), flow.shape(), flow.even(), seconds, random.split());
-    CustomerSelector customers = new CustomerSelector(flow.customers(), flow.skew());
-    Request r = flow.request();
+        new ArrivalProcess(
+            flow.requestsPerSecond(), flow.shape(), flow.isEven(), seconds, random.split());
+    CustomerSelector customers = new CustomerSelector(flow.customerCount(), flow.skew());
+    Request template = flow.request();
     return () -> {
-      long at = arrivals.nextMicros();
-      return at < 0
+      long atMicros = arrivals.nextMicros();
+      return atMicros < 0
           ? null
           : new ScheduledRequest(
-              at, place, r, r.method(), r.path(), key(flow, customers.draw(random)));
+              atMicros,
+              flowIndex,
+              template,
+              template.method(),
+              template.path(),
+              key(flow, customers.draw(random)));
     };
   }
 
-  /** The key of one of a flow's customers. */
+  /** Returns the API key of a customer of a flow. */
   static String key(Flow flow, int customer) {
-    return flow.customers() == 1 ? flow.request().key() : flow.request().key() + customer;
+    return flow.customerCount() == 1 ? flow.request().key() : flow.request().key() + customer;
   }
 
-  private static RequestSource played(
-      TraceReplay played, RequestTrace.Read read, int place, double seconds) {
-    Request r = played.request();
-    int[] next = {0};
+  private static RequestSource replaySource(
+      TraceReplay replay, RequestTrace.ParsedTrace trace, int flowIndex, double seconds) {
+    Request template = replay.request();
+    int[] nextIndex = {0};
     return () -> {
-      if (next[0] == read.entries().size()) {
+      if (nextIndex[0] == trace.entries().size()) {
         return null;
       }
-      RequestTrace.Entry e = read.entries().get(next[0]++);
-      long at = (long) (e.atMicros() / played.speed());
-      return at >= seconds * 1e6
+      RequestTrace.Entry entry = trace.entries().get(nextIndex[0]++);
+      long atMicros = (long) (entry.atMicros() / replay.speed());
+      return atMicros >= seconds * 1e6
           ? null
           : new ScheduledRequest(
-              at,
-              place,
-              r,
-              e.method().isEmpty() ? r.method() : e.method(),
-              e.path().isEmpty() ? r.path() : e.path(),
-              e.key().isEmpty() ? r.key() : r.key() + e.key());
+              atMicros,
+              flowIndex,
+              template,
+              entry.method().isEmpty() ? template.method() : entry.method(),
+              entry.path().isEmpty() ? template.path() : entry.path(),
+              entry.key().isEmpty() ? template.key() : template.key() + entry.key());
     };
   }
 
-  private void refill(RequestSource from) {
-    ScheduledRequest due = from.next();
-    if (due != null) {
-      heads.add(new NextRequest(due, from));
+  private void enqueueNext(RequestSource source) {
+    ScheduledRequest scheduled = source.next();
+    if (scheduled != null) {
+      queue.add(new QueuedRequest(scheduled, source));
     }
   }
 
-  /** The next that is due by a time, or null. */
+  /** Removes and returns the next request that is due by a time, or null. */
   ScheduledRequest next(long untilMicros) {
-    NextRequest head = heads.peek();
-    if (head == null || head.due.atMicros > untilMicros) {
+    QueuedRequest first = queue.peek();
+    if (first == null || first.scheduled.atMicros > untilMicros) {
       return null;
     }
-    heads.poll();
-    refill(head.from);
-    return head.due;
+    queue.poll();
+    enqueueNext(first.source);
+    return first.scheduled;
   }
 
-  boolean done() {
-    return heads.isEmpty();
+  boolean isExhausted() {
+    return queue.isEmpty();
   }
 }
--- a/src/main/java/fawndock/loadgen/RequestTrace.java
+++ b/src/main/java/fawndock/loadgen/RequestTrace.java
@@ -20,62 +20,65 @@
 import java.util.Map;
 
 /**
- * Recorded requests, each with when it began: a CSV file with the columns {@code at} (seconds),
- * {@code method}, {@code path} and {@code key}, of which only the first must be there, or a
- * gateway's log in JSON. Bursts stay as they were, to the microsecond.
+ * Reads recorded requests with their start times from a trace. A trace is a CSV file with the
+ * columns {@code at} (seconds), {@code method}, {@code path} and {@code key}, of which only the
+ * first is required, or a gateway's log in JSON. Start times keep a resolution of one microsecond,
+ * which preserves bursts.
  */
 public final class RequestTrace {
   /**
-   * One request.
+   * A recorded request. An empty method, path or key stands for the value in the load file.
    *
-   * @param atMicros from the first of the trace
-   * @param method or empty for what the load file says; so are path and key
+   * @param atMicros start time, from the first request of the trace
    */
   public record Entry(long atMicros, String method, String path, String key) {}
 
   /**
-   * What was read.
+   * The contents of a trace.
    *
-   * @param entries in the order of their times, those of the same time as they stood
-   * @param moved how many did not stand in that order
-   * @param skipped lines of a log that are not of an answer
+   * @param entries requests sorted by start time; requests of the same time keep the file's order
+   * @param outOfOrderCount number of requests that the file has later than a request with a later
+   *     start
+   * @param skippedLineCount number of log lines that do not describe a response
    */
-  public record Read(List<Entry> entries, int moved, int skipped) {}
+  public record ParsedTrace(List<Entry> entries, int outOfOrderCount, int skippedLineCount) {}
 
-  /** Beyond it a trace is refused, so that memory has a bound. */
-  public static final int MOST = 5_000_000;
+  /** Maximum number of requests in a trace, which bounds the memory. */
+  public static final int MAX_ENTRIES = 5_000_000;
 
-  private static final BigDecimal MICROS = BigDecimal.valueOf(1_000_000);
+  private static final BigDecimal MICROS_PER_SECOND = BigDecimal.valueOf(1_000_000);
 
   private RequestTrace() {}
 
   /**
    * Reads a trace.
    *
-   * @throws IOException that tells the line and what is wrong with it
+   * @throws IOException when the trace is invalid, with the line and the reason
    */
-  public static Read read(BufferedReader from, String name) throws IOException {
-    from.mark(1 << 16);
-    int first = from.read();
-    from.reset();
+  public static ParsedTrace read(BufferedReader reader, String name) throws IOException {
+    reader.mark(1 << 16);
+    int firstChar = reader.read();
+    reader.reset();
     List<Entry> entries = new ArrayList<>();
-    int skipped = first == '{' ? log(from, name, entries) : csv(from, name, entries);
+    int skippedLineCount =
+        firstChar == '{' ? readLog(reader, name, entries) : readCsv(reader, name, entries);
     if (entries.isEmpty()) {
       throw new IOException(name + ": no requests in it, expected at least one");
     }
-    int moved = 0;
-    long latest = Long.MIN_VALUE;
-    for (Entry each : entries) {
-      moved += each.atMicros < latest ? 1 : 0;
-      latest = Math.max(latest, each.atMicros);
+    int outOfOrderCount = 0;
+    long latestMicros = Long.MIN_VALUE;
+    for (Entry entry : entries) {
+      outOfOrderCount += entry.atMicros < latestMicros ? 1 : 0;
+      latestMicros = Math.max(latestMicros, entry.atMicros);
     }
     entries.sort(Comparator.comparingLong(Entry::atMicros));
-    long begin = entries.get(0).atMicros;
-    entries.replaceAll(e -> new Entry(e.atMicros - begin, e.method, e.path, e.key));
-    return new Read(entries, moved, skipped);
+    long startMicros = entries.get(0).atMicros;
+    entries.replaceAll(e -> new Entry(e.atMicros - startMicros, e.method, e.path, e.key));
+    return new ParsedTrace(entries, outOfOrderCount, skippedLineCount);
   }
 
-  private static int csv(BufferedReader from, String name, List<Entry> into) throws IOException {
+  private static int readCsv(BufferedReader reader, String name, List<Entry> entries)
+      throws IOException {
     CsvSchema schema = CsvSchema.emptySchema().withHeader();
     try (MappingIterator<Map<String, String>> rows =
         new CsvMapper()
@@ -83,7 +86,7 @@
             .enable(CsvParser.Feature.SKIP_EMPTY_LINES)
             .readerForMapOf(String.class)
             .with(schema)
-            .readValues(from)) {
+            .readValues(reader)) {
       while (rows.hasNextValue()) {
         int line = rows.getCurrentLocation().getLineNr();
         Map<String, String> row = rows.nextValue();
@@ -94,10 +97,10 @@
         }
         try {
           add(
-              into,
+              entries,
               name,
               new Entry(
-                  new BigDecimal(at).multiply(MICROS).longValueExact(),
+                  new BigDecimal(at).multiply(MICROS_PER_SECOND).longValueExact(),
                   row.getOrDefault("method", ""),
                   row.getOrDefault("path", ""),
                   row.getOrDefault("key", "")));
@@ -124,42 +127,43 @@
     return 0;
   }
 
-  private static int log(BufferedReader from, String name, List<Entry> into) throws IOException {
+  private static int readLog(BufferedReader reader, String name, List<Entry> entries)
+      throws IOException {
     ObjectMapper json = new ObjectMapper();
-    int skipped = 0;
-    int number = 0;
-    for (String line = from.readLine(); line != null; line = from.readLine()) {
-      number++;
+    int skippedLineCount = 0;
+    int lineNumber = 0;
+    for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+      lineNumber++;
       try {
         JsonNode event = json.readTree(line);
-        JsonNode took = event.path("took_us");
-        JsonNode stamp = event.path("@timestamp");
-        if (!took.isNumber() || !stamp.isTextual()) {
-          skipped++;
+        JsonNode durationMicros = event.path("took_us");
+        JsonNode timestamp = event.path("@timestamp");
+        if (!durationMicros.isNumber() || !timestamp.isTextual()) {
+          skippedLineCount++;
           continue;
         }
-        Instant end = OffsetDateTime.parse(stamp.asText()).toInstant();
+        Instant endTime = OffsetDateTime.parse(timestamp.asText()).toInstant();
         add(
-            into,
+            entries,
             name,
             new Entry(
-                ChronoUnit.MICROS.between(Instant.EPOCH, end) - took.asLong(),
+                ChronoUnit.MICROS.between(Instant.EPOCH, endTime) - durationMicros.asLong(),
                 "",
                 "",
                 event.path("customer").asText("")));
       } catch (JsonProcessingException | DateTimeException e) {
         throw new IOException(
-            name + ":" + number + ": not an event of a log, expected JSON with @timestamp", e);
+            name + ":" + lineNumber + ": not an event of a log, expected JSON with @timestamp", e);
       }
     }
-    return skipped;
+    return skippedLineCount;
   }
 
-  private static void add(List<Entry> into, String name, Entry entry) throws IOException {
-    if (into.size() >= MOST) {
+  private static void add(List<Entry> entries, String name, Entry entry) throws IOException {
+    if (entries.size() >= MAX_ENTRIES) {
       throw new IOException(
-          name + ": more than " + MOST + " requests, expected fewer; cut the trace");
+          name + ": more than " + MAX_ENTRIES + " requests, expected fewer; cut the trace");
     }
-    into.add(entry);
+    entries.add(entry);
   }
 }
--- a/src/main/java/fawndock/loadgen/package-info.java
+++ b/src/main/java/fawndock/loadgen/package-info.java
@@ -1,8 +1,7 @@
 /**
- * The load generator: arrivals that wait for no answer, clients that behave as people describe
- * theirs, and what became of each request counted from when it was meant to start. {@code
- * RateShape}, {@code ArrivalProcess}, {@code CustomerSelector}, {@code ClientBehavior} and {@code
- * RequestTrace} decide, free of I/O and clock; {@code LoadGenerator} sends. It knows nothing of a
- * gateway.
+ * The open-loop load generator. Arrivals do not wait for responses, and latencies count from the
+ * intended start of each request. {@code RateShape}, {@code ArrivalProcess}, {@code
+ * CustomerSelector}, {@code ClientBehavior} and {@code RequestTrace} compute the load without
+ * network or clock; {@code LoadGenerator} sends it. The package does not depend on the gateway.
  */
 package fawndock.loadgen;
--- a/src/test/java/fawndock/loadgen/GeneratorTest.java
+++ b/src/test/java/fawndock/loadgen/GeneratorTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Runs the load generator against local HTTP servers. */
 class GeneratorTest {
   @TempDir private Path directory;
   private final Vertx vertx = Vertx.vertx();
@@ -37,13 +38,15 @@
 
   private List<FlowStatistics> run(int port, String... lines) throws Exception {
     LoadPlan plan = plan(port, lines);
-    List<RequestTrace.Read> traces = new ArrayList<>();
-    for (LoadPlan.TraceReplay each : plan.traces()) {
-      try (java.io.BufferedReader from = Files.newBufferedReader(each.file())) {
-        traces.add(RequestTrace.read(from, "trace"));
+    List<RequestTrace.ParsedTrace> traces = new ArrayList<>();
+    for (LoadPlan.TraceReplay replay : plan.traces()) {
+      try (java.io.BufferedReader reader = Files.newBufferedReader(replay.file())) {
+        traces.add(RequestTrace.read(reader, "trace"));
       }
     }
-    return new LoadGenerator(vertx, plan, traces, p -> {}, t -> {}).run().get(60, TimeUnit.SECONDS);
+    return new LoadGenerator(vertx, plan, traces, progress -> {}, statistics -> {})
+        .run()
+        .get(60, TimeUnit.SECONDS);
   }
 
   private int serve(io.vertx.core.Handler<HttpServerRequest> handler) throws Exception {
@@ -58,32 +61,33 @@
   }
 
   /**
-   * While the target stands still, what is due goes on; a closed loop beside it asks once, and
-   * hides the others.
+   * While the target is stalled, the open-loop flow keeps sending, and its latencies include the
+   * stall. The closed-loop flow sends one request during the stall, so its latencies would hide the
+   * stall of the others.
    */
   @Test
-  void aStalledTargetHidesNothing() throws Exception {
-    List<HttpServerRequest> held = new ArrayList<>();
-    List<Long> arrived = new ArrayList<>();
-    int[] closed = {0, 0};
-    long[] released = {0};
+  void stalledTarget_isVisibleInTheLatenciesOfTheOpenLoop() throws Exception {
+    List<HttpServerRequest> heldRequests = new ArrayList<>();
+    List<Long> arrivalMicros = new ArrayList<>();
+    int[] closedLoopRequests = {0, 0};
+    long[] releaseMicros = {0};
     int port =
         serve(
             request -> {
               if (request.path().equals("/closed")) {
-                closed[0]++;
-              } else if (released[0] == 0) {
-                arrived.add(System.nanoTime() / 1_000);
+                closedLoopRequests[0]++;
+              } else if (releaseMicros[0] == 0) {
+                arrivalMicros.add(System.nanoTime() / 1_000);
               }
-              if (released[0] > 0) {
+              if (releaseMicros[0] > 0) {
                 request.response().end();
                 return;
               }
-              held.add(request);
-              if (arrived.size() == 150) {
-                released[0] = System.nanoTime() / 1_000;
-                closed[1] = closed[0];
-                held.forEach(each -> each.response().end());
+              heldRequests.add(request);
+              if (arrivalMicros.size() == 150) {
+                releaseMicros[0] = System.nanoTime() / 1_000;
+                closedLoopRequests[1] = closedLoopRequests[0];
+                heldRequests.forEach(held -> held.response().end());
               }
             });
     List<FlowStatistics> all =
@@ -94,23 +98,28 @@
             "flow open GET /open rate 200",
             "flow closed GET /closed clients 1");
     FlowStatistics open = all.get(0);
-    assertEquals(1, closed[1], "asked by the closed loop while the target stood still");
+    assertEquals(
+        1, closedLoopRequests[1], "requests of the closed loop while the target is stalled");
     assertEquals(open.due, open.latency.getTotalCount());
     assertEquals(open.due, open.good());
     for (int i = 0;
-        i < arrived.size();
-        i++) { // The i-th longest is at least as long as the target held the i-th.
-      long at = open.latency.getValueAtPercentile(100.0 * (open.due - i - 0.5) / open.due);
+        i < arrivalMicros.size();
+        i++) { // The i-th longest latency is at least as long as the target held the i-th request.
+      long latencyMicros =
+          open.latency.getValueAtPercentile(100.0 * (open.due - i - 0.5) / open.due);
       assertTrue(
-          1.002 * at >= released[0] - arrived.get(i),
-          i + ": " + at + " us, held " + (released[0] - arrived.get(i)));
+          1.002 * latencyMicros >= releaseMicros[0] - arrivalMicros.get(i),
+          i + ": " + latencyMicros + " us, held " + (releaseMicros[0] - arrivalMicros.get(i)));
     }
     assertTrue(all.get(1).good() > 1);
   }
 
-  /** The run begins when the time for the warm-up is over, and may end before its last request. */
+  /**
+   * The run starts when the warm-up times out, and may then end before the last warm-up request.
+   * Ending the run closes the HTTP clients that the warm-up still uses, which must cause no error.
+   */
   @Test
-  void warmUpThatTakesTooLong_endsWithTheRunWithoutAnError() throws Exception {
+  void warmUpThatTimesOut_endsWithTheRunWithoutAnError() throws Exception {
     Vertx oneLoop = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     List<Throwable> unhandled = new CopyOnWriteArrayList<>();
     oneLoop.exceptionHandler(unhandled::add);
@@ -119,8 +128,8 @@
           new LoadGenerator(
               oneLoop, plan(1, "flow any GET / rate 1"), List.of(), progress -> {}, all -> {});
       var done = generator.run();
-      generator.stop(); // The run ends as soon as it has begun.
-      oneLoop.runOnContext(v -> holdUp(LoadGenerator.WARM_MILLIS + 100));
+      generator.stop(); // The run ends as soon as it has started.
+      oneLoop.runOnContext(v -> blockThread(LoadGenerator.WARM_UP_TIMEOUT_MILLIS + 100));
       done.get(20, TimeUnit.SECONDS);
     } finally {
       oneLoop.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
@@ -128,7 +137,7 @@
     assertEquals(List.of(), unhandled);
   }
 
-  private static void holdUp(long millis) {
+  private static void blockThread(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
@@ -137,106 +146,109 @@
   }
 
   @Test
-  void clientsLeaveATargetThatNeverReads() throws Exception {
-    try (ServerSocket deaf = new ServerSocket(0)) {
-      FlowStatistics tally =
+  void unresponsiveTarget_isAbandonedAfterGiveUp() throws Exception {
+    try (ServerSocket unresponsive = new ServerSocket(0)) {
+      FlowStatistics statistics =
           run(
-                  deaf.getLocalPort(),
+                  unresponsive.getLocalPort(),
                   "for 300ms",
                   "connections 8",
                   "flow f POST /x rate 100 arrivals even body 4194304 give-up 50ms")
               .get(0);
-      assertEquals(30.0, (double) tally.due, 1);
-      assertEquals(tally.due, tally.left);
-      assertEquals(tally.due, tally.latency.getTotalCount());
-      assertTrue(tally.latency.getMinValue() >= 49_000, "they waited as long as they do");
+      assertEquals(30.0, (double) statistics.due, 1);
+      assertEquals(statistics.due, statistics.abandoned);
+      assertEquals(statistics.due, statistics.latency.getTotalCount());
+      assertTrue(
+          statistics.latency.getMinValue() >= 49_000, "the clients waited until they gave up");
     }
   }
 
   @Test
-  void refusedConnectionsAreTriedAsOftenAsTheClientsDo() throws Exception {
-    int closed;
+  void refusedConnections_areRetriedUpToMaxAttempts() throws Exception {
+    int closedPort;
     try (ServerSocket free = new ServerSocket(0)) {
-      closed = free.getLocalPort();
+      closedPort = free.getLocalPort();
     }
-    FlowStatistics tally =
-        run(closed, "for 200ms", "flow f GET /x rate 100 arrivals even retry at-once tries 3")
+    FlowStatistics statistics =
+        run(closedPort, "for 200ms", "flow f GET /x rate 100 arrivals even retry at-once tries 3")
             .get(0);
-    assertEquals(3 * (tally.due - tally.retries), tally.due);
-    assertEquals(tally.due, tally.failed);
-    assertTrue(tally.due >= 3 * 18);
+    assertEquals(3 * (statistics.due - statistics.retries), statistics.due);
+    assertEquals(statistics.due, statistics.failed);
+    assertTrue(statistics.due >= 3 * 18);
   }
 
   @Test
-  void whatIsNotSentMakesTheRunUnusable() throws Exception {
-    try (ServerSocket deaf = new ServerSocket(0)) {
-      FlowStatistics tally =
+  void unsentAndLateRequests_makeTheRunUnusable() throws Exception {
+    try (ServerSocket unresponsive = new ServerSocket(0)) {
+      FlowStatistics statistics =
           run(
-                  deaf.getLocalPort(),
+                  unresponsive.getLocalPort(),
                   "for 200ms",
                   "outstanding 5",
                   "flow f GET /x rate 1000 give-up 1s")
               .get(0);
-      assertEquals(5, tally.left);
-      assertEquals(tally.due - 5, tally.unsent);
-      assertTrue(tally.unusable());
+      assertEquals(5, statistics.abandoned);
+      assertEquals(statistics.due - 5, statistics.notSent);
+      assertTrue(statistics.isUnusable());
     }
-    int[] first = {0};
+    int[] intervalCount = {0};
     int port = serve(request -> request.response().end());
     LoadPlan plan = plan(port, "for 1s", "slack 1ms", "interval 100ms", "flow f GET /x rate 500");
-    FlowStatistics late =
+    FlowStatistics lateStatistics =
         new LoadGenerator(
                 vertx,
                 plan,
                 List.of(),
-                p -> {
-                  if (first[0]++ == 0) {
+                progress -> {
+                  if (intervalCount[0]++ == 0) {
                     try {
-                      Thread.sleep(200); // The generator's own thread is held up.
+                      Thread.sleep(200); // Blocks the generator's event loop.
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
                     }
                   }
                 },
-                t -> {})
+                statistics -> {})
             .run()
             .get(60, TimeUnit.SECONDS)
             .get(0);
-    assertEquals(0, late.unsent);
-    assertTrue(late.late > 50 && late.unusable(), "late " + late.late + " of " + late.due);
+    assertEquals(0, lateStatistics.notSent);
+    assertTrue(
+        lateStatistics.sentLate > 50 && lateStatistics.isUnusable(),
+        "late " + lateStatistics.sentLate + " of " + lateStatistics.due);
   }
 
   @Test
-  void aTraceIsPlayedWithItsKeysAndItsRetries() throws Exception {
+  void trace_isReplayedWithKeysAndRetries() throws Exception {
     Files.writeString(
         directory.resolve("t.csv"), "at,method,path,key\n5.0,PUT,/a,k1\n5.0,GET,/b,k2\n");
-    List<String> seen = new ArrayList<>();
+    List<String> receivedRequests = new ArrayList<>();
     int port =
         serve(
             request -> {
-              seen.add(
+              receivedRequests.add(
                   request.method() + " " + request.path() + " " + request.getHeader("x-api-key"));
               request
                   .response()
-                  .setStatusCode(seen.size() == 1 ? 429 : 200)
+                  .setStatusCode(receivedRequests.size() == 1 ? 429 : 200)
                   .putHeader("retry-after", "0")
                   .end();
             });
-    FlowStatistics tally =
+    FlowStatistics statistics =
         run(
                 port,
                 "connections 1",
                 "trace t t.csv speed 10 key c- retry after wait 1ms retry-after yes")
             .get(0);
-    assertEquals(List.of("PUT /a c-k1", "GET /b c-k2", "PUT /a c-k1"), seen);
-    assertEquals(1, tally.retries);
-    assertEquals(1, tally.status(429));
-    assertFalse(tally.unusable() && tally.unsent > 0);
+    assertEquals(List.of("PUT /a c-k1", "GET /b c-k2", "PUT /a c-k1"), receivedRequests);
+    assertEquals(1, statistics.retries);
+    assertEquals(1, statistics.status(429));
+    assertFalse(statistics.isUnusable() && statistics.notSent > 0);
   }
 
   @Test
-  void allMistakesAreToldAtOnce() {
-    String told =
+  void allErrors_areReportedTogether() {
+    String message =
         assertThrows(
                 ConfigurationException.class,
                 () ->
@@ -247,7 +259,7 @@
                         "protocol h3",
                         "trace t missing.csv"))
             .getMessage();
-    for (String each :
+    for (String expected :
         List.of(
             ":2: method 'get'",
             ":2: shape 'round', expected constant or wave or jump or on-off",
@@ -255,7 +267,7 @@
             ":3: path 'x'",
             ":4: protocol 'h3'",
             ":5: no trace")) {
-      assertTrue(told.contains(each), each + " in " + told);
+      assertTrue(message.contains(expected), expected + " in " + message);
     }
   }
 }
