--- a/deploy/platform.sh
+++ b/deploy/platform.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Starts one gateway on the platform, in this process: no other program is started on the way, and none is forked.
-# The whole process, not the heap alone, has to stay below the machine's memory limit: what the JVM takes beside the heap
-# is bounded here, and the heap gets a share of the limit. The program itself reports a file that cannot be read.
+# Starts one gateway on the platform by replacing this shell; no other program is started or forked.
+# The whole process, not only the heap, must stay below the machine's memory limit: the JVM's memory outside the heap is
+# bounded here, and the heap gets a share of the limit. The program itself reports a configuration that cannot be read.
 mb=
 if [ -r "${RELAY_CONFIG:-}" ]; then
   set -f
--- a/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
+++ b/src/jmh/java/fawndock/jmh/PolicyBenchmark.java
@@ -43,7 +43,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One request through the policy: counted, sent, answered, and its timers when they are due. */
+/** Measures the policy for one request: counter call, attempt, response and due timers. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -53,13 +53,13 @@
 public class PolicyBenchmark {
   private static final int CUSTOMERS = 200;
 
-  /** Gateway instances x endpoints. */
+  /** Number of gateway instances x number of endpoints. */
   @Param({"3x14", "190x300"})
   public String size;
 
   private GatewayPolicy policy;
-  private final ArrayDeque<PolicyAction> todo = new ArrayDeque<>();
-  private final ArrayDeque<Long> due = new ArrayDeque<>();
+  private final ArrayDeque<PolicyAction> pendingActions = new ArrayDeque<>();
+  private final ArrayDeque<Long> timerDueMicros = new ArrayDeque<>();
   private final ArrayDeque<PolicyTimer> timers = new ArrayDeque<>();
   private final LoadReport load =
       new LoadReport.Builder().utilization(0.5).queuedRequests(1).build();
@@ -69,10 +69,10 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-          return size() > 20 * CUSTOMERS; // Long after its two windows.
+          return size() > 20 * CUSTOMERS; // Evicts a counter long after its two windows.
         }
       };
-  private long now = 1_000_000;
+  private long nowMicros = 1_000_000;
   private long id;
 
   @Setup
@@ -107,53 +107,70 @@
     for (int i = 0; i < Integer.parseInt(size.split("x", 0)[1]); i++) {
       endpoints.add(new Endpoint("s" + i, "here", i / 4, EndpointState.RUNNING, 1, 0));
     }
-    take(policy.onEvent(now, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)));
+    enqueue(policy.onEvent(nowMicros, new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)));
   }
 
-  private void take(List<PolicyAction> actions) {
-    todo.addAll(actions);
+  private void enqueue(List<PolicyAction> actions) {
+    pendingActions.addAll(actions);
   }
 
-  /** A request a millisecond; the counter takes half of one, the endpoint five. */
+  /** One request per millisecond; the counter takes 0.5 ms, the endpoint 5 ms. */
   @Benchmark
   public int request() {
-    now += 1_000;
-    while (!due.isEmpty() && due.peek() <= now) {
-      due.poll();
-      take(policy.onEvent(now, new TimerFired(timers.poll())));
+    nowMicros += 1_000;
+    while (!timerDueMicros.isEmpty() && timerDueMicros.peek() <= nowMicros) {
+      timerDueMicros.poll();
+      enqueue(policy.onEvent(nowMicros, new TimerFired(timers.poll())));
     }
     id++;
-    take(
+    enqueue(
         policy.onEvent(
-            now,
+            nowMicros,
             new RequestArrived(
-                id, "c", "p", "customer-" + id % CUSTOMERS, now + 2_000_000, 1, 2, 0, false)));
-    int done = 0;
-    for (PolicyAction action = todo.poll(); action != null; action = todo.poll()) {
-      done++;
-      if (action instanceof AddToCounter c) {
-        take(
+                id,
+                "c",
+                "p",
+                "customer-" + id % CUSTOMERS,
+                nowMicros + 2_000_000,
+                1,
+                2,
+                0,
+                false)));
+    int actionCount = 0;
+    for (PolicyAction action = pendingActions.poll();
+        action != null;
+        action = pendingActions.poll()) {
+      actionCount++;
+      if (action instanceof AddToCounter addition) {
+        enqueue(
             policy.onEvent(
-                now,
+                nowMicros,
                 new CounterReply(
-                    c.counterName(),
+                    addition.counterName(),
                     CallResult.OK,
-                    totals.merge(c.counterName(), c.amount(), Double::sum),
+                    totals.merge(addition.counterName(), addition.amount(), Double::sum),
                     500)));
-      } else if (action instanceof StartAttempt a) {
-        take(
+      } else if (action instanceof StartAttempt attempt) {
+        enqueue(
             policy.onEvent(
-                now,
+                nowMicros,
                 new AttemptCompleted(
-                    a.requestId(), 0, a.endpointId(), 5_000, CallResult.OK, true, 0, load)));
-      } else if (action instanceof ScheduleTimer w
-          && w.timer() instanceof PolicyTimer.AnswerDeadline) {
-        // The longest timers: due in the order in which they are scheduled.
-        due.add(now + w.delayMicros());
-        timers.add(w.timer());
+                    attempt.requestId(),
+                    0,
+                    attempt.endpointId(),
+                    5_000,
+                    CallResult.OK,
+                    true,
+                    0,
+                    load)));
+      } else if (action instanceof ScheduleTimer scheduledTimer
+          && scheduledTimer.timer() instanceof PolicyTimer.AnswerDeadline) {
+        // Only the longest timers run; they are due in the order in which they are scheduled.
+        timerDueMicros.add(nowMicros + scheduledTimer.delayMicros());
+        timers.add(scheduledTimer.timer());
       }
     }
-    return done;
+    return actionCount;
   }
 
   /** Runs the benchmark. */
--- a/src/main/java/fawndock/benchmark/BareProxy.java
+++ b/src/main/java/fawndock/benchmark/BareProxy.java
@@ -12,15 +12,18 @@
 import io.vertx.core.http.PoolOptions;
 import io.vertx.core.http.RequestOptions;
 
-/** A reverse proxy on one event loop that decides nothing: the measure for what deciding costs. */
+/**
+ * A reverse proxy on one event loop without admission control, as the baseline for the overhead of
+ * the gateway.
+ */
 public final class BareProxy {
-  private final HttpClient workers;
+  private final HttpClient client;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final int workerPort;
 
   public BareProxy(int workerPort) {
     this.workerPort = workerPort;
-    this.workers =
+    this.client =
         vertx.createHttpClient(
             new HttpClientOptions()
                 .setProtocolVersion(HttpVersion.HTTP_2)
@@ -29,13 +32,13 @@
             new PoolOptions().setHttp2MaxSize(2));
   }
 
-  /** Listens; completes with the port. */
+  /** Starts listening; the future completes with the port. */
   public Future<Integer> start() {
     return vertx
         .createHttpServer(new HttpServerOptions().setTcpNoDelay(true))
         .requestHandler(this::forward)
         .listen(0, "127.0.0.1")
-        .map(s -> s.actualPort());
+        .map(server -> server.actualPort());
   }
 
   private void forward(HttpServerRequest request) {
@@ -45,7 +48,7 @@
         .body()
         .compose(
             body ->
-                workers
+                client
                     .request(
                         new RequestOptions()
                             .setMethod(request.method())
@@ -53,15 +56,15 @@
                             .setPort(workerPort)
                             .setURI(request.uri())
                             .setHeaders(headers))
-                    .compose(out -> out.send(body)))
+                    .compose(backendRequest -> backendRequest.send(body)))
         .compose(
-            answer ->
-                answer
+            backendResponse ->
+                backendResponse
                     .body()
                     .onSuccess(
                         body -> {
-                          request.response().setStatusCode(answer.statusCode());
-                          answer
+                          request.response().setStatusCode(backendResponse.statusCode());
+                          backendResponse
                               .headers()
                               .forEach((name, value) -> request.response().putHeader(name, value));
                           request.response().end(body);
--- a/src/main/java/fawndock/benchmark/CounterBench.java
+++ b/src/main/java/fawndock/benchmark/CounterBench.java
@@ -17,23 +17,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the counter service makes of its disk and of a core: durable adds against the bare limit of
- * writing the same groups with the same syncs, in turns; adds in memory; latencies at half load;
- * and what many idle names cost.
+ * Benchmark of the counter service. It compares durable additions, in alternating turns, with the
+ * limit of writing and syncing record groups of the same size without a counter, and measures
+ * additions in memory, latencies at half load and the cost of many idle names.
  */
 public final class CounterBench {
   private static final int CONNECTIONS = 8;
 
   /**
-   * Calls out on each connection: the first is what a core is the limit of, the others what the
-   * disk is.
+   * Calls in flight on each connection. With the first value a core is the limit, with the others
+   * the disk.
    */
   private static final int[] OUTSTANDING = {512, 64, 8, 2};
 
   private static final double MAX_ADDS_PER_SECOND = 40_000;
   private static final int NAMES = 100_000;
 
-  /** Bytes of a record without its changes, and of a change of a name of 11. */
+  /** Size of a record without its changes; each change of an 11-byte name adds CHANGE_BYTES. */
   private static final int RECORD_BYTES = 24;
 
   private static final int CHANGE_BYTES = 30;
@@ -53,44 +53,44 @@
     this.out = out;
   }
 
-  /** Measures speed and prints; the last line is the result. */
+  /** Measures throughput and latency and prints them; the last line is the result. */
   public void run() throws Exception {
     double[] ratios = new double[OUTSTANDING.length];
     double[] durable = new double[OUTSTANDING.length];
-    double[] p = new double[3];
+    double[] latencyRatios = new double[3];
     inTemporaryDirectory(
-        folder -> {
-          try (CounterProcess counter = start(folder, "durability always\n")) {
+        directory -> {
+          try (CounterProcess counter = start(directory, "durability always\n")) {
             CounterLoad load = new CounterLoad(counter.port(), CONNECTIONS, NAMES);
             load.runClosedLoop(OUTSTANDING[0], 2 * seconds, 1);
             for (int o = 0; o < OUTSTANDING.length; o++) {
-              double[][] found = measureDurable(folder, counter, load, OUTSTANDING[o]);
-              durable[o] = MedianStatistics.of(found[0]);
-              ratios[o] = MedianStatistics.of(found[1]);
+              double[][] measurements = measureDurable(directory, counter, load, OUTSTANDING[o]);
+              durable[o] = MedianStatistics.of(measurements[0]);
+              ratios[o] = MedianStatistics.of(measurements[1]);
             }
             double rate = Math.min(durable[0] / 2, MAX_ADDS_PER_SECOND);
             for (int i = 0; i < turns; i++) {
-              Histogram h = load.runAtRate(rate, seconds, 20 + i).latencyMicros();
-              double sync = measureBareSyncs(folder, 64)[1];
+              Histogram latency = load.runAtRate(rate, seconds, 20 + i).latencyMicros();
+              double syncMicros = measureBareSyncs(directory, 64)[1];
               out.printf(
                   "at %.0f adds a second: p50 %d, p99 %d, p99.9 %d us; one bare append and sync, median %.0f "
                       + "us%n",
                   rate,
-                  h.getValueAtPercentile(50),
-                  h.getValueAtPercentile(99),
-                  h.getValueAtPercentile(99.9),
-                  sync);
-              p[0] += h.getValueAtPercentile(50) / sync / turns;
-              p[1] += h.getValueAtPercentile(99) / sync / turns;
-              p[2] += h.getValueAtPercentile(99.9) / sync / turns;
+                  latency.getValueAtPercentile(50),
+                  latency.getValueAtPercentile(99),
+                  latency.getValueAtPercentile(99.9),
+                  syncMicros);
+              latencyRatios[0] += latency.getValueAtPercentile(50) / syncMicros / turns;
+              latencyRatios[1] += latency.getValueAtPercentile(99) / syncMicros / turns;
+              latencyRatios[2] += latency.getValueAtPercentile(99.9) / syncMicros / turns;
             }
           }
         });
     double[] memory = new double[turns];
     double[] perCore = new double[turns];
     inTemporaryDirectory(
-        folder -> {
-          try (CounterProcess counter = start(folder, "durability none\n")) {
+        directory -> {
+          try (CounterProcess counter = start(directory, "durability none\n")) {
             CounterLoad load = new CounterLoad(counter.port(), CONNECTIONS, NAMES);
             load.runClosedLoop(OUTSTANDING[0], 2 * seconds, 1);
             for (int i = 0; i < turns; i++) {
@@ -104,9 +104,9 @@
             }
           }
         });
-    StringBuilder by = new StringBuilder();
+    StringBuilder summary = new StringBuilder();
     for (int o = 0; o < OUTSTANDING.length; o++) {
-      by.append(
+      summary.append(
           String.format(
               "%s%.2f (%.0f adds a second, %d out)",
               o == 0 ? "" : ", ", ratios[o], durable[o], OUTSTANDING[o] * CONNECTIONS));
@@ -114,15 +114,20 @@
     out.printf(
         "durable ratio %s; adds in memory %.0f a second, %.0f a core second; at half load p50 %.1f, p99 "
             + "%.1f, p99.9 %.1f times a bare sync%n",
-        by, MedianStatistics.of(memory), MedianStatistics.of(perCore), p[0], p[1], p[2]);
+        summary,
+        MedianStatistics.of(memory),
+        MedianStatistics.of(perCore),
+        latencyRatios[0],
+        latencyRatios[1],
+        latencyRatios[2]);
   }
 
   /**
-   * In turns: adds with so many out on each connection, and the same groups written and synced
-   * without a counter.
+   * Measures, in alternating turns, additions with a number of calls in flight on each connection,
+   * and writing and syncing groups of the same size without a counter.
    */
   private double[][] measureDurable(
-      Path folder, CounterProcess counter, CounterLoad load, int outstanding) throws Exception {
+      Path directory, CounterProcess counter, CounterLoad load, int outstanding) throws Exception {
     double[] durable = new double[turns];
     double[] ratio = new double[turns];
     for (int i = 0; i < turns; i++) {
@@ -131,7 +136,7 @@
       double perGroup = (double) run.acknowledged() / (groupCount(counter.port()) - groups);
       durable[i] = run.perSecond();
       double syncs =
-          measureBareSyncs(folder, (int) Math.round(RECORD_BYTES + perGroup * CHANGE_BYTES))[0];
+          measureBareSyncs(directory, (int) Math.round(RECORD_BYTES + perGroup * CHANGE_BYTES))[0];
       ratio[i] = durable[i] / (syncs * perGroup);
       out.printf(
           "%d out: %.0f durable adds a second in groups of %.0f (%d refused); bare limit %.0f (%.0f syncs "
@@ -148,94 +153,94 @@
   }
 
   /**
-   * Fills a counter of 1 GB heap with so many names, then starts it again; the last line is the
-   * result.
+   * Adds a number of names to a counter with a heap of 1 GiB, then restarts it. The last line is
+   * the result.
    */
-  public void runIdleNames(long many) throws Exception {
+  public void runIdleNames(long nameCount) throws Exception {
     inTemporaryDirectory(
-        folder -> {
-          try (CounterProcess counter = start(folder, "durability none\n")) {
-            long begun = System.nanoTime();
+        directory -> {
+          try (CounterProcess counter = start(directory, "durability none\n")) {
+            long startNanos = System.nanoTime();
             long added = 0;
             CounterLoad load = new CounterLoad(counter.port(), CONNECTIONS, NAMES);
-            for (long at = 0; at < many; at += 500_000) {
+            for (long at = 0; at < nameCount; at += 500_000) {
               added +=
                   load.fill(
-                      Math.min(500_000, many - at),
+                      Math.min(500_000, nameCount - at),
                       "quota-of-customer-" + at / 500_000 + "-",
                       false);
               out.printf(
                   "%d names, heap in use %d MiB%n",
                   added, readInfo(counter.port(), "used_memory") >> 20);
             }
-            double filling = (System.nanoTime() - begun) / 1e9;
+            double fillSeconds = (System.nanoTime() - startNanos) / 1e9;
             counter.stop();
             long bytes = 0;
-            try (Stream<Path> files = Files.list(folder.resolve("counter"))) {
-              for (Path each : files.toList()) {
-                bytes += Files.size(each);
+            try (Stream<Path> files = Files.list(directory.resolve("counter"))) {
+              for (Path file : files.toList()) {
+                bytes += Files.size(file);
               }
             }
-            begun = System.nanoTime();
+            startNanos = System.nanoTime();
             counter.start().get(START_SECONDS, TimeUnit.SECONDS);
-            double starting = (System.nanoTime() - begun) / 1e9;
+            double startSeconds = (System.nanoTime() - startNanos) / 1e9;
             out.printf(
                 "%d names in a heap of at most 1024 MiB, %d MiB in use after the start, added in %.1f s, started "
                     + "again on %d MiB in %.1f s%n",
                 readInfo(counter.port(), "db0:keys"),
                 readInfo(counter.port(), "used_memory") >> 20,
-                filling,
+                fillSeconds,
                 bytes >> 20,
-                starting);
+                startSeconds);
           }
         });
   }
 
   interface DirectoryTask {
-    void run(Path folder) throws Exception;
+    void run(Path directory) throws Exception;
   }
 
   /**
-   * A folder of its own on the disk where the project is used, so that the disk is the one that is
-   * asked about.
+   * Runs a task in a new temporary directory below the working directory, so that the benchmark
+   * measures the disk of the working directory.
    */
-  static void inTemporaryDirectory(DirectoryTask what) throws Exception {
-    Path folder = Files.createTempDirectory(Path.of("."), "fawndock-bench").toAbsolutePath();
+  static void inTemporaryDirectory(DirectoryTask task) throws Exception {
+    Path directory = Files.createTempDirectory(Path.of("."), "fawndock-bench").toAbsolutePath();
     try {
-      what.run(folder);
+      task.run(directory);
     } finally {
-      TemporaryDirectories.delete(folder);
+      TemporaryDirectories.delete(directory);
     }
   }
 
-  private static CounterProcess start(Path folder, String settings) throws Exception {
-    CounterProcess counter = new CounterProcess(folder, settings + "log text level warn\n", JVM);
+  private static CounterProcess start(Path directory, String settings) throws Exception {
+    CounterProcess counter = new CounterProcess(directory, settings + "log text level warn\n", JVM);
     counter.start().get(START_SECONDS, TimeUnit.SECONDS);
     return counter;
   }
 
   /**
-   * Appends records of so many bytes, a sync after each, for a turn: syncs a second, and their
-   * median in us.
+   * Appends records of a size for one turn, with a sync after each. Returns the syncs per second
+   * and their median in microseconds.
    */
-  private double[] measureBareSyncs(Path folder, int bytes) throws IOException {
-    Path directory = Files.createDirectories(folder.resolve("bare"));
+  private double[] measureBareSyncs(Path directory, int bytes) throws IOException {
+    Path bareDirectory = Files.createDirectories(directory.resolve("bare"));
     Histogram micros = new Histogram(60_000_000L, 3);
-    try (FileStorage disk = new FileStorage(directory, true);
-        Storage.File file = disk.create("bare")) {
+    try (FileStorage storage = new FileStorage(bareDirectory, true);
+        Storage.File file = storage.create("bare")) {
       ByteBuffer record = ByteBuffer.allocateDirect(bytes);
-      long begun = System.nanoTime();
-      long now = begun;
-      for (long at = 0; now - begun < seconds * 1e9; at += bytes) {
+      long startNanos = System.nanoTime();
+      long now = startNanos;
+      for (long at = 0; now - startNanos < seconds * 1e9; at += bytes) {
         file.write(record.clear(), at);
         file.sync();
         long then = System.nanoTime();
         micros.recordValue((then - now) / 1_000);
         now = then;
       }
-      double many = micros.getTotalCount() / ((now - begun) / 1e9);
-      disk.delete("bare");
-      return new double[] {many, micros.getValueAtPercentile(50)};
+      double syncsPerSecond = micros.getTotalCount() / ((now - startNanos) / 1e9);
+      storage.delete("bare");
+      return new double[] {syncsPerSecond, micros.getValueAtPercentile(50)};
     }
   }
 
@@ -243,13 +248,14 @@
     return readInfo(port, "durable_group");
   }
 
-  private static long readInfo(int port, String what) throws IOException {
-    try (CounterClient caller = new CounterClient(port)) {
-      Matcher found = Pattern.compile(what + "[:=]([0-9]+)").matcher((String) caller.call("INFO"));
-      if (!found.find()) {
-        throw new IOException("the counter does not tell its " + what);
+  private static long readInfo(int port, String field) throws IOException {
+    try (CounterClient client = new CounterClient(port)) {
+      Matcher matcher =
+          Pattern.compile(field + "[:=]([0-9]+)").matcher((String) client.call("INFO"));
+      if (!matcher.find()) {
+        throw new IOException("INFO of the counter has no field " + field);
       }
-      return Long.parseLong(found.group(1));
+      return Long.parseLong(matcher.group(1));
     }
   }
 }
--- a/src/main/java/fawndock/benchmark/CounterLoad.java
+++ b/src/main/java/fawndock/benchmark/CounterLoad.java
@@ -16,11 +16,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Adds to a counter over several connections, in a closed loop for the most it takes, or open at a
- * rate.
+ * Sends additions to a counter over several connections, in a closed loop at maximum throughput or
+ * in an open loop at a rate. Each connection has its own threads.
  */
 final class CounterLoad {
-  /** What came of a run. */
+  /** Result of a run; the latencies are null for a closed loop. */
   record LoadResult(long acknowledged, long rejected, double seconds, Histogram latencyMicros) {
     double perSecond() {
       return acknowledged / seconds;
@@ -38,45 +38,46 @@
     this.nameCount = names;
   }
 
-  /** Many calls out on each connection at any time, for so long. */
+  /** Keeps a number of calls in flight on each connection for a time. */
   LoadResult runClosedLoop(int outstanding, double seconds, long seed) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
-    AtomicLong refused = new AtomicLong();
-    long begun = System.nanoTime();
-    long end = begun + (long) (seconds * 1e9);
+    AtomicLong rejected = new AtomicLong();
+    long startNanos = System.nanoTime();
+    long endNanos = startNanos + (long) (seconds * 1e9);
     onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
-          try (ReplyReader line = new ReplyReader(port)) {
+          try (ReplyReader replyReader = new ReplyReader(port)) {
             byte[][] batches = new byte[16][];
             for (int b = 0; b < batches.length; b++) {
               batches[b] = batch(random, outstanding / 2);
             }
-            line.socket.getOutputStream().write(batches[0]);
-            for (int b = 1; System.nanoTime() < end; b++) {
-              line.socket.getOutputStream().write(batches[b % batches.length]);
-              readReplies(line, outstanding / 2, acknowledged, refused);
+            replyReader.socket.getOutputStream().write(batches[0]);
+            for (int b = 1; System.nanoTime() < endNanos; b++) {
+              replyReader.socket.getOutputStream().write(batches[b % batches.length]);
+              readReplies(replyReader, outstanding / 2, acknowledged, rejected);
             }
-            readReplies(line, outstanding / 2, acknowledged, refused);
+            readReplies(replyReader, outstanding / 2, acknowledged, rejected);
           }
         });
     return new LoadResult(
-        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+        acknowledged.get(), rejected.get(), (System.nanoTime() - startNanos) / 1e9, null);
   }
 
   private static void readReplies(
-      ReplyReader line, int many, AtomicLong acknowledged, AtomicLong refused) throws IOException {
-    int good = 0;
-    for (int i = 0; i < many; i++) {
-      good += line.readReply() ? 1 : 0;
+      ReplyReader replyReader, int count, AtomicLong acknowledged, AtomicLong rejected)
+      throws IOException {
+    int acknowledgedCount = 0;
+    for (int i = 0; i < count; i++) {
+      acknowledgedCount += replyReader.readReply() ? 1 : 0;
     }
-    acknowledged.addAndGet(good);
-    refused.addAndGet(many - good);
+    acknowledged.addAndGet(acknowledgedCount);
+    rejected.addAndGet(count - acknowledgedCount);
   }
 
-  private byte[] batch(SplittableRandom random, int many) {
+  private byte[] batch(SplittableRandom random, int count) {
     StringBuilder text = new StringBuilder();
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       text.append(addCommand("quota-" + random.nextInt(nameCount)));
     }
     return text.toString().getBytes(StandardCharsets.US_ASCII);
@@ -90,66 +91,72 @@
         + "\r\n$1\r\n1\r\n$7\r\n3600000\r\n";
   }
 
-  /** As {@link #runClosedLoop}, with the growing sums of a gateway on each connection. */
+  /**
+   * Like {@link #runClosedLoop}, but sends growing sums, as one gateway on each connection would.
+   */
   LoadResult runClosedLoopSums(int outstanding, double seconds, long seed) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
-    AtomicLong refused = new AtomicLong();
-    long begun = System.nanoTime();
-    long end = begun + (long) (seconds * 1e9);
+    AtomicLong rejected = new AtomicLong();
+    long startNanos = System.nanoTime();
+    long endNanos = startNanos + (long) (seconds * 1e9);
     onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
-          long grown = 0;
-          try (ReplyReader line = new ReplyReader(port)) {
-            while (System.nanoTime() < end) {
+          long sum = 0;
+          try (ReplyReader replyReader = new ReplyReader(port)) {
+            while (System.nanoTime() < endNanos) {
               StringBuilder text = new StringBuilder();
               for (int n = 0; n < outstanding; n++) {
                 text.append(
-                    sumCommand("quota-" + random.nextInt(nameCount), seed * 1_000 + i, ++grown));
+                    sumCommand("quota-" + random.nextInt(nameCount), seed * 1_000 + i, ++sum));
               }
-              line.socket
+              replyReader
+                  .socket
                   .getOutputStream()
                   .write(text.toString().getBytes(StandardCharsets.US_ASCII));
-              readReplies(line, outstanding, acknowledged, refused);
+              readReplies(replyReader, outstanding, acknowledged, rejected);
             }
           }
         });
     return new LoadResult(
-        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, null);
+        acknowledged.get(), rejected.get(), (System.nanoTime() - startNanos) / 1e9, null);
   }
 
-  static String sumCommand(String name, long origin, long plus) {
+  static String sumCommand(String name, long origin, long total) {
     StringBuilder text = new StringBuilder("*6\r\n");
-    for (String word :
-        new String[] {"FD.SUM", name, Long.toString(origin), Long.toString(plus), "0", "3600000"}) {
-      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+    for (String argument :
+        new String[] {
+          "FD.SUM", name, Long.toString(origin), Long.toString(total), "0", "3600000"
+        }) {
+      text.append('$').append(argument.length()).append("\r\n").append(argument).append("\r\n");
     }
     return text.toString();
   }
 
   /**
-   * One call at a time, evenly spread at a rate over the connections, whether answers come or not.
+   * Sends single calls at a rate, evenly spread over the connections, without waiting for replies.
    */
   LoadResult runAtRate(double perSecond, double seconds, long seed) throws Exception {
     Histogram micros = new Histogram(60_000_000L, 3);
     AtomicLong acknowledged = new AtomicLong();
-    AtomicLong refused = new AtomicLong();
-    long begun = System.nanoTime();
+    AtomicLong rejected = new AtomicLong();
+    long startNanos = System.nanoTime();
     onEachConnection(
         i -> {
           SplittableRandom random = new SplittableRandom(seed + i);
           ArrayBlockingQueue<Long> due = new ArrayBlockingQueue<>(1 << 16);
-          try (ReplyReader line = new ReplyReader(port)) {
+          try (ReplyReader replyReader = new ReplyReader(port)) {
             Thread reader =
                 new Thread(
                     () -> {
                       try {
                         for (long at = due.take(); at >= 0; at = due.take()) {
-                          boolean good = line.readReply();
-                          long took = (System.nanoTime() - at) / 1_000;
-                          (good ? acknowledged : refused).incrementAndGet();
+                          boolean good = replyReader.readReply();
+                          long latency = (System.nanoTime() - at) / 1_000;
+                          (good ? acknowledged : rejected).incrementAndGet();
                           synchronized (micros) {
-                            micros.recordValue(Math.min(took, micros.getHighestTrackableValue()));
+                            micros.recordValue(
+                                Math.min(latency, micros.getHighestTrackableValue()));
                           }
                         }
                       } catch (IOException | InterruptedException e) {
@@ -157,15 +164,16 @@
                       }
                     });
             reader.start();
-            double gap = 1e9 * connections / perSecond;
-            long all = (long) (seconds * 1e9 / gap);
+            double gapNanos = 1e9 * connections / perSecond;
+            long all = (long) (seconds * 1e9 / gapNanos);
             for (long n = 0; n < all; n++) {
-              long at = begun + (long) ((n + (double) i / connections) * gap);
+              long at = startNanos + (long) ((n + (double) i / connections) * gapNanos);
               while (System.nanoTime() < at) {
                 LockSupport.parkNanos(Math.max(1, at - System.nanoTime()));
               }
               due.put(at);
-              line.socket
+              replyReader
+                  .socket
                   .getOutputStream()
                   .write(
                       addCommand("quota-" + random.nextInt(nameCount))
@@ -176,27 +184,28 @@
           }
         });
     return new LoadResult(
-        acknowledged.get(), refused.get(), (System.nanoTime() - begun) / 1e9, micros);
+        acknowledged.get(), rejected.get(), (System.nanoTime() - startNanos) / 1e9, micros);
   }
 
-  /** Adds once to each of so many names. */
-  long fill(long many, String prefix, boolean sums) throws Exception {
+  /** Adds once to each of a number of names. Returns the number of acknowledged additions. */
+  long fill(long count, String prefix, boolean sums) throws Exception {
     AtomicLong acknowledged = new AtomicLong();
     int batch = 500;
     onEachConnection(
         i -> {
-          try (ReplyReader line = new ReplyReader(port)) {
-            for (long at = (long) i * batch; at < many; at += (long) connections * batch) {
+          try (ReplyReader replyReader = new ReplyReader(port)) {
+            for (long at = (long) i * batch; at < count; at += (long) connections * batch) {
               StringBuilder text = new StringBuilder();
-              long to = Math.min(many, at + batch);
+              long to = Math.min(count, at + batch);
               for (long n = at; n < to; n++) {
                 text.append(sums ? sumCommand(prefix + n, 1, 1) : addCommand(prefix + n));
               }
-              line.socket
+              replyReader
+                  .socket
                   .getOutputStream()
                   .write(text.toString().getBytes(StandardCharsets.US_ASCII));
               for (long n = at; n < to; n++) {
-                acknowledged.addAndGet(line.readReply() ? 1 : 0);
+                acknowledged.addAndGet(replyReader.readReply() ? 1 : 0);
               }
             }
           }
@@ -208,7 +217,7 @@
     void run(int connection) throws Exception;
   }
 
-  private void onEachConnection(ConnectionTask work) throws Exception {
+  private void onEachConnection(ConnectionTask task) throws Exception {
     List<Thread> threads = new ArrayList<>();
     Exception[] failure = new Exception[1];
     for (int i = 0; i < connections; i++) {
@@ -217,7 +226,7 @@
           new Thread(
               () -> {
                 try {
-                  work.run(connection);
+                  task.run(connection);
                 } catch (Exception e) {
                   failure[0] = e;
                 }
@@ -225,15 +234,15 @@
       thread.start();
       threads.add(thread);
     }
-    for (Thread each : threads) {
-      each.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure[0] != null) {
       throw failure[0];
     }
   }
 
-  /** One connection, read with no more work than telling answers apart. */
+  /** Reads replies from one connection and parses only whether each is an error. */
   private static final class ReplyReader implements AutoCloseable {
     final Socket socket = new Socket();
     private final InputStream in;
@@ -248,15 +257,15 @@
       in = socket.getInputStream();
     }
 
-    /** Takes one answer; whether it is a total. */
+    /** Reads one reply. Returns whether it is a total, not an error. */
     boolean readReply() throws IOException {
       int type = next();
       while (next() != '\n') {
-        // To the end of the line.
+        // Skips the rest of the line.
       }
       if (type == '$') {
         while (next() != '\n') {
-          // The total.
+          // Skips the total.
         }
       }
       return type != '-';
--- a/src/main/java/fawndock/benchmark/MedianStatistics.java
+++ b/src/main/java/fawndock/benchmark/MedianStatistics.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** The middle of some figures. */
+/** Computes medians. */
 public final class MedianStatistics {
   private MedianStatistics() {}
 
-  /** The median; of an even number the mean of the two in the middle. */
-  public static double of(double[] figures) {
-    double[] sorted = figures.clone();
+  /** Returns the median; for an even number of values the mean of the two middle ones. */
+  public static double of(double[] values) {
+    double[] sorted = values.clone();
     Arrays.sort(sorted);
     return sorted.length % 2 == 1
         ? sorted[sorted.length / 2]
--- a/src/main/java/fawndock/benchmark/OpenLoopHttpLoad.java
+++ b/src/main/java/fawndock/benchmark/OpenLoopHttpLoad.java
@@ -11,12 +11,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests at times drawn ahead, whether or not earlier ones were answered, and takes each
- * latency from the intended time. At most so many are out; what is due beyond that waits, and its
- * wait counts. A flood asks for more than can pass, to see how much does.
+ * Sends requests at random intended times, independently of earlier responses, and measures each
+ * latency from the intended time. The number of requests in flight is limited; a request that is
+ * due beyond the limit waits, and the wait is part of its latency. A flood sends more than the
+ * target can serve, to measure its throughput. All state is confined to one event loop.
  */
 final class OpenLoopHttpLoad {
-  /** What one run showed; latencies in microseconds from the intended start, of served requests. */
+  /** Result of a run; latencies of served requests, in microseconds from the intended start. */
   record LoadResult(Histogram latency, long served, long notServed, double seconds) {
     double perSecond() {
       return served / seconds;
@@ -41,10 +42,10 @@
   private long notServed;
   private long lastResponseNanos;
 
-  OpenLoopHttpLoad(Vertx vertx, int port, int connections, int most, boolean flood) {
+  OpenLoopHttpLoad(Vertx vertx, int port, int connections, int maxInFlight, boolean isFlood) {
     this.vertx = vertx;
-    this.maxInFlight = most;
-    this.isFlood = flood;
+    this.maxInFlight = maxInFlight;
+    this.isFlood = isFlood;
     this.client =
         vertx.createHttpClient(
             new HttpClientOptions().setTcpNoDelay(true),
@@ -57,7 +58,7 @@
             .putHeader("x-api-key", "key");
   }
 
-  /** Runs for so long at a rate a second; blocks the caller, which must not be an event loop. */
+  /** Runs at a rate for a time. Blocks; must not be called on an event loop. */
   LoadResult run(double perSecond, double seconds, long seed) throws InterruptedException {
     vertx.runOnContext(
         v -> {
@@ -91,8 +92,8 @@
   }
 
   /**
-   * In a flood, what was due and not yet sent at the end is dropped: only what passes is of
-   * interest.
+   * Returns whether a request can be sent now. In a flood, requests that are due but not sent at
+   * the end are dropped, because only the throughput is measured.
    */
   private boolean isDue(long now) {
     return dueNanos <= now
@@ -101,12 +102,12 @@
         && !(isFlood && now >= endNanos);
   }
 
-  private void send(long intended) {
+  private void send(long intendedNanos) {
     inFlight++;
     client
         .request(target)
         .compose(request -> request.send())
-        .compose(answer -> answer.body().map(body -> answer.statusCode()))
+        .compose(response -> response.body().map(body -> response.statusCode()))
         .onComplete(
             status -> {
               inFlight--;
@@ -114,7 +115,7 @@
               if (status.succeeded() && status.result() == 200) {
                 served++;
                 latency.recordValue(
-                    Math.min(MAX_LATENCY_MICROS, (lastResponseNanos - intended) / 1_000));
+                    Math.min(MAX_LATENCY_MICROS, (lastResponseNanos - intendedNanos) / 1_000));
               } else {
                 notServed++;
               }
--- a/src/main/java/fawndock/benchmark/PassthroughBench.java
+++ b/src/main/java/fawndock/benchmark/PassthroughBench.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the gateway adds: the same backend behind a bare proxy and behind one gateway with its
- * counter, each in a process of its own on one event loop, in turns. First the most that each
- * passes, then latencies of both at half of what the gateway passes.
+ * Benchmark of the gateway's overhead. In alternating turns it puts the same backend behind a bare
+ * proxy and behind one gateway with its counter, each in its own process on one event loop. It
+ * first measures the throughput of both, then their latencies at half the gateway's throughput.
  */
 public final class PassthroughBench {
   private static final int MAX_IN_FLIGHT = 200;
@@ -35,36 +35,36 @@
   /**
    * @param seconds of each turn
    * @param turns of each kind of measurement
-   * @param counted whether the gateway has a counter to ask
+   * @param hasCounter whether the gateway uses a counter service
    */
-  public PassthroughBench(double seconds, int turns, boolean counted, PrintStream out) {
+  public PassthroughBench(double seconds, int turns, boolean hasCounter, PrintStream out) {
     this.seconds = seconds;
     this.turns = turns;
-    this.hasCounter = counted;
+    this.hasCounter = hasCounter;
     this.out = out;
   }
 
-  /** Measures and prints; the last line is the result. */
+  /** Runs the benchmark and prints the results; the last line is the summary. */
   public void run() throws Exception {
-    Path folder = Files.createTempDirectory("fawndock-bench");
+    Path directory = Files.createTempDirectory("fawndock-bench");
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    // Backend and load each have a loop of their own: a shared one made every figure depend on
-    // chance.
-    Vertx workers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+    // Backend and load have separate event loops: with a shared loop the results varied at random.
+    Vertx backendVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Process proxy = null;
-    try (GatewayProcesses gateways = new GatewayProcesses(folder, new TraceRecorder(), JVM);
-        CounterProcess counter = new CounterProcess(folder, "log text level warn\n", JVM)) {
+    try (GatewayProcesses gateways = new GatewayProcesses(directory, new TraceRecorder(), JVM);
+        CounterProcess counter = new CounterProcess(directory, "log text level warn\n", JVM)) {
       counter.start().get(30, TimeUnit.SECONDS);
-      int worker =
-          workers
+      int backendPort =
+          backendVertx
               .createHttpServer(
                   new HttpServerOptions()
                       .setHttp2ClearTextEnabled(true)
                       .setTcpNoDelay(true)
                       .setInitialSettings(new Http2Settings().setMaxConcurrentStreams(10_000)))
               .requestHandler(
-                  r ->
-                      r.response()
+                  request ->
+                      request
+                          .response()
                           .putHeader("endpoint-load-metrics", "TEXT cpu_utilization=0.3")
                           .end("x".repeat(200)))
               .listen(0, "127.0.0.1")
@@ -72,89 +72,98 @@
               .toCompletableFuture()
               .get(10, TimeUnit.SECONDS)
               .actualPort();
-      int port = GatewayProcesses.freePort();
+      int gatewayPort = GatewayProcesses.freePort();
       gateways.writeSettings(
           0,
-          port,
+          gatewayPort,
           "listen 127.0.0.1:"
-              + port
+              + gatewayPort
               + "\nclass work aim 500ms deadline 2s repeat "
               + "idempotent\nroute GET /work work\nplan free rate 1000000 store 10000000\nkey key customer one "
               + "plan free\nlimits open 20000\npool connections 2 streams 10000\nlog text level warn\n"
               + (hasCounter ? "counter 127.0.0.1:" + counter.port() + "\n" : "")
               + "server w 127.0.0.1:"
-              + worker
+              + backendPort
               + "\n");
       gateways.start(0).get(30, TimeUnit.SECONDS);
-      proxy = startProxy(worker);
-      int bare = readPort(proxy);
+      proxy = startProxy(backendPort);
+      int barePort = readPort(proxy);
       out.println("warming up both");
       for (int i = 0; i < 2; i++) {
-        runLoad(vertx, bare, FLOOD_REQUESTS_PER_SECOND, seconds, i);
-        runLoad(vertx, port, FLOOD_REQUESTS_PER_SECOND, seconds, i);
+        runLoad(vertx, barePort, FLOOD_REQUESTS_PER_SECOND, seconds, i);
+        runLoad(vertx, gatewayPort, FLOOD_REQUESTS_PER_SECOND, seconds, i);
       }
-      double[] most = measureThroughput(vertx, bare, port);
-      double[] added = measureAddedLatency(vertx, bare, port, most[1] / 2);
+      double[] throughput = measureThroughput(vertx, barePort, gatewayPort);
+      double[] addedMicros = measureAddedLatency(vertx, barePort, gatewayPort, throughput[1] / 2);
       out.printf(
           "throughput ratio %.2f, added p50 %.0f us, added p99 %.0f us%n",
-          most[1] / most[0], added[0], added[1]);
+          throughput[1] / throughput[0], addedMicros[0], addedMicros[1]);
     } finally {
       if (proxy != null) {
         proxy.destroyForcibly();
       }
-      workers.close();
+      backendVertx.close();
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-      TemporaryDirectories.delete(folder);
+      TemporaryDirectories.delete(directory);
     }
   }
 
-  private double[] measureThroughput(Vertx vertx, int bare, int port) throws InterruptedException {
-    double[] ofBare = new double[turns];
-    double[] ofGate = new double[turns];
+  private double[] measureThroughput(Vertx vertx, int barePort, int gatewayPort)
+      throws InterruptedException {
+    double[] bareRates = new double[turns];
+    double[] gatewayRates = new double[turns];
     for (int i = 0; i < turns; i++) {
-      OpenLoopHttpLoad.LoadResult a =
-          runLoad(vertx, bare, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
-      OpenLoopHttpLoad.LoadResult b =
-          runLoad(vertx, port, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
-      ofBare[i] = a.perSecond();
-      ofGate[i] = b.perSecond();
+      OpenLoopHttpLoad.LoadResult bareResult =
+          runLoad(vertx, barePort, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
+      OpenLoopHttpLoad.LoadResult gatewayResult =
+          runLoad(vertx, gatewayPort, FLOOD_REQUESTS_PER_SECOND, seconds, 10 + i);
+      bareRates[i] = bareResult.perSecond();
+      gatewayRates[i] = gatewayResult.perSecond();
       out.printf(
           "most a second: bare %.0f, gateway %.0f (%d and %d not served)%n",
-          a.perSecond(), b.perSecond(), a.notServed(), b.notServed());
+          bareResult.perSecond(),
+          gatewayResult.perSecond(),
+          bareResult.notServed(),
+          gatewayResult.notServed());
     }
-    return new double[] {MedianStatistics.of(ofBare), MedianStatistics.of(ofGate)};
+    return new double[] {MedianStatistics.of(bareRates), MedianStatistics.of(gatewayRates)};
   }
 
-  private double[] measureAddedLatency(Vertx vertx, int bare, int port, double rate)
+  private double[] measureAddedLatency(Vertx vertx, int barePort, int gatewayPort, double rate)
       throws InterruptedException {
     double[] p50 = new double[turns];
     double[] p99 = new double[turns];
     for (int i = 0; i < turns; i++) {
-      OpenLoopHttpLoad.LoadResult a = runLoad(vertx, bare, rate, seconds, 20 + i);
-      OpenLoopHttpLoad.LoadResult b = runLoad(vertx, port, rate, seconds, 20 + i);
-      p50[i] = b.latency().getValueAtPercentile(50) - a.latency().getValueAtPercentile(50);
-      p99[i] = b.latency().getValueAtPercentile(99) - a.latency().getValueAtPercentile(99);
+      OpenLoopHttpLoad.LoadResult bareResult = runLoad(vertx, barePort, rate, seconds, 20 + i);
+      OpenLoopHttpLoad.LoadResult gatewayResult =
+          runLoad(vertx, gatewayPort, rate, seconds, 20 + i);
+      p50[i] =
+          gatewayResult.latency().getValueAtPercentile(50)
+              - bareResult.latency().getValueAtPercentile(50);
+      p99[i] =
+          gatewayResult.latency().getValueAtPercentile(99)
+              - bareResult.latency().getValueAtPercentile(99);
       out.printf(
           "at %.0f a second: bare p50 %d p99 %d us, gateway p50 %d p99 %d us (%d and %d not served)%n",
           rate,
-          a.latency().getValueAtPercentile(50),
-          a.latency().getValueAtPercentile(99),
-          b.latency().getValueAtPercentile(50),
-          b.latency().getValueAtPercentile(99),
-          a.notServed(),
-          b.notServed());
+          bareResult.latency().getValueAtPercentile(50),
+          bareResult.latency().getValueAtPercentile(99),
+          gatewayResult.latency().getValueAtPercentile(50),
+          gatewayResult.latency().getValueAtPercentile(99),
+          bareResult.notServed(),
+          gatewayResult.notServed());
     }
     return new double[] {MedianStatistics.of(p50), MedianStatistics.of(p99)};
   }
 
   private static OpenLoopHttpLoad.LoadResult runLoad(
       Vertx vertx, int port, double rate, double seconds, long seed) throws InterruptedException {
-    boolean flood = rate == FLOOD_REQUESTS_PER_SECOND;
-    return new OpenLoopHttpLoad(vertx, port, CONNECTIONS, flood ? MAX_IN_FLIGHT : 10_000, flood)
+    boolean isFlood = rate == FLOOD_REQUESTS_PER_SECOND;
+    return new OpenLoopHttpLoad(vertx, port, CONNECTIONS, isFlood ? MAX_IN_FLIGHT : 10_000, isFlood)
         .run(rate, seconds, seed);
   }
 
-  private static Process startProxy(int worker) throws IOException {
+  private static Process startProxy(int backendPort) throws IOException {
     return new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             JVM[0],
@@ -165,7 +174,7 @@
             "fawndock.Main",
             "bench",
             "bare-proxy",
-            Integer.toString(worker))
+            Integer.toString(backendPort))
         .redirectError(ProcessBuilder.Redirect.INHERIT)
         .start();
   }
--- a/src/main/java/fawndock/benchmark/package-info.java
+++ b/src/main/java/fawndock/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements: what the gateway adds to a bare proxy, with arrivals that do not wait for answers.
- * Not part of the tests; figures are ratios of one run, taken in turns.
+ * Benchmarks of the gateway against a bare proxy, with open-loop arrivals, and of the counter. They
+ * are not part of the tests; results are ratios of alternating turns within one run.
  */
 package fawndock.benchmark;
