--- a/src/main/java/fawndock/simulation/DeploymentFile.java
+++ b/src/main/java/fawndock/simulation/DeploymentFile.java
@@ -256,7 +256,7 @@
             rate,
             LoadArguments.shape(args),
             args.micros("remaining", 1_000, HOUR_MICROS, 2 * SECOND_MICROS),
-            LoadArguments.manners(args)));
+            LoadArguments.clientBehavior(args)));
     args.rejectUnknown();
     crossCheck(
         args,
