--- a/src/main/java/fawndock/Main.java
+++ b/src/main/java/fawndock/Main.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 
 /**
- * Starts the program. {@code benchlink} and {@code platform} start without {@link
- * fawndock.cli.Commands}, since loading all commands would cost a fifth of a start.
+ * Entry point of the program. {@code benchlink} and {@code platform} start without {@link
+ * fawndock.cli.Commands}, because loading all commands takes a fifth of the start time.
  */
 public final class Main {
   private Main() {}
--- a/src/main/java/fawndock/cli/BenchCommand.java
+++ b/src/main/java/fawndock/cli/BenchCommand.java
@@ -10,22 +10,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock bench NAME}: measurements on this machine. */
+/** {@code fawndock bench NAME}: runs a benchmark on this machine. */
 @Command(
     name = "bench",
     mixinStandardHelpOptions = true,
-    description = "Measures on this machine.",
+    description = "Runs a benchmark on this machine.",
     subcommands = {
       BenchCommand.PassthroughCommand.class,
-      BenchCommand.Counter.class,
-      BenchCommand.Proxy.class
+      BenchCommand.CounterBenchCommand.class,
+      BenchCommand.BareProxyCommand.class
     })
 final class BenchCommand extends CommandGroup {
-  /** The gateway beside a bare proxy. */
+  /** Compares the gateway with a bare reverse proxy. */
   @Command(
       name = "passthrough",
       mixinStandardHelpOptions = true,
-      description = "What the gateway adds to a bare proxy, in turns.")
+      description = "Measures the overhead of the gateway over a bare proxy, in alternating turns.")
   static final class PassthroughCommand implements Callable<Integer> {
     @Option(names = "--seconds", defaultValue = "4", description = "of each turn")
     private double seconds;
@@ -33,40 +33,41 @@
     @Option(names = "--turns", defaultValue = "5", description = "of each measurement")
     private int turns;
 
-    @Option(names = "--no-counter", description = "the gateway calls no counter")
-    private boolean uncounted;
+    @Option(names = "--no-counter", description = "runs the gateway without a counter service")
+    private boolean isCounterDisabled;
 
     @Override
     public Integer call() throws Exception {
       LogConfigurator.configureForTool();
-      new PassthroughBench(seconds, turns, !uncounted, System.out).run();
+      new PassthroughBench(seconds, turns, !isCounterDisabled, System.out).run();
       return 0;
     }
   }
 
-  /** The counter service beside its disk. */
+  /** Compares the counter service with the disk that it writes to. */
   @Command(
       name = "counter",
       mixinStandardHelpOptions = true,
-      description = "What the counter service makes of its disk and of a core, in turns.")
-  static final class Counter implements Callable<Integer> {
+      description =
+          "Measures the counter service against its disk and one core, in alternating turns.")
+  static final class CounterBenchCommand implements Callable<Integer> {
     @Option(names = "--seconds", defaultValue = "3", description = "of each turn")
     private double seconds;
 
     @Option(names = "--turns", defaultValue = "5", description = "of each measurement")
     private int turns;
 
-    @Option(names = "--names", description = "measures instead what so many idle names cost")
+    @Option(names = "--names", description = "measures the cost of this many idle names instead")
     private long names;
 
-    @Option(names = "--fleet", description = "measures instead three nodes beside one")
-    private boolean fleet;
+    @Option(names = "--fleet", description = "compares three nodes with one instead")
+    private boolean isFleet;
 
     @Override
     public Integer call() throws Exception {
       LogConfigurator.configureForTool();
       CounterBench bench = new CounterBench(seconds, turns, System.out);
-      if (fleet) {
+      if (isFleet) {
         new CounterFleetBench(seconds, turns, System.out).run();
       } else if (names > 0) {
         bench.runIdleNames(names);
@@ -77,17 +78,20 @@
     }
   }
 
-  /** The process that passthrough compares with. */
-  @Command(name = "bare-proxy", hidden = true, description = "A reverse proxy without decisions.")
-  static final class Proxy implements Callable<Integer> {
+  /** Runs the bare proxy, in the process that {@code passthrough} compares the gateway with. */
+  @Command(
+      name = "bare-proxy",
+      hidden = true,
+      description = "Runs a reverse proxy without admission control.")
+  static final class BareProxyCommand implements Callable<Integer> {
     @Parameters(paramLabel = "WORKER-PORT")
-    private int worker;
+    private int workerPort;
 
     @Override
     public Integer call() throws Exception {
       LogConfigurator.configureForTool();
       System.out.println(
-          new BareProxy(worker)
+          new BareProxy(workerPort)
               .start()
               .toCompletionStage()
               .toCompletableFuture()
--- a/src/main/java/fawndock/cli/CheckCommand.java
+++ b/src/main/java/fawndock/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock check FILE}: prints every error of a settings file and starts nothing. */
+/** {@code fawndock check FILE}: prints every error of a gateway's settings file. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/src/main/java/fawndock/cli/CommandGroup.java
+++ b/src/main/java/fawndock/cli/CommandGroup.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only has subcommands; alone it prints its usage. */
+/** A command that only groups subcommands; without a subcommand it prints its usage. */
 abstract class CommandGroup implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
--- a/src/main/java/fawndock/cli/Commands.java
+++ b/src/main/java/fawndock/cli/Commands.java
@@ -4,16 +4,16 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program's commands, and the root command that lists them. */
+/** The root command, which lists and runs the program's commands. */
 @Command(
     name = "fawndock",
     mixinStandardHelpOptions = true,
     version = "fawndock 0.2.0",
     description =
-        "An API gateway that holds the quotas of each customer of a shared back end, across a fleet.",
+        "An API gateway that keeps each customer of a shared back end to its quota, across a fleet.",
     synopsisSubcommandLabel = "COMMAND",
     footer =
-        "benchlink, without options, speaks the simulator's protocol on standard input and output.",
+        "benchlink takes no options and speaks the simulator's protocol on standard input and output.",
     subcommands = {
       RunCommand.class,
       PlatformCommand.class,
@@ -29,21 +29,21 @@
       ReportCommand.class
     })
 public final class Commands extends CommandGroup {
-  /** Returned by a command whose threads keep running after its call. */
+  /** Result of a command whose threads keep the process running after the call returns. */
   static final int KEEPS_RUNNING = -1;
 
   /**
-   * Runs a command line; returns the exit code, or a negative number when the process keeps
+   * Runs a command line. Returns the exit code, or a negative number when the process keeps
    * running.
    */
   public static int run(String[] args) {
     return new CommandLine(new Commands())
         .setExecutionExceptionHandler(
-            (e, command, parsed) -> {
-              if (!(e instanceof IOException)) {
-                throw e;
+            (exception, command, parseResult) -> {
+              if (!(exception instanceof IOException)) {
+                throw exception;
               }
-              System.err.println("fawndock: " + e.getMessage());
+              System.err.println("fawndock: " + exception.getMessage());
               return 1;
             })
         .execute(args);
--- a/src/main/java/fawndock/cli/CounterCommand.java
+++ b/src/main/java/fawndock/cli/CounterCommand.java
@@ -20,7 +20,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code fawndock counter -c FILE}: the counter service in the foreground, until SIGTERM or SIGINT.
+ * {@code fawndock counter -c FILE}: runs the counter service in the foreground until SIGTERM or
+ * SIGINT.
  */
 @Command(
     name = "counter",
@@ -29,7 +30,7 @@
     subcommands = {CounterCommand.Status.class, NodesCommand.class},
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
-      "1:could not start, such as on a damaged log",
+      "1:could not start, for example because of a damaged log",
       "2:errors in the settings",
       "143:stopped by SIGTERM after accepted commands were committed"
     })
@@ -58,11 +59,12 @@
     }
     LogConfigurator.configure(settings.log());
     try {
-      FileStorage disk = new FileStorage(settings.directory(), true);
-      CounterServer server = new CounterServer(settings, disk);
-      ProgressBar bar = new ProgressBar("recovering", totalBytes(settings.directory()), System.err);
-      int port = server.start(bar::update);
-      bar.finish();
+      FileStorage storage = new FileStorage(settings.directory(), true);
+      CounterServer server = new CounterServer(settings, storage);
+      ProgressBar progressBar =
+          new ProgressBar("recovering", totalBytes(settings.directory()), System.err);
+      int port = server.start(progressBar::update);
+      progressBar.finish();
       Runtime.getRuntime()
           .addShutdownHook(
               new Thread(
@@ -83,24 +85,24 @@
   private static long totalBytes(Path directory) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       long total = 0;
-      for (Path each : files.toList()) {
-        total += Files.size(each);
+      for (Path file : files.toList()) {
+        total += Files.size(file);
       }
       return total;
     }
   }
 
   /**
-   * {@code fawndock counter status HOST:PORT ...}: the state of each node, and of its peers as it
-   * sees them.
+   * {@code fawndock counter status HOST:PORT ...}: prints the state of each node and its view of
+   * its peers.
    */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
       description =
-          "Prints each node's state and epoch, and what it has yet to replicate to its peers.",
+          "Prints each node's state and epoch, and how much it still has to replicate to its peers.",
       exitCodeListHeading = "Exit codes:%n",
-      exitCodeList = {"0:all nodes serve gateways", "1:some do not"})
+      exitCodeList = {"0:all nodes are ready", "1:some nodes are not ready"})
   static final class Status implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "HOST:PORT")
     private List<String> nodes;
@@ -108,19 +110,19 @@
     @Override
     public Integer call() {
       boolean isAllReady = true;
-      for (String each : nodes) {
-        try (CounterClient caller = new CounterClient(each)) {
-          Object reply = caller.call("FD.STATUS");
+      for (String node : nodes) {
+        try (CounterClient client = new CounterClient(node)) {
+          Object reply = client.call("FD.STATUS");
           if (reply instanceof List<?> lines) {
             lines.forEach(
-                line -> System.out.println(lines.get(0) == line ? each + ": " + line : line));
+                line -> System.out.println(lines.get(0) == line ? node + ": " + line : line));
             isAllReady &= String.valueOf(lines.get(0)).endsWith(" ready");
           } else {
-            System.out.println(each + ": " + reply);
+            System.out.println(node + ": " + reply);
             isAllReady = false;
           }
         } catch (IOException | IllegalArgumentException e) {
-          System.out.println(each + ": " + e.getMessage());
+          System.out.println(node + ": " + e.getMessage());
           isAllReady = false;
         }
       }
--- a/src/main/java/fawndock/cli/CounterLogCommand.java
+++ b/src/main/java/fawndock/cli/CounterLogCommand.java
@@ -17,11 +17,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock counter-log}: verifies and dumps a counter's log, and cuts a damaged one. */
+/** {@code fawndock counter-log}: verifies, dumps and truncates the log of a counter node. */
 @Command(
     name = "counter-log",
     mixinStandardHelpOptions = true,
-    description = "Shows and mends a counter's log.",
+    description = "Inspects and repairs the log of a counter node.",
     subcommands = {
       CounterLogCommand.Verify.class,
       CounterLogCommand.Dump.class,
@@ -30,19 +30,23 @@
 final class CounterLogCommand extends CommandGroup {
   private static boolean isDirectory(Path directory) {
     if (!Files.isDirectory(directory)) {
-      System.err.println(directory + ": not a directory, expected the counter's");
+      System.err.println(directory + ": not a directory, expected the counter's directory");
       return false;
     }
     return true;
   }
 
-  /** Reports on every file. */
+  /** Prints the state of every file of a log. */
   @Command(
       name = "verify",
       mixinStandardHelpOptions = true,
-      description = "Checks every record; changes nothing, also beside a running counter.",
+      description =
+          "Checks every record. Changes nothing and is safe while a counter runs on the directory.",
       exitCodeListHeading = "Exit codes:%n",
-      exitCodeList = {"0:it can be started on", "1:damaged: a counter refuses to start on it"})
+      exitCodeList = {
+        "0:a counter can start on the log",
+        "1:damaged: a counter refuses to start on it"
+      })
   static final class Verify implements Callable<Integer> {
     @Parameters(paramLabel = "DIRECTORY")
     private Path directory;
@@ -53,8 +57,8 @@
         return 2;
       }
       List<FileReport> reports = LogVerifier.verify(new FileStorage(directory, false));
-      reports.forEach(each -> System.out.println(each.describe()));
-      boolean isDamaged = reports.stream().anyMatch(each -> each.state() == FileState.DAMAGED);
+      reports.forEach(report -> System.out.println(report.describe()));
+      boolean isDamaged = reports.stream().anyMatch(report -> report.state() == FileState.DAMAGED);
       System.out.println(
           isDamaged
               ? "damaged: a counter does not start on it; see counter-log truncate"
@@ -63,11 +67,11 @@
     }
   }
 
-  /** Prints every change of a file as a line. */
+  /** Prints every change in a segment or snapshot, one per line. */
   @Command(
       name = "dump",
       mixinStandardHelpOptions = true,
-      description = "Prints the changes of a file's records.")
+      description = "Prints the changes in the records of a file.")
   static final class Dump implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "a segment or a snapshot")
     private Path file;
@@ -76,7 +80,7 @@
         names = "--from",
         paramLabel = "RECORD",
         defaultValue = "0",
-        description = "the first record shown")
+        description = "number of the first record to print")
     private long fromSequence;
 
     @Override
@@ -94,7 +98,7 @@
               (sequence, timeMillis) ->
                   System.out.println(
                       "record " + sequence + " at " + Instant.ofEpochMilli(timeMillis)),
-              new Printer());
+              new ChangePrinter());
       if (!problem.isEmpty()) {
         System.err.println(file + ": " + problem);
       }
@@ -102,12 +106,12 @@
     }
   }
 
-  private static final class Printer implements ChangeRecord.Visitor {
+  private static final class ChangePrinter implements ChangeRecord.Visitor {
     @Override
     public void onAmount(byte[] name, DecimalAmount amount, long expiryMillis) {
       System.out.println(
           "  set "
-              + text(name)
+              + printable(name)
               + " "
               + amount
               + (expiryMillis == 0 ? "" : " until " + Instant.ofEpochMilli(expiryMillis)));
@@ -115,7 +119,7 @@
 
     @Override
     public void onDeleted(byte[] name) {
-      System.out.println("  delete " + text(name));
+      System.out.println("  delete " + printable(name));
     }
 
     @Override
@@ -123,25 +127,29 @@
       System.out.println("  end of a snapshot of " + names + " names");
     }
 
-    /** Names may be any bytes; a terminal gets only what is printable. */
-    private static String text(byte[] name) {
+    /**
+     * Decodes a name, which may be any bytes, with control characters replaced for the terminal.
+     */
+    private static String printable(byte[] name) {
       return new String(name, StandardCharsets.UTF_8).replaceAll("\\p{Cntrl}", "?");
     }
   }
 
-  /** Cuts off what is damaged and all after it. */
+  /** Truncates a log before its first damaged record. */
   @Command(
       name = "truncate",
       mixinStandardHelpOptions = true,
       description = {
-        "Cuts a damaged log before its first damaged record, so that a counter starts on it.",
-        "What is cut off is kept beside it in files that end in .cut; the counts in it are lost to the counter."
+        "Truncates a damaged log before its first damaged record, so that a counter can start on it.",
+        "The removed bytes are kept beside the log in files that end in .cut; the counter loses the counts in them."
       })
   static final class Truncate implements Callable<Integer> {
     @Parameters(paramLabel = "DIRECTORY")
     private Path directory;
 
-    @Option(names = "--yes", description = "do it; without, only what would be done is told")
+    @Option(
+        names = "--yes",
+        description = "truncates the log; without this option the steps are only printed")
     private boolean isConfirmed;
 
     @Override
--- a/src/main/java/fawndock/cli/DemoCommand.java
+++ b/src/main/java/fawndock/cli/DemoCommand.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code fawndock demo}: a whole deployment on loopback, with customers over their quotas, and a
- * live summary.
+ * {@code fawndock demo}: runs a whole deployment on loopback, with customers above their quotas,
+ * and prints a live summary.
  */
 @Command(
     name = "demo",
@@ -23,7 +23,7 @@
   @Override
   public Integer call() throws Exception {
     if (seconds < 1 || seconds > 3_600) {
-      System.err.println("--seconds is from 1 to 3600");
+      System.err.println("--seconds must be from 1 to 3600");
       return 2;
     }
     LogConfigurator.configureForTool();
--- a/src/main/java/fawndock/cli/DrillCommand.java
+++ b/src/main/java/fawndock/cli/DrillCommand.java
@@ -11,14 +11,16 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code fawndock drill NAME}: faults on loopback, checked by what crossed the sockets. */
+/**
+ * {@code fawndock drill NAME}: injects faults on loopback and checks the traffic on the sockets.
+ */
 @Command(
     name = "drill",
     mixinStandardHelpOptions = true,
-    description = "Plays faults on loopback and checks the five rules.",
+    description = "Injects faults on loopback and checks the five rules.",
     subcommands = {
       DrillCommand.BadDayDrill.class,
-      DrillCommand.Day.class,
+      DrillCommand.DayDrill.class,
       DrillCommand.ChaosDrill.class,
       DrillCommand.CounterCrashDrill.class,
       DrillCommand.CounterSplitDrill.class,
@@ -26,16 +28,16 @@
       DrillCommand.PlatformDrill.class
     })
 final class DrillCommand extends CommandGroup {
-  /** Three gateways through overlapping faults. */
+  /** Runs three gateways through overlapping faults. */
   @Command(
       name = "bad-day",
       mixinStandardHelpOptions = true,
-      description = "Three gateways through overlapping faults, in under 40 s.")
+      description = "Runs three gateways through overlapping faults, in under 40 s.")
   static final class BadDayDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of the traffic and faults")
+        description = "random seed of the traffic and the faults")
     private long seed;
 
     @Override
@@ -45,19 +47,20 @@
     }
   }
 
-  /** A day that lbsim drew. */
+  /** Replays a day file that {@code lbsim draw} generated. */
   @Command(
       name = "day",
       mixinStandardHelpOptions = true,
-      description = "Plays the faults of a day file of lbsim draw, scaled to loopback.")
-  static final class Day implements Callable<Integer> {
+      description =
+          "Injects the faults of a day file that lbsim draw generated, scaled to loopback.")
+  static final class DayDrill implements Callable<Integer> {
     @picocli.CommandLine.Parameters(paramLabel = "FILE", description = "the day file")
     private java.nio.file.Path file;
 
     @picocli.CommandLine.Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of the customers' demand")
+        description = "random seed of the customers' demand")
     private long seed;
 
     @Override
@@ -74,31 +77,34 @@
     }
   }
 
-  /** Faults at random. */
+  /** Injects random faults. */
   @Command(
       name = "chaos",
       mixinStandardHelpOptions = true,
-      description = "Random faults, among them killed gateways.")
+      description = "Injects random faults, including killed gateways.")
   static final class ChaosDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seconds",
         defaultValue = "60",
-        description = "from 10 to 900")
+        description = "duration in seconds, from 10 to 900")
     private int seconds;
 
     @picocli.CommandLine.Option(
         names = "--nodes",
         defaultValue = "1",
-        description = "counter nodes, 1 or 3")
+        description = "number of counter nodes, 1 or 3")
     private int nodes;
 
-    @picocli.CommandLine.Option(names = "--seed", defaultValue = "1", description = "of the faults")
+    @picocli.CommandLine.Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "random seed of the faults")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
       if (seconds < 10 || seconds > 900 || (nodes != 1 && nodes != 3)) {
-        System.err.println("--seconds is from 10 to 900, --nodes is 1 or 3");
+        System.err.println("--seconds must be from 10 to 900, --nodes must be 1 or 3");
         return 2;
       }
       LogConfigurator.configureForTool();
@@ -106,7 +112,7 @@
     }
   }
 
-  /** The counter killed under load. */
+  /** Kills the counter under load and checks its totals. */
   @Command(
       name = "counter-crash",
       mixinStandardHelpOptions = true,
@@ -116,19 +122,19 @@
     @picocli.CommandLine.Option(
         names = "--kills",
         defaultValue = "10",
-        description = "from 1 to 10000")
+        description = "how often the counter is killed, from 1 to 10000")
     private int kills;
 
     @picocli.CommandLine.Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of the adds and the moments")
+        description = "random seed of the additions and of the times of the kills")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
       if (kills < 1 || kills > 10_000) {
-        System.err.println("--kills is from 1 to 10000");
+        System.err.println("--kills must be from 1 to 10000");
         return 2;
       }
       LogConfigurator.configureForTool();
@@ -136,77 +142,77 @@
     }
   }
 
-  /** Counter nodes that are killed, stalled and partitioned. */
+  /** Kills, stalls, partitions and restarts counter nodes. */
   @Command(
       name = "counter-split",
       mixinStandardHelpOptions = true,
       description =
-          "Three counter nodes are killed, stalled, partitioned and restarted, under customers above their plans.")
+          "Kills, stalls, partitions and restarts three counter nodes, with customers above their plans.")
   static final class CounterSplitDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--nodes",
         defaultValue = "3",
-        description = "3, or 1 to compare with")
+        description = "number of counter nodes, 3, or 1 for comparison")
     private int nodes;
 
     @picocli.CommandLine.Option(
         names = "--only",
         defaultValue = "",
-        description = "breaks with this in their names")
+        description = "runs only the faults whose names contain this text")
     private String only;
 
     @picocli.CommandLine.Option(
         names = "--seconds",
         defaultValue = "1.6",
-        description = "of a break, from 1 to 60")
+        description = "duration of a fault in seconds, from 1 to 60")
     private double seconds;
 
     @picocli.CommandLine.Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of the traffic")
+        description = "random seed of the traffic")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
-      CounterPartitionScenario drill =
+      CounterPartitionScenario scenario =
           new CounterPartitionScenario(nodes, seconds, only, seed, System.out);
-      if (drill.faultCount() == 0) {
-        System.err.println("no break has '" + only + "' in its name");
+      if (scenario.faultCount() == 0) {
+        System.err.println("no fault has '" + only + "' in its name");
         return 2;
       }
       if ((nodes != 1 && nodes != 3) || seconds < 1 || seconds > 60) {
-        System.err.println("--nodes is 1 or 3, --seconds from 1 to 60");
+        System.err.println("--nodes must be 1 or 3, --seconds must be from 1 to 60");
         return 2;
       }
       LogConfigurator.configureForTool();
-      return drill.run() ? 0 : 1;
+      return scenario.run() ? 0 : 1;
     }
   }
 
-  /** Many gateway instances with few requests each. */
+  /** Runs many gateway instances with few requests each. */
   @Command(
       name = "large-fleet",
       mixinStandardHelpOptions = true,
       description =
-          "60 gateway instances with a request a second each and three counter nodes keep quotas.")
+          "Checks the quotas of 60 gateway instances with one request per second each and three counter nodes.")
   static final class LargeFleetDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--seconds",
         defaultValue = "70",
-        description = "from 20 to 300")
+        description = "duration in seconds, from 20 to 300")
     private int seconds;
 
     @picocli.CommandLine.Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of the traffic")
+        description = "random seed of the traffic")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
       if (seconds < 20 || seconds > 300) {
-        System.err.println("--seconds is from 20 to 300");
+        System.err.println("--seconds must be from 20 to 300");
         return 2;
       }
       LogConfigurator.configureForTool();
@@ -214,16 +220,17 @@
     }
   }
 
-  /** One gateway of the platform. */
+  /** Runs one gateway as on the platform. */
   @Command(
       name = "platform",
       mixinStandardHelpOptions = true,
-      description = "One gateway of the platform among fakes, in this process.")
+      description =
+          "Runs one gateway as on the platform, with fake peers and backends, in this process.")
   static final class PlatformDrill implements Callable<Integer> {
     @picocli.CommandLine.Option(
         names = "--requests",
         defaultValue = "600",
-        description = "from 20 to 100000")
+        description = "number of requests, from 20 to 100000")
     private int requests;
 
     @Override
--- a/src/main/java/fawndock/cli/EmulateCommand.java
+++ b/src/main/java/fawndock/cli/EmulateCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code fawndock emulate FILE}: a whole deployment in simulated time, checked against the five
+ * {@code fawndock emulate FILE}: runs a whole deployment in simulated time and checks the five
  * rules.
  */
 @Command(
@@ -26,25 +26,29 @@
     description =
         "Runs a deployment in simulated time with the real policy and checks the five rules.",
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:rules kept", "1:a rule was broken", "2:errors in the file"})
+    exitCodeList = {"0:all rules kept", "1:a rule was broken", "2:errors in the file"})
 final class EmulateCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "the deployment; docs/operations/emulate.md")
+  @Parameters(
+      paramLabel = "FILE",
+      description = "the deployment file, see docs/operations/emulate.md")
   private Path file;
 
   @Option(
       names = "--set",
       paramLabel = "NAME=VALUE",
-      description = "another value for a let line of the file")
+      description = "overrides the value of a let line of the file")
   private Map<String, String> values = Map.of();
 
   @Option(
       names = "--describe",
-      description = "FILE is a day of 'lbsim draw'; tells it as a deployment, and runs nothing")
+      description =
+          "FILE is a day file of 'lbsim draw'; prints it as a deployment file and runs nothing")
   private boolean describe;
 
   @Option(
       names = "--sockets",
-      description = "plays it over sockets too, and tells both side by side; for small deployments")
+      description =
+          "also runs the deployment over sockets and prints both results side by side; for small deployments")
   private boolean sockets;
 
   @Override
@@ -53,47 +57,52 @@
       System.out.print(DayDeployment.of(DayFile.read(file)));
       return 0;
     }
-    DeploymentFile.ParsedDeployment read;
+    DeploymentFile.ParsedDeployment parsed;
     try {
-      read = DeploymentFile.read(file, values);
+      parsed = DeploymentFile.read(file, values);
     } catch (ConfigurationException e) {
       System.err.println(e.getMessage());
       return 2;
     }
-    Deployment d = read.deployment();
-    long begun = System.nanoTime();
-    SimulationResult result = read.createSimulation(DefaultGatewayPolicy::new).run();
-    double took = (System.nanoTime() - begun) / 1e9;
+    Deployment deployment = parsed.deployment();
+    long startNanos = System.nanoTime();
+    SimulationResult result = parsed.createSimulation(DefaultGatewayPolicy::new).run();
+    double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
     System.out.printf(
         "simulated: %d gatekeepers, %d workers, %.0f s, %d events, in %.1f s of this machine%n",
-        d.gatewayCount(), d.backendCount(), d.durationSeconds(), result.eventCount(), took);
+        deployment.gatewayCount(),
+        deployment.backendCount(),
+        deployment.durationSeconds(),
+        result.eventCount(),
+        elapsedSeconds);
     result
         .responsesByStatus()
         .forEach(
-            (status, many) ->
+            (status, count) ->
                 System.out.printf(
                     "%-14s %9d%n",
-                    status == 0 ? "client left" : status < 0 ? "broke" : "answer " + status, many));
+                    status == 0 ? "client left" : status < 0 ? "broke" : "answer " + status,
+                    count));
     result.figures().forEach((name, value) -> System.out.printf("%-28s %10.3f%n", name, value));
     if (sockets) {
-      return beside(read, result);
+      return compareWithSockets(parsed, result);
     }
-    result.conformance().violations().forEach(b -> System.out.println("  " + b));
+    result.conformance().violations().forEach(violation -> System.out.println("  " + violation));
     System.out.println(result.conformance().summaryLine());
     return result.conformance().isConformant() ? 0 : 1;
   }
 
-  private static int beside(DeploymentFile.ParsedDeployment read, SimulationResult emulated)
-      throws Exception {
-    SocketRun real = new SocketRun(read, System.out);
-    if (!real.beyond().isEmpty()) {
-      real.beyond().forEach(System.err::println);
+  private static int compareWithSockets(
+      DeploymentFile.ParsedDeployment parsed, SimulationResult simulated) throws Exception {
+    SocketRun socketRun = new SocketRun(parsed, System.out);
+    if (!socketRun.beyond().isEmpty()) {
+      socketRun.beyond().forEach(System.err::println);
       return 2;
     }
     LogConfigurator.configureForTool();
-    SocketRun.SocketRunResult played = real.play();
+    SocketRun.SocketRunResult socketResult = socketRun.play();
     System.out.printf("%-28s %10s %10s %9s%n", "", "emulated", "sockets", "differ");
-    FigureComparison.rows(emulated.figures(), played.told().figures())
+    FigureComparison.rows(simulated.figures(), socketResult.told().figures())
         .forEach(
             row ->
                 System.out.printf(
@@ -103,9 +112,9 @@
                     row.real(),
                     100 * row.differs(),
                     row.much() ? " *" : ""));
-    played.verdict().violations().forEach(b -> System.out.println("  " + b));
-    System.out.println("emulated: " + emulated.conformance().summaryLine());
-    System.out.println("over sockets: " + played.verdict().summaryLine());
-    return emulated.conformance().isConformant() && played.verdict().isConformant() ? 0 : 1;
+    socketResult.verdict().violations().forEach(violation -> System.out.println("  " + violation));
+    System.out.println("emulated: " + simulated.conformance().summaryLine());
+    System.out.println("over sockets: " + socketResult.verdict().summaryLine());
+    return simulated.conformance().isConformant() && socketResult.verdict().isConformant() ? 0 : 1;
   }
 }
--- a/src/main/java/fawndock/cli/LoadCommand.java
+++ b/src/main/java/fawndock/cli/LoadCommand.java
@@ -26,37 +26,37 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code fawndock load FILE}: an open load on targets, and what became of each request from its
- * intended start.
+ * {@code fawndock load FILE}: sends an open-loop load to targets and prints the outcomes and
+ * latencies of the requests, measured from their intended starts.
  */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
     description =
-        "Sends the load that a file describes, whatever its answers, and tells their latencies.",
+        "Sends the load that a file describes, without waiting for responses, and prints the latencies.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
       "0:done",
       "1:a trace could not be read",
-      "2:mistakes in the file",
-      "3:the generator could not keep its schedule, the figures are unusable"
+      "2:errors in the file",
+      "3:the generator fell behind its schedule, the results are unusable"
     })
 final class LoadCommand implements Callable<Integer> {
-  private static final int UNUSABLE = 3;
+  private static final int EXIT_UNUSABLE = 3;
 
-  @Parameters(paramLabel = "FILE", description = "what to send; docs/operations/load.md")
+  @Parameters(paramLabel = "FILE", description = "the load file, see docs/operations/load.md")
   private Path file;
 
-  @Option(names = "--json", paramLabel = "FILE", description = "writes all figures there")
-  private Path json;
+  @Option(names = "--json", paramLabel = "FILE", description = "writes all results to this file")
+  private Path jsonFile;
 
   @Option(
       names = "--hdr",
       paramLabel = "FILE",
-      description = "writes an HdrHistogram interval log there")
-  private Path hdr;
+      description = "writes an HdrHistogram interval log to this file")
+  private Path histogramFile;
 
-  @Option(names = "--quiet", description = "no lines while it runs")
+  @Option(names = "--quiet", description = "does not print progress lines")
   private boolean quiet;
 
   @Override
@@ -71,16 +71,16 @@
     }
     List<String> names =
         Stream.concat(
-                plan.flows().stream().map(f -> f.request().name()),
-                plan.traces().stream().map(t -> t.request().name()))
+                plan.flows().stream().map(flow -> flow.request().name()),
+                plan.traces().stream().map(trace -> trace.request().name()))
             .toList();
     List<RequestTrace.Read> traces = new ArrayList<>();
-    for (LoadPlan.TraceReplay each : plan.traces()) {
-      try (BufferedReader from = Files.newBufferedReader(each.file())) {
-        RequestTrace.Read read = RequestTrace.read(from, each.file().toString());
+    for (LoadPlan.TraceReplay replay : plan.traces()) {
+      try (BufferedReader reader = Files.newBufferedReader(replay.file())) {
+        RequestTrace.Read read = RequestTrace.read(reader, replay.file().toString());
         System.out.printf(
             "%s: %d requests over %.1f s, %d out of order, %d other lines%n",
-            each.file(),
+            replay.file(),
             read.entries().size(),
             read.entries().get(read.entries().size() - 1).atMicros() / 1e6,
             read.moved(),
@@ -89,17 +89,17 @@
       }
     }
     Vertx vertx = Vertx.vertx();
-    try (HistogramLog log = hdr == null ? null : new HistogramLog(hdr, names)) {
+    try (HistogramLog log = histogramFile == null ? null : new HistogramLog(histogramFile, names)) {
       LoadGenerator generator =
           new LoadGenerator(
               vertx,
               plan,
               traces,
-              quiet ? p -> {} : p -> line(p, plan),
-              log == null ? t -> {} : log::interval);
+              quiet ? progress -> {} : progress -> printProgress(progress, plan),
+              log == null ? statistics -> {} : log::interval);
       Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "stop"));
-      List<FlowStatistics> tallies = generator.run().get();
-      return report(plan, names, tallies);
+      List<FlowStatistics> statistics = generator.run().get();
+      return report(plan, names, statistics);
     } catch (ExecutionException e) {
       throw new IOException(e.getCause());
     } finally {
@@ -107,72 +107,72 @@
     }
   }
 
-  private static void line(LoadGenerator.Progress p, LoadPlan plan) {
-    int done = (int) Math.min(20, 20 * p.seconds() / plan.seconds());
+  private static void printProgress(LoadGenerator.Progress progress, LoadPlan plan) {
+    int filledChars = (int) Math.min(20, 20 * progress.seconds() / plan.seconds());
     System.out.printf(
         "[%s%s] %6.1f s  due %d  good %d  other %d  out %d  p50 %.1f ms  p99 %.1f ms%n",
-        "#".repeat(done),
-        " ".repeat(20 - done),
-        p.seconds(),
-        p.due(),
-        p.good(),
-        p.other(),
-        p.out(),
-        p.p50Micros() / 1e3,
-        p.p99Micros() / 1e3);
+        "#".repeat(filledChars),
+        " ".repeat(20 - filledChars),
+        progress.seconds(),
+        progress.due(),
+        progress.good(),
+        progress.other(),
+        progress.out(),
+        progress.p50Micros() / 1e3,
+        progress.p99Micros() / 1e3);
   }
 
-  private int report(LoadPlan plan, List<String> names, List<FlowStatistics> tallies)
+  private int report(LoadPlan plan, List<String> names, List<FlowStatistics> statistics)
       throws IOException {
-    boolean unusable = false;
-    Map<String, Object> all = new LinkedHashMap<>();
+    boolean isUnusable = false;
+    Map<String, Object> resultsByName = new LinkedHashMap<>();
     System.out.printf(
         "%-16s %9s %9s %9s %9s %9s %9s %9s %9s %10s%n",
         "latency, ms", "due", "good", "p50", "p90", "p99", "p99.9", "max", "left", "no answer");
     for (int i = 0; i < names.size(); i++) {
-      FlowStatistics tally = tallies.get(i);
-      Map<String, Object> told = tally.told();
-      all.put(names.get(i), told);
+      FlowStatistics flowStatistics = statistics.get(i);
+      Map<String, Object> results = flowStatistics.told();
+      resultsByName.put(names.get(i), results);
       @SuppressWarnings("unchecked")
-      Map<String, Number> p = (Map<String, Number>) told.get("latency_us");
+      Map<String, Number> latencies = (Map<String, Number>) results.get("latency_us");
       System.out.printf(
           "%-16s %9s %9d %9.1f %9.1f %9.1f %9.1f %9.1f %9s %10s%n",
           names.get(i),
-          told.get("due"),
-          tally.good(),
-          ms(p, "p50"),
-          ms(p, "p90"),
-          ms(p, "p99"),
-          ms(p, "p999"),
-          ms(p, "max"),
-          told.get("client_left"),
-          told.get("no_answer"));
-      if (tally.unusable()) {
-        unusable = true;
+          results.get("due"),
+          flowStatistics.good(),
+          toMillis(latencies, "p50"),
+          toMillis(latencies, "p90"),
+          toMillis(latencies, "p99"),
+          toMillis(latencies, "p999"),
+          toMillis(latencies, "max"),
+          results.get("client_left"),
+          results.get("no_answer"));
+      if (flowStatistics.unusable()) {
+        isUnusable = true;
         System.out.printf(
             "%s: UNUSABLE: of %s due, %s left more than %d ms late and %s were not sent%n",
             names.get(i),
-            told.get("due"),
-            told.get("sent_late"),
+            results.get("due"),
+            results.get("sent_late"),
             plan.slackMicros() / 1_000,
-            told.get("not_sent"));
+            results.get("not_sent"));
       }
     }
-    if (json != null) {
-      Map<String, Object> run = new LinkedHashMap<>();
-      run.put("usable", !unusable);
-      run.put("seconds", plan.seconds());
-      run.put("seed", plan.seed());
-      run.put("flows", all);
+    if (jsonFile != null) {
+      Map<String, Object> summary = new LinkedHashMap<>();
+      summary.put("usable", !isUnusable);
+      summary.put("seconds", plan.seconds());
+      summary.put("seed", plan.seed());
+      summary.put("flows", resultsByName);
       Files.writeString(
-          json,
-          new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(run)
+          jsonFile,
+          new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(summary)
               + "\n");
     }
-    return unusable ? UNUSABLE : 0;
+    return isUnusable ? EXIT_UNUSABLE : 0;
   }
 
-  private static double ms(Map<String, Number> micros, String which) {
-    return micros.get(which).doubleValue() / 1e3;
+  private static double toMillis(Map<String, Number> micros, String key) {
+    return micros.get(key).doubleValue() / 1e3;
   }
 }
--- a/src/main/java/fawndock/cli/LogConfigurator.java
+++ b/src/main/java/fawndock/cli/LogConfigurator.java
@@ -14,15 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Configures the log on standard error, as text or JSON lines. Lines pass through a bounded queue
- * and are dropped when it is full, so that a reader who stops does not block an event loop.
+ * Configures logback to write text or JSON lines to standard error. Lines pass through a bounded
+ * queue and are dropped when it is full, so that a stalled reader of standard error does not block
+ * an event loop.
  */
 final class LogConfigurator {
-  private static final int QUEUE_LINES = 16_384;
+  private static final int MAX_QUEUED_LINES = 16_384;
 
   private LogConfigurator() {}
 
-  /** Warnings and errors as text, for tools that print their own results. */
+  /**
+   * Configures text output of warnings and errors only, for commands that print their own results.
+   */
   static void configureForTool() {
     configure(new LogSettings(false, "warn"));
   }
@@ -30,30 +33,31 @@
   static void configure(LogSettings log) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
-    ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
-    console.setContext(context);
-    console.setTarget("System.err");
-    console.setEncoder(log.isJson() ? json(context) : text(context));
-    console.start();
-    AsyncAppender queue = new AsyncAppender();
-    queue.setContext(context);
-    queue.setQueueSize(QUEUE_LINES);
-    queue.setDiscardingThreshold(0);
-    queue.setNeverBlock(true);
-    queue.addAppender(console);
-    queue.start();
+    ConsoleAppender<ILoggingEvent> consoleAppender = new ConsoleAppender<>();
+    consoleAppender.setContext(context);
+    consoleAppender.setTarget("System.err");
+    consoleAppender.setEncoder(
+        log.isJson() ? createJsonEncoder(context) : createTextEncoder(context));
+    consoleAppender.start();
+    AsyncAppender asyncAppender = new AsyncAppender();
+    asyncAppender.setContext(context);
+    asyncAppender.setQueueSize(MAX_QUEUED_LINES);
+    asyncAppender.setDiscardingThreshold(0);
+    asyncAppender.setNeverBlock(true);
+    asyncAppender.addAppender(consoleAppender);
+    asyncAppender.start();
     Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.WARN);
-    root.addAppender(queue);
+    root.addAppender(asyncAppender);
     context.getLogger("fawndock").setLevel(Level.toLevel(log.level()));
   }
 
-  /** Writes out what is still queued. */
+  /** Writes the queued lines and stops logging. */
   static void flush() {
     ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
   }
 
-  private static Encoder<ILoggingEvent> json(LoggerContext context) {
+  private static Encoder<ILoggingEvent> createJsonEncoder(LoggerContext context) {
     LogstashEncoder encoder = new LogstashEncoder();
     encoder.setContext(context);
     encoder.setTimeZone(TimeZone.getTimeZone("UTC").getID());
@@ -61,7 +65,7 @@
     return encoder;
   }
 
-  private static Encoder<ILoggingEvent> text(LoggerContext context) {
+  private static Encoder<ILoggingEvent> createTextEncoder(LoggerContext context) {
     PatternLayoutEncoder encoder = new PatternLayoutEncoder();
     encoder.setContext(context);
     encoder.setPattern("%d{\"yyyy-MM-dd'T'HH:mm:ss.SSS'Z'\", UTC} %-5level %logger{0} %msg%n");
--- a/src/main/java/fawndock/cli/PlainLog.java
+++ b/src/main/java/fawndock/cli/PlainLog.java
@@ -17,11 +17,11 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * slf4j provider of {@code fawndock platform}: one line of text each on standard error, with time,
- * level, simple class name and message. Lines pass through a bounded queue to a thread of their
- * own, so that a reader who stops does not stop the event loop; when the queue is full, lines are
- * dropped. Used in place of logback, which takes a sixth of the start on a small core. Loggers may
- * be used from any thread.
+ * The slf4j provider of {@code fawndock platform}. It writes each event to standard error as a line
+ * of text with time, level, simple class name and message. Lines pass through a bounded queue to a
+ * writer thread, so that a stalled reader of standard error does not block the event loop; when the
+ * queue is full, lines are dropped. It replaces logback, which takes a sixth of the start time on a
+ * small core. Loggers are thread-safe.
  */
 public final class PlainLog implements SLF4JServiceProvider {
   private static final int MAX_QUEUED_LINES = 1_024;
@@ -34,7 +34,7 @@
   private final IMarkerFactory markers = new BasicMarkerFactory();
   private final MDCAdapter context = new NOPMDCAdapter();
 
-  /** Makes slf4j use this provider; to be called before the first logger is created. */
+  /** Makes slf4j use this provider. Must be called before the first logger is created. */
   static void install() {
     System.setProperty("slf4j.provider", PlainLog.class.getName());
     writer = new Thread(PlainLog::writeLines, "log");
@@ -48,14 +48,17 @@
         System.err.print(LINES.take());
       }
     } catch (InterruptedException e) {
-      // Interrupted by flush(): what is queued is written, and then the thread ends.
+      // Interrupted by flush(): writes the queued lines and ends the thread.
       for (String line = LINES.poll(); line != null; line = LINES.poll()) {
         System.err.print(line);
       }
     }
   }
 
-  /** Writes what is queued, within a moment, and stops writing. Idempotent. */
+  /**
+   * Writes the queued lines and stops the writer thread, waiting at most {@link
+   * #FLUSH_TIMEOUT_MILLIS}. Idempotent.
+   */
   static void flush() {
     if (writer != null) {
       writer.interrupt();
@@ -92,16 +95,16 @@
     // Nothing to set up.
   }
 
-  /** Logs information of this program, but only warnings and errors of the libraries. */
+  /** Logs this program's events from level INFO, and those of libraries from level WARN. */
   private static final class PlainLogger extends LegacyAbstractLogger {
     private static final long serialVersionUID = 1L;
     private static final String OWN_PACKAGE = "fawndock";
 
-    private final boolean isOwn;
+    private final boolean isOwnPackage;
 
     PlainLogger(String name) {
       this.name = name.substring(name.lastIndexOf('.') + 1);
-      this.isOwn = name.startsWith(OWN_PACKAGE);
+      this.isOwnPackage = name.startsWith(OWN_PACKAGE);
     }
 
     @Override
@@ -117,10 +120,10 @@
       line.append(' ').append(name);
       line.append(' ').append(MessageFormatter.basicArrayFormat(message, arguments));
       line.append('\n');
-      for (Throwable each = cause; each != null; each = each.getCause()) {
-        appendStackTrace(line, each);
+      for (Throwable current = cause; current != null; current = current.getCause()) {
+        appendStackTrace(line, current);
       }
-      // A full queue drops the line: see the class comment.
+      // The line is dropped when the queue is full.
       boolean unused = LINES.offer(line.toString());
     }
 
@@ -143,7 +146,7 @@
 
     @Override
     public boolean isInfoEnabled() {
-      return isOwn;
+      return isOwnPackage;
     }
 
     @Override
--- a/src/main/java/fawndock/cli/PlatformCommand.java
+++ b/src/main/java/fawndock/cli/PlatformCommand.java
@@ -5,17 +5,19 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code fawndock platform}: one gateway instance on the platform, configured by RELAY_CONFIG. */
+/**
+ * {@code fawndock platform}: runs one gateway instance on the platform, configured by RELAY_CONFIG.
+ */
 @Command(
     name = "platform",
     mixinStandardHelpOptions = true,
     description =
-        "Runs one gateway on the platform, as RELAY_CONFIG says. SIGHUP reads it again, SIGTERM stops.",
+        "Runs one gateway on the platform, configured by RELAY_CONFIG. SIGHUP reloads it, SIGTERM stops.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {
       "0:stopped by SIGTERM after answering all requests",
       "1:could not listen",
-      "2:unusable configuration"
+      "2:invalid configuration"
     })
 public final class PlatformCommand implements Callable<Integer> {
   @Override
@@ -30,7 +32,7 @@
     try {
       return process.run(DefaultGatewayPolicy::new);
     } catch (InterruptedException e) {
-      // Not interrupted again: the log is still to be flushed, and the process ends after it.
+      // The interrupt flag stays cleared, so that the log can be flushed before the process ends.
       return PlatformProcess.EXIT_CANNOT_LISTEN;
     } finally {
       PlainLog.flush();
--- a/src/main/java/fawndock/cli/ProgressBar.java
+++ b/src/main/java/fawndock/cli/ProgressBar.java
@@ -3,30 +3,30 @@
 import java.io.PrintStream;
 
 /**
- * Shows the progress of a long task on one line of a terminal; nothing within its first second, nor
- * where the output is no terminal. One thread.
+ * Shows the progress of a long task on one line of a terminal. It prints nothing in the first
+ * second and nothing when there is no terminal. Not thread-safe.
  */
 final class ProgressBar {
-  private static final long QUIET_NANOS = 1_000_000_000;
-  private static final int WIDTH = 40;
-  private static final long STEP_NANOS = 200_000_000;
+  private static final long INITIAL_DELAY_NANOS = 1_000_000_000;
+  private static final int WIDTH_CHARS = 40;
+  private static final long UPDATE_INTERVAL_NANOS = 200_000_000;
   private final String title;
   private final long total;
   private final String totalText;
   private final PrintStream out;
-  private long shownAtNanos = System.nanoTime() + QUIET_NANOS - STEP_NANOS;
+  private long lastShownNanos = System.nanoTime() + INITIAL_DELAY_NANOS - UPDATE_INTERVAL_NANOS;
   private boolean isShown;
 
   /**
-   * @param totalBytes when it is done
+   * @param totalBytes number of bytes at which the task is complete
    */
   ProgressBar(String title, long totalBytes, PrintStream out) {
     this(title, totalBytes, (totalBytes >> 20) + " MiB", out);
   }
 
   /**
-   * @param total when it is done
-   * @param totalText the same with its unit
+   * @param total number of units at which the task is complete
+   * @param totalText the total with its unit, as printed
    */
   ProgressBar(String title, long total, String totalText, PrintStream out) {
     this.title = title;
@@ -35,19 +35,19 @@
     this.out = out;
   }
 
-  // Java 17 is what it runs on, where console() is null without a terminal.
+  // The program runs on Java 17, where console() is null without a terminal.
   @SuppressWarnings("SystemConsoleNull")
   void update(long done) {
     long now = System.nanoTime();
-    if (System.console() != null && now - shownAtNanos >= STEP_NANOS) {
-      shownAtNanos = now;
+    if (System.console() != null && now - lastShownNanos >= UPDATE_INTERVAL_NANOS) {
+      lastShownNanos = now;
       isShown = true;
-      int filled = (int) Math.min(WIDTH, WIDTH * done / total);
+      int filledChars = (int) Math.min(WIDTH_CHARS, WIDTH_CHARS * done / total);
       out.printf(
           "\r%s [%s%s] %3d%% of %s",
           title,
-          "#".repeat(filled),
-          " ".repeat(WIDTH - filled),
+          "#".repeat(filledChars),
+          " ".repeat(WIDTH_CHARS - filledChars),
           Math.min(100, 100 * done / total),
           totalText);
       out.flush();
@@ -56,7 +56,7 @@
 
   void finish() {
     if (isShown) {
-      out.printf("\r%s [%s] done%20s%n", title, "#".repeat(WIDTH), "");
+      out.printf("\r%s [%s] done%20s%n", title, "#".repeat(WIDTH_CHARS), "");
     }
   }
 }
--- a/src/main/java/fawndock/cli/ReportCommand.java
+++ b/src/main/java/fawndock/cli/ReportCommand.java
@@ -14,35 +14,41 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fawndock report DIR}: a page with plots of an experiment's results. */
+/** {@code fawndock report DIR}: writes a page with plots of an experiment's results. */
 @Command(
     name = "report",
     mixinStandardHelpOptions = true,
     description =
-        "Writes DIR/report.html, one page with all plots inside, and each plot as DIR/plots/*.png.")
+        "Writes DIR/report.html, one page with all plots embedded, and each plot as DIR/plots/*.png.")
 final class ReportCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "DIR", description = "results of 'fawndock experiment'")
-  private Path folder;
+  @Parameters(paramLabel = "DIR", description = "results directory of 'fawndock experiment'")
+  private Path directory;
 
   @Option(
       names = "--before",
       paramLabel = "DIR",
-      description = "results that these are held against, seed by seed")
-  private Path before;
+      description = "results directory to compare with, seed by seed")
+  private Path baselineDirectory;
 
   @Override
   public Integer call() throws IOException {
     System.setProperty("java.awt.headless", "true");
-    List<RunResult> after = ResultStore.read(folder);
-    List<RunResult> was = before == null ? List.of() : ResultStore.read(before);
-    if (after.isEmpty() || (before != null && was.isEmpty())) {
+    List<RunResult> results = ResultStore.read(directory);
+    List<RunResult> baselineResults =
+        baselineDirectory == null ? List.of() : ResultStore.read(baselineDirectory);
+    if (results.isEmpty() || (baselineDirectory != null && baselineResults.isEmpty())) {
       throw new IOException(
-          (after.isEmpty() ? folder : before) + ": no run is done yet, expected at least one");
+          (results.isEmpty() ? directory : baselineDirectory)
+              + ": no finished run, expected at least one");
     }
     try {
-      Experiment experiment = ExperimentFile.asRun(folder.resolve(ResultStore.EXPERIMENT));
+      Experiment experiment = ExperimentFile.asRun(directory.resolve(ResultStore.EXPERIMENT));
       System.out.println(
-          new HtmlReport(experiment, experiment.inOrder(after), experiment.inOrder(was), folder)
+          new HtmlReport(
+                  experiment,
+                  experiment.inOrder(results),
+                  experiment.inOrder(baselineResults),
+                  directory)
               .write());
       return 0;
     } catch (ConfigurationException e) {
--- a/src/main/java/fawndock/cli/RunCommand.java
+++ b/src/main/java/fawndock/cli/RunCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fawndock run -c FILE}: the gateway in the foreground, until SIGTERM or SIGINT. */
+/** {@code fawndock run -c FILE}: runs the gateway in the foreground until SIGTERM or SIGINT. */
 @Command(
     name = "run",
     mixinStandardHelpOptions = true,
@@ -60,7 +60,7 @@
     return Commands.KEEPS_RUNNING;
   }
 
-  /** Starts the rate limit service, where the settings have one, then the gateway. */
+  /** Starts the rate limit service, if it is configured, then the gateway. Returns its port. */
   private static int start(GatewayServer server, GatewaySettings settings)
       throws InterruptedException, ExecutionException, TimeoutException {
     if (settings.rateLimit().listen() != null) {
--- a/src/main/java/fawndock/cli/package-info.java
+++ b/src/main/java/fawndock/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line, one class a command. Commands read their arguments, start what does the work
- * and print its results; the work itself is elsewhere.
+ * The command line, with one class per command. A command reads its arguments, runs code of another
+ * package and prints the results.
  */
 package fawndock.cli;
